--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -12,14 +12,14 @@
 	"whinrun/internal/h1"
 )
 
-// Calls speaks to endpoints; it is outbound.Calls.
-type Calls struct {
+// CallCodec speaks to endpoints; it is outbound.Calls.
+type CallCodec struct {
 	*Directory
-	Reports []string // names of the values of a load report, in order
+	LoadMetrics []string // names of the values of a load report, in order
 }
 
 // Request appends one call: a message, or several in the form of bulk calls.
-func (c Calls) Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte {
+func (c CallCodec) Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte {
 	host := "endpoint"
 	if addr, ok := c.Address(as[0].Endpoint); ok {
 		host = addr.String()
@@ -55,7 +55,7 @@
 }
 
 // Assured is outbound.Calls: a call with one message whose first line says 200 is delivered.
-func (c Calls) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
+func (c CallCodec) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
 	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(as) == 1
 }
 
@@ -63,7 +63,7 @@
 var statusOf = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
 
 // Answer makes an answer into one end for each message.
-func (c Calls) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
+func (c CallCodec) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
 	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: wait(head.Fields), Report: c.report(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
 		e.Kind, e.Detail = engine.NoSlot, "503"
@@ -130,19 +130,19 @@
 }
 
 // report reads a load report; one that can't be read is none.
-func (c Calls) report(f h1.Fields) []float32 {
+func (c CallCodec) report(f h1.Fields) []float32 {
 	text := f.Get("x-pressure")
-	if text == "" || len(c.Reports) == 0 {
+	if text == "" || len(c.LoadMetrics) == 0 {
 		return nil
 	}
-	out := make([]float32, len(c.Reports))
+	out := make([]float32, len(c.LoadMetrics))
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, ok := number(value)
 		if !ok {
 			return nil
 		}
-		for i, n := range c.Reports {
+		for i, n := range c.LoadMetrics {
 			if n == name {
 				out[i] = float32(v)
 			}
@@ -151,8 +151,8 @@
 	return out
 }
 
-// Judge tells what ends mean on the platform.
-func Judge(e engine.End) engine.Verdict {
+// Classify tells what ends mean on the platform.
+func Classify(e engine.End) engine.Verdict {
 	if e.Kind != engine.Answered {
 		return engine.Judge(e, false)
 	}
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -175,7 +175,7 @@
 func (k *keeper) Learn(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; k.dir.Listed(o.Endpoint) || o.Over() {
+		if o := &changed[i]; k.dir.IsListed(o.Endpoint) || o.Over() {
 			all = append(all, k.outage(o))
 		}
 	}
@@ -190,7 +190,7 @@
 		}
 		return k.clock.Instant(t)
 	}
-	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
+	return ledger.Outage{Host: k.dir.HostName(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
 		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
 }
 
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -41,7 +41,7 @@
 	clock       *clock.Process
 	ledger      *ledger.Ledger
 	dir         *Directory
-	desk        *Desk
+	desk        *ClientHandler
 	pool        *outbound.Pool
 	loop        *engine.Loop
 	front       *front.Front
@@ -76,7 +76,7 @@
 
 // Start starts a dispatcher: what the ledger owes comes first.
 func Start(cfg *Config, log *logs.Logger) (*Node, error) {
-	folder, err := openFolder(cfg.State)
+	folder, err := openFolder(cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	var err error
 	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
 		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
-	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() List { return n.dir.Whole(n.listSeq.Load()) }, n.warn("discovery"))
+	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.dir.Snapshot(n.listSeq.Load()) }, n.warn("discovery"))
 	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 	keep.notes = n.notes
 	settings := *set
 	settings.Follows = n.ledger.Follows()
-	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
+	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Classify, CallSize: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
 	}
@@ -162,7 +162,7 @@
 		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
 		Trace:          n.debug(), Permits: permits, System: n.system,
 	}
-	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
+	calls := outbound.NewHTTP1(CallCodec{n.dir, n.cfg.LoadMetrics})
 	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
 	return untilItWorks(n.warn("node"), func() (err error) {
 		n.pool, err = outbound.New(cfg, calls, n.clock, report)
@@ -175,8 +175,8 @@
 	set := &n.cfg.Settings
 	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
 	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
-	n.desk = NewDesk(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
-	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Has, n.listed.Load
+	n.desk = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.KnowsDestination, n.ledger.Has, n.listed.Load
 	if n.cfg.Trace {
 		n.desk.trace = n.debug()
 	}
@@ -242,7 +242,7 @@
 func (n *Node) restoreOutages(k *keeper) {
 	var gone []ledger.Outage
 	for _, o := range n.ledger.Outages() {
-		if e, ok := n.dir.Find(o.Host); ok {
+		if e, ok := n.dir.Lookup(o.Host); ok {
 			n.loop.Put(engine.Input{Outage: k.known(&o, e)})
 		} else {
 			gone = append(gone, ledger.Outage{Host: o.Host})
@@ -260,7 +260,7 @@
 func (nobody) Final(*engine.Message, engine.Answer) {}
 
 // heard takes a list from discovery.
-func (n *Node) heard(l List) {
+func (n *Node) heard(l EndpointList) {
 	kind := control.ListDelta
 	if l.Whole {
 		kind = control.ListFull
@@ -272,7 +272,7 @@
 	n.heard1.Do(func() { close(n.first) })
 }
 
-func (n *Node) told(l List, kind control.ListKind) {
+func (n *Node) told(l EndpointList, kind control.ListKind) {
 	entries, faults := n.dir.Apply(l, n.elapsed())
 	for _, err := range faults {
 		n.log.Warn("discovery", "%v", err)
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -29,11 +29,11 @@
 }
 
 func (t trace) Started(a *engine.Attempt) {
-	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Msg.Name, a.N, t.dir.Host(a.Endpoint), (a.Begin-a.Sent)/control.Millisecond)
+	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Msg.Name, a.N, t.dir.HostName(a.Endpoint), (a.Begin-a.Sent)/control.Millisecond)
 }
 
 func (t trace) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
-	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Msg.Name, a.N, t.dir.Host(a.Endpoint), v.Why, e.Detail,
+	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Msg.Name, a.N, t.dir.HostName(a.Endpoint), v.Why, e.Detail,
 		e.Wait/control.Millisecond, after)
 }
 
@@ -44,5 +44,5 @@
 }
 
 func (t trace) Learned(e *control.Entry) {
-	t.log.Debug("trace", "%s of dest %d listed, health %d", t.dir.Host(e.Endpoint), e.Dest, e.Health)
+	t.log.Debug("trace", "%s of dest %d listed, health %d", t.dir.HostName(e.Endpoint), e.Dest, e.Health)
 }
