--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -30,7 +30,7 @@
 	}
 	waits := strconv.FormatFloat(most.Seconds(), 'f', 3, 64)
 	if len(as) > 1 {
-		body := bulk(as)
+		body := bulkBody(as)
 		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(body)))
 		return append(b, body...)
 	}
@@ -42,7 +42,7 @@
 	return append(h1.AppendHead(b, "POST /inbox HTTP/1.1", pairs...), m.Body...)
 }
 
-func bulk(as []*engine.Attempt) (b []byte) {
+func bulkBody(as []*engine.Attempt) (b []byte) {
 	for _, a := range as {
 		key := a.Msg.Repeat
 		if key == "" {
@@ -59,12 +59,12 @@
 	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(as) == 1
 }
 
-// statusOf are the ends that a bulk answer names, as the status that means the same for one message.
-var statusOf = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
+// bulkStatus are the ends that a bulk answer names, as the status that means the same for one message.
+var bulkStatus = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
 
 // Answer makes an answer into one end for each message.
 func (c CallCodec) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
-	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: wait(head.Fields), Report: c.report(head.Fields)}
+	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: parseRetryAfter(head.Fields), Report: c.parseLoadReport(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
 		e.Kind, e.Detail = engine.NoSlot, "503"
 	}
@@ -75,7 +75,7 @@
 	if len(as) == 1 || head.Status != 200 {
 		return ends
 	}
-	told, ok := bulkEnds(body)
+	told, ok := parseBulkEnds(body)
 	for i, a := range as {
 		if ends[i].Status = told[a.Msg.Name]; !ok || ends[i].Status == 0 {
 			ends[i] = engine.End{Kind: engine.Malformed, Wait: e.Wait, Detail: "the answer does not tell its end"}
@@ -84,8 +84,8 @@
 	return ends
 }
 
-// bulkEnds reads a bulk answer; ok is false where any of it can't be read, or names a message twice.
-func bulkEnds(body []byte) (ends map[string]int, ok bool) {
+// parseBulkEnds reads a bulk answer; ok is false where any of it can't be read, or names a message twice.
+func parseBulkEnds(body []byte) (ends map[string]int, ok bool) {
 	ends = map[string]int{}
 	for l := range bytes.Lines(body) {
 		text := strings.TrimRight(string(l), "\r\n")
@@ -93,7 +93,7 @@
 			continue
 		}
 		name, end, _ := strings.Cut(text, " ")
-		status := statusOf[end]
+		status := bulkStatus[end]
 		if status == 0 || ends[name] != 0 {
 			return nil, false
 		}
@@ -102,21 +102,21 @@
 	return ends, true
 }
 
-// wait reads a told wait. Seconds with decimals stand in Retry-After, milliseconds in X-Come-Back-Ms.
-func wait(f h1.Fields) control.Time {
-	s, ok := number(f.Get("retry-after"))
+// parseRetryAfter reads a told wait. Seconds with decimals stand in Retry-After, milliseconds in X-Come-Back-Ms.
+func parseRetryAfter(f h1.Fields) control.Time {
+	s, ok := parseDecimal(f.Get("retry-after"))
 	if !ok {
-		s, _ = number(f.Get("x-come-back-ms"))
+		s, _ = parseDecimal(f.Get("x-come-back-ms"))
 		s /= 1000
 	}
-	return control.Time(math.Ceil(min(s, maxWait) * float64(control.Second)))
+	return control.Time(math.Ceil(min(s, maxSeconds) * float64(control.Second)))
 }
 
-// maxWait bounds a told wait, in seconds: an hour, far past the time of any message.
-const maxWait = 3600
+// maxSeconds bounds a told wait, in seconds: an hour, far past the time of any message.
+const maxSeconds = 3600
 
-// number reads a plain decimal number, zero or more.
-func number(text string) (float64, bool) {
+// parseDecimal reads a plain decimal number, zero or more.
+func parseDecimal(text string) (float64, bool) {
 	if len(text) == 0 || len(text) > 20 {
 		return 0, false
 	}
@@ -129,8 +129,8 @@
 	return v, err == nil
 }
 
-// report reads a load report; one that can't be read is none.
-func (c CallCodec) report(f h1.Fields) []float32 {
+// parseLoadReport reads a load report; one that can't be read is none.
+func (c CallCodec) parseLoadReport(f h1.Fields) []float32 {
 	text := f.Get("x-pressure")
 	if text == "" || len(c.LoadMetrics) == 0 {
 		return nil
@@ -138,7 +138,7 @@
 	out := make([]float32, len(c.LoadMetrics))
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, ok := number(value)
+		v, ok := parseDecimal(value)
 		if !ok {
 			return nil
 		}
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -13,77 +13,77 @@
 	"whinrun/internal/safety"
 )
 
-// keeper is the engine's Ledger: it says messages in the ledger's terms, which another process understands, too. Ends that
+// ledgerAdapter is the engine's Ledger: it says messages in the ledger's terms, which another process understands, too. Ends that
 // the platform is to hear go on to the notices once they are on record; a delivered message needs no word.
-type keeper struct {
-	l        *ledger.Ledger
-	notes    *noticer
-	settings *control.Settings
-	clock    *clock.Process
-	guard    *safety.Guard
-	dir      *Directory
-	log      func(format string, a ...any)
-	fault    func(text string) // something that must not happen
+type ledgerAdapter struct {
+	ledger      *ledger.Ledger
+	notices     *noticeSender
+	settings    *control.Settings
+	clock       *clock.Process
+	guard       *safety.Guard
+	directory   *Directory
+	log         func(format string, a ...any)
+	reportFault func(text string) // something that must not happen
 
 	mu         sync.Mutex
-	unrecorded []unrecorded
+	unrecorded []unrecordedNotice
 }
 
-// unrecorded is a notice that is not on record yet.
-type unrecorded struct {
-	notice ledger.Notice
-	due    control.Time // the time of its message is over then
+// unrecordedNotice is a notice that is not on record yet.
+type unrecordedNotice struct {
+	notice   ledger.Notice
+	deadline control.Time // the time of its message is over then
 }
 
 // Take is engine.Ledger.
-func (k *keeper) Take(m *engine.Message, due control.Time) error {
-	e := &ledger.Entry{Name: m.Name, Class: k.settings.Classes[m.Class].Name, Dest: m.Dest, Due: k.clock.Instant(due), TakenAt: k.clock.Instant(m.Taken), Key: m.Repeat,
+func (la *ledgerAdapter) Take(m *engine.Message, due control.Time) error {
+	e := &ledger.Entry{Name: m.Name, Class: la.settings.Classes[m.Class].Name, Dest: m.Dest, Due: la.clock.Instant(due), TakenAt: la.clock.Instant(m.Taken), Key: m.Repeat,
 		Order: m.Key, Body: m.Body}
-	if m.Tenant < len(k.settings.Tenants) {
-		e.Tenant = k.settings.Tenants[m.Tenant].Name
+	if m.Tenant < len(la.settings.Tenants) {
+		e.Tenant = la.settings.Tenants[m.Tenant].Name
 	}
-	err := k.l.Take(e)
-	if errors.Is(err, recordfile.ErrUncertain) && !k.repeatable(m) {
+	err := la.ledger.Take(e)
+	if errors.Is(err, recordfile.ErrUncertain) && !la.safeToRepeat(m) {
 		return fmt.Errorf("%w: %w", engine.ErrUncertain, err)
 	}
 	return err
 }
 
-// repeatable tells whether executing a message again does no harm, whoever hands it in and when.
-func (k *keeper) repeatable(m *engine.Message) bool {
-	c := &k.settings.Classes[m.Class]
+// safeToRepeat tells whether executing a message again does no harm, whoever hands it in and when.
+func (la *ledgerAdapter) safeToRepeat(m *engine.Message) bool {
+	c := &la.settings.Classes[m.Class]
 	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
 }
 
 // Write is outbound.Permits.
-func (k *keeper) Write(now control.Time, a *engine.Attempt) error {
-	return k.guard.Write(now, a.Call())
+func (la *ledgerAdapter) Write(now control.Time, a *engine.Attempt) error {
+	return la.guard.Write(now, a.Call())
 }
 
 // TakenBack is outbound.Permits.
-func (k *keeper) TakenBack(a *engine.Attempt) {
-	k.guard.TakenBack(a.Call())
-	k.told(k.l.TakeBack(a.Msg.Name))
+func (la *ledgerAdapter) TakenBack(a *engine.Attempt) {
+	la.guard.TakenBack(a.Call())
+	la.logFailure(la.ledger.TakeBack(a.Msg.Name))
 }
 
 // Record is outbound.Permits. What may be repeated at will needs no record before it is written.
-func (k *keeper) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
-	at, zone := k.clock.Instant(call[0].Sent), call[0].Place.Zone
-	err := k.l.Out(messageNames(call), at, zone, false)
+func (la *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
+	at, zone := la.clock.Instant(call[0].Sent), call[0].Place.Zone
+	err := la.ledger.Out(messageNames(call), at, zone, false)
 	if err == nil {
 		for _, a := range call {
-			k.verify(a.Msg)
+			la.verifyHistory(a.Msg)
 		}
 		return call, nil
 	}
 	var may []*engine.Attempt
 	for _, a := range call {
-		if k.settings.Classes[a.Msg.Class].Effect == control.Free {
+		if la.settings.Classes[a.Msg.Class].Effect == control.Free {
 			may = append(may, a)
 		}
 	}
 	if len(may) > 0 {
-		_ = k.l.Out(messageNames(may), at, zone, true) // it is kept, and written when that works again
+		_ = la.ledger.Out(messageNames(may), at, zone, true) // it is kept, and written when that works again
 	}
 	return may, err
 }
@@ -97,110 +97,110 @@
 }
 
 // Back is engine.Ledger.
-func (k *keeper) Back(a *engine.Attempt, e safety.End) {
-	k.told(k.l.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
-	k.verify(a.Msg)
+func (la *ledgerAdapter) Back(a *engine.Attempt, e safety.End) {
+	la.logFailure(la.ledger.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
+	la.verifyHistory(a.Msg)
 }
 
-// verify compares what is on record of a message's attempts with what this process knows of them. Guards against a record
+// verifyHistory compares what is on record of a message's attempts with what this process knows of them. Guards against a record
 // from which another process would conclude that a repeat is allowed.
-func (k *keeper) verify(m *engine.Message) {
-	h, ok := k.l.History(m.Name)
+func (la *ledgerAdapter) verifyHistory(m *engine.Message) {
+	h, ok := la.ledger.History(m.Name)
 	if !ok {
 		return
 	}
-	if err := k.guard.Recorded(m.ID, h.Attempts, h.ExecutedAt > 0, k.clock.Time(h.ExecutedAt)); err != nil {
-		k.fault(err.Error())
+	if err := la.guard.Recorded(m.ID, h.Attempts, h.ExecutedAt > 0, la.clock.Time(h.ExecutedAt)); err != nil {
+		la.reportFault(err.Error())
 	}
 }
 
 // Over is engine.Ledger.
-func (k *keeper) Over(m *engine.Message, a *engine.Answer) {
+func (la *ledgerAdapter) Over(m *engine.Message, a *engine.Answer) {
 	if a == nil || a.Final == engine.Served {
-		k.told(k.l.Over(m.Name))
+		la.logFailure(la.ledger.Over(m.Name))
 		return
 	}
 	n := ledger.Notice{Name: m.Name}
 	if a.Final == engine.Refused {
 		n.Deferred, n.Again = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
 	}
-	k.end(n, m.Taken+m.Life)
+	la.recordEnd(n, m.Taken+m.Life)
 }
 
-// end records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
+// recordEnd records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
 // while its sender hands it in again.
-func (k *keeper) end(n ledger.Notice, due control.Time) {
-	if err := k.l.End(n); err != nil {
-		k.told(err)
-		k.mu.Lock()
-		k.unrecorded = append(k.unrecorded, unrecorded{n, due})
-		k.mu.Unlock()
+func (la *ledgerAdapter) recordEnd(n ledger.Notice, due control.Time) {
+	if err := la.ledger.End(n); err != nil {
+		la.logFailure(err)
+		la.mu.Lock()
+		la.unrecorded = append(la.unrecorded, unrecordedNotice{n, due})
+		la.mu.Unlock()
 		return
 	}
-	k.notes.put(n)
+	la.notices.enqueue(n)
 }
 
-// recorded has the notices told that waited for the ledger to be up to date again.
-func (k *keeper) recorded() {
-	k.mu.Lock()
-	all := k.unrecorded
-	k.unrecorded = nil
-	k.mu.Unlock()
+// sendRecorded has the notices told that waited for the ledger to be up to date again.
+func (la *ledgerAdapter) sendRecorded() {
+	la.mu.Lock()
+	all := la.unrecorded
+	la.unrecorded = nil
+	la.mu.Unlock()
 	for _, u := range all {
-		k.notes.put(u.notice)
+		la.notices.enqueue(u.notice)
 	}
 }
 
-// overdue has those notices told whose message's time is over: a process that still finds the message owed does not send it
+// sendExpired has those notices told whose message's time is over: a process that still finds the message owed does not send it
 // any more. Nobody is told to hand one in again that is not on record as ended.
-func (k *keeper) overdue() {
-	now := k.clock.Now()
-	k.mu.Lock()
-	var waiting, over []unrecorded
-	for _, u := range k.unrecorded {
-		if u.due > now {
+func (la *ledgerAdapter) sendExpired() {
+	now := la.clock.Now()
+	la.mu.Lock()
+	var waiting, over []unrecordedNotice
+	for _, u := range la.unrecorded {
+		if u.deadline > now {
 			waiting = append(waiting, u)
 		} else {
 			over = append(over, u)
 		}
 	}
-	k.unrecorded = waiting
-	k.mu.Unlock()
+	la.unrecorded = waiting
+	la.mu.Unlock()
 	for _, u := range over {
-		k.notes.put(ledger.Notice{Name: u.notice.Name})
+		la.notices.enqueue(ledger.Notice{Name: u.notice.Name})
 	}
 }
 
 // Learn is engine.Ledger.
-func (k *keeper) Learn(changed []control.Outage) {
+func (la *ledgerAdapter) Learn(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; k.dir.IsListed(o.Endpoint) || o.Over() {
-			all = append(all, k.outage(o))
+		if o := &changed[i]; la.directory.IsListed(o.Endpoint) || o.Over() {
+			all = append(all, la.toLedgerOutage(o))
 		}
 	}
-	k.told(k.l.Learn(all))
+	la.logFailure(la.ledger.Learn(all))
 }
 
-// outage says an outage in the ledger's terms.
-func (k *keeper) outage(o *control.Outage) ledger.Outage {
+// toLedgerOutage says an outage in the ledger's terms.
+func (la *ledgerAdapter) toLedgerOutage(o *control.Outage) ledger.Outage {
 	instant := func(t control.Time) clock.Instant {
 		if t == 0 {
 			return 0
 		}
-		return k.clock.Instant(t)
+		return la.clock.Instant(t)
 	}
-	return ledger.Outage{Host: k.dir.HostName(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
+	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
 		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
 }
 
-// known says an outage of the ledger in the module's terms, of an endpoint.
-func (k *keeper) known(o *ledger.Outage, e control.Entry) *control.Outage {
+// toControlOutage says an outage of the ledger in the module's terms, of an endpoint.
+func (la *ledgerAdapter) toControlOutage(o *ledger.Outage, e control.Entry) *control.Outage {
 	at := func(i clock.Instant) control.Time {
 		if i == 0 {
 			return 0
 		}
-		if t := k.clock.Time(i); t != 0 { // which would say none
+		if t := la.clock.Time(i); t != 0 { // which would say none
 			return t
 		}
 		return -1
@@ -209,20 +209,20 @@
 		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
 }
 
-// acked records that the platform has heard.
-func (k *keeper) acked(names []string) { k.told(k.l.Acked(names)) }
+// acknowledge records that the platform has heard.
+func (la *ledgerAdapter) acknowledge(names []string) { la.logFailure(la.ledger.Acked(names)) }
 
-func (k *keeper) told(err error) {
+func (la *ledgerAdapter) logFailure(err error) {
 	if err != nil && !errors.Is(err, ledger.ErrFailing) { // what it fails for was told before
-		k.log("%v", err)
+		la.log("%v", err)
 	}
 }
 
-// owed makes what the ledger holds into messages as the engine takes them, in order. Those of classes or tenants that the
+// restoredMessages makes what the ledger holds into messages as the engine takes them, in order. Those of classes or tenants that the
 // settings don't have any more can't be delivered: their names come apart.
-func (k *keeper) owed(entries []ledger.Entry) (all []*engine.Message, void []string) {
-	classes, tenants := numbers(k.settings)
-	now := k.clock.Now()
+func (la *ledgerAdapter) restoredMessages(entries []ledger.Entry) (all []*engine.Message, void []string) {
+	classes, tenants := indexByName(la.settings)
+	now := la.clock.Now()
 	for i := range entries {
 		e := &entries[i]
 		class, ok := classes[e.Class]
@@ -232,10 +232,10 @@
 			continue
 		}
 		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, Key: e.Order, Name: e.Name, Repeat: e.Key, Body: e.Body,
-			Life: max(0, k.clock.Time(e.Due)-now), Came: now,
+			Life: max(0, la.clock.Time(e.Due)-now), Came: now,
 			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
 		if at, zone, ok := e.PossiblyExecuted(); ok {
-			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, k.clock.Time(at), zone
+			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, la.clock.Time(at), zone
 		}
 		all = append(all, m)
 	}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -8,13 +8,13 @@
 	"whinrun/internal/logs"
 )
 
-// trace writes down, at the level debug, what happens to messages: an engine.Trail for finding causes.
-type trace struct {
-	log *logs.Logger
-	dir *Directory
+// messageTrace writes down, at the level debug, what happens to messages: an engine.Trail for finding causes.
+type messageTrace struct {
+	log       *logs.Logger
+	directory *Directory
 }
 
-func (t trace) Accepted(m *engine.Message) {
+func (t messageTrace) Accepted(m *engine.Message) {
 	r := &m.Recovered
 	if !r.Restored {
 		t.log.Debug("trace", "%s accepted: class %d, dest %d, life %d ms", m.Name, m.Class, m.Dest, m.Life/control.Millisecond)
@@ -28,21 +28,21 @@
 		r.Attempts, executed)
 }
 
-func (t trace) Started(a *engine.Attempt) {
-	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Msg.Name, a.N, t.dir.HostName(a.Endpoint), (a.Begin-a.Sent)/control.Millisecond)
+func (t messageTrace) Started(a *engine.Attempt) {
+	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Msg.Name, a.N, t.directory.HostName(a.Endpoint), (a.Begin-a.Sent)/control.Millisecond)
 }
 
-func (t trace) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
-	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Msg.Name, a.N, t.dir.HostName(a.Endpoint), v.Why, e.Detail,
+func (t messageTrace) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
+	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Msg.Name, a.N, t.directory.HostName(a.Endpoint), v.Why, e.Detail,
 		e.Wait/control.Millisecond, after)
 }
 
-func (t trace) Withdrawn(m *engine.Message) { t.log.Debug("trace", "%s withdrawn", m.Name) }
+func (t messageTrace) Withdrawn(m *engine.Message) { t.log.Debug("trace", "%s withdrawn", m.Name) }
 
-func (t trace) Answered(m *engine.Message, a *engine.Answer) {
+func (t messageTrace) Answered(m *engine.Message, a *engine.Answer) {
 	t.log.Debug("trace", "%s class %d dest %d is %v after %d attempts: %s; %s", m.Name, m.Class, m.Dest, a.Final, a.Tries, a.Reason, a.Why)
 }
 
-func (t trace) Learned(e *control.Entry) {
-	t.log.Debug("trace", "%s of dest %d listed, health %d", t.dir.HostName(e.Endpoint), e.Dest, e.Health)
+func (t messageTrace) Learned(e *control.Entry) {
+	t.log.Debug("trace", "%s of dest %d listed, health %d", t.directory.HostName(e.Endpoint), e.Dest, e.Health)
 }
