--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -19,31 +19,31 @@
 }
 
 // Request appends one call: a message, or several in the form of bulk calls.
-func (c CallCodec) Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte {
+func (c CallCodec) Request(b []byte, attempts []*engine.Attempt, remaining []time.Duration) []byte {
 	host := "endpoint"
-	if addr, ok := c.Address(as[0].Endpoint); ok {
+	if addr, ok := c.Address(attempts[0].Endpoint); ok {
 		host = addr.String()
 	}
-	most := left[0]
-	for _, l := range left {
-		most = max(most, l)
+	longest := remaining[0]
+	for _, l := range remaining {
+		longest = max(longest, l)
 	}
-	waits := strconv.FormatFloat(most.Seconds(), 'f', 3, 64)
-	if len(as) > 1 {
-		body := bulkBody(as)
-		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(body)))
+	remainingSeconds := strconv.FormatFloat(longest.Seconds(), 'f', 3, 64)
+	if len(attempts) > 1 {
+		body := bulkBody(attempts)
+		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(body)))
 		return append(b, body...)
 	}
-	m := as[0].Msg
-	pairs := []string{"Host", host, "X-Txn", m.Name, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(m.Body))}
+	m := attempts[0].Msg
+	pairs := []string{"Host", host, "X-Txn", m.Name, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(m.Body))}
 	if m.Repeat != "" {
 		pairs = append(pairs, "Idempotency-Key", m.Repeat)
 	}
 	return append(h1.AppendHead(b, "POST /inbox HTTP/1.1", pairs...), m.Body...)
 }
 
-func bulkBody(as []*engine.Attempt) (b []byte) {
-	for _, a := range as {
+func bulkBody(attempts []*engine.Attempt) (b []byte) {
+	for _, a := range attempts {
 		key := a.Msg.Repeat
 		if key == "" {
 			key = "-"
@@ -55,29 +55,29 @@
 }
 
 // Assured is outbound.Calls: a call with one message whose first line says 200 is delivered.
-func (c CallCodec) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(as) == 1
+func (c CallCodec) Assured(attempts []*engine.Attempt, status int) (engine.End, bool) {
+	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(attempts) == 1
 }
 
 // bulkStatus are the ends that a bulk answer names, as the status that means the same for one message.
 var bulkStatus = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
 
 // Answer makes an answer into one end for each message.
-func (c CallCodec) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
+func (c CallCodec) Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
 	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: parseRetryAfter(head.Fields), Report: c.parseLoadReport(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
 		e.Kind, e.Detail = engine.NoSlot, "503"
 	}
-	ends := make([]engine.End, len(as))
+	ends := make([]engine.End, len(attempts))
 	for i := range ends {
 		ends[i] = e
 	}
-	if len(as) == 1 || head.Status != 200 {
+	if len(attempts) == 1 || head.Status != 200 {
 		return ends
 	}
-	told, ok := parseBulkEnds(body)
-	for i, a := range as {
-		if ends[i].Status = told[a.Msg.Name]; !ok || ends[i].Status == 0 {
+	statuses, ok := parseBulkEnds(body)
+	for i, a := range attempts {
+		if ends[i].Status = statuses[a.Msg.Name]; !ok || ends[i].Status == 0 {
 			ends[i] = engine.End{Kind: engine.Malformed, Wait: e.Wait, Detail: "the answer does not tell its end"}
 		}
 	}
@@ -87,8 +87,8 @@
 // parseBulkEnds reads a bulk answer; ok is false where any of it can't be read, or names a message twice.
 func parseBulkEnds(body []byte) (ends map[string]int, ok bool) {
 	ends = map[string]int{}
-	for l := range bytes.Lines(body) {
-		text := strings.TrimRight(string(l), "\r\n")
+	for line := range bytes.Lines(body) {
+		text := strings.TrimRight(string(line), "\r\n")
 		if text == "" {
 			continue
 		}
@@ -104,12 +104,12 @@
 
 // parseRetryAfter reads a told wait. Seconds with decimals stand in Retry-After, milliseconds in X-Come-Back-Ms.
 func parseRetryAfter(f h1.Fields) control.Time {
-	s, ok := parseDecimal(f.Get("retry-after"))
+	seconds, ok := parseDecimal(f.Get("retry-after"))
 	if !ok {
-		s, _ = parseDecimal(f.Get("x-come-back-ms"))
-		s /= 1000
+		seconds, _ = parseDecimal(f.Get("x-come-back-ms"))
+		seconds /= 1000
 	}
-	return control.Time(math.Ceil(min(s, maxSeconds) * float64(control.Second)))
+	return control.Time(math.Ceil(min(seconds, maxSeconds) * float64(control.Second)))
 }
 
 // maxSeconds bounds a told wait, in seconds: an hour, far past the time of any message.
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -64,10 +64,10 @@
 		}
 	}
 	if l.Whole {
-		for name, p := range d.hosts {
-			if !seen[name] && p.goneAt == 0 {
-				p.goneAt, p.entry.Health = now, control.Gone
-				entries = append(entries, p.entry)
+		for name, r := range d.hosts {
+			if !seen[name] && r.goneAt == 0 {
+				r.goneAt, r.entry.Health = now, control.Gone
+				entries = append(entries, r.entry)
 			}
 		}
 	}
@@ -80,13 +80,13 @@
 }
 
 func (d *Directory) applyHost(h *Host, now time.Duration) (control.Entry, error) {
-	p := d.hosts[h.Name]
+	r := d.hosts[h.Name]
 	if h.Health == "gone" {
-		if p == nil {
+		if r == nil {
 			return control.Entry{}, nil
 		}
-		p.goneAt, p.entry.Health = now, control.Gone
-		return p.entry, nil
+		r.goneAt, r.entry.Health = now, control.Gone
+		return r.entry, nil
 	}
 	health := control.Ready
 	switch h.Health {
@@ -108,18 +108,18 @@
 		return control.Entry{}, fmt.Errorf("block %d", h.Block)
 	}
 	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
-	if p != nil && p.entry.Dest != e.Dest { // another destination is another endpoint
+	if r != nil && r.entry.Dest != e.Dest { // another destination is another endpoint
 		delete(d.hosts, h.Name)
-		p = nil
+		r = nil
 	}
-	if p == nil {
+	if r == nil {
 		d.lastEndpoint++
-		p = &endpointRecord{}
-		p.entry.Endpoint = d.lastEndpoint
-		d.hosts[h.Name], d.byEndpoint[d.lastEndpoint] = p, p
+		r = &endpointRecord{}
+		r.entry.Endpoint = d.lastEndpoint
+		d.hosts[h.Name], d.byEndpoint[d.lastEndpoint] = r, r
 	}
-	e.Endpoint = p.entry.Endpoint
-	p.host, p.entry, p.addr, p.goneAt = *h, e, addr, 0
+	e.Endpoint = r.entry.Endpoint
+	r.host, r.entry, r.addr, r.goneAt = *h, e, addr, 0
 	d.destinations[e.Dest] = now
 	return e, nil
 }
@@ -129,9 +129,9 @@
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	l := EndpointList{Seq: seq, Whole: true, Hosts: []Host{}}
-	for _, p := range d.hosts {
-		if p.goneAt == 0 {
-			l.Hosts = append(l.Hosts, p.host)
+	for _, r := range d.hosts {
+		if r.goneAt == 0 {
+			l.Hosts = append(l.Hosts, r.host)
 		}
 	}
 	slices.SortFunc(l.Hosts, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
@@ -143,16 +143,16 @@
 
 // removeExpired forgets what left the list long ago.
 func (d *Directory) removeExpired(now time.Duration) {
-	for name, p := range d.hosts {
-		if p.goneAt > 0 && now-p.goneAt > goneRetention {
+	for name, r := range d.hosts {
+		if r.goneAt > 0 && now-r.goneAt > goneRetention {
 			delete(d.hosts, name)
 		}
 	}
-	for id, p := range d.byEndpoint {
-		if p.goneAt > 0 && now-p.goneAt > goneRetention {
+	for id, r := range d.byEndpoint {
+		if r.goneAt > 0 && now-r.goneAt > goneRetention {
 			delete(d.byEndpoint, id)
-		} else if p.goneAt == 0 {
-			d.destinations[p.entry.Dest] = now
+		} else if r.goneAt == 0 {
+			d.destinations[r.entry.Dest] = now
 		}
 	}
 	for dest, at := range d.destinations {
@@ -166,38 +166,38 @@
 func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.byEndpoint[ep]
-	if p == nil {
+	r := d.byEndpoint[ep]
+	if r == nil {
 		return netip.AddrPort{}, false
 	}
-	return p.addr, true
+	return r.addr, true
 }
 
 // IsListed tells whether an endpoint is in the list.
 func (d *Directory) IsListed(ep control.Endpoint) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.byEndpoint[ep]
-	return p != nil && p.goneAt == 0
+	r := d.byEndpoint[ep]
+	return r != nil && r.goneAt == 0
 }
 
 // Lookup returns what the list says of a host; ok is false where it is not listed.
 func (d *Directory) Lookup(host string) (e control.Entry, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.hosts[host]
-	if p == nil || p.goneAt != 0 {
+	r := d.hosts[host]
+	if r == nil || r.goneAt != 0 {
 		return control.Entry{}, false
 	}
-	return p.entry, true
+	return r.entry, true
 }
 
 // HostName is the name of an endpoint, for logs.
 func (d *Directory) HostName(ep control.Endpoint) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if p := d.byEndpoint[ep]; p != nil {
-		return p.host.Name
+	if r := d.byEndpoint[ep]; r != nil {
+		return r.host.Name
 	}
 	return "unknown"
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -107,12 +107,12 @@
 
 // wait waits before a next try; a new address ends the wait. It is false at the stop.
 func (a *agent) wait(d time.Duration) bool {
-	moved := a.addressChange()
+	changed := a.addressChange()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-moved:
+	case <-changed:
 	case <-a.quit:
 		return false
 	}
@@ -139,38 +139,38 @@
 	err  error
 }
 
-func newWatcher(a *agent, now func() time.Duration, seq int64, told func(EndpointList), log func(string, ...any)) *watcher {
-	return &watcher{agent: a, now: now, seq: seq, onList: told, log: log, cancels: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
+func newWatcher(a *agent, now func() time.Duration, seq int64, onList func(EndpointList), log func(string, ...any)) *watcher {
+	return &watcher{agent: a, now: now, seq: seq, onList: onList, log: log, cancels: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
 }
 
 // run watches until the agent is stopped.
 func (w *watcher) run() {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	again := time.NewTimer(0)
-	defer again.Stop()
-	moved := w.agent.addressChange()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	changed := w.agent.addressChange()
 	for {
 		select {
 		case <-w.agent.quit:
 			return
-		case <-moved:
-			moved = w.agent.addressChange()
+		case <-changed:
+			changed = w.agent.addressChange()
 			w.seq = 0
 			w.cancelWatches(w.plan.closeAll())
 		case e := <-w.events:
 			w.handleEvent(e)
-		case <-again.C:
+		case <-timer.C:
 		}
 		now := w.now()
-		shut, open, at := w.plan.step(now)
-		w.cancelWatches(shut)
-		if open > 0 {
+		toClose, toOpen, next := w.plan.step(now)
+		w.cancelWatches(toClose)
+		if toOpen > 0 {
 			ctx, stop := context.WithCancel(ctx)
-			w.cancels[open] = stop
-			go w.watch(ctx, open, w.seq)
+			w.cancels[toOpen] = stop
+			go w.watch(ctx, toOpen, w.seq)
 		}
-		again.Reset(max(0, at-now))
+		timer.Reset(max(0, next-now))
 	}
 }
 
@@ -190,8 +190,8 @@
 		}
 		return
 	}
-	shut, ok := w.plan.recordActivity(e.id, w.now())
-	w.cancelWatches(shut)
+	superseded, ok := w.plan.recordActivity(e.id, w.now())
+	w.cancelWatches(superseded)
 	if !ok || e.list == nil {
 		return
 	}
@@ -204,7 +204,7 @@
 
 // watch follows one watch until it ends, or ctx does.
 func (w *watcher) watch(ctx context.Context, id uint64, from int64) {
-	tell := func(e watchEvent) {
+	send := func(e watchEvent) {
 		e.id = id
 		select {
 		case w.events <- e:
@@ -212,17 +212,17 @@
 		case <-w.agent.quit:
 		}
 	}
-	tell(watchEvent{err: w.follow(ctx, from, tell)})
+	send(watchEvent{err: w.follow(ctx, from, send)})
 }
 
-func (w *watcher) follow(ctx context.Context, from int64, tell func(watchEvent)) error {
+func (w *watcher) follow(ctx context.Context, from int64, send func(watchEvent)) error {
 	c, _, err := w.agent.connect(ctx)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	r := &listReader{onList: func(l EndpointList) { tell(watchEvent{list: &l}) }, onHeartbeat: func() { tell(watchEvent{}) }}
+	r := &listReader{onList: func(l EndpointList) { send(watchEvent{list: &l}) }, onHeartbeat: func() { send(watchEvent{}) }}
 	_, err = c.Write(h1.AppendHead(nil, fmt.Sprintf("GET /v1/endpoints?watch=1&from=%d HTTP/1.1", from), "Host", "discovery"))
 	buf := make([]byte, 16<<10)
 	for err == nil {
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -76,16 +76,16 @@
 		}
 		return call, nil
 	}
-	var may []*engine.Attempt
+	var allowed []*engine.Attempt
 	for _, a := range call {
 		if la.settings.Classes[a.Msg.Class].Effect == control.Free {
-			may = append(may, a)
+			allowed = append(allowed, a)
 		}
 	}
-	if len(may) > 0 {
-		_ = la.ledger.Out(messageNames(may), at, zone, true) // it is kept, and written when that works again
+	if len(allowed) > 0 {
+		_ = la.ledger.Out(messageNames(allowed), at, zone, true) // it is kept, and written when that works again
 	}
-	return may, err
+	return allowed, err
 }
 
 func messageNames(call []*engine.Attempt) []string {
@@ -129,11 +129,11 @@
 
 // recordEnd records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
 // while its sender hands it in again.
-func (la *ledgerAdapter) recordEnd(n ledger.Notice, due control.Time) {
+func (la *ledgerAdapter) recordEnd(n ledger.Notice, deadline control.Time) {
 	if err := la.ledger.End(n); err != nil {
 		la.logFailure(err)
 		la.mu.Lock()
-		la.unrecorded = append(la.unrecorded, unrecordedNotice{n, due})
+		la.unrecorded = append(la.unrecorded, unrecordedNotice{n, deadline})
 		la.mu.Unlock()
 		return
 	}
@@ -156,17 +156,17 @@
 func (la *ledgerAdapter) sendExpired() {
 	now := la.clock.Now()
 	la.mu.Lock()
-	var waiting, over []unrecordedNotice
+	var waiting, expired []unrecordedNotice
 	for _, u := range la.unrecorded {
 		if u.deadline > now {
 			waiting = append(waiting, u)
 		} else {
-			over = append(over, u)
+			expired = append(expired, u)
 		}
 	}
 	la.unrecorded = waiting
 	la.mu.Unlock()
-	for _, u := range over {
+	for _, u := range expired {
 		la.notices.enqueue(ledger.Notice{Name: u.notice.Name})
 	}
 }
@@ -220,7 +220,7 @@
 
 // restoredMessages makes what the ledger holds into messages as the engine takes them, in order. Those of classes or tenants that the
 // settings don't have any more can't be delivered: their names come apart.
-func (la *ledgerAdapter) restoredMessages(entries []ledger.Entry) (all []*engine.Message, void []string) {
+func (la *ledgerAdapter) restoredMessages(entries []ledger.Entry) (messages []*engine.Message, undeliverable []string) {
 	classes, tenants := indexByName(la.settings)
 	now := la.clock.Now()
 	for i := range entries {
@@ -228,7 +228,7 @@
 		class, ok := classes[e.Class]
 		tenant, known := tenants[e.Tenant]
 		if !ok || !known && len(tenants) > 0 {
-			void = append(void, e.Name)
+			undeliverable = append(undeliverable, e.Name)
 			continue
 		}
 		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, Key: e.Order, Name: e.Name, Repeat: e.Key, Body: e.Body,
@@ -237,7 +237,7 @@
 		if at, zone, ok := e.PossiblyExecuted(); ok {
 			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, la.clock.Time(at), zone
 		}
-		all = append(all, m)
+		messages = append(messages, m)
 	}
-	return all, void
+	return messages, undeliverable
 }
--- a/internal/platform/listcache.go
+++ b/internal/platform/listcache.go
@@ -48,8 +48,8 @@
 	minDeltaBytes    = 8 << 10
 )
 
-func newListCache(fs disk.FS, most int, whole func() EndpointList, log func(string, ...any)) *listCache {
-	return &listCache{fs: fs, maxBytes: most, currentList: whole, log: log, file: recordfile.New(fs, listFileName), failed: make(chan struct{}, 1)}
+func newListCache(fs disk.FS, maxBytes int, currentList func() EndpointList, log func(string, ...any)) *listCache {
+	return &listCache{fs: fs, maxBytes: maxBytes, currentList: currentList, log: log, file: recordfile.New(fs, listFileName), failed: make(chan struct{}, 1)}
 }
 
 // load returns the list that was kept; ok is false where there is none.
--- a/internal/platform/listreader.go
+++ b/internal/platform/listreader.go
@@ -19,10 +19,10 @@
 	onList      func(EndpointList)
 	onHeartbeat func() // an empty line
 
-	head    *h1.Response
-	headBuf []byte // of the head, while it is not whole
-	chunks  h1.Chunks
-	object  objectSplitter
+	head     *h1.Response
+	headBuf  []byte // of the head, while it is not whole
+	chunks   h1.Chunks
+	splitter objectSplitter
 }
 
 func (r *listReader) read(b []byte) error {
@@ -43,7 +43,7 @@
 			return err
 		}
 	}
-	if err := r.object.read(b, r.decodeList, r.onHeartbeat); err != nil {
+	if err := r.splitter.read(b, r.handleObject, r.onHeartbeat); err != nil {
 		return err
 	}
 	if r.chunks.Done() {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-func (r *listReader) decodeList(text []byte) error {
+func (r *listReader) handleObject(text []byte) error {
 	var l EndpointList
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("an object of the list: %w", err)
@@ -71,14 +71,14 @@
 	lineHasObject bool // something but space stands on this line
 }
 
-func (r *objectSplitter) read(b []byte, object func([]byte) error, empty func()) error {
+func (r *objectSplitter) read(b []byte, onObject func([]byte) error, onEmptyLine func()) error {
 	for _, c := range b {
 		if r.depth == 0 {
 			switch c {
 			case '{':
 			case '\n':
 				if !r.lineHasObject {
-					empty()
+					onEmptyLine()
 				}
 				r.lineHasObject = false
 				continue
@@ -97,7 +97,7 @@
 		}
 		text := r.text
 		r.text = nil
-		if err := object(text); err != nil {
+		if err := onObject(text); err != nil {
 			return err
 		}
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -67,11 +67,11 @@
 const clientFraction = 0.6
 
 func newDescriptorBudget(sockets, slots int) descriptorBudget {
-	opening := min(slots+4, sockets/16)
-	left := sockets - reservedDescriptors - opening // a connection being opened takes two for a moment
-	p := descriptorBudget{clients: int(clientFraction * float64(left)), connecting: opening}
-	p.endpoints = left - p.clients
-	return p
+	connecting := min(slots+4, sockets/16)
+	available := sockets - reservedDescriptors - connecting // a connection being opened takes two for a moment
+	b := descriptorBudget{clients: int(clientFraction * float64(available)), connecting: connecting}
+	b.endpoints = available - b.clients
+	return b
 }
 
 // Start starts a dispatcher: what the ledger owes comes first.
@@ -103,9 +103,9 @@
 func (n *Node) start() error {
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
-	shares := newDescriptorBudget(n.cfg.Limits.Sockets, set.Slots)
+	budget := newDescriptorBudget(n.cfg.Limits.Sockets, set.Slots)
 	adapter := &ledgerAdapter{ledger: n.ledger, settings: set, clock: n.clock, guard: guard, directory: n.directory, log: n.warnLogger("ledger"), reportFault: n.Fault}
-	if err := n.openPool(shares, adapter); err != nil {
+	if err := n.openPool(budget, adapter); err != nil {
 		return err
 	}
 	n.notices = newNoticeSender(n.agent, adapter.acknowledge, n.warnLogger("notices"))
@@ -121,16 +121,16 @@
 		n.pool.Close()
 		return err
 	}
-	hold := maxHeldFactor * set.MaxOpen
-	entries, owed := n.ledger.Owed()
-	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: hold + len(entries), Hold: hold + len(entries)})
-	n.notices.enqueue(owed...)
+	maxHeld := maxHeldFactor * set.MaxOpen
+	entries, notices := n.ledger.Owed()
+	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: maxHeld + len(entries), Hold: maxHeld + len(entries)})
+	n.notices.enqueue(notices...)
 	n.startDiscovery()
 	n.restoreOutages(adapter)
 	n.restoreMessages(adapter, entries)
 	go n.loop.Run()
 	go n.maintainStorage(adapter)
-	if err := n.openFront(shares, hold); err != nil {
+	if err := n.openFront(budget, maxHeld); err != nil {
 		n.agent.stop()
 		n.loop.Close()
 		n.pool.Close()
@@ -140,7 +140,7 @@
 	}
 	go n.notices.run()
 	n.log.Info("node", "%s listens on %v: %d messages and %d notices owed, %d connections for clients, %d for endpoints", n.cfg.Name, n.front.Addr(),
-		len(entries), len(owed), shares.clients, shares.endpoints)
+		len(entries), len(notices), budget.clients, budget.endpoints)
 	return nil
 }
 
@@ -153,13 +153,13 @@
 }
 
 // openPool opens the connections' side towards endpoints.
-func (n *Node) openPool(shares descriptorBudget, permits outbound.Permits) error {
+func (n *Node) openPool(budget descriptorBudget, permits outbound.Permits) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
 		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxResponseBody,
 		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
 		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdle, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.connecting, Total: shares.endpoints},
+		Opening:        opener.Budget{PerSecond: float64(10 * budget.endpoints), Opening: budget.connecting, Total: budget.endpoints},
 		Trace:          n.debugLogger(), Permits: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
@@ -171,10 +171,10 @@
 }
 
 // openFront listens for clients.
-func (n *Node) openFront(shares descriptorBudget, hold int) error {
+func (n *Node) openFront(budget descriptorBudget, maxHeld int) error {
 	set := &n.cfg.Settings
-	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
+	maxBytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
+	limits := door.Limits{Conns: budget.clients, Bytes: maxBytes, Hold: maxHeld, BlockAt: 1, UnblockAt: 1}
 	n.clients = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
 	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Has, n.hasList.Load
 	if n.cfg.Trace {
@@ -188,9 +188,9 @@
 	})
 }
 
-func durationOr(t control.Time, or time.Duration) time.Duration {
+func durationOr(t control.Time, fallback time.Duration) time.Duration {
 	if t <= 0 {
-		return or
+		return fallback
 	}
 	return time.Duration(t) * time.Microsecond
 }
@@ -225,14 +225,14 @@
 
 // restoreMessages hands in what the process before this one owed.
 func (n *Node) restoreMessages(adapter *ledgerAdapter, entries []ledger.Entry) {
-	all, void := adapter.restoredMessages(entries)
-	for _, m := range all {
+	messages, undeliverable := adapter.restoredMessages(entries)
+	for _, m := range messages {
 		m.Origin = discardOrigin{}
 		if err := n.loop.Submit(m); err != nil {
-			void = append(void, m.Name)
+			undeliverable = append(undeliverable, m.Name)
 		}
 	}
-	for _, name := range void {
+	for _, name := range undeliverable {
 		adapter.recordEnd(ledger.Notice{Name: name}, n.clock.Now())
 	}
 }
@@ -240,16 +240,16 @@
 // restoreOutages hands in what the process before this one knew of outages. Those of endpoints that are not listed any more go
 // off the record.
 func (n *Node) restoreOutages(adapter *ledgerAdapter) {
-	var gone []ledger.Outage
+	var unlisted []ledger.Outage
 	for _, o := range n.ledger.Outages() {
 		if e, ok := n.directory.Lookup(o.Host); ok {
 			n.loop.Put(engine.Input{Outage: adapter.toControlOutage(&o, e)})
 		} else {
-			gone = append(gone, ledger.Outage{Host: o.Host})
+			unlisted = append(unlisted, ledger.Outage{Host: o.Host})
 		}
 	}
-	if len(gone) > 0 {
-		adapter.logFailure(adapter.ledger.Learn(gone))
+	if len(unlisted) > 0 {
+		adapter.logFailure(adapter.ledger.Learn(unlisted))
 	}
 }
 
@@ -318,25 +318,25 @@
 	n.clients.stopping.Store(true)
 	n.front.GoAway()
 	n.loop.Put(engine.Input{Stop: drainTimeout, Kept: true})
-	begun := n.elapsed()
+	start := n.elapsed()
 	for {
 		st := n.loop.Stats()
-		gone := n.elapsed() - begun
-		quiet := st.Out == 0 && n.notices.waiting() == 0
+		elapsed := n.elapsed() - start
+		idle := st.Out == 0 && n.notices.waiting() == 0
 		// Also with nothing left to do it stays: a client that is told when to come back fares better than one that
 		// finds nobody.
-		if gone > stopTimeout || quiet && gone > time.Duration(drainTimeout)*time.Microsecond {
+		if elapsed > stopTimeout || idle && elapsed > time.Duration(drainTimeout)*time.Microsecond {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	// A request that has been read is answered before its connection ends: its sender could not tell what became of it.
 	n.front.StopAccepting()
-	ctx, done := context.WithTimeout(context.Background(), flushTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	if left := n.front.Flush(ctx); left > 0 {
 		n.log.Warn("clients", "%d connections end with something unread or unheard", left)
 	}
-	done()
+	cancel()
 	n.end()
 	st := n.loop.Stats()
 	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Taken,
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -27,8 +27,8 @@
 	done  chan struct{}
 }
 
-func newNoticeSender(a *agent, acked func([]string), log func(string, ...any)) *noticeSender {
-	return &noticeSender{agent: a, onAcknowledged: acked, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
+func newNoticeSender(a *agent, onAcknowledged func([]string), log func(string, ...any)) *noticeSender {
+	return &noticeSender{agent: a, onAcknowledged: onAcknowledged, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
 // enqueue adds a notice. The ledger bounds how many there can be: what waits here is in it.
@@ -53,7 +53,7 @@
 func (n *noticeSender) run() {
 	defer close(n.done)
 	var c net.Conn
-	gap := noticeBackoffMin
+	backoff := noticeBackoffMin
 	for {
 		n.mu.Lock()
 		batch := n.queue[:min(maxNoticesPerRequest, len(n.queue)):min(maxNoticesPerRequest, len(n.queue))]
@@ -66,7 +66,7 @@
 				return
 			}
 		}
-		kept := c != nil
+		reused := c != nil
 		var status int
 		var err error
 		if c == nil {
@@ -80,24 +80,24 @@
 				n.log("%d notices were not understood", len(batch))
 			}
 			n.dequeue(batch)
-			gap = noticeBackoffMin
+			backoff = noticeBackoffMin
 			continue
 		}
 		if c != nil {
 			n.agent.closeConn(c)
 			c = nil
 		}
-		if kept && err != nil && !n.agent.stopped() { // the connection may have been closed while idle
+		if reused && err != nil && !n.agent.stopped() { // the connection may have been closed while idle
 			continue
 		}
 		if n.agent.stopped() {
 			return
 		}
 		n.log("%d notices wait: status %d, %v", n.waiting(), status, err)
-		if !n.agent.wait(gap) {
+		if !n.agent.wait(backoff) {
 			return
 		}
-		gap = min(2*gap, noticeBackoffMax)
+		backoff = min(2*backoff, noticeBackoffMax)
 	}
 }
 
@@ -122,10 +122,10 @@
 }
 
 func encodeNotices(batch []ledger.Notice) (b []byte) {
-	for _, x := range batch {
-		o := outcome{ID: x.Name, Status: "undeliverable"}
-		if x.Deferred {
-			o.Status, o.RetryAfterMs = "deferred", x.Again
+	for _, notice := range batch {
+		o := outcome{ID: notice.Name, Status: "undeliverable"}
+		if notice.Deferred {
+			o.Status, o.RetryAfterMs = "deferred", notice.Again
 		}
 		text, _ := json.Marshal(o) // plain strings and numbers: it can't fail
 		b = append(append(b, text...), '\n')
@@ -142,16 +142,16 @@
 	if _, err := c.Write(append(req, body...)); err != nil {
 		return 0, err
 	}
-	var in []byte
+	var received []byte
 	buf := make([]byte, 4<<10)
 	for {
 		n, err := c.Read(buf)
-		in = append(in, buf[:n]...)
-		head, size, perr := h1.ParseResponse(in)
+		received = append(received, buf[:n]...)
+		head, size, parseErr := h1.ParseResponse(received)
 		switch {
-		case perr != nil:
-			return 0, perr
-		case size > 0 && head.Length >= 0 && int64(len(in)-size) >= head.Length:
+		case parseErr != nil:
+			return 0, parseErr
+		case size > 0 && head.Length >= 0 && int64(len(received)-size) >= head.Length:
 			if head.Close {
 				_ = c.Close() // the next request finds it so, and takes another
 			}
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -103,34 +103,34 @@
 }
 
 // Taken is engine.Taker.
-func (a *pendingRequest) Taken(*engine.Message) {
-	a.accepted = true
-	a.session.deliver(submitResult{request: a, final: engine.Served})
+func (r *pendingRequest) Taken(*engine.Message) {
+	r.accepted = true
+	r.session.deliver(submitResult{request: r, final: engine.Served})
 }
 
 // Final is engine.Origin. The end of a message that was taken on is the keeper's to tell.
-func (a *pendingRequest) Final(_ *engine.Message, x engine.Answer) {
-	if !a.accepted {
-		a.session.deliver(submitResult{a, x.Final, x.Wait})
+func (r *pendingRequest) Final(_ *engine.Message, answer engine.Answer) {
+	if !r.accepted {
+		r.session.deliver(submitResult{r, answer.Final, answer.Wait})
 	}
 }
 
 // Open is front.Parcel.
-func (v submitResult) Open(now time.Duration) {
-	s := v.request.session
-	if s.pending != v.request { // its sender has broken off
+func (r submitResult) Open(now time.Duration) {
+	s := r.request.session
+	if s.pending != r.request { // its sender has broken off
 		return
 	}
 	s.pending = nil
-	s.ticket.Answered(v.final, true)
+	s.ticket.Answered(r.final, true)
 	s.ticket = nil
-	switch v.final {
+	switch r.final {
 	case engine.Served:
-		s.respond(now, "202 Accepted", 0, v.request.closeAfter)
+		s.respond(now, "202 Accepted", 0, r.request.closeAfter)
 	case engine.Refused:
-		s.respond(now, "429 Too Many Requests", time.Duration(v.retryAfter)*time.Microsecond, v.request.closeAfter)
+		s.respond(now, "429 Too Many Requests", time.Duration(r.retryAfter)*time.Microsecond, r.request.closeAfter)
 	default:
-		s.respond(now, "500 Internal Server Error", 0, v.request.closeAfter)
+		s.respond(now, "500 Internal Server Error", 0, r.request.closeAfter)
 	}
 	s.processInput(now)
 }
@@ -140,16 +140,16 @@
 
 // respond writes an answer; wait above 0 tells when to come back. It is the last one where it has to be, or where the connection
 // is to end and nothing more of its client is here.
-func (s *session) respond(now time.Duration, status string, wait time.Duration, last bool) {
+func (s *session) respond(now time.Duration, status string, retryAfter time.Duration, closeAfter bool) {
 	pairs := []string{"Content-Length", "0"}
-	if wait > 0 {
-		pairs = append(pairs, "Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
+	if retryAfter > 0 {
+		pairs = append(pairs, "Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	if last = last || s.goingAway && len(s.inBuf) == 0; last {
+	if closeAfter = closeAfter || s.goingAway && len(s.inBuf) == 0; closeAfter {
 		pairs = append(pairs, "Connection", "close")
 		s.closing = true
 	}
-	s.handler.trace("client %s: %s is answered %s, come back after %v, last answer %v", s.peer, s.lastID, status, wait, last)
+	s.handler.trace("client %s: %s is answered %s, come back after %v, last answer %v", s.peer, s.lastID, status, retryAfter, closeAfter)
 	s.outBuf = h1.AppendHead(s.outBuf, "HTTP/1.1 "+status, pairs...)
 	s.answered, s.lastActivity = true, now
 }
@@ -191,11 +191,11 @@
 		if s.head == nil && !s.readHead(now) {
 			return
 		}
-		whole := s.headSize + int(s.head.Length)
-		if len(s.inBuf) < whole {
+		size := s.headSize + int(s.head.Length)
+		if len(s.inBuf) < size {
 			return
 		}
-		s.handleRequest(now, whole)
+		s.handleRequest(now, size)
 	}
 	if s.stopping {
 		s.Finish(now)
@@ -225,8 +225,8 @@
 		s.reject(now, "400 Bad Request")
 		return false
 	}
-	room := s.handler.admission.Ticket(0)
-	s.head, s.headSize, s.ticket = head, n, &room
+	ticket := s.handler.admission.Ticket(0)
+	s.head, s.headSize, s.ticket = head, n, &ticket
 	if err := s.ticket.Grow(int(head.Length)); err != nil {
 		s.ticket.Turn()
 		s.ticket = nil
@@ -238,9 +238,9 @@
 }
 
 // handleRequest takes a whole request, the first so many bytes of what is here.
-func (s *session) handleRequest(now time.Duration, whole int) {
-	head, body := s.head, s.inBuf[s.headSize:whole:whole]
-	s.inBuf = bytes.Clone(s.inBuf[whole:]) // a message keeps its body
+func (s *session) handleRequest(now time.Duration, size int) {
+	head, body := s.head, s.inBuf[s.headSize:size:size]
+	s.inBuf = bytes.Clone(s.inBuf[size:]) // a message keeps its body
 	s.head, s.headSize = nil, 0
 	if len(s.inBuf) > 0 {
 		s.lastActivity = now
@@ -269,11 +269,11 @@
 	}
 }
 
-func (s *session) submit(now time.Duration, m *engine.Message, last bool) {
+func (s *session) submit(now time.Duration, m *engine.Message, closeAfter bool) {
 	if s.handler.ready() { // while this dispatcher stops it is the module that refuses
-		a := &pendingRequest{session: s, closeAfter: last}
-		m.Origin = a
-		s.pending = a
+		request := &pendingRequest{session: s, closeAfter: closeAfter}
+		m.Origin = request
+		s.pending = request
 		if s.ticket.Submit(m) == nil {
 			return
 		}
@@ -281,47 +281,47 @@
 	s.pending = nil
 	s.ticket.Turn()
 	s.ticket = nil
-	s.respond(now, "503 Service Unavailable", refusalRetryAfter, last || s.handler.stopping.Load())
+	s.respond(now, "503 Service Unavailable", refusalRetryAfter, closeAfter || s.handler.stopping.Load())
 }
 
 // parseMessage makes a request into a message, or tells the status of what is wrong with it.
 func (h *ClientHandler) parseMessage(r *h1.Request, body []byte, now time.Duration) (m *engine.Message, status string) {
 	const bad = "400 Bad Request"
-	var v [6]string
+	var values [6]string
 	for i, name := range [...]string{"x-txn", "x-lane", "x-org", "x-remaining", "x-consignee", "idempotency-key"} {
 		var ok bool
-		if v[i], ok = r.Fields.One(name); !ok {
+		if values[i], ok = r.Fields.One(name); !ok {
 			return nil, bad
 		}
 	}
-	class, ok := h.classes[v[1]]
-	if !ok || !isClassPath(r.Target, v[1]) {
+	class, ok := h.classes[values[1]]
+	if !ok || !isClassPath(r.Target, values[1]) {
 		return nil, "404 Not Found"
 	}
-	tenant, ok := h.tenants[v[2]]
-	if !ok && (len(h.tenants) > 0 || v[2] != "") {
+	tenant, ok := h.tenants[values[2]]
+	if !ok && (len(h.tenants) > 0 || values[2] != "") {
 		return nil, bad
 	}
-	left, ok := parseDecimal(v[3])
-	if !ok || !isVisibleASCII(v[0], maxMessageID) || v[5] != "" && !isVisibleASCII(v[5], maxIdempotencyKey) || v[5] == "" && h.requiresKey[class] {
+	remaining, ok := parseDecimal(values[3])
+	if !ok || !isVisibleASCII(values[0], maxMessageID) || values[5] != "" && !isVisibleASCII(values[5], maxIdempotencyKey) || values[5] == "" && h.requiresKey[class] {
 		return nil, bad
 	}
-	to, ok := parseDestination(v[4])
+	dest, ok := parseDestination(values[4])
 	if !ok {
 		return nil, bad
 	}
-	if h.ready() && !h.knowsDestination(to) { // before a list is known nobody can tell: it is refused, see submit
+	if h.ready() && !h.knowsDestination(dest) { // before a list is known nobody can tell: it is refused, see submit
 		return nil, "404 Not Found"
 	}
-	if h.isOwed(v[0]) {
+	if h.isOwed(values[0]) {
 		return nil, "409 Conflict"
 	}
-	order, ok := parseOrderKey(r.Fields)
+	orderKey, ok := parseOrderKey(r.Fields)
 	if !ok {
 		return nil, bad
 	}
-	return &engine.Message{Class: class, Tenant: tenant, Dest: to, Key: order, Name: v[0], Repeat: v[5],
-		Life: control.Time(min(left, maxSeconds) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
+	return &engine.Message{Class: class, Tenant: tenant, Dest: dest, Key: orderKey, Name: values[0], Repeat: values[5],
+		Life: control.Time(min(remaining, maxSeconds) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
 }
 
 // isClassPath tells whether the class is the first part of a path.
@@ -331,19 +331,19 @@
 }
 
 // isVisibleASCII tells whether a text is visible ASCII of a length from 1 to most: it goes into heads and lines as it is.
-func isVisibleASCII(text string, most int) bool {
+func isVisibleASCII(text string, maxLength int) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c >= 0x7f {
 			return false
 		}
 	}
-	return len(text) > 0 && len(text) <= most
+	return len(text) > 0 && len(text) <= maxLength
 }
 
 // parseDestination reads the number of the destination.
 func parseDestination(text string) (dest int, ok bool) {
 	for part := range strings.FieldsFuncSeq(text, func(c rune) bool { return c == ',' || c == ';' || c == ' ' }) {
-		if value, is := strings.CutPrefix(part, "dest="); is {
+		if value, found := strings.CutPrefix(part, "dest="); found {
 			if ok {
 				return 0, false
 			}
@@ -363,7 +363,7 @@
 	if text == "" || !ok {
 		return 0, ok
 	}
-	if _, value, is := strings.Cut(text, "key="); is {
+	if _, value, found := strings.Cut(text, "key="); found {
 		text = value
 	}
 	return max(1, xxhash.Sum64String(text)), true
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -32,19 +32,19 @@
 
 // retryTransient does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
 // most: a process that ends for one would be started again, to find the same.
-func retryTransient(log func(string, ...any), do func() error) error {
-	begun := clock.Start()
-	gap := retryBackoffMin
+func retryTransient(log func(string, ...any), op func() error) error {
+	stopwatch := clock.Start()
+	backoff := retryBackoffMin
 	for {
-		err := do()
-		if err == nil || !isTransient(err) || begun.Elapsed() > startRetryLimit {
+		err := op()
+		if err == nil || !isTransient(err) || stopwatch.Elapsed() > startRetryLimit {
 			return err
 		}
-		if gap == retryBackoffMin {
+		if backoff == retryBackoffMin {
 			log("tried again until it works, for %v at most: %v", startRetryLimit, err)
 		}
-		time.Sleep(gap)
-		gap = min(2*gap, retryBackoffMax)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, retryBackoffMax)
 	}
 }
 
@@ -90,7 +90,7 @@
 // repairStorage tries until the folder works, or the node ends.
 func (n *Node) repairStorage(adapter *ledgerAdapter) {
 	failed := n.ledger.Failing()
-	gap := retryBackoffMin
+	backoff := retryBackoffMin
 	for {
 		failed = failed || n.ledger.Failing()
 		err := errors.Join(n.ledger.Repair(), n.listCache.repair())
@@ -107,8 +107,8 @@
 		select {
 		case <-n.quit:
 			return
-		case <-time.After(gap):
+		case <-time.After(backoff):
 		}
-		gap = min(2*gap, retryBackoffMax)
+		backoff = min(2*backoff, retryBackoffMax)
 	}
 }
--- a/internal/platform/watchplan.go
+++ b/internal/platform/watchplan.go
@@ -21,7 +21,7 @@
 	open       []watchState // oldest first
 	lastID     uint64       // id of the newest
 	lastOpened time.Duration
-	opened     bool
+	hasOpened  bool
 }
 
 type watchState struct {
@@ -31,41 +31,41 @@
 }
 
 // step tells what to do at a moment: which watches to close, whether to open one (id 0: none), and when to ask again.
-func (p *watchPlan) step(now time.Duration) (shut []uint64, open uint64, again time.Duration) {
+func (p *watchPlan) step(now time.Duration) (toClose []uint64, toOpen uint64, next time.Duration) {
 	for _, w := range p.open {
 		if w.active && now < w.lastActivity+watchIdleTimeout {
 			return nil, 0, w.lastActivity + watchIdleTimeout
 		}
 	}
-	if p.opened && now < p.lastOpened+watchRetryInterval {
+	if p.hasOpened && now < p.lastOpened+watchRetryInterval {
 		return nil, 0, p.lastOpened + watchRetryInterval
 	}
 	if len(p.open) == maxOpenWatches { // the oldest mute one goes, the one that spoke last may do so again
 		i := max(0, slices.IndexFunc(p.open, func(w watchState) bool { return !w.active }))
-		shut = append(shut, p.open[i].id)
+		toClose = append(toClose, p.open[i].id)
 		p.open = slices.Delete(p.open, i, i+1)
 	}
 	p.lastID++
-	p.lastOpened, p.opened = now, true
+	p.lastOpened, p.hasOpened = now, true
 	p.open = append(p.open, watchState{id: p.lastID})
-	return shut, p.lastID, now + watchRetryInterval
+	return toClose, p.lastID, now + watchRetryInterval
 }
 
 // spoke takes a sign of life. It tells which watches to close; ok is false for one that is closed already, whose word counts
 // no more.
-func (p *watchPlan) recordActivity(id uint64, now time.Duration) (shut []uint64, ok bool) {
+func (p *watchPlan) recordActivity(id uint64, now time.Duration) (superseded []uint64, ok bool) {
 	i := slices.IndexFunc(p.open, func(w watchState) bool { return w.id == id })
 	if i < 0 {
 		return nil, false
 	}
 	w := watchState{id: id, active: true, lastActivity: now}
-	for _, o := range p.open {
-		if o.id != id {
-			shut = append(shut, o.id)
+	for _, other := range p.open {
+		if other.id != id {
+			superseded = append(superseded, other.id)
 		}
 	}
 	p.open = append(p.open[:0], w)
-	return shut, true
+	return superseded, true
 }
 
 // remove takes the end of a watch.
@@ -74,10 +74,10 @@
 }
 
 // closeAll ends all watches and has one opened at once: the address is another.
-func (p *watchPlan) closeAll() (shut []uint64) {
+func (p *watchPlan) closeAll() (closed []uint64) {
 	for _, w := range p.open {
-		shut = append(shut, w.id)
+		closed = append(closed, w.id)
 	}
-	p.open, p.opened = p.open[:0], false
-	return shut
+	p.open, p.hasOpened = p.open[:0], false
+	return closed
 }
