--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -12,13 +12,17 @@
 	"whinrun/internal/h1"
 )
 
-// CallCodec speaks to endpoints; it is outbound.Calls.
+// CallCodec encodes calls to endpoints as HTTP/1.1 requests of the platform's protocol and decodes the
+// responses. It implements outbound.Calls.
 type CallCodec struct {
 	*Directory
-	LoadMetrics []string // names of the values of a load report, in order
+	// LoadMetrics are the names of the values in a load report, in the order in which they are passed to the
+	// engine.
+	LoadMetrics []string
 }
 
-// Request appends one call: a message, or several in the form of bulk calls.
+// Request appends the request of one call to b: a single message, or a bulk request for several. X-Remaining
+// is the longest remaining time among the attempts, in seconds.
 func (c CallCodec) Request(b []byte, attempts []*engine.Attempt, remaining []time.Duration) []byte {
 	host := "endpoint"
 	if addr, ok := c.Address(attempts[0].Endpoint); ok {
@@ -42,6 +46,8 @@
 	return append(h1.AppendHead(b, "POST /inbox HTTP/1.1", pairs...), m.Body...)
 }
 
+// bulkBody returns the body of a bulk request. Each message has a line with its id, its idempotency key ("-"
+// for none) and its length in bytes, followed by its body and CRLF.
 func bulkBody(attempts []*engine.Attempt) (b []byte) {
 	for _, a := range attempts {
 		key := a.Msg.Repeat
@@ -54,15 +60,18 @@
 	return b
 }
 
-// Assured is outbound.Calls: a call with one message whose first line says 200 is delivered.
+// Assured implements outbound.Calls. A call with a single message is delivered once its status line says 200,
+// even if the rest of the response is malformed or missing.
 func (c CallCodec) Assured(attempts []*engine.Attempt, status int) (engine.End, bool) {
 	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(attempts) == 1
 }
 
-// bulkStatus are the ends that a bulk answer names, as the status that means the same for one message.
+// bulkStatus maps the results that a bulk response names to the HTTP status that has the same meaning for a
+// single message.
 var bulkStatus = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
 
-// Answer makes an answer into one end for each message.
+// Answer converts a response into one end for each attempt of the call. An attempt whose result is missing
+// from a bulk response, or whose bulk response cannot be parsed, ends as Malformed.
 func (c CallCodec) Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
 	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: parseRetryAfter(head.Fields), Report: c.parseLoadReport(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
@@ -84,7 +93,8 @@
 	return ends
 }
 
-// parseBulkEnds reads a bulk answer; ok is false where any of it can't be read, or names a message twice.
+// parseBulkEnds parses the body of a bulk response into a status for each message id. It returns false if any
+// line cannot be parsed or if a message is named twice.
 func parseBulkEnds(body []byte) (ends map[string]int, ok bool) {
 	ends = map[string]int{}
 	for line := range bytes.Lines(body) {
@@ -102,7 +112,9 @@
 	return ends, true
 }
 
-// parseRetryAfter reads a told wait. Seconds with decimals stand in Retry-After, milliseconds in X-Come-Back-Ms.
+// parseRetryAfter returns the wait that a response asks for, rounded up to a microsecond, or 0 if it asks for
+// none. Retry-After holds seconds, with decimals allowed. X-Come-Back-Ms holds milliseconds and is read only
+// if Retry-After is missing or invalid.
 func parseRetryAfter(f h1.Fields) control.Time {
 	seconds, ok := parseDecimal(f.Get("retry-after"))
 	if !ok {
@@ -112,10 +124,11 @@
 	return control.Time(math.Ceil(min(seconds, maxSeconds) * float64(control.Second)))
 }
 
-// maxSeconds bounds a told wait, in seconds: an hour, far past the time of any message.
+// maxSeconds is the upper limit of the durations that peers send, in seconds. One hour is far longer than any
+// message lives.
 const maxSeconds = 3600
 
-// parseDecimal reads a plain decimal number, zero or more.
+// parseDecimal parses a non-negative decimal number without sign or exponent.
 func parseDecimal(text string) (float64, bool) {
 	if len(text) == 0 || len(text) > 20 {
 		return 0, false
@@ -129,7 +142,8 @@
 	return v, err == nil
 }
 
-// parseLoadReport reads a load report; one that can't be read is none.
+// parseLoadReport parses the load report of a response. It returns nil if there is none or if it cannot be
+// parsed.
 func (c CallCodec) parseLoadReport(f h1.Fields) []float32 {
 	text := f.Get("x-pressure")
 	if text == "" || len(c.LoadMetrics) == 0 {
@@ -151,7 +165,8 @@
 	return out
 }
 
-// Classify tells what ends mean on the platform.
+// Classify returns what an end of an attempt means on the platform. Statuses 400, 410, 413, 429, 503 and 504
+// prove that the attempt was not executed.
 func Classify(e engine.End) engine.Verdict {
 	if e.Kind != engine.Answered {
 		return engine.Judge(e, false)
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -11,8 +11,9 @@
 	"whinrun/control"
 )
 
-// Directory gives endpoints their names towards the module. An endpoint is its host: a new one at an old address is
-// another. It is free of I/O; Address and Knows may be called from any goroutine.
+// Directory assigns the endpoint numbers by which the decision library knows the listed hosts. A host name is
+// one endpoint: a new host at the address of an old one gets a new number. Directory does no I/O, and its
+// methods are safe for concurrent use.
 type Directory struct {
 	zones []string
 	kinds []control.Kind
@@ -21,32 +22,39 @@
 	lastEndpoint control.Endpoint
 	hosts        map[string]*endpointRecord
 	byEndpoint   map[control.Endpoint]*endpointRecord
-	destinations map[int]time.Duration // destinations that are listed, or were: when each was last seen listed
+	// destinations holds, for each known destination, when it was last seen in the list.
+	destinations map[int]time.Duration
 	lastCleanup  time.Duration
 }
 
-// endpointRecord is one endpoint that is listed, or was a short while ago.
+// endpointRecord is an endpoint that is listed or left the list within goneRetention.
 type endpointRecord struct {
-	host   Host // as the list has it
-	entry  control.Entry
-	addr   netip.AddrPort
-	goneAt time.Duration // when it left the list, 0 if it is there
+	// host is the endpoint as the list describes it.
+	host  Host
+	entry control.Entry
+	addr  netip.AddrPort
+	// goneAt is when the endpoint left the list, 0 while it is listed.
+	goneAt time.Duration
 }
 
-// forgetAfter is how long endpoints and destinations that are gone are kept: far longer than any message lives.
+// Times of records that left the list.
 const (
-	goneRetention   = 2 * time.Minute
+	// goneRetention is how long endpoints and destinations are kept after they leave the list. It is far
+	// longer than any message lives.
+	goneRetention = 2 * time.Minute
+	// cleanupInterval is the shortest time between two removals of expired records.
 	cleanupInterval = 10 * time.Second
 )
 
-// NewDirectory returns a Directory for zones and kinds as the settings name them.
+// NewDirectory returns an empty Directory. zones and kinds are those of the settings; their order determines
+// the numbers that the entries carry.
 func NewDirectory(zones []string, kinds []control.Kind) *Directory {
 	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*endpointRecord{}, byEndpoint: map[control.Endpoint]*endpointRecord{},
 		destinations: map[int]time.Duration{}}
 }
 
-// Apply takes a list, or changes of one, and returns the entries that the module is told. A host that can't be used is
-// left out, and named in faults.
+// Apply applies a whole list or changes and returns the resulting entries for the decision library, ordered
+// by endpoint number. A host that cannot be used is skipped and reported in faults.
 func (d *Directory) Apply(l EndpointList, now time.Duration) (entries []control.Entry, faults []error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,6 +87,8 @@
 	return entries, faults
 }
 
+// applyHost applies one host of a list and returns its entry. The entry's endpoint number is 0 if an unknown
+// host is reported as gone.
 func (d *Directory) applyHost(h *Host, now time.Duration) (control.Entry, error) {
 	r := d.hosts[h.Name]
 	if h.Health == "gone" {
@@ -94,7 +104,7 @@
 	case "draining":
 		health = control.Draining
 	default:
-		return control.Entry{}, fmt.Errorf("health %.20q", h.Health)
+		return control.Entry{}, fmt.Errorf("unknown health %.20q", h.Health)
 	}
 	addr, err := netip.ParseAddrPort(h.Dial)
 	if err != nil {
@@ -102,13 +112,14 @@
 	}
 	kind := slices.IndexFunc(d.kinds, func(k control.Kind) bool { return k.Name == h.Class })
 	if kind < 0 && len(d.kinds) > 0 {
-		return control.Entry{}, fmt.Errorf("class %.20q", h.Class)
+		return control.Entry{}, fmt.Errorf("unknown class %.20q", h.Class)
 	}
 	if h.Name == "" || h.Block < 0 || h.Block > maxDestination {
-		return control.Entry{}, fmt.Errorf("block %d", h.Block)
+		return control.Entry{}, fmt.Errorf("empty host name or invalid block %d", h.Block)
 	}
 	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
-	if r != nil && r.entry.Dest != e.Dest { // another destination is another endpoint
+	// A host that changes its destination is a new endpoint.
+	if r != nil && r.entry.Dest != e.Dest {
 		delete(d.hosts, h.Name)
 		r = nil
 	}
@@ -124,7 +135,7 @@
 	return e, nil
 }
 
-// Snapshot returns all that is listed, as one list of that version.
+// Snapshot returns all listed endpoints as a whole list of version seq, ordered by name.
 func (d *Directory) Snapshot(seq int64) EndpointList {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -138,10 +149,10 @@
 	return l
 }
 
-// maxDestination bounds the numbers of destinations, as the simulator's wire does.
+// maxDestination is the largest destination number. The simulator's wire format has the same bound.
 const maxDestination = 1<<16 - 1
 
-// removeExpired forgets what left the list long ago.
+// removeExpired forgets endpoints and destinations that left the list more than goneRetention ago.
 func (d *Directory) removeExpired(now time.Duration) {
 	for name, r := range d.hosts {
 		if r.goneAt > 0 && now-r.goneAt > goneRetention {
@@ -162,7 +173,8 @@
 	}
 }
 
-// Address is outbound.Addresses.
+// Address implements outbound.Addresses. It also returns the address of an endpoint that left the list
+// recently.
 func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -173,7 +185,7 @@
 	return r.addr, true
 }
 
-// IsListed tells whether an endpoint is in the list.
+// IsListed reports whether an endpoint is in the list.
 func (d *Directory) IsListed(ep control.Endpoint) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -181,7 +193,7 @@
 	return r != nil && r.goneAt == 0
 }
 
-// Lookup returns what the list says of a host; ok is false where it is not listed.
+// Lookup returns the entry of a host, or false if the host is not listed.
 func (d *Directory) Lookup(host string) (e control.Entry, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -192,7 +204,7 @@
 	return r.entry, true
 }
 
-// HostName is the name of an endpoint, for logs.
+// HostName returns the host name of an endpoint, or "unknown" if it has been forgotten.
 func (d *Directory) HostName(ep control.Endpoint) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -202,7 +214,7 @@
 	return "unknown"
 }
 
-// KnowsDestination tells whether a destination is listed, or was a short while ago.
+// KnowsDestination reports whether a destination is listed or left the list recently.
 func (d *Directory) KnowsDestination(dest int) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/platform/listcache.go
+++ b/internal/platform/listcache.go
@@ -15,44 +15,54 @@
 	"whinrun/internal/recordfile"
 )
 
-// listCache keeps the endpoint list as it was last had in the folder that outlasts the process: what discovery had told counts
-// as told from the next process's first moment, also where discovery says nothing then, and the list of the configuration
-// may be older.
+// listCache keeps the latest endpoint list in the state directory. What discovery sent to one process also
+// binds the next process from its start, even if discovery does not answer then, and the list of the
+// configuration may be older.
 //
-// The file is checksummed records: the whole list, compressed, and the changes since, each as it came. It is written anew when
-// the changes have grown past a part of the whole. A first record that is damaged is no list; changes count up to the first
-// that is damaged.
+// The file is a sequence of checksummed records: first the whole list, compressed if it is large, then each
+// change in the order of arrival. It is rewritten when the changes grow past a fraction of the whole list. If
+// the first record is damaged, the file holds no list. Changes count up to the first damaged record.
 type listCache struct {
-	fs       disk.FS
-	maxBytes int // bytes that the file may take
+	fs disk.FS
+	// maxBytes is the largest size of the file, in bytes.
+	maxBytes int
 	log      func(format string, a ...any)
 
-	mu            sync.Mutex
-	file          *recordfile.File
-	baseBytes     int                 // bytes of the whole list in it
-	currentList   func() EndpointList // the list as it is now
-	stale         bool                // the file lacks changes
-	failureLogged bool                // that the list is not kept has been told
-	failed        chan struct{}       // holds a token once saving has begun to fail
+	mu   sync.Mutex
+	file *recordfile.File
+	// baseBytes is the size of the record with the whole list, in bytes.
+	baseBytes int
+	// currentList returns the list that is in force.
+	currentList func() EndpointList
+	// stale tells that the file lacks changes.
+	stale bool
+	// failureLogged tells that the current failure has been logged.
+	failureLogged bool
+	// failed receives a value when saving begins to fail with a transient error.
+	failed chan struct{}
 }
 
+// listFileName is the name of the file in the state directory.
 const listFileName = "list"
 
-// listDiskFraction is the part of the folder that a list may take. The one being written stands beside the other, and both fit into the
-// tenth that the ledger leaves.
+// listDiskFraction is the fraction of the state directory's limit that one list file may use. A rewrite needs
+// room for the old file and the new one, and both fit into the tenth that the ledger leaves free.
 const listDiskFraction = 0.045
 
-// changesPart is how much changes may grow beside the whole list, and changesLeast bytes are never too many.
+// Bounds on the changes that are appended before the file is rewritten.
 const (
+	// maxDeltaFraction bounds the size of the changes, as a fraction of the size of the whole list.
 	maxDeltaFraction = 0.5
-	minDeltaBytes    = 8 << 10
+	// minDeltaBytes is the size of changes, in bytes, up to which the fraction does not cause a rewrite.
+	minDeltaBytes = 8 << 10
 )
 
+// newListCache returns the cache in directory fs. currentList returns the list in force; a rewrite saves it.
 func newListCache(fs disk.FS, maxBytes int, currentList func() EndpointList, log func(string, ...any)) *listCache {
 	return &listCache{fs: fs, maxBytes: maxBytes, currentList: currentList, log: log, file: recordfile.New(fs, listFileName), failed: make(chan struct{}, 1)}
 }
 
-// load returns the list that was kept; ok is false where there is none.
+// load returns the saved list, or false if there is none.
 func (c *listCache) load() (l EndpointList, ok bool) {
 	b, err := recordfile.Read(c.fs, listFileName, int64(c.maxBytes))
 	if err != nil {
@@ -81,8 +91,8 @@
 	return merged.list(), true
 }
 
-// update keeps what discovery told: changes behind the list that there is, a whole list in its place. Where that fails for now,
-// repair tries again.
+// update saves what discovery sent: changes are appended to the file, a whole list replaces it. After a
+// transient error, repair has to be called.
 func (c *listCache) update(l EndpointList) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,6 +108,8 @@
 	}
 }
 
+// save appends a change to the file, or rewrites the file if l is a whole list, the file cannot be appended
+// to, or the changes would grow too large.
 func (c *listCache) save(l EndpointList) error {
 	if l.Whole || c.stale || c.file.Damaged() {
 		return c.rewrite()
@@ -114,7 +126,7 @@
 	return c.file.Append(b)
 }
 
-// rewrite puts the whole list in the place of the file.
+// rewrite replaces the file by one with the whole current list.
 func (c *listCache) rewrite() error {
 	text, err := encodeList(c.currentList())
 	if err != nil {
@@ -122,7 +134,7 @@
 	}
 	b := logstore.AppendRecord(nil, 0, text)
 	if len(b) > c.maxBytes {
-		return fmt.Errorf("%d bytes, %d at most", len(b), c.maxBytes)
+		return fmt.Errorf("list of %d bytes exceeds the limit of %d", len(b), c.maxBytes)
 	}
 	if err := c.file.Replace(b); err != nil {
 		return err
@@ -131,7 +143,7 @@
 	return nil
 }
 
-// repair saves what could not be saved. An error tells that it is to be called again.
+// repair saves what could not be saved before. It returns an error if it has to be called again.
 func (c *listCache) repair() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +160,7 @@
 	return nil
 }
 
-// logFailure tells once that the list is not kept.
+// logFailure logs that the list is not saved, once until saving succeeds again.
 func (c *listCache) logFailure(err error) {
 	if !c.failureLogged {
 		c.log("the list is not kept for the next process: %v", err)
@@ -156,17 +168,18 @@
 	c.failureLogged = true
 }
 
-// close ends the use of the file.
+// close closes the file.
 func (c *listCache) close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.file.Close()
 }
 
-// minCompressedListBytes is how many bytes a list has from which on it is compressed: it is not worth an encoder's memory below.
+// minCompressedListBytes is the size in bytes from which a list is compressed. A smaller list is not worth
+// the memory of an encoder.
 const minCompressedListBytes = 32 << 10
 
-// encodeList is a list as it is kept.
+// encodeList returns the record of a whole list: JSON, compressed with zstd from minCompressedListBytes on.
 func encodeList(l EndpointList) ([]byte, error) {
 	text, err := json.Marshal(l)
 	if err != nil || len(text) < minCompressedListBytes {
@@ -180,7 +193,7 @@
 	return w.EncodeAll(text, nil), nil
 }
 
-// decodeList reads what packList made.
+// decodeList decodes a record that encodeList returned.
 func decodeList(b []byte) (l EndpointList, err error) {
 	if len(b) > 0 && b[0] != '{' {
 		r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxListBytes))
@@ -199,18 +212,20 @@
 	return l, err
 }
 
-// mergedList is a list to which changes are added.
+// mergedList is a list to which changes are applied.
 type mergedList struct {
 	seq   int64
 	hosts map[string]Host
 }
 
+// newMergedList returns a mergedList that starts with l.
 func newMergedList(l EndpointList) *mergedList {
 	m := &mergedList{hosts: map[string]Host{}}
 	m.add(l)
 	return m
 }
 
+// add applies changes.
 func (m *mergedList) add(l EndpointList) {
 	m.seq = l.Seq
 	for _, h := range l.Hosts {
@@ -222,6 +237,7 @@
 	}
 }
 
+// list returns the whole list, ordered by name.
 func (m *mergedList) list() EndpointList {
 	l := EndpointList{Seq: m.seq, Whole: true, Hosts: make([]Host, 0, len(m.hosts))}
 	for _, h := range m.hosts {
--- a/internal/platform/listreader.go
+++ b/internal/platform/listreader.go
@@ -8,23 +8,30 @@
 	"whinrun/internal/h1"
 )
 
-// maxListBytes bounds the bytes of one object of a watch.
+// maxListBytes is the largest accepted size of one object of a watch, in bytes.
 const maxListBytes = 4 << 20
 
-var errWatchEnded = errors.New("the watch has ended")
+// errWatchEnded reports that discovery ended the response of a watch.
+var errWatchEnded = errors.New("end of response")
 
-// listReader reads the answer of a watch: a chunked body of JSON objects, each on a line or on several, and empty lines
-// while nothing changes. Pieces may end anywhere. It is free of I/O.
+// listReader parses the response of a watch. The body is a sequence of JSON objects, each on one or several
+// lines, with empty lines as heartbeats while nothing changes. The data may be cut anywhere. listReader does
+// no I/O.
 type listReader struct {
-	onList      func(EndpointList)
-	onHeartbeat func() // an empty line
+	// onList is called for each list.
+	onList func(EndpointList)
+	// onHeartbeat is called for each empty line.
+	onHeartbeat func()
 
-	head     *h1.Response
-	headBuf  []byte // of the head, while it is not whole
+	// head is the response head, nil until it is complete.
+	head *h1.Response
+	// headBuf holds the bytes of an incomplete head.
+	headBuf  []byte
 	chunks   h1.Chunks
 	splitter objectSplitter
 }
 
+// read consumes the next bytes of the response. It returns errWatchEnded at the end of the body.
 func (r *listReader) read(b []byte) error {
 	if r.head == nil {
 		r.headBuf = append(r.headBuf, b...)
@@ -33,7 +40,7 @@
 			return err
 		}
 		if head.Status != 200 {
-			return fmt.Errorf("status %d", head.Status)
+			return fmt.Errorf("unexpected status %d", head.Status)
 		}
 		r.head, b, r.headBuf = head, r.headBuf[n:], nil
 	}
@@ -52,25 +59,33 @@
 	return nil
 }
 
+// handleObject decodes a complete object and passes the list on.
 func (r *listReader) handleObject(text []byte) error {
 	var l EndpointList
 	if err := json.Unmarshal(text, &l); err != nil {
-		return fmt.Errorf("an object of the list: %w", err)
+		return fmt.Errorf("decode list object: %w", err)
 	}
 	r.onList(l)
 	return nil
 }
 
-// objectSplitter cuts a stream of bytes into JSON objects by their braces, however they are laid out. What an object holds is
-// for the JSON parser to judge.
+// objectSplitter splits a stream of bytes into JSON objects by counting braces, whatever their layout. The
+// JSON parser validates the objects themselves.
 type objectSplitter struct {
-	text          []byte // of the object that is not whole
-	depth         int
-	inString      bool // in a string
-	escaped       bool // behind a backslash in it
-	lineHasObject bool // something but space stands on this line
+	// text holds the bytes of an incomplete object.
+	text []byte
+	// depth is the number of open braces and brackets.
+	depth int
+	// inString tells that the next byte is inside a JSON string.
+	inString bool
+	// escaped tells that the previous byte was a backslash inside a string.
+	escaped bool
+	// lineHasObject tells that the current line contains bytes of an object, so its end is no heartbeat.
+	lineHasObject bool
 }
 
+// read consumes bytes, calls onObject for each complete object and onEmptyLine for each empty line between
+// objects.
 func (r *objectSplitter) read(b []byte, onObject func([]byte) error, onEmptyLine func()) error {
 	for _, c := range b {
 		if r.depth == 0 {
@@ -85,12 +100,12 @@
 			case ' ', '\t', '\r':
 				continue
 			default:
-				return fmt.Errorf("byte %q between two objects of a list", c)
+				return fmt.Errorf("unexpected byte %q between two list objects", c)
 			}
 		}
 		r.text, r.lineHasObject = append(r.text, c), true
 		if len(r.text) > maxListBytes {
-			return fmt.Errorf("an object of more than %d bytes", maxListBytes)
+			return fmt.Errorf("list object exceeds %d bytes", maxListBytes)
 		}
 		if !r.step(c) {
 			continue
@@ -104,7 +119,7 @@
 	return nil
 }
 
-// step takes a byte of an object and tells whether it is the last one.
+// step consumes one byte of an object and reports whether it is the last one.
 func (r *objectSplitter) step(c byte) bool {
 	switch {
 	case r.escaped:
--- a/internal/platform/watchplan.go
+++ b/internal/platform/watchplan.go
@@ -5,32 +5,48 @@
 	"time"
 )
 
-// Times of a watch. What a silent one misses counts as told 6 s after it fell silent, and a send is still allowed for a
-// second: the whole chain (silence noticed, connections tried, list read) has to fit between.
+// Times and bounds of watches. Changes that a silent watch misses count as received 6 s after it fell silent,
+// and a send to a removed endpoint is tolerated for one more second. Noticing the silence, opening
+// connections and reading the list must together fit into that time.
 const (
-	watchIdleTimeout   = 2500 * time.Millisecond // a watch says something every 2 s
-	watchRetryInterval = 500 * time.Millisecond  // between two tries: an agent that is there answers at once
-	maxOpenWatches     = 4                       // open at once; a list may take a second or two to come in small pieces
+	// watchIdleTimeout is the time without a sign of life after which a watch counts as silent. A healthy
+	// watch sends a list or a heartbeat at least every 2 s.
+	watchIdleTimeout = 2500 * time.Millisecond
+	// watchRetryInterval is the time between opening two watches. An agent that is running answers at once.
+	watchRetryInterval = 500 * time.Millisecond
+	// maxOpenWatches bounds the watches that are open at the same time. A list that arrives in small pieces
+	// may take a second or two; with this bound a new watch has 2 s before it is closed.
+	maxOpenWatches = 4
 )
 
-// watchPlan decides when watches are opened and closed, and which of them counts. It is free of I/O: whoever carries it out
-// passes the time in and owns the connections. Only whole objects and heartbeats are signs of life. While no watch gives
-// any, another is tried every watchGap beside those that are open: one that was mute may speak when discovery returns, and
-// another may have to be opened for it. The first that speaks ends the others.
+// watchPlan decides when watches are opened and closed and which of them counts. It does no I/O: its caller
+// passes in the time and owns the connections.
+//
+// Only complete objects and heartbeats are signs of life. While no watch shows any, another one is opened
+// every watchRetryInterval beside those that are open. A silent watch may continue when discovery returns, or
+// a new one may be needed. The first watch that shows a sign of life closes the others.
 type watchPlan struct {
-	open       []watchState // oldest first
-	lastID     uint64       // id of the newest
+	// open holds the open watches, oldest first.
+	open []watchState
+	// lastID is the id of the newest watch.
+	lastID uint64
+	// lastOpened is when the newest watch was opened.
 	lastOpened time.Duration
-	hasOpened  bool
+	// hasOpened makes the next watch wait for watchRetryInterval since lastOpened. It is false at the start
+	// and after closeAll.
+	hasOpened bool
 }
 
+// watchState is an open watch.
 type watchState struct {
-	id           uint64
-	active       bool
-	lastActivity time.Duration // last sign of life
+	id uint64
+	// active tells that the watch has shown a sign of life.
+	active bool
+	// lastActivity is when the last sign of life arrived.
+	lastActivity time.Duration
 }
 
-// step tells what to do at a moment: which watches to close, whether to open one (id 0: none), and when to ask again.
+// step returns the watches to close, the id of a watch to open (0 for none) and when to call step again.
 func (p *watchPlan) step(now time.Duration) (toClose []uint64, toOpen uint64, next time.Duration) {
 	for _, w := range p.open {
 		if w.active && now < w.lastActivity+watchIdleTimeout {
@@ -40,7 +56,8 @@
 	if p.hasOpened && now < p.lastOpened+watchRetryInterval {
 		return nil, 0, p.lastOpened + watchRetryInterval
 	}
-	if len(p.open) == maxOpenWatches { // the oldest mute one goes, the one that spoke last may do so again
+	// The oldest watch without a sign of life is closed. A watch that was active before may continue.
+	if len(p.open) == maxOpenWatches {
 		i := max(0, slices.IndexFunc(p.open, func(w watchState) bool { return !w.active }))
 		toClose = append(toClose, p.open[i].id)
 		p.open = slices.Delete(p.open, i, i+1)
@@ -51,8 +68,8 @@
 	return toClose, p.lastID, now + watchRetryInterval
 }
 
-// spoke takes a sign of life. It tells which watches to close; ok is false for one that is closed already, whose word counts
-// no more.
+// recordActivity records a sign of life and returns the watches to close. It returns false for a watch that
+// is closed already; its data must be ignored.
 func (p *watchPlan) recordActivity(id uint64, now time.Duration) (superseded []uint64, ok bool) {
 	i := slices.IndexFunc(p.open, func(w watchState) bool { return w.id == id })
 	if i < 0 {
@@ -68,12 +85,13 @@
 	return superseded, true
 }
 
-// remove takes the end of a watch.
+// remove records that a watch has ended.
 func (p *watchPlan) remove(id uint64) {
 	p.open = slices.DeleteFunc(p.open, func(w watchState) bool { return w.id == id })
 }
 
-// closeAll ends all watches and has one opened at once: the address is another.
+// closeAll closes all watches and has the next step open one at once, because discovery's address has
+// changed.
 func (p *watchPlan) closeAll() (closed []uint64) {
 	for _, w := range p.open {
 		closed = append(closed, w.id)
