--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,27 +12,36 @@
 	"whinrun/internal/h1"
 )
 
-// Times of the connections to the platform's agent, which is on this machine: it answers at once or is down.
+// Times of the connections to the platform's agent. The agent runs on the same machine: it answers at once or
+// is down.
 const (
-	agentTimeout     = time.Second
+	// agentTimeout bounds a connection attempt and a request with notices.
+	agentTimeout = time.Second
+	// noticeBackoffMin is the first delay before notices are sent again after a failure.
 	noticeBackoffMin = 100 * time.Millisecond
+	// noticeBackoffMax is the longest delay before notices are sent again.
 	noticeBackoffMax = time.Second
 )
 
-// agent is where discovery and notices are. The address may change in service: connections to the old one end then.
+// agent is the platform's agent, which serves discovery and takes notices. Its address may change at run
+// time; connections to the old address are closed then.
 type agent struct {
-	mu          sync.Mutex
-	addr        netip.AddrPort
-	conns       map[net.Conn]struct{}
-	addrChanged chan struct{} // closed at a change
-	quit        chan struct{}
+	mu   sync.Mutex
+	addr netip.AddrPort
+	// conns holds the connections that a change of the address closes.
+	conns map[net.Conn]struct{}
+	// addrChanged is closed and replaced when the address changes.
+	addrChanged chan struct{}
+	// quit is closed by stop.
+	quit chan struct{}
 }
 
+// newAgent returns the agent at an address.
 func newAgent(addr netip.AddrPort) *agent {
 	return &agent{addr: addr, conns: map[net.Conn]struct{}{}, addrChanged: make(chan struct{}), quit: make(chan struct{})}
 }
 
-// setAddress changes the address.
+// setAddress changes the address and closes the connections that dial opened to the old one.
 func (a *agent) setAddress(addr netip.AddrPort) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -47,7 +56,7 @@
 	a.addrChanged = make(chan struct{})
 }
 
-// stop ends all connections, for good.
+// stop closes all connections for good.
 func (a *agent) stop() {
 	close(a.quit)
 	a.mu.Lock()
@@ -57,6 +66,7 @@
 	}
 }
 
+// stopped reports whether stop has been called.
 func (a *agent) stopped() bool {
 	select {
 	case <-a.quit:
@@ -66,7 +76,7 @@
 	}
 }
 
-// connect opens a connection that its caller owns, and tells where to.
+// connect opens a connection that the caller owns and returns it with the address it leads to.
 func (a *agent) connect(ctx context.Context) (net.Conn, netip.AddrPort, error) {
 	a.mu.Lock()
 	addr := a.addr
@@ -76,7 +86,7 @@
 	return c, addr, err
 }
 
-// dial opens a connection that a change of the address ends.
+// dial opens a connection that is closed when the address changes or the agent is stopped.
 func (a *agent) dial() (net.Conn, error) {
 	c, addr, err := a.connect(context.Background())
 	if err != nil {
@@ -85,12 +95,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.addr != addr || a.stopped() {
-		return nil, errors.Join(errors.New("the address has changed"), c.Close())
+		return nil, errors.Join(errors.New("agent address changed or agent stopped while connecting"), c.Close())
 	}
 	a.conns[c] = struct{}{}
 	return c, nil
 }
 
+// closeConn closes a connection that dial opened.
 func (a *agent) closeConn(c net.Conn) {
 	a.mu.Lock()
 	delete(a.conns, c)
@@ -98,14 +109,15 @@
 	_ = c.Close()
 }
 
-// addressChange returns what is closed when the address changes next.
+// addressChange returns a channel that is closed at the next change of the address.
 func (a *agent) addressChange() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addrChanged
 }
 
-// wait waits before a next try; a new address ends the wait. It is false at the stop.
+// wait waits before a retry, until d has passed or the address changes. It returns false if the agent is
+// stopped.
 func (a *agent) wait(d time.Duration) bool {
 	changed := a.addressChange()
 	t := time.NewTimer(d)
@@ -119,26 +131,35 @@
 	return true
 }
 
-// watcher keeps the endpoint list up to date by watches, as a watchPlan says. All but its read goroutines is run's.
+// watcher keeps the endpoint list up to date through watches that a watchPlan opens and closes. Its fields
+// belong to the goroutine of run; each watch has a goroutine of its own that reports to it through events.
 type watcher struct {
-	agent  *agent
-	now    func() time.Duration
-	seq    int64 // version of the list as told last, 0 behind a change of the address: any counts then
+	agent *agent
+	now   func() time.Duration
+	// seq is the version of the list that was passed on last. It is 0 after a change of the address, when any
+	// version counts.
+	seq int64
+	// onList is called for each list or change, in order.
 	onList func(EndpointList)
 	log    func(format string, a ...any)
 
-	plan    watchPlan
+	plan watchPlan
+	// cancels holds the function that closes each open watch, by id.
 	cancels map[uint64]context.CancelFunc
 	events  chan watchEvent
 }
 
-// watchEvent is what a watch has to tell: a list, an empty line, or its end.
+// watchEvent reports a list, a heartbeat or the end of a watch.
 type watchEvent struct {
-	id   uint64
+	// id identifies the watch.
+	id uint64
+	// list is the list that was read, nil for a heartbeat or the end.
 	list *EndpointList
-	err  error
+	// err is why the watch ended, nil otherwise.
+	err error
 }
 
+// newWatcher returns a watcher that continues from version seq and passes lists to onList once run is called.
 func newWatcher(a *agent, now func() time.Duration, seq int64, onList func(EndpointList), log func(string, ...any)) *watcher {
 	return &watcher{agent: a, now: now, seq: seq, onList: onList, log: log, cancels: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
 }
@@ -174,6 +195,7 @@
 	}
 }
 
+// cancelWatches closes watches.
 func (w *watcher) cancelWatches(ids []uint64) {
 	for _, id := range ids {
 		w.cancels[id]()
@@ -181,9 +203,11 @@
 	}
 }
 
+// handleEvent handles what a watch reports.
 func (w *watcher) handleEvent(e watchEvent) {
 	if e.err != nil {
-		if w.cancels[e.id] != nil { // else it was closed here
+		// A watch that was closed here needs no more handling.
+		if w.cancels[e.id] != nil {
 			w.log("watch ended: %v", e.err)
 			w.plan.remove(e.id)
 			w.cancelWatches([]uint64{e.id})
@@ -195,14 +219,15 @@
 	if !ok || e.list == nil {
 		return
 	}
-	// Changes that are known already change nothing: a watch may begin before those of the one that it follows ended.
+	// A new watch may start from a version before the last changes that the previous watch delivered. Such
+	// changes are known already and are skipped.
 	if l := e.list; l.Whole || l.Seq >= w.seq {
 		w.seq = l.Seq
 		w.onList(*l)
 	}
 }
 
-// watch follows one watch until it ends, or ctx does.
+// watch runs one watch until it ends or ctx does, and reports its end.
 func (w *watcher) watch(ctx context.Context, id uint64, from int64) {
 	send := func(e watchEvent) {
 		e.id = id
@@ -215,6 +240,8 @@
 	send(watchEvent{err: w.follow(ctx, from, send)})
 }
 
+// follow opens a connection, requests the changes since version from, and passes on what it reads until the
+// watch ends.
 func (w *watcher) follow(ctx context.Context, from int64, send func(watchEvent)) error {
 	c, _, err := w.agent.connect(ctx)
 	if err != nil {
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -13,29 +13,35 @@
 	"whinrun/internal/safety"
 )
 
-// ledgerAdapter is the engine's Ledger: it says messages in the ledger's terms, which another process understands, too. Ends that
-// the platform is to hear go on to the notices once they are on record; a delivered message needs no word.
+// ledgerAdapter implements engine.Ledger and outbound.Permits on the ledger on disk. It translates the
+// engine's numbers into names and boot-clock times, which another process can interpret. Ends that the
+// platform must be told of are passed to the notice sender once they are recorded. A delivered message needs
+// no notice.
 type ledgerAdapter struct {
-	ledger      *ledger.Ledger
-	notices     *noticeSender
-	settings    *control.Settings
-	clock       *clock.Process
-	guard       *safety.Guard
-	directory   *Directory
-	log         func(format string, a ...any)
-	reportFault func(text string) // something that must not happen
-
-	mu         sync.Mutex
+	ledger    *ledger.Ledger
+	notices   *noticeSender
+	settings  *control.Settings
+	clock     *clock.Process
+	guard     *safety.Guard
+	directory *Directory
+	log       func(format string, a ...any)
+	// reportFault logs a violation of an invariant.
+	reportFault func(text string)
+
+	mu sync.Mutex
+	// unrecorded holds notices whose end could not be written to the ledger. It is guarded by mu.
 	unrecorded []unrecordedNotice
 }
 
-// unrecordedNotice is a notice that is not on record yet.
+// unrecordedNotice is a notice whose end is not recorded yet.
 type unrecordedNotice struct {
-	notice   ledger.Notice
-	deadline control.Time // the time of its message is over then
+	notice ledger.Notice
+	// deadline is when the time of its message is over.
+	deadline control.Time
 }
 
-// Take is engine.Ledger.
+// Take implements engine.Ledger. It records an accepted message. If it is uncertain whether the record was
+// written, the error is engine.ErrUncertain, unless the message can be executed again without harm.
 func (la *ledgerAdapter) Take(m *engine.Message, due control.Time) error {
 	e := &ledger.Entry{Name: m.Name, Class: la.settings.Classes[m.Class].Name, Dest: m.Dest, Due: la.clock.Instant(due), TakenAt: la.clock.Instant(m.Taken), Key: m.Repeat,
 		Order: m.Key, Body: m.Body}
@@ -49,24 +55,27 @@
 	return err
 }
 
-// safeToRepeat tells whether executing a message again does no harm, whoever hands it in and when.
+// safeToRepeat reports whether a message can be executed again without harm, whoever submits it and whenever.
+// That holds for classes that may be repeated at will, and for guarded classes whose repeats are dropped by
+// all endpoints of the destination and not only by those of one zone.
 func (la *ledgerAdapter) safeToRepeat(m *engine.Message) bool {
 	c := &la.settings.Classes[m.Class]
 	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
 }
 
-// Write is outbound.Permits.
+// Write implements outbound.Permits. It returns why an attempt must not be written now, or nil.
 func (la *ledgerAdapter) Write(now control.Time, a *engine.Attempt) error {
 	return la.guard.Write(now, a.Call())
 }
 
-// TakenBack is outbound.Permits.
+// TakenBack implements outbound.Permits. It records that a permitted attempt was not written after all.
 func (la *ledgerAdapter) TakenBack(a *engine.Attempt) {
 	la.guard.TakenBack(a.Call())
 	la.logFailure(la.ledger.TakeBack(a.Msg.Name))
 }
 
-// Record is outbound.Permits. What may be repeated at will needs no record before it is written.
+// Record implements outbound.Permits. It records the attempts of a call before they are written. If that
+// fails, only messages that may be repeated freely are allowed; they need no record before they are sent.
 func (la *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
 	at, zone := la.clock.Instant(call[0].Sent), call[0].Place.Zone
 	err := la.ledger.Out(messageNames(call), at, zone, false)
@@ -83,11 +92,13 @@
 		}
 	}
 	if len(allowed) > 0 {
-		_ = la.ledger.Out(messageNames(allowed), at, zone, true) // it is kept, and written when that works again
+		// The ledger keeps this record and writes it once writes succeed again.
+		_ = la.ledger.Out(messageNames(allowed), at, zone, true)
 	}
 	return allowed, err
 }
 
+// messageNames returns the ids of the messages of a call.
 func messageNames(call []*engine.Attempt) []string {
 	names := make([]string, len(call))
 	for i, a := range call {
@@ -96,14 +107,14 @@
 	return names
 }
 
-// Back is engine.Ledger.
+// Back implements engine.Ledger. It records the end of an attempt whose message has not ended.
 func (la *ledgerAdapter) Back(a *engine.Attempt, e safety.End) {
 	la.logFailure(la.ledger.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
 	la.verifyHistory(a.Msg)
 }
 
-// verifyHistory compares what is on record of a message's attempts with what this process knows of them. Guards against a record
-// from which another process would conclude that a repeat is allowed.
+// verifyHistory compares the recorded attempts of a message with what this process knows of them. It guards
+// against a record from which another process would conclude that a repeat is allowed.
 func (la *ledgerAdapter) verifyHistory(m *engine.Message) {
 	h, ok := la.ledger.History(m.Name)
 	if !ok {
@@ -114,7 +125,8 @@
 	}
 }
 
-// Over is engine.Ledger.
+// Over implements engine.Ledger. It records the end of a message. A delivered or withdrawn message (a is nil
+// for the latter) gets no notice, a refused one a deferred notice and a failed one an undeliverable notice.
 func (la *ledgerAdapter) Over(m *engine.Message, a *engine.Answer) {
 	if a == nil || a.Final == engine.Served {
 		la.logFailure(la.ledger.Over(m.Name))
@@ -127,8 +139,8 @@
 	la.recordEnd(n, m.Taken+m.Life)
 }
 
-// recordEnd records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
-// while its sender hands it in again.
+// recordEnd records the end of a message and then sends its notice. The notice must not precede the record: a
+// process that finds the message still owed would send it while its sender submits it again.
 func (la *ledgerAdapter) recordEnd(n ledger.Notice, deadline control.Time) {
 	if err := la.ledger.End(n); err != nil {
 		la.logFailure(err)
@@ -140,7 +152,8 @@
 	la.notices.enqueue(n)
 }
 
-// sendRecorded has the notices told that waited for the ledger to be up to date again.
+// sendRecorded sends the notices that waited for the ledger. It is called when the ledger is up to date
+// again.
 func (la *ledgerAdapter) sendRecorded() {
 	la.mu.Lock()
 	all := la.unrecorded
@@ -151,8 +164,9 @@
 	}
 }
 
-// sendExpired has those notices told whose message's time is over: a process that still finds the message owed does not send it
-// any more. Nobody is told to hand one in again that is not on record as ended.
+// sendExpired sends the waiting notices of messages whose time is over. A process that finds such a message
+// still owed does not send it any more. The notice says undeliverable, never deferred, because a sender must
+// not submit a message again whose end is not recorded.
 func (la *ledgerAdapter) sendExpired() {
 	now := la.clock.Now()
 	la.mu.Lock()
@@ -171,7 +185,7 @@
 	}
 }
 
-// Learn is engine.Ledger.
+// Learn implements engine.Ledger. It records changed outages of listed endpoints, and outages that are over.
 func (la *ledgerAdapter) Learn(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
@@ -182,7 +196,7 @@
 	la.logFailure(la.ledger.Learn(all))
 }
 
-// toLedgerOutage says an outage in the ledger's terms.
+// toLedgerOutage converts an outage to the form of the ledger.
 func (la *ledgerAdapter) toLedgerOutage(o *control.Outage) ledger.Outage {
 	instant := func(t control.Time) clock.Instant {
 		if t == 0 {
@@ -194,13 +208,15 @@
 		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
 }
 
-// toControlOutage says an outage of the ledger in the module's terms, of an endpoint.
+// toControlOutage converts an outage of the ledger to the form of the decision library, for the endpoint of
+// entry e.
 func (la *ledgerAdapter) toControlOutage(o *ledger.Outage, e control.Entry) *control.Outage {
 	at := func(i clock.Instant) control.Time {
 		if i == 0 {
 			return 0
 		}
-		if t := la.clock.Time(i); t != 0 { // which would say none
+		// Time 0 stands for none, so an instant that maps to 0 becomes -1.
+		if t := la.clock.Time(i); t != 0 {
 			return t
 		}
 		return -1
@@ -209,17 +225,19 @@
 		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
 }
 
-// acknowledge records that the platform has heard.
+// acknowledge records that the platform has received notices.
 func (la *ledgerAdapter) acknowledge(names []string) { la.logFailure(la.ledger.Acked(names)) }
 
+// logFailure logs a ledger error. Errors that only say that the ledger is failing are dropped, because the
+// cause has been logged.
 func (la *ledgerAdapter) logFailure(err error) {
 	if err != nil && !errors.Is(err, ledger.ErrFailing) { // what it fails for was told before
 		la.log("%v", err)
 	}
 }
 
-// restoredMessages makes what the ledger holds into messages as the engine takes them, in order. Those of classes or tenants that the
-// settings don't have any more can't be delivered: their names come apart.
+// restoredMessages converts ledger entries into messages for the engine, in order. Messages of a class or
+// tenant that the settings no longer have cannot be delivered; their ids are returned as undeliverable.
 func (la *ledgerAdapter) restoredMessages(entries []ledger.Entry) (messages []*engine.Message, undeliverable []string) {
 	classes, tenants := indexByName(la.settings)
 	now := la.clock.Now()
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -12,26 +12,32 @@
 	"whinrun/internal/ledger"
 )
 
-// maxNoticesPerRequest bounds the notices of one request: far below 64 KiB of lines.
+// maxNoticesPerRequest is the largest number of notices in one request. It keeps the body far below 64 KiB.
 const maxNoticesPerRequest = 128
 
-// noticeSender brings notices to the platform, in order, each until it is acknowledged.
+// noticeSender sends notices to the platform in order and repeats each until it is acknowledged.
 type noticeSender struct {
-	agent          *agent
+	agent *agent
+	// onAcknowledged is called with the message ids of acknowledged notices.
 	onAcknowledged func(names []string)
 	log            func(format string, a ...any)
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// queue holds the notices that are not acknowledged, oldest first.
 	queue []ledger.Notice
-	wake  chan struct{}
-	done  chan struct{}
+	// wake receives a value when a notice is added.
+	wake chan struct{}
+	// done is closed when run has returned.
+	done chan struct{}
 }
 
+// newNoticeSender returns a sender that posts notices to agent a once run is called.
 func newNoticeSender(a *agent, onAcknowledged func([]string), log func(string, ...any)) *noticeSender {
 	return &noticeSender{agent: a, onAcknowledged: onAcknowledged, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// enqueue adds a notice. The ledger bounds how many there can be: what waits here is in it.
+// enqueue adds notices. The queue needs no bound of its own: every notice is also in the ledger, which is
+// bounded.
 func (n *noticeSender) enqueue(all ...ledger.Notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, all...)
@@ -42,14 +48,15 @@
 	}
 }
 
-// waiting counts the notices not acknowledged.
+// waiting returns the number of notices that are not acknowledged.
 func (n *noticeSender) waiting() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.queue)
 }
 
-// run sends until the agent is stopped.
+// run sends notices until the agent is stopped. A batch that the platform answers with status 400 is logged
+// and then counts as acknowledged.
 func (n *noticeSender) run() {
 	defer close(n.done)
 	var c net.Conn
@@ -87,7 +94,9 @@
 			n.agent.closeConn(c)
 			c = nil
 		}
-		if reused && err != nil && !n.agent.stopped() { // the connection may have been closed while idle
+		// A reused connection may have been closed while it was idle, so the batch is sent again at once on a
+		// new one.
+		if reused && err != nil && !n.agent.stopped() {
 			continue
 		}
 		if n.agent.stopped() {
@@ -101,6 +110,7 @@
 	}
 }
 
+// dequeue reports a batch as acknowledged and removes it from the queue.
 func (n *noticeSender) dequeue(batch []ledger.Notice) {
 	names := make([]string, len(batch))
 	for i := range batch {
@@ -116,24 +126,30 @@
 
 // outcome is one line of a request.
 type outcome struct {
-	ID           string `json:"id"`
-	Status       string `json:"status"`
-	RetryAfterMs int64  `json:"again_ms,omitempty"`
+	// ID is the id of the message.
+	ID string `json:"id"`
+	// Status is "undeliverable" or "deferred".
+	Status string `json:"status"`
+	// RetryAfterMs is when a deferred message may be submitted again, in milliseconds from now, 0 if that is
+	// not known.
+	RetryAfterMs int64 `json:"again_ms,omitempty"`
 }
 
+// encodeNotices returns the body of a request, with one JSON object a line.
 func encodeNotices(batch []ledger.Notice) (b []byte) {
 	for _, notice := range batch {
 		o := outcome{ID: notice.Name, Status: "undeliverable"}
 		if notice.Deferred {
 			o.Status, o.RetryAfterMs = "deferred", notice.Again
 		}
-		text, _ := json.Marshal(o) // plain strings and numbers: it can't fail
+		// Marshalling plain strings and numbers cannot fail.
+		text, _ := json.Marshal(o)
 		b = append(append(b, text...), '\n')
 	}
 	return b
 }
 
-// postNotices makes one request and reads its answer's status.
+// postNotices sends one request and returns the status of its response.
 func postNotices(c net.Conn, batch []ledger.Notice) (int, error) {
 	body := encodeNotices(batch)
 	_ = c.SetDeadline(clock.After(agentTimeout))
@@ -153,11 +169,12 @@
 			return 0, parseErr
 		case size > 0 && head.Length >= 0 && int64(len(received)-size) >= head.Length:
 			if head.Close {
-				_ = c.Close() // the next request finds it so, and takes another
+				// The next request fails on the closed connection and opens a new one.
+				_ = c.Close()
 			}
 			return head.Status, nil
 		case size > 0 && (head.Length < 0 || head.Length > int64(maxResponseBody)):
-			return head.Status, fmt.Errorf("status %d with a body that is not read", head.Status)
+			return head.Status, fmt.Errorf("status %d: response body has no length or is too large", head.Status)
 		case err != nil:
 			return 0, err
 		}
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -13,15 +13,18 @@
 	"whinrun/internal/ledger"
 )
 
-// Pauses between tries on a folder that fails. The longest keeps a notice whose record fails within what may pass after the end
-// of its message's time.
+// Times of retries after storage and start failures.
 const (
+	// retryBackoffMin is the first delay between two tries.
 	retryBackoffMin = 20 * time.Millisecond
+	// retryBackoffMax is the longest delay between two tries. It keeps a notice whose record fails within the
+	// time that may pass after the deadline of its message.
 	retryBackoffMax = 100 * time.Millisecond
-	startRetryLimit = 8 * time.Second // a start gives up then; the platform awaits ten
+	// startRetryLimit is how long a start is retried. The platform waits 10 s for a start.
+	startRetryLimit = 8 * time.Second
 )
 
-// openLedger opens the ledger.
+// openLedger opens the ledger in a directory that may hold limit bytes. It retries transient errors.
 func openLedger(folder disk.FS, limit int64, c *clock.Process, log func(string, ...any)) (l *ledger.Ledger, err error) {
 	err = retryTransient(log, func() error {
 		l, err = ledger.Open(folder, limit, ledgerNow(c))
@@ -30,8 +33,9 @@
 	return l, err
 }
 
-// retryTransient does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
-// most: a process that ends for one would be started again, to find the same.
+// retryTransient calls op until it succeeds, fails with an error that is not transient, or startRetryLimit
+// has passed. If the process ended on a transient error instead, it would be restarted and meet the same
+// error.
 func retryTransient(log func(string, ...any), op func() error) error {
 	stopwatch := clock.Start()
 	backoff := retryBackoffMin
@@ -48,7 +52,7 @@
 	}
 }
 
-// isTransient tells whether a fault that keeps a process from starting may pass by itself.
+// isTransient reports whether an error that prevents a start may pass by itself.
 func isTransient(err error) bool {
 	for _, e := range []error{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.ENOBUFS} {
 		if errors.Is(err, e) {
@@ -58,22 +62,22 @@
 	return disk.ForNow(err)
 }
 
-// openStateDir makes and opens the folder that lasts.
+// openStateDir opens the state directory and creates it if it does not exist.
 func openStateDir(path string) (disk.FS, error) {
 	folder, err := disk.OpenFolder(path)
 	if err != nil {
-		return nil, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("state directory: %w", err)
 	}
 	return folder, nil
 }
 
-// ledgerNow is now, for the ledger.
+// ledgerNow returns the present time in the form of the ledger.
 func ledgerNow(c *clock.Process) ledger.Moment {
 	return ledger.Moment{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
-// maintainStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
-// goes on then: attempts that need a record, and notices.
+// maintainStorage repairs the ledger and the list cache whenever they fail, until the node ends. Attempts
+// that need a record and notices wait for the ledger until then.
 func (n *Node) maintainStorage(adapter *ledgerAdapter) {
 	defer close(n.storageDone)
 	for {
@@ -87,7 +91,7 @@
 	}
 }
 
-// repairStorage tries until the folder works, or the node ends.
+// repairStorage retries until the state directory can be written again, or the node ends.
 func (n *Node) repairStorage(adapter *ledgerAdapter) {
 	failed := n.ledger.Failing()
 	backoff := retryBackoffMin
