--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -23,58 +23,86 @@
 	"whinrun/internal/safety"
 )
 
-// Figures that follow from no setting.
+// Limits and times that do not follow from the settings.
 const (
-	maxResponseBody = 64 << 10 // bytes of an answer's body; none needs more
-	idleFraction    = 0.8      // of the time after which endpoints close idle connections, these are used
-	maxHeldFactor   = 2        // messages held, as a multiple of max-open: the module sheds down to that
-	drainTimeout    = 3000 * control.Millisecond
-	stopTimeout     = 3200 * time.Millisecond // the platform kills no sooner than 3.7 s after SIGTERM
-	flushTimeout    = 300 * time.Millisecond  // for the last answers, behind that: a process may be held up for half of it
+	// maxResponseBody is the largest accepted body of a response, in bytes. No response of the platform needs
+	// more.
+	maxResponseBody = 64 << 10
+	// idleFraction is the fraction of the endpoints' idle timeout up to which an idle connection is reused.
+	idleFraction = 0.8
+	// maxHeldFactor bounds the messages held, as a multiple of the setting max-open. The decision library
+	// sheds load down to max-open.
+	maxHeldFactor = 2
+	// drainTimeout is how long a stop waits for calls in flight.
+	drainTimeout = 3000 * control.Millisecond
+	// stopTimeout bounds the wait of a stop for calls and notices, counted from its beginning. The platform
+	// kills the process no sooner than 3.7 s after SIGTERM.
+	stopTimeout = 3200 * time.Millisecond
+	// flushTimeout is how long a stop then waits for the last answers to be written. The process may be
+	// suspended for half of that time.
+	flushTimeout = 300 * time.Millisecond
 )
 
-// Node is a dispatcher in service on the platform.
+// Node is a dispatcher running on the platform.
 type Node struct {
-	cfg               *Config
-	log               *logs.Logger
-	system            eventloop.System
-	clock             *clock.Process
-	ledger            *ledger.Ledger
-	directory         *Directory
-	clients           *ClientHandler
-	pool              *outbound.Pool
-	loop              *engine.Loop
-	front             *front.Front
-	agent             *agent
-	notices           *noticeSender
-	listCache         *listCache
-	hasList           atomic.Bool
-	listSeq           atomic.Int64  // version of the list
-	firstListReceived chan struct{} // closed when discovery has told its first list
-	quit              chan struct{} // closed at the end
-	storageDone       chan struct{} // closed when nothing tends the folder any more
-	firstListOnce     sync.Once
+	cfg *Config
+	log *logs.Logger
+	// system makes the system calls of the event loops, nil for the kernel.
+	system eventloop.System
+	clock  *clock.Process
+	ledger *ledger.Ledger
+	// directory numbers the endpoints and holds their addresses.
+	directory *Directory
+	// clients holds what the client sessions share.
+	clients *ClientHandler
+	// pool holds the connections to endpoints.
+	pool  *outbound.Pool
+	loop  *engine.Loop
+	front *front.Front
+	// agent is the platform's agent for discovery and notices.
+	agent     *agent
+	notices   *noticeSender
+	listCache *listCache
+	// hasList tells that an endpoint list is known.
+	hasList atomic.Bool
+	// listSeq is the version of the list that discovery sent last.
+	listSeq atomic.Int64
+	// firstListReceived is closed when discovery has sent its first list.
+	firstListReceived chan struct{}
+	// quit is closed when the node ends.
+	quit chan struct{}
+	// storageDone is closed when maintainStorage has returned.
+	storageDone chan struct{}
+	// firstListOnce guards the closing of firstListReceived.
+	firstListOnce sync.Once
 }
 
-// descriptorBudget shares the descriptors out: clients can never take those of endpoints, discovery, notices and ledger.
+// descriptorBudget divides the file descriptors, so that clients can never use up those of endpoints,
+// discovery, notices and ledger. connecting is the number of connection attempts to endpoints at the same
+// time.
 type descriptorBudget struct{ clients, endpoints, connecting int }
 
-// reservedDescriptors descriptors: standard streams, event loops and their wakers, listeners, ledger, discovery, notices, and some
-// for what the runtime opens.
+// reservedDescriptors is the number of file descriptors kept for the standard streams, the event loops and
+// their wakers, listeners, ledger, discovery, notices, and for what the runtime opens.
 const reservedDescriptors = 40
 
-// clientFraction of what is left is for clients; they are said to hold a third of all at most, and bad ones come beside.
+// clientFraction is the fraction of the remaining file descriptors that clients may use. According to the
+// platform, clients hold at most a third of all descriptors. Misbehaving clients come in addition.
 const clientFraction = 0.6
 
+// newDescriptorBudget divides the given number of sockets. slots is the number of calls that the dispatcher
+// may have in flight.
 func newDescriptorBudget(sockets, slots int) descriptorBudget {
 	connecting := min(slots+4, sockets/16)
-	available := sockets - reservedDescriptors - connecting // a connection being opened takes two for a moment
+	// A connection that is being opened uses two descriptors for a moment.
+	available := sockets - reservedDescriptors - connecting
 	b := descriptorBudget{clients: int(clientFraction * float64(available)), connecting: connecting}
 	b.endpoints = available - b.clients
 	return b
 }
 
-// Start starts a dispatcher: what the ledger owes comes first.
+// Start starts a dispatcher. Messages and notices that the ledger still owes are taken up before clients are
+// served.
 func Start(cfg *Config, log *logs.Logger) (*Node, error) {
 	folder, err := openStateDir(cfg.StateDir)
 	if err != nil {
@@ -83,7 +111,7 @@
 	return startWith(folder, nil, cfg, log)
 }
 
-// startWith starts a dispatcher on a folder; system may be nil for the kernel.
+// startWith starts a dispatcher on a state directory. system may be nil for the kernel.
 func startWith(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
 	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), directory: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
@@ -99,7 +127,7 @@
 	return n, nil
 }
 
-// start starts the parts, each on those before it.
+// start starts the components in the order of their dependencies.
 func (n *Node) start() error {
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
@@ -144,7 +172,7 @@
 	return nil
 }
 
-// debugLogger is where what happens to connections is told, nil for nowhere.
+// debugLogger returns the function that logs what happens to connections, or nil if tracing is off.
 func (n *Node) debugLogger() func(string, ...any) {
 	if !n.cfg.Trace {
 		return nil
@@ -152,7 +180,7 @@
 	return func(f string, a ...any) { n.log.Debug("trace", f, a...) }
 }
 
-// openPool opens the connections' side towards endpoints.
+// openPool opens the pool of connections to endpoints.
 func (n *Node) openPool(budget descriptorBudget, permits outbound.Permits) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
@@ -188,6 +216,7 @@
 	})
 }
 
+// durationOr converts t to a time.Duration. It returns fallback if t is not positive.
 func durationOr(t control.Time, fallback time.Duration) time.Duration {
 	if t <= 0 {
 		return fallback
@@ -195,18 +224,20 @@
 	return time.Duration(t) * time.Microsecond
 }
 
+// elapsed returns the time of the process's monotonic clock.
 func (n *Node) elapsed() time.Duration { return clock.Elapsed(n.clock) }
 
+// warnLogger returns a function that logs warnings of a component.
 func (n *Node) warnLogger(part string) func(string, ...any) {
 	return func(f string, a ...any) { n.log.Warn(part, f, a...) }
 }
 
-// firstListTimeout is how long discovery's first answer is awaited at a start. It comes at once or discovery is down; until then
-// the list may name addresses that are another's by now.
+// firstListTimeout is how long a start waits for discovery's first list. Discovery answers at once or is
+// down. Until it answers, the list at hand may name addresses that now belong to other endpoints.
 const firstListTimeout = 500 * time.Millisecond
 
-// startDiscovery begins with the newer of the two lists that are at hand, and has discovery's own before anything is sent, if it
-// answers.
+// startDiscovery applies the newer of the saved list and the configured one and starts watching discovery. It
+// waits for discovery's own list, so that nothing is sent before it unless discovery does not answer in time.
 func (n *Node) startDiscovery() {
 	known := n.cfg.Known
 	if last, ok := n.listCache.load(); ok && last.Seq >= known.Seq {
@@ -223,7 +254,8 @@
 	}
 }
 
-// restoreMessages hands in what the process before this one owed.
+// restoreMessages submits the messages that the previous process still owed. Those that cannot be submitted
+// end as undeliverable.
 func (n *Node) restoreMessages(adapter *ledgerAdapter, entries []ledger.Entry) {
 	messages, undeliverable := adapter.restoredMessages(entries)
 	for _, m := range messages {
@@ -237,8 +269,8 @@
 	}
 }
 
-// restoreOutages hands in what the process before this one knew of outages. Those of endpoints that are not listed any more go
-// off the record.
+// restoreOutages passes on the outages that the previous process had recorded. Records of endpoints that are
+// no longer listed are removed.
 func (n *Node) restoreOutages(adapter *ledgerAdapter) {
 	var unlisted []ledger.Outage
 	for _, o := range n.ledger.Outages() {
@@ -253,13 +285,14 @@
 	}
 }
 
-// discardOrigin is where restored messages came from: their senders have heard that they are taken on, and wait no more.
+// discardOrigin is the Origin of restored messages. Their senders were told that the messages are accepted
+// and do not wait any more.
 type discardOrigin struct{}
 
-// Final is engine.Origin.
+// Final implements engine.Origin.
 func (discardOrigin) Final(*engine.Message, engine.Answer) {}
 
-// receiveList takes a list from discovery.
+// receiveList handles a list or changes from discovery.
 func (n *Node) receiveList(l EndpointList) {
 	kind := control.ListDelta
 	if l.Whole {
@@ -272,6 +305,7 @@
 	n.firstListOnce.Do(func() { close(n.firstListReceived) })
 }
 
+// applyList applies a list and passes its entries to the engine.
 func (n *Node) applyList(l EndpointList, kind control.ListKind) {
 	entries, faults := n.directory.Apply(l, n.elapsed())
 	for _, err := range faults {
@@ -283,36 +317,42 @@
 	}
 }
 
-// listSource answers what settings with AskList ask for: the watch runs all the time.
+// listSource implements engine.Lists, which the engine uses with the setting AskList. It answers each request
+// with an empty change, because the watch runs all the time.
 type listSource struct{ node *Node }
 
+// Watch implements engine.Lists.
 func (l listSource) Watch() { l.sendCurrent() }
+
+// Fetch implements engine.Lists.
 func (l listSource) Fetch() { l.sendCurrent() }
 
+// sendCurrent passes an empty change to the engine.
 func (l listSource) sendCurrent() {
 	l.node.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
 }
 
-// Note is engine.Log.
+// Note implements engine.Log.
 func (n *Node) Note(text string) { n.log.Info("module", "%s", text) }
 
-// Fault is engine.Log.
+// Fault implements engine.Log.
 func (n *Node) Fault(text string) { n.log.Error("engine", "%s", text) }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (n *Node) Addr() net.Addr { return n.front.Addr() }
 
-// Stats returns the engine's counts.
+// Stats returns the engine's counters.
 func (n *Node) Stats() engine.Stats { return n.loop.Stats() }
 
-// Reload takes a new configuration: discovery and notices move. All else stays as at the start.
+// Reload applies a new configuration. Only the address of discovery and notices changes; all other settings
+// stay as they were at the start.
 func (n *Node) Reload(cfg *Config) {
 	n.agent.setAddress(cfg.Discovery)
 	n.log.Info("node", "configuration read again: discovery at %v", cfg.Discovery)
 }
 
-// Stop ends a dispatcher in order: nothing new is taken, what is out is awaited within the time there is, the rest stays
-// in the ledger.
+// Stop ends the dispatcher in order. It refuses new messages, waits for calls in flight within the time there
+// is, and leaves the remaining messages in the ledger.
 func (n *Node) Stop() {
 	n.log.Info("node", "stopping")
 	n.clients.stopping.Store(true)
@@ -323,18 +363,19 @@
 		st := n.loop.Stats()
 		elapsed := n.elapsed() - start
 		idle := st.Out == 0 && n.notices.waiting() == 0
-		// Also with nothing left to do it stays: a client that is told when to come back fares better than one that
-		// finds nobody.
+		// The dispatcher stays for drainTimeout even if nothing is left to do. A client that is told when to
+		// retry fares better than one that cannot connect.
 		if elapsed > stopTimeout || idle && elapsed > time.Duration(drainTimeout)*time.Microsecond {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	// A request that has been read is answered before its connection ends: its sender could not tell what became of it.
+	// A request that has been read is answered before its connection ends. Otherwise its sender could not
+	// tell what became of it.
 	n.front.StopAccepting()
 	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	if left := n.front.Flush(ctx); left > 0 {
-		n.log.Warn("clients", "%d connections end with something unread or unheard", left)
+		n.log.Warn("clients", "%d connections closed with unwritten or undelivered answers", left)
 	}
 	cancel()
 	n.end()
@@ -343,9 +384,10 @@
 		st.Served, st.Refused, st.Failed, st.Open, st.Violations)
 }
 
-// Kill ends a dispatcher at once, as a crash would, but for the sockets that it closes.
+// Kill ends the dispatcher at once, as a crash would, except that it closes the sockets.
 func (n *Node) Kill() { n.end() }
 
+// end closes all components.
 func (n *Node) end() {
 	n.loop.Close()
 	n.front.Close()
@@ -359,6 +401,6 @@
 	}
 }
 
-// HeapLimit is the soft limit of the heap for the memory that a dispatcher has, in bytes: the rest is for stacks, code,
-// buffers of the kernel and the garbage of a moment.
+// HeapLimit returns the soft limit of the Go heap in bytes, for a dispatcher with these limits. The rest of
+// the memory is for stacks, code, kernel buffers and short-lived garbage.
 func (l Limits) HeapLimit() int64 { return int64(math.Max(8, 0.55*l.MemoryMB)) << 20 }
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -16,31 +16,49 @@
 	"whinrun/internal/h1"
 )
 
-// Times and sizes of client connections.
+// Limits of client connections.
 const (
-	maxBody           = 64 << 10
-	requestTimeout    = 2 * time.Second // a first request must be whole so soon after connecting, others after their first byte
-	clientIdleTimeout = 4 * time.Second // a connection without a request is closed after this
-	maxMessageID      = 64              // bytes of an id
-	maxPipelinedBytes = 32 << 10        // bytes of further requests that are read ahead of an answer
-	maxIdempotencyKey = 128             // bytes of an idempotency key
-	refusalRetryAfter = time.Second     // told with refusals at the door
+	// maxBody is the largest body of a request, in bytes. It also bounds the bodies of one bulk call.
+	maxBody = 64 << 10
+	// requestTimeout is how long a request may take to arrive: the first one from the time of connecting,
+	// later ones from their first byte.
+	requestTimeout = 2 * time.Second
+	// clientIdleTimeout is how long a connection may stay open without a request.
+	clientIdleTimeout = 4 * time.Second
+	// maxMessageID is the largest length of a message id, in bytes.
+	maxMessageID = 64
+	// maxPipelinedBytes is the number of bytes of further requests that are read while an answer is pending.
+	maxPipelinedBytes = 32 << 10
+	// maxIdempotencyKey is the largest length of an idempotency key, in bytes.
+	maxIdempotencyKey = 128
+	// refusalRetryAfter is the Retry-After that goes with a 503 response.
+	refusalRetryAfter = time.Second
 )
 
-// ClientHandler is what all client sessions share.
+// ClientHandler holds what all client sessions share.
 type ClientHandler struct {
-	classes          map[string]int
-	requiresKey      []bool // classes whose messages carry an idempotency key
-	tenants          map[string]int
+	// classes holds the number of each class, by name.
+	classes map[string]int
+	// requiresKey tells for each class whether its messages must carry an idempotency key.
+	requiresKey []bool
+	// tenants holds the number of each tenant, by name.
+	tenants map[string]int
+	// knowsDestination reports whether a destination is in the endpoint list or was until recently.
 	knowsDestination func(dest int) bool
-	isOwed           func(name string) bool // a message of that id is owed its end
-	ready            func() bool
-	admission        *door.Side
-	trace            func(format string, a ...any) // told of each answer and each connection that is given up
-	stopping         atomic.Bool
+	// isOwed reports whether a message with an id is still owed its end, or its notice is not acknowledged.
+	isOwed func(name string) bool
+	// ready reports whether an endpoint list is known.
+	ready func() bool
+	// admission limits and counts the clients' messages and connections.
+	admission *door.Side
+	// trace is called for each response and each connection that times out.
+	trace func(format string, a ...any)
+	// stopping is set when the dispatcher begins to stop.
+	stopping atomic.Bool
 }
 
-// NewClientHandler returns a Desk for classes and tenants as the settings name them.
+// NewClientHandler returns a ClientHandler for the classes and tenants of settings s. Its function fields
+// must be set before the first session opens.
 func NewClientHandler(s control.Settings, side *door.Side) *ClientHandler {
 	h := &ClientHandler{admission: side, trace: func(string, ...any) {}}
 	h.classes, h.tenants = indexByName(&s)
@@ -50,7 +68,7 @@
 	return h
 }
 
-// indexByName tells which number each class and tenant has, by name.
+// indexByName returns the numbers of the classes and tenants of the settings, by name.
 func indexByName(s *control.Settings) (classes, tenants map[string]int) {
 	classes, tenants = map[string]int{}, map[string]int{}
 	for i, c := range s.Classes {
@@ -62,63 +80,85 @@
 	return classes, tenants
 }
 
-// Open makes the session of a new connection.
+// Open returns the session of a new connection.
 func (h *ClientHandler) Open(c *front.Conn, now time.Duration) front.Session {
 	return &session{handler: h, peer: c.Peer(), deliver: c.Post, opened: now, lastActivity: now}
 }
 
-// session is one client connection. Requests are taken one at a time, in order, each answered in the round that takes its
-// message; what a client sends ahead of an answer waits (RFC 9112 section 9.3.2).
+// session is one client connection. It handles one request at a time, in order. A message is answered in the
+// engine round that takes it. Requests that a client sends ahead of an answer wait (RFC 9112 section 9.3.2).
 type session struct {
-	handler      *ClientHandler
-	peer         string // address of the client, for the trace
-	lastID       string // id of the last message that it handed in, for the trace
-	deliver      func(front.Parcel) bool
-	opened       time.Duration
-	lastActivity time.Duration // when the last request was answered, or its first byte came
-	inBuf        []byte        // not taken yet
-	head         *h1.Request   // its body is awaited
-	headSize     int           // of that head
-	ticket       *door.Ticket
-	pending      *pendingRequest // a message whose answer is awaited
-	answered     bool            // a request has been answered
-	goingAway    bool
-	stopping     bool // the process ends: what is not whole is not awaited
-	closing      bool // closed once out is written
-	outBuf       []byte
+	handler *ClientHandler
+	// peer is the client's address, for the trace.
+	peer string
+	// lastID is the id of the last submitted message, for the trace.
+	lastID string
+	// deliver passes a parcel to the connection's event loop.
+	deliver func(front.Parcel) bool
+	// opened is when the connection was accepted.
+	opened time.Duration
+	// lastActivity is when the last request was answered, or when the first byte of the current request
+	// arrived.
+	lastActivity time.Duration
+	// inBuf holds received bytes that have not been handled.
+	inBuf []byte
+	// head is the request head whose body is awaited, nil for none.
+	head *h1.Request
+	// headSize is the size of head, in bytes.
+	headSize int
+	// ticket is the admission ticket of the current request, nil for none.
+	ticket *door.Ticket
+	// pending is the submitted message whose answer is awaited, nil for none.
+	pending *pendingRequest
+	// answered tells that a request has been answered.
+	answered bool
+	// goingAway tells that the connection ends once no request is left.
+	goingAway bool
+	// stopping tells that the process ends and incomplete requests are not awaited.
+	stopping bool
+	// closing tells that the connection is closed once outBuf is written.
+	closing bool
+	// outBuf holds bytes to be written.
+	outBuf []byte
 }
 
-// ask is the way of one message until its sender has heard what became of it: the Origin of the message.
+// pendingRequest is the engine.Origin of a message until its sender has been answered.
 type pendingRequest struct {
-	session    *session
+	session *session
+	// closeAfter tells that the connection ends after the answer.
 	closeAfter bool
-	accepted   bool // used on the engine's goroutine only
+	// accepted tells that the message was taken on. It is used on the engine's goroutine only.
+	accepted bool
 }
 
-// submitResult is what a sender is to hear; it is a front.Parcel.
+// submitResult is the answer that a sender is to get. It implements front.Parcel.
 type submitResult struct {
-	request    *pendingRequest
-	final      engine.Final // Served stands for taken on
+	request *pendingRequest
+	// final is how the message ended, Served if it was taken on.
+	final engine.Final
+	// retryAfter is the wait that a refused sender is told.
 	retryAfter control.Time
 }
 
-// Taken is engine.Taker.
+// Taken implements engine.Taker.
 func (r *pendingRequest) Taken(*engine.Message) {
 	r.accepted = true
 	r.session.deliver(submitResult{request: r, final: engine.Served})
 }
 
-// Final is engine.Origin. The end of a message that was taken on is the keeper's to tell.
+// Final implements engine.Origin. The end of a message that was taken on is reported by the ledgerAdapter
+// instead.
 func (r *pendingRequest) Final(_ *engine.Message, answer engine.Answer) {
 	if !r.accepted {
 		r.session.deliver(submitResult{r, answer.Final, answer.Wait})
 	}
 }
 
-// Open is front.Parcel.
+// Open implements front.Parcel. It answers the request on the connection's event loop.
 func (r submitResult) Open(now time.Duration) {
 	s := r.request.session
-	if s.pending != r.request { // its sender has broken off
+	// The sender has abandoned the request.
+	if s.pending != r.request {
 		return
 	}
 	s.pending = nil
@@ -135,11 +175,11 @@
 	s.processInput(now)
 }
 
-// Lost is front.Parcel: the session's own Lost withdraws the message.
+// Lost implements front.Parcel. The Lost method of the session withdraws the message.
 func (submitResult) Lost() {}
 
-// respond writes an answer; wait above 0 tells when to come back. It is the last one where it has to be, or where the connection
-// is to end and nothing more of its client is here.
+// respond writes a response. A positive retryAfter is sent as Retry-After. The connection ends after the
+// response if closeAfter is set, or if the session is going away and no input is left.
 func (s *session) respond(now time.Duration, status string, retryAfter time.Duration, closeAfter bool) {
 	pairs := []string{"Content-Length", "0"}
 	if retryAfter > 0 {
@@ -154,7 +194,8 @@
 	s.answered, s.lastActivity = true, now
 }
 
-// reject answers what can't be taken, and ends the connection: what follows may not be what it seems.
+// reject answers an invalid request and ends the connection, because the bytes that follow cannot be
+// interpreted safely.
 func (s *session) reject(now time.Duration, status string) {
 	s.handler.admission.Malformed.Add(1)
 	s.withdraw()
@@ -162,7 +203,7 @@
 	s.respond(now, status, 0, true)
 }
 
-// withdraw ends what is under way of a request.
+// withdraw abandons the current request.
 func (s *session) withdraw() {
 	s.head, s.headSize = nil, 0
 	if s.ticket != nil {
@@ -172,7 +213,7 @@
 	s.pending = nil
 }
 
-// Receive is front.Session.
+// Receive implements front.Session.
 func (s *session) Receive(now time.Duration, b []byte) error {
 	if s.closing {
 		return nil
@@ -185,7 +226,7 @@
 	return nil
 }
 
-// processInput takes requests that are whole, until one waits for its answer.
+// processInput handles complete requests until one waits for its answer.
 func (s *session) processInput(now time.Duration) {
 	for !s.closing && s.pending == nil && len(s.inBuf) > 0 {
 		if s.head == nil && !s.readHead(now) {
@@ -202,7 +243,7 @@
 	}
 }
 
-// readHead reads the head of a request; it is false where it is not whole, or can't be taken.
+// readHead parses a request head. It returns false if the head is incomplete or the request was rejected.
 func (s *session) readHead(now time.Duration) bool {
 	head, n, err := h1.ParseRequest(s.inBuf)
 	switch {
@@ -215,7 +256,8 @@
 	return s.acceptHead(now, head, n)
 }
 
-// acceptHead looks at a head before its body is awaited.
+// acceptHead checks a head of n bytes before its body is awaited and reserves room for the body. It returns
+// false if the request was answered instead.
 func (s *session) acceptHead(now time.Duration, head *h1.Request, n int) bool {
 	switch {
 	case head.Length > maxBody:
@@ -237,10 +279,11 @@
 	return true
 }
 
-// handleRequest takes a whole request, the first so many bytes of what is here.
+// handleRequest handles a complete request, which is the first size bytes of inBuf.
 func (s *session) handleRequest(now time.Duration, size int) {
 	head, body := s.head, s.inBuf[s.headSize:size:size]
-	s.inBuf = bytes.Clone(s.inBuf[size:]) // a message keeps its body
+	// The message keeps its body, so the rest is moved to a buffer of its own.
+	s.inBuf = bytes.Clone(s.inBuf[size:])
 	s.head, s.headSize = nil, 0
 	if len(s.inBuf) > 0 {
 		s.lastActivity = now
@@ -269,8 +312,11 @@
 	}
 }
 
+// submit hands a message to the engine. It answers 503 if no endpoint list is known or the message is not
+// admitted.
 func (s *session) submit(now time.Duration, m *engine.Message, closeAfter bool) {
-	if s.handler.ready() { // while this dispatcher stops it is the module that refuses
+	// While the dispatcher stops, the decision library refuses new messages.
+	if s.handler.ready() {
 		request := &pendingRequest{session: s, closeAfter: closeAfter}
 		m.Origin = request
 		s.pending = request
@@ -284,7 +330,8 @@
 	s.respond(now, "503 Service Unavailable", refusalRetryAfter, closeAfter || s.handler.stopping.Load())
 }
 
-// parseMessage makes a request into a message, or tells the status of what is wrong with it.
+// parseMessage converts a request into a message. For an invalid request it returns nil and the status of the
+// response.
 func (h *ClientHandler) parseMessage(r *h1.Request, body []byte, now time.Duration) (m *engine.Message, status string) {
 	const bad = "400 Bad Request"
 	var values [6]string
@@ -310,7 +357,8 @@
 	if !ok {
 		return nil, bad
 	}
-	if h.ready() && !h.knowsDestination(dest) { // before a list is known nobody can tell: it is refused, see submit
+	// Without a list it is unknown which destinations exist; submit refuses the message then.
+	if h.ready() && !h.knowsDestination(dest) {
 		return nil, "404 Not Found"
 	}
 	if h.isOwed(values[0]) {
@@ -324,13 +372,14 @@
 		Life: control.Time(min(remaining, maxSeconds) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
 }
 
-// isClassPath tells whether the class is the first part of a path.
+// isClassPath reports whether class is the first segment of a request path.
 func isClassPath(path, class string) bool {
 	rest, ok := strings.CutPrefix(path, "/"+class)
 	return ok && (rest == "" || rest[0] == '/' || rest[0] == '?')
 }
 
-// isVisibleASCII tells whether a text is visible ASCII of a length from 1 to most: it goes into heads and lines as it is.
+// isVisibleASCII reports whether a text consists of 1 to maxLength visible ASCII characters. Such a text can
+// be written to header fields and lines as it is.
 func isVisibleASCII(text string, maxLength int) bool {
 	for _, c := range []byte(text) {
 		if c <= ' ' || c >= 0x7f {
@@ -340,7 +389,8 @@
 	return len(text) > 0 && len(text) <= maxLength
 }
 
-// parseDestination reads the number of the destination.
+// parseDestination returns the number of the destination. It returns false if there is none, more than one,
+// or one that is not a 16-bit number.
 func parseDestination(text string) (dest int, ok bool) {
 	for part := range strings.FieldsFuncSeq(text, func(c rune) bool { return c == ',' || c == ';' || c == ' ' }) {
 		if value, found := strings.CutPrefix(part, "dest="); found {
@@ -357,7 +407,8 @@
 	return dest, ok
 }
 
-// parseOrderKey reads what a message is about, in classes that keep their order.
+// parseOrderKey returns the hash of the entity that a message is about, by which ordered classes keep their
+// order. It returns 0 if there is none, and false if the header is repeated.
 func parseOrderKey(f h1.Fields) (uint64, bool) {
 	text, ok := f.One("x-entity")
 	if text == "" || !ok {
@@ -369,7 +420,7 @@
 	return max(1, xxhash.Sum64String(text)), true
 }
 
-// Check is front.Session.
+// Check implements front.Session. It ends connections that have timed out.
 func (s *session) Check(now time.Duration) error {
 	due := s.Due(now)
 	if due == 0 || now < due || s.closing {
@@ -381,11 +432,12 @@
 	}
 	s.handler.trace("client %s: mute or idle since %v, closed", s.peer, s.lastActivity)
 	s.withdraw()
-	s.closing = true // mute, or idle: there is nothing to answer
+	// A silent or idle client has no request to answer.
+	s.closing = true
 	return nil
 }
 
-// Due is front.Session.
+// Due implements front.Session.
 func (s *session) Due(time.Duration) time.Duration {
 	switch {
 	case s.closing || s.pending != nil:
@@ -398,7 +450,7 @@
 	return s.lastActivity + clientIdleTimeout
 }
 
-// GoAway is front.Session: an idle connection ends, one with a request after its answer.
+// GoAway implements front.Session. An idle connection ends at once, one with a request after its answer.
 func (s *session) GoAway(time.Duration) {
 	s.goingAway = true
 	if s.pending == nil && len(s.inBuf) == 0 && s.answered {
@@ -406,8 +458,8 @@
 	}
 }
 
-// Finish is front.Session: the process ends. What is whole has been taken; a client that stopped in the middle of a request is
-// told to come back.
+// Finish implements front.Session. It is called when the process ends. Complete requests have been handled by
+// then. A client that stopped in the middle of a request is told to retry.
 func (s *session) Finish(now time.Duration) {
 	s.stopping, s.goingAway = true, true
 	switch {
@@ -421,26 +473,26 @@
 	}
 }
 
-// Full is front.Filler.
+// Full implements front.Filler.
 func (s *session) Full() bool { return s.pending != nil && len(s.inBuf) > maxPipelinedBytes }
 
-// Idle is front.Idler.
+// Idle implements front.Idler.
 func (s *session) Idle() (time.Duration, bool) {
 	return s.lastActivity, s.pending == nil && len(s.inBuf) == 0 && !s.closing
 }
 
-// Output is front.Session.
+// Output implements front.Session.
 func (s *session) Output() []byte {
 	out := s.outBuf
 	s.outBuf = nil
 	return out
 }
 
-// Owes is front.Session.
+// Owes implements front.Session.
 func (s *session) Owes() bool { return s.pending != nil }
 
-// Done is front.Session.
+// Done implements front.Session.
 func (s *session) Done() bool { return s.closing && s.pending == nil }
 
-// Lost is front.Session: a client that went before it heard wants nothing any more.
+// Lost implements front.Session. A message that was not answered before its client disconnected is withdrawn.
 func (s *session) Lost() { s.withdraw() }
