--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -25,7 +25,7 @@
 	return c
 }
 
-// submitOn hands a message in on a connection that is kept.
+// submitOn submits a message on an open connection and expects the status want.
 func (d *testDispatcher) submitOn(c net.Conn, m testbed.Message, want int) {
 	d.t.Helper()
 	if _, err := c.Write(testbed.Form(m)); err != nil {
@@ -37,7 +37,8 @@
 	d.bed.Note(testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Left)})
 }
 
-// A fault is answered and the connection ended in order while the client still sends: no reset takes the answer away.
+// An invalid request is answered and its connection closed in order while the client still sends. Closing the
+// socket with unread data would cause a reset that destroys the answer.
 func TestAnswerOutlivesAnUpload(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -59,7 +60,8 @@
 	}
 }
 
-// A client that does not end its side is not waited for for long, nor one that goes on sending.
+// A closing connection must not stay open for long, neither if the client does not close its side nor if it
+// keeps sending.
 func TestEndIsBounded(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -68,7 +70,8 @@
 	for _, size := range []int{1, 64 << 10} {
 		c := d.dial()
 		_, _ = io.WriteString(c, "noise\r\n\r\n")
-		if _, err := io.ReadAll(c); err != nil { // its end is seen, and not answered by an end
+		// The client sees the end of the connection and does not close its own side.
+		if _, err := io.ReadAll(c); err != nil {
 			t.Fatal(err)
 		}
 		start := time.Now()
@@ -79,13 +82,15 @@
 			if time.Since(start) > 5*time.Second {
 				t.Fatalf("pieces of %d: still open after 5 s", size)
 			}
-			time.Sleep(time.Millisecond) // the pace of a client, nothing is waited for by it
+			// The sleep paces the client. The test does not wait for anything by it.
+			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// A request that comes when its connection has been shut is not taken, whichever comes first on the wire: its sender sees the
-// end without an answer and hands it in again. One that was read before is answered.
+// A request that arrives after its connection was shut down is not accepted, whichever comes first on the
+// wire. Its sender sees the end of the connection without an answer and submits the message again. A request
+// that was read before is answered.
 func TestRequestCrossesTheEndOfItsConnection(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -106,7 +111,7 @@
 	}
 	_, _ = late.Write(testbed.Form(newMessage("crossed", "upload", 1)))
 	if n, err := late.Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Errorf("an answer behind the end: %v", err)
+		t.Errorf("an answer after the end of the connection: %v", err)
 	}
 	<-stopped
 	d.node = nil
@@ -115,12 +120,12 @@
 	d.awaitEnds([]string{"first", "second"})
 	d.awaitEnds(d.submitOne(newMessage("crossed", "upload", 1)))
 	if n := d.countEvents(testbed.Called, "crossed"); n != 1 {
-		t.Errorf("the message that crossed was sent on %d times", n)
+		t.Errorf("the crossed message was called %d times", n)
 	}
 	d.checkRules()
 }
 
-// A request may come in pieces cut anywhere, with the body behind the head or in one piece with it.
+// A request may arrive cut anywhere, with the body after the head or in one piece with it.
 func TestRequestInPieces(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -145,7 +150,8 @@
 	d.awaitEnds(names)
 }
 
-// A client that goes before it has heard wants nothing any more; one that goes behind the answer is owed the end.
+// A message of a client that disconnects before its answer is withdrawn. A client that disconnects after the
+// answer is still owed the end of its message.
 func TestClientGoesBesideItsAnswer(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -17,8 +17,9 @@
 
 const ms = time.Millisecond
 
-// Each row plays events at their times: "spoke 1", "ended 1", "moved", "" for the time alone; want is what is opened and
-// closed at which time.
+// Each case plays events at given times, in milliseconds: "spoke 1" is a sign of life of watch 1, "ended 1"
+// its end, "moved" a change of the address, and "" only lets time pass. want lists which watches are opened
+// (+) and closed (-) and when.
 func TestWatchPlan(t *testing.T) {
 	type at struct {
 		ms int
@@ -57,7 +58,7 @@
 				note(now, "+", open)
 			}
 			if again <= now {
-				t.Fatalf("%s: asked again at %v for %v", name, now, again)
+				t.Fatalf("%s: step at %v asks to be called again at %v", name, now, again)
 			}
 			wake = again
 		}
@@ -86,13 +87,15 @@
 	}
 }
 
-// Whatever fails, and in whichever order: a list is in hand soon after an agent that answers could be reached, far inside the
-// 6 s after which what it has counts as told; and few watches are open.
+// Whatever fails in whichever order, a list arrives soon after an agent that answers becomes reachable. That
+// has to be well within the 6 s after which the agent's list counts as received. Few watches are open at any
+// time.
 func TestWatchPlanIsNeverLongWithoutAList(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		var p watchPlan
-		live := map[uint64]bool{} // open and answered
+		// live holds the open watches that are answered.
+		live := map[uint64]bool{}
 		open := map[uint64]bool{}
 		reachable, heard, asked := time.Duration(-1), time.Duration(0), time.Duration(0)
 		up := true
@@ -100,7 +103,8 @@
 			if rng.IntN(300) == 0 {
 				up = !up
 			}
-			if rng.IntN(200) == 0 { // all that are open fall silent, for good
+			// All open watches fall silent for good.
+			if rng.IntN(200) == 0 {
 				clear(live)
 			}
 			if rng.IntN(400) == 0 {
@@ -144,7 +148,8 @@
 			if reachable < 0 {
 				reachable = now
 			}
-			for id := range live { // those that are answered are so within 10 ms, and every 2 s
+			// Watches that were answered show a sign of life within 10 ms and then at least every 2 s.
+			for id := range live {
 				if now-heard >= 2*time.Second || rng.IntN(20) == 0 {
 					shut, ok := p.recordActivity(id, now)
 					for _, s := range shut {
@@ -164,7 +169,7 @@
 	}
 }
 
-// Objects may be laid out and cut anyhow.
+// Objects of a list may have any layout and be cut anywhere.
 func TestListInPieces(t *testing.T) {
 	body := "{\"seq\":1,\"whole\":true,\"hosts\":[]}\n\n{\n  \"seq\": 2,\n\n  \"hosts\": [\n    {\"host\": \"br{ce \\\" }\\\\\"}\n  ]\n}\n\n{\"seq\":3}{\"seq\":4}\r\n\r\n"
 	for _, chunk := range []int{1, 7, len(body)} {
@@ -202,7 +207,8 @@
 	}
 }
 
-// moved hands messages in for a destination until one goes to host, which must come within a few: the list is in force then.
+// awaitRoutedTo submits messages for a destination until one is sent to host, which shows that the list is in
+// force. It fails after 200 messages.
 func (d *testDispatcher) awaitRoutedTo(host string, dest int) {
 	d.t.Helper()
 	for i := range 200 {
@@ -217,7 +223,7 @@
 	d.t.Fatalf("nothing goes to %s; log: %s", host, d.logText())
 }
 
-// submitOne hands a message in that must be taken.
+// submitOne submits a message that must be accepted and returns its id.
 func (d *testDispatcher) submitOne(m testbed.Message) []string {
 	d.t.Helper()
 	if status := d.bed.Hand(d.addr, m); status != 202 {
@@ -226,17 +232,17 @@
 	return []string{m.Name}
 }
 
-// told waits until discovery has written a list since an event, and returns how long that took.
+// awaitList waits until discovery has written a list since an event and returns how long that took.
 func (d *testDispatcher) awaitList(since int, within time.Duration) time.Duration {
 	d.t.Helper()
 	start := time.Now()
 	if !d.bed.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Told, "") > 0 }) {
-		d.t.Fatalf("no list is asked for within %v; log: %s", within, d.logText())
+		d.t.Fatalf("no list was sent within %v; log: %s", within, d.logText())
 	}
 	return time.Since(start)
 }
 
-// expectOnlyHost checks that messages go to one host.
+// expectOnlyHost checks that all messages whose id has a prefix were sent to one host.
 func (d *testDispatcher) expectOnlyHost(host, prefix string) {
 	d.t.Helper()
 	for _, e := range d.bed.Events() {
@@ -246,8 +252,8 @@
 	}
 }
 
-// A watch that falls silent is opened anew in time for what it missed: a drain counts as told 6 s after the silence began.
-// Lists come indented on the new one.
+// A watch that falls silent is replaced in time for the changes that it missed: a drain counts as received 6
+// s after the silence began. The new watch sends indented lists.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -267,14 +273,16 @@
 	d.expectOnlyHost("b", "y")
 }
 
-// Discovery is down, whatever is open then, and comes back with a change: it is heard of at once, not at the next try.
+// Discovery stops answering on all open connections and returns with a change. The change is received at
+// once, without waiting for the next retry.
 func TestDiscoveryReturnsWithAChange(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
 	a := d.addEndpoint("a", 1, "single", succeed)
 	d.startReady()
 	d.awaitEnds(d.submitAll("x", 1, 1, "status"))
-	d.agent.Silence() // the open watch would not speak at the return
+	// The open watch stays silent when discovery returns.
+	d.agent.Silence()
 	d.agent.Mute(true)
 	had := len(d.bed.Events())
 	if !d.bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.Watched, "") >= 2 }) {
@@ -292,7 +300,8 @@
 	d.expectOnlyHost("b", "y")
 }
 
-// What discovery had told binds the next process, too, when discovery is down and the list of the configuration is old.
+// A list that discovery sent to one process also binds the next one, even if discovery is down then and the
+// list of the configuration is older.
 func TestRestartWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -312,7 +321,8 @@
 	d.expectOnlyHost("b", "y")
 }
 
-// At a start with an old list nothing is sent before discovery's answer: an address may be another's by now.
+// A start with an old list must send nothing before discovery answers, because an address may belong to
+// another endpoint by now.
 func TestRestartWithAnOldList(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
@@ -332,7 +342,8 @@
 	d.addEndpoint("a2", 1, "single", succeed)
 	d.agent.Mute(true)
 	since := len(d.bed.Events())
-	go func() { // the answer comes once the watch is there, and later than a call would
+	// The answer comes after the watch is open, and later than a call would be made.
+	go func() {
 		d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Watched, "") > 0 })
 		d.bed.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Called, "") > 0 })
 		d.agent.Mute(false)
@@ -346,7 +357,7 @@
 	}
 }
 
-// testHosts are n endpoints as a list has them.
+// testHosts returns n endpoints of a list, ordered by name.
 func testHosts(n int) []Host {
 	all := make([]Host, n)
 	for i := range all {
@@ -357,20 +368,20 @@
 	return all
 }
 
-// newTestListCache is a kept list that follows a list of its own.
+// newTestListCache returns a cache of the list that now points to and collects its log lines in said.
 func newTestListCache(fs disk.FS, most int, now *EndpointList, said *[]string) *listCache {
 	return newListCache(fs, most, func() EndpointList { return *now }, func(f string, a ...any) { *said = append(*said, fmt.Sprintf(f, a...)) })
 }
 
-// The list that is kept: changes count behind the whole one, also over many of them; what does not fit is told once; a failing
-// disk leaves what was there, and a repair brings the file up to date.
+// Changes count on top of the whole list, however many there are. A list that does not fit is logged once. A
+// failing disk leaves the previous file in place, and a repair brings it up to date.
 func TestLastList(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
 	now := EndpointList{Seq: 4, Whole: true, Hosts: testHosts(40)}
 	k := newTestListCache(fs, 20000, &now, &said)
 	if _, ok := k.load(); ok {
-		t.Error("a list out of nothing")
+		t.Error("load returned a list although none was saved")
 	}
 	k.update(now)
 	want := func() {
@@ -404,7 +415,7 @@
 	now.Hosts[0].Health, now.Seq = "draining", now.Seq+1
 	k.update(EndpointList{Seq: now.Seq, Hosts: now.Hosts[:1]})
 	if k.repair() == nil {
-		t.Error("repaired on a disk that fails")
+		t.Error("repair succeeded on a failing disk")
 	}
 	fs.SetFail(nil)
 	if l, ok := k.load(); !ok || l.Seq != before.Seq {
@@ -415,18 +426,18 @@
 	}
 	want()
 	if len(said) != 1 {
-		t.Errorf("said %q", said)
+		t.Errorf("logged %q", said)
 	}
 	big := EndpointList{Seq: 9000, Whole: true, Hosts: testHosts(3000)}
 	now, before = big, now
 	k.update(big)
 	k.update(big)
 	if l, ok := k.load(); !ok || l.Seq != before.Seq || len(said) != 2 {
-		t.Errorf("version %d, %v, said %d times", l.Seq, ok, len(said))
+		t.Errorf("version %d, %v, logged %d times", l.Seq, ok, len(said))
 	}
 }
 
-// Wherever the file is cut, what is read is a list that there was, with the changes up to there.
+// Wherever the file is truncated, load returns a list that was in force, with the changes up to the cut.
 func TestLastListTruncated(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
@@ -451,7 +462,8 @@
 	}
 }
 
-// A list of the largest fleet fits into the smallest folder's part, beside the one being written.
+// The list of the largest fleet fits into its part of the smallest state directory, together with the copy
+// that a rewrite makes.
 func TestLastListOfALargeFleet(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
@@ -459,6 +471,6 @@
 	k := newTestListCache(fs, int(math.Floor(listDiskFraction*3*(1<<20))), &now, &said)
 	k.update(now)
 	if l, ok := k.load(); !ok || !slices.Equal(l.Hosts, now.Hosts) || len(said) > 0 {
-		t.Errorf("%d hosts, %v, said %q", len(l.Hosts), ok, said)
+		t.Errorf("%d hosts, %v, logged %q", len(l.Hosts), ok, said)
 	}
 }
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -231,7 +231,7 @@
 // logFailure logs a ledger error. Errors that only say that the ledger is failing are dropped, because the
 // cause has been logged.
 func (la *ledgerAdapter) logFailure(err error) {
-	if err != nil && !errors.Is(err, ledger.ErrFailing) { // what it fails for was told before
+	if err != nil && !errors.Is(err, ledger.ErrFailing) {
 		la.log("%v", err)
 	}
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -22,28 +22,35 @@
 	"whinrun/internal/testbed"
 )
 
-// testDispatcher is one dispatcher on a test bed.
+// testDispatcher is a dispatcher on a test bed. It collects the dispatcher's log.
 type testDispatcher struct {
-	t           *testing.T
-	bed         *testbed.Testbed
-	agent       *testbed.Agent
-	tempDir     string
-	env         map[string]string
-	addr        string
-	node        *Node
-	disk        *disk.Memory          // in place of the folder, nil for the folder
-	faulty      *eventlooptest.Faulty // in place of the kernel, nil for the kernel
-	fixedConfig []byte                // the configuration, where it is not to be written anew
+	t     *testing.T
+	bed   *testbed.Testbed
+	agent *testbed.Agent
+	// tempDir holds the configuration file and the state directory.
+	tempDir string
+	env     map[string]string
+	addr    string
+	node    *Node
+	// disk replaces the state directory, nil to use a real one.
+	disk *disk.Memory
+	// faulty replaces the kernel, nil to use the real one.
+	faulty *eventlooptest.Faulty
+	// fixedConfig is the text of the configuration file, nil to generate it from the present list.
+	fixedConfig []byte
 	logBuf      bytes.Buffer
-	logMu       sync.Mutex
+	// logMu guards logBuf.
+	logMu sync.Mutex
 }
 
+// Write appends to the collected log.
 func (d *testDispatcher) Write(b []byte) (int, error) {
 	d.logMu.Lock()
 	defer d.logMu.Unlock()
 	return d.logBuf.Write(b)
 }
 
+// newTestDispatcher returns a dispatcher that has not been started, on a test bed with an agent.
 func newTestDispatcher(t *testing.T) *testDispatcher {
 	t.Helper()
 	d := &testDispatcher{t: t, bed: testbed.New(), tempDir: t.TempDir()}
@@ -59,7 +66,7 @@
 	return d
 }
 
-// writeConfig writes the configuration with the list as it is now.
+// writeConfig writes the configuration file.
 func (d *testDispatcher) writeConfig() {
 	d.t.Helper()
 	text := d.fixedConfig
@@ -71,7 +78,7 @@
 	}
 }
 
-// startReady starts the dispatcher, which must be ready.
+// startReady starts the dispatcher and expects it to be ready.
 func (d *testDispatcher) startReady() {
 	d.t.Helper()
 	d.launch()
@@ -114,7 +121,7 @@
 	})
 }
 
-// system is what the dispatcher makes its calls by.
+// system returns what makes the dispatcher's system calls, nil for the kernel.
 func (d *testDispatcher) system() eventloop.System {
 	if d.faulty == nil {
 		return nil
@@ -122,14 +129,14 @@
 	return d.faulty
 }
 
-// kill ends it as a crash does.
+// kill ends the dispatcher as a crash does.
 func (d *testDispatcher) kill() {
 	d.node.Kill()
 	d.node = nil
 	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
 }
 
-// addEndpoint adds an endpoint and lists it.
+// addEndpoint adds an endpoint and lists it as ready.
 func (d *testDispatcher) addEndpoint(host string, dest int, class string, act func(testbed.Call) testbed.Reply) *testbed.Endpoint {
 	d.t.Helper()
 	e, err := d.bed.Endpoint(host, dest, "", act)
@@ -141,12 +148,13 @@
 	return e
 }
 
+// setListed has the agent list an endpoint with the given health.
 func (d *testDispatcher) setListed(e *testbed.Endpoint, class, health string) {
 	d.agent.Set(testbed.Host{Host: e.Host, Dial: e.Addr, Site: "east", Class: class, Block: e.Dest, Health: health, Share: 1})
 }
 
-// roundTrip writes bytes on a connection of its own and returns the status of the first answer, 0 where the connection was
-// closed without one, -1 where neither came in time.
+// roundTrip writes a text on a new connection and returns the status of the first answer. The status is 0 if
+// the connection was closed without an answer and -1 if neither happened in time.
 func (d *testDispatcher) roundTrip(text string, within time.Duration) (status int, took time.Duration) {
 	d.t.Helper()
 	c, err := net.DialTimeout("tcp", d.addr, time.Second)
@@ -164,6 +172,7 @@
 	return status, time.Since(start)
 }
 
+// newMessage returns a message with 3 s left. Messages of keyed classes get a key.
 func newMessage(name, class string, dest int) testbed.Message {
 	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: dest, Left: 3 * time.Second, Body: "body of " + name}
 	if class == "sync" || class == "turns" {
@@ -172,7 +181,7 @@
 	return m
 }
 
-// submitAll hands in n messages of each class and returns their names.
+// submitAll submits n messages of each class and returns the ids of the accepted ones.
 func (d *testDispatcher) submitAll(prefix string, n, dest int, classes ...string) (names []string) {
 	for i := range n {
 		for _, c := range classes {
@@ -185,7 +194,7 @@
 	return names
 }
 
-// awaitEnds waits until all have their end.
+// awaitEnds waits until all messages have ended.
 func (d *testDispatcher) awaitEnds(names []string) {
 	d.t.Helper()
 	if !d.bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) }) {
@@ -193,13 +202,15 @@
 	}
 }
 
+// logText returns the collected log.
 func (d *testDispatcher) logText() string {
 	d.logMu.Lock()
 	defer d.logMu.Unlock()
 	return d.logBuf.String()
 }
 
-// checkRules has the six rules checked from what passed on the sockets.
+// checkRules checks the six rules of testbed.Check against the traffic on the sockets, and that the log
+// contains no errors.
 func (d *testDispatcher) checkRules() {
 	d.t.Helper()
 	faults := testbed.Check(d.bed.Events(), testbed.Rules{Slack: 350 * time.Millisecond, Grace: 1050 * time.Millisecond, Once: []string{"upload"},
@@ -212,15 +223,17 @@
 	}
 }
 
+// succeed answers a call with 200 after 5 ms.
 func succeed(testbed.Call) testbed.Reply {
 	return testbed.Reply{Status: 200, After: 5 * time.Millisecond}
 }
 
+// alwaysReply answers every call with r.
 func alwaysReply(r testbed.Reply) func(testbed.Call) testbed.Reply {
 	return func(testbed.Call) testbed.Reply { return r }
 }
 
-// replyFirst plays r for the first n calls, and is well from then on.
+// replyFirst answers the first n calls with r and later ones with success.
 func replyFirst(n int, r testbed.Reply) func(testbed.Call) testbed.Reply {
 	var mu sync.Mutex
 	return func(c testbed.Call) testbed.Reply {
@@ -233,10 +246,13 @@
 	}
 }
 
+// countEvents returns the number of events of a kind for a message, or for all messages if name is empty.
 func (d *testDispatcher) countEvents(k testbed.Kind, name string) int {
 	return testbed.Count(d.bed.Events(), k, name)
 }
 
+// Without any failure all messages are delivered with their bodies and keys, and none is refused, broken off
+// or given up.
 func TestAllMessagesDelivered(t *testing.T) {
 	d := newTestDispatcher(t)
 	var mu sync.Mutex
@@ -268,12 +284,12 @@
 	}
 	for _, e := range d.bed.Events() {
 		if e.Kind == testbed.Noticed || e.Kind == testbed.Refused || e.Kind == testbed.Broke || e.Kind == testbed.Answered && e.Status != 200 {
-			t.Errorf("on a calm day: %+v", e)
+			t.Errorf("unexpected event: %+v", e)
 		}
 	}
 }
 
-// Messages that wait for the same endpoint leave as one call, and each gets its own end from the answer.
+// Messages that wait for the same endpoint are sent as one call, and each gets its own end from the answer.
 func TestBulkCall(t *testing.T) {
 	d := newTestDispatcher(t)
 	var mu sync.Mutex
@@ -307,7 +323,7 @@
 	}
 }
 
-// An upload whose answer is lost is not sent again: it has its end at once, long before its time is up.
+// An upload whose answer is lost is not sent again. It ends at once, long before its deadline.
 func TestAnswerLost(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", replyFirst(3, testbed.Reply{Drop: true, After: 5 * time.Millisecond}))
@@ -326,7 +342,8 @@
 	d.checkRules()
 }
 
-// What a killed process owed is owed by the next: what may not run twice ends with a notice, the rest is delivered.
+// A process takes over what a killed one owed. Messages that may not be executed twice end with a notice if
+// they were sent, the others are delivered.
 func TestKillAndRestart(t *testing.T) {
 	d := newTestDispatcher(t)
 	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Hang: true}))
@@ -350,11 +367,11 @@
 		}
 	}
 	if len(out) == 0 {
-		t.Error("nothing was out at the kill")
+		t.Error("no call was in flight at the kill")
 	}
 }
 
-// Kills again and again under load: nothing lost, no upload sent twice.
+// The process is killed several times under load. No message may be lost and no upload sent twice.
 func TestKillsUnderLoad(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "bulk", func(c testbed.Call) testbed.Reply {
@@ -401,7 +418,8 @@
 	}
 }
 
-// SIGTERM: new requests are refused, what is out is awaited, the rest is kept for the next process.
+// After SIGTERM new requests are refused, calls in flight are awaited, and the remaining messages are kept
+// for the next process.
 func TestStopKeepsWhatIsHeld(t *testing.T) {
 	d := newTestDispatcher(t)
 	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, After: 400 * time.Millisecond}))
@@ -437,7 +455,8 @@
 	d.checkRules()
 }
 
-// Requests that are read while the dispatcher ends are answered: no connection ends under one.
+// Requests that are read while the dispatcher stops are answered. No connection may end with a request that
+// was read.
 func TestStopAnswersWhatIsRead(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
@@ -451,15 +470,18 @@
 	cut := 0
 	for i := 0; ; i++ {
 		c, err := net.DialTimeout("tcp", d.addr, time.Second)
+		// The dispatcher no longer listens.
 		if err != nil {
-			break // it listens no more
+			break
 		}
 		n := fmt.Sprint("m", i)
 		_ = c.SetDeadline(time.Now().Add(time.Second))
 		if _, err = c.Write(testbed.Form(newMessage(n, "status", 1))); err == nil {
 			b := make([]byte, 200)
 			if k, err := c.Read(b); err != nil {
-				cut++ // it was not read: at most the last one, in the moment of the end
+				// The request was not read. That may happen to the last one at most, at the moment of the
+				// end.
+				cut++
 			} else if strings.HasPrefix(string(b[:k]), "HTTP/1.1 202") {
 				names = append(names, n)
 			}
@@ -473,13 +495,13 @@
 	<-done
 	d.node = nil
 	if cut > 1 {
-		t.Errorf("%d connections ended under a request", cut)
+		t.Errorf("%d connections ended without answering a request", cut)
 	}
 	d.startReady()
 	d.awaitEnds(names)
 }
 
-// SIGHUP: discovery and notices move, a broken file leaves all as it was.
+// SIGHUP moves discovery and notices to a new address. A broken configuration file changes nothing.
 func TestReload(t *testing.T) {
 	d := newTestDispatcher(t)
 	e := d.addEndpoint("a", 1, "single", succeed)
@@ -490,7 +512,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Load(func(k string) string { return d.env[k] }); err == nil {
-		t.Error("a broken file is read")
+		t.Error("a broken configuration file was accepted")
 	}
 	var err error
 	if d.agent, err = d.bed.Agent(); err != nil {
@@ -506,7 +528,8 @@
 	d.node.Reload(cfg)
 	old.Close()
 	d.addEndpoint("b", 2, "single", alwaysReply(testbed.Reply{Status: 500}))
-	for d.bed.Hand(d.addr, newMessage("known?", "upload", 2)) == 404 { // until the new discovery has told of it
+	// The destination is unknown until the new discovery has sent its list.
+	for d.bed.Hand(d.addr, newMessage("known?", "upload", 2)) == 404 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	names := d.submitAll("y", 2, 2, "upload")
@@ -517,7 +540,7 @@
 	}
 }
 
-// Notices are repeated until they are acknowledged, over a restart, too.
+// Notices are repeated until they are acknowledged, also after a restart.
 func TestNoticesUntilAcknowledged(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.agent.Fail(500)
@@ -535,7 +558,8 @@
 	d.checkRules()
 }
 
-// A drain binds at once, and what was not written to the endpoint goes elsewhere without blame.
+// A drain takes effect at once. Calls that were not written to the endpoint go to another one and are not
+// counted against it.
 func TestDrain(t *testing.T) {
 	d := newTestDispatcher(t)
 	a := d.addEndpoint("a", 1, "single", succeed)
@@ -549,7 +573,8 @@
 	d.checkRules()
 }
 
-// A new endpoint at the address of one that has gone is another one: it gets no old connection.
+// A new endpoint at the address of one that left the list is a different endpoint. It must not be called on
+// an old connection.
 func TestAddressReused(t *testing.T) {
 	d := newTestDispatcher(t)
 	a := d.addEndpoint("a", 1, "single", succeed)
@@ -559,7 +584,8 @@
 	d.setListed(a, "single", "gone")
 	b := &testbed.Endpoint{Host: "b", Dest: 1, Addr: a.Addr}
 	d.setListed(b, "single", "ready")
-	d.bed.Await(time.Second, func([]testbed.Event) bool { return false }) // both changes are told
+	// Both changes of the list arrive within this second.
+	d.bed.Await(time.Second, func([]testbed.Event) bool { return false })
 	d.awaitEnds(d.submitAll("y", 3, 1, "status"))
 	if a.Opened() == had {
 		t.Error("no connection was opened for the new endpoint")
@@ -567,8 +593,8 @@
 	d.checkRules()
 }
 
-// Spoilt answers: a single call whose first line says 200 is delivered, all else may have run, and no connection that
-// had one is used again.
+// Malformed responses: a single call whose status line says 200 is delivered, and any other may have been
+// executed. A connection with a malformed response must not be used again.
 func TestMalformedAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply     testbed.Reply
@@ -598,15 +624,15 @@
 			}
 			d.awaitEnds(d.submitAll("y", 2, 1, "status"))
 			if !strings.HasPrefix(name, "interim") && name != "bad report" && e.Opened() < 2 {
-				t.Error("the spoilt connection was used again")
+				t.Error("the connection with the malformed response was used again")
 			}
 			d.checkRules()
 		})
 	}
 }
 
-// Bad clients get an error or a close within 3 s of connecting, nothing of them reaches an endpoint, and the usual
-// clients are served meanwhile.
+// Misbehaving clients get an error or a closed connection within 3 s of connecting. Nothing of theirs may
+// reach an endpoint, and well-behaved clients are served meanwhile.
 func TestBadClients(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
@@ -670,7 +696,7 @@
 	})
 }
 
-// Hundreds of mute connections: the usual clients come in all the same.
+// Hundreds of silent connections must not keep other clients out.
 func TestMuteFlood(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
@@ -691,7 +717,8 @@
 	var names []string
 	for i := range 20 {
 		n := fmt.Sprint("u", i)
-		for range 5 { // a connection that was closed with nothing sent on for it may be tried again
+		// A client may retry on a connection that was closed before anything was sent on for it.
+		for range 5 {
 			if d.bed.Hand(d.addr, newMessage(n, "status", 1)) == 202 {
 				names = append(names, n)
 				break
@@ -699,19 +726,19 @@
 		}
 	}
 	if len(names) != 20 {
-		t.Errorf("%d of 20 taken beside a flood", len(names))
+		t.Errorf("%d of 20 accepted during a flood of silent connections", len(names))
 	}
 	d.awaitEnds(names)
 	for i, c := range conns {
 		_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-			t.Fatalf("mute connection %d: %v", i, err)
+			t.Fatalf("silent connection %d: %v", i, err)
 		}
 	}
 	d.checkRules()
 }
 
-// The id of a message that is owed its end is not taken twice.
+// A message with the id of one that is still owed its end is not accepted.
 func TestIDTakenTwice(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, After: 500 * time.Millisecond}))
@@ -727,7 +754,7 @@
 	d.checkRules()
 }
 
-// A silent endpoint is given up where another can take the message, and all have their ends.
+// A silent endpoint is given up if another one can take the message, and all messages end.
 func TestSilentEndpoint(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Hang: true}))
@@ -738,7 +765,7 @@
 	d.checkRules()
 }
 
-// A start while discovery is down: the known list serves.
+// A dispatcher that starts while discovery is down uses the list of the configuration.
 func TestStartWithoutDiscovery(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
@@ -748,7 +775,8 @@
 	d.checkRules()
 }
 
-// Before any list is known a message is refused, not failed: nobody can tell yet that its destination is none.
+// Before any list is known a message is refused with 503 instead of 404, because it is unknown whether its
+// destination exists.
 func TestStartWithoutAnyList(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.fixedConfig = testbed.Configuration(d.addr, d.agent)
@@ -770,12 +798,12 @@
 			d.awaitEnds([]string{name})
 			break
 		} else if status != 503 || i > 200 {
-			t.Fatalf("a message when the list is there: %d", status)
+			t.Fatalf("a message after the list arrived: %d", status)
 		}
 	}
 }
 
-// The class is the first part of the path; what follows it means nothing here.
+// The class is the first segment of the path. What follows it has no meaning here.
 func TestPathsOfAClass(t *testing.T) {
 	for path, want := range map[string]bool{"/status": true, "/status/": true, "/status/a/b": true, "/status?x=1": true, "/statuses": false,
 		"/": false, "status": false, "/x/status": false, "//status": false} {
@@ -785,6 +813,7 @@
 	}
 }
 
+// An endpoint that asks for a wait gets no call before the wait is over.
 func TestRetryAfter(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", replyFirst(1, testbed.Reply{Status: 429, Wait: 700 * time.Millisecond}))
@@ -793,6 +822,7 @@
 	d.checkRules()
 }
 
+// Errors of the configuration name the key and fit on one line.
 func TestConfigurationFaults(t *testing.T) {
 	good := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","extra":{"a":[1]},
  "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":{"seq":1,"whole":true,"hosts":[]},"settings":%s}`, testbed.Settings)
@@ -845,7 +875,8 @@
 	})
 }
 
-// Both forms of one object give equal settings.
+// A whole list replaces an older one: endpoints that it does not name have left, and they are forgotten after
+// goneRetention.
 func TestKnownListIsOld(t *testing.T) {
 	var l EndpointList
 	if err := json.Unmarshal([]byte(`{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","site":"west","class":"single","block":4,"health":"ready"}]}`), &l); err != nil {
@@ -862,6 +893,6 @@
 	}
 	d.Apply(EndpointList{Seq: 5, Whole: true}, 2*time.Second+2*goneRetention)
 	if d.KnowsDestination(4) || len(d.hosts) != 0 || len(d.byEndpoint) != 0 {
-		t.Error("what is gone for long is kept")
+		t.Error("endpoints that left the list are not forgotten")
 	}
 }
--- a/internal/platform/pipeline_test.go
+++ b/internal/platform/pipeline_test.go
@@ -13,7 +13,8 @@
 	"whinrun/internal/testbed"
 )
 
-// pipelineStatuses writes a text on a connection of its own, and reads answers until the connection ends or there are enough.
+// pipelineStatuses writes a text on a new connection and returns the statuses of the answers, until the
+// connection ends or there are enough.
 func (d *testDispatcher) pipelineStatuses(text string, enough int) (statuses []int) {
 	d.t.Helper()
 	c, err := net.DialTimeout("tcp", d.addr, time.Second)
@@ -26,6 +27,7 @@
 	return testbed.Statuses(c, enough)
 }
 
+// encodeMessages returns the requests of several messages, one after the other.
 func encodeMessages(names ...string) string {
 	var b bytes.Buffer
 	for _, n := range names {
@@ -34,8 +36,8 @@
 	return b.String()
 }
 
-// Requests that come ahead of answers are answered in order, however many, and the first that can't be taken ends the
-// connection behind its own answer.
+// Pipelined requests are answered in order, however many there are. The first one that is invalid ends the
+// connection after its own answer.
 func TestPipelinedRequests(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
@@ -65,7 +67,8 @@
 			}
 		})
 	}
-	t.Cleanup(func() { // behind the parallel ones
+	// The cleanup runs after the parallel subtests.
+	t.Cleanup(func() {
 		d.awaitEnds(names)
 		d.checkRules()
 		for _, n := range []string{"b3", "s2", "h2", "e2"} {
@@ -76,7 +79,8 @@
 	})
 }
 
-// A client that sends without end and reads nothing is held back: what is kept for it stays bounded, and others are served.
+// A client that sends without end and reads nothing is held back: the data buffered for it stays bounded, and
+// other clients are served.
 func TestPipelineIsBounded(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
@@ -89,7 +93,8 @@
 	ready := []byte(strings.Repeat("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", 1000))
 	_ = c.SetWriteDeadline(time.Now().Add(3 * time.Second))
 	for sent := 0; sent < 64<<20; sent += len(ready) {
-		if _, err = c.Write(ready); err != nil { // closed, or held back
+		// The connection was closed or the client is held back.
+		if _, err = c.Write(ready); err != nil {
 			break
 		}
 	}
@@ -101,7 +106,8 @@
 	}
 }
 
-// A stop with requests ahead of answers: what was read has an answer, and what was taken on has its end.
+// A stop while requests are pipelined: every request that was read gets an answer, and every accepted message
+// its end.
 func TestStopAmidAPipeline(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -14,7 +14,7 @@
 	"whinrun/internal/testbed"
 )
 
-// failWrites has each change of a folder fail.
+// failWrites makes every change of a directory fail with an error.
 func failWrites(fs *disk.Memory, why error) {
 	fs.SetFail(func(op, name string) error {
 		if op == "open" || op == "list" {
@@ -24,7 +24,7 @@
 	})
 }
 
-// awaitLogLine waits until the log says something.
+// awaitLogLine waits until the log contains a text.
 func (d *testDispatcher) awaitLogLine(text string) {
 	d.t.Helper()
 	for watch := clock.Start(); !strings.Contains(d.logText(), text); time.Sleep(time.Millisecond) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A disk that refuses writes for a while: nothing new is taken on, what needs no record goes on, what needs one waits without
-// using up its attempts, and all that was taken on has its end.
+// The disk refuses writes for a while. No new message is accepted. Messages that need no record continue,
+// those that need one wait without using up attempts, and every accepted message gets its end.
 func TestFullDisk(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
@@ -48,7 +48,7 @@
 	failWrites(d.disk, unix.ENOSPC)
 	a.Act(succeed)
 	if more := d.submitAll("late", 3, 1, "status", "upload"); len(more) > 0 {
-		t.Errorf("taken on without a record: %v", more)
+		t.Errorf("accepted without a record: %v", more)
 	}
 	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, held) })
 	for _, e := range d.bed.Events() {
@@ -58,7 +58,7 @@
 	}
 	for _, name := range held {
 		if strings.Contains(name, "status") && d.countEvents(testbed.Answered, name) == 0 {
-			t.Errorf("%s waits, and needs no record", name)
+			t.Errorf("%s waits although it needs no record", name)
 		}
 	}
 	d.disk.SetFail(nil)
@@ -72,8 +72,8 @@
 	}
 }
 
-// The disk refuses writes, messages end meanwhile, and the process is killed before the disk works again: nobody is told to hand
-// a message in again that the next process still finds owed.
+// The disk refuses writes, messages end meanwhile, and the process is killed before the disk works again. No
+// sender may be told to submit a message again that the next process still finds owed.
 func TestKilledWhileTheDiskRefuses(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
@@ -85,7 +85,7 @@
 	d.bed.Await(500*time.Millisecond, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
 	for _, e := range d.bed.Events() {
 		if e.Kind == testbed.Noticed && e.Text == "deferred" {
-			t.Errorf("%s is handed back and not on record as ended", e.Name)
+			t.Errorf("%s got a deferred notice although its end is not recorded", e.Name)
 		}
 	}
 	d.kill()
@@ -96,7 +96,7 @@
 	d.checkRules()
 }
 
-// Faults of the disk that come and go under load, and kills in between: the six rules hold.
+// Disk failures come and go under load, with kills in between. The six rules of testbed.Check hold.
 func TestDiskFailsNowAndThen(t *testing.T) {
 	for seed := range 3 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// submitFor hands messages of all classes in for a while, and returns the names of those taken on.
+// submitFor submits messages of all classes for a while and returns the ids of the accepted ones.
 func (d *testDispatcher) submitFor(prefix string, span time.Duration) (names []string) {
 	watch := clock.Start()
 	for i := 0; watch.Elapsed() < span; i++ {
@@ -153,7 +153,7 @@
 	return names
 }
 
-// A folder that can't be read for a moment, at a start: the process waits for it.
+// The state directory cannot be read for a moment at a start. The process waits for it.
 func TestFolderFailsAtTheStart(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
@@ -168,11 +168,12 @@
 		}
 		return nil
 	})
-	failWrites(d.disk, unix.ENOSPC) // and it can't be written until the process serves
+	// Writes fail as well, until the process serves.
+	failWrites(d.disk, unix.ENOSPC)
 	a.Act(succeed)
 	d.startReady()
 	if more := d.submitAll("late", 2, 1, "upload"); len(more) > 0 {
-		t.Errorf("taken on without a record: %v", more)
+		t.Errorf("accepted without a record: %v", more)
 	}
 	d.disk.SetFail(nil)
 	d.awaitEnds(names)
@@ -182,7 +183,8 @@
 	}
 }
 
-// A dispatcher that restarts within an outage has seen it: what it holds is not dumped on the endpoint that returns.
+// A dispatcher that restarts during an outage knows of it from its ledger. It must not send all held messages
+// at once to the endpoint that returns.
 func TestOutageIsKnownAfterARestart(t *testing.T) {
 	d := newTestDispatcher(t)
 	a := d.addEndpoint("a", 1, "single", succeed)
--- a/internal/platform/syscalls_test.go
+++ b/internal/platform/syscalls_test.go
@@ -12,8 +12,8 @@
 	"whinrun/internal/testbed"
 )
 
-// Calls on sockets fail for a moment, all kinds together, while endpoints misbehave and the dispatcher restarts: the six rules
-// hold, and who hands a message in has an answer.
+// Socket calls of all kinds fail at times while endpoints misbehave and the dispatcher restarts. The six
+// rules of testbed.Check hold, and every sender gets an answer.
 func TestSystemCallsFail(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -50,7 +50,8 @@
 	}
 }
 
-// This machine can make no connections for a while: no endpoint is blamed for it, and what waited is delivered.
+// The machine cannot open connections for a while. No endpoint is blamed for it, and the messages that waited
+// are delivered.
 func TestNoConnectionsCanBeMade(t *testing.T) {
 	for _, c := range []struct {
 		call  string
@@ -69,7 +70,9 @@
 				return nil
 			})
 			var names []string
-			if c.call == "epoll_ctl" { // clients can't be taken either: who was before is served
+			// Clients cannot connect during this failure either, so it ends before the messages are
+			// submitted.
+			if c.call == "epoll_ctl" {
 				d.faulty.Set(nil)
 				names = d.submitAll("x", 2, 1, "status", "upload")
 			} else {
@@ -86,7 +89,7 @@
 	}
 }
 
-// Accepting fails for a while: who connects meanwhile is served afterwards, and the log says it once.
+// Accepting connections fails for a while. Clients that connect meanwhile are served afterwards.
 func TestAcceptFails(t *testing.T) {
 	for _, fault := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM} {
 		t.Run(fault.Error(), func(t *testing.T) {
