--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -127,14 +127,14 @@
 	session *session
 	// closeAfter tells that the connection ends after the answer.
 	closeAfter bool
-	// accepted tells that the message was taken on. It is used on the engine's goroutine only.
+	// accepted tells that the message was accepted. It is used on the engine's goroutine only.
 	accepted bool
 }
 
 // submitResult is the answer that a sender is to get. It implements front.Parcel.
 type submitResult struct {
 	request *pendingRequest
-	// final is how the message ended, Served if it was taken on.
+	// final is how the message ended, Served if it was accepted.
 	final engine.Final
 	// retryAfter is the wait that a refused sender is told.
 	retryAfter control.Time
@@ -146,7 +146,7 @@
 	r.session.deliver(submitResult{request: r, final: engine.Served})
 }
 
-// Final implements engine.Origin. The end of a message that was taken on is reported by the ledgerAdapter
+// Final implements engine.Origin. The end of an accepted message is reported by the ledgerAdapter
 // instead.
 func (r *pendingRequest) Final(_ *engine.Message, answer engine.Answer) {
 	if !r.accepted {
