--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -12,38 +12,44 @@
 	"whinrun/internal/h1"
 )
 
-// Calls speaks to endpoints; it is outbound.Calls.
-type Calls struct {
+// CallCodec encodes calls to endpoints as HTTP/1.1 requests of the platform's protocol and decodes the
+// responses. It implements outbound.Calls.
+type CallCodec struct {
 	*Directory
-	Reports []string // names of the values of a load report, in order
+	// LoadMetrics are the names of the values in a load report, in the order in which they are passed to the
+	// engine.
+	LoadMetrics []string
 }
 
-// Request appends one call: a message, or several in the form of bulk calls.
-func (c Calls) Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte {
+// Request appends the request of one call to b: a single message, or a bulk request for several. X-Remaining
+// is the longest remaining time among the attempts, in seconds.
+func (c CallCodec) Request(b []byte, attempts []*engine.Attempt, remaining []time.Duration) []byte {
 	host := "endpoint"
-	if addr, ok := c.Address(as[0].Endpoint); ok {
+	if addr, ok := c.Address(attempts[0].Endpoint); ok {
 		host = addr.String()
 	}
-	most := left[0]
-	for _, l := range left {
-		most = max(most, l)
+	longest := remaining[0]
+	for _, l := range remaining {
+		longest = max(longest, l)
 	}
-	waits := strconv.FormatFloat(most.Seconds(), 'f', 3, 64)
-	if len(as) > 1 {
-		body := bulk(as)
-		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(body)))
+	remainingSeconds := strconv.FormatFloat(longest.Seconds(), 'f', 3, 64)
+	if len(attempts) > 1 {
+		body := bulkBody(attempts)
+		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(body)))
 		return append(b, body...)
 	}
-	m := as[0].Msg
-	pairs := []string{"Host", host, "X-Txn", m.Name, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(m.Body))}
+	m := attempts[0].Msg
+	pairs := []string{"Host", host, "X-Txn", m.Name, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(m.Body))}
 	if m.Repeat != "" {
 		pairs = append(pairs, "Idempotency-Key", m.Repeat)
 	}
 	return append(h1.AppendHead(b, "POST /inbox HTTP/1.1", pairs...), m.Body...)
 }
 
-func bulk(as []*engine.Attempt) (b []byte) {
-	for _, a := range as {
+// bulkBody returns the body of a bulk request. Each message has a line with its id, its idempotency key ("-"
+// for none) and its length in bytes, followed by its body and CRLF.
+func bulkBody(attempts []*engine.Attempt) (b []byte) {
+	for _, a := range attempts {
 		key := a.Msg.Repeat
 		if key == "" {
 			key = "-"
@@ -54,46 +60,50 @@
 	return b
 }
 
-// Assured is outbound.Calls: a call with one message whose first line says 200 is delivered.
-func (c Calls) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(as) == 1
+// Assured implements outbound.Calls. A call with a single message is delivered once its status line says 200,
+// even if the rest of the response is malformed or missing.
+func (c CallCodec) Assured(attempts []*engine.Attempt, status int) (engine.End, bool) {
+	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(attempts) == 1
 }
 
-// statusOf are the ends that a bulk answer names, as the status that means the same for one message.
-var statusOf = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
+// bulkStatus maps the results that a bulk response names to the HTTP status that has the same meaning for a
+// single message.
+var bulkStatus = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
 
-// Answer makes an answer into one end for each message.
-func (c Calls) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
-	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: wait(head.Fields), Report: c.report(head.Fields)}
+// Answer converts a response into one end for each attempt of the call. An attempt whose result is missing
+// from a bulk response, or whose bulk response cannot be parsed, ends as Malformed.
+func (c CallCodec) Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
+	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: parseRetryAfter(head.Fields), Report: c.parseLoadReport(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
 		e.Kind, e.Detail = engine.NoSlot, "503"
 	}
-	ends := make([]engine.End, len(as))
+	ends := make([]engine.End, len(attempts))
 	for i := range ends {
 		ends[i] = e
 	}
-	if len(as) == 1 || head.Status != 200 {
+	if len(attempts) == 1 || head.Status != 200 {
 		return ends
 	}
-	told, ok := bulkEnds(body)
-	for i, a := range as {
-		if ends[i].Status = told[a.Msg.Name]; !ok || ends[i].Status == 0 {
+	statuses, ok := parseBulkEnds(body)
+	for i, a := range attempts {
+		if ends[i].Status = statuses[a.Msg.Name]; !ok || ends[i].Status == 0 {
 			ends[i] = engine.End{Kind: engine.Malformed, Wait: e.Wait, Detail: "the answer does not tell its end"}
 		}
 	}
 	return ends
 }
 
-// bulkEnds reads a bulk answer; ok is false where any of it can't be read, or names a message twice.
-func bulkEnds(body []byte) (ends map[string]int, ok bool) {
+// parseBulkEnds parses the body of a bulk response into a status for each message id. It returns false if any
+// line cannot be parsed or if a message is named twice.
+func parseBulkEnds(body []byte) (ends map[string]int, ok bool) {
 	ends = map[string]int{}
-	for l := range bytes.Lines(body) {
-		text := strings.TrimRight(string(l), "\r\n")
+	for line := range bytes.Lines(body) {
+		text := strings.TrimRight(string(line), "\r\n")
 		if text == "" {
 			continue
 		}
 		name, end, _ := strings.Cut(text, " ")
-		status := statusOf[end]
+		status := bulkStatus[end]
 		if status == 0 || ends[name] != 0 {
 			return nil, false
 		}
@@ -102,21 +112,24 @@
 	return ends, true
 }
 
-// wait reads a told wait. Seconds with decimals stand in Retry-After, milliseconds in X-Come-Back-Ms.
-func wait(f h1.Fields) control.Time {
-	s, ok := number(f.Get("retry-after"))
+// parseRetryAfter returns the wait that a response asks for, rounded up to a microsecond, or 0 if it asks for
+// none. Retry-After holds seconds, with decimals allowed. X-Come-Back-Ms holds milliseconds and is read only
+// if Retry-After is missing or invalid.
+func parseRetryAfter(f h1.Fields) control.Time {
+	seconds, ok := parseDecimal(f.Get("retry-after"))
 	if !ok {
-		s, _ = number(f.Get("x-come-back-ms"))
-		s /= 1000
+		seconds, _ = parseDecimal(f.Get("x-come-back-ms"))
+		seconds /= 1000
 	}
-	return control.Time(math.Ceil(min(s, maxWait) * float64(control.Second)))
+	return control.Time(math.Ceil(min(seconds, maxSeconds) * float64(control.Second)))
 }
 
-// maxWait bounds a told wait, in seconds: an hour, far past the time of any message.
-const maxWait = 3600
+// maxSeconds is the upper limit of the durations that peers send, in seconds. One hour is far longer than any
+// message lives.
+const maxSeconds = 3600
 
-// number reads a plain decimal number, zero or more.
-func number(text string) (float64, bool) {
+// parseDecimal parses a non-negative decimal number without sign or exponent.
+func parseDecimal(text string) (float64, bool) {
 	if len(text) == 0 || len(text) > 20 {
 		return 0, false
 	}
@@ -129,20 +142,21 @@
 	return v, err == nil
 }
 
-// report reads a load report; one that can't be read is none.
-func (c Calls) report(f h1.Fields) []float32 {
+// parseLoadReport parses the load report of a response. It returns nil if there is none or if it cannot be
+// parsed.
+func (c CallCodec) parseLoadReport(f h1.Fields) []float32 {
 	text := f.Get("x-pressure")
-	if text == "" || len(c.Reports) == 0 {
+	if text == "" || len(c.LoadMetrics) == 0 {
 		return nil
 	}
-	out := make([]float32, len(c.Reports))
+	out := make([]float32, len(c.LoadMetrics))
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		v, ok := number(value)
+		v, ok := parseDecimal(value)
 		if !ok {
 			return nil
 		}
-		for i, n := range c.Reports {
+		for i, n := range c.LoadMetrics {
 			if n == name {
 				out[i] = float32(v)
 			}
@@ -151,8 +165,9 @@
 	return out
 }
 
-// Judge tells what ends mean on the platform.
-func Judge(e engine.End) engine.Verdict {
+// Classify returns what an end of an attempt means on the platform. Statuses 400, 410, 413, 429, 503 and 504
+// prove that the attempt was not executed.
+func Classify(e engine.End) engine.Verdict {
 	if e.Kind != engine.Answered {
 		return engine.Judge(e, false)
 	}
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -11,49 +11,57 @@
 	"whinrun/control"
 )
 
-// Directory gives endpoints their names towards the module. An endpoint is its host: a new one at an old address is
-// another. It is free of I/O; Address and Knows may be called from any goroutine.
+// Directory assigns the endpoint numbers by which the decision library knows the listed hosts. A host name is
+// one endpoint: a new host at the address of an old one gets a new number. Directory does no I/O, and its
+// methods are safe for concurrent use.
 type Directory struct {
 	zones []string
 	kinds []control.Kind
 
-	mu     sync.RWMutex
-	next   control.Endpoint
-	hosts  map[string]*place
-	byID   map[control.Endpoint]*place
-	dests  map[int]time.Duration // destinations that are listed, or were: when each was last seen listed
-	tidied time.Duration
+	mu           sync.RWMutex
+	lastEndpoint control.Endpoint
+	hosts        map[string]*endpointRecord
+	byEndpoint   map[control.Endpoint]*endpointRecord
+	// destinations holds, for each known destination, when it was last seen in the list.
+	destinations map[int]time.Duration
+	lastCleanup  time.Duration
 }
 
-// place is one endpoint that is listed, or was a short while ago.
-type place struct {
-	host  Host // as the list has it
+// endpointRecord is an endpoint that is listed or left the list within goneRetention.
+type endpointRecord struct {
+	// host is the endpoint as the list describes it.
+	host  Host
 	entry control.Entry
 	addr  netip.AddrPort
-	gone  time.Duration // when it left the list, 0 if it is there
+	// goneAt is when the endpoint left the list, 0 while it is listed.
+	goneAt time.Duration
 }
 
-// forgetAfter is how long endpoints and destinations that are gone are kept: far longer than any message lives.
+// Times of records that left the list.
 const (
-	forgetAfter = 2 * time.Minute
-	tidyEvery   = 10 * time.Second
+	// goneRetention is how long endpoints and destinations are kept after they leave the list. It is far
+	// longer than any message lives.
+	goneRetention = 2 * time.Minute
+	// cleanupInterval is the shortest time between two removals of expired records.
+	cleanupInterval = 10 * time.Second
 )
 
-// NewDirectory returns a Directory for zones and kinds as the settings name them.
+// NewDirectory returns an empty Directory. zones and kinds are those of the settings; their order determines
+// the numbers that the entries carry.
 func NewDirectory(zones []string, kinds []control.Kind) *Directory {
-	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*place{}, byID: map[control.Endpoint]*place{},
-		dests: map[int]time.Duration{}}
+	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*endpointRecord{}, byEndpoint: map[control.Endpoint]*endpointRecord{},
+		destinations: map[int]time.Duration{}}
 }
 
-// Apply takes a list, or changes of one, and returns the entries that the module is told. A host that can't be used is
-// left out, and named in faults.
-func (d *Directory) Apply(l List, now time.Duration) (entries []control.Entry, faults []error) {
+// Apply applies a whole list or changes and returns the resulting entries for the decision library, ordered
+// by endpoint number. A host that cannot be used is skipped and reported in faults.
+func (d *Directory) Apply(l EndpointList, now time.Duration) (entries []control.Entry, faults []error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := map[string]bool{}
 	for i := range l.Hosts {
 		h := &l.Hosts[i]
-		e, err := d.host(h, now)
+		e, err := d.applyHost(h, now)
 		if err != nil {
 			faults = append(faults, fmt.Errorf("host %.40q: %w", h.Name, err))
 			continue
@@ -64,29 +72,31 @@
 		}
 	}
 	if l.Whole {
-		for name, p := range d.hosts {
-			if !seen[name] && p.gone == 0 {
-				p.gone, p.entry.Health = now, control.Gone
-				entries = append(entries, p.entry)
+		for name, r := range d.hosts {
+			if !seen[name] && r.goneAt == 0 {
+				r.goneAt, r.entry.Health = now, control.Gone
+				entries = append(entries, r.entry)
 			}
 		}
 	}
 	slices.SortFunc(entries, func(a, b control.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
-	if now-d.tidied >= tidyEvery {
-		d.tidied = now
-		d.tidy(now)
+	if now-d.lastCleanup >= cleanupInterval {
+		d.lastCleanup = now
+		d.removeExpired(now)
 	}
 	return entries, faults
 }
 
-func (d *Directory) host(h *Host, now time.Duration) (control.Entry, error) {
-	p := d.hosts[h.Name]
+// applyHost applies one host of a list and returns its entry. The entry's endpoint number is 0 if an unknown
+// host is reported as gone.
+func (d *Directory) applyHost(h *Host, now time.Duration) (control.Entry, error) {
+	r := d.hosts[h.Name]
 	if h.Health == "gone" {
-		if p == nil {
+		if r == nil {
 			return control.Entry{}, nil
 		}
-		p.gone, p.entry.Health = now, control.Gone
-		return p.entry, nil
+		r.goneAt, r.entry.Health = now, control.Gone
+		return r.entry, nil
 	}
 	health := control.Ready
 	switch h.Health {
@@ -94,7 +104,7 @@
 	case "draining":
 		health = control.Draining
 	default:
-		return control.Entry{}, fmt.Errorf("health %.20q", h.Health)
+		return control.Entry{}, fmt.Errorf("unknown health %.20q", h.Health)
 	}
 	addr, err := netip.ParseAddrPort(h.Dial)
 	if err != nil {
@@ -102,110 +112,112 @@
 	}
 	kind := slices.IndexFunc(d.kinds, func(k control.Kind) bool { return k.Name == h.Class })
 	if kind < 0 && len(d.kinds) > 0 {
-		return control.Entry{}, fmt.Errorf("class %.20q", h.Class)
+		return control.Entry{}, fmt.Errorf("unknown class %.20q", h.Class)
 	}
-	if h.Name == "" || h.Block < 0 || h.Block > maxDest {
-		return control.Entry{}, fmt.Errorf("block %d", h.Block)
+	if h.Name == "" || h.Block < 0 || h.Block > maxDestination {
+		return control.Entry{}, fmt.Errorf("empty host name or invalid block %d", h.Block)
 	}
 	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
-	if p != nil && p.entry.Dest != e.Dest { // another destination is another endpoint
+	// A host that changes its destination is a new endpoint.
+	if r != nil && r.entry.Dest != e.Dest {
 		delete(d.hosts, h.Name)
-		p = nil
+		r = nil
 	}
-	if p == nil {
-		d.next++
-		p = &place{}
-		p.entry.Endpoint = d.next
-		d.hosts[h.Name], d.byID[d.next] = p, p
+	if r == nil {
+		d.lastEndpoint++
+		r = &endpointRecord{}
+		r.entry.Endpoint = d.lastEndpoint
+		d.hosts[h.Name], d.byEndpoint[d.lastEndpoint] = r, r
 	}
-	e.Endpoint = p.entry.Endpoint
-	p.host, p.entry, p.addr, p.gone = *h, e, addr, 0
-	d.dests[e.Dest] = now
+	e.Endpoint = r.entry.Endpoint
+	r.host, r.entry, r.addr, r.goneAt = *h, e, addr, 0
+	d.destinations[e.Dest] = now
 	return e, nil
 }
 
-// Whole returns all that is listed, as one list of that version.
-func (d *Directory) Whole(seq int64) List {
+// Snapshot returns all listed endpoints as a whole list of version seq, ordered by name.
+func (d *Directory) Snapshot(seq int64) EndpointList {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	l := List{Seq: seq, Whole: true, Hosts: []Host{}}
-	for _, p := range d.hosts {
-		if p.gone == 0 {
-			l.Hosts = append(l.Hosts, p.host)
+	l := EndpointList{Seq: seq, Whole: true, Hosts: []Host{}}
+	for _, r := range d.hosts {
+		if r.goneAt == 0 {
+			l.Hosts = append(l.Hosts, r.host)
 		}
 	}
 	slices.SortFunc(l.Hosts, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
 	return l
 }
 
-// maxDest bounds the numbers of destinations, as the simulator's wire does.
-const maxDest = 1<<16 - 1
+// maxDestination is the largest destination number. The simulator's wire format has the same bound.
+const maxDestination = 1<<16 - 1
 
-// tidy forgets what left the list long ago.
-func (d *Directory) tidy(now time.Duration) {
-	for name, p := range d.hosts {
-		if p.gone > 0 && now-p.gone > forgetAfter {
+// removeExpired forgets endpoints and destinations that left the list more than goneRetention ago.
+func (d *Directory) removeExpired(now time.Duration) {
+	for name, r := range d.hosts {
+		if r.goneAt > 0 && now-r.goneAt > goneRetention {
 			delete(d.hosts, name)
 		}
 	}
-	for id, p := range d.byID {
-		if p.gone > 0 && now-p.gone > forgetAfter {
-			delete(d.byID, id)
-		} else if p.gone == 0 {
-			d.dests[p.entry.Dest] = now
+	for id, r := range d.byEndpoint {
+		if r.goneAt > 0 && now-r.goneAt > goneRetention {
+			delete(d.byEndpoint, id)
+		} else if r.goneAt == 0 {
+			d.destinations[r.entry.Dest] = now
 		}
 	}
-	for dest, at := range d.dests {
-		if now-at > forgetAfter {
-			delete(d.dests, dest)
+	for dest, at := range d.destinations {
+		if now-at > goneRetention {
+			delete(d.destinations, dest)
 		}
 	}
 }
 
-// Address is outbound.Addresses.
+// Address implements outbound.Addresses. It also returns the address of an endpoint that left the list
+// recently.
 func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.byID[ep]
-	if p == nil {
+	r := d.byEndpoint[ep]
+	if r == nil {
 		return netip.AddrPort{}, false
 	}
-	return p.addr, true
+	return r.addr, true
 }
 
-// Listed tells whether an endpoint is in the list.
-func (d *Directory) Listed(ep control.Endpoint) bool {
+// IsListed reports whether an endpoint is in the list.
+func (d *Directory) IsListed(ep control.Endpoint) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.byID[ep]
-	return p != nil && p.gone == 0
+	r := d.byEndpoint[ep]
+	return r != nil && r.goneAt == 0
 }
 
-// Find returns what the list says of a host; ok is false where it is not listed.
-func (d *Directory) Find(host string) (e control.Entry, ok bool) {
+// Lookup returns the entry of a host, or false if the host is not listed.
+func (d *Directory) Lookup(host string) (e control.Entry, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.hosts[host]
-	if p == nil || p.gone != 0 {
+	r := d.hosts[host]
+	if r == nil || r.goneAt != 0 {
 		return control.Entry{}, false
 	}
-	return p.entry, true
+	return r.entry, true
 }
 
-// Host is the name of an endpoint, for logs.
-func (d *Directory) Host(ep control.Endpoint) string {
+// HostName returns the host name of an endpoint, or "unknown" if it has been forgotten.
+func (d *Directory) HostName(ep control.Endpoint) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if p := d.byID[ep]; p != nil {
-		return p.host.Name
+	if r := d.byEndpoint[ep]; r != nil {
+		return r.host.Name
 	}
 	return "unknown"
 }
 
-// Knows tells whether a destination is listed, or was a short while ago.
-func (d *Directory) Knows(dest int) bool {
+// KnowsDestination reports whether a destination is listed or left the list recently.
+func (d *Directory) KnowsDestination(dest int) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	_, ok := d.dests[dest]
+	_, ok := d.destinations[dest]
 	return ok
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -12,28 +12,37 @@
 	"whinrun/internal/h1"
 )
 
-// Times of the connections to the platform's agent, which is on this machine: it answers at once or is down.
+// Times of the connections to the platform's agent. The agent runs on the same machine: it answers at once or
+// is down.
 const (
-	agentConnect = time.Second
-	againLeast   = 100 * time.Millisecond
-	againMost    = time.Second
+	// agentTimeout bounds a connection attempt and a request with notices.
+	agentTimeout = time.Second
+	// noticeBackoffMin is the first delay before notices are sent again after a failure.
+	noticeBackoffMin = 100 * time.Millisecond
+	// noticeBackoffMax is the longest delay before notices are sent again.
+	noticeBackoffMax = time.Second
 )
 
-// agent is where discovery and notices are. The address may change in service: connections to the old one end then.
+// agent is the platform's agent, which serves discovery and takes notices. Its address may change at run
+// time; connections to the old address are closed then.
 type agent struct {
-	mu    sync.Mutex
-	addr  netip.AddrPort
+	mu   sync.Mutex
+	addr netip.AddrPort
+	// conns holds the connections that a change of the address closes.
 	conns map[net.Conn]struct{}
-	moved chan struct{} // closed at a change
-	quit  chan struct{}
+	// addrChanged is closed and replaced when the address changes.
+	addrChanged chan struct{}
+	// quit is closed by stop.
+	quit chan struct{}
 }
 
+// newAgent returns the agent at an address.
 func newAgent(addr netip.AddrPort) *agent {
-	return &agent{addr: addr, conns: map[net.Conn]struct{}{}, moved: make(chan struct{}), quit: make(chan struct{})}
+	return &agent{addr: addr, conns: map[net.Conn]struct{}{}, addrChanged: make(chan struct{}), quit: make(chan struct{})}
 }
 
-// move changes the address.
-func (a *agent) move(addr netip.AddrPort) {
+// setAddress changes the address and closes the connections that dial opened to the old one.
+func (a *agent) setAddress(addr netip.AddrPort) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if addr == a.addr {
@@ -43,11 +52,11 @@
 	for c := range a.conns {
 		_ = c.Close()
 	}
-	close(a.moved)
-	a.moved = make(chan struct{})
+	close(a.addrChanged)
+	a.addrChanged = make(chan struct{})
 }
 
-// stop ends all connections, for good.
+// stop closes all connections for good.
 func (a *agent) stop() {
 	close(a.quit)
 	a.mu.Lock()
@@ -57,6 +66,7 @@
 	}
 }
 
+// stopped reports whether stop has been called.
 func (a *agent) stopped() bool {
 	select {
 	case <-a.quit:
@@ -66,17 +76,17 @@
 	}
 }
 
-// connect opens a connection that its caller owns, and tells where to.
+// connect opens a connection that the caller owns and returns it with the address it leads to.
 func (a *agent) connect(ctx context.Context) (net.Conn, netip.AddrPort, error) {
 	a.mu.Lock()
 	addr := a.addr
 	a.mu.Unlock()
-	d := net.Dialer{Timeout: agentConnect}
+	d := net.Dialer{Timeout: agentTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	return c, addr, err
 }
 
-// dial opens a connection that a change of the address ends.
+// dial opens a connection that is closed when the address changes or the agent is stopped.
 func (a *agent) dial() (net.Conn, error) {
 	c, addr, err := a.connect(context.Background())
 	if err != nil {
@@ -85,126 +95,141 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.addr != addr || a.stopped() {
-		return nil, errors.Join(errors.New("the address has changed"), c.Close())
+		return nil, errors.Join(errors.New("agent address changed or agent stopped while connecting"), c.Close())
 	}
 	a.conns[c] = struct{}{}
 	return c, nil
 }
 
-func (a *agent) hangUp(c net.Conn) {
+// closeConn closes a connection that dial opened.
+func (a *agent) closeConn(c net.Conn) {
 	a.mu.Lock()
 	delete(a.conns, c)
 	a.mu.Unlock()
 	_ = c.Close()
 }
 
-// change returns what is closed when the address changes next.
-func (a *agent) change() <-chan struct{} {
+// addressChange returns a channel that is closed at the next change of the address.
+func (a *agent) addressChange() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.moved
+	return a.addrChanged
 }
 
-// pause waits before a next try; a new address ends the wait. It is false at the stop.
-func (a *agent) pause(d time.Duration) bool {
-	moved := a.change()
+// wait waits before a retry, until d has passed or the address changes. It returns false if the agent is
+// stopped.
+func (a *agent) wait(d time.Duration) bool {
+	changed := a.addressChange()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-moved:
+	case <-changed:
 	case <-a.quit:
 		return false
 	}
 	return true
 }
 
-// watcher keeps the endpoint list up to date by watches, as a watchPlan says. All but its read goroutines is run's.
+// watcher keeps the endpoint list up to date through watches that a watchPlan opens and closes. Its fields
+// belong to the goroutine of run; each watch has a goroutine of its own that reports to it through events.
 type watcher struct {
 	agent *agent
 	now   func() time.Duration
-	seq   int64 // version of the list as told last, 0 behind a change of the address: any counts then
-	told  func(List)
-	log   func(format string, a ...any)
+	// seq is the version of the list that was passed on last. It is 0 after a change of the address, when any
+	// version counts.
+	seq int64
+	// onList is called for each list or change, in order.
+	onList func(EndpointList)
+	log    func(format string, a ...any)
 
-	plan   watchPlan
-	stops  map[uint64]context.CancelFunc
-	events chan watchEvent
+	plan watchPlan
+	// cancels holds the function that closes each open watch, by id.
+	cancels map[uint64]context.CancelFunc
+	events  chan watchEvent
 }
 
-// watchEvent is what a watch has to tell: a list, an empty line, or its end.
+// watchEvent reports a list, a heartbeat or the end of a watch.
 type watchEvent struct {
-	id   uint64
-	list *List
-	err  error
+	// id identifies the watch.
+	id uint64
+	// list is the list that was read, nil for a heartbeat or the end.
+	list *EndpointList
+	// err is why the watch ended, nil otherwise.
+	err error
 }
 
-func newWatcher(a *agent, now func() time.Duration, seq int64, told func(List), log func(string, ...any)) *watcher {
-	return &watcher{agent: a, now: now, seq: seq, told: told, log: log, stops: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
+// newWatcher returns a watcher that continues from version seq and passes lists to onList once run is called.
+func newWatcher(a *agent, now func() time.Duration, seq int64, onList func(EndpointList), log func(string, ...any)) *watcher {
+	return &watcher{agent: a, now: now, seq: seq, onList: onList, log: log, cancels: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
 }
 
 // run watches until the agent is stopped.
 func (w *watcher) run() {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	again := time.NewTimer(0)
-	defer again.Stop()
-	moved := w.agent.change()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	changed := w.agent.addressChange()
 	for {
 		select {
 		case <-w.agent.quit:
 			return
-		case <-moved:
-			moved = w.agent.change()
+		case <-changed:
+			changed = w.agent.addressChange()
 			w.seq = 0
-			w.shut(w.plan.moved())
+			w.cancelWatches(w.plan.closeAll())
 		case e := <-w.events:
-			w.take(e)
-		case <-again.C:
+			w.handleEvent(e)
+		case <-timer.C:
 		}
 		now := w.now()
-		shut, open, at := w.plan.step(now)
-		w.shut(shut)
-		if open > 0 {
+		toClose, toOpen, next := w.plan.step(now)
+		w.cancelWatches(toClose)
+		if toOpen > 0 {
 			ctx, stop := context.WithCancel(ctx)
-			w.stops[open] = stop
-			go w.watch(ctx, open, w.seq)
+			w.cancels[toOpen] = stop
+			go w.watch(ctx, toOpen, w.seq)
 		}
-		again.Reset(max(0, at-now))
+		timer.Reset(max(0, next-now))
 	}
 }
 
-func (w *watcher) shut(ids []uint64) {
+// cancelWatches closes watches.
+func (w *watcher) cancelWatches(ids []uint64) {
 	for _, id := range ids {
-		w.stops[id]()
-		delete(w.stops, id)
+		w.cancels[id]()
+		delete(w.cancels, id)
 	}
 }
 
-func (w *watcher) take(e watchEvent) {
+// handleEvent handles what a watch reports.
+func (w *watcher) handleEvent(e watchEvent) {
 	if e.err != nil {
-		if w.stops[e.id] != nil { // else it was closed here
+		// A watch that was closed here needs no more handling.
+		if w.cancels[e.id] != nil {
 			w.log("watch ended: %v", e.err)
-			w.plan.ended(e.id)
-			w.shut([]uint64{e.id})
+			w.plan.remove(e.id)
+			w.cancelWatches([]uint64{e.id})
 		}
 		return
 	}
-	shut, ok := w.plan.spoke(e.id, w.now())
-	w.shut(shut)
+	superseded, ok := w.plan.recordActivity(e.id, w.now())
+	w.cancelWatches(superseded)
 	if !ok || e.list == nil {
 		return
 	}
-	// Changes that are known already change nothing: a watch may begin before those of the one that it follows ended.
+	// A new watch may start from a version before the last changes that the previous watch delivered. Such
+	// changes are known already and are skipped.
 	if l := e.list; l.Whole || l.Seq >= w.seq {
 		w.seq = l.Seq
-		w.told(*l)
+		w.onList(*l)
 	}
 }
 
-// watch follows one watch until it ends, or ctx does.
+// watch runs one watch until it ends or ctx does, and reports its end.
 func (w *watcher) watch(ctx context.Context, id uint64, from int64) {
-	tell := func(e watchEvent) {
+	send := func(e watchEvent) {
 		e.id = id
 		select {
 		case w.events <- e:
@@ -212,17 +237,19 @@
 		case <-w.agent.quit:
 		}
 	}
-	tell(watchEvent{err: w.follow(ctx, from, tell)})
+	send(watchEvent{err: w.follow(ctx, from, send)})
 }
 
-func (w *watcher) follow(ctx context.Context, from int64, tell func(watchEvent)) error {
+// follow opens a connection, requests the changes since version from, and passes on what it reads until the
+// watch ends.
+func (w *watcher) follow(ctx context.Context, from int64, send func(watchEvent)) error {
 	c, _, err := w.agent.connect(ctx)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = c.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	r := &listReader{told: func(l List) { tell(watchEvent{list: &l}) }, beat: func() { tell(watchEvent{}) }}
+	r := &listReader{onList: func(l EndpointList) { send(watchEvent{list: &l}) }, onHeartbeat: func() { send(watchEvent{}) }}
 	_, err = c.Write(h1.AppendHead(nil, fmt.Sprintf("GET /v1/endpoints?watch=1&from=%d HTTP/1.1", from), "Host", "discovery"))
 	buf := make([]byte, 16<<10)
 	for err == nil {
--- /dev/null
+++ b/internal/platform/ledgeradapter.go
@@ -0,0 +1,261 @@
+package platform
+
+import (
+	"errors"
+	"fmt"
+	"sync"
+
+	"whinrun/control"
+	"whinrun/internal/clock"
+	"whinrun/internal/engine"
+	"whinrun/internal/ledger"
+	"whinrun/internal/recordfile"
+	"whinrun/internal/safety"
+)
+
+// ledgerAdapter implements engine.Ledger and outbound.Permits on the ledger on disk. It translates the
+// engine's numbers into names and boot-clock times, which another process can interpret. Ends that the
+// platform must be told of are passed to the notice sender once they are recorded. A delivered message needs
+// no notice.
+type ledgerAdapter struct {
+	ledger    *ledger.Ledger
+	notices   *noticeSender
+	settings  *control.Settings
+	clock     *clock.Process
+	guard     *safety.Guard
+	directory *Directory
+	log       func(format string, a ...any)
+	// reportFault logs a violation of an invariant.
+	reportFault func(text string)
+
+	mu sync.Mutex
+	// unrecorded holds notices whose end could not be written to the ledger. It is guarded by mu.
+	unrecorded []unrecordedNotice
+}
+
+// unrecordedNotice is a notice whose end is not recorded yet.
+type unrecordedNotice struct {
+	notice ledger.Notice
+	// deadline is when the time of its message is over.
+	deadline control.Time
+}
+
+// Take implements engine.Ledger. It records an accepted message. If it is uncertain whether the record was
+// written, the error is engine.ErrUncertain, unless the message can be executed again without harm.
+func (la *ledgerAdapter) Take(m *engine.Message, due control.Time) error {
+	e := &ledger.Entry{Name: m.Name, Class: la.settings.Classes[m.Class].Name, Dest: m.Dest, Due: la.clock.Instant(due), TakenAt: la.clock.Instant(m.Taken), Key: m.Repeat,
+		Order: m.Key, Body: m.Body}
+	if m.Tenant < len(la.settings.Tenants) {
+		e.Tenant = la.settings.Tenants[m.Tenant].Name
+	}
+	err := la.ledger.Take(e)
+	if errors.Is(err, recordfile.ErrUncertain) && !la.safeToRepeat(m) {
+		return fmt.Errorf("%w: %w", engine.ErrUncertain, err)
+	}
+	return err
+}
+
+// safeToRepeat reports whether a message can be executed again without harm, whoever submits it and whenever.
+// That holds for classes that may be repeated at will, and for guarded classes whose repeats are dropped by
+// all endpoints of the destination and not only by those of one zone.
+func (la *ledgerAdapter) safeToRepeat(m *engine.Message) bool {
+	c := &la.settings.Classes[m.Class]
+	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
+}
+
+// Write implements outbound.Permits. It returns why an attempt must not be written now, or nil.
+func (la *ledgerAdapter) Write(now control.Time, a *engine.Attempt) error {
+	return la.guard.Write(now, a.Call())
+}
+
+// TakenBack implements outbound.Permits. It records that a permitted attempt was not written after all.
+func (la *ledgerAdapter) TakenBack(a *engine.Attempt) {
+	la.guard.TakenBack(a.Call())
+	la.logFailure(la.ledger.TakeBack(a.Msg.Name))
+}
+
+// Record implements outbound.Permits. It records the attempts of a call before they are written. If that
+// fails, only messages that may be repeated freely are allowed; they need no record before they are sent.
+func (la *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
+	at, zone := la.clock.Instant(call[0].Sent), call[0].Place.Zone
+	err := la.ledger.Out(messageNames(call), at, zone, false)
+	if err == nil {
+		for _, a := range call {
+			la.verifyHistory(a.Msg)
+		}
+		return call, nil
+	}
+	var allowed []*engine.Attempt
+	for _, a := range call {
+		if la.settings.Classes[a.Msg.Class].Effect == control.Free {
+			allowed = append(allowed, a)
+		}
+	}
+	if len(allowed) > 0 {
+		// The ledger keeps this record and writes it once writes succeed again.
+		_ = la.ledger.Out(messageNames(allowed), at, zone, true)
+	}
+	return allowed, err
+}
+
+// messageNames returns the ids of the messages of a call.
+func messageNames(call []*engine.Attempt) []string {
+	names := make([]string, len(call))
+	for i, a := range call {
+		names[i] = a.Msg.Name
+	}
+	return names
+}
+
+// Back implements engine.Ledger. It records the end of an attempt whose message has not ended.
+func (la *ledgerAdapter) Back(a *engine.Attempt, e safety.End) {
+	la.logFailure(la.ledger.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
+	la.verifyHistory(a.Msg)
+}
+
+// verifyHistory compares the recorded attempts of a message with what this process knows of them. It guards
+// against a record from which another process would conclude that a repeat is allowed.
+func (la *ledgerAdapter) verifyHistory(m *engine.Message) {
+	h, ok := la.ledger.History(m.Name)
+	if !ok {
+		return
+	}
+	if err := la.guard.Recorded(m.ID, h.Attempts, h.ExecutedAt > 0, la.clock.Time(h.ExecutedAt)); err != nil {
+		la.reportFault(err.Error())
+	}
+}
+
+// Over implements engine.Ledger. It records the end of a message. A delivered or withdrawn message (a is nil
+// for the latter) gets no notice, a refused one a deferred notice and a failed one an undeliverable notice.
+func (la *ledgerAdapter) Over(m *engine.Message, a *engine.Answer) {
+	if a == nil || a.Final == engine.Served {
+		la.logFailure(la.ledger.Over(m.Name))
+		return
+	}
+	n := ledger.Notice{Name: m.Name}
+	if a.Final == engine.Refused {
+		n.Deferred, n.Again = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
+	}
+	la.recordEnd(n, m.Taken+m.Life)
+}
+
+// recordEnd records the end of a message and then sends its notice. The notice must not precede the record: a
+// process that finds the message still owed would send it while its sender submits it again.
+func (la *ledgerAdapter) recordEnd(n ledger.Notice, deadline control.Time) {
+	if err := la.ledger.End(n); err != nil {
+		la.logFailure(err)
+		la.mu.Lock()
+		la.unrecorded = append(la.unrecorded, unrecordedNotice{n, deadline})
+		la.mu.Unlock()
+		return
+	}
+	la.notices.enqueue(n)
+}
+
+// sendRecorded sends the notices that waited for the ledger. It is called when the ledger is up to date
+// again.
+func (la *ledgerAdapter) sendRecorded() {
+	la.mu.Lock()
+	all := la.unrecorded
+	la.unrecorded = nil
+	la.mu.Unlock()
+	for _, u := range all {
+		la.notices.enqueue(u.notice)
+	}
+}
+
+// sendExpired sends the waiting notices of messages whose time is over. A process that finds such a message
+// still owed does not send it any more. The notice says undeliverable, never deferred, because a sender must
+// not submit a message again whose end is not recorded.
+func (la *ledgerAdapter) sendExpired() {
+	now := la.clock.Now()
+	la.mu.Lock()
+	var waiting, expired []unrecordedNotice
+	for _, u := range la.unrecorded {
+		if u.deadline > now {
+			waiting = append(waiting, u)
+		} else {
+			expired = append(expired, u)
+		}
+	}
+	la.unrecorded = waiting
+	la.mu.Unlock()
+	for _, u := range expired {
+		la.notices.enqueue(ledger.Notice{Name: u.notice.Name})
+	}
+}
+
+// Learn implements engine.Ledger. It records changed outages of listed endpoints, and outages that are over.
+func (la *ledgerAdapter) Learn(changed []control.Outage) {
+	all := make([]ledger.Outage, 0, len(changed))
+	for i := range changed {
+		if o := &changed[i]; la.directory.IsListed(o.Endpoint) || o.Over() {
+			all = append(all, la.toLedgerOutage(o))
+		}
+	}
+	la.logFailure(la.ledger.Learn(all))
+}
+
+// toLedgerOutage converts an outage to the form of the ledger.
+func (la *ledgerAdapter) toLedgerOutage(o *control.Outage) ledger.Outage {
+	instant := func(t control.Time) clock.Instant {
+		if t == 0 {
+			return 0
+		}
+		return la.clock.Instant(t)
+	}
+	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
+		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
+}
+
+// toControlOutage converts an outage of the ledger to the form of the decision library, for the endpoint of
+// entry e.
+func (la *ledgerAdapter) toControlOutage(o *ledger.Outage, e control.Entry) *control.Outage {
+	at := func(i clock.Instant) control.Time {
+		if i == 0 {
+			return 0
+		}
+		// Time 0 stands for none, so an instant that maps to 0 becomes -1.
+		if t := la.clock.Time(i); t != 0 {
+			return t
+		}
+		return -1
+	}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.FailedAt), DownAt: at(o.DownAt),
+		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
+}
+
+// acknowledge records that the platform has received notices.
+func (la *ledgerAdapter) acknowledge(names []string) { la.logFailure(la.ledger.Acked(names)) }
+
+// logFailure logs a ledger error. Errors that only say that the ledger is failing are dropped, because the
+// cause has been logged.
+func (la *ledgerAdapter) logFailure(err error) {
+	if err != nil && !errors.Is(err, ledger.ErrFailing) {
+		la.log("%v", err)
+	}
+}
+
+// restoredMessages converts ledger entries into messages for the engine, in order. Messages of a class or
+// tenant that the settings no longer have cannot be delivered; their ids are returned as undeliverable.
+func (la *ledgerAdapter) restoredMessages(entries []ledger.Entry) (messages []*engine.Message, undeliverable []string) {
+	classes, tenants := indexByName(la.settings)
+	now := la.clock.Now()
+	for i := range entries {
+		e := &entries[i]
+		class, ok := classes[e.Class]
+		tenant, known := tenants[e.Tenant]
+		if !ok || !known && len(tenants) > 0 {
+			undeliverable = append(undeliverable, e.Name)
+			continue
+		}
+		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, Key: e.Order, Name: e.Name, Repeat: e.Key, Body: e.Body,
+			Life: max(0, la.clock.Time(e.Due)-now), Came: now,
+			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
+		if at, zone, ok := e.PossiblyExecuted(); ok {
+			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, la.clock.Time(at), zone
+		}
+		messages = append(messages, m)
+	}
+	return messages, undeliverable
+}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -23,73 +23,101 @@
 	"whinrun/internal/safety"
 )
 
-// Figures that follow from no setting.
+// Limits and times that do not follow from the settings.
 const (
-	maxAnswer  = 64 << 10 // bytes of an answer's body; none needs more
-	idlePart   = 0.8      // of the time after which endpoints close idle connections, these are used
-	heldOver   = 2        // messages held, as a multiple of max-open: the module sheds down to that
-	stopCalls  = 3000 * control.Millisecond
-	stopWithin = 3200 * time.Millisecond // the platform kills no sooner than 3.7 s after SIGTERM
-	flushTime  = 300 * time.Millisecond  // for the last answers, behind that: a process may be held up for half of it
+	// maxResponseBody is the largest accepted body of a response, in bytes. No response of the platform needs
+	// more.
+	maxResponseBody = 64 << 10
+	// idleFraction is the fraction of the endpoints' idle timeout up to which an idle connection is reused.
+	idleFraction = 0.8
+	// maxHeldFactor bounds the messages held, as a multiple of the setting max-open. The decision library
+	// sheds load down to max-open.
+	maxHeldFactor = 2
+	// drainTimeout is how long a stop waits for calls in flight.
+	drainTimeout = 3000 * control.Millisecond
+	// stopTimeout bounds the wait of a stop for calls and notices, counted from its beginning. The platform
+	// kills the process no sooner than 3.7 s after SIGTERM.
+	stopTimeout = 3200 * time.Millisecond
+	// flushTimeout is how long a stop then waits for the last answers to be written. The process may be
+	// suspended for half of that time.
+	flushTimeout = 300 * time.Millisecond
 )
 
-// Node is a dispatcher in service on the platform.
+// Node is a dispatcher running on the platform.
 type Node struct {
-	cfg         *Config
-	log         *logs.Logger
-	system      eventloop.System
-	clock       *clock.Process
-	ledger      *ledger.Ledger
-	dir         *Directory
-	desk        *Desk
-	pool        *outbound.Pool
-	loop        *engine.Loop
-	front       *front.Front
-	agent       *agent
-	notes       *noticer
-	last        *lastList
-	listed      atomic.Bool
-	listSeq     atomic.Int64  // version of the list
-	first       chan struct{} // closed when discovery has told its first list
-	quit        chan struct{} // closed at the end
-	storageDone chan struct{} // closed when nothing tends the folder any more
-	heard1      sync.Once
+	cfg *Config
+	log *logs.Logger
+	// system makes the system calls of the event loops, nil for the kernel.
+	system eventloop.System
+	clock  *clock.Process
+	ledger *ledger.Ledger
+	// directory numbers the endpoints and holds their addresses.
+	directory *Directory
+	// clients holds what the client sessions share.
+	clients *ClientHandler
+	// pool holds the connections to endpoints.
+	pool  *outbound.Pool
+	loop  *engine.Loop
+	front *front.Front
+	// agent is the platform's agent for discovery and notices.
+	agent     *agent
+	notices   *noticeSender
+	listCache *listCache
+	// hasList tells that an endpoint list is known.
+	hasList atomic.Bool
+	// listSeq is the version of the list that discovery sent last.
+	listSeq atomic.Int64
+	// firstListReceived is closed when discovery has sent its first list.
+	firstListReceived chan struct{}
+	// quit is closed when the node ends.
+	quit chan struct{}
+	// storageDone is closed when maintainStorage has returned.
+	storageDone chan struct{}
+	// firstListOnce guards the closing of firstListReceived.
+	firstListOnce sync.Once
 }
 
-// plan shares the descriptors out: clients can never take those of endpoints, discovery, notices and ledger.
-type plan struct{ clients, endpoints, opening int }
-
-// reserved descriptors: standard streams, event loops and their wakers, listeners, ledger, discovery, notices, and some
-// for what the runtime opens.
-const reserved = 40
-
-// clientPart of what is left is for clients; they are said to hold a third of all at most, and bad ones come beside.
-const clientPart = 0.6
-
-func newPlan(sockets, slots int) plan {
-	opening := min(slots+4, sockets/16)
-	left := sockets - reserved - opening // a connection being opened takes two for a moment
-	p := plan{clients: int(clientPart * float64(left)), opening: opening}
-	p.endpoints = left - p.clients
-	return p
+// descriptorBudget divides the file descriptors, so that clients can never use up those of endpoints,
+// discovery, notices and ledger. connecting is the number of connection attempts to endpoints at the same
+// time.
+type descriptorBudget struct{ clients, endpoints, connecting int }
+
+// reservedDescriptors is the number of file descriptors kept for the standard streams, the event loops and
+// their wakers, listeners, ledger, discovery, notices, and for what the runtime opens.
+const reservedDescriptors = 40
+
+// clientFraction is the fraction of the remaining file descriptors that clients may use. According to the
+// platform, clients hold at most a third of all descriptors. Misbehaving clients come in addition.
+const clientFraction = 0.6
+
+// newDescriptorBudget divides the given number of sockets. slots is the number of calls that the dispatcher
+// may have in flight.
+func newDescriptorBudget(sockets, slots int) descriptorBudget {
+	connecting := min(slots+4, sockets/16)
+	// A connection that is being opened uses two descriptors for a moment.
+	available := sockets - reservedDescriptors - connecting
+	b := descriptorBudget{clients: int(clientFraction * float64(available)), connecting: connecting}
+	b.endpoints = available - b.clients
+	return b
 }
 
-// Start starts a dispatcher: what the ledger owes comes first.
+// Start starts a dispatcher. Messages and notices that the ledger still owes are taken up before clients are
+// served.
 func Start(cfg *Config, log *logs.Logger) (*Node, error) {
-	folder, err := openFolder(cfg.State)
+	folder, err := openStateDir(cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
-	return startOn(folder, nil, cfg, log)
+	return startWith(folder, nil, cfg, log)
 }
 
-// startOn starts a dispatcher on a folder; system may be nil for the kernel.
-func startOn(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
+// startWith starts a dispatcher on a state directory. system may be nil for the kernel.
+func startWith(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
-		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
-	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() List { return n.dir.Whole(n.listSeq.Load()) }, n.warn("discovery"))
-	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), directory: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+		firstListReceived: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
+	n.listCache = newListCache(folder, int(listDiskFraction*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.directory.Snapshot(n.listSeq.Load()) }, n.warnLogger("discovery"))
+	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warnLogger("ledger")); err != nil {
 		return nil, err
 	}
 	if err := n.start(); err != nil {
@@ -99,38 +127,38 @@
 	return n, nil
 }
 
-// start starts the parts, each on those before it.
+// start starts the components in the order of their dependencies.
 func (n *Node) start() error {
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
-	shares := newPlan(n.cfg.Limits.Sockets, set.Slots)
-	keep := &keeper{l: n.ledger, settings: set, clock: n.clock, guard: guard, dir: n.dir, log: n.warn("ledger"), fault: n.Fault}
-	if err := n.openPool(shares, keep); err != nil {
+	budget := newDescriptorBudget(n.cfg.Limits.Sockets, set.Slots)
+	adapter := &ledgerAdapter{ledger: n.ledger, settings: set, clock: n.clock, guard: guard, directory: n.directory, log: n.warnLogger("ledger"), reportFault: n.Fault}
+	if err := n.openPool(budget, adapter); err != nil {
 		return err
 	}
-	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
-	keep.notes = n.notes
+	n.notices = newNoticeSender(n.agent, adapter.acknowledge, n.warnLogger("notices"))
+	adapter.notices = n.notices
 	settings := *set
 	settings.Follows = n.ledger.Follows()
-	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
+	policy := engine.Policy{Settings: settings, Ledger: adapter, Guard: guard, Judge: Classify, CallSize: maxBody}
 	if n.cfg.Trace {
-		policy.Trail = trace{n.log, n.dir}
+		policy.Trail = messageTrace{n.log, n.directory}
 	}
-	core, err := engine.NewCore(policy, n.cfg.Seed, n.pool, lists{n}, n)
+	core, err := engine.NewCore(policy, n.cfg.Seed, n.pool, listSource{n}, n)
 	if err != nil {
 		n.pool.Close()
 		return err
 	}
-	hold := heldOver * set.MaxOpen
-	entries, owed := n.ledger.Owed()
-	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: hold + len(entries), Hold: hold + len(entries)})
-	n.notes.put(owed...)
-	n.discover()
-	n.restoreOutages(keep)
-	n.restore(keep, entries)
+	maxHeld := maxHeldFactor * set.MaxOpen
+	entries, notices := n.ledger.Owed()
+	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: maxHeld + len(entries), Hold: maxHeld + len(entries)})
+	n.notices.enqueue(notices...)
+	n.startDiscovery()
+	n.restoreOutages(adapter)
+	n.restoreMessages(adapter, entries)
 	go n.loop.Run()
-	go n.keepStorage(keep)
-	if err := n.openFront(shares, hold); err != nil {
+	go n.maintainStorage(adapter)
+	if err := n.openFront(budget, maxHeld); err != nil {
 		n.agent.stop()
 		n.loop.Close()
 		n.pool.Close()
@@ -138,227 +166,241 @@
 		<-n.storageDone
 		return err
 	}
-	go n.notes.run()
+	go n.notices.run()
 	n.log.Info("node", "%s listens on %v: %d messages and %d notices owed, %d connections for clients, %d for endpoints", n.cfg.Name, n.front.Addr(),
-		len(entries), len(owed), shares.clients, shares.endpoints)
+		len(entries), len(notices), budget.clients, budget.endpoints)
 	return nil
 }
 
-// debug is where what happens to connections is told, nil for nowhere.
-func (n *Node) debug() func(string, ...any) {
+// debugLogger returns the function that logs what happens to connections, or nil if tracing is off.
+func (n *Node) debugLogger() func(string, ...any) {
 	if !n.cfg.Trace {
 		return nil
 	}
 	return func(f string, a ...any) { n.log.Debug("trace", f, a...) }
 }
 
-// openPool opens the connections' side towards endpoints.
-func (n *Node) openPool(shares plan, permits outbound.Permits) error {
+// openPool opens the pool of connections to endpoints.
+func (n *Node) openPool(budget descriptorBudget, permits outbound.Permits) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
-		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
-		Trace:          n.debug(), Permits: permits, System: n.system,
+		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxResponseBody,
+		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
+		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdle, 5*time.Second))),
+		Opening:        opener.Budget{PerSecond: float64(10 * budget.endpoints), Opening: budget.connecting, Total: budget.endpoints},
+		Trace:          n.debugLogger(), Permits: permits, System: n.system,
 	}
-	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
+	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
 	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
-	return untilItWorks(n.warn("node"), func() (err error) {
+	return retryTransient(n.warnLogger("node"), func() (err error) {
 		n.pool, err = outbound.New(cfg, calls, n.clock, report)
 		return err
 	})
 }
 
 // openFront listens for clients.
-func (n *Node) openFront(shares plan, hold int) error {
+func (n *Node) openFront(budget descriptorBudget, maxHeld int) error {
 	set := &n.cfg.Settings
-	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
-	n.desk = NewDesk(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
-	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Has, n.listed.Load
+	maxBytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
+	limits := door.Limits{Conns: budget.clients, Bytes: maxBytes, Hold: maxHeld, BlockAt: 1, UnblockAt: 1}
+	n.clients = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Has, n.hasList.Load
 	if n.cfg.Trace {
-		n.desk.trace = n.debug()
+		n.clients.trace = n.debugLogger()
 	}
-	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debug(), System: n.system}
+	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debugLogger(), System: n.system}
 	log := func(t string) { n.log.Warn("clients", "%s", t) }
-	return untilItWorks(n.warn("node"), func() (err error) {
-		n.front, err = front.New(cfg, n.desk.side, n.clock, log, n.desk.Open)
+	return retryTransient(n.warnLogger("node"), func() (err error) {
+		n.front, err = front.New(cfg, n.clients.admission, n.clock, log, n.clients.Open)
 		return err
 	})
 }
 
-func span(t control.Time, or time.Duration) time.Duration {
+// durationOr converts t to a time.Duration. It returns fallback if t is not positive.
+func durationOr(t control.Time, fallback time.Duration) time.Duration {
 	if t <= 0 {
-		return or
+		return fallback
 	}
 	return time.Duration(t) * time.Microsecond
 }
 
+// elapsed returns the time of the process's monotonic clock.
 func (n *Node) elapsed() time.Duration { return clock.Elapsed(n.clock) }
 
-func (n *Node) warn(part string) func(string, ...any) {
+// warnLogger returns a function that logs warnings of a component.
+func (n *Node) warnLogger(part string) func(string, ...any) {
 	return func(f string, a ...any) { n.log.Warn(part, f, a...) }
 }
 
-// firstList is how long discovery's first answer is awaited at a start. It comes at once or discovery is down; until then
-// the list may name addresses that are another's by now.
-const firstList = 500 * time.Millisecond
+// firstListTimeout is how long a start waits for discovery's first list. Discovery answers at once or is
+// down. Until it answers, the list at hand may name addresses that now belong to other endpoints.
+const firstListTimeout = 500 * time.Millisecond
 
-// discover begins with the newer of the two lists that are at hand, and has discovery's own before anything is sent, if it
-// answers.
-func (n *Node) discover() {
+// startDiscovery applies the newer of the saved list and the configured one and starts watching discovery. It
+// waits for discovery's own list, so that nothing is sent before it unless discovery does not answer in time.
+func (n *Node) startDiscovery() {
 	known := n.cfg.Known
-	if last, ok := n.last.load(); ok && last.Seq >= known.Seq {
+	if last, ok := n.listCache.load(); ok && last.Seq >= known.Seq {
 		known = last
 	}
-	n.told(known, control.ListCached)
-	go newWatcher(n.agent, n.elapsed, known.Seq, n.heard, n.warn("discovery")).run()
-	wait := time.NewTimer(firstList)
+	n.applyList(known, control.ListCached)
+	go newWatcher(n.agent, n.elapsed, known.Seq, n.receiveList, n.warnLogger("discovery")).run()
+	wait := time.NewTimer(firstListTimeout)
 	defer wait.Stop()
 	select {
-	case <-n.first:
+	case <-n.firstListReceived:
 	case <-wait.C:
 		n.log.Warn("discovery", "no answer yet: the list of version %d is in force", known.Seq)
 	}
 }
 
-// restore hands in what the process before this one owed.
-func (n *Node) restore(k *keeper, entries []ledger.Entry) {
-	all, void := k.owed(entries)
-	for _, m := range all {
-		m.Origin = nobody{}
+// restoreMessages submits the messages that the previous process still owed. Those that cannot be submitted
+// end as undeliverable.
+func (n *Node) restoreMessages(adapter *ledgerAdapter, entries []ledger.Entry) {
+	messages, undeliverable := adapter.restoredMessages(entries)
+	for _, m := range messages {
+		m.Origin = discardOrigin{}
 		if err := n.loop.Submit(m); err != nil {
-			void = append(void, m.Name)
+			undeliverable = append(undeliverable, m.Name)
 		}
 	}
-	for _, name := range void {
-		k.end(ledger.Notice{Name: name}, n.clock.Now())
+	for _, name := range undeliverable {
+		adapter.recordEnd(ledger.Notice{Name: name}, n.clock.Now())
 	}
 }
 
-// restoreOutages hands in what the process before this one knew of outages. Those of endpoints that are not listed any more go
-// off the record.
-func (n *Node) restoreOutages(k *keeper) {
-	var gone []ledger.Outage
+// restoreOutages passes on the outages that the previous process had recorded. Records of endpoints that are
+// no longer listed are removed.
+func (n *Node) restoreOutages(adapter *ledgerAdapter) {
+	var unlisted []ledger.Outage
 	for _, o := range n.ledger.Outages() {
-		if e, ok := n.dir.Find(o.Host); ok {
-			n.loop.Put(engine.Input{Outage: k.known(&o, e)})
+		if e, ok := n.directory.Lookup(o.Host); ok {
+			n.loop.Put(engine.Input{Outage: adapter.toControlOutage(&o, e)})
 		} else {
-			gone = append(gone, ledger.Outage{Host: o.Host})
+			unlisted = append(unlisted, ledger.Outage{Host: o.Host})
 		}
 	}
-	if len(gone) > 0 {
-		k.told(k.l.Learn(gone))
+	if len(unlisted) > 0 {
+		adapter.logFailure(adapter.ledger.Learn(unlisted))
 	}
 }
 
-// nobody is where restored messages came from: their senders have heard that they are taken on, and wait no more.
-type nobody struct{}
+// discardOrigin is the Origin of restored messages. Their senders were told that the messages are accepted
+// and do not wait any more.
+type discardOrigin struct{}
 
-// Final is engine.Origin.
-func (nobody) Final(*engine.Message, engine.Answer) {}
+// Final implements engine.Origin.
+func (discardOrigin) Final(*engine.Message, engine.Answer) {}
 
-// heard takes a list from discovery.
-func (n *Node) heard(l List) {
+// receiveList handles a list or changes from discovery.
+func (n *Node) receiveList(l EndpointList) {
 	kind := control.ListDelta
 	if l.Whole {
 		kind = control.ListFull
 	}
-	n.told(l, kind)
+	n.applyList(l, kind)
 	if known := n.listSeq.Swap(l.Seq); l.Whole || len(l.Hosts) > 0 || known != l.Seq {
-		n.last.changed(l)
+		n.listCache.update(l)
 	}
-	n.heard1.Do(func() { close(n.first) })
+	n.firstListOnce.Do(func() { close(n.firstListReceived) })
 }
 
-func (n *Node) told(l List, kind control.ListKind) {
-	entries, faults := n.dir.Apply(l, n.elapsed())
+// applyList applies a list and passes its entries to the engine.
+func (n *Node) applyList(l EndpointList, kind control.ListKind) {
+	entries, faults := n.directory.Apply(l, n.elapsed())
 	for _, err := range faults {
 		n.log.Warn("discovery", "%v", err)
 	}
 	n.loop.Put(engine.Input{List: &engine.List{Kind: kind, Entries: entries}})
 	if len(l.Hosts) > 0 || kind == control.ListFull {
-		n.listed.Store(true)
+		n.hasList.Store(true)
 	}
 }
 
-// lists answers what settings with AskList ask for: the watch runs all the time.
-type lists struct{ n *Node }
+// listSource implements engine.Lists, which the engine uses with the setting AskList. It answers each request
+// with an empty change, because the watch runs all the time.
+type listSource struct{ node *Node }
+
+// Watch implements engine.Lists.
+func (l listSource) Watch() { l.sendCurrent() }
 
-func (l lists) Watch() { l.answer() }
-func (l lists) Fetch() { l.answer() }
+// Fetch implements engine.Lists.
+func (l listSource) Fetch() { l.sendCurrent() }
 
-func (l lists) answer() {
-	l.n.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
+// sendCurrent passes an empty change to the engine.
+func (l listSource) sendCurrent() {
+	l.node.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
 }
 
-// Note is engine.Log.
+// Note implements engine.Log.
 func (n *Node) Note(text string) { n.log.Info("module", "%s", text) }
 
-// Fault is engine.Log.
+// Fault implements engine.Log.
 func (n *Node) Fault(text string) { n.log.Error("engine", "%s", text) }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (n *Node) Addr() net.Addr { return n.front.Addr() }
 
-// Stats returns the engine's counts.
+// Stats returns the engine's counters.
 func (n *Node) Stats() engine.Stats { return n.loop.Stats() }
 
-// Reload takes a new configuration: discovery and notices move. All else stays as at the start.
+// Reload applies a new configuration. Only the address of discovery and notices changes; all other settings
+// stay as they were at the start.
 func (n *Node) Reload(cfg *Config) {
-	n.agent.move(cfg.Discovery)
+	n.agent.setAddress(cfg.Discovery)
 	n.log.Info("node", "configuration read again: discovery at %v", cfg.Discovery)
 }
 
-// Stop ends a dispatcher in order: nothing new is taken, what is out is awaited within the time there is, the rest stays
-// in the ledger.
+// Stop ends the dispatcher in order. It refuses new messages, waits for calls in flight within the time there
+// is, and leaves the remaining messages in the ledger.
 func (n *Node) Stop() {
 	n.log.Info("node", "stopping")
-	n.desk.closing.Store(true)
+	n.clients.stopping.Store(true)
 	n.front.GoAway()
-	n.loop.Put(engine.Input{Stop: stopCalls, Kept: true})
-	begun := n.elapsed()
+	n.loop.Put(engine.Input{Stop: drainTimeout, Kept: true})
+	start := n.elapsed()
 	for {
 		st := n.loop.Stats()
-		gone := n.elapsed() - begun
-		quiet := st.Out == 0 && n.notes.waiting() == 0
-		// Also with nothing left to do it stays: a client that is told when to come back fares better than one that
-		// finds nobody.
-		if gone > stopWithin || quiet && gone > time.Duration(stopCalls)*time.Microsecond {
+		elapsed := n.elapsed() - start
+		idle := st.Out == 0 && n.notices.waiting() == 0
+		// The dispatcher stays for drainTimeout even if nothing is left to do. A client that is told when to
+		// retry fares better than one that cannot connect.
+		if elapsed > stopTimeout || idle && elapsed > time.Duration(drainTimeout)*time.Microsecond {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	// A request that has been read is answered before its connection ends: its sender could not tell what became of it.
+	// A request that has been read is answered before its connection ends. Otherwise its sender could not
+	// tell what became of it.
 	n.front.StopAccepting()
-	ctx, done := context.WithTimeout(context.Background(), flushTime)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	if left := n.front.Flush(ctx); left > 0 {
-		n.log.Warn("clients", "%d connections end with something unread or unheard", left)
+		n.log.Warn("clients", "%d connections closed with unwritten or undelivered answers", left)
 	}
-	done()
+	cancel()
 	n.end()
 	st := n.loop.Stats()
 	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Taken,
 		st.Served, st.Refused, st.Failed, st.Open, st.Violations)
 }
 
-// Kill ends a dispatcher at once, as a crash would, but for the sockets that it closes.
+// Kill ends the dispatcher at once, as a crash would, except that it closes the sockets.
 func (n *Node) Kill() { n.end() }
 
+// end closes all components.
 func (n *Node) end() {
 	n.loop.Close()
 	n.front.Close()
 	n.pool.Close()
 	n.agent.stop()
-	<-n.notes.done
+	<-n.notices.done
 	close(n.quit)
 	<-n.storageDone
-	if err := errors.Join(n.ledger.Close(), n.last.close()); err != nil {
+	if err := errors.Join(n.ledger.Close(), n.listCache.close()); err != nil {
 		n.log.Warn("ledger", "%v", err)
 	}
 }
 
-// HeapLimit is the soft limit of the heap for the memory that a dispatcher has, in bytes: the rest is for stacks, code,
-// buffers of the kernel and the garbage of a moment.
+// HeapLimit returns the soft limit of the Go heap in bytes, for a dispatcher with these limits. The rest of
+// the memory is for stacks, code, kernel buffers and short-lived garbage.
 func (l Limits) HeapLimit() int64 { return int64(math.Max(8, 0.55*l.MemoryMB)) << 20 }
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -12,101 +12,111 @@
 	"whinrun/internal/ledger"
 )
 
-// group bounds the notices of one request: far below 64 KiB of lines.
-const group = 128
+// maxNoticesPerRequest is the largest number of notices in one request. It keeps the body far below 64 KiB.
+const maxNoticesPerRequest = 128
 
-// noticer brings notices to the platform, in order, each until it is acknowledged.
-type noticer struct {
+// noticeSender sends notices to the platform in order and repeats each until it is acknowledged.
+type noticeSender struct {
 	agent *agent
-	acked func(names []string)
-	log   func(format string, a ...any)
+	// onAcknowledged is called with the message ids of acknowledged notices.
+	onAcknowledged func(names []string)
+	log            func(format string, a ...any)
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// queue holds the notices that are not acknowledged, oldest first.
 	queue []ledger.Notice
-	kick  chan struct{}
-	done  chan struct{}
+	// wake receives a value when a notice is added.
+	wake chan struct{}
+	// done is closed when run has returned.
+	done chan struct{}
 }
 
-func newNoticer(a *agent, acked func([]string), log func(string, ...any)) *noticer {
-	return &noticer{agent: a, acked: acked, log: log, kick: make(chan struct{}, 1), done: make(chan struct{})}
+// newNoticeSender returns a sender that posts notices to agent a once run is called.
+func newNoticeSender(a *agent, onAcknowledged func([]string), log func(string, ...any)) *noticeSender {
+	return &noticeSender{agent: a, onAcknowledged: onAcknowledged, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// put adds a notice. The ledger bounds how many there can be: what waits here is in it.
-func (n *noticer) put(all ...ledger.Notice) {
+// enqueue adds notices. The queue needs no bound of its own: every notice is also in the ledger, which is
+// bounded.
+func (n *noticeSender) enqueue(all ...ledger.Notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, all...)
 	n.mu.Unlock()
 	select {
-	case n.kick <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// waiting counts the notices not acknowledged.
-func (n *noticer) waiting() int {
+// waiting returns the number of notices that are not acknowledged.
+func (n *noticeSender) waiting() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.queue)
 }
 
-// run sends until the agent is stopped.
-func (n *noticer) run() {
+// run sends notices until the agent is stopped. A batch that the platform answers with status 400 is logged
+// and then counts as acknowledged.
+func (n *noticeSender) run() {
 	defer close(n.done)
 	var c net.Conn
-	gap := againLeast
+	backoff := noticeBackoffMin
 	for {
 		n.mu.Lock()
-		batch := n.queue[:min(group, len(n.queue)):min(group, len(n.queue))]
+		batch := n.queue[:min(maxNoticesPerRequest, len(n.queue)):min(maxNoticesPerRequest, len(n.queue))]
 		n.mu.Unlock()
 		if len(batch) == 0 {
 			select {
-			case <-n.kick:
+			case <-n.wake:
 				continue
 			case <-n.agent.quit:
 				return
 			}
 		}
-		kept := c != nil
+		reused := c != nil
 		var status int
 		var err error
 		if c == nil {
 			c, err = n.agent.dial()
 		}
 		if err == nil {
-			status, err = post(c, batch)
+			status, err = postNotices(c, batch)
 		}
 		if err == nil && (status == 204 || status == 200 || status == 400) {
 			if status == 400 {
 				n.log("%d notices were not understood", len(batch))
 			}
-			n.taken(batch)
-			gap = againLeast
+			n.dequeue(batch)
+			backoff = noticeBackoffMin
 			continue
 		}
 		if c != nil {
-			n.agent.hangUp(c)
+			n.agent.closeConn(c)
 			c = nil
 		}
-		if kept && err != nil && !n.agent.stopped() { // the connection may have been closed while idle
+		// A reused connection may have been closed while it was idle, so the batch is sent again at once on a
+		// new one.
+		if reused && err != nil && !n.agent.stopped() {
 			continue
 		}
 		if n.agent.stopped() {
 			return
 		}
 		n.log("%d notices wait: status %d, %v", n.waiting(), status, err)
-		if !n.agent.pause(gap) {
+		if !n.agent.wait(backoff) {
 			return
 		}
-		gap = min(2*gap, againMost)
+		backoff = min(2*backoff, noticeBackoffMax)
 	}
 }
 
-func (n *noticer) taken(batch []ledger.Notice) {
+// dequeue reports a batch as acknowledged and removes it from the queue.
+func (n *noticeSender) dequeue(batch []ledger.Notice) {
 	names := make([]string, len(batch))
 	for i := range batch {
 		names[i] = batch[i].Name
 	}
-	n.acked(names)
+	n.onAcknowledged(names)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.queue = n.queue[len(batch):]; len(n.queue) == 0 {
@@ -116,48 +126,55 @@
 
 // outcome is one line of a request.
 type outcome struct {
-	ID     string `json:"id"`
+	// ID is the id of the message.
+	ID string `json:"id"`
+	// Status is "undeliverable" or "deferred".
 	Status string `json:"status"`
-	Again  int64  `json:"again_ms,omitempty"`
+	// RetryAfterMs is when a deferred message may be submitted again, in milliseconds from now, 0 if that is
+	// not known.
+	RetryAfterMs int64 `json:"again_ms,omitempty"`
 }
 
-func lines(batch []ledger.Notice) (b []byte) {
-	for _, x := range batch {
-		o := outcome{ID: x.Name, Status: "undeliverable"}
-		if x.Deferred {
-			o.Status, o.Again = "deferred", x.Again
+// encodeNotices returns the body of a request, with one JSON object a line.
+func encodeNotices(batch []ledger.Notice) (b []byte) {
+	for _, notice := range batch {
+		o := outcome{ID: notice.Name, Status: "undeliverable"}
+		if notice.Deferred {
+			o.Status, o.RetryAfterMs = "deferred", notice.Again
 		}
-		text, _ := json.Marshal(o) // plain strings and numbers: it can't fail
+		// Marshalling plain strings and numbers cannot fail.
+		text, _ := json.Marshal(o)
 		b = append(append(b, text...), '\n')
 	}
 	return b
 }
 
-// post makes one request and reads its answer's status.
-func post(c net.Conn, batch []ledger.Notice) (int, error) {
-	body := lines(batch)
-	_ = c.SetDeadline(clock.After(agentConnect))
+// postNotices sends one request and returns the status of its response.
+func postNotices(c net.Conn, batch []ledger.Notice) (int, error) {
+	body := encodeNotices(batch)
+	_ = c.SetDeadline(clock.After(agentTimeout))
 	req := h1.AppendHead(nil, "POST /v1/outcomes HTTP/1.1", "Host", "discovery", "Content-Type", "application/x-ndjson",
 		"Content-Length", strconv.Itoa(len(body)))
 	if _, err := c.Write(append(req, body...)); err != nil {
 		return 0, err
 	}
-	var in []byte
+	var received []byte
 	buf := make([]byte, 4<<10)
 	for {
 		n, err := c.Read(buf)
-		in = append(in, buf[:n]...)
-		head, size, perr := h1.ParseResponse(in)
+		received = append(received, buf[:n]...)
+		head, size, parseErr := h1.ParseResponse(received)
 		switch {
-		case perr != nil:
-			return 0, perr
-		case size > 0 && head.Length >= 0 && int64(len(in)-size) >= head.Length:
+		case parseErr != nil:
+			return 0, parseErr
+		case size > 0 && head.Length >= 0 && int64(len(received)-size) >= head.Length:
 			if head.Close {
-				_ = c.Close() // the next request finds it so, and takes another
+				// The next request fails on the closed connection and opens a new one.
+				_ = c.Close()
 			}
 			return head.Status, nil
-		case size > 0 && (head.Length < 0 || head.Length > int64(maxAnswer)):
-			return head.Status, fmt.Errorf("status %d with a body that is not read", head.Status)
+		case size > 0 && (head.Length < 0 || head.Length > int64(maxResponseBody)):
+			return head.Status, fmt.Errorf("status %d: response body has no length or is too large", head.Status)
 		case err != nil:
 			return 0, err
 		}
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -13,43 +13,47 @@
 	"whinrun/internal/ledger"
 )
 
-// Pauses between tries on a folder that fails. The longest keeps a notice whose record fails within what may pass after the end
-// of its message's time.
+// Times of retries after storage and start failures.
 const (
-	repairLeast = 20 * time.Millisecond
-	repairMost  = 100 * time.Millisecond
-	startWithin = 8 * time.Second // a start gives up then; the platform awaits ten
+	// retryBackoffMin is the first delay between two tries.
+	retryBackoffMin = 20 * time.Millisecond
+	// retryBackoffMax is the longest delay between two tries. It keeps a notice whose record fails within the
+	// time that may pass after the deadline of its message.
+	retryBackoffMax = 100 * time.Millisecond
+	// startRetryLimit is how long a start is retried. The platform waits 10 s for a start.
+	startRetryLimit = 8 * time.Second
 )
 
-// openLedger opens the ledger.
+// openLedger opens the ledger in a directory that may hold limit bytes. It retries transient errors.
 func openLedger(folder disk.FS, limit int64, c *clock.Process, log func(string, ...any)) (l *ledger.Ledger, err error) {
-	err = untilItWorks(log, func() error {
-		l, err = ledger.Open(folder, limit, moment(c))
+	err = retryTransient(log, func() error {
+		l, err = ledger.Open(folder, limit, ledgerNow(c))
 		return err
 	})
 	return l, err
 }
 
-// untilItWorks does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
-// most: a process that ends for one would be started again, to find the same.
-func untilItWorks(log func(string, ...any), do func() error) error {
-	begun := clock.Start()
-	gap := repairLeast
+// retryTransient calls op until it succeeds, fails with an error that is not transient, or startRetryLimit
+// has passed. If the process ended on a transient error instead, it would be restarted and meet the same
+// error.
+func retryTransient(log func(string, ...any), op func() error) error {
+	stopwatch := clock.Start()
+	backoff := retryBackoffMin
 	for {
-		err := do()
-		if err == nil || !passing(err) || begun.Elapsed() > startWithin {
+		err := op()
+		if err == nil || !isTransient(err) || stopwatch.Elapsed() > startRetryLimit {
 			return err
 		}
-		if gap == repairLeast {
-			log("tried again until it works, for %v at most: %v", startWithin, err)
+		if backoff == retryBackoffMin {
+			log("tried again until it works, for %v at most: %v", startRetryLimit, err)
 		}
-		time.Sleep(gap)
-		gap = min(2*gap, repairMost)
+		time.Sleep(backoff)
+		backoff = min(2*backoff, retryBackoffMax)
 	}
 }
 
-// passing tells whether a fault that keeps a process from starting may pass by itself.
-func passing(err error) bool {
+// isTransient reports whether an error that prevents a start may pass by itself.
+func isTransient(err error) bool {
 	for _, e := range []error{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.ENOBUFS} {
 		if errors.Is(err, e) {
 			return true
@@ -58,44 +62,44 @@
 	return disk.ForNow(err)
 }
 
-// openFolder makes and opens the folder that lasts.
-func openFolder(path string) (disk.FS, error) {
+// openStateDir opens the state directory and creates it if it does not exist.
+func openStateDir(path string) (disk.FS, error) {
 	folder, err := disk.OpenFolder(path)
 	if err != nil {
-		return nil, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("state directory: %w", err)
 	}
 	return folder, nil
 }
 
-// moment is now, for the ledger.
-func moment(c *clock.Process) ledger.Moment {
+// ledgerNow returns the present time in the form of the ledger.
+func ledgerNow(c *clock.Process) ledger.Moment {
 	return ledger.Moment{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
-// keepStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
-// goes on then: attempts that need a record, and notices.
-func (n *Node) keepStorage(k *keeper) {
+// maintainStorage repairs the ledger and the list cache whenever they fail, until the node ends. Attempts
+// that need a record and notices wait for the ledger until then.
+func (n *Node) maintainStorage(adapter *ledgerAdapter) {
 	defer close(n.storageDone)
 	for {
 		select {
 		case <-n.quit:
 			return
 		case <-n.ledger.Broken():
-		case <-n.last.broken:
+		case <-n.listCache.failed:
 		}
-		n.repair(k)
+		n.repairStorage(adapter)
 	}
 }
 
-// repair tries until the folder works, or the node ends.
-func (n *Node) repair(k *keeper) {
+// repairStorage retries until the state directory can be written again, or the node ends.
+func (n *Node) repairStorage(adapter *ledgerAdapter) {
 	failed := n.ledger.Failing()
-	gap := repairLeast
+	backoff := retryBackoffMin
 	for {
 		failed = failed || n.ledger.Failing()
-		err := errors.Join(n.ledger.Repair(), n.last.repair())
+		err := errors.Join(n.ledger.Repair(), n.listCache.repair())
 		if failed && !n.ledger.Failing() {
-			k.recorded()
+			adapter.sendRecorded()
 			n.loop.Put(engine.Input{Recorded: true})
 			n.log.Info("ledger", "it is written again")
 			failed = false
@@ -103,12 +107,12 @@
 		if err == nil {
 			return
 		}
-		k.overdue()
+		adapter.sendExpired()
 		select {
 		case <-n.quit:
 			return
-		case <-time.After(gap):
+		case <-time.After(backoff):
 		}
-		gap = min(2*gap, repairMost)
+		backoff = min(2*backoff, retryBackoffMax)
 	}
 }
