--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -112,7 +112,7 @@
 	keep.notes = n.notes
 	settings := *set
 	settings.Follows = n.ledger.Follows()
-	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
+	policy := engine.Options{Settings: settings, Ledger: keep, Guard: guard, Classify: Judge, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
 	}
@@ -123,7 +123,7 @@
 	}
 	hold := heldOver * set.MaxOpen
 	entries, owed := n.ledger.Owed()
-	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: hold + len(entries), Hold: hold + len(entries)})
+	n.loop = engine.NewLoop(core, n.clock, engine.Limits{MaxQueued: hold + len(entries), MaxHeld: hold + len(entries)})
 	n.notes.put(owed...)
 	n.discover()
 	n.restoreOutages(keep)
@@ -163,7 +163,7 @@
 		Trace:          n.debug(), Permits: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
-	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
+	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
 	return untilItWorks(n.warn("node"), func() (err error) {
 		n.pool, err = outbound.New(cfg, calls, n.clock, report)
 		return err
@@ -229,7 +229,7 @@
 	for _, m := range all {
 		m.Origin = nobody{}
 		if err := n.loop.Submit(m); err != nil {
-			void = append(void, m.Name)
+			void = append(void, m.ExternalID)
 		}
 	}
 	for _, name := range void {
@@ -243,7 +243,7 @@
 	var gone []ledger.Outage
 	for _, o := range n.ledger.Outages() {
 		if e, ok := n.dir.Find(o.Host); ok {
-			n.loop.Put(engine.Input{Outage: k.known(&o, e)})
+			n.loop.Enqueue(engine.Input{Outage: k.known(&o, e)})
 		} else {
 			gone = append(gone, ledger.Outage{Host: o.Host})
 		}
@@ -277,7 +277,7 @@
 	for _, err := range faults {
 		n.log.Warn("discovery", "%v", err)
 	}
-	n.loop.Put(engine.Input{List: &engine.List{Kind: kind, Entries: entries}})
+	n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: kind, Entries: entries}})
 	if len(l.Hosts) > 0 || kind == control.ListFull {
 		n.listed.Store(true)
 	}
@@ -290,7 +290,7 @@
 func (l lists) Fetch() { l.answer() }
 
 func (l lists) answer() {
-	l.n.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
+	l.n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: control.ListDelta}})
 }
 
 // Note is engine.Log.
@@ -317,12 +317,12 @@
 	n.log.Info("node", "stopping")
 	n.desk.closing.Store(true)
 	n.front.GoAway()
-	n.loop.Put(engine.Input{Stop: stopCalls, Kept: true})
+	n.loop.Enqueue(engine.Input{StopWithin: stopCalls, KeepMessages: true})
 	begun := n.elapsed()
 	for {
 		st := n.loop.Stats()
 		gone := n.elapsed() - begun
-		quiet := st.Out == 0 && n.notes.waiting() == 0
+		quiet := st.InFlight == 0 && n.notes.waiting() == 0
 		// Also with nothing left to do it stays: a client that is told when to come back fares better than one that
 		// finds nobody.
 		if gone > stopWithin || quiet && gone > time.Duration(stopCalls)*time.Microsecond {
@@ -339,7 +339,7 @@
 	done()
 	n.end()
 	st := n.loop.Stats()
-	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Taken,
+	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Accepted,
 		st.Served, st.Refused, st.Failed, st.Open, st.Violations)
 }
 
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -98,7 +98,7 @@
 // verdict is what a sender is to hear; it is a front.Parcel.
 type verdict struct {
 	ask   *ask
-	final engine.Final // Served stands for taken on
+	final engine.AnswerKind // Served stands for taken on
 	wait  control.Time
 }
 
@@ -111,7 +111,7 @@
 // Final is engine.Origin. The end of a message that was taken on is the keeper's to tell.
 func (a *ask) Final(_ *engine.Message, x engine.Answer) {
 	if !a.taken {
-		a.s.post(verdict{a, x.Final, x.Wait})
+		a.s.post(verdict{a, x.Kind, x.RetryAfter})
 	}
 }
 
@@ -251,7 +251,7 @@
 			s.fault(now, status)
 			return
 		}
-		s.name = m.Name
+		s.name = m.ExternalID
 		s.submit(now, m, head.Close)
 		return
 	}
@@ -320,8 +320,8 @@
 	if !ok {
 		return nil, bad
 	}
-	return &engine.Message{Class: class, Tenant: tenant, Dest: to, Key: order, Name: v[0], Repeat: v[5],
-		Life: control.Time(min(left, maxWait) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
+	return &engine.Message{Class: class, Tenant: tenant, Dest: to, OrderKey: order, ExternalID: v[0], IdempotencyKey: v[5],
+		Lifetime: control.Time(min(left, maxWait) * float64(control.Second)), ReceivedAt: control.Time(now / time.Microsecond), Body: body}, ""
 }
 
 // beginsWith tells whether the class is the first part of a path.
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -33,7 +33,7 @@
 // untilItWorks does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
 // most: a process that ends for one would be started again, to find the same.
 func untilItWorks(log func(string, ...any), do func() error) error {
-	begun := clock.Start()
+	begun := clock.StartStopwatch()
 	gap := repairLeast
 	for {
 		err := do()
@@ -69,7 +69,7 @@
 
 // moment is now, for the ledger.
 func moment(c *clock.Process) ledger.Moment {
-	return ledger.Moment{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
+	return ledger.Moment{Boot: c.BootID(), At: c.ToInstant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
 // keepStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
@@ -96,7 +96,7 @@
 		err := errors.Join(n.ledger.Repair(), n.last.repair())
 		if failed && !n.ledger.Failing() {
 			k.recorded()
-			n.loop.Put(engine.Input{Recorded: true})
+			n.loop.Enqueue(engine.Input{LedgerWritable: true})
 			n.log.Info("ledger", "it is written again")
 			failed = false
 		}
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -243,7 +243,7 @@
 		r.s.side.Unheard.Add(1)
 		return
 	}
-	r.ticket.Answered(r.answer.Final, true)
+	r.ticket.Answered(r.answer.Kind, true)
 	if r.place != nil {
 		return
 	}
@@ -255,7 +255,7 @@
 // Lost counts an answer that comes too late; a receipt is in its place already.
 func (r *request) Lost() {
 	if r.place != nil {
-		r.ticket.Answered(r.answer.Final, true)
+		r.ticket.Answered(r.answer.Kind, true)
 		return
 	}
 	r.s.side.Unheard.Add(1)
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -34,24 +34,24 @@
 
 func (t *trail) at(r *audit.Record, a *engine.Attempt) *audit.Record {
 	p, _ := t.roster.Place(a.Endpoint)
-	r.Attempt, r.Endpoint = a.N+1, p.Addr.String()
+	r.Attempt, r.Endpoint = a.Number+1, p.Addr.String()
 	return r
 }
 
 // Accepted is engine.Trail, as are the others.
 func (t *trail) Accepted(m *engine.Message) {
 	r := t.of(audit.Accepted, m)
-	r.Tenant, r.Class, r.Life, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Life), len(m.Body)
-	r.Receipt = m.Receipt
+	r.Tenant, r.Class, r.Life, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Lifetime), len(m.Body)
+	r.Receipt = m.ReceiptSubscription
 	t.keeper.Put(r)
 }
 
-func (t *trail) Started(a *engine.Attempt) { t.keeper.Put(t.at(t.of(audit.Started, a.Msg), a)) }
+func (t *trail) Started(a *engine.Attempt) { t.keeper.Put(t.at(t.of(audit.Started, a.Message), a)) }
 
-func (t *trail) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
-	r := t.at(t.of(audit.Ended, a.Msg), a)
-	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = results[v.Result], v.Ran, e.Status, int64(e.Wait), v.Why, after
-	r.Took = max(0, t.keeper.Now().Microseconds()-int64(a.Sent))
+func (t *trail) Ended(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
+	r := t.at(t.of(audit.Ended, a.Message), a)
+	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = results[v.Result], v.PossiblyExecuted, e.Status, int64(e.RetryAfter), v.Reason, after
+	r.Took = max(0, t.keeper.Now().Microseconds()-int64(a.StartedAt))
 	t.keeper.Put(r)
 }
 
@@ -63,8 +63,8 @@
 
 func (t *trail) Answered(m *engine.Message, a *engine.Answer) {
 	r := t.of(audit.Answered, m)
-	r.Tenant, r.Result, r.Status, r.Wait, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Final.String(), a.Status, int64(a.Wait), a.Tries
-	r.Why, r.Reason, r.Receipt = a.Why, a.Reason, m.Receipt
+	r.Tenant, r.Result, r.Status, r.Wait, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Kind.String(), a.Status, int64(a.RetryAfter), a.Attempts
+	r.Why, r.Reason, r.Receipt = a.AttemptDetail, a.Reason, m.ReceiptSubscription
 	t.keeper.Put(r)
 }
 
@@ -87,7 +87,7 @@
 
 // restore puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
 // answer by then gets the one that is true of it: failed, it may have been sent.
-func (s *Service) restore(room *mailbox.Room, book *intake.Book) error {
+func (s *Service) restore(room *mailbox.Room, book *intake.Registry) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
 	subscriptions, owed, err := s.keeper.Unfetched(since)
 	if err != nil {
@@ -125,5 +125,5 @@
 
 func receiptOf(a *audit.Record) *receipt.Receipt {
 	return &receipt.Receipt{Message: a.Message, Answer: a.Result, At: a.Time(), Detail: a.Why, Reason: a.Reason, Attempts: a.Attempts,
-		Partner: a.Status, RetryAfter: a.Wait / 1000}
+		PartnerStatus: a.Status, RetryAfterMillis: a.Wait / 1000}
 }
