--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -256,9 +256,9 @@
 	s.c.SendContent(p.ch.id, &amqp.BasicReturn{Code: code, Text: text + " - " + reason, Exchange: p.how.Exchange, Key: p.how.Key}, &props, body)
 }
 
-// Final is engine.Origin: it runs on the engine's goroutine. The answer goes into its queue first, whether or not the
+// Answer is engine.Origin: it runs on the engine's goroutine. The answer goes into its queue first, whether or not the
 // connection is still there.
-func (p *publish) Final(_ *engine.Message, a engine.Answer) {
+func (p *publish) Answer(_ *engine.Message, a engine.Answer) {
 	p.answer = a
 	if p.place != nil {
 		d := p.s.desk
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -40,7 +40,7 @@
 // Origin is where a message came from. Final is called once at most for each message, on the engine's goroutine; it
 // must not block. It is not called for a message that was withdrawn.
 type Origin interface {
-	Final(m *Message, a Answer)
+	Answer(m *Message, a Answer)
 }
 
 // Message is what a front hands over. It is not changed after.
@@ -81,18 +81,18 @@
 // AcceptNotifier is an Origin whose sender hears that its message is taken on before its end is known.
 type AcceptNotifier interface {
 	Origin
-	Taken(m *Message) // on the engine's goroutine; before Final, unless the round that took the message ended it
+	Accepted(m *Message) // on the engine's goroutine; before Final, unless the round that took the message ended it
 }
 
 // Ledger records what must outlive the process. It is called on the engine's goroutine, each time before the promise that rests
 // on it: Take before the sender hears that the message is taken on, Over before anybody hears of its end. Attempts are put on
 // record by the back end, in the moment in which they are written.
 type Ledger interface {
-	// Take returns an error where the message is not on record: it is refused, or failed where it is ErrUncertain.
-	Take(m *Message, due control.Time) error
-	Back(a *Attempt, e safety.AttemptResult) // an attempt ended, its message did not
-	Over(m *Message, a *Answer)              // a message ended; a is nil where it was withdrawn
-	Learn(changed []control.Outage)          // what is known of outages has changed
+	// RecordAccept returns an error where the message is not on record: it is refused, or failed where it is ErrUncertain.
+	RecordAccept(m *Message, due control.Time) error
+	RecordAttemptEnd(a *Attempt, e safety.AttemptResult) // an attempt ended, its message did not
+	RecordFinish(m *Message, a *Answer)                  // a message ended; a is nil where it was withdrawn
+	RecordOutages(changed []control.Outage)              // what is known of outages has changed
 }
 
 // ErrRecordUncertain tells that a message may be on record, or may not.
@@ -124,10 +124,10 @@
 // Transport carries attempts out. Its methods are called on the engine's goroutine and must not block. For each attempt of a
 // Start exactly one End comes back as an input, and soon after an Abandon, but where its call goes on for others: then with that.
 type Transport interface {
-	Start(call []*Attempt)                // several where the kind of destination takes several messages in a call
-	Unsend(a *Attempt)                    // give up with the end Unsent, if no connection has it yet
-	Abandon(a *Attempt, kind OutcomeKind) // give up: OutOfTime or CalledOff, unless another end is on its way
-	CloseIdle(ep control.Endpoint)        // close idle connections to it
+	Start(call []*Attempt)               // several where the kind of destination takes several messages in a call
+	CancelUnsent(a *Attempt)             // give up with the end Unsent, if no connection has it yet
+	Cancel(a *Attempt, kind OutcomeKind) // give up: OutOfTime or CalledOff, unless another end is on its way
+	CloseIdle(ep control.Endpoint)       // close idle connections to it
 }
 
 // Discovery is where the endpoint list comes from, for settings with AskList. Each call is answered by one List input.
@@ -158,11 +158,11 @@
 // not block, and keep nothing of what they are given.
 type Trail interface {
 	Accepted(m *Message)
-	Started(a *Attempt)
-	Ended(a *Attempt, e *Outcome, v Classification, after bool) // after: the message had its final answer before
+	AttemptStarted(a *Attempt)
+	AttemptEnded(a *Attempt, e *Outcome, v Classification, after bool) // after: the message had its final answer before
 	Withdrawn(m *Message)
 	Answered(m *Message, a *Answer)
-	Learned(e *control.Entry)
+	EndpointChanged(e *control.Entry)
 }
 
 // Options is what the engine must know of a message beside the module's settings.
@@ -186,8 +186,8 @@
 
 // Logger takes lines for the operators.
 type Logger interface {
-	Note(text string)
-	Fault(text string) // something that must not happen
+	Info(text string)
+	InternalError(text string) // something that must not happen
 }
 
 // held is a message that is owed an answer or has an attempt out.
@@ -272,7 +272,7 @@
 	told := len(c.events)
 	c.acts = c.mod.Step(now, c.events, c.acts[:0])
 	if changed := c.mod.Outages(); len(changed) > 0 && c.pol.Ledger != nil {
-		c.pol.Ledger.Learn(changed)
+		c.pol.Ledger.RecordOutages(changed)
 	}
 	for i := range c.acts {
 		c.act(&c.acts[i])
@@ -296,7 +296,7 @@
 	}
 	h.fresh = false
 	if l := c.pol.Ledger; l != nil && !h.kept {
-		if err := l.Take(h.msg, h.due); err != nil {
+		if err := l.RecordAccept(h.msg, h.due); err != nil {
 			c.later = append(c.later, control.Event{Kind: control.Withdrawn, Message: h.msg.ID})
 			a := Answer{Kind: Refused, RetryAfter: control.Second, Reason: err.Error()}
 			if errors.Is(err, ErrRecordUncertain) { // a process after this one may find it on record
@@ -308,7 +308,7 @@
 		h.kept = true
 	}
 	if t, ok := h.msg.Origin.(AcceptNotifier); ok {
-		t.Taken(h.msg)
+		t.Accepted(h.msg)
 	}
 	return true
 }
@@ -372,7 +372,7 @@
 	for i, e := range l.Entries {
 		c.listed(&e)
 		if c.pol.Trail != nil && l.Kind == control.ListDelta {
-			c.pol.Trail.Learned(&l.Entries[i])
+			c.pol.Trail.EndpointChanged(&l.Entries[i])
 		}
 	}
 	c.events = append(c.events, control.Event{Kind: control.List, ListKind: l.Kind, Entries: l.Entries})
@@ -410,7 +410,7 @@
 	}
 	for _, seq := range slices.Sorted(maps.Keys(c.out)) {
 		if a := c.out[seq]; c.shut[a.Endpoint] || c.told[a.Placement.Dest] {
-			c.back.Unsend(a)
+			c.back.CancelUnsent(a)
 		}
 	}
 	clear(c.shut)
@@ -421,7 +421,7 @@
 func (c *Core) end(e *Outcome) {
 	a := c.out[e.Seq]
 	if a == nil {
-		c.log.Fault(fmt.Sprintf("attempt %d ended twice", e.Seq))
+		c.log.InternalError(fmt.Sprintf("attempt %d ended twice", e.Seq))
 		return
 	}
 	delete(c.out, e.Seq)
@@ -429,7 +429,7 @@
 	v := c.judge(a, e)
 	proof := safety.AttemptResult{PossiblyExecuted: v.PossiblyExecuted, Unsent: e.Kind.unsent(), NotCounted: v.Result == control.NotSent, Unconfirmed: v.unheard()}
 	if err := c.guard.FinishAttempt(c.now, a.SafetyCall(), a.StartedAt, proof); err != nil {
-		c.log.Fault(err.Error())
+		c.log.InternalError(err.Error())
 		v = Classification{control.Reset, true, false, "its end is not what was written: it may have run"}
 		proof = safety.AttemptResult{PossiblyExecuted: true, Unconfirmed: true}
 	}
@@ -439,7 +439,7 @@
 		h.lastWhy += " (" + e.Detail + ")"
 	}
 	if c.pol.Trail != nil {
-		c.pol.Trail.Ended(a, e, v, h.ended)
+		c.pol.Trail.AttemptEnded(a, e, v, h.ended)
 	}
 	if !h.ended && v.Final {
 		kind := Failed
@@ -449,7 +449,7 @@
 		c.answer(h, Answer{Kind: kind})
 	}
 	if l := c.pol.Ledger; l != nil && !h.ended {
-		l.Back(a, proof)
+		l.RecordAttemptEnd(a, proof)
 	}
 	if e.RetryAfter > 0 {
 		c.waits(a, e.RetryAfter)
@@ -483,7 +483,7 @@
 		c.stats.Served++
 	case Refused:
 		if err := c.guard.AuthorizeRefusal(h.msg.ID); err != nil {
-			c.log.Fault(err.Error())
+			c.log.InternalError(err.Error())
 			a.Kind = Failed
 			c.stats.Failed++
 			break
@@ -497,13 +497,13 @@
 	if c.pol.Trail != nil {
 		c.pol.Trail.Answered(h.msg, &a)
 	}
-	h.msg.Origin.Final(h.msg, a)
+	h.msg.Origin.Answer(h.msg, a)
 }
 
 // record has the ledger take an end down, before anybody is told.
 func (c *Core) record(h *held, a *Answer) {
 	if c.pol.Ledger != nil && h.kept {
-		c.pol.Ledger.Over(h.msg, a)
+		c.pol.Ledger.RecordFinish(h.msg, a)
 	}
 }
 
@@ -531,7 +531,7 @@
 	case control.Cancel:
 		c.start()
 		if h := c.msgs[a.Message]; h != nil && h.out != nil && h.out.Number == a.Attempt {
-			c.back.Abandon(h.out, Cancelled)
+			c.back.Cancel(h.out, Cancelled)
 		}
 	case control.Timer:
 		heap.Push(&c.timers, timer{at: c.now + a.After, mark: a.Mark})
@@ -542,16 +542,16 @@
 	case control.Fetch:
 		c.lists.Fetch()
 	case control.Note:
-		c.log.Note(a.Text)
+		c.log.Info(a.Text)
 	default:
-		c.log.Fault(fmt.Sprintf("action %d is not carried out here", a.Kind))
+		c.log.InternalError(fmt.Sprintf("action %d is not carried out here", a.Kind))
 	}
 }
 
 func (c *Core) send(a *control.Action) {
 	h := c.msgs[a.Message]
 	if h == nil || h.ended || h.out != nil {
-		c.log.Fault(fmt.Sprintf("send of message %d, which is over or out", a.Message))
+		c.log.InternalError(fmt.Sprintf("send of message %d, which is over or out", a.Message))
 		return
 	}
 	if !c.promise(h) {
@@ -566,7 +566,7 @@
 	}
 	h.tries++
 	if err := c.guard.AuthorizeCall(c.now, at.SafetyCall()); err != nil { // the module learns in the next round that it was not sent
-		c.log.Fault(err.Error())
+		c.log.InternalError(err.Error())
 		c.later = append(c.later, control.Event{Kind: control.Outcome, Message: h.msg.ID, Attempt: at.Number, Endpoint: at.Endpoint, Result: control.Moot})
 		return
 	}
@@ -574,7 +574,7 @@
 	c.out[at.Seq] = at
 	c.stats.Attempts++
 	if c.pol.Trail != nil {
-		c.pol.Trail.Started(at)
+		c.pol.Trail.AttemptStarted(at)
 	}
 	if at.WriteBefore+c.pol.Settings.Tick < at.Deadline {
 		heap.Push(&c.timers, timer{at: at.WriteBefore, seq: at.Seq})
@@ -667,9 +667,9 @@
 		if t.seq == 0 {
 			c.events = append(c.events, control.Event{Kind: control.Tick, Mark: t.mark})
 		} else if a := c.out[t.seq]; a != nil && t.at < a.Deadline {
-			c.back.Unsend(a)
+			c.back.CancelUnsent(a)
 		} else if a != nil {
-			c.back.Abandon(a, TimedOut)
+			c.back.Cancel(a, TimedOut)
 		}
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -52,8 +52,8 @@
 	return w
 }
 
-func (w *world) Note(string) {}
-func (w *world) Fault(text string) {
+func (w *world) Info(string) {}
+func (w *world) InternalError(text string) {
 	w.faults = append(w.faults, text)
 }
 
@@ -64,7 +64,7 @@
 	w.pending = slices.Insert(w.pending, i, in)
 }
 
-func (w *world) Unsend(*Attempt) {}
+func (w *world) CancelUnsent(*Attempt) {}
 
 func (w *world) Start(call []*Attempt) {
 	for _, a := range call {
@@ -110,14 +110,14 @@
 	w.later(after, Input{Outcome: &end})
 }
 
-func (w *world) Abandon(a *Attempt, kind OutcomeKind) {
+func (w *world) Cancel(a *Attempt, kind OutcomeKind) {
 	if w.out[a.Seq] != nil {
 		w.later(control.Millisecond, Input{Outcome: &Outcome{Seq: a.Seq, Kind: kind}})
 	}
 }
 func (w *world) CloseIdle(control.Endpoint) {}
 
-func (w *world) Final(m *Message, a Answer) {
+func (w *world) Answer(m *Message, a Answer) {
 	w.trace = append(w.trace, fmt.Sprint(w.now, " final ", m.ID, a.Kind, a.RetryAfter, a.DeadlineExceeded))
 	if w.answers[m.ID]++; w.answers[m.ID] > 1 {
 		w.t.Errorf("message %d is answered twice", m.ID)
@@ -314,7 +314,7 @@
 
 type sink struct{ ends []Input }
 
-func (s *sink) Unsend(*Attempt) {}
+func (s *sink) CancelUnsent(*Attempt) {}
 
 func (s *sink) Start(call []*Attempt) {
 	for _, a := range call {
@@ -325,11 +325,11 @@
 func (s *sink) start(a *Attempt) {
 	s.ends = append(s.ends, Input{Outcome: &Outcome{Seq: a.Seq, Kind: Answered, Status: 201}})
 }
-func (s *sink) Abandon(*Attempt, OutcomeKind) {}
-func (s *sink) CloseIdle(control.Endpoint)    {}
-func (s *sink) Note(string)                   {}
-func (s *sink) Fault(string)                  {}
-func (s *sink) Final(m *Message, a Answer)    {}
+func (s *sink) Cancel(*Attempt, OutcomeKind) {}
+func (s *sink) CloseIdle(control.Endpoint)   {}
+func (s *sink) Info(string)                  {}
+func (s *sink) InternalError(string)         {}
+func (s *sink) Answer(m *Message, a Answer)  {}
 
 // BenchmarkRound is one message from its arrival through its attempt to its answer, in two rounds.
 func BenchmarkRound(b *testing.B) {
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -20,7 +20,7 @@
 
 func (b *book) put(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
 
-func (b *book) Take(m *Message, _ control.Time) error {
+func (b *book) RecordAccept(m *Message, _ control.Time) error {
 	if b.full {
 		return errors.New("full")
 	}
@@ -28,20 +28,20 @@
 	return nil
 }
 
-func (b *book) Back(a *Attempt, e safety.AttemptResult) {
+func (b *book) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
 	b.put("back %s %v", a.Message.ExternalID, e.PossiblyExecuted)
 }
-func (b *book) Learn([]control.Outage)            {}
-func (b *book) Over(m *Message, a *Answer)        { b.put("over %s %v", m.ExternalID, a != nil) }
-func (b *book) Taken(m *Message)                  { b.put("told %s", m.ExternalID) }
-func (b *book) Final(m *Message, a Answer)        { b.put("final %s %v", m.ExternalID, a.Kind) }
-func (b *book) Abandon(a *Attempt, _ OutcomeKind) { b.put("abandon %s", a.Message.ExternalID) }
-func (b *book) Unsend(a *Attempt)                 { b.put("unsend %s", a.Message.ExternalID) }
-func (b *book) CloseIdle(control.Endpoint)        {}
-func (b *book) Note(string)                       {}
-func (b *book) Fault(text string)                 { b.put("fault %s", text) }
-func (b *book) Start(call []*Attempt)             { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
-func (b *book) take() (l []string)                { l, b.lines = b.lines, nil; return l }
+func (b *book) RecordOutages([]control.Outage)     {}
+func (b *book) RecordFinish(m *Message, a *Answer) { b.put("over %s %v", m.ExternalID, a != nil) }
+func (b *book) Accepted(m *Message)                { b.put("told %s", m.ExternalID) }
+func (b *book) Answer(m *Message, a Answer)        { b.put("final %s %v", m.ExternalID, a.Kind) }
+func (b *book) Cancel(a *Attempt, _ OutcomeKind)   { b.put("abandon %s", a.Message.ExternalID) }
+func (b *book) CancelUnsent(a *Attempt)            { b.put("unsend %s", a.Message.ExternalID) }
+func (b *book) CloseIdle(control.Endpoint)         {}
+func (b *book) Info(string)                        {}
+func (b *book) InternalError(text string)          { b.put("fault %s", text) }
+func (b *book) Start(call []*Attempt)              { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
+func (b *book) take() (l []string)                 { l, b.lines = b.lines, nil; return l }
 func (b *book) want(t *testing.T, lines ...string) {
 	t.Helper()
 	if got := b.take(); !slices.Equal(got, lines) {
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -154,7 +154,7 @@
 	call := r.start("a")
 	c := r.conn()
 	r.read(c)
-	r.p.Abandon(call[0], engine.Cancelled)
+	r.p.Cancel(call[0], engine.Cancelled)
 	r.want(engine.Cancelled, 0)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
@@ -169,7 +169,7 @@
 	call := r.start("a", "b")
 	c := r.conn()
 	r.read(c)
-	r.p.Abandon(call[0], engine.TimedOut)
+	r.p.Cancel(call[0], engine.TimedOut)
 	select {
 	case e := <-r.ends:
 		t.Errorf("end %+v, and the call is out", e)
@@ -180,8 +180,8 @@
 	r.want(engine.Answered, 500)
 	call = r.start("c", "d")
 	r.read(c)
-	r.p.Abandon(call[0], engine.TimedOut)
-	r.p.Abandon(call[1], engine.TimedOut)
+	r.p.Cancel(call[0], engine.TimedOut)
+	r.p.Cancel(call[1], engine.TimedOut)
 	r.want(engine.TimedOut, 0)
 	r.want(engine.TimedOut, 0)
 }
@@ -195,7 +195,7 @@
 	r.p.Start(call)
 	c := r.conn()
 	r.read(c)
-	r.p.Abandon(call[0], engine.TimedOut)
+	r.p.Cancel(call[0], engine.TimedOut)
 	got := map[uint64]engine.OutcomeKind{}
 	for range call {
 		select {
@@ -228,7 +228,7 @@
 	if got := r.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.p.Abandon(call[0], engine.TimedOut)
+	r.p.Cancel(call[0], engine.TimedOut)
 	_, _ = c.Write([]byte(okAnswer))
 	for range call {
 		r.want(engine.Answered, 200)
@@ -254,7 +254,7 @@
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
 	r := newRig(t)
 	call := r.start("gone")
-	r.p.Abandon(call[0], engine.Cancelled)
+	r.p.Cancel(call[0], engine.Cancelled)
 	r.want(engine.Unsent, 0)
 	r.start("next")
 	c := r.conn()
@@ -274,7 +274,7 @@
 		c := r.conn()
 		r.read(c)
 		go func() { _, _ = c.Write([]byte(okAnswer)) }()
-		r.p.Abandon(call[0], engine.Cancelled)
+		r.p.Cancel(call[0], engine.Cancelled)
 		select {
 		case e := <-r.ends:
 			if e.Kind != engine.Cancelled && (e.Kind != engine.Answered || e.Status != 200) {
@@ -323,7 +323,7 @@
 	for range 3 {
 		r.read(r.conn())
 	}
-	r.p.Unsend(calls[0][0]) // written: it stays out
+	r.p.CancelUnsent(calls[0][0]) // written: it stays out
 	waiting := calls[3][0]
 	r.p.mu.Lock()
 	for _, k := range calls {
@@ -332,7 +332,7 @@
 		}
 	}
 	r.p.mu.Unlock()
-	r.p.Unsend(waiting)
+	r.p.CancelUnsent(waiting)
 	select {
 	case e := <-r.ends:
 		if e.Seq != waiting.Seq || e.Kind != engine.Unsent {
--- a/internal/outbound/permits_test.go
+++ b/internal/outbound/permits_test.go
@@ -90,7 +90,7 @@
 	case <-time.After(50 * time.Millisecond): // all connections that there may be are taken
 	}
 	o.want(t)
-	r.p.Abandon(waiting[0], engine.Cancelled)
+	r.p.Cancel(waiting[0], engine.Cancelled)
 	r.want(engine.Unsent, 0)
 	o.want(t)
 }
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -340,8 +340,8 @@
 	}
 }
 
-// Abandon is engine.Back.
-func (p *Pool) Abandon(a *engine.Attempt, kind engine.OutcomeKind) {
+// Cancel is engine.Back.
+func (p *Pool) Cancel(a *engine.Attempt, kind engine.OutcomeKind) {
 	p.mu.Lock()
 	t := p.tasks[a.Seq]
 	if t == nil || t.given { // its end is on its way
@@ -365,8 +365,8 @@
 	p.end(t, end)
 }
 
-// Unsend is engine.Back.
-func (p *Pool) Unsend(a *engine.Attempt) {
+// CancelUnsent is engine.Back.
+func (p *Pool) CancelUnsent(a *engine.Attempt) {
 	p.mu.Lock()
 	t := p.tasks[a.Seq]
 	waits := t != nil && !t.given && t.call.conn == nil
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -35,8 +35,8 @@
 	due    control.Time // the time of its message is over then
 }
 
-// Take is engine.Ledger.
-func (k *keeper) Take(m *engine.Message, due control.Time) error {
+// RecordAccept is engine.Ledger.
+func (k *keeper) RecordAccept(m *engine.Message, due control.Time) error {
 	e := &ledger.Entry{Name: m.ExternalID, Class: k.settings.Classes[m.Class].Name, Dest: m.Dest, Due: k.clock.ToInstant(due), TakenAt: k.clock.ToInstant(m.AcceptedAt), Key: m.IdempotencyKey,
 		Order: m.OrderKey, Body: m.Body}
 	if m.Tenant < len(k.settings.Tenants) {
@@ -96,8 +96,8 @@
 	return names
 }
 
-// Back is engine.Ledger.
-func (k *keeper) Back(a *engine.Attempt, e safety.AttemptResult) {
+// RecordAttemptEnd is engine.Ledger.
+func (k *keeper) RecordAttemptEnd(a *engine.Attempt, e safety.AttemptResult) {
 	k.told(k.l.Back(a.Message.ExternalID, e.PossiblyExecuted, e.NotCounted))
 	k.verify(a.Message)
 }
@@ -114,8 +114,8 @@
 	}
 }
 
-// Over is engine.Ledger.
-func (k *keeper) Over(m *engine.Message, a *engine.Answer) {
+// RecordFinish is engine.Ledger.
+func (k *keeper) RecordFinish(m *engine.Message, a *engine.Answer) {
 	if a == nil || a.Kind == engine.Served {
 		k.told(k.l.Over(m.ExternalID))
 		return
@@ -171,8 +171,8 @@
 	}
 }
 
-// Learn is engine.Ledger.
-func (k *keeper) Learn(changed []control.Outage) {
+// RecordOutages is engine.Ledger.
+func (k *keeper) RecordOutages(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
 		if o := &changed[i]; k.dir.Listed(o.Endpoint) || o.Over() {
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -104,7 +104,7 @@
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
 	shares := newPlan(n.cfg.Limits.Sockets, set.Slots)
-	keep := &keeper{l: n.ledger, settings: set, clock: n.clock, guard: guard, dir: n.dir, log: n.warn("ledger"), fault: n.Fault}
+	keep := &keeper{l: n.ledger, settings: set, clock: n.clock, guard: guard, dir: n.dir, log: n.warn("ledger"), fault: n.InternalError}
 	if err := n.openPool(shares, keep); err != nil {
 		return err
 	}
@@ -256,8 +256,8 @@
 // nobody is where restored messages came from: their senders have heard that they are taken on, and wait no more.
 type nobody struct{}
 
-// Final is engine.Origin.
-func (nobody) Final(*engine.Message, engine.Answer) {}
+// Answer is engine.Origin.
+func (nobody) Answer(*engine.Message, engine.Answer) {}
 
 // heard takes a list from discovery.
 func (n *Node) heard(l List) {
@@ -293,11 +293,11 @@
 	l.n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: control.ListDelta}})
 }
 
-// Note is engine.Log.
-func (n *Node) Note(text string) { n.log.Info("module", "%s", text) }
+// Info is engine.Log.
+func (n *Node) Info(text string) { n.log.Info("module", "%s", text) }
 
-// Fault is engine.Log.
-func (n *Node) Fault(text string) { n.log.Error("engine", "%s", text) }
+// InternalError is engine.Log.
+func (n *Node) InternalError(text string) { n.log.Error("engine", "%s", text) }
 
 // Addr is where clients connect.
 func (n *Node) Addr() net.Addr { return n.front.Addr() }
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -102,14 +102,14 @@
 	wait  control.Time
 }
 
-// Taken is engine.Taker.
-func (a *ask) Taken(*engine.Message) {
+// Accepted is engine.Taker.
+func (a *ask) Accepted(*engine.Message) {
 	a.taken = true
 	a.s.post(verdict{ask: a, final: engine.Served})
 }
 
-// Final is engine.Origin. The end of a message that was taken on is the keeper's to tell.
-func (a *ask) Final(_ *engine.Message, x engine.Answer) {
+// Answer is engine.Origin. The end of a message that was taken on is the keeper's to tell.
+func (a *ask) Answer(_ *engine.Message, x engine.Answer) {
 	if !a.taken {
 		a.s.post(verdict{a, x.Kind, x.RetryAfter})
 	}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -28,11 +28,11 @@
 		r.Attempts, executed)
 }
 
-func (t trace) Started(a *engine.Attempt) {
+func (t trace) AttemptStarted(a *engine.Attempt) {
 	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Message.ExternalID, a.Number, t.dir.Host(a.Endpoint), (a.WriteBefore-a.StartedAt)/control.Millisecond)
 }
 
-func (t trace) Ended(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
+func (t trace) AttemptEnded(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
 	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Message.ExternalID, a.Number, t.dir.Host(a.Endpoint), v.Reason, e.Detail,
 		e.RetryAfter/control.Millisecond, after)
 }
@@ -43,6 +43,6 @@
 	t.log.Debug("trace", "%s class %d dest %d is %v after %d attempts: %s; %s", m.ExternalID, m.Class, m.Dest, a.Kind, a.Attempts, a.Reason, a.AttemptDetail)
 }
 
-func (t trace) Learned(e *control.Entry) {
+func (t trace) EndpointChanged(e *control.Entry) {
 	t.log.Debug("trace", "%s of dest %d listed, health %d", t.dir.Host(e.Endpoint), e.Dest, e.Health)
 }
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -224,8 +224,8 @@
 	_ = s.h.Respond(now, stream, reply.Fields, reply.Body)
 }
 
-// Final is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
-func (r *request) Final(_ *engine.Message, a engine.Answer) {
+// Answer is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
+func (r *request) Answer(_ *engine.Message, a engine.Answer) {
 	r.answer = a
 	if r.place != nil {
 		r.fill(&a)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -186,16 +186,16 @@
 // now is the dispatcher's clock as a duration.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
 
-// Note is engine.Log. What the module tells of partners, returns among it, goes into the trail, too.
-func (s *Service) Note(text string) {
+// Info is engine.Log. What the module tells of partners, returns among it, goes into the trail, too.
+func (s *Service) Info(text string) {
 	s.log.Info("module", "%s", text)
 	if s.keeper != nil {
 		s.keeper.Put(&audit.Record{Kind: audit.Learned, Why: text})
 	}
 }
 
-// Fault is engine.Log.
-func (s *Service) Fault(text string) { s.log.Error("engine", "%s", text) }
+// InternalError is engine.Log.
+func (s *Service) InternalError(text string) { s.log.Error("engine", "%s", text) }
 
 // Stop ends a dispatcher in order: GOAWAY to clients, no new messages, answers for those taken, then all is closed.
 // It tells whether every message had its answer; when ctx ends first the rest is cut off.
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -46,9 +46,11 @@
 	t.keeper.Put(r)
 }
 
-func (t *trail) Started(a *engine.Attempt) { t.keeper.Put(t.at(t.of(audit.Started, a.Message), a)) }
+func (t *trail) AttemptStarted(a *engine.Attempt) {
+	t.keeper.Put(t.at(t.of(audit.Started, a.Message), a))
+}
 
-func (t *trail) Ended(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
+func (t *trail) AttemptEnded(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
 	r := t.at(t.of(audit.Ended, a.Message), a)
 	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = results[v.Result], v.PossiblyExecuted, e.Status, int64(e.RetryAfter), v.Reason, after
 	r.Took = max(0, t.keeper.Now().Microseconds()-int64(a.StartedAt))
@@ -68,7 +70,7 @@
 	t.keeper.Put(r)
 }
 
-func (t *trail) Learned(e *control.Entry) {
+func (t *trail) EndpointChanged(e *control.Entry) {
 	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: standings[e.Health]}
 	if p, ok := t.roster.Place(e.Endpoint); ok {
 		r.Endpoint = p.Addr.String()
