--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -36,14 +36,14 @@
 	base  Instant // on the boot clock when Now was zero
 }
 
-// firstNow is what a clock says when it is made: no time is zero.
-const firstNow = control.Second
+// initialTime is what a clock says when it is made: no time is zero.
+const initialTime = control.Second
 
 // New starts the clock of a process.
 func New() *Process {
-	c := &Process{start: Wall().Add(-time.Duration(firstNow) * time.Microsecond)}
+	c := &Process{start: Wall().Add(-time.Duration(initialTime) * time.Microsecond)}
 	since, id := bootTime()
-	c.boot, c.base = id, since-Instant(firstNow)
+	c.boot, c.base = id, since-Instant(initialTime)
 	return c
 }
 
@@ -67,17 +67,17 @@
 func bootTime() (since Instant, id string) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return firstInstant, ""
+		return instantOffset, ""
 	}
 	text, err := os.ReadFile(bootIDFile)
 	if err != nil {
-		return firstInstant, ""
+		return instantOffset, ""
 	}
-	return Instant(t.Nano()/int64(time.Microsecond)) + firstInstant, strings.TrimSpace(string(text))
+	return Instant(t.Nano()/int64(time.Microsecond)) + instantOffset, strings.TrimSpace(string(text))
 }
 
-// firstInstant is added to the boot clock, so that instants reckoned back from its start stay above zero.
-const firstInstant = Instant(24 * time.Hour / time.Microsecond)
+// instantOffset is added to the boot clock, so that instants reckoned back from its start stay above zero.
+const instantOffset = Instant(24 * time.Hour / time.Microsecond)
 
 // Wall reads the wall clock. It may be stepped at any time: it is for what people and other systems read.
 func Wall() time.Time { return time.Now() }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -35,7 +35,7 @@
 
 func TestClockBeginsAboveZero(t *testing.T) {
 	c := New()
-	if now := c.Now(); now < firstNow || now > firstNow+10*control.Second || Elapsed(c) < time.Second {
+	if now := c.Now(); now < initialTime || now > initialTime+10*control.Second || Elapsed(c) < time.Second {
 		t.Errorf("it begins at %d us", now)
 	}
 	if c.ToInstant(0) <= 0 {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -24,8 +24,8 @@
 		Kinds: []control.Kind{{Name: "k", Batch: 1}}}
 }
 
-// world is both sides of a Core on a virtual clock: partners that answer, refuse, lose and hang by a seed.
-type world struct {
+// simulation is both sides of a Core on a virtual clock: partners that answer, refuse, lose and hang by a seed.
+type simulation struct {
 	t       *testing.T
 	core    *Core
 	rng     *rand.Rand
@@ -41,8 +41,8 @@
 	faults  []string
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: control.Second, out: map[uint64]*Attempt{},
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: control.Second, out: map[uint64]*Attempt{},
 		answers: map[control.MessageID]int{}, due: map[control.MessageID]control.Time{}, applied: map[control.MessageID]int{},
 		class: map[control.MessageID]int{}}
 	var err error
@@ -52,27 +52,27 @@
 	return w
 }
 
-func (w *world) Info(string) {}
-func (w *world) InternalError(text string) {
+func (w *simulation) Info(string) {}
+func (w *simulation) InternalError(text string) {
 	w.faults = append(w.faults, text)
 }
 
-func (w *world) later(after control.Time, in Input) {
+func (w *simulation) schedule(after control.Time, in Input) {
 	at := w.now + after
 	i, _ := slices.BinarySearch(w.at, at+1)
 	w.at = slices.Insert(w.at, i, at)
 	w.pending = slices.Insert(w.pending, i, in)
 }
 
-func (w *world) CancelUnsent(*Attempt) {}
+func (w *simulation) CancelUnsent(*Attempt) {}
 
-func (w *world) Start(call []*Attempt) {
+func (w *simulation) Start(call []*Attempt) {
 	for _, a := range call {
 		w.start(a)
 	}
 }
 
-func (w *world) start(a *Attempt) {
+func (w *simulation) start(a *Attempt) {
 	w.trace = append(w.trace, fmt.Sprint(w.now, " send ", a.Message.ID, a.Number, a.Endpoint))
 	if w.answers[a.Message.ID] > 0 {
 		w.t.Errorf("message %d is sent after its final answer", a.Message.ID)
@@ -107,17 +107,17 @@
 		w.applied[a.Message.ID]++
 		return // answers nothing
 	}
-	w.later(after, Input{Outcome: &end})
+	w.schedule(after, Input{Outcome: &end})
 }
 
-func (w *world) Cancel(a *Attempt, kind OutcomeKind) {
+func (w *simulation) Cancel(a *Attempt, kind OutcomeKind) {
 	if w.out[a.Seq] != nil {
-		w.later(control.Millisecond, Input{Outcome: &Outcome{Seq: a.Seq, Kind: kind}})
+		w.schedule(control.Millisecond, Input{Outcome: &Outcome{Seq: a.Seq, Kind: kind}})
 	}
 }
-func (w *world) CloseIdle(control.Endpoint) {}
+func (w *simulation) CloseIdle(control.Endpoint) {}
 
-func (w *world) Answer(m *Message, a Answer) {
+func (w *simulation) Answer(m *Message, a Answer) {
 	w.trace = append(w.trace, fmt.Sprint(w.now, " final ", m.ID, a.Kind, a.RetryAfter, a.DeadlineExceeded))
 	if w.answers[m.ID]++; w.answers[m.ID] > 1 {
 		w.t.Errorf("message %d is answered twice", m.ID)
@@ -134,7 +134,7 @@
 }
 
 // step runs the next round: at the next input or timer.
-func (w *world) step() bool {
+func (w *simulation) step() bool {
 	next, ok := w.core.NextTimer()
 	if len(w.at) > 0 && (!ok || w.at[0] < next) {
 		next, ok = w.at[0], true
@@ -163,8 +163,8 @@
 	return true
 }
 
-func (w *world) play(n int) {
-	w.later(0, Input{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
+func (w *simulation) run(n int) {
+	w.schedule(0, Input{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
 		{Endpoint: 1, Dest: 0, Health: control.Ready}, {Endpoint: 2, Dest: 0, Health: control.Ready}, {Endpoint: 3, Dest: 1, Health: control.Ready}}}})
 	for i := range n {
 		m := &Message{ID: control.MessageID(i + 1), Class: w.rng.IntN(3), Dest: w.rng.IntN(2), Lifetime: control.Time(1+w.rng.IntN(5)) * control.Second, Origin: w}
@@ -172,9 +172,9 @@
 			m.OrderKey = uint64(1 + w.rng.IntN(5))
 		}
 		at := control.Time(w.rng.IntN(8000)) * control.Millisecond
-		w.later(at, Input{Submit: m})
+		w.schedule(at, Input{Submit: m})
 		if w.rng.IntN(20) == 0 {
-			w.later(at+control.Time(w.rng.IntN(500))*control.Millisecond, Input{Withdraw: m.ID})
+			w.schedule(at+control.Time(w.rng.IntN(500))*control.Millisecond, Input{Withdraw: m.ID})
 		}
 	}
 	for i := 0; w.step(); i++ {
@@ -185,13 +185,13 @@
 }
 
 // Over random plays each message has one final answer in its time, none is sent after it, no unsafe one twice.
-func TestRandomPlays(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed)
-		w.play(400)
+		w := newSimulation(t, seed)
+		w.run(400)
 		s := w.core.Stats()
-		if got := s.Served + s.Refused + s.Failed + s.Withdrawn; got != 400 || s.Open != 0 || s.InFlight != 0 || len(w.core.msgs) != 0 {
-			t.Errorf("seed %d: %d of 400 ended, %d open, %d out, %d on the books", seed, got, s.Open, s.InFlight, len(w.core.msgs))
+		if got := s.Served + s.Refused + s.Failed + s.Withdrawn; got != 400 || s.Open != 0 || s.InFlight != 0 || len(w.core.messages) != 0 {
+			t.Errorf("seed %d: %d of 400 ended, %d open, %d out, %d on the books", seed, got, s.Open, s.InFlight, len(w.core.messages))
 		}
 		for id, n := range w.applied {
 			if n > 1 && w.class[id] == 1 {
@@ -206,16 +206,16 @@
 
 // The same seed gives the same day, to the last action.
 func TestDeterministic(t *testing.T) {
-	a, b := newWorld(t, 5), newWorld(t, 5)
-	a.play(300)
-	b.play(300)
+	a, b := newSimulation(t, 5), newSimulation(t, 5)
+	a.run(300)
+	b.run(300)
 	if !slices.Equal(a.trace, b.trace) {
 		t.Error("two runs of one seed differ")
 	}
 }
 
 // What each end proves: doubt counts as "may have run". The table is docs/answers.md's.
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	for _, c := range []struct {
 		end    Outcome
 		own    bool
@@ -260,8 +260,8 @@
 
 // Timers of messages that are over do not pile up while their lives last.
 func TestTimersAreCompacted(t *testing.T) {
-	w := newWorld(t, 1)
-	w.later(0, Input{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{{Endpoint: 1, Health: control.Ready}}}})
+	w := newSimulation(t, 1)
+	w.schedule(0, Input{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{{Endpoint: 1, Health: control.Ready}}}})
 	w.step()
 	for i := range 20000 {
 		m := &Message{ID: control.MessageID(i + 1), Lifetime: 4 * control.Second, Origin: w}
@@ -275,12 +275,12 @@
 
 // At a stop all that is held has its answer within the time given.
 func TestStopAnswersAll(t *testing.T) {
-	w := newWorld(t, 2)
+	w := newSimulation(t, 2)
 	for i := range 100 { // no endpoint is listed: all wait
-		w.later(0, Input{Submit: &Message{ID: control.MessageID(i + 1), Class: i % 3, OrderKey: uint64(i % 4), Lifetime: 4 * control.Second, Origin: w}})
+		w.schedule(0, Input{Submit: &Message{ID: control.MessageID(i + 1), Class: i % 3, OrderKey: uint64(i % 4), Lifetime: 4 * control.Second, Origin: w}})
 	}
 	w.step()
-	w.later(control.Second, Input{StopWithin: control.Second / 2})
+	w.schedule(control.Second, Input{StopWithin: control.Second / 2})
 	for w.core.Stats().Open > 0 && w.step() {
 	}
 	if w.now > 2500*control.Millisecond+control.Second/10 || len(w.answers) != 100 {
@@ -290,13 +290,13 @@
 
 // Each bound of a Loop has its answer, and an orderly stop waits for those taken.
 func TestLoopBounds(t *testing.T) {
-	w := newWorld(t, 3)
+	w := newSimulation(t, 3)
 	l := NewLoop(w.core, clock.New(), Limits{MaxQueued: 2, MaxHeld: 3})
 	submit := func() error { return l.Submit(&Message{Lifetime: control.Second, Origin: w}) }
 	if a, b, c := submit(), submit(), submit(); a != nil || b != nil || c != ErrQueueFull {
 		t.Error("queue:", a, b, c)
 	}
-	l.queue, l.submits = nil, 0 // as if a round had taken them
+	l.queue, l.queuedMessages = nil, 0 // as if a round had taken them
 	if a, b := submit(), submit(); a != nil || b != ErrTooManyHeld {
 		t.Error("hold:", a, b)
 	}
@@ -312,28 +312,28 @@
 	}
 }
 
-type sink struct{ ends []Input }
+type instantTransport struct{ ends []Input }
 
-func (s *sink) CancelUnsent(*Attempt) {}
+func (s *instantTransport) CancelUnsent(*Attempt) {}
 
-func (s *sink) Start(call []*Attempt) {
+func (s *instantTransport) Start(call []*Attempt) {
 	for _, a := range call {
 		s.start(a)
 	}
 }
 
-func (s *sink) start(a *Attempt) {
+func (s *instantTransport) start(a *Attempt) {
 	s.ends = append(s.ends, Input{Outcome: &Outcome{Seq: a.Seq, Kind: Answered, Status: 201}})
 }
-func (s *sink) Cancel(*Attempt, OutcomeKind) {}
-func (s *sink) CloseIdle(control.Endpoint)   {}
-func (s *sink) Info(string)                  {}
-func (s *sink) InternalError(string)         {}
-func (s *sink) Answer(m *Message, a Answer)  {}
+func (s *instantTransport) Cancel(*Attempt, OutcomeKind) {}
+func (s *instantTransport) CloseIdle(control.Endpoint)   {}
+func (s *instantTransport) Info(string)                  {}
+func (s *instantTransport) InternalError(string)         {}
+func (s *instantTransport) Answer(m *Message, a Answer)  {}
 
 // BenchmarkRound is one message from its arrival through its attempt to its answer, in two rounds.
 func BenchmarkRound(b *testing.B) {
-	s := &sink{}
+	s := &instantTransport{}
 	set := settings()
 	set.MaxOpen = 100000
 	core, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false}}, 1, s, nil, s)
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -11,50 +11,53 @@
 	"whinrun/internal/safety"
 )
 
-// book writes down, in order, what the ledger, the sender and the back end were told.
-type book struct {
-	lines []string
-	full  bool
-	calls [][]*Attempt
+// recorder writes down, in order, what the ledger, the sender and the back end were told.
+type recorder struct {
+	lines      []string
+	ledgerFull bool
+	calls      [][]*Attempt
 }
 
-func (b *book) put(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
+func (b *recorder) add(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
 
-func (b *book) RecordAccept(m *Message, _ control.Time) error {
-	if b.full {
+func (b *recorder) RecordAccept(m *Message, _ control.Time) error {
+	if b.ledgerFull {
 		return errors.New("full")
 	}
-	b.put("take %s", m.ExternalID)
+	b.add("take %s", m.ExternalID)
 	return nil
 }
 
-func (b *book) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
-	b.put("back %s %v", a.Message.ExternalID, e.PossiblyExecuted)
+func (b *recorder) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
+	b.add("back %s %v", a.Message.ExternalID, e.PossiblyExecuted)
 }
-func (b *book) RecordOutages([]control.Outage)     {}
-func (b *book) RecordFinish(m *Message, a *Answer) { b.put("over %s %v", m.ExternalID, a != nil) }
-func (b *book) Accepted(m *Message)                { b.put("told %s", m.ExternalID) }
-func (b *book) Answer(m *Message, a Answer)        { b.put("final %s %v", m.ExternalID, a.Kind) }
-func (b *book) Cancel(a *Attempt, _ OutcomeKind)   { b.put("abandon %s", a.Message.ExternalID) }
-func (b *book) CancelUnsent(a *Attempt)            { b.put("unsend %s", a.Message.ExternalID) }
-func (b *book) CloseIdle(control.Endpoint)         {}
-func (b *book) Info(string)                        {}
-func (b *book) InternalError(text string)          { b.put("fault %s", text) }
-func (b *book) Start(call []*Attempt)              { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
-func (b *book) take() (l []string)                 { l, b.lines = b.lines, nil; return l }
-func (b *book) want(t *testing.T, lines ...string) {
+func (b *recorder) RecordOutages([]control.Outage)     {}
+func (b *recorder) RecordFinish(m *Message, a *Answer) { b.add("over %s %v", m.ExternalID, a != nil) }
+func (b *recorder) Accepted(m *Message)                { b.add("told %s", m.ExternalID) }
+func (b *recorder) Answer(m *Message, a Answer)        { b.add("final %s %v", m.ExternalID, a.Kind) }
+func (b *recorder) Cancel(a *Attempt, _ OutcomeKind)   { b.add("abandon %s", a.Message.ExternalID) }
+func (b *recorder) CancelUnsent(a *Attempt)            { b.add("unsend %s", a.Message.ExternalID) }
+func (b *recorder) CloseIdle(control.Endpoint)         {}
+func (b *recorder) Info(string)                        {}
+func (b *recorder) InternalError(text string)          { b.add("fault %s", text) }
+func (b *recorder) Start(call []*Attempt) {
+	b.add("start %d", len(call))
+	b.calls = append(b.calls, call)
+}
+func (b *recorder) take() (l []string) { l, b.lines = b.lines, nil; return l }
+func (b *recorder) want(t *testing.T, lines ...string) {
 	t.Helper()
 	if got := b.take(); !slices.Equal(got, lines) {
 		t.Errorf("%q, want %q", got, lines)
 	}
 }
 
-func newBook(t *testing.T) (*book, *Core) {
+func newRecorder(t *testing.T) (*recorder, *Core) {
 	t.Helper()
 	set := settings()
 	set.MayCancel = true
 	set.Kinds = []control.Kind{{Name: "bulk", Batch: 3}, {Name: "single", Batch: 1}}
-	b := &book{}
+	b := &recorder{}
 	c, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false, false}, Ledger: b, MaxCallBytes: 2000}, 1, b, nil, b)
 	if err != nil {
 		t.Fatal(err)
@@ -64,13 +67,13 @@
 	return b, c
 }
 
-func (b *book) msg(id control.MessageID, dest, size int) Input {
+func (b *recorder) msg(id control.MessageID, dest, size int) Input {
 	return Input{Submit: &Message{ID: id, ExternalID: fmt.Sprint("m", id), Dest: dest, Lifetime: 3 * control.Second, Body: make([]byte, size), Origin: b}}
 }
 
 // On record before the sender hears; the end on record before anybody is told.
 func TestRecordBeforePromise(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "take m1", "told m1", "start 1")
 	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
@@ -81,7 +84,7 @@
 
 // The sends of a round to one endpoint are one call, as far as kind and size allow.
 func TestCallsOfARound(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	var in []Input
 	for i := range 4 {
 		in = append(in, b.msg(control.MessageID(i+1), 1, 10))
@@ -90,7 +93,7 @@
 	if len(b.calls) == 0 || len(b.calls[0]) != 3 {
 		t.Fatalf("%d calls: %q", len(b.calls), b.lines)
 	}
-	b, c = newBook(t)
+	b, c = newRecorder(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 1, 1000), b.msg(2, 1, 1000)})
 	for _, call := range b.calls {
 		if len(call) != 1 {
@@ -101,7 +104,7 @@
 
 // A repeat that no connection has taken when its window ends is given up unsent.
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // guarded, a window of 3 s
 	c.Round(2*control.Second, []Input{in})
@@ -129,30 +132,30 @@
 // and the ledger hears of one end.
 func TestWithdrawalCrossings(t *testing.T) {
 	for name, c := range map[string]struct {
-		rounds func(b *book, seq uint64) [][]Input
+		rounds func(b *recorder, seq uint64) [][]Input
 		sent   int
 		want   []string // beside what concerns the call
 	}{
-		"in the round that takes it": {func(b *book, _ uint64) [][]Input {
+		"in the round that takes it": {func(b *recorder, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10), {Withdraw: 1}}}
 		}, 0, nil},
-		"in the next round": {func(b *book, _ uint64) [][]Input {
+		"in the next round": {func(b *recorder, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"ahead of a delivery": {func(b *book, seq uint64) [][]Input {
+		"ahead of a delivery": {func(b *recorder, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"behind a delivery": {func(b *book, seq uint64) [][]Input {
+		"behind a delivery": {func(b *recorder, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}, {Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 true", "final m1 served"}},
-		"ahead of a failure": {func(b *book, seq uint64) [][]Input {
+		"ahead of a failure": {func(b *recorder, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: NotConnected}}}, nil}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"behind a failure": {func(b *book, seq uint64) [][]Input {
+		"behind a failure": {func(b *recorder, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: NotConnected}}, {Withdraw: 1}}, nil}
 		}, 1, []string{"take m1", "told m1", "back m1 false", "over m1 false"}},
 	} {
-		b, c2 := newBook(t)
+		b, c2 := newRecorder(t)
 		now := 2 * control.Second
 		for _, in := range c.rounds(b, 1) {
 			c2.Round(now, in)
@@ -182,8 +185,8 @@
 
 // A message that can't be kept is refused, and the module forgets it.
 func TestLedgerFull(t *testing.T) {
-	b, c := newBook(t)
-	b.full = true
+	b, c := newRecorder(t)
+	b.ledgerFull = true
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "final m1 refused")
 	c.Round(2*control.Second+5000, nil)
@@ -196,7 +199,7 @@
 // A call that could not go on record was not made: the message goes on, and the module knows that nothing can be recorded until it
 // hears otherwise.
 func TestCallNotOnRecord(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Class = 2 // guarded
 	c.Round(2*control.Second, []Input{in})
@@ -213,12 +216,12 @@
 
 // What was not written when a drain or a wait is told is taken back.
 func TestTakenBack(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.take()
 	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
 	b.want(t, "unsend m1")
-	b, c = newBook(t)
+	b, c = newRecorder(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	c.Round(2*control.Second+1000, []Input{b.msg(2, 2, 10)})
 	if len(b.calls) < 2 {
@@ -233,7 +236,7 @@
 
 // A restored message is not recorded anew, and keeps its attempts and its doubt.
 func TestRestored(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Recovered = Recovered{Restored: true, Attempts: 2}
 	c.Round(2*control.Second, []Input{in})
@@ -245,16 +248,16 @@
 
 // A restored message that can't be sent any more ends in the ledger, too: it must not come back at each start.
 func TestRestoredEndsOnRecord(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.pol.Settings.MaxTries}
+	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.options.Settings.MaxTries}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "over m1 true", "final m1 refused")
 }
 
 // Time that passed before the round took a message is not given again.
 func TestLateRound(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.ReceivedAt = 2 * control.Second
 	c.Round(2*control.Second+500*control.Millisecond, []Input{in})
--- a/internal/engine/verdict.go
+++ b/internal/engine/verdict.go
@@ -28,8 +28,8 @@
 	NotRecorded                                 // it could not be put on record, and was not sent
 )
 
-// unsent tells that by this end nothing of the attempt was written.
-func (k OutcomeKind) unsent() bool {
+// nothingWritten tells that by this end nothing of the attempt was written.
+func (k OutcomeKind) nothingWritten() bool {
 	return k == NotConnected || k == Unsent || k == HeadersTooLarge || k == NotRecorded
 }
 
@@ -51,13 +51,13 @@
 	Reason           string
 }
 
-// unheard tells that the peer said nothing of the attempt's end: it may be executed yet.
-func (v Classification) unheard() bool {
+// unconfirmed tells that the peer said nothing of the attempt's end: it may be executed yet.
+func (v Classification) unconfirmed() bool {
 	return v.PossiblyExecuted && v.Result != control.OK && v.Result != control.Errored
 }
 
-// verdicts holds the ends that no status is needed for. Doubt counts as "may have run".
-var verdicts = map[OutcomeKind]Classification{
+// classifications holds the ends that no status is needed for. Doubt counts as "may have run".
+var classifications = map[OutcomeKind]Classification{
 	NotConnected:         {control.ConnectFailed, false, false, "no connection: nothing was sent"},
 	Unsent:               {control.NotSent, false, false, "given up before it was written"},
 	NotRecorded:          {control.NotSent, false, false, "it could not be put on record, and was not sent"},
@@ -78,15 +78,15 @@
 // to the endpoint: a missing one then says nothing of the endpoint.
 func Classify(e Outcome, own bool) Classification {
 	if e.Kind != Answered {
-		if v, ok := verdicts[e.Kind]; ok {
+		if v, ok := classifications[e.Kind]; ok {
 			return v
 		}
 		return Classification{control.Reset, true, false, "unknown end: it may have run"}
 	}
-	return judgeStatus(e.Status, e.RetryAfter, own)
+	return classifyStatus(e.Status, e.RetryAfter, own)
 }
 
-func judgeStatus(status int, wait control.Time, own bool) Classification {
+func classifyStatus(status int, wait control.Time, own bool) Classification {
 	why := func(s string) string { return fmt.Sprintf("status %d: %s", status, s) }
 	switch {
 	case status >= 200 && status < 300:
@@ -99,7 +99,7 @@
 		return Classification{control.Errored, true, false, why("error, it may have run")}
 	case status == 408 || status == 425:
 		return Classification{control.Errored, true, false, why("not taken now; no proof that it has not run")}
-	case status >= 400 && aboutMessage(status, own):
+	case status >= 400 && rejectsMessage(status, own):
 		// The endpoint works: it answered for good. To the module that is an answer like any other.
 		return Classification{control.OK, true, true, why("refused for good, for what the message is")}
 	case status >= 400:
@@ -108,9 +108,9 @@
 	return Classification{control.Errored, true, false, why("not followed, and no proof that it has not run")}
 }
 
-// aboutMessage tells a permanent refusal of the message from one of the endpoint's: 400, 409 and the like blame what
+// rejectsMessage tells a permanent refusal of the message from one of the endpoint's: 400, 409 and the like blame what
 // was sent, 401 or 405 would meet every message there and count against the endpoint.
-func aboutMessage(status int, own bool) bool {
+func rejectsMessage(status int, own bool) bool {
 	switch status {
 	case 400, 402, 406, 409, 410, 411, 412, 413, 414, 415, 416, 417, 422, 428, 431, 451:
 		return true
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -59,20 +59,20 @@
 
 // Registry knows the resources and the tenants. It is not changed after NewBook.
 type Registry struct {
-	resources map[string]*Resource
-	exchanges map[string]*Exchange
-	partners  map[string]int
-	tenants   map[string]int
-	tokens    []Token
-	open      []bool // tenants without a token
-	maxBody   int
-	least     time.Duration
+	resources   map[string]*Resource
+	exchanges   map[string]*Exchange
+	partners    map[string]int
+	tenants     map[string]int
+	tokens      []Token
+	openTenants []bool // tenants without a token
+	maxBody     int
+	minLifetime time.Duration
 }
 
 // NewRegistry returns a Book.
 func NewRegistry(s Config) *Registry {
 	b := &Registry{resources: map[string]*Resource{}, exchanges: map[string]*Exchange{}, partners: s.Partners, tenants: map[string]int{},
-		tokens: s.Tokens, open: make([]bool, len(s.Tenants)), maxBody: s.MaxBody, least: s.MinLifetime}
+		tokens: s.Tokens, openTenants: make([]bool, len(s.Tenants)), maxBody: s.MaxBody, minLifetime: s.MinLifetime}
 	for i := range s.Resources {
 		b.resources[s.Resources[i].Path] = &s.Resources[i]
 	}
@@ -81,10 +81,10 @@
 	}
 	for i, name := range s.Tenants {
 		b.tenants[name] = i
-		b.open[i] = true
+		b.openTenants[i] = true
 	}
 	for _, t := range s.Tokens {
-		b.open[t.Tenant] = false
+		b.openTenants[t.Tenant] = false
 	}
 	return b
 }
@@ -101,7 +101,7 @@
 		return r, ""
 	}
 	i := strings.LastIndexByte(path, '/')
-	if i < 0 || !part(path[i+1:]) {
+	if i < 0 || !isPathSegment(path[i+1:]) {
 		return nil, ""
 	}
 	r := b.resources[path[:i]+"/*"]
@@ -115,7 +115,7 @@
 func (b *Registry) Route(x *Exchange, key string) (*Resource, string) {
 	name, target, more := strings.Cut(key, "/")
 	dest, ok := b.partners[name]
-	if !ok || more && !part(target) {
+	if !ok || more && !isPathSegment(target) {
 		return nil, ""
 	}
 	if more {
@@ -124,8 +124,8 @@
 	return &Resource{Dest: dest, Class: x.Class, Tenant: x.Tenant, InOrder: x.InOrder, MaxLifetime: x.MaxLifetime}, target
 }
 
-// part tells whether a text can be the last part of a path at a partner.
-func part(s string) bool {
+// isPathSegment tells whether a text can be the last part of a path at a partner.
+func isPathSegment(s string) bool {
 	return s != "" && s != "." && !strings.Contains(s, "..") &&
 		strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f || strings.ContainsRune(`#\/?`, r) }) < 0
 }
@@ -142,7 +142,7 @@
 
 // CheckSecret holds a secret against all tenants' in constant time.
 func (b *Registry) CheckSecret(tenant int, secret string) Access {
-	if b.open[tenant] {
+	if b.openTenants[tenant] {
 		return Granted
 	}
 	digest := sha256.Sum256([]byte(secret))
@@ -165,7 +165,7 @@
 func (b *Registry) Login(name, secret string) (tenant int, ok bool) {
 	tenant, known := b.tenants[name]
 	if !known {
-		for i, open := range b.open {
+		for i, open := range b.openTenants {
 			if !open {
 				b.CheckSecret(i, secret)
 				break
@@ -183,7 +183,7 @@
 }
 
 // IsOpen tells whether anybody may hand in messages of a tenant.
-func (b *Registry) IsOpen(tenant int) bool { return b.open[tenant] }
+func (b *Registry) IsOpen(tenant int) bool { return b.openTenants[tenant] }
 
 // Life is how long a message lives that asks for a time, below zero for none: at most its class's.
 func (b *Registry) Lifetime(limit, asked time.Duration) control.Time {
@@ -191,7 +191,7 @@
 	if asked >= 0 {
 		life = min(life, asked)
 	}
-	return control.Time(max(life, min(b.least, limit)) / time.Microsecond)
+	return control.Time(max(life, min(b.minLifetime, limit)) / time.Microsecond)
 }
 
 // ValidUrgency of a message (RFC 8030 section 5.3); empty is normal.
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -53,21 +53,21 @@
 // MediaType is the type of a signed receipt (RFC 7515 section 9.2.1).
 const MediaType = "application/jose"
 
-type head struct {
+type header struct {
 	Alg string `json:"alg"`
 	Typ string `json:"typ"`
 	Kid string `json:"kid"`
 }
 
-const typ = "whinrun-receipt"
+const receiptType = "whinrun-receipt"
 
-var code = base64.RawURLEncoding.Strict()
+var encoding = base64.RawURLEncoding.Strict()
 
 // Sign returns the receipt in its signed form.
 func (r *Receipt) Sign(key Signer) string {
-	h, _ := json.Marshal(head{"EdDSA", typ, key.ID()})
-	text := code.EncodeToString(h) + "." + code.EncodeToString(r.JSON())
-	return text + "." + code.EncodeToString(key.Sign([]byte(text)))
+	h, _ := json.Marshal(header{"EdDSA", receiptType, key.ID()})
+	text := encoding.EncodeToString(h) + "." + encoding.EncodeToString(r.JSON())
+	return text + "." + encoding.EncodeToString(key.Sign([]byte(text)))
 }
 
 // ErrSignature tells of a receipt that is not as it was signed.
@@ -82,15 +82,15 @@
 	var raw [3][]byte
 	for i := range part {
 		var err error
-		if raw[i], err = code.DecodeString(part[i]); err != nil {
+		if raw[i], err = encoding.DecodeString(part[i]); err != nil {
 			return nil, fmt.Errorf("not a signed receipt: part %d: %w", i+1, err)
 		}
 	}
-	var h head
+	var h header
 	if err := json.Unmarshal(raw[0], &h); err != nil {
 		return nil, fmt.Errorf("not a signed receipt: %w", err)
 	}
-	if h.Alg != "EdDSA" || h.Typ != typ {
+	if h.Alg != "EdDSA" || h.Typ != receiptType {
 		return nil, fmt.Errorf("not a signed receipt: %s, %s", h.Typ, h.Alg)
 	}
 	key, ok := keys[h.Kid]
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -77,31 +77,31 @@
 type Guard struct {
 	settings control.Settings
 
-	mu         sync.Mutex
-	messages   map[control.MessageID]*message
-	withdrawn  map[control.Endpoint]control.Time // draining or gone, and since when
-	destWaits  map[int]control.Time              // until when destinations told to wait
-	routeWaits map[control.Endpoint]control.Time // the same of endpoints with limits of their own
-	keys       map[uint64][]*message             // unfinished messages of a key, in the order of their acceptance
-	rests      map[uint64]control.Time           // until when keys rest
-	violations uint64
+	mu                 sync.Mutex
+	messages           map[control.MessageID]*message
+	withdrawnSince     map[control.Endpoint]control.Time // draining or gone, and since when
+	destRetryAfter     map[int]control.Time              // until when destinations told to wait
+	endpointRetryAfter map[control.Endpoint]control.Time // the same of endpoints with limits of their own
+	keys               map[uint64][]*message             // unfinished messages of a key, in the order of their acceptance
+	blockedKeys        map[uint64]control.Time           // until when keys rest
+	violations         uint64
 }
 
 // message is what is known of one.
 type message struct {
 	Message
-	class   *control.Class
-	out     int  // attempt that is out, -1 for none
-	written bool // the attempt that is out may have been written
-	ended   bool
+	class    *control.Class
+	inFlight int  // attempt that is out, -1 for none
+	written  bool // the attempt that is out may have been written
+	finished bool
 }
 
 const noAttempt = -1
 
 // NewGuard makes a Guard for settings.
 func NewGuard(s control.Settings) *Guard {
-	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawn: map[control.Endpoint]control.Time{},
-		destWaits: map[int]control.Time{}, routeWaits: map[control.Endpoint]control.Time{}, keys: map[uint64][]*message{}, rests: map[uint64]control.Time{}}
+	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.Endpoint]control.Time{},
+		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.Endpoint]control.Time{}, keys: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
 }
 
 // Violations counts what was prevented.
@@ -115,7 +115,7 @@
 func (g *Guard) Accept(m Message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	x := &message{Message: m, class: &g.settings.Classes[m.Class], out: noAttempt}
+	x := &message{Message: m, class: &g.settings.Classes[m.Class], inFlight: noAttempt}
 	g.messages[m.ID] = x
 	if x.class.InOrder && m.OrderKey != 0 {
 		g.keys[m.OrderKey] = append(g.keys[m.OrderKey], x)
@@ -127,18 +127,18 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
-	err := g.mayCall(now, m, c)
-	if err == nil && m.out != noAttempt {
+	err := g.checkCall(now, m, c)
+	if err == nil && m.inFlight != noAttempt {
 		err = ErrAttemptInFlight
 	}
 	if err == nil && m.Attempts >= g.settings.MaxTries {
 		err = ErrAttemptsExhausted
 	}
 	if err != nil {
-		return g.violated("call", c.Message, err)
+		return g.recordViolation("call", c.Message, err)
 	}
 	m.Attempts++
-	m.out, m.written = c.Attempt, false
+	m.inFlight, m.written = c.Attempt, false
 	return nil
 }
 
@@ -147,10 +147,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
-	if err := g.mayCall(now, m, c); err != nil {
+	if err := g.checkCall(now, m, c); err != nil {
 		return err
 	}
-	if m.out != c.Attempt {
+	if m.inFlight != c.Attempt {
 		return ErrAttemptInFlight
 	}
 	m.written = true
@@ -161,35 +161,35 @@
 func (g *Guard) RevokeWrite(c Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if m := g.messages[c.Message]; m != nil && m.out == c.Attempt {
+	if m := g.messages[c.Message]; m != nil && m.inFlight == c.Attempt {
 		m.written = false
 	}
 }
 
-// mayCall tells why a call must not be made now, whoever asks; it is called with the lock held.
-func (g *Guard) mayCall(now control.Time, m *message, c Call) error {
+// checkCall tells why a call must not be made now, whoever asks; it is called with the lock held.
+func (g *Guard) checkCall(now control.Time, m *message, c Call) error {
 	if m == nil {
 		return ErrUnknownMessage
 	}
 	switch {
-	case m.ended:
+	case m.finished:
 		return ErrMessageFinished
 	case now >= m.Deadline:
 		return ErrDeadlineExceeded
-	case g.drained(c.Endpoint):
+	case g.isWithdrawn(c.Endpoint):
 		return ErrEndpointWithdrawn
-	case now < g.waitsUntil(c):
+	case now < g.retryAfter(c):
 		return ErrRetryAfterPending
 	case !g.isFirst(m):
 		return ErrOutOfOrder
-	case m.Attempts == 0 && now < g.rests[m.OrderKey]:
+	case m.Attempts == 0 && now < g.blockedKeys[m.OrderKey]:
 		return ErrKeyBlocked
 	}
-	return m.mayRepeat(now, c.Zone)
+	return m.checkRepeat(now, c.Zone)
 }
 
-// mayRepeat tells why a message that may have been executed must not be called again.
-func (m *message) mayRepeat(now control.Time, zone int) error {
+// checkRepeat tells why a message that may have been executed must not be called again.
+func (m *message) checkRepeat(now control.Time, zone int) error {
 	switch {
 	case !m.PossiblyExecuted || m.class.Effect == control.Free:
 		return nil
@@ -203,16 +203,16 @@
 	return nil
 }
 
-func (g *Guard) drained(e control.Endpoint) bool {
-	_, ok := g.withdrawn[e]
+func (g *Guard) isWithdrawn(e control.Endpoint) bool {
+	_, ok := g.withdrawnSince[e]
 	return ok
 }
 
-func (g *Guard) waitsUntil(c Call) control.Time {
+func (g *Guard) retryAfter(c Call) control.Time {
 	if c.PerEndpointLimits {
-		return g.routeWaits[c.Endpoint]
+		return g.endpointRetryAfter[c.Endpoint]
 	}
-	return g.destWaits[c.Dest]
+	return g.destRetryAfter[c.Dest]
 }
 
 // isFirst tells whether no earlier message of the same key is unfinished.
@@ -235,13 +235,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
-	if m == nil || m.out != c.Attempt {
-		return g.violated("end of an attempt", c.Message, ErrUnknownMessage)
+	if m == nil || m.inFlight != c.Attempt {
+		return g.recordViolation("end of an attempt", c.Message, ErrUnknownMessage)
 	}
-	m.out = noAttempt
+	m.inFlight = noAttempt
 	var err error
 	if e.Unsent && m.written {
-		err = g.violated("end as unsent", c.Message, ErrAlreadyWritten)
+		err = g.recordViolation("end as unsent", c.Message, ErrAlreadyWritten)
 	}
 	if e.NotCounted && err == nil {
 		m.Attempts--
@@ -250,9 +250,9 @@
 		m.PossiblyExecuted, m.ExecutedAt, m.ExecutedZone = true, began, c.Zone
 	}
 	if e.Unconfirmed && m.class.InOrder && m.OrderKey != 0 {
-		g.rests[m.OrderKey] = now + g.settings.SettleAfterDoubt
+		g.blockedKeys[m.OrderKey] = now + g.settings.SettleAfterDoubt
 	}
-	g.forget(m)
+	g.removeIfDone(m)
 	return err
 }
 
@@ -274,19 +274,19 @@
 	m := g.messages[id]
 	switch {
 	case m == nil:
-		return g.violated("refusal", id, ErrUnknownMessage)
-	case m.ended:
-		return g.violated("refusal", id, ErrMessageFinished)
-	case m.mayBeHandedInAgain():
+		return g.recordViolation("refusal", id, ErrUnknownMessage)
+	case m.finished:
+		return g.recordViolation("refusal", id, ErrMessageFinished)
+	case m.resubmissionIsHarmless():
 		return nil
 	}
-	return g.violated("refusal", id, ErrUnsafeRepeat)
+	return g.recordViolation("refusal", id, ErrUnsafeRepeat)
 }
 
-// mayBeHandedInAgain tells whether executing a message again does no harm: its sender may bring it at any time, to any
+// resubmissionIsHarmless tells whether executing a message again does no harm: its sender may bring it at any time, to any
 // dispatcher, by its own clock.
-func (m *message) mayBeHandedInAgain() bool {
-	maybe := m.PossiblyExecuted || m.out != noAttempt && m.written
+func (m *message) resubmissionIsHarmless() bool {
+	maybe := m.PossiblyExecuted || m.inFlight != noAttempt && m.written
 	return !maybe || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
 }
 
@@ -300,7 +300,7 @@
 		return nil // it ended meanwhile
 	}
 	if attempts != m.Attempts || executed != m.PossiblyExecuted || executed && executedAt != m.ExecutedAt {
-		return g.violated("record", id, ErrRecordMismatch)
+		return g.recordViolation("record", id, ErrRecordMismatch)
 	}
 	return nil
 }
@@ -310,14 +310,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.messages[id]; m != nil {
-		m.ended = true
-		g.forget(m)
+		m.finished = true
+		g.removeIfDone(m)
 	}
 }
 
-// forget drops a message that has ended and has nothing out; it is called with the lock held.
-func (g *Guard) forget(m *message) {
-	if !m.ended || m.out != noAttempt {
+// removeIfDone drops a message that has ended and has nothing out; it is called with the lock held.
+func (g *Guard) removeIfDone(m *message) {
+	if !m.finished || m.inFlight != noAttempt {
 		return
 	}
 	delete(g.messages, m.ID)
@@ -340,14 +340,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h == control.Ready {
-		delete(g.withdrawn, e)
+		delete(g.withdrawnSince, e)
 		return
 	}
-	if !g.drained(e) {
-		g.withdrawn[e] = now
+	if !g.isWithdrawn(e) {
+		g.withdrawnSince[e] = now
 	}
-	if len(g.withdrawn)+len(g.rests)+len(g.routeWaits) > tidyAbove {
-		g.tidy(now)
+	if len(g.withdrawnSince)+len(g.blockedKeys)+len(g.endpointRetryAfter) > cleanupThreshold {
+		g.removeExpired(now)
 	}
 }
 
@@ -356,27 +356,27 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if c.PerEndpointLimits {
-		g.routeWaits[c.Endpoint] = max(g.routeWaits[c.Endpoint], until)
+		g.endpointRetryAfter[c.Endpoint] = max(g.endpointRetryAfter[c.Endpoint], until)
 	} else {
-		g.destWaits[c.Dest] = max(g.destWaits[c.Dest], until)
+		g.destRetryAfter[c.Dest] = max(g.destRetryAfter[c.Dest], until)
 	}
 }
 
 // Bounds of what is kept of endpoints that left the list, and of waits that are over.
 const (
-	tidyAbove = 4096
-	keptFor   = 600 * control.Second // far longer than any message lives
+	cleanupThreshold   = 4096
+	withdrawnRetention = 600 * control.Second // far longer than any message lives
 )
 
-// tidy forgets what is of no more use; it is called with the lock held.
-func (g *Guard) tidy(now control.Time) {
-	maps.DeleteFunc(g.withdrawn, func(_ control.Endpoint, since control.Time) bool { return now-since > keptFor })
-	maps.DeleteFunc(g.routeWaits, func(_ control.Endpoint, until control.Time) bool { return until < now })
-	maps.DeleteFunc(g.rests, func(_ uint64, until control.Time) bool { return until < now })
+// removeExpired forgets what is of no more use; it is called with the lock held.
+func (g *Guard) removeExpired(now control.Time) {
+	maps.DeleteFunc(g.withdrawnSince, func(_ control.Endpoint, since control.Time) bool { return now-since > withdrawnRetention })
+	maps.DeleteFunc(g.endpointRetryAfter, func(_ control.Endpoint, until control.Time) bool { return until < now })
+	maps.DeleteFunc(g.blockedKeys, func(_ uint64, until control.Time) bool { return until < now })
 }
 
-// violated counts a violation; it is called with the lock held.
-func (g *Guard) violated(action string, id control.MessageID, cause error) error {
+// recordViolation counts a violation; it is called with the lock held.
+func (g *Guard) recordViolation(action string, id control.MessageID, cause error) error {
 	g.violations++
 	return &Violation{Message: id, Action: action, Cause: cause}
 }
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -10,25 +10,25 @@
 const s = control.Second
 
 const (
-	free = iota
-	keyed
-	once
-	zoned
-	ordered
+	classFree = iota
+	classKeyed
+	classSingleShot
+	classZoned
+	classOrdered
 )
 
 func settings() control.Settings {
 	return control.Settings{Tick: 5 * control.Millisecond, MaxTries: 3, SettleAfterDoubt: s, Classes: []control.Class{
-		free:    {Effect: control.Free},
-		keyed:   {Effect: control.Guarded, Window: 5 * s},
-		once:    {Effect: control.SingleShot},
-		zoned:   {Effect: control.Guarded, Window: 5 * s, ZoneGroup: true},
-		ordered: {Effect: control.Free, InOrder: true},
+		classFree:       {Effect: control.Free},
+		classKeyed:      {Effect: control.Guarded, Window: 5 * s},
+		classSingleShot: {Effect: control.SingleShot},
+		classZoned:      {Effect: control.Guarded, Window: 5 * s, ZoneGroup: true},
+		classOrdered:    {Effect: control.Free, InOrder: true},
 	}}
 }
 
 // Each reason to forbid a call, by what happened before it; at the decision and again at the writing.
-func TestCalls(t *testing.T) {
+func TestCallAuthorization(t *testing.T) {
 	executed := AttemptResult{PossiblyExecuted: true}
 	for _, c := range []struct {
 		name   string
@@ -38,24 +38,24 @@
 		change func(c *Call)
 		want   error
 	}{
-		{"first", once, nil, s, nil, nil},
-		{"message ended", free, func(g *Guard, _ Call) { g.FinishMessage(1) }, s, nil, ErrUnknownMessage},
-		{"time over", free, nil, 20 * s, nil, ErrDeadlineExceeded},
-		{"endpoint drains", free, func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Draining) }, s, nil, ErrEndpointWithdrawn},
-		{"endpoint is back", free, func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Gone); g.SetHealth(s, 7, control.Ready) }, s, nil, nil},
-		{"destination waits", free, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s) }, 3 * s, nil, ErrRetryAfterPending},
-		{"wait over", free, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s) }, 4 * s, nil, nil},
-		{"shorter wait behind a longer one", free, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s); g.SetRetryAfter(c, 2*s) }, 3 * s, nil, ErrRetryAfterPending},
-		{"another route waits", free, func(g *Guard, c Call) { c.PerEndpointLimits, c.Endpoint = true, 8; g.SetRetryAfter(c, 4*s) }, 3 * s, func(c *Call) { c.PerEndpointLimits = true }, nil},
-		{"its route waits", free, func(g *Guard, c Call) { c.PerEndpointLimits = true; g.SetRetryAfter(c, 4*s) }, 3 * s, func(c *Call) { c.PerEndpointLimits = true }, ErrRetryAfterPending},
-		{"free, executed", free, ended(executed), 19 * s, nil, nil},
-		{"once, never executed", once, ended(AttemptResult{}), 3 * s, nil, nil},
-		{"once, executed", once, ended(executed), 3 * s, nil, ErrPossiblyExecuted},
-		{"keyed, executed, in its window", keyed, ended(executed), 6*s - control.StallMargin, nil, nil},
-		{"keyed, executed, a stall before its window's end", keyed, ended(executed), 6*s - control.StallMargin + 1, nil, ErrWindowExpired},
-		{"keyed, never executed", keyed, ended(AttemptResult{}), 19 * s, nil, nil},
-		{"zone, executed here", zoned, ended(executed), 3 * s, nil, nil},
-		{"zone, executed elsewhere", zoned, ended(executed), 3 * s, func(c *Call) { c.Zone = 2 }, ErrOtherZone},
+		{"first", classSingleShot, nil, s, nil, nil},
+		{"message ended", classFree, func(g *Guard, _ Call) { g.FinishMessage(1) }, s, nil, ErrUnknownMessage},
+		{"time over", classFree, nil, 20 * s, nil, ErrDeadlineExceeded},
+		{"endpoint drains", classFree, func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Draining) }, s, nil, ErrEndpointWithdrawn},
+		{"endpoint is back", classFree, func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Gone); g.SetHealth(s, 7, control.Ready) }, s, nil, nil},
+		{"destination waits", classFree, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s) }, 3 * s, nil, ErrRetryAfterPending},
+		{"wait over", classFree, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s) }, 4 * s, nil, nil},
+		{"shorter wait behind a longer one", classFree, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s); g.SetRetryAfter(c, 2*s) }, 3 * s, nil, ErrRetryAfterPending},
+		{"another route waits", classFree, func(g *Guard, c Call) { c.PerEndpointLimits, c.Endpoint = true, 8; g.SetRetryAfter(c, 4*s) }, 3 * s, func(c *Call) { c.PerEndpointLimits = true }, nil},
+		{"its route waits", classFree, func(g *Guard, c Call) { c.PerEndpointLimits = true; g.SetRetryAfter(c, 4*s) }, 3 * s, func(c *Call) { c.PerEndpointLimits = true }, ErrRetryAfterPending},
+		{"free, executed", classFree, afterAttempt(executed), 19 * s, nil, nil},
+		{"once, never executed", classSingleShot, afterAttempt(AttemptResult{}), 3 * s, nil, nil},
+		{"once, executed", classSingleShot, afterAttempt(executed), 3 * s, nil, ErrPossiblyExecuted},
+		{"keyed, executed, in its window", classKeyed, afterAttempt(executed), 6*s - control.StallMargin, nil, nil},
+		{"keyed, executed, a stall before its window's end", classKeyed, afterAttempt(executed), 6*s - control.StallMargin + 1, nil, ErrWindowExpired},
+		{"keyed, never executed", classKeyed, afterAttempt(AttemptResult{}), 19 * s, nil, nil},
+		{"zone, executed here", classZoned, afterAttempt(executed), 3 * s, nil, nil},
+		{"zone, executed elsewhere", classZoned, afterAttempt(executed), 3 * s, func(c *Call) { c.Zone = 2 }, ErrOtherZone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGuard(settings())
@@ -88,8 +88,8 @@
 	}
 }
 
-// ended has a first call made at 1 s, and its end come.
-func ended(e AttemptResult) func(*Guard, Call) {
+// afterAttempt has a first call made at 1 s, and its end come.
+func afterAttempt(e AttemptResult) func(*Guard, Call) {
 	return func(g *Guard, c Call) {
 		if g.AuthorizeCall(s, c) == nil && g.Write(s, c) == nil {
 			_ = g.FinishAttempt(s, c, s, e)
@@ -112,7 +112,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewGuard(settings())
-			g.Accept(Message{ID: 1, Class: once, Deadline: 20 * s})
+			g.Accept(Message{ID: 1, Class: classSingleShot, Deadline: 20 * s})
 			call := Call{Message: 1, Endpoint: 7}
 			if err := g.AuthorizeCall(s, call); err != nil {
 				t.Fatal(err)
@@ -131,7 +131,7 @@
 // An end that claims that nothing was sent of a call that was written is not believed.
 func TestEndAsUnsent(t *testing.T) {
 	g := NewGuard(settings())
-	g.Accept(Message{ID: 1, Class: once, Deadline: 20 * s})
+	g.Accept(Message{ID: 1, Class: classSingleShot, Deadline: 20 * s})
 	first := Call{Message: 1, Endpoint: 7}
 	_, _ = g.AuthorizeCall(s, first), g.Write(s, first)
 	g.RevokeWrite(first)
@@ -156,15 +156,15 @@
 		before func(*Guard, Call)
 		want   error
 	}{
-		{"never called", once, nil, nil},
-		{"once, never executed", once, ended(AttemptResult{}), nil},
-		{"once, executed", once, ended(AttemptResult{PossiblyExecuted: true}), ErrUnsafeRepeat},
-		{"once, planned and not written", once, func(g *Guard, c Call) { _ = g.AuthorizeCall(s, c) }, nil},
-		{"once, out", once, func(g *Guard, c Call) { _, _ = g.AuthorizeCall(s, c), g.Write(s, c) }, ErrUnsafeRepeat},
-		{"keyed, executed", keyed, ended(AttemptResult{PossiblyExecuted: true}), nil},
-		{"zone, executed", zoned, ended(AttemptResult{PossiblyExecuted: true}), ErrUnsafeRepeat},
-		{"free, executed", free, ended(AttemptResult{PossiblyExecuted: true}), nil},
-		{"ended", once, func(g *Guard, c Call) { _, _ = g.AuthorizeCall(s, c), g.Write(s, c); g.FinishMessage(1) }, ErrMessageFinished},
+		{"never called", classSingleShot, nil, nil},
+		{"once, never executed", classSingleShot, afterAttempt(AttemptResult{}), nil},
+		{"once, executed", classSingleShot, afterAttempt(AttemptResult{PossiblyExecuted: true}), ErrUnsafeRepeat},
+		{"once, planned and not written", classSingleShot, func(g *Guard, c Call) { _ = g.AuthorizeCall(s, c) }, nil},
+		{"once, out", classSingleShot, func(g *Guard, c Call) { _, _ = g.AuthorizeCall(s, c), g.Write(s, c) }, ErrUnsafeRepeat},
+		{"keyed, executed", classKeyed, afterAttempt(AttemptResult{PossiblyExecuted: true}), nil},
+		{"zone, executed", classZoned, afterAttempt(AttemptResult{PossiblyExecuted: true}), ErrUnsafeRepeat},
+		{"free, executed", classFree, afterAttempt(AttemptResult{PossiblyExecuted: true}), nil},
+		{"ended", classSingleShot, func(g *Guard, c Call) { _, _ = g.AuthorizeCall(s, c), g.Write(s, c); g.FinishMessage(1) }, ErrMessageFinished},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGuard(settings())
@@ -183,7 +183,7 @@
 func TestOrder(t *testing.T) {
 	g := NewGuard(settings())
 	for id := range control.MessageID(3) {
-		g.Accept(Message{ID: id + 1, Class: ordered, OrderKey: 5, Deadline: 20 * s})
+		g.Accept(Message{ID: id + 1, Class: classOrdered, OrderKey: 5, Deadline: 20 * s})
 	}
 	first, second := Call{Message: 1}, Call{Message: 2}
 	if err := g.AuthorizeCall(s, second); !errors.Is(err, ErrOutOfOrder) {
@@ -213,9 +213,9 @@
 // What a process before this one did binds as if it had been done here.
 func TestRestored(t *testing.T) {
 	g := NewGuard(settings())
-	g.Accept(Message{ID: 1, Class: once, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -s})
-	g.Accept(Message{ID: 2, Class: keyed, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -3 * s})
-	g.Accept(Message{ID: 3, Class: free, Deadline: 20 * s, Attempts: 3})
+	g.Accept(Message{ID: 1, Class: classSingleShot, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -s})
+	g.Accept(Message{ID: 2, Class: classKeyed, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -3 * s})
+	g.Accept(Message{ID: 3, Class: classFree, Deadline: 20 * s, Attempts: 3})
 	for id, want := range map[control.MessageID]error{1: ErrPossiblyExecuted, 2: ErrWindowExpired, 3: ErrAttemptsExhausted} {
 		if err := g.AuthorizeCall(2*s, Call{Message: id}); !errors.Is(err, want) {
 			t.Errorf("message %d: %v, want %v", id, err, want)
@@ -229,7 +229,7 @@
 	for e := range control.Endpoint(20000) {
 		g.SetHealth(control.Time(e)*s, e, control.Gone)
 	}
-	if len(g.withdrawn) > tidyAbove+1 {
-		t.Errorf("%d are kept", len(g.withdrawn))
+	if len(g.withdrawnSince) > cleanupThreshold+1 {
+		t.Errorf("%d are kept", len(g.withdrawnSince))
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -156,7 +156,7 @@
 	r.Add(3, control.Action{Kind: control.Share, Text: "hi 7"})
 	r.Add(3, control.Action{Kind: control.Share, Text: strings.Repeat("x", 300)})
 	want := unhex(t, "1a 0300 01  1b 0300  17 0300 ffffffff 0400 68692037  17 0300 ffffffff 0001")
-	if !bytes.HasPrefix(r.body, want) || len(r.body) != len(want)+maxNote {
+	if !bytes.HasPrefix(r.body, want) || len(r.body) != len(want)+maxNoteBytes {
 		t.Errorf("encoded %x, %d bytes", r.body[:len(want)], len(r.body))
 	}
 	frame := func(body string) []byte {
