--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts decision modules on the batch wire: events on
-// standard input, one flushed reply for each batch on standard output.
+// Command wirehost runs decision modules behind the batch protocol of package wire. It reads events from standard input, and
+// writes and flushes one reply for each batch to standard output.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// instance is one instance with the events gathered for it in this batch.
+// instance is one decision module and its events of the present batch.
 type instance struct {
 	id      uint16
 	module  *control.Dispatcher
@@ -29,7 +29,7 @@
 	queued  bool
 }
 
-// serve answers batches until the input ends.
+// serve answers batches until the input ends. It returns an error if the input is not valid or a reply cannot be written.
 func serve(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -54,7 +54,7 @@
 	}
 }
 
-// processBatch hands each instance its events, in the order instances appear.
+// processBatch gives each instance its events, in the order in which instances first appear in the batch.
 func processBatch(hosts map[uint16]*instance, batch wire.Batch, reply *wire.Reply) {
 	var order []*instance
 	for i := range batch.Records {
@@ -102,6 +102,7 @@
 	}
 }
 
+// newModule returns the module of an instance that starts.
 func newModule(r *wire.Record) (*control.Dispatcher, error) {
 	s, err := wire.ParseSettings(r.Settings)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return control.New(s, r.Seed)
 }
 
-// runRound runs one round; a panic in the module becomes an error with its text.
+// runRound runs one round of an instance. A panic of the module is returned as an error.
 func runRound(h *instance, now control.Time) (fault error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -14,7 +14,8 @@
 	"whinrun/control"
 )
 
-// Two processes of one boot agree on an instant, whatever their own clocks say.
+// TestInstantsAreSharedByProcesses checks that two process clocks of one boot convert an instant to the same moment,
+// although their own times differ.
 func TestInstantsAreSharedByProcesses(t *testing.T) {
 	first := New()
 	at := first.Now()
@@ -33,6 +34,7 @@
 	}
 }
 
+// TestClockBeginsAboveZero checks that neither a process time nor an instant is zero.
 func TestClockBeginsAboveZero(t *testing.T) {
 	c := New()
 	if now := c.Now(); now < initialTime || now > initialTime+10*control.Second || Elapsed(c) < time.Second {
@@ -43,10 +45,11 @@
 	}
 }
 
-// readsOfClock are functions of package time that read a clock. Timers and tickers are spans on the monotonic clock.
+// readsOfClock lists the functions of package time that read a clock. Timers and tickers are allowed, because they measure
+// spans on the monotonic clock.
 var readsOfClock = []string{"Now", "Since", "Until"}
 
-// No other package reads a clock; tests may.
+// TestNoOtherPackageReadsAClock checks that no other package reads a clock. Test files are exempt.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -1,6 +1,6 @@
-// Package engine runs the decision module: it turns what fronts and back ends report into the module's events, and
-// the module's actions into final answers and attempts. It decides nothing of its own. Core is the pure part, a
-// state machine that takes the time and its inputs; Loop runs a Core on the real clock, on one goroutine.
+// Package engine runs the decision module. It turns the reports of fronts and transports into the module's events, and the
+// module's actions into final answers and attempts. It makes no decisions of its own. Core is a deterministic state machine
+// without I/O, which is given the time and its inputs. Loop runs a Core on the real clock, on one goroutine.
 package engine
 
 import (
@@ -14,221 +14,335 @@
 	"whinrun/internal/safety"
 )
 
-// Final is the kind of a final answer.
+// AnswerKind is the kind of a final answer.
 type AnswerKind uint8
 
-// Final answers.
+// Kinds of final answers.
 const (
-	Served  AnswerKind = iota + 1 // a partner took it
-	Refused                       // handing it in again is harmless
-	Failed                        // nothing is promised
+	// Served means that a partner accepted the message.
+	Served AnswerKind = iota + 1
+
+	// Refused means that the message was not delivered, and that submitting it again is harmless.
+	Refused
+
+	// Failed means that nothing is promised. The message may or may not have been executed.
+	Failed
 )
 
 func (f AnswerKind) String() string { return [...]string{"none", "served", "refused", "failed"}[f] }
 
 // Answer is the final answer of a message.
 type Answer struct {
-	Kind             AnswerKind
-	RetryAfter       control.Time // Refused: stay away so long, 0 where nothing is known
-	DeadlineExceeded bool         // Failed: its time ended
-	Status           int          // the partner's last status, 0 if there was none
-	Attempts         int
-	AttemptDetail    string // of its last attempt
-	Reason           string // the module's, where it ended the message and not a partner's answer
+	Kind AnswerKind
+
+	// RetryAfter is how long the sender of a refused message should wait before it tries again, or zero if that is unknown.
+	RetryAfter control.Time
+
+	// DeadlineExceeded is set for a failed message whose time was over.
+	DeadlineExceeded bool
+
+	// Status is the last HTTP status of the partner, or zero if there was none.
+	Status int
+
+	// Attempts is the number of attempts that were made, including those of earlier processes.
+	Attempts int
+
+	// AttemptDetail describes how the last attempt ended.
+	AttemptDetail string
+
+	// Reason is the module's reason for ending the message. It is empty if a partner's response ended it.
+	Reason string
 }
 
-// Origin is where a message came from. Final is called once at most for each message, on the engine's goroutine; it
-// must not block. It is not called for a message that was withdrawn.
+// Origin is the source of a message. Answer is called at most once for each message, on the engine's goroutine, and must not
+// block. It is not called for a message that was withdrawn.
 type Origin interface {
 	Answer(m *Message, a Answer)
 }
 
-// Message is what a front hands over. It is not changed after.
+// Message is a message as a front submits it. It is not changed after it has been accepted.
 type Message struct {
-	ID                  control.MessageID // given by the engine
-	Class               int
-	Tenant              int
-	Dest                int
-	OrderKey            uint64       // order key, 0 is none
-	Lifetime            control.Time // time until it is given up, at most the deadline of its class
-	AcceptedAt          control.Time // when the engine took it
-	ReceivedAt          control.Time // when its sender's request was whole, 0 where Life counts from the round that takes it
-	ExternalID          string       // id that its sender gave it, where the protocol has one
-	IdempotencyKey      string       // key by which the partner drops repeats; empty: the message's id stands in
-	Topic               string
-	Urgency             string
-	TargetPath          string // path at the partner, where the message names one
-	ContentType         string // content type and coding
-	ContentEncoding     string
-	Body                []byte
-	ReceiptSubscription string // subscription that gets the final answer, where its sender does not wait for it; for the Trail
-
-	Recovered Recovered // what was done for it by a process that ended
-
-	Origin    Origin
-	OriginTag uint64 // for the Origin
-}
-
-// Recovered is what became of a message in processes before this one.
+	ID       control.MessageID // Assigned by Loop.Submit.
+	Class    int
+	Tenant   int
+	Dest     int
+	OrderKey uint64 // Zero if the message has no order key.
+
+	// Lifetime is the time until the message is given up. The deadline of its class limits it.
+	Lifetime control.Time
+
+	// AcceptedAt is the time of the round that accepted the message. The engine sets it.
+	AcceptedAt control.Time
+
+	// ReceivedAt is when the sender's request was complete. If it is zero, Lifetime counts from AcceptedAt.
+	ReceivedAt control.Time
+
+	// ExternalID is the ID that the sender gave the message, if the protocol has one.
+	ExternalID string
+
+	// IdempotencyKey is the key by which the partner deduplicates the message. If it is empty, the message's ID is used.
+	IdempotencyKey string
+
+	Topic   string
+	Urgency string
+
+	// TargetPath is the path at the partner, if the message names one.
+	TargetPath string
+
+	ContentType     string
+	ContentEncoding string
+	Body            []byte
+
+	// ReceiptSubscription names the subscription that gets the final answer if the sender does not wait for it. It is recorded
+	// in the Trail.
+	ReceiptSubscription string
+
+	// Recovered holds what earlier processes did for the message.
+	Recovered Recovered
+
+	// Origin gets the final answer.
+	Origin Origin
+
+	// OriginTag is for use by the Origin. The engine does not read it.
+	OriginTag uint64
+}
+
+// Recovered is what earlier processes did for a message.
 type Recovered struct {
-	Restored         bool         // it was taken on by one of them
-	Attempts         int          // made so far
-	PossiblyExecuted bool         // one of them may have been executed ...
-	ExecutedAt       control.Time // ... the first such began then, on the clock of this process, ...
-	ExecutedZone     int          // ... to this zone
+	// Restored is set if an earlier process accepted the message.
+	Restored bool
+
+	// Attempts is the number of attempts that were made.
+	Attempts int
+
+	// PossiblyExecuted is set if one of the attempts may have been executed.
+	PossiblyExecuted bool
+
+	// ExecutedAt is when the first possibly executed attempt began, on the clock of this process.
+	ExecutedAt control.Time
+
+	// ExecutedZone is the zone that this attempt went to.
+	ExecutedZone int
 }
 
-// AcceptNotifier is an Origin whose sender hears that its message is taken on before its end is known.
+// AcceptNotifier is an Origin that is told when its message has been accepted, before the final answer.
 type AcceptNotifier interface {
 	Origin
-	Accepted(m *Message) // on the engine's goroutine; before Final, unless the round that took the message ended it
+
+	// Accepted is called on the engine's goroutine, before Answer. It is not called if the message ended before its sender could
+	// be told.
+	Accepted(m *Message)
 }
 
-// Ledger records what must outlive the process. It is called on the engine's goroutine, each time before the promise that rests
-// on it: Take before the sender hears that the message is taken on, Over before anybody hears of its end. Attempts are put on
-// record by the back end, in the moment in which they are written.
+// Ledger records the state that must outlive the process. Its methods are called on the engine's goroutine. Each is called
+// before the promise that depends on the record: RecordAccept before the sender is told that the message is accepted, and
+// RecordFinish before anybody is told of its end. The transport records attempts, immediately before they are written.
 type Ledger interface {
-	// RecordAccept returns an error where the message is not on record: it is refused, or failed where it is ErrUncertain.
+	// RecordAccept records an accepted message with its deadline. An error means that the message is not on record. The
+	// message is then refused, or failed if the error is ErrRecordUncertain.
 	RecordAccept(m *Message, due control.Time) error
-	RecordAttemptEnd(a *Attempt, e safety.AttemptResult) // an attempt ended, its message did not
-	RecordFinish(m *Message, a *Answer)                  // a message ended; a is nil where it was withdrawn
-	RecordOutages(changed []control.Outage)              // what is known of outages has changed
+
+	// RecordAttemptEnd records that an attempt ended and its message did not.
+	RecordAttemptEnd(a *Attempt, e safety.AttemptResult)
+
+	// RecordFinish records that a message ended. a is nil if the message was withdrawn.
+	RecordFinish(m *Message, a *Answer)
+
+	// RecordOutages records changes of what is known of outages.
+	RecordOutages(changed []control.Outage)
 }
 
-// ErrRecordUncertain tells that a message may be on record, or may not.
+// ErrRecordUncertain means that a message may or may not be on record.
 var ErrRecordUncertain = errors.New("it is not known whether the message is on record")
 
-// Placement is what the list says of where an endpoint belongs.
+// Placement is the destination, kind and zone that the endpoint list gives for an endpoint.
 type Placement struct{ Dest, Kind, Zone int }
 
-// Attempt is one attempt that a back end is to make. What it is told about the message's execution is as of its start.
+// Attempt is one attempt that a transport is to make. Its facts about the execution of the message are as of its start.
 type Attempt struct {
-	Seq               uint64 // names it towards the back end
-	Message           *Message
-	Number            int // 0 is the first
-	Endpoint          control.Endpoint
-	Placement         Placement
-	PerEndpointLimits bool         // its endpoint has limits and waits of its own
-	Worth             float64      // of its message, as its class has it
-	Deadline          control.Time // it is given up then, at the latest
-	MessageDeadline   control.Time // its message's time is over then, and it is not sent again
-	WriteBefore       control.Time // one that is not written by then is given up unsent, 0 for Due: a repeat would come too late
-	StartedAt         control.Time
-}
-
-// SafetyCall names an attempt towards package safety.
+	Seq       uint64 // Identifies the attempt towards the transport.
+	Message   *Message
+	Number    int // The first attempt of a message has number zero.
+	Endpoint  control.Endpoint
+	Placement Placement
+
+	// PerEndpointLimits is set if the endpoint has its own limits and waits, instead of those of its destination.
+	PerEndpointLimits bool
+
+	// Worth is the worth of the message by its class.
+	Worth float64
+
+	// Deadline is the time at which the attempt is given up.
+	Deadline control.Time
+
+	// MessageDeadline is the time after which the message is not sent again.
+	MessageDeadline control.Time
+
+	// WriteBefore is the time at which an attempt that has not been written is given up unsent, because a repeat would be too
+	// late. If it is zero, Deadline applies.
+	WriteBefore control.Time
+
+	// StartedAt is the time of the round that started the attempt.
+	StartedAt control.Time
+}
+
+// SafetyCall identifies the attempt for package safety.
 func (a *Attempt) SafetyCall() safety.Call {
 	return safety.Call{Message: a.Message.ID, Attempt: a.Number, Endpoint: a.Endpoint, Dest: a.Placement.Dest, Zone: a.Placement.Zone, PerEndpointLimits: a.PerEndpointLimits}
 }
 
-// Transport carries attempts out. Its methods are called on the engine's goroutine and must not block. For each attempt of a
-// Start exactly one End comes back as an input, and soon after an Abandon, but where its call goes on for others: then with that.
+// Transport makes attempts. Its methods are called on the engine's goroutine and must not block. Each attempt that is started
+// is followed by exactly one Outcome as an input. The Outcome follows soon after a Cancel, unless the call goes on for other
+// messages. In that case it comes with the end of the call.
 type Transport interface {
-	Start(call []*Attempt)               // several where the kind of destination takes several messages in a call
-	CancelUnsent(a *Attempt)             // give up with the end Unsent, if no connection has it yet
-	Cancel(a *Attempt, kind OutcomeKind) // give up: OutOfTime or CalledOff, unless another end is on its way
-	CloseIdle(ep control.Endpoint)       // close idle connections to it
+	// Start starts a call. The call has several attempts if the kind of destination takes several messages in a call.
+	Start(call []*Attempt)
+
+	// CancelUnsent ends the attempt with the outcome Unsent if no connection has taken it yet.
+	CancelUnsent(a *Attempt)
+
+	// Cancel ends the attempt with the outcome TimedOut or Cancelled, unless another outcome is on its way.
+	Cancel(a *Attempt, kind OutcomeKind)
+
+	// CloseIdle closes the idle connections to an endpoint.
+	CloseIdle(ep control.Endpoint)
 }
 
-// Discovery is where the endpoint list comes from, for settings with AskList. Each call is answered by one List input.
+// Discovery provides the endpoint list if the setting AskList is on. Each call is answered by one ListUpdate as an input.
 type Discovery interface {
-	Watch() // subscribe to the list from now on
-	Fetch() // ask for the whole list once
+	// Watch subscribes to changes of the list.
+	Watch()
+
+	// Fetch requests the whole list once.
+	Fetch()
 }
 
-// Input is one thing that happened; exactly one of its parts is set.
+// Input is one event for a Core. Exactly one kind of event is set.
 type Input struct {
-	Submit         *Message
-	Withdraw       control.MessageID
-	Outcome        *Outcome
-	List           *ListUpdate
-	StopWithin     control.Time    // no message may take longer than this from now ...
-	KeepMessages   bool            // ... or, where a ledger keeps them, no call
-	LedgerWritable bool            // the ledger can be written again
-	Outage         *control.Outage // that a process before this one had seen
+	Submit   *Message
+	Withdraw control.MessageID
+	Outcome  *Outcome
+	List     *ListUpdate
+
+	// StopWithin is positive if the dispatcher is stopping. It is the longest time that any message may still take.
+	StopWithin control.Time
+
+	// KeepMessages goes with StopWithin. It is set if a ledger keeps the messages. StopWithin then limits calls and not messages.
+	KeepMessages bool
+
+	// LedgerWritable is set if the ledger can be written again.
+	LedgerWritable bool
+
+	// Outage is an outage that an earlier process observed.
+	Outage *control.Outage
 }
 
-// ListUpdate is news of the endpoint list.
+// ListUpdate is a new endpoint list or a change of it.
 type ListUpdate struct {
 	Kind    control.ListKind
 	Entries []control.Entry
 }
 
-// Trail takes down what happens to messages, as it happens. Its methods are called on the engine's goroutine; they must
-// not block, and keep nothing of what they are given.
+// Trail records what happens to messages, at the time that it happens. Its methods are called on the engine's goroutine. They
+// must not block, and must not retain their arguments.
 type Trail interface {
 	Accepted(m *Message)
 	AttemptStarted(a *Attempt)
-	AttemptEnded(a *Attempt, e *Outcome, v Classification, after bool) // after: the message had its final answer before
+
+	// AttemptEnded is called with after set if the message had its final answer before.
+	AttemptEnded(a *Attempt, e *Outcome, v Classification, after bool)
+
 	Withdrawn(m *Message)
 	Answered(m *Message, a *Answer)
 	EndpointChanged(e *control.Entry)
 }
 
-// Options is what the engine must know of a message beside the module's settings.
+// Options configures a Core.
 type Options struct {
-	Trail          Trail                        // nil for none
-	Ledger         Ledger                       // nil for none
-	Guard          *safety.Guard                // permits what is irreversible; nil for one of the engine's own
-	Classify       func(Outcome) Classification // what ends mean, nil for push gateways (see Judge)
-	MaxCallBytes   int                          // bytes of bodies that one call of several messages may carry, 0 for any
-	Settings       control.Settings
-	PathPerMessage []bool // for each kind of destination: paths belong to messages (see Judge)
+	Trail  Trail  // Nil if there is none.
+	Ledger Ledger // Nil if there is none.
+
+	// Guard authorizes irreversible operations. If it is nil, the engine creates one.
+	Guard *safety.Guard
+
+	// Classify maps outcomes to their meaning. If it is nil, the rules of push gateways apply (see the function Classify).
+	Classify func(Outcome) Classification
+
+	// MaxCallBytes is the maximum size of a call of several messages, in bytes. Zero means that there is no maximum.
+	MaxCallBytes int
+
+	// Settings are the settings of the decision module.
+	Settings control.Settings
+
+	// PathPerMessage tells for each kind of destination whether paths belong to messages (see the function Classify).
+	PathPerMessage []bool
 }
 
-// Stats counts what the engine did since its start.
+// Stats counts what the engine has done since its start.
 type Stats struct {
 	Accepted, Served, Refused, Failed, Withdrawn uint64
 	Attempts, Rounds                             uint64
-	Open, InFlight                               int
-	Violations                                   uint64 // of the rules, that were about to happen and were prevented
+
+	// Open is the number of messages without a final answer. InFlight is the number of attempts in flight.
+	Open, InFlight int
+
+	// Violations is the number of violations of the safety rules that were prevented.
+	Violations uint64
 }
 
-// Logger takes lines for the operators.
+// Logger writes log lines for operators.
 type Logger interface {
+	// Info logs a note of the decision module.
 	Info(text string)
-	InternalError(text string) // something that must not happen
+
+	// InternalError logs an event that a correct program does not produce.
+	InternalError(text string)
 }
 
-// messageState is a message that is owed an answer or has an attempt out.
+// messageState is the state of a message that has no final answer yet or has an attempt in flight.
 type messageState struct {
 	message     *Message
 	deadline    control.Time
 	attempts    int
-	ended       bool
-	unannounced bool // its sender has not heard yet that it is taken on
-	recorded    bool // the ledger has it
-	inFlight    *Attempt
+	ended       bool     // The message has its final answer or was withdrawn.
+	unannounced bool     // The sender has not been told that the message is accepted.
+	recorded    bool     // The ledger has the message.
+	inFlight    *Attempt // Nil if no attempt is in flight.
 	lastDetail  string
 	lastStatus  int
 }
 
-// Core turns inputs into the module's events and its actions into calls of its two sides.
+// Core turns inputs into events of the module, and actions of the module into calls of Origin, Transport and Discovery.
 type Core struct {
-	options            Options
-	module             *control.Dispatcher
-	guard              *safety.Guard
-	transport          Transport
-	discovery          Discovery
-	log                Logger
-	now                control.Time
-	seq                uint64
-	messages           map[control.MessageID]*messageState
-	inFlight           map[uint64]*Attempt
-	placements         map[control.Endpoint]Placement
-	unannounced        []*messageState
-	pendingCalls       [][]*Attempt              // of this round, not started yet
-	withdrawnEndpoints map[control.Endpoint]bool // told in this round to want nothing new ...
-	waitingDests       map[int]bool              // ... and destinations whose partner told a wait
-	nextEvents         []control.Event           // for the next round
-	timers             timers
-	staleTimers        int // timers of messages that are over
-	events             []control.Event
-	actions            []control.Action
-	stats              Stats
-}
-
-// NewCore returns a Core, or the module's error about its settings. lists may be nil where AskList is off.
+	options      Options
+	module       *control.Dispatcher
+	guard        *safety.Guard
+	transport    Transport
+	discovery    Discovery
+	log          Logger
+	now          control.Time
+	seq          uint64 // The Seq of the last attempt.
+	messages     map[control.MessageID]*messageState
+	inFlight     map[uint64]*Attempt
+	placements   map[control.Endpoint]Placement
+	unannounced  []*messageState // Messages that this round accepted.
+	pendingCalls [][]*Attempt    // Calls of this round that have not been started.
+
+	// withdrawnEndpoints holds the endpoints that this round withdrew, or that asked to wait in it and have their own limits.
+	withdrawnEndpoints map[control.Endpoint]bool
+
+	// waitingDests holds the destinations that asked to wait in this round.
+	waitingDests map[int]bool
+
+	nextEvents  []control.Event // Events for the next round.
+	timers      timers
+	staleTimers int // An estimate of how many timers belong to finished messages.
+	events      []control.Event
+	actions     []control.Action
+	stats       Stats
+}
+
+// NewCore returns a Core, or the module's error about its settings. lists may be nil if the setting AskList is off.
 func NewCore(p Options, seed uint64, back Transport, lists Discovery, log Logger) (*Core, error) {
 	p.Settings.KeepOutages, p.Settings.Promises = p.Ledger != nil, p.Ledger != nil
 	mod, err := control.New(p.Settings, seed)
@@ -250,7 +364,7 @@
 	return s
 }
 
-// NextTimer tells when the next timer is due; ok is false where none is set.
+// NextTimer returns when the next timer is due. ok is false if no timer is set.
 func (c *Core) NextTimer() (at control.Time, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
@@ -258,7 +372,7 @@
 	return c.timers[0].due, true
 }
 
-// Round takes the inputs of one round, with the timers due at now, and carries out what the module decides.
+// Round handles the inputs of one round and the timers that are due at now, and performs the actions that the module decides.
 func (c *Core) Round(now control.Time, in []Input) {
 	c.now = now
 	c.stats.Rounds++
@@ -283,13 +397,13 @@
 	}
 	clear(c.unannounced)
 	c.unannounced = c.unannounced[:0]
-	c.nextEvents = append(c.nextEvents, c.events[told:]...) // ends of calls that could not be made
+	c.nextEvents = append(c.nextEvents, c.events[told:]...) // Events that were added after the module's step.
 	clear(c.events)
 	c.compactTimers()
 }
 
-// announce tells a message's sender that it is taken on, once that is on record. It is false where the message can't be
-// kept: then it is refused.
+// announce tells the sender that its message is accepted, after the ledger has recorded it. If the ledger cannot record it, the
+// message is refused. The result is false if the message has ended.
 func (c *Core) announce(h *messageState) bool {
 	if !h.unannounced || h.ended {
 		return !h.ended
@@ -299,7 +413,7 @@
 		if err := l.RecordAccept(h.message, h.deadline); err != nil {
 			c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Withdrawn, Message: h.message.ID})
 			a := Answer{Kind: Refused, RetryAfter: control.Second, Reason: err.Error()}
-			if errors.Is(err, ErrRecordUncertain) { // a process after this one may find it on record
+			if errors.Is(err, ErrRecordUncertain) { // A later process may find the message on record and deliver it.
 				a = Answer{Kind: Failed, Reason: err.Error()}
 			}
 			c.answer(h, a)
@@ -313,6 +427,7 @@
 	return true
 }
 
+// handleInput dispatches one input by its kind.
 func (c *Core) handleInput(in *Input) {
 	switch {
 	case in.Submit != nil:
@@ -332,9 +447,10 @@
 	}
 }
 
+// submit accepts a message.
 func (c *Core) submit(m *Message) {
 	life := m.Lifetime
-	if m.ReceivedAt > 0 { // a round may be late
+	if m.ReceivedAt > 0 { // The time that passed until this round counts, because a round may be late.
 		life = max(0, life-(c.now-m.ReceivedAt))
 	}
 	life = min(life, c.options.Settings.Classes[m.Class].Deadline)
@@ -354,6 +470,7 @@
 		Dest: m.Dest, Key: m.OrderKey, Grace: life, Restored: r.Restored, Attempt: r.Attempts, Doubt: r.PossiblyExecuted, Lag: c.now - r.ExecutedAt, Zone: r.ExecutedZone})
 }
 
+// withdraw ends a message without an answer, because its sender does not want one any more.
 func (c *Core) withdraw(id control.MessageID) {
 	h := c.messages[id]
 	if h == nil || h.ended {
@@ -368,6 +485,7 @@
 	c.events = append(c.events, control.Event{Kind: control.Withdrawn, Message: id})
 }
 
+// updateList applies an update of the endpoint list.
 func (c *Core) updateList(l *ListUpdate) {
 	for i, e := range l.Entries {
 		c.updateEndpoint(&e)
@@ -378,7 +496,7 @@
 	c.events = append(c.events, control.Event{Kind: control.List, ListKind: l.Kind, Entries: l.Entries})
 }
 
-// updateEndpoint keeps what a line of the list says.
+// updateEndpoint applies one entry of the endpoint list.
 func (c *Core) updateEndpoint(e *control.Entry) {
 	if e.Health == control.Gone {
 		delete(c.placements, e.Endpoint)
@@ -392,7 +510,8 @@
 	c.guard.SetHealth(c.now, e.Endpoint, e.Health)
 }
 
-// applyRetryAfter keeps what a partner told: of all its endpoints, or of one where routes are apart.
+// applyRetryAfter applies a wait that a partner asked for. It holds for one endpoint if limits are per endpoint, else for the
+// whole destination.
 func (c *Core) applyRetryAfter(a *Attempt, wait control.Time) {
 	c.guard.SetRetryAfter(a.SafetyCall(), c.now+wait)
 	if a.PerEndpointLimits {
@@ -402,8 +521,9 @@
 	c.waitingDests[a.Placement.Dest] = true
 }
 
-// cancelUnsent gives up what was not written yet to endpoints that this round told to want nothing now: it goes elsewhere,
-// or when the wait is over. All is looked through once a round, however many lines or waits came in it.
+// cancelUnsent cancels the unwritten attempts to endpoints and destinations that were withdrawn or asked to wait in this round.
+// Their messages go to other endpoints or wait. The attempts in flight are searched once a round, however many list entries or
+// waits it had.
 func (c *Core) cancelUnsent() {
 	if len(c.withdrawnEndpoints)+len(c.waitingDests) == 0 {
 		return
@@ -417,7 +537,7 @@
 	clear(c.waitingDests)
 }
 
-// handleOutcome takes the end of an attempt: the answer leaves at once where this is it.
+// handleOutcome handles the end of an attempt. If the outcome is final, the message is answered immediately.
 func (c *Core) handleOutcome(e *Outcome) {
 	a := c.inFlight[e.Seq]
 	if a == nil {
@@ -462,6 +582,7 @@
 	c.removeIfDone(h)
 }
 
+// classify returns the meaning of an attempt's outcome.
 func (c *Core) classify(a *Attempt, e *Outcome) Classification {
 	if c.options.Classify != nil {
 		return c.options.Classify(*e)
@@ -470,7 +591,7 @@
 	return Classify(*e, k >= 0 && k < len(c.options.PathPerMessage) && c.options.PathPerMessage[k])
 }
 
-// answer gives the one final answer.
+// answer gives a message its final answer.
 func (c *Core) answer(h *messageState, a Answer) {
 	a.Status, a.Attempts, a.AttemptDetail = h.lastStatus, h.attempts, h.lastDetail
 	if h.inFlight != nil {
@@ -500,13 +621,14 @@
 	h.message.Origin.Answer(h.message, a)
 }
 
-// recordFinish has the ledger take an end down, before anybody is told.
+// recordFinish records the end of a message in the ledger, before anybody is told of it.
 func (c *Core) recordFinish(h *messageState, a *Answer) {
 	if c.options.Ledger != nil && h.recorded {
 		c.options.Ledger.RecordFinish(h.message, a)
 	}
 }
 
+// markFinished marks a message as ended.
 func (c *Core) markFinished(h *messageState) {
 	h.ended = true
 	c.guard.FinishMessage(h.message.ID)
@@ -515,13 +637,14 @@
 	c.removeIfDone(h)
 }
 
-// removeIfDone drops a message that is answered and has nothing out.
+// removeIfDone removes a message that has ended and has no attempt in flight.
 func (c *Core) removeIfDone(h *messageState) {
 	if h.ended && h.inFlight == nil {
 		delete(c.messages, h.message.ID)
 	}
 }
 
+// perform performs one action of the module.
 func (c *Core) perform(a *control.Action) {
 	switch a.Kind {
 	case control.Send:
@@ -548,6 +671,7 @@
 	}
 }
 
+// send starts an attempt that the module decided, if the guard authorizes it.
 func (c *Core) send(a *control.Action) {
 	h := c.messages[a.Message]
 	if h == nil || h.ended || h.inFlight != nil {
@@ -565,7 +689,7 @@
 		at.Deadline = min(at.Deadline, c.now+a.After)
 	}
 	h.attempts++
-	if err := c.guard.AuthorizeCall(c.now, at.SafetyCall()); err != nil { // the module learns in the next round that it was not sent
+	if err := c.guard.AuthorizeCall(c.now, at.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
 		c.log.InternalError(err.Error())
 		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: at.Number, Endpoint: at.Endpoint, Result: control.Moot})
 		return
@@ -583,18 +707,18 @@
 	c.addToCall(at)
 }
 
-// hasPerEndpointLimits tells whether endpoints of a kind have limits and waits of their own.
+// hasPerEndpointLimits reports whether endpoints of a kind have their own limits and waits.
 func (c *Core) hasPerEndpointLimits(kind int) bool {
 	return kind >= 0 && kind < len(c.options.Settings.Kinds) && c.options.Settings.Kinds[kind].RoutesApart
 }
 
-// addToCall puts an attempt into a call of this round to the same endpoint that has room, or begins one.
+// addToCall adds an attempt to a pending call to the same endpoint that has room, or begins a new call.
 func (c *Core) addToCall(a *Attempt) {
 	most := 1
 	if k := a.Placement.Kind; k >= 0 && k < len(c.options.Settings.Kinds) {
 		most = max(1, c.options.Settings.Kinds[k].Batch)
 	}
-	if most > 1 { // else there is nothing to look for, in a round of very many
+	if most > 1 { // Otherwise the search would be useless, and slow in a round with very many calls.
 		for i, call := range c.pendingCalls {
 			if call[0].Endpoint == a.Endpoint && len(call) < most && c.fits(call, a) {
 				c.pendingCalls[i] = append(call, a)
@@ -605,9 +729,10 @@
 	c.pendingCalls = append(c.pendingCalls, []*Attempt{a})
 }
 
-// messageOverhead is reckoned for each message of a call beside its body.
+// messageOverhead is the size that is assumed for each message of a call in addition to its body, in bytes.
 const messageOverhead = 256
 
+// fits reports whether an attempt can be added to a call without exceeding MaxCallBytes.
 func (c *Core) fits(call []*Attempt, a *Attempt) bool {
 	size := len(a.Message.Body) + messageOverhead
 	for _, o := range call {
@@ -616,7 +741,7 @@
 	return c.options.MaxCallBytes == 0 || size <= c.options.MaxCallBytes
 }
 
-// startCalls hands the calls of this round over.
+// startCalls hands the pending calls of this round to the transport.
 func (c *Core) startCalls() {
 	for _, call := range c.pendingCalls {
 		c.transport.Start(call)
@@ -625,6 +750,7 @@
 	c.pendingCalls = c.pendingCalls[:0]
 }
 
+// finish refuses or fails a message as the module decided.
 func (c *Core) finish(a *control.Action) {
 	h := c.messages[a.Message]
 	if h == nil || h.ended {
@@ -638,13 +764,15 @@
 	c.answer(h, Answer{Kind: Failed, DeadlineExceeded: late, Reason: a.Text})
 }
 
-// timer is a Tick that the module asked for, or for an attempt the last moment to begin it or its time-out.
+// timer is either a Tick that the module requested, or a time limit of an attempt. An attempt has a timer for WriteBefore and
+// one for Deadline.
 type timer struct {
 	due  control.Time
-	mark uint64 // of the module
-	seq  uint64 // of an attempt, 0 if the module's
+	mark uint64 // The module's mark of the Tick.
+	seq  uint64 // The Seq of the attempt, or zero for a Tick.
 }
 
+// timers is a heap of timers, ordered by due time and then by seq.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
@@ -660,7 +788,7 @@
 	return x
 }
 
-// due takes the timers that have come due.
+// fireTimers handles the timers that are due.
 func (c *Core) fireTimers() {
 	for len(c.timers) > 0 && c.timers[0].due <= c.now {
 		t := heap.Pop(&c.timers).(timer)
@@ -674,8 +802,8 @@
 	}
 }
 
-// compactTimers drops the timers of what is over once they are the most. Guards against short answers to messages with long
-// lives: their timers would pile up for as long as the lives are.
+// compactTimers removes the timers of finished messages and attempts once they are about half of all timers. Otherwise the
+// timers of messages with long lifetimes would accumulate when these are answered quickly.
 func (c *Core) compactTimers() {
 	if c.staleTimers < 1024 || c.staleTimers < len(c.timers)/2 {
 		return
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -24,7 +24,8 @@
 		Kinds: []control.Kind{{Name: "k", Batch: 1}}}
 }
 
-// simulation is both sides of a Core on a virtual clock: partners that answer, refuse, lose and hang by a seed.
+// simulation implements the sides of a Core on a virtual clock. By a seed its partners answer, refuse, lose connections and do
+// not answer.
 type simulation struct {
 	t       *testing.T
 	core    *Core
@@ -57,6 +58,7 @@
 	w.faults = append(w.faults, text)
 }
 
+// schedule adds an input that is due after a time.
 func (w *simulation) schedule(after control.Time, in Input) {
 	at := w.now + after
 	i, _ := slices.BinarySearch(w.at, at+1)
@@ -105,7 +107,7 @@
 		end.Status = 404
 	default:
 		w.applied[a.Message.ID]++
-		return // answers nothing
+		return // The partner does not answer.
 	}
 	w.schedule(after, Input{Outcome: &end})
 }
@@ -133,7 +135,7 @@
 	}
 }
 
-// step runs the next round: at the next input or timer.
+// step runs the next round, at the time of the next input or timer. It returns false if there is neither.
 func (w *simulation) step() bool {
 	next, ok := w.core.NextTimer()
 	if len(w.at) > 0 && (!ok || w.at[0] < next) {
@@ -148,7 +150,7 @@
 		i := w.pending[0]
 		w.at, w.pending = w.at[1:], w.pending[1:]
 		if i.Outcome != nil {
-			if w.out[i.Outcome.Seq] == nil { // the end of an attempt that was given up meanwhile
+			if w.out[i.Outcome.Seq] == nil { // The attempt was cancelled meanwhile.
 				continue
 			}
 			delete(w.out, i.Outcome.Seq)
@@ -163,6 +165,7 @@
 	return true
 }
 
+// run submits n random messages within 8 s and runs rounds until nothing is left to do.
 func (w *simulation) run(n int) {
 	w.schedule(0, Input{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
 		{Endpoint: 1, Dest: 0, Health: control.Ready}, {Endpoint: 2, Dest: 0, Health: control.Ready}, {Endpoint: 3, Dest: 1, Health: control.Ready}}}})
@@ -184,7 +187,8 @@
 	}
 }
 
-// Over random plays each message has one final answer in its time, none is sent after it, no unsafe one twice.
+// TestRandomScenarios checks over random scenarios that each message has one final answer in time, that none is sent after its
+// answer, and that no unsafe message is executed twice.
 func TestRandomScenarios(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newSimulation(t, seed)
@@ -204,7 +208,7 @@
 	}
 }
 
-// The same seed gives the same day, to the last action.
+// TestDeterministic checks that two runs with the same seed produce the same actions.
 func TestDeterministic(t *testing.T) {
 	a, b := newSimulation(t, 5), newSimulation(t, 5)
 	a.run(300)
@@ -214,7 +218,8 @@
 	}
 }
 
-// What each end proves: doubt counts as "may have run". The table is docs/answers.md's.
+// TestClassify checks what each outcome proves. In case of doubt a message counts as possibly executed. The cases follow the
+// table in docs/answers.md.
 func TestClassify(t *testing.T) {
 	for _, c := range []struct {
 		end    Outcome
@@ -251,14 +256,14 @@
 		if v.Result != c.result || v.PossiblyExecuted != c.ran || v.Final != c.final || v.Reason == "" {
 			t.Errorf("%+v own %v: %+v", c.end, c.own, v)
 		}
-		// The module takes these results as proof (its ranNot): the table may not claim less doubt than is there.
+		// The module takes these results as proof that the message was not executed, so each must agree with PossiblyExecuted.
 		if proof := v.Result == control.Full || v.Result == control.ConnectFailed || v.Result == control.Moot; proof == v.PossiblyExecuted {
 			t.Errorf("%+v: result %v and ran %v disagree", c.end, v.Result, v.PossiblyExecuted)
 		}
 	}
 }
 
-// Timers of messages that are over do not pile up while their lives last.
+// TestTimersAreCompacted checks that timers of finished messages do not accumulate until the lifetimes of the messages end.
 func TestTimersAreCompacted(t *testing.T) {
 	w := newSimulation(t, 1)
 	w.schedule(0, Input{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{{Endpoint: 1, Health: control.Ready}}}})
@@ -273,10 +278,10 @@
 	}
 }
 
-// At a stop all that is held has its answer within the time given.
+// TestStopAnswersAll checks that a stop answers all held messages within the given time.
 func TestStopAnswersAll(t *testing.T) {
 	w := newSimulation(t, 2)
-	for i := range 100 { // no endpoint is listed: all wait
+	for i := range 100 { // All messages wait, because no endpoint is listed.
 		w.schedule(0, Input{Submit: &Message{ID: control.MessageID(i + 1), Class: i % 3, OrderKey: uint64(i % 4), Lifetime: 4 * control.Second, Origin: w}})
 	}
 	w.step()
@@ -288,7 +293,7 @@
 	}
 }
 
-// Each bound of a Loop has its answer, and an orderly stop waits for those taken.
+// TestLoopBounds checks the error for each limit of a Loop, and that a stop waits only for open messages.
 func TestLoopBounds(t *testing.T) {
 	w := newSimulation(t, 3)
 	l := NewLoop(w.core, clock.New(), Limits{MaxQueued: 2, MaxHeld: 3})
@@ -296,7 +301,7 @@
 	if a, b, c := submit(), submit(), submit(); a != nil || b != nil || c != ErrQueueFull {
 		t.Error("queue:", a, b, c)
 	}
-	l.queue, l.queuedMessages = nil, 0 // as if a round had taken them
+	l.queue, l.queuedMessages = nil, 0 // Pretends that a round has taken them.
 	if a, b := submit(), submit(); a != nil || b != ErrTooManyHeld {
 		t.Error("hold:", a, b)
 	}
@@ -312,6 +317,7 @@
 	}
 }
 
+// instantTransport answers each attempt with status 201. It collects the outcomes, which the test passes to the next round.
 type instantTransport struct{ ends []Input }
 
 func (s *instantTransport) CancelUnsent(*Attempt) {}
@@ -331,7 +337,7 @@
 func (s *instantTransport) InternalError(string)         {}
 func (s *instantTransport) Answer(m *Message, a Answer)  {}
 
-// BenchmarkRound is one message from its arrival through its attempt to its answer, in two rounds.
+// BenchmarkRound measures one message from its arrival through its attempt to its answer, in two rounds.
 func BenchmarkRound(b *testing.B) {
 	s := &instantTransport{}
 	set := settings()
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -11,7 +11,7 @@
 	"whinrun/internal/safety"
 )
 
-// recorder writes down, in order, what the ledger, the sender and the back end were told.
+// recorder records, in order, the calls to the ledger, the sender and the transport.
 type recorder struct {
 	lines      []string
 	ledgerFull bool
@@ -44,6 +44,8 @@
 	b.add("start %d", len(call))
 	b.calls = append(b.calls, call)
 }
+
+// take returns the recorded lines and clears them.
 func (b *recorder) take() (l []string) { l, b.lines = b.lines, nil; return l }
 func (b *recorder) want(t *testing.T, lines ...string) {
 	t.Helper()
@@ -71,18 +73,19 @@
 	return Input{Submit: &Message{ID: id, ExternalID: fmt.Sprint("m", id), Dest: dest, Lifetime: 3 * control.Second, Body: make([]byte, size), Origin: b}}
 }
 
-// On record before the sender hears; the end on record before anybody is told.
+// TestRecordBeforePromise checks that a message is on record before its sender is told that it is accepted, and that its end is
+// on record before anybody is told.
 func TestRecordBeforePromise(t *testing.T) {
 	b, c := newRecorder(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "take m1", "told m1", "start 1")
 	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
-	if got := b.take(); len(got) == 0 || got[0] != "back m1 true" { // 503 without a wait, by the table of push gateways
+	if got := b.take(); len(got) == 0 || got[0] != "back m1 true" { // By the rules of push gateways, status 503 without a wait is no proof.
 		t.Errorf("%q", got)
 	}
 }
 
-// The sends of a round to one endpoint are one call, as far as kind and size allow.
+// TestCallsOfARound checks that the messages of a round to one endpoint share a call, as far as kind and size allow.
 func TestCallsOfARound(t *testing.T) {
 	b, c := newRecorder(t)
 	var in []Input
@@ -102,11 +105,11 @@
 	}
 }
 
-// A repeat that no connection has taken when its window ends is given up unsent.
+// TestRepeatThatWaitsPastItsWindow checks that a repeat is given up unsent if no connection has taken it when its window ends.
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
 	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // guarded, a window of 3 s
+	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // Guarded, with a window of 3 s.
 	c.Round(2*control.Second, []Input{in})
 	c.Round(3*control.Second, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
 	for now, ok := c.NextTimer(); len(b.calls) < 2 && ok; now, ok = c.NextTimer() {
@@ -128,13 +131,13 @@
 	}
 }
 
-// A sender that goes, in each order beside what happens to its message, in one round or in two: nothing new is sent for it,
-// and the ledger hears of one end.
+// TestWithdrawalCrossings checks withdrawals before and after other events of the message, in the same round and in the next
+// one. No attempt may start after the withdrawal, and the ledger must get one end.
 func TestWithdrawalCrossings(t *testing.T) {
 	for name, c := range map[string]struct {
 		rounds func(b *recorder, seq uint64) [][]Input
 		sent   int
-		want   []string // beside what concerns the call
+		want   []string // The recorded lines, without those of calls.
 	}{
 		"in the round that takes it": {func(b *recorder, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10), {Withdraw: 1}}}
@@ -183,7 +186,7 @@
 	}
 }
 
-// A message that can't be kept is refused, and the module forgets it.
+// TestLedgerFull checks that a message that cannot be recorded is refused, and that the module forgets it.
 func TestLedgerFull(t *testing.T) {
 	b, c := newRecorder(t)
 	b.ledgerFull = true
@@ -196,12 +199,12 @@
 	}
 }
 
-// A call that could not go on record was not made: the message goes on, and the module knows that nothing can be recorded until it
-// hears otherwise.
+// TestCallNotOnRecord checks an attempt that could not be recorded and so was not made. The message must go on, and the module
+// must not send until it is told that the ledger can be written again.
 func TestCallNotOnRecord(t *testing.T) {
 	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class = 2 // guarded
+	in.Submit.Class = 2 // Guarded.
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "take m1", "told m1", "start 1")
 	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
@@ -214,7 +217,7 @@
 	b.want(t, "start 1")
 }
 
-// What was not written when a drain or a wait is told is taken back.
+// TestTakenBack checks that an unwritten attempt is cancelled when its endpoint drains or its destination asks to wait.
 func TestTakenBack(t *testing.T) {
 	b, c := newRecorder(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
@@ -234,7 +237,7 @@
 	}
 }
 
-// A restored message is not recorded anew, and keeps its attempts and its doubt.
+// TestRestored checks that a restored message is not recorded again, and that its attempts are counted.
 func TestRestored(t *testing.T) {
 	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
@@ -246,7 +249,8 @@
 	}
 }
 
-// A restored message that can't be sent any more ends in the ledger, too: it must not come back at each start.
+// TestRestoredEndsOnRecord checks that the end of a restored message that cannot be sent any more is recorded. Otherwise the
+// message would be restored at each start.
 func TestRestoredEndsOnRecord(t *testing.T) {
 	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
@@ -255,7 +259,7 @@
 	b.want(t, "over m1 true", "final m1 refused")
 }
 
-// Time that passed before the round took a message is not given again.
+// TestLateRound checks that the time between the receipt of a message and its round counts against its lifetime.
 func TestLateRound(t *testing.T) {
 	b, c := newRecorder(t)
 	in := b.msg(1, 2, 10)
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -10,20 +10,25 @@
 	"whinrun/internal/clock"
 )
 
-// Reasons why a message is not taken. None of these was ever held: handing it in again is harmless.
+// Reasons why a message is not accepted. The engine has not held such a message, so submitting it again is harmless.
 var (
-	ErrQueueFull   = errors.New("too many messages arrive at once")
+	// ErrQueueFull means that Limits.MaxQueued is reached.
+	ErrQueueFull = errors.New("too many messages arrive at once")
+
+	// ErrTooManyHeld means that Limits.MaxHeld is reached.
 	ErrTooManyHeld = errors.New("too many messages are held")
-	ErrStopping    = errors.New("the dispatcher is stopping")
+
+	// ErrStopping means that Loop.Stop was called.
+	ErrStopping = errors.New("the dispatcher is stopping")
 )
 
-// Limits limit what a Loop takes on.
+// Limits limits the number of messages that a Loop accepts.
 type Limits struct {
-	MaxQueued int // messages that wait for the next round
-	MaxHeld   int // messages owed an answer
+	MaxQueued int // The maximum number of messages that wait for the next round.
+	MaxHeld   int // The maximum number of messages without a final answer.
 }
 
-// Loop runs a Core: inputs come from any goroutine, rounds run on one.
+// Loop runs a Core. It takes inputs from any goroutine and runs the rounds on one.
 type Loop struct {
 	core   *Core
 	clock  clock.Clock
@@ -33,18 +38,18 @@
 	mu             sync.Mutex
 	queue          []Input
 	queuedMessages int
-	open           int // messages taken or queued and not yet over
+	open           int // The number of messages that were accepted and are not finished.
 	stopping       bool
-	drained        chan struct{} // closed when stopping and nothing is open
+	drained        chan struct{} // Closed when stopping and open is zero.
 
 	wake      chan struct{}
 	quit      chan struct{}
 	done      chan struct{}
 	stats     atomic.Pointer[Stats]
-	meanRound atomic.Int64 // nanoseconds, decaying mean
+	meanRound atomic.Int64 // An exponentially weighted moving average, in nanoseconds.
 }
 
-// NewLoop makes a Loop; Run starts it.
+// NewLoop returns a Loop. Run starts it.
 func NewLoop(core *Core, clock clock.Clock, b Limits) *Loop {
 	l := &Loop{core: core, clock: clock, bounds: b, wake: make(chan struct{}, 1), quit: make(chan struct{}),
 		done: make(chan struct{}), drained: make(chan struct{})}
@@ -52,8 +57,8 @@
 	return l
 }
 
-// Submit hands a message over, or tells why it is not taken. Once taken it gets exactly one final answer, at its
-// Origin, unless it is withdrawn. The id is set before the message can be answered.
+// Submit submits a message, or returns the reason why it is not accepted. An accepted message gets exactly one final answer, at
+// its Origin, unless it is withdrawn. The message's ID is set before the message can be answered.
 func (l *Loop) Submit(m *Message) error {
 	m.ID = control.MessageID(l.nextID.Add(1))
 	l.mu.Lock()
@@ -72,16 +77,18 @@
 	return nil
 }
 
-// Withdraw tells that nobody wants a message any more.
+// Withdraw withdraws a message whose answer nobody wants any more.
 func (l *Loop) Withdraw(id control.MessageID) { l.Enqueue(Input{Withdraw: id}) }
 
-// Enqueue adds an input that is not a message. It is never refused: attempts and messages taken bound how many come.
+// Enqueue adds an input that is not a message. It never refuses, because the number of such inputs is bounded by the numbers of
+// attempts and of accepted messages.
 func (l *Loop) Enqueue(in Input) {
 	l.mu.Lock()
 	l.enqueueLocked(in)
 	l.mu.Unlock()
 }
 
+// enqueueLocked adds an input to the queue, and wakes Run if the queue was empty. The caller holds the lock.
 func (l *Loop) enqueueLocked(in Input) {
 	l.queue = append(l.queue, in)
 	if len(l.queue) == 1 {
@@ -92,7 +99,7 @@
 	}
 }
 
-// Run runs rounds until Close.
+// Run runs rounds until Close is called.
 func (l *Loop) Run() {
 	defer close(l.done)
 	var batch []Input
@@ -126,8 +133,10 @@
 	}
 }
 
+// finished returns the number of messages that have ended.
 func (s Stats) finished() uint64 { return s.Served + s.Refused + s.Failed + s.Withdrawn }
 
+// countFinished subtracts messages that ended from the open ones, and closes the drained channel when a stopping loop has none.
 func (l *Loop) countFinished(ended int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,11 +153,11 @@
 // Stats returns the counts after the last round.
 func (l *Loop) Stats() Stats { return *l.stats.Load() }
 
-// MeanRoundTime is how long rounds take, as a decaying mean over some sixteen of them.
+// MeanRoundTime returns an exponentially weighted moving average of how long rounds take. A round has a weight of 1/16.
 func (l *Loop) MeanRoundTime() time.Duration { return time.Duration(l.meanRound.Load()) }
 
-// Stop takes no more messages; those taken have their answers within the time given. The channel is closed when
-// none is owed one any more.
+// Stop stops accepting messages. Messages that were accepted are answered within the given time. The returned channel is closed
+// when no message is without an answer.
 func (l *Loop) Stop(within time.Duration) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,7 +171,7 @@
 	return l.drained
 }
 
-// Close ends Run at once.
+// Close stops Run without waiting for open messages, and returns after Run has returned.
 func (l *Loop) Close() {
 	close(l.quit)
 	<-l.done
--- a/internal/engine/verdict.go
+++ b/internal/engine/verdict.go
@@ -6,57 +6,93 @@
 	"whinrun/control"
 )
 
-// OutcomeKind is how an attempt ended, as a back end saw it.
+// OutcomeKind is how an attempt ended, as the transport saw it.
 type OutcomeKind uint8
 
-// Ends of an attempt.
+// Outcomes of an attempt.
 const (
-	Answered             OutcomeKind = iota + 1 // a whole response came [Status Wait]
-	NotConnected                                // no connection, or no SETTINGS on it, in time; nothing was sent
-	Unsent                                      // given up before anything of it was written
-	StreamRefused                               // RST_STREAM with REFUSED_STREAM (RFC 9113 section 8.7)
-	GoAwayUnprocessed                           // GOAWAY with NO_ERROR below its stream, on a connection that had answered
-	GoAwayBeforeResponse                        // the same on a connection that never answered anything
-	GoAwayWithError                             // GOAWAY with an error code below its stream
-	ResetBeforeResponse                         // any other RST_STREAM, or a connection lost, before response headers
-	ResetDuringResponse                         // the same after response headers: the answer is cut
-	ProtocolError                               // the peer broke the protocol on the stream or the connection
-	HeadersTooLarge                             // header section above the peer's limit; nothing was sent
-	TimedOut                                    // given up at its time-out
-	Cancelled                                   // given up because the module said so
-	NoFreeSlot                                  // the endpoint says that it has no slot free for this dispatcher: not executed
-	NotRecorded                                 // it could not be put on record, and was not sent
+	// Answered means that a complete response was received. Outcome.Status and Outcome.RetryAfter are set.
+	Answered OutcomeKind = iota + 1
+
+	// NotConnected means that no connection was established in time, or that it received no SETTINGS in time. Nothing was sent.
+	NotConnected
+
+	// Unsent means that the attempt was given up before anything of it was written.
+	Unsent
+
+	// StreamRefused means that the peer sent RST_STREAM with REFUSED_STREAM (RFC 9113 section 8.7).
+	StreamRefused
+
+	// GoAwayUnprocessed means that the peer sent GOAWAY with NO_ERROR and a last stream below the attempt's stream, on a
+	// connection that had answered before.
+	GoAwayUnprocessed
+
+	// GoAwayBeforeResponse means the same as GoAwayUnprocessed, on a connection that never answered anything.
+	GoAwayBeforeResponse
+
+	// GoAwayWithError means that the peer sent GOAWAY with an error code and a last stream below the attempt's stream.
+	GoAwayWithError
+
+	// ResetBeforeResponse means that any other RST_STREAM was received, or the connection was lost, before response headers.
+	ResetBeforeResponse
+
+	// ResetDuringResponse means the same as ResetBeforeResponse, but after response headers. The response is truncated.
+	ResetDuringResponse
+
+	// ProtocolError means that the peer violated the protocol on the stream or the connection.
+	ProtocolError
+
+	// HeadersTooLarge means that the header section exceeds the peer's limit. Nothing was sent.
+	HeadersTooLarge
+
+	// TimedOut means that the attempt was given up at its deadline.
+	TimedOut
+
+	// Cancelled means that the attempt was given up because the module cancelled it.
+	Cancelled
+
+	// NoFreeSlot means that the endpoint reported that it has no free slot for this dispatcher. The attempt was not executed.
+	NoFreeSlot
+
+	// NotRecorded means that the attempt could not be recorded in the ledger, and was therefore not sent.
+	NotRecorded
 )
 
-// nothingWritten tells that by this end nothing of the attempt was written.
+// nothingWritten reports whether the outcome means that nothing of the attempt was written.
 func (k OutcomeKind) nothingWritten() bool {
 	return k == NotConnected || k == Unsent || k == HeadersTooLarge || k == NotRecorded
 }
 
-// Outcome is the end of one attempt; each attempt has exactly one.
+// Outcome is the end of one attempt. Each attempt has exactly one.
 type Outcome struct {
-	Seq        uint64 // of the Attempt
+	Seq        uint64 // The Seq of the Attempt.
 	Kind       OutcomeKind
-	Status     int          // HTTP status of the response
-	RetryAfter control.Time // told by Retry-After, 0 where none was
-	LoadReport []float32    // load report, where settings have them
-	Detail     string
+	Status     int          // The HTTP status of the response.
+	RetryAfter control.Time // The wait of a Retry-After field, or zero if there was none.
+	LoadReport []float32    // The load report, if the settings have one.
+	Detail     string       // An optional explanation, which is appended to the reason.
 }
 
-// Classification is what an end means to the module and to the message.
+// Classification is what an outcome means to the module and to the message.
 type Classification struct {
-	Result           control.Result
-	PossiblyExecuted bool // it may have run; false is proof that it has not
-	Final            bool // the message ends with this, though not delivered
-	Reason           string
+	Result control.Result
+
+	// PossiblyExecuted is set if the attempt may have been executed. If it is not set, the outcome proves that it was not.
+	PossiblyExecuted bool
+
+	// Final is set if the outcome ends the message, although it may not be delivered.
+	Final bool
+
+	Reason string
 }
 
-// unconfirmed tells that the peer said nothing of the attempt's end: it may be executed yet.
+// unconfirmed reports whether the peer did not report the end of the attempt, which may still be executing.
 func (v Classification) unconfirmed() bool {
 	return v.PossiblyExecuted && v.Result != control.OK && v.Result != control.Errored
 }
 
-// classifications holds the ends that no status is needed for. Doubt counts as "may have run".
+// classifications holds the classifications of outcomes without a status. In case of doubt an attempt counts as possibly
+// executed.
 var classifications = map[OutcomeKind]Classification{
 	NotConnected:         {control.ConnectFailed, false, false, "no connection: nothing was sent"},
 	Unsent:               {control.NotSent, false, false, "given up before it was written"},
@@ -74,8 +110,8 @@
 	Cancelled:            {control.Cancelled, true, false, "called off: it may have run"},
 }
 
-// Classify maps an end to what it means. own tells that a path belongs to the message (a device, a subscription) and not
-// to the endpoint: a missing one then says nothing of the endpoint.
+// Classify returns what an outcome means. own is set if the path belongs to the message (a device or a subscription) and not to
+// the endpoint. Status 404 then says nothing about the endpoint.
 func Classify(e Outcome, own bool) Classification {
 	if e.Kind != Answered {
 		if v, ok := classifications[e.Kind]; ok {
@@ -86,6 +122,7 @@
 	return classifyStatus(e.Status, e.RetryAfter, own)
 }
 
+// classifyStatus returns what a complete response with the given status and wait means.
 func classifyStatus(status int, wait control.Time, own bool) Classification {
 	why := func(s string) string { return fmt.Sprintf("status %d: %s", status, s) }
 	switch {
@@ -100,7 +137,7 @@
 	case status == 408 || status == 425:
 		return Classification{control.Errored, true, false, why("not taken now; no proof that it has not run")}
 	case status >= 400 && rejectsMessage(status, own):
-		// The endpoint works: it answered for good. To the module that is an answer like any other.
+		// The endpoint works, because it gave a definitive answer. To the module this is an answer like any other.
 		return Classification{control.OK, true, true, why("refused for good, for what the message is")}
 	case status >= 400:
 		return Classification{control.Errored, true, true, why("refused for good; the endpoint may be set up wrongly")}
@@ -108,8 +145,9 @@
 	return Classification{control.Errored, true, false, why("not followed, and no proof that it has not run")}
 }
 
-// rejectsMessage tells a permanent refusal of the message from one of the endpoint's: 400, 409 and the like blame what
-// was sent, 401 or 405 would meet every message there and count against the endpoint.
+// rejectsMessage reports whether a permanent refusal is about the message and not about the endpoint. Statuses such as 400 and
+// 409 are about what was sent. Statuses such as 401 and 405 would be the answer to every message, and so count against the
+// endpoint.
 func rejectsMessage(status int, own bool) bool {
 	switch status {
 	case 400, 402, 406, 409, 410, 411, 412, 413, 414, 415, 416, 417, 422, 428, 431, 451:
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake is what every front asks of a message before it is taken, whatever protocol it came by: the resource
-// that it is for, whose it is, how long it may live, its keys. It is free of I/O.
+// Package intake holds the checks that every front makes before a message is accepted, independently of the protocol: which
+// resource a message is for, which tenant it belongs to, its lifetime and its keys. It performs no I/O.
 package intake
 
 import (
@@ -16,60 +16,63 @@
 	"whinrun/internal/engine"
 )
 
-// Resource is what clients hand messages in to: a configured path that names partner, class and tenant. A path that
-// ends in "/*" takes one more part, the device's or subscription's, which goes on to the partner.
+// Resource is where clients submit messages: a configured path with its partner, class and tenant. A path that ends in "/*"
+// accepts one more segment, for a device or a subscription, which is passed on to the partner.
 type Resource struct {
 	Path        string
 	Dest        int
 	Class       int
 	Tenant      int
 	InOrder     bool
-	MaxLifetime time.Duration // the class's limit
-	Target      string        // for the paths that take one more part: what stands before it at the partner
+	MaxLifetime time.Duration // The deadline of the class.
+	Target      string        // The path at the partner that precedes the additional segment of a "/*" path.
 }
 
-// Exchange is a named door for programs that publish: it fixes class and tenant, and the routing key names the partner.
+// Exchange is an AMQP exchange that messages are published to. It fixes class and tenant. The routing key names the partner.
 type Exchange struct {
 	Name        string
 	Class       int
 	Tenant      int
 	InOrder     bool
-	MaxLifetime time.Duration
+	MaxLifetime time.Duration // The deadline of the class.
 }
 
-// Token is a tenant's bearer token or password, kept as its digest.
+// Token is a tenant's bearer token or password. Only its SHA-256 digest is kept.
 type Token struct {
 	Digest [sha256.Size]byte
 	Tenant int
 }
 
-// NewToken makes a Token.
+// NewToken returns the Token for a tenant's secret.
 func NewToken(secret string, tenant int) Token { return Token{sha256.Sum256([]byte(secret)), tenant} }
 
-// Config is what a Book is made of.
+// Config configures a Registry.
 type Config struct {
-	Resources   []Resource
-	Exchanges   []Exchange
-	Partners    map[string]int // by name
-	Tenants     []string
-	Tokens      []Token
-	MaxBody     int
-	MinLifetime time.Duration // shortest life of a message: one of 0 asks for an attempt at once or none
+	Resources []Resource
+	Exchanges []Exchange
+	Partners  map[string]int // The number of each partner, by name.
+	Tenants   []string       // The name of each tenant, by number.
+	Tokens    []Token
+	MaxBody   int // The maximum size of a body, in bytes.
+
+	// MinLifetime is the minimum lifetime of a message. A message that asks for zero, which means one immediate attempt or none,
+	// gets this lifetime.
+	MinLifetime time.Duration
 }
 
-// Registry knows the resources and the tenants. It is not changed after NewBook.
+// Registry holds the resources, exchanges and tenants. It does not change after NewRegistry, so it is safe for concurrent use.
 type Registry struct {
 	resources   map[string]*Resource
 	exchanges   map[string]*Exchange
 	partners    map[string]int
 	tenants     map[string]int
 	tokens      []Token
-	openTenants []bool // tenants without a token
+	openTenants []bool // By tenant number, whether the tenant has no token.
 	maxBody     int
 	minLifetime time.Duration
 }
 
-// NewRegistry returns a Book.
+// NewRegistry returns a Registry for a configuration.
 func NewRegistry(s Config) *Registry {
 	b := &Registry{resources: map[string]*Resource{}, exchanges: map[string]*Exchange{}, partners: s.Partners, tenants: map[string]int{},
 		tokens: s.Tokens, openTenants: make([]bool, len(s.Tenants)), maxBody: s.MaxBody, minLifetime: s.MinLifetime}
@@ -89,13 +92,14 @@
 	return b
 }
 
-// MaxBody is the largest body taken, in bytes.
+// MaxBody returns the maximum size of a body, in bytes.
 func (b *Registry) MaxBody() int { return b.maxBody }
 
-// Exchange returns a configured exchange, or nil.
+// Exchange returns the exchange with a name, or nil if it is not configured.
 func (b *Registry) Exchange(name string) *Exchange { return b.exchanges[name] }
 
-// Find returns the resource at a path, and the part that goes on to the partner.
+// Find returns the resource at a path and the path at the partner, which is empty for a path without an additional segment. It
+// returns nil if there is no such resource.
 func (b *Registry) Find(path string) (*Resource, string) {
 	if r := b.resources[path]; r != nil && !strings.HasSuffix(path, "/*") {
 		return r, ""
@@ -111,7 +115,8 @@
 	return r, r.Target + path[i:]
 }
 
-// Route returns where an exchange sends a routing key: PARTNER, or PARTNER/PART where the part goes on to the partner.
+// Route returns where an exchange sends a routing key, and the path at the partner. The key is PARTNER or PARTNER/SEGMENT, where
+// the segment is passed on to the partner. Route returns nil if the key is not valid.
 func (b *Registry) Route(x *Exchange, key string) (*Resource, string) {
 	name, target, more := strings.Cut(key, "/")
 	dest, ok := b.partners[name]
@@ -124,23 +129,28 @@
 	return &Resource{Dest: dest, Class: x.Class, Tenant: x.Tenant, InOrder: x.InOrder, MaxLifetime: x.MaxLifetime}, target
 }
 
-// isPathSegment tells whether a text can be the last part of a path at a partner.
+// isPathSegment reports whether a text can be the last segment of a path at a partner.
 func isPathSegment(s string) bool {
 	return s != "" && s != "." && !strings.Contains(s, "..") &&
 		strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f || strings.ContainsRune(`#\/?`, r) }) < 0
 }
 
-// Access is what a secret is to a tenant.
+// Access is the result of checking a secret against a tenant.
 type Access uint8
 
-// Standings.
+// Results of checking a secret.
 const (
-	UnknownSecret Access = iota // nobody's, and the tenant asks for one
-	OtherTenant                 // another tenant's
+	// UnknownSecret means that the tenant requires a secret, and that the one given belongs to no tenant.
+	UnknownSecret Access = iota
+
+	// OtherTenant means that the secret belongs to another tenant.
+	OtherTenant
+
+	// Granted means that the secret belongs to the tenant, or that the tenant requires none.
 	Granted
 )
 
-// CheckSecret holds a secret against all tenants' in constant time.
+// CheckSecret compares a secret with those of all tenants in constant time.
 func (b *Registry) CheckSecret(tenant int, secret string) Access {
 	if b.openTenants[tenant] {
 		return Granted
@@ -161,7 +171,8 @@
 	return UnknownSecret
 }
 
-// Login returns the tenant of a name, where the secret is that tenant's. An unknown name takes as long.
+// Login returns the tenant with a name if the secret is valid for that tenant. An unknown name takes as long as a known one, so
+// that names cannot be found by timing.
 func (b *Registry) Login(name, secret string) (tenant int, ok bool) {
 	tenant, known := b.tenants[name]
 	if !known {
@@ -176,16 +187,17 @@
 	return tenant, b.CheckSecret(tenant, secret) == Granted
 }
 
-// Tenant returns the number of a tenant's name.
+// Tenant returns the number of the tenant with a name.
 func (b *Registry) Tenant(name string) (tenant int, ok bool) {
 	tenant, ok = b.tenants[name]
 	return tenant, ok
 }
 
-// IsOpen tells whether anybody may hand in messages of a tenant.
+// IsOpen reports whether anybody may submit messages of a tenant, because the tenant has no token.
 func (b *Registry) IsOpen(tenant int) bool { return b.openTenants[tenant] }
 
-// Life is how long a message lives that asks for a time, below zero for none: at most its class's.
+// Lifetime returns the lifetime of a message for which the sender asked for a time. A negative time means that it asked for
+// none. The result is at most limit, which is the deadline of the class, and at least MinLifetime or limit, whichever is less.
 func (b *Registry) Lifetime(limit, asked time.Duration) control.Time {
 	life := limit
 	if asked >= 0 {
@@ -194,7 +206,7 @@
 	return control.Time(max(life, min(b.minLifetime, limit)) / time.Microsecond)
 }
 
-// ValidUrgency of a message (RFC 8030 section 5.3); empty is normal.
+// ValidUrgency reports whether s is an urgency by RFC 8030 section 5.3, or empty, which means normal.
 func ValidUrgency(s string) bool {
 	switch s {
 	case "", "very-low", "low", "normal", "high":
@@ -203,14 +215,17 @@
 	return false
 }
 
-// What is wrong with a key.
+// Reasons why a key is not valid.
 var (
-	ErrInvalidTopic          = errors.New("an order key has at most 32 characters of the URL-safe base64 alphabet (RFC 8030 section 5.4)")
+	// ErrInvalidTopic means that a topic is too long or contains a character that is not allowed.
+	ErrInvalidTopic = errors.New("an order key has at most 32 characters of the URL-safe base64 alphabet (RFC 8030 section 5.4)")
+
+	// ErrInvalidIdempotencyKey means that an idempotency key is empty, too long or contains a character that is not allowed.
 	ErrInvalidIdempotencyKey = errors.New("a repeat key has 1 to 128 printable characters without quotes")
 )
 
-// SetTopic sets a message's Topic, which is its order key where the class asks for order. It is the same whichever front
-// a message comes by.
+// SetTopic sets a message's topic. If the class requires order, the order key is derived from tenant, destination and topic, so
+// it is the same for all fronts. The error is ErrInvalidTopic.
 func SetTopic(m *engine.Message, inOrder bool, topic string) error {
 	if len(topic) > 32 || strings.IndexFunc(topic, notBase64) >= 0 {
 		return ErrInvalidTopic
@@ -222,12 +237,13 @@
 	return nil
 }
 
+// notBase64 reports whether r is not in the URL-safe base64 alphabet.
 func notBase64(r rune) bool {
 	return !(r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '-' || r == '_')
 }
 
-// Repeat sets the key by which partners drop repeats. Two tenants may use one key; one tenant's key is the same
-// whichever front it comes by.
+// SetIdempotencyKey sets the key by which partners deduplicate a message. The key is prefixed with the tenant, so two tenants
+// may use the same key, and a tenant's key is the same for all fronts. The error is ErrInvalidIdempotencyKey.
 func SetIdempotencyKey(m *engine.Message, key string) error {
 	bad := func(r rune) bool { return r < ' ' || r > '~' || r == '"' || r == '\\' }
 	if key == "" || len(key) > 128 || strings.IndexFunc(key, bad) >= 0 {
@@ -237,7 +253,7 @@
 	return nil
 }
 
-// Printable keeps what may stand in a log or an answer, 80 characters at most.
+// Printable returns the printable ASCII characters among the first 80 bytes of s, for use in logs and answers.
 func Printable(s string) string {
 	if len(s) > 80 {
 		s = s[:80]
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -1,5 +1,5 @@
-// Package receipt makes final answers into receipts that anybody can check: JSON, signed as a JWS in its compact form
-// (RFC 7515) with Ed25519 (RFC 8037).
+// Package receipt turns final answers into receipts that anybody can verify. A receipt is JSON, signed as a JWS in its compact
+// serialization (RFC 7515) with Ed25519 (RFC 8037).
 package receipt
 
 import (
@@ -14,13 +14,13 @@
 	"whinrun/internal/engine"
 )
 
-// Receipt is the final answer of one message.
+// Receipt is the final answer of one message. Optional fields are omitted from the JSON if they are empty.
 type Receipt struct {
-	Message          string    `json:"message"` // the dispatcher's name of it
-	Answer           string    `json:"answer"`  // served, refused or failed
+	Message          string    `json:"message"` // The dispatcher's name of the message.
+	Answer           string    `json:"answer"`  // One of served, refused and failed.
 	At               time.Time `json:"at"`
 	Detail           string    `json:"detail,omitempty"`
-	Reason           string    `json:"reason,omitempty"` // the dispatcher's own, where no partner's answer ended it
+	Reason           string    `json:"reason,omitempty"` // The dispatcher's reason, if no response of the partner ended the message.
 	Attempts         int       `json:"attempts"`
 	PartnerStatus    int       `json:"partner-status,omitempty"`
 	RetryAfterMillis int64     `json:"retry-after-ms,omitempty"`
@@ -32,48 +32,55 @@
 	Path             string    `json:"path,omitempty"`
 }
 
-// New makes a receipt of an answer.
+// New returns the receipt of an answer. name is the dispatcher's name of the message.
 func New(name string, a *engine.Answer, at time.Time) *Receipt {
 	return &Receipt{Message: name, Answer: a.Kind.String(), At: at.UTC(), Detail: a.AttemptDetail, Reason: a.Reason, Attempts: a.Attempts, PartnerStatus: a.Status,
 		RetryAfterMillis: int64(a.RetryAfter / 1000), OutOfTime: a.DeadlineExceeded}
 }
 
-// JSON is the receipt unsigned.
+// JSON returns the receipt as JSON, without a signature.
 func (r *Receipt) JSON() []byte {
-	b, _ := json.Marshal(r) // its fields can all be encoded
+	b, _ := json.Marshal(r) // Cannot fail, because all fields can be encoded.
 	return b
 }
 
-// Signer signs, as a key of the audit trail does.
+// Signer signs receipts. A key of the audit trail is a Signer.
 type Signer interface {
+	// ID returns the identity of the key.
 	ID() string
+
+	// Sign returns the Ed25519 signature of its argument.
 	Sign([]byte) []byte
 }
 
-// MediaType is the type of a signed receipt (RFC 7515 section 9.2.1).
+// MediaType is the media type of a signed receipt (RFC 7515 section 9.2.1).
 const MediaType = "application/jose"
 
+// header is the JOSE header of a signed receipt.
 type header struct {
 	Alg string `json:"alg"`
 	Typ string `json:"typ"`
 	Kid string `json:"kid"`
 }
 
+// receiptType is the value of the header parameter "typ".
 const receiptType = "whinrun-receipt"
 
+// encoding is the encoding of the parts of a JWS.
 var encoding = base64.RawURLEncoding.Strict()
 
-// Sign returns the receipt in its signed form.
+// Sign returns the receipt as a JWS in its compact serialization.
 func (r *Receipt) Sign(key Signer) string {
 	h, _ := json.Marshal(header{"EdDSA", receiptType, key.ID()})
 	text := encoding.EncodeToString(h) + "." + encoding.EncodeToString(r.JSON())
 	return text + "." + encoding.EncodeToString(key.Sign([]byte(text)))
 }
 
-// ErrSignature tells of a receipt that is not as it was signed.
+// ErrSignature means that the signature does not match the receipt.
 var ErrSignature = errors.New("the receipt is not signed by this key as it stands")
 
-// Verify checks a signed receipt with the public keys by their ids, and returns what it says.
+// Verify verifies a signed receipt and returns it. keys holds the public keys by their IDs. The error is ErrSignature if the
+// signature is wrong, and another one if jws is not a signed receipt or its key is not among keys.
 func Verify(jws string, keys map[string]ed25519.PublicKey) (*Receipt, error) {
 	part := strings.Split(strings.TrimSpace(jws), ".")
 	if len(part) != 3 {
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -1,12 +1,13 @@
-// Package safety is the one place that permits what can't be taken back: that a call is made and written, and that a message is
-// handed back as harmless. It keeps the facts that the rules rest on apart from the decision module, from what the engine
-// learns, and is asked twice for each call: when the module decides it (Plan), and again in the moment in which its bytes are
-// put on a connection (Write), as much may have happened in between.
+// Package safety authorizes the operations that cannot be undone: making a call, writing it to a connection, and refusing a
+// message, which tells its sender that submitting it again is harmless. It keeps the facts that its rules need separately from
+// the decision module, and gets them from the engine. Each call is checked twice: when the module decides it (AuthorizeCall),
+// and again immediately before its bytes are put on a connection (Write), because the facts may have changed in between.
 //
-// A refusal of Plan or of Refuse means that the module and these facts differ: that is a defect, it is counted and reported,
-// and the call is not made. A refusal of Write is a crossing: the call is taken back unsent.
+// An error of AuthorizeCall or AuthorizeRefusal means that the module's state and these facts disagree. This is a defect. It is
+// counted and reported, and the operation is not performed. An error of Write is not a defect but a race: an event overtook the
+// call, which is then withdrawn unsent.
 //
-// The package does no input or output and reads no clock. A Guard may be used from any goroutine.
+// The package performs no I/O and reads no clock. A Guard is safe for concurrent use.
 package safety
 
 import (
@@ -18,7 +19,7 @@
 	"whinrun/control"
 )
 
-// Reasons why something is not permitted.
+// Reasons why an operation is not authorized.
 var (
 	ErrUnknownMessage    = errors.New("the message is not known")
 	ErrMessageFinished   = errors.New("the message has its final answer")
@@ -37,29 +38,39 @@
 	ErrUnsafeRepeat      = errors.New("handing it in again could execute it twice")
 )
 
-// Message is what counts of a message when it is accepted.
+// Message holds the properties of an accepted message that the rules depend on.
 type Message struct {
-	ID               control.MessageID
-	Class            int
-	OrderKey         uint64       // order key, 0 for none
-	Deadline         control.Time // its time is over then
-	Attempts         int          // made by processes before this one
-	PossiblyExecuted bool         // by one of them, which began ...
-	ExecutedAt       control.Time // ... then ...
-	ExecutedZone     int          // ... to this zone
+	ID       control.MessageID
+	Class    int
+	OrderKey uint64       // Zero if the message has no order key.
+	Deadline control.Time // No call is made at this time or later.
+
+	// Attempts is the number of attempts that earlier processes made.
+	Attempts int
+
+	// PossiblyExecuted is set if one of these attempts may have been executed.
+	PossiblyExecuted bool
+
+	// ExecutedAt is when the first possibly executed attempt began.
+	ExecutedAt control.Time
+
+	// ExecutedZone is the zone that this attempt went to.
+	ExecutedZone int
 }
 
-// Call is one attempt.
+// Call identifies one attempt and where it goes.
 type Call struct {
-	Message           control.MessageID
-	Attempt           int // 0 is the first
-	Endpoint          control.Endpoint
-	Dest              int
-	Zone              int
-	PerEndpointLimits bool // limits and waits are of the endpoint, and not of the destination
+	Message  control.MessageID
+	Attempt  int // The first attempt has number zero.
+	Endpoint control.Endpoint
+	Dest     int
+	Zone     int
+
+	// PerEndpointLimits is set if limits and waits apply to the endpoint and not to the whole destination.
+	PerEndpointLimits bool
 }
 
-// Violation is something that the rules forbid and that was about to happen. It was prevented.
+// Violation is the error for an operation that the rules forbid. The operation was prevented.
 type Violation struct {
 	Message control.MessageID
 	Action  string
@@ -70,48 +81,60 @@
 	return fmt.Sprintf("safety: %s of message %d: %v", v.Action, v.Message, v.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the reason why the operation is not authorized.
 func (v *Violation) Unwrap() error { return v.Cause }
 
-// Guard keeps the facts.
+// Guard keeps the facts about messages, endpoints, waits and order keys, and authorizes operations by them.
 type Guard struct {
 	settings control.Settings
 
-	mu                 sync.Mutex
-	messages           map[control.MessageID]*message
-	withdrawnSince     map[control.Endpoint]control.Time // draining or gone, and since when
-	destRetryAfter     map[int]control.Time              // until when destinations told to wait
-	endpointRetryAfter map[control.Endpoint]control.Time // the same of endpoints with limits of their own
-	keys               map[uint64][]*message             // unfinished messages of a key, in the order of their acceptance
-	blockedKeys        map[uint64]control.Time           // until when keys rest
-	violations         uint64
+	mu       sync.Mutex
+	messages map[control.MessageID]*message
+
+	// withdrawnSince holds when each endpoint that is draining or gone became so.
+	withdrawnSince map[control.Endpoint]control.Time
+
+	// destRetryAfter holds until when each destination asked to wait.
+	destRetryAfter map[int]control.Time
+
+	// endpointRetryAfter holds until when each endpoint that has its own limits asked to wait.
+	endpointRetryAfter map[control.Endpoint]control.Time
+
+	// keys holds the unfinished messages of each order key, in the order of their acceptance.
+	keys map[uint64][]*message
+
+	// blockedKeys holds until when no first attempt is made for an order key, because an earlier attempt may still be executing.
+	blockedKeys map[uint64]control.Time
+
+	violations uint64
 }
 
-// message is what is known of one.
+// message is the state of one message.
 type message struct {
 	Message
 	class    *control.Class
-	inFlight int  // attempt that is out, -1 for none
-	written  bool // the attempt that is out may have been written
+	inFlight int  // The number of the attempt in flight, or noAttempt.
+	written  bool // The attempt in flight may have been written.
 	finished bool
 }
 
+// noAttempt is the value of message.inFlight while no attempt is in flight.
 const noAttempt = -1
 
-// NewGuard makes a Guard for settings.
+// NewGuard returns a Guard for the module's settings.
 func NewGuard(s control.Settings) *Guard {
 	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.Endpoint]control.Time{},
 		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.Endpoint]control.Time{}, keys: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
 }
 
-// Violations counts what was prevented.
+// Violations returns the number of violations that were prevented since the guard was created.
 func (g *Guard) Violations() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.violations
 }
 
-// Accept takes a message on.
+// Accept adds a message that the dispatcher has accepted.
 func (g *Guard) Accept(m Message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,7 +145,7 @@
 	}
 }
 
-// AuthorizeCall permits a call that the module has decided, and counts it as out. An error is a *Violation.
+// AuthorizeCall authorizes a call that the module has decided, and counts it as in flight. An error is a *Violation.
 func (g *Guard) AuthorizeCall(now control.Time, c Call) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -142,7 +165,8 @@
 	return nil
 }
 
-// Write permits that a planned call is put on a connection now. From here on it may be executed.
+// Write authorizes that an authorized call is put on a connection now. From this moment the call counts as written, and so
+// may be executed. An error is one of the reasons of this package and not a *Violation.
 func (g *Guard) Write(now control.Time, c Call) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,7 +181,7 @@
 	return nil
 }
 
-// RevokeWrite tells that a call which Write permitted was not written after all: its connection had no room for it.
+// RevokeWrite records that a call that Write authorized was not written, because its connection had no room for it.
 func (g *Guard) RevokeWrite(c Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,7 +190,8 @@
 	}
 }
 
-// checkCall tells why a call must not be made now, whoever asks; it is called with the lock held.
+// checkCall returns the reason why a call must not be made now, or nil. It holds the checks that AuthorizeCall and Write have
+// in common. The caller holds the lock.
 func (g *Guard) checkCall(now control.Time, m *message, c Call) error {
 	if m == nil {
 		return ErrUnknownMessage
@@ -188,7 +213,7 @@
 	return m.checkRepeat(now, c.Zone)
 }
 
-// checkRepeat tells why a message that may have been executed must not be called again.
+// checkRepeat returns the reason why a message that may have been executed must not be sent again, or nil.
 func (m *message) checkRepeat(now control.Time, zone int) error {
 	switch {
 	case !m.PossiblyExecuted || m.class.Effect == control.Free:
@@ -203,11 +228,13 @@
 	return nil
 }
 
+// isWithdrawn reports whether an endpoint is draining or gone.
 func (g *Guard) isWithdrawn(e control.Endpoint) bool {
 	_, ok := g.withdrawnSince[e]
 	return ok
 }
 
+// retryAfter returns until when the endpoint or the destination of a call asked to wait.
 func (g *Guard) retryAfter(c Call) control.Time {
 	if c.PerEndpointLimits {
 		return g.endpointRetryAfter[c.Endpoint]
@@ -215,22 +242,30 @@
 	return g.destRetryAfter[c.Dest]
 }
 
-// isFirst tells whether no earlier message of the same key is unfinished.
+// isFirst reports whether no earlier message of the same order key is unfinished. It is true for messages without order.
 func (g *Guard) isFirst(m *message) bool {
 	queue := g.keys[m.OrderKey]
 	return !m.class.InOrder || m.OrderKey == 0 || len(queue) > 0 && queue[0] == m
 }
 
-// AttemptResult is what the end of a call proved.
+// AttemptResult is what the end of an attempt proves.
 type AttemptResult struct {
-	PossiblyExecuted bool // it may have been executed
-	Unsent           bool // this side says that nothing of it was written
-	NotCounted       bool // and it does not count as an attempt
-	Unconfirmed      bool // the peer said nothing of its end: it may be executed yet
+	// PossiblyExecuted is set if the attempt may have been executed.
+	PossiblyExecuted bool
+
+	// Unsent is set if this side claims that nothing of the attempt was written.
+	Unsent bool
+
+	// NotCounted is set if the attempt does not count towards the limit of attempts.
+	NotCounted bool
+
+	// Unconfirmed is set if the peer did not report the end of the attempt, which may still be executing.
+	Unconfirmed bool
 }
 
-// FinishAttempt takes the end of a call that began at a moment. An error is a *Violation: the end claims that nothing was sent of a
-// call that was written, and the message counts as possibly executed all the same.
+// FinishAttempt records the end of a call that began at the given time. An error is a *Violation: either the attempt is not
+// known to be in flight, or the result claims that nothing was sent of a call that was written. In the second case the message
+// counts as possibly executed.
 func (g *Guard) FinishAttempt(now control.Time, c Call, began control.Time, e AttemptResult) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -256,7 +291,8 @@
 	return err
 }
 
-// FirstExecution tells since when a message may have been executed, and where; ok is false where it surely was not.
+// FirstExecution returns when the first attempt that may have been executed began, and its zone. ok is false if no attempt has
+// ended as possibly executed, or if the message is unknown.
 func (g *Guard) FirstExecution(id control.MessageID) (at control.Time, zone int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -267,7 +303,8 @@
 	return m.ExecutedAt, m.ExecutedZone, true
 }
 
-// AuthorizeRefusal permits that a message is handed back as harmless. An error is a *Violation: it must be failed instead.
+// AuthorizeRefusal authorizes that a message is refused, which tells its sender that submitting it again is harmless. An error
+// is a *Violation, and the message must be failed instead.
 func (g *Guard) AuthorizeRefusal(id control.MessageID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -283,21 +320,23 @@
 	return g.recordViolation("refusal", id, ErrUnsafeRepeat)
 }
 
-// resubmissionIsHarmless tells whether executing a message again does no harm: its sender may bring it at any time, to any
-// dispatcher, by its own clock.
+// resubmissionIsHarmless reports whether the sender may submit the message again. The sender may do so at any time and to any
+// dispatcher. If the message may have been executed, this is harmless if repeats have no effect, or if the partner deduplicates
+// the message in all zones. It is not harmless if deduplication is limited to the zone of the first execution.
 func (m *message) resubmissionIsHarmless() bool {
 	maybe := m.PossiblyExecuted || m.inFlight != noAttempt && m.written
 	return !maybe || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
 }
 
-// VerifyRecord checks that the record which another process would go by says the same of a message as this one knows: when it may
-// first have been executed, 0 for never. It is to be asked behind each change of the record. An error is a *Violation.
+// VerifyRecord checks that the record of a message, which a later process would rely on, agrees with the facts kept here.
+// executedAt is the time at which the message may first have been executed; it counts only if executed is set. It must be
+// called after each change of the record. An error is a *Violation. There is no error for a message that is not known any more.
 func (g *Guard) VerifyRecord(id control.MessageID, attempts int, executed bool, executedAt control.Time) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[id]
 	if m == nil {
-		return nil // it ended meanwhile
+		return nil // The message has ended meanwhile.
 	}
 	if attempts != m.Attempts || executed != m.PossiblyExecuted || executed && executedAt != m.ExecutedAt {
 		return g.recordViolation("record", id, ErrRecordMismatch)
@@ -305,7 +344,7 @@
 	return nil
 }
 
-// FinishMessage ends a message: nothing is sent for it any more.
+// FinishMessage marks a message as finished. No further call is authorized for it.
 func (g *Guard) FinishMessage(id control.MessageID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -315,7 +354,7 @@
 	}
 }
 
-// removeIfDone drops a message that has ended and has nothing out; it is called with the lock held.
+// removeIfDone removes a message that is finished and has no attempt in flight. The caller holds the lock.
 func (g *Guard) removeIfDone(m *message) {
 	if !m.finished || m.inFlight != noAttempt {
 		return
@@ -335,7 +374,7 @@
 	}
 }
 
-// SetHealth takes what the endpoint list says of an endpoint.
+// SetHealth records the health of an endpoint as the endpoint list gives it.
 func (g *Guard) SetHealth(now control.Time, e control.Endpoint, h control.Health) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -351,7 +390,7 @@
 	}
 }
 
-// SetRetryAfter takes a wait that was told in the answer to a call.
+// SetRetryAfter records a wait that the answer to a call asked for. A shorter wait does not replace a longer one.
 func (g *Guard) SetRetryAfter(c Call, until control.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -362,20 +401,24 @@
 	}
 }
 
-// Bounds of what is kept of endpoints that left the list, and of waits that are over.
 const (
-	cleanupThreshold   = 4096
-	withdrawnRetention = 600 * control.Second // far longer than any message lives
+	// cleanupThreshold is the number of withdrawn endpoints, blocked keys and waits of endpoints together, above which expired
+	// ones are removed.
+	cleanupThreshold = 4096
+
+	// withdrawnRetention is how long a withdrawn endpoint is kept. It is much longer than the lifetime of any message.
+	withdrawnRetention = 600 * control.Second
 )
 
-// removeExpired forgets what is of no more use; it is called with the lock held.
+// removeExpired removes withdrawn endpoints, waits of endpoints and blocked keys that have no effect any more. The caller
+// holds the lock.
 func (g *Guard) removeExpired(now control.Time) {
 	maps.DeleteFunc(g.withdrawnSince, func(_ control.Endpoint, since control.Time) bool { return now-since > withdrawnRetention })
 	maps.DeleteFunc(g.endpointRetryAfter, func(_ control.Endpoint, until control.Time) bool { return until < now })
 	maps.DeleteFunc(g.blockedKeys, func(_ uint64, until control.Time) bool { return until < now })
 }
 
-// recordViolation counts a violation; it is called with the lock held.
+// recordViolation counts a violation and returns it as an error. The caller holds the lock.
 func (g *Guard) recordViolation(action string, id control.MessageID, cause error) error {
 	g.violations++
 	return &Violation{Message: id, Action: action, Cause: cause}
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -7,8 +7,10 @@
 	"whinrun/control"
 )
 
+// s is one second, for short.
 const s = control.Second
 
+// Indexes of the classes of settings, one for each kind of rule.
 const (
 	classFree = iota
 	classKeyed
@@ -17,6 +19,7 @@
 	classOrdered
 )
 
+// settings returns settings with one class for each kind of rule.
 func settings() control.Settings {
 	return control.Settings{Tick: 5 * control.Millisecond, MaxTries: 3, SettleAfterDoubt: s, Classes: []control.Class{
 		classFree:       {Effect: control.Free},
@@ -27,7 +30,7 @@
 	}}
 }
 
-// Each reason to forbid a call, by what happened before it; at the decision and again at the writing.
+// TestCallAuthorization checks each reason to forbid a call, by what happened before it, at the decision and at the write.
 func TestCallAuthorization(t *testing.T) {
 	executed := AttemptResult{PossiblyExecuted: true}
 	for _, c := range []struct {
@@ -88,7 +91,7 @@
 	}
 }
 
-// afterAttempt has a first call made at 1 s, and its end come.
+// afterAttempt returns a function that makes a first call at 1 s and finishes it with the given result.
 func afterAttempt(e AttemptResult) func(*Guard, Call) {
 	return func(g *Guard, c Call) {
 		if g.AuthorizeCall(s, c) == nil && g.Write(s, c) == nil {
@@ -97,7 +100,7 @@
 	}
 }
 
-// What happens between the decision and the writing forbids the writing, and is no violation.
+// TestCrossings checks that an event between the decision and the write forbids the write, and does not count as a violation.
 func TestCrossings(t *testing.T) {
 	for name, c := range map[string]struct {
 		between func(g *Guard, c Call)
@@ -128,7 +131,8 @@
 	}
 }
 
-// An end that claims that nothing was sent of a call that was written is not believed.
+// TestEndAsUnsent checks that a call that was written counts as possibly executed, although its result claims that nothing was
+// sent.
 func TestEndAsUnsent(t *testing.T) {
 	g := NewGuard(settings())
 	g.Accept(Message{ID: 1, Class: classSingleShot, Deadline: 20 * s})
@@ -148,7 +152,7 @@
 	}
 }
 
-// A message is handed back only where bringing it again does no harm.
+// TestRefusals checks that a message is refused only if submitting it again is harmless.
 func TestRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -179,7 +183,8 @@
 	}
 }
 
-// Messages of one key are called one at a time in their order, and the key rests after a call that nobody heard of.
+// TestOrder checks that the messages of one order key are called one at a time and in order, and that the key is blocked for a
+// while after an attempt whose end the peer did not report.
 func TestOrder(t *testing.T) {
 	g := NewGuard(settings())
 	for id := range control.MessageID(3) {
@@ -210,7 +215,7 @@
 	}
 }
 
-// What a process before this one did binds as if it had been done here.
+// TestRestored checks that attempts of an earlier process count like attempts of this process.
 func TestRestored(t *testing.T) {
 	g := NewGuard(settings())
 	g.Accept(Message{ID: 1, Class: classSingleShot, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -s})
@@ -223,7 +228,7 @@
 	}
 }
 
-// What is kept of endpoints that left the list is bounded.
+// TestGoneEndpointsAreForgotten checks that the number of endpoints kept after they left the list is bounded.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	g := NewGuard(settings())
 	for e := range control.Endpoint(20000) {
--- a/internal/wire/flatten_test.go
+++ b/internal/wire/flatten_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Both forms of one object give equal settings.
+// TestBothFormsAreEqual checks that nested JSON and path=value lines with the same content give equal settings.
 func TestBothFormsAreEqual(t *testing.T) {
 	nested := `{"instances":2,"tick":5000,"extra":{"slots":13,"batch-by-kind":[10,1],"routes-apart":[false,true]},
  "limits":{"max-open":313,"most-tries":6},"classes":[{"effect":"guarded","gain":2.0,"target":2500000,"hard-limit":24000000,"window":10000000}],
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,20 +12,20 @@
 	"whinrun/control"
 )
 
-// settingValues holds the settings text; the first fault is kept, naming its key.
+// settingValues holds the settings by their keys. It keeps the first error, which names its key.
 type settingValues struct {
 	values map[string]string
 	err    error
 }
 
+// fail records an error about a key, unless there was one before.
 func (p *settingValues) fail(key, what string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("setting %s: %s", key, what)
 	}
 }
 
-// number reads a number; a key that is absent gives the fallback, or a fault
-// where it is needed.
+// number reads a number that is not negative. For an absent key it returns the fallback, and fails if the key is needed.
 func (p *settingValues) number(key string, needed bool, fallback float64) float64 {
 	text, ok := p.values[key]
 	if !ok {
@@ -46,6 +46,7 @@
 	return v
 }
 
+// count reads a number that fits into 32 bits, and cuts off its fraction.
 func (p *settingValues) count(key string, needed bool, fallback int) int {
 	v := p.number(key, needed, float64(fallback))
 	if v > math.MaxInt32 {
@@ -55,6 +56,7 @@
 	return int(v)
 }
 
+// duration reads a time in microseconds. Its upper limit leaves room for sums of several times.
 func (p *settingValues) duration(key string, needed bool) control.Time {
 	v := p.number(key, needed, 0)
 	if v > math.MaxInt64/4 {
@@ -64,8 +66,10 @@
 	return control.Time(v)
 }
 
+// boolean reads a flag. All values but "true" mean false.
 func (p *settingValues) boolean(key string) bool { return p.values[key] == "true" }
 
+// list reads a list that is separated by commas.
 func (p *settingValues) list(key string) []string {
 	if p.values[key] == "" {
 		return nil
@@ -73,8 +77,9 @@
 	return strings.Split(p.values[key], ",")
 }
 
-// Flatten turns settings that came as nested JSON into the path=value lines of the wire: lists of plain values joined by
-// commas, lists of objects by their count and number, spaces and commas within values replaced by _.
+// Flatten converts settings from nested JSON to the path=value lines of the wire. A list of plain values becomes one value,
+// joined by commas. A list of objects becomes its count and one path for each index. Spaces, commas and line breaks within values
+// are replaced by underscores.
 func Flatten(text []byte) (string, error) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
@@ -118,11 +123,12 @@
 	}
 }
 
+// scalarReplacer replaces characters that have a meaning in path=value lines.
 var scalarReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
 func scalar(v any) string { return scalarReplacer.Replace(fmt.Sprint(v)) }
 
-// ParseSettings reads path=value lines. Unknown keys are skipped.
+// ParseSettings parses path=value lines. Unknown keys are ignored. The error names the first key that is missing or not valid.
 func ParseSettings(text string) (control.Settings, error) {
 	p := &settingValues{values: make(map[string]string)}
 	for line := range strings.Lines(text) {
@@ -179,6 +185,7 @@
 	return s, p.err
 }
 
+// kinds reads the kinds of destinations.
 func (p *settingValues) kinds(s *control.Settings) {
 	batch, apart := p.list("extra.batch-by-kind"), p.list("extra.routes-apart")
 	for i, name := range p.list("host-types") {
@@ -195,6 +202,7 @@
 	}
 }
 
+// classes reads the message classes.
 func (p *settingValues) classes(s *control.Settings) {
 	for i := range p.count("classes.count", true, 0) {
 		at := fmt.Sprintf("classes.%d.", i)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire speaks the batch protocol between a host process and the
-// decision module: framing, event and action codecs and the settings parser.
-// It decides nothing.
+// Package wire implements the batch protocol between a host process and the decision module: framing, codecs for events and
+// actions, and the parser of settings. It makes no decisions.
+//
+// A frame has a header, which gives the sizes of its body, and records. All numbers are little-endian.
 package wire
 
 import (
@@ -13,13 +14,13 @@
 	"whinrun/control"
 )
 
-// maxFrameBytes bounds a frame so that a damaged length cannot exhaust memory.
+// maxFrameBytes is the maximum size of a frame's body, so that a corrupt length cannot exhaust the memory.
 const maxFrameBytes = 1 << 30
 
-// maxNoteBytes is the most that a note between instances may hold.
+// maxNoteBytes is the maximum size of a note between instances, in bytes.
 const maxNoteBytes = 256
 
-// Event codes.
+// Codes of events, as the protocol names them.
 const (
 	evAttach = 16 + iota
 	evDirectory
@@ -34,7 +35,7 @@
 	evPool
 )
 
-// Action codes.
+// Codes of actions, as the protocol names them.
 const (
 	acAttempt = 16 + iota
 	acOverloadReply
@@ -50,35 +51,41 @@
 	acQueryAll
 )
 
-// RecordKind tells what a Record is about.
+// RecordKind is what a Record is about.
 type RecordKind uint8
 
-// Kinds of record.
+// Kinds of records.
 const (
-	ModuleEvent RecordKind = iota // an event for the module
-	Attach                        // an instance starts
-	Exit                          // an instance is killed
-	Ignored                       // well-formed, of no use to the module
+	// ModuleEvent is an event for the module.
+	ModuleEvent RecordKind = iota
+
+	// Attach starts an instance.
+	Attach
+
+	// Exit kills an instance.
+	Exit
+
+	// Ignored is a valid record that the module does not need.
+	Ignored
 )
 
-// Record is one event with the instance it is for.
+// Record is one event and the instance that it is for.
 type Record struct {
 	Kind     RecordKind
 	Instance uint16
-	Seed     uint64
-	Settings string
-	Event    control.Event
+	Seed     uint64        // The seed of the instance, for Attach.
+	Settings string        // The settings as path=value lines, for Attach.
+	Event    control.Event // The event, for ModuleEvent.
 }
 
 // Batch is a decoded frame.
 type Batch struct {
 	Seq     uint32
-	Now     control.Time
+	Now     control.Time // The time of the batch, in microseconds.
 	Records []Record
 }
 
-// Decoder reads batches. It keeps the numbered endpoint lists, which belong
-// to the connection and to no instance.
+// Decoder reads batches. It keeps the numbered endpoint lists, which belong to the connection and not to an instance.
 type Decoder struct {
 	r     io.Reader
 	lists map[uint16][]control.Entry
@@ -90,7 +97,7 @@
 	return &Decoder{r: r, lists: make(map[uint16][]control.Entry)}
 }
 
-// Next returns the next batch, or io.EOF at a clean end of input.
+// Next returns the next batch. The error is io.EOF at the end of the input, and another one if a batch is truncated or not valid.
 func (d *Decoder) Next() (Batch, error) {
 	var head [20]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
@@ -126,13 +133,14 @@
 	return b, nil
 }
 
-// cursor takes fields off a buffer; after a short read every field is zero.
+// cursor reads fields from a buffer. After a truncated field all fields are zero.
 type cursor struct {
 	buf       []byte
 	offset    int
 	truncated bool
 }
 
+// take returns the next n bytes. If there are fewer, it sets truncated and returns zeros, which are enough for any number.
 func (c *cursor) take(n int) []byte {
 	if n < 0 || len(c.buf)-c.offset < n {
 		c.truncated = true
@@ -150,14 +158,18 @@
 func (c *cursor) f32() float32 {
 	return math.Float32frombits(c.u32())
 }
+
+// micros reads a time in microseconds.
 func (c *cursor) micros() control.Time { return control.Time(c.u32()) }
 
+// endpoint reads an IPv4 address and a port.
 func (c *cursor) endpoint() control.Endpoint {
 	b := c.take(4)
 	addr := uint64(binary.LittleEndian.Uint32(b))
 	return control.Endpoint(addr<<16 | uint64(c.u16()))
 }
 
+// report reads a load report.
 func (c *cursor) report() []float32 {
 	n := int(c.u8())
 	if n == 0 || len(c.buf)-c.offset < 4*n {
@@ -241,6 +253,7 @@
 	return r, nil
 }
 
+// decodeOutcome decodes the outcome of an attempt.
 func (c *cursor) decodeOutcome(e *control.Event) error {
 	e.Kind, e.Message, e.Attempt, e.Endpoint = control.Outcome, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
 	res, err := decodeResult(c.u8())
@@ -256,7 +269,7 @@
 	return err
 }
 
-// decodeList decodes a numbered endpoint list; a new one replaces the old.
+// decodeList decodes a numbered endpoint list. It replaces an earlier list of the same number.
 func (d *Decoder) decodeList(c *cursor) error {
 	id, n := c.u16(), int(c.u32())
 	const entry = 23
@@ -281,7 +294,7 @@
 	return nil
 }
 
-// decodeResult translates an outcome code.
+// decodeResult converts an outcome code to a result.
 func decodeResult(code uint8) (control.Result, error) {
 	switch code {
 	case 0:
@@ -304,15 +317,16 @@
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
 
-// Reply gathers the records that answer one batch.
+// Reply collects the records that answer one batch.
 type Reply struct {
 	body  []byte
 	count uint32
 }
 
-// Reset empties the reply for the next batch.
+// Reset empties the reply, for the next batch.
 func (r *Reply) Reset() { r.body, r.count = r.body[:0], 0 }
 
+// appendHeader begins a record with its code and instance.
 func (r *Reply) appendHeader(code uint8, who uint16) {
 	r.count++
 	r.body = append(r.body, code)
@@ -324,10 +338,12 @@
 	r.body = binary.LittleEndian.AppendUint16(r.body, uint16(e))
 }
 
+// appendDuration appends a time in microseconds, limited to 32 bits.
 func (r *Reply) appendDuration(t control.Time) {
 	r.body = binary.LittleEndian.AppendUint32(r.body, uint32(min(max(t, 0), math.MaxUint32)))
 }
 
+// appendText appends a record that holds a text. The text is cut at the maximum that its length field allows.
 func (r *Reply) appendText(code uint8, who uint16, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
 	r.appendHeader(code, who)
@@ -335,10 +351,10 @@
 	r.body = append(r.body, s...)
 }
 
-// Fatal adds the end of an instance whose decision code failed.
+// Fatal adds a record that says that the decision code of an instance failed. The instance has ended.
 func (r *Reply) Fatal(who uint16, text string) { r.appendText(acFatal, who, text) }
 
-// Add encodes one action of an instance.
+// Add adds one action of an instance. Actions that have no record are ignored.
 func (r *Reply) Add(who uint16, a control.Action) {
 	le := binary.LittleEndian
 	switch a.Kind {
@@ -384,7 +400,7 @@
 	}
 }
 
-// Write writes the reply to batch seq in one piece.
+// Write writes the reply to batch seq: its header and then its body.
 func (r *Reply) Write(w io.Writer, seq uint32) error {
 	var head [12]byte
 	binary.LittleEndian.PutUint32(head[0:], seq)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// Asking for the list, telling peers and hearing them, as the protocol note has them.
+// TestListAndNoteRecords checks the records that ask for the endpoint list, and those that carry notes to and from peers.
 func TestListAndNoteRecords(t *testing.T) {
 	var r Reply
 	r.Add(3, control.Action{Kind: control.Watch})
