--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -343,16 +343,16 @@
 }
 
 // NewCore returns a Core, or the module's error about its settings. lists may be nil if the setting AskList is off.
-func NewCore(p Options, seed uint64, back Transport, lists Discovery, log Logger) (*Core, error) {
-	p.Settings.KeepOutages, p.Settings.Promises = p.Ledger != nil, p.Ledger != nil
-	mod, err := control.New(p.Settings, seed)
+func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
+	options.Settings.KeepOutages, options.Settings.Promises = options.Ledger != nil, options.Ledger != nil
+	module, err := control.New(options.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	if p.Guard == nil {
-		p.Guard = safety.NewGuard(p.Settings)
+	if options.Guard == nil {
+		options.Guard = safety.NewGuard(options.Settings)
 	}
-	return &Core{options: p, module: mod, guard: p.Guard, transport: back, discovery: lists, log: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
+	return &Core{options: options, module: module, guard: options.Guard, transport: transport, discovery: discovery, log: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
 		placements: map[control.Endpoint]Placement{}, withdrawnEndpoints: map[control.Endpoint]bool{}, waitingDests: map[int]bool{}}, nil
 }
 
@@ -373,17 +373,17 @@
 }
 
 // Round handles the inputs of one round and the timers that are due at now, and performs the actions that the module decides.
-func (c *Core) Round(now control.Time, in []Input) {
+func (c *Core) Round(now control.Time, inputs []Input) {
 	c.now = now
 	c.stats.Rounds++
 	c.events = append(c.events[:0], c.nextEvents...)
 	c.nextEvents = c.nextEvents[:0]
-	for i := range in {
-		c.handleInput(&in[i])
+	for i := range inputs {
+		c.handleInput(&inputs[i])
 	}
 	c.cancelUnsent()
 	c.fireTimers()
-	told := len(c.events)
+	handled := len(c.events)
 	c.actions = c.module.Step(now, c.events, c.actions[:0])
 	if changed := c.module.Outages(); len(changed) > 0 && c.options.Ledger != nil {
 		c.options.Ledger.RecordOutages(changed)
@@ -397,32 +397,32 @@
 	}
 	clear(c.unannounced)
 	c.unannounced = c.unannounced[:0]
-	c.nextEvents = append(c.nextEvents, c.events[told:]...) // Events that were added after the module's step.
+	c.nextEvents = append(c.nextEvents, c.events[handled:]...) // Events that were added after the module's step.
 	clear(c.events)
 	c.compactTimers()
 }
 
 // announce tells the sender that its message is accepted, after the ledger has recorded it. If the ledger cannot record it, the
 // message is refused. The result is false if the message has ended.
-func (c *Core) announce(h *messageState) bool {
-	if !h.unannounced || h.ended {
-		return !h.ended
-	}
-	h.unannounced = false
-	if l := c.options.Ledger; l != nil && !h.recorded {
-		if err := l.RecordAccept(h.message, h.deadline); err != nil {
-			c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Withdrawn, Message: h.message.ID})
+func (c *Core) announce(state *messageState) bool {
+	if !state.unannounced || state.ended {
+		return !state.ended
+	}
+	state.unannounced = false
+	if l := c.options.Ledger; l != nil && !state.recorded {
+		if err := l.RecordAccept(state.message, state.deadline); err != nil {
+			c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Withdrawn, Message: state.message.ID})
 			a := Answer{Kind: Refused, RetryAfter: control.Second, Reason: err.Error()}
 			if errors.Is(err, ErrRecordUncertain) { // A later process may find the message on record and deliver it.
 				a = Answer{Kind: Failed, Reason: err.Error()}
 			}
-			c.answer(h, a)
+			c.answer(state, a)
 			return false
 		}
-		h.recorded = true
+		state.recorded = true
 	}
-	if t, ok := h.message.Origin.(AcceptNotifier); ok {
-		t.Accepted(h.message)
+	if t, ok := state.message.Origin.(AcceptNotifier); ok {
+		t.Accepted(state.message)
 	}
 	return true
 }
@@ -449,25 +449,25 @@
 
 // submit accepts a message.
 func (c *Core) submit(m *Message) {
-	life := m.Lifetime
+	lifetime := m.Lifetime
 	if m.ReceivedAt > 0 { // The time that passed until this round counts, because a round may be late.
-		life = max(0, life-(c.now-m.ReceivedAt))
+		lifetime = max(0, lifetime-(c.now-m.ReceivedAt))
 	}
-	life = min(life, c.options.Settings.Classes[m.Class].Deadline)
+	lifetime = min(lifetime, c.options.Settings.Classes[m.Class].Deadline)
 	m.AcceptedAt = c.now
-	r := m.Recovered
-	h := &messageState{message: m, deadline: c.now + life, unannounced: true, recorded: r.Restored, attempts: r.Attempts}
-	c.messages[m.ID] = h
-	c.unannounced = append(c.unannounced, h)
+	recovered := m.Recovered
+	state := &messageState{message: m, deadline: c.now + lifetime, unannounced: true, recorded: recovered.Restored, attempts: recovered.Attempts}
+	c.messages[m.ID] = state
+	c.unannounced = append(c.unannounced, state)
 	c.stats.Accepted++
 	c.stats.Open++
-	c.guard.Accept(safety.Message{ID: m.ID, Class: m.Class, OrderKey: m.OrderKey, Deadline: h.deadline, Attempts: r.Attempts,
-		PossiblyExecuted: r.PossiblyExecuted, ExecutedAt: r.ExecutedAt, ExecutedZone: r.ExecutedZone})
+	c.guard.Accept(safety.Message{ID: m.ID, Class: m.Class, OrderKey: m.OrderKey, Deadline: state.deadline, Attempts: recovered.Attempts,
+		PossiblyExecuted: recovered.PossiblyExecuted, ExecutedAt: recovered.ExecutedAt, ExecutedZone: recovered.ExecutedZone})
 	if c.options.Trail != nil {
 		c.options.Trail.Accepted(m)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Arrival, Message: m.ID, Class: m.Class, Tenant: m.Tenant,
-		Dest: m.Dest, Key: m.OrderKey, Grace: life, Restored: r.Restored, Attempt: r.Attempts, Doubt: r.PossiblyExecuted, Lag: c.now - r.ExecutedAt, Zone: r.ExecutedZone})
+		Dest: m.Dest, Key: m.OrderKey, Grace: lifetime, Restored: recovered.Restored, Attempt: recovered.Attempts, Doubt: recovered.PossiblyExecuted, Lag: c.now - recovered.ExecutedAt, Zone: recovered.ExecutedZone})
 }
 
 // withdraw ends a message without an answer, because its sender does not want one any more.
@@ -497,17 +497,17 @@
 }
 
 // updateEndpoint applies one entry of the endpoint list.
-func (c *Core) updateEndpoint(e *control.Entry) {
-	if e.Health == control.Gone {
-		delete(c.placements, e.Endpoint)
-		c.transport.CloseIdle(e.Endpoint)
+func (c *Core) updateEndpoint(entry *control.Entry) {
+	if entry.Health == control.Gone {
+		delete(c.placements, entry.Endpoint)
+		c.transport.CloseIdle(entry.Endpoint)
 	} else {
-		c.placements[e.Endpoint] = Placement{e.Dest, e.Kind, e.Zone}
+		c.placements[entry.Endpoint] = Placement{entry.Dest, entry.Kind, entry.Zone}
 	}
-	if e.Health != control.Ready {
-		c.withdrawnEndpoints[e.Endpoint] = true
+	if entry.Health != control.Ready {
+		c.withdrawnEndpoints[entry.Endpoint] = true
 	}
-	c.guard.SetHealth(c.now, e.Endpoint, e.Health)
+	c.guard.SetHealth(c.now, entry.Endpoint, entry.Health)
 }
 
 // applyRetryAfter applies a wait that a partner asked for. It holds for one endpoint if limits are per endpoint, else for the
@@ -538,48 +538,48 @@
 }
 
 // handleOutcome handles the end of an attempt. If the outcome is final, the message is answered immediately.
-func (c *Core) handleOutcome(e *Outcome) {
-	a := c.inFlight[e.Seq]
-	if a == nil {
-		c.log.InternalError(fmt.Sprintf("attempt %d ended twice", e.Seq))
+func (c *Core) handleOutcome(outcome *Outcome) {
+	attempt := c.inFlight[outcome.Seq]
+	if attempt == nil {
+		c.log.InternalError(fmt.Sprintf("attempt %d ended twice", outcome.Seq))
 		return
 	}
-	delete(c.inFlight, e.Seq)
-	h := c.messages[a.Message.ID]
-	v := c.classify(a, e)
-	proof := safety.AttemptResult{PossiblyExecuted: v.PossiblyExecuted, Unsent: e.Kind.nothingWritten(), NotCounted: v.Result == control.NotSent, Unconfirmed: v.unconfirmed()}
-	if err := c.guard.FinishAttempt(c.now, a.SafetyCall(), a.StartedAt, proof); err != nil {
+	delete(c.inFlight, outcome.Seq)
+	state := c.messages[attempt.Message.ID]
+	classification := c.classify(attempt, outcome)
+	result := safety.AttemptResult{PossiblyExecuted: classification.PossiblyExecuted, Unsent: outcome.Kind.nothingWritten(), NotCounted: classification.Result == control.NotSent, Unconfirmed: classification.unconfirmed()}
+	if err := c.guard.FinishAttempt(c.now, attempt.SafetyCall(), attempt.StartedAt, result); err != nil {
 		c.log.InternalError(err.Error())
-		v = Classification{control.Reset, true, false, "its end is not what was written: it may have run"}
-		proof = safety.AttemptResult{PossiblyExecuted: true, Unconfirmed: true}
+		classification = Classification{control.Reset, true, false, "its end is not what was written: it may have run"}
+		result = safety.AttemptResult{PossiblyExecuted: true, Unconfirmed: true}
 	}
-	h.inFlight = nil
-	h.lastStatus, h.lastDetail = e.Status, v.Reason
-	if e.Detail != "" {
-		h.lastDetail += " (" + e.Detail + ")"
+	state.inFlight = nil
+	state.lastStatus, state.lastDetail = outcome.Status, classification.Reason
+	if outcome.Detail != "" {
+		state.lastDetail += " (" + outcome.Detail + ")"
 	}
 	if c.options.Trail != nil {
-		c.options.Trail.AttemptEnded(a, e, v, h.ended)
+		c.options.Trail.AttemptEnded(attempt, outcome, classification, state.ended)
 	}
-	if !h.ended && v.Final {
+	if !state.ended && classification.Final {
 		kind := Failed
-		if e.Kind == Answered && e.Status < 300 {
+		if outcome.Kind == Answered && outcome.Status < 300 {
 			kind = Served
 		}
-		c.answer(h, Answer{Kind: kind})
+		c.answer(state, Answer{Kind: kind})
 	}
-	if l := c.options.Ledger; l != nil && !h.ended {
-		l.RecordAttemptEnd(a, proof)
+	if l := c.options.Ledger; l != nil && !state.ended {
+		l.RecordAttemptEnd(attempt, result)
 	}
-	if e.RetryAfter > 0 {
-		c.applyRetryAfter(a, e.RetryAfter)
+	if outcome.RetryAfter > 0 {
+		c.applyRetryAfter(attempt, outcome.RetryAfter)
 	}
-	if e.Kind == NotRecorded {
+	if outcome.Kind == NotRecorded {
 		c.events = append(c.events, control.Event{Kind: control.Recording, Failing: true})
 	}
-	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: a.Message.ID, Attempt: a.Number, Endpoint: a.Endpoint,
-		Result: v.Result, Closed: h.ended, Lag: c.now - a.StartedAt, Wait: e.RetryAfter, Report: e.LoadReport})
-	c.removeIfDone(h)
+	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: attempt.Message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint,
+		Result: classification.Result, Closed: state.ended, Lag: c.now - attempt.StartedAt, Wait: outcome.RetryAfter, Report: outcome.LoadReport})
+	c.removeIfDone(state)
 }
 
 // classify returns the meaning of an attempt's outcome.
@@ -592,20 +592,20 @@
 }
 
 // answer gives a message its final answer.
-func (c *Core) answer(h *messageState, a Answer) {
-	a.Status, a.Attempts, a.AttemptDetail = h.lastStatus, h.attempts, h.lastDetail
-	if h.inFlight != nil {
-		a.AttemptDetail = fmt.Sprintf("attempt %d has no answer yet", h.inFlight.Number)
-	} else if h.attempts == 0 {
-		a.AttemptDetail = "no attempt was made"
-	}
-	switch a.Kind {
+func (c *Core) answer(state *messageState, answer Answer) {
+	answer.Status, answer.Attempts, answer.AttemptDetail = state.lastStatus, state.attempts, state.lastDetail
+	if state.inFlight != nil {
+		answer.AttemptDetail = fmt.Sprintf("attempt %d has no answer yet", state.inFlight.Number)
+	} else if state.attempts == 0 {
+		answer.AttemptDetail = "no attempt was made"
+	}
+	switch answer.Kind {
 	case Served:
 		c.stats.Served++
 	case Refused:
-		if err := c.guard.AuthorizeRefusal(h.message.ID); err != nil {
+		if err := c.guard.AuthorizeRefusal(state.message.ID); err != nil {
 			c.log.InternalError(err.Error())
-			a.Kind = Failed
+			answer.Kind = Failed
 			c.stats.Failed++
 			break
 		}
@@ -613,34 +613,34 @@
 	case Failed:
 		c.stats.Failed++
 	}
-	c.markFinished(h)
-	c.recordFinish(h, &a)
+	c.markFinished(state)
+	c.recordFinish(state, &answer)
 	if c.options.Trail != nil {
-		c.options.Trail.Answered(h.message, &a)
+		c.options.Trail.Answered(state.message, &answer)
 	}
-	h.message.Origin.Answer(h.message, a)
+	state.message.Origin.Answer(state.message, answer)
 }
 
 // recordFinish records the end of a message in the ledger, before anybody is told of it.
-func (c *Core) recordFinish(h *messageState, a *Answer) {
-	if c.options.Ledger != nil && h.recorded {
-		c.options.Ledger.RecordFinish(h.message, a)
+func (c *Core) recordFinish(state *messageState, a *Answer) {
+	if c.options.Ledger != nil && state.recorded {
+		c.options.Ledger.RecordFinish(state.message, a)
 	}
 }
 
 // markFinished marks a message as ended.
-func (c *Core) markFinished(h *messageState) {
-	h.ended = true
-	c.guard.FinishMessage(h.message.ID)
+func (c *Core) markFinished(state *messageState) {
+	state.ended = true
+	c.guard.FinishMessage(state.message.ID)
 	c.stats.Open--
 	c.staleTimers++
-	c.removeIfDone(h)
+	c.removeIfDone(state)
 }
 
 // removeIfDone removes a message that has ended and has no attempt in flight.
-func (c *Core) removeIfDone(h *messageState) {
-	if h.ended && h.inFlight == nil {
-		delete(c.messages, h.message.ID)
+func (c *Core) removeIfDone(state *messageState) {
+	if state.ended && state.inFlight == nil {
+		delete(c.messages, state.message.ID)
 	}
 }
 
@@ -672,39 +672,39 @@
 }
 
 // send starts an attempt that the module decided, if the guard authorizes it.
-func (c *Core) send(a *control.Action) {
-	h := c.messages[a.Message]
+func (c *Core) send(action *control.Action) {
+	h := c.messages[action.Message]
 	if h == nil || h.ended || h.inFlight != nil {
-		c.log.InternalError(fmt.Sprintf("send of message %d, which is over or out", a.Message))
+		c.log.InternalError(fmt.Sprintf("send of message %d, which is over or out", action.Message))
 		return
 	}
 	if !c.announce(h) {
 		return
 	}
 	c.seq++
-	at := &Attempt{Seq: c.seq, Message: h.message, Number: h.attempts, Endpoint: a.Endpoint, Placement: c.placements[a.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
-		WriteBefore: c.now + a.Within, Worth: c.options.Settings.Classes[h.message.Class].Worth}
-	at.PerEndpointLimits = c.hasPerEndpointLimits(at.Placement.Kind)
-	if a.After > 0 {
-		at.Deadline = min(at.Deadline, c.now+a.After)
+	attempt := &Attempt{Seq: c.seq, Message: h.message, Number: h.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
+		WriteBefore: c.now + action.Within, Worth: c.options.Settings.Classes[h.message.Class].Worth}
+	attempt.PerEndpointLimits = c.hasPerEndpointLimits(attempt.Placement.Kind)
+	if action.After > 0 {
+		attempt.Deadline = min(attempt.Deadline, c.now+action.After)
 	}
 	h.attempts++
-	if err := c.guard.AuthorizeCall(c.now, at.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
+	if err := c.guard.AuthorizeCall(c.now, attempt.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
 		c.log.InternalError(err.Error())
-		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: at.Number, Endpoint: at.Endpoint, Result: control.Moot})
+		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.Moot})
 		return
 	}
-	h.inFlight = at
-	c.inFlight[at.Seq] = at
+	h.inFlight = attempt
+	c.inFlight[attempt.Seq] = attempt
 	c.stats.Attempts++
 	if c.options.Trail != nil {
-		c.options.Trail.AttemptStarted(at)
+		c.options.Trail.AttemptStarted(attempt)
 	}
-	if at.WriteBefore+c.options.Settings.Tick < at.Deadline {
-		heap.Push(&c.timers, timer{due: at.WriteBefore, seq: at.Seq})
+	if attempt.WriteBefore+c.options.Settings.Tick < attempt.Deadline {
+		heap.Push(&c.timers, timer{due: attempt.WriteBefore, seq: attempt.Seq})
 	}
-	heap.Push(&c.timers, timer{due: at.Deadline, seq: at.Seq})
-	c.addToCall(at)
+	heap.Push(&c.timers, timer{due: attempt.Deadline, seq: attempt.Seq})
+	c.addToCall(attempt)
 }
 
 // hasPerEndpointLimits reports whether endpoints of a kind have their own limits and waits.
@@ -714,13 +714,13 @@
 
 // addToCall adds an attempt to a pending call to the same endpoint that has room, or begins a new call.
 func (c *Core) addToCall(a *Attempt) {
-	most := 1
+	maxAttempts := 1
 	if k := a.Placement.Kind; k >= 0 && k < len(c.options.Settings.Kinds) {
-		most = max(1, c.options.Settings.Kinds[k].Batch)
+		maxAttempts = max(1, c.options.Settings.Kinds[k].Batch)
 	}
-	if most > 1 { // Otherwise the search would be useless, and slow in a round with very many calls.
+	if maxAttempts > 1 { // Otherwise the search would be useless, and slow in a round with very many calls.
 		for i, call := range c.pendingCalls {
-			if call[0].Endpoint == a.Endpoint && len(call) < most && c.fits(call, a) {
+			if call[0].Endpoint == a.Endpoint && len(call) < maxAttempts && c.fits(call, a) {
 				c.pendingCalls[i] = append(call, a)
 				return
 			}
@@ -760,8 +760,8 @@
 		c.answer(h, Answer{Kind: Refused, RetryAfter: a.After, Reason: a.Text})
 		return
 	}
-	late := c.now+3*c.options.Settings.Tick >= h.deadline
-	c.answer(h, Answer{Kind: Failed, DeadlineExceeded: late, Reason: a.Text})
+	deadlineExceeded := c.now+3*c.options.Settings.Tick >= h.deadline
+	c.answer(h, Answer{Kind: Failed, DeadlineExceeded: deadlineExceeded, Reason: a.Text})
 }
 
 // timer is either a Tick that the module requested, or a time limit of an attempt. An attempt has a timer for WriteBefore and
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -222,11 +222,11 @@
 // table in docs/answers.md.
 func TestClassify(t *testing.T) {
 	for _, c := range []struct {
-		end    Outcome
-		own    bool
-		result control.Result
-		ran    bool
-		final  bool
+		end            Outcome
+		pathPerMessage bool
+		result         control.Result
+		ran            bool
+		final          bool
 	}{
 		{Outcome{Kind: Answered, Status: 201}, false, control.OK, true, true},
 		{Outcome{Kind: Answered, Status: 204}, false, control.OK, true, true},
@@ -252,9 +252,9 @@
 		{Outcome{Kind: Cancelled}, false, control.Cancelled, true, false},
 		{Outcome{Kind: 99}, false, control.Reset, true, false},
 	} {
-		v := Classify(c.end, c.own)
+		v := Classify(c.end, c.pathPerMessage)
 		if v.Result != c.result || v.PossiblyExecuted != c.ran || v.Final != c.final || v.Reason == "" {
-			t.Errorf("%+v own %v: %+v", c.end, c.own, v)
+			t.Errorf("%+v own %v: %+v", c.end, c.pathPerMessage, v)
 		}
 		// The module takes these results as proof that the message was not executed, so each must agree with PossiblyExecuted.
 		if proof := v.Result == control.Full || v.Result == control.ConnectFailed || v.Result == control.Moot; proof == v.PossiblyExecuted {
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -11,16 +11,16 @@
 	"whinrun/internal/safety"
 )
 
-// recorder records, in order, the calls to the ledger, the sender and the transport.
-type recorder struct {
+// spy records, in order, the calls to the ledger, the sender and the transport.
+type spy struct {
 	lines      []string
 	ledgerFull bool
 	calls      [][]*Attempt
 }
 
-func (b *recorder) add(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
+func (b *spy) add(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
 
-func (b *recorder) RecordAccept(m *Message, _ control.Time) error {
+func (b *spy) RecordAccept(m *Message, _ control.Time) error {
 	if b.ledgerFull {
 		return errors.New("full")
 	}
@@ -28,38 +28,38 @@
 	return nil
 }
 
-func (b *recorder) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
+func (b *spy) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
 	b.add("back %s %v", a.Message.ExternalID, e.PossiblyExecuted)
 }
-func (b *recorder) RecordOutages([]control.Outage)     {}
-func (b *recorder) RecordFinish(m *Message, a *Answer) { b.add("over %s %v", m.ExternalID, a != nil) }
-func (b *recorder) Accepted(m *Message)                { b.add("told %s", m.ExternalID) }
-func (b *recorder) Answer(m *Message, a Answer)        { b.add("final %s %v", m.ExternalID, a.Kind) }
-func (b *recorder) Cancel(a *Attempt, _ OutcomeKind)   { b.add("abandon %s", a.Message.ExternalID) }
-func (b *recorder) CancelUnsent(a *Attempt)            { b.add("unsend %s", a.Message.ExternalID) }
-func (b *recorder) CloseIdle(control.Endpoint)         {}
-func (b *recorder) Info(string)                        {}
-func (b *recorder) InternalError(text string)          { b.add("fault %s", text) }
-func (b *recorder) Start(call []*Attempt) {
+func (b *spy) RecordOutages([]control.Outage)     {}
+func (b *spy) RecordFinish(m *Message, a *Answer) { b.add("over %s %v", m.ExternalID, a != nil) }
+func (b *spy) Accepted(m *Message)                { b.add("told %s", m.ExternalID) }
+func (b *spy) Answer(m *Message, a Answer)        { b.add("final %s %v", m.ExternalID, a.Kind) }
+func (b *spy) Cancel(a *Attempt, _ OutcomeKind)   { b.add("abandon %s", a.Message.ExternalID) }
+func (b *spy) CancelUnsent(a *Attempt)            { b.add("unsend %s", a.Message.ExternalID) }
+func (b *spy) CloseIdle(control.Endpoint)         {}
+func (b *spy) Info(string)                        {}
+func (b *spy) InternalError(text string)          { b.add("fault %s", text) }
+func (b *spy) Start(call []*Attempt) {
 	b.add("start %d", len(call))
 	b.calls = append(b.calls, call)
 }
 
 // take returns the recorded lines and clears them.
-func (b *recorder) take() (l []string) { l, b.lines = b.lines, nil; return l }
-func (b *recorder) want(t *testing.T, lines ...string) {
+func (b *spy) take() (l []string) { l, b.lines = b.lines, nil; return l }
+func (b *spy) want(t *testing.T, lines ...string) {
 	t.Helper()
 	if got := b.take(); !slices.Equal(got, lines) {
 		t.Errorf("%q, want %q", got, lines)
 	}
 }
 
-func newRecorder(t *testing.T) (*recorder, *Core) {
+func newSpy(t *testing.T) (*spy, *Core) {
 	t.Helper()
 	set := settings()
 	set.MayCancel = true
 	set.Kinds = []control.Kind{{Name: "bulk", Batch: 3}, {Name: "single", Batch: 1}}
-	b := &recorder{}
+	b := &spy{}
 	c, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false, false}, Ledger: b, MaxCallBytes: 2000}, 1, b, nil, b)
 	if err != nil {
 		t.Fatal(err)
@@ -69,14 +69,14 @@
 	return b, c
 }
 
-func (b *recorder) msg(id control.MessageID, dest, size int) Input {
+func (b *spy) msg(id control.MessageID, dest, size int) Input {
 	return Input{Submit: &Message{ID: id, ExternalID: fmt.Sprint("m", id), Dest: dest, Lifetime: 3 * control.Second, Body: make([]byte, size), Origin: b}}
 }
 
 // TestRecordBeforePromise checks that a message is on record before its sender is told that it is accepted, and that its end is
 // on record before anybody is told.
 func TestRecordBeforePromise(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "take m1", "told m1", "start 1")
 	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
@@ -87,7 +87,7 @@
 
 // TestCallsOfARound checks that the messages of a round to one endpoint share a call, as far as kind and size allow.
 func TestCallsOfARound(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	var in []Input
 	for i := range 4 {
 		in = append(in, b.msg(control.MessageID(i+1), 1, 10))
@@ -96,7 +96,7 @@
 	if len(b.calls) == 0 || len(b.calls[0]) != 3 {
 		t.Fatalf("%d calls: %q", len(b.calls), b.lines)
 	}
-	b, c = newRecorder(t)
+	b, c = newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 1, 1000), b.msg(2, 1, 1000)})
 	for _, call := range b.calls {
 		if len(call) != 1 {
@@ -107,7 +107,7 @@
 
 // TestRepeatThatWaitsPastItsWindow checks that a repeat is given up unsent if no connection has taken it when its window ends.
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // Guarded, with a window of 3 s.
 	c.Round(2*control.Second, []Input{in})
@@ -135,30 +135,30 @@
 // one. No attempt may start after the withdrawal, and the ledger must get one end.
 func TestWithdrawalCrossings(t *testing.T) {
 	for name, c := range map[string]struct {
-		rounds func(b *recorder, seq uint64) [][]Input
+		rounds func(b *spy, seq uint64) [][]Input
 		sent   int
 		want   []string // The recorded lines, without those of calls.
 	}{
-		"in the round that takes it": {func(b *recorder, _ uint64) [][]Input {
+		"in the round that takes it": {func(b *spy, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10), {Withdraw: 1}}}
 		}, 0, nil},
-		"in the next round": {func(b *recorder, _ uint64) [][]Input {
+		"in the next round": {func(b *spy, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"ahead of a delivery": {func(b *recorder, seq uint64) [][]Input {
+		"ahead of a delivery": {func(b *spy, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"behind a delivery": {func(b *recorder, seq uint64) [][]Input {
+		"behind a delivery": {func(b *spy, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}, {Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 true", "final m1 served"}},
-		"ahead of a failure": {func(b *recorder, seq uint64) [][]Input {
+		"ahead of a failure": {func(b *spy, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: NotConnected}}}, nil}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"behind a failure": {func(b *recorder, seq uint64) [][]Input {
+		"behind a failure": {func(b *spy, seq uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: NotConnected}}, {Withdraw: 1}}, nil}
 		}, 1, []string{"take m1", "told m1", "back m1 false", "over m1 false"}},
 	} {
-		b, c2 := newRecorder(t)
+		b, c2 := newSpy(t)
 		now := 2 * control.Second
 		for _, in := range c.rounds(b, 1) {
 			c2.Round(now, in)
@@ -188,7 +188,7 @@
 
 // TestLedgerFull checks that a message that cannot be recorded is refused, and that the module forgets it.
 func TestLedgerFull(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	b.ledgerFull = true
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "final m1 refused")
@@ -202,7 +202,7 @@
 // TestCallNotOnRecord checks an attempt that could not be recorded and so was not made. The message must go on, and the module
 // must not send until it is told that the ledger can be written again.
 func TestCallNotOnRecord(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Class = 2 // Guarded.
 	c.Round(2*control.Second, []Input{in})
@@ -219,12 +219,12 @@
 
 // TestTakenBack checks that an unwritten attempt is cancelled when its endpoint drains or its destination asks to wait.
 func TestTakenBack(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.take()
 	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
 	b.want(t, "unsend m1")
-	b, c = newRecorder(t)
+	b, c = newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	c.Round(2*control.Second+1000, []Input{b.msg(2, 2, 10)})
 	if len(b.calls) < 2 {
@@ -239,7 +239,7 @@
 
 // TestRestored checks that a restored message is not recorded again, and that its attempts are counted.
 func TestRestored(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Recovered = Recovered{Restored: true, Attempts: 2}
 	c.Round(2*control.Second, []Input{in})
@@ -252,7 +252,7 @@
 // TestRestoredEndsOnRecord checks that the end of a restored message that cannot be sent any more is recorded. Otherwise the
 // message would be restored at each start.
 func TestRestoredEndsOnRecord(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.options.Settings.MaxTries}
 	c.Round(2*control.Second, []Input{in})
@@ -261,7 +261,7 @@
 
 // TestLateRound checks that the time between the receipt of a message and its round counts against its lifetime.
 func TestLateRound(t *testing.T) {
-	b, c := newRecorder(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.ReceivedAt = 2 * control.Second
 	c.Round(2*control.Second+500*control.Millisecond, []Input{in})
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -32,7 +32,7 @@
 type Loop struct {
 	core   *Core
 	clock  clock.Clock
-	bounds Limits
+	limits Limits
 	nextID atomic.Uint64
 
 	mu             sync.Mutex
@@ -50,8 +50,8 @@
 }
 
 // NewLoop returns a Loop. Run starts it.
-func NewLoop(core *Core, clock clock.Clock, b Limits) *Loop {
-	l := &Loop{core: core, clock: clock, bounds: b, wake: make(chan struct{}, 1), quit: make(chan struct{}),
+func NewLoop(core *Core, clock clock.Clock, limits Limits) *Loop {
+	l := &Loop{core: core, clock: clock, limits: limits, wake: make(chan struct{}, 1), quit: make(chan struct{}),
 		done: make(chan struct{}), drained: make(chan struct{})}
 	l.stats.Store(&Stats{})
 	return l
@@ -66,9 +66,9 @@
 	switch {
 	case l.stopping:
 		return ErrStopping
-	case l.queuedMessages >= l.bounds.MaxQueued:
+	case l.queuedMessages >= l.limits.MaxQueued:
 		return ErrQueueFull
-	case l.open >= l.bounds.MaxHeld:
+	case l.open >= l.limits.MaxHeld:
 		return ErrTooManyHeld
 	}
 	l.queuedMessages++
@@ -103,17 +103,17 @@
 func (l *Loop) Run() {
 	defer close(l.done)
 	var batch []Input
-	sleep := time.NewTimer(time.Hour)
-	defer sleep.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		if at, ok := l.core.NextTimer(); ok {
-			sleep.Reset(max(0, time.Duration(at-l.clock.Now())*time.Microsecond))
+			timer.Reset(max(0, time.Duration(at-l.clock.Now())*time.Microsecond))
 		} else {
-			sleep.Reset(time.Hour)
+			timer.Reset(time.Hour)
 		}
 		select {
 		case <-l.wake:
-		case <-sleep.C:
+		case <-timer.C:
 		case <-l.quit:
 			return
 		}
@@ -124,8 +124,8 @@
 		before := l.core.stats.finished()
 		start := clock.StartStopwatch()
 		l.core.Round(l.clock.Now(), batch)
-		old := l.meanRound.Load()
-		l.meanRound.Store(old + (int64(start.Elapsed())-old)/16)
+		mean := l.meanRound.Load()
+		l.meanRound.Store(mean + (int64(start.Elapsed())-mean)/16)
 		clear(batch)
 		s := l.core.Stats()
 		l.stats.Store(&s)
@@ -137,10 +137,10 @@
 func (s Stats) finished() uint64 { return s.Served + s.Refused + s.Failed + s.Withdrawn }
 
 // countFinished subtracts messages that ended from the open ones, and closes the drained channel when a stopping loop has none.
-func (l *Loop) countFinished(ended int) {
+func (l *Loop) countFinished(finished int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open -= ended
+	l.open -= finished
 	if l.stopping && l.open == 0 {
 		select {
 		case <-l.drained:
--- a/internal/engine/verdict.go
+++ b/internal/engine/verdict.go
@@ -112,48 +112,48 @@
 
 // Classify returns what an outcome means. own is set if the path belongs to the message (a device or a subscription) and not to
 // the endpoint. Status 404 then says nothing about the endpoint.
-func Classify(e Outcome, own bool) Classification {
+func Classify(e Outcome, pathPerMessage bool) Classification {
 	if e.Kind != Answered {
 		if v, ok := classifications[e.Kind]; ok {
 			return v
 		}
 		return Classification{control.Reset, true, false, "unknown end: it may have run"}
 	}
-	return classifyStatus(e.Status, e.RetryAfter, own)
+	return classifyStatus(e.Status, e.RetryAfter, pathPerMessage)
 }
 
 // classifyStatus returns what a complete response with the given status and wait means.
-func classifyStatus(status int, wait control.Time, own bool) Classification {
-	why := func(s string) string { return fmt.Sprintf("status %d: %s", status, s) }
+func classifyStatus(status int, wait control.Time, pathPerMessage bool) Classification {
+	reason := func(s string) string { return fmt.Sprintf("status %d: %s", status, s) }
 	switch {
 	case status >= 200 && status < 300:
-		return Classification{control.OK, true, true, why("taken")}
+		return Classification{control.OK, true, true, reason("taken")}
 	case status == 429:
-		return Classification{control.Full, false, false, why("above the partner's limit, turned away unseen (RFC 6585 section 4)")}
+		return Classification{control.Full, false, false, reason("above the partner's limit, turned away unseen (RFC 6585 section 4)")}
 	case status == 503 && wait > 0:
-		return Classification{control.Full, false, false, why("turned away with a wait (RFC 9110 section 15.6.4)")}
+		return Classification{control.Full, false, false, reason("turned away with a wait (RFC 9110 section 15.6.4)")}
 	case status >= 500:
-		return Classification{control.Errored, true, false, why("error, it may have run")}
+		return Classification{control.Errored, true, false, reason("error, it may have run")}
 	case status == 408 || status == 425:
-		return Classification{control.Errored, true, false, why("not taken now; no proof that it has not run")}
-	case status >= 400 && rejectsMessage(status, own):
+		return Classification{control.Errored, true, false, reason("not taken now; no proof that it has not run")}
+	case status >= 400 && rejectsMessage(status, pathPerMessage):
 		// The endpoint works, because it gave a definitive answer. To the module this is an answer like any other.
-		return Classification{control.OK, true, true, why("refused for good, for what the message is")}
+		return Classification{control.OK, true, true, reason("refused for good, for what the message is")}
 	case status >= 400:
-		return Classification{control.Errored, true, true, why("refused for good; the endpoint may be set up wrongly")}
+		return Classification{control.Errored, true, true, reason("refused for good; the endpoint may be set up wrongly")}
 	}
-	return Classification{control.Errored, true, false, why("not followed, and no proof that it has not run")}
+	return Classification{control.Errored, true, false, reason("not followed, and no proof that it has not run")}
 }
 
 // rejectsMessage reports whether a permanent refusal is about the message and not about the endpoint. Statuses such as 400 and
 // 409 are about what was sent. Statuses such as 401 and 405 would be the answer to every message, and so count against the
 // endpoint.
-func rejectsMessage(status int, own bool) bool {
+func rejectsMessage(status int, pathPerMessage bool) bool {
 	switch status {
 	case 400, 402, 406, 409, 410, 411, 412, 413, 414, 415, 416, 417, 422, 428, 431, 451:
 		return true
 	case 404:
-		return own
+		return pathPerMessage
 	}
 	return false
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -118,15 +118,15 @@
 // Route returns where an exchange sends a routing key, and the path at the partner. The key is PARTNER or PARTNER/SEGMENT, where
 // the segment is passed on to the partner. Route returns nil if the key is not valid.
 func (b *Registry) Route(x *Exchange, key string) (*Resource, string) {
-	name, target, more := strings.Cut(key, "/")
+	name, segment, hasSegment := strings.Cut(key, "/")
 	dest, ok := b.partners[name]
-	if !ok || more && !isPathSegment(target) {
+	if !ok || hasSegment && !isPathSegment(segment) {
 		return nil, ""
 	}
-	if more {
-		target = "/" + target
+	if hasSegment {
+		segment = "/" + segment
 	}
-	return &Resource{Dest: dest, Class: x.Class, Tenant: x.Tenant, InOrder: x.InOrder, MaxLifetime: x.MaxLifetime}, target
+	return &Resource{Dest: dest, Class: x.Class, Tenant: x.Tenant, InOrder: x.InOrder, MaxLifetime: x.MaxLifetime}, segment
 }
 
 // isPathSegment reports whether a text can be the last segment of a path at a partner.
@@ -156,16 +156,16 @@
 		return Granted
 	}
 	digest := sha256.Sum256([]byte(secret))
-	mine, known := 0, 0
+	ownTenant, anyTenant := 0, 0
 	for _, t := range b.tokens {
 		same := subtle.ConstantTimeCompare(t.Digest[:], digest[:])
-		known |= same
-		mine |= same & subtle.ConstantTimeEq(int32(t.Tenant), int32(tenant))
+		anyTenant |= same
+		ownTenant |= same & subtle.ConstantTimeEq(int32(t.Tenant), int32(tenant))
 	}
 	switch {
-	case mine == 1:
+	case ownTenant == 1:
 		return Granted
-	case known == 1:
+	case anyTenant == 1:
 		return OtherTenant
 	}
 	return UnknownSecret
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -72,8 +72,8 @@
 // Sign returns the receipt as a JWS in its compact serialization.
 func (r *Receipt) Sign(key Signer) string {
 	h, _ := json.Marshal(header{"EdDSA", receiptType, key.ID()})
-	text := encoding.EncodeToString(h) + "." + encoding.EncodeToString(r.JSON())
-	return text + "." + encoding.EncodeToString(key.Sign([]byte(text)))
+	signingInput := encoding.EncodeToString(h) + "." + encoding.EncodeToString(r.JSON())
+	return signingInput + "." + encoding.EncodeToString(key.Sign([]byte(signingInput)))
 }
 
 // ErrSignature means that the signature does not match the receipt.
@@ -82,14 +82,14 @@
 // Verify verifies a signed receipt and returns it. keys holds the public keys by their IDs. The error is ErrSignature if the
 // signature is wrong, and another one if jws is not a signed receipt or its key is not among keys.
 func Verify(jws string, keys map[string]ed25519.PublicKey) (*Receipt, error) {
-	part := strings.Split(strings.TrimSpace(jws), ".")
-	if len(part) != 3 {
+	parts := strings.Split(strings.TrimSpace(jws), ".")
+	if len(parts) != 3 {
 		return nil, errors.New("not a signed receipt: three parts with dots between them are expected")
 	}
 	var raw [3][]byte
-	for i := range part {
+	for i := range parts {
 		var err error
-		if raw[i], err = encoding.DecodeString(part[i]); err != nil {
+		if raw[i], err = encoding.DecodeString(parts[i]); err != nil {
 			return nil, fmt.Errorf("not a signed receipt: part %d: %w", i+1, err)
 		}
 	}
@@ -104,7 +104,7 @@
 	if !ok {
 		return nil, fmt.Errorf("signed by key %q, which is not among those given", h.Kid)
 	}
-	if !ed25519.Verify(key, []byte(part[0]+"."+part[1]), raw[2]) {
+	if !ed25519.Verify(key, []byte(parts[0]+"."+parts[1]), raw[2]) {
 		return nil, ErrSignature
 	}
 	r := &Receipt{}
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -266,7 +266,7 @@
 // FinishAttempt records the end of a call that began at the given time. An error is a *Violation: either the attempt is not
 // known to be in flight, or the result claims that nothing was sent of a call that was written. In the second case the message
 // counts as possibly executed.
-func (g *Guard) FinishAttempt(now control.Time, c Call, began control.Time, e AttemptResult) error {
+func (g *Guard) FinishAttempt(now control.Time, c Call, began control.Time, result AttemptResult) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
@@ -275,16 +275,16 @@
 	}
 	m.inFlight = noAttempt
 	var err error
-	if e.Unsent && m.written {
+	if result.Unsent && m.written {
 		err = g.recordViolation("end as unsent", c.Message, ErrAlreadyWritten)
 	}
-	if e.NotCounted && err == nil {
+	if result.NotCounted && err == nil {
 		m.Attempts--
 	}
-	if (e.PossiblyExecuted || err != nil) && !m.PossiblyExecuted {
+	if (result.PossiblyExecuted || err != nil) && !m.PossiblyExecuted {
 		m.PossiblyExecuted, m.ExecutedAt, m.ExecutedZone = true, began, c.Zone
 	}
-	if e.Unconfirmed && m.class.InOrder && m.OrderKey != 0 {
+	if result.Unconfirmed && m.class.InOrder && m.OrderKey != 0 {
 		g.blockedKeys[m.OrderKey] = now + g.settings.SettleAfterDoubt
 	}
 	g.removeIfDone(m)
@@ -324,8 +324,8 @@
 // dispatcher. If the message may have been executed, this is harmless if repeats have no effect, or if the partner deduplicates
 // the message in all zones. It is not harmless if deduplication is limited to the zone of the first execution.
 func (m *message) resubmissionIsHarmless() bool {
-	maybe := m.PossiblyExecuted || m.inFlight != noAttempt && m.written
-	return !maybe || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
+	possiblyExecuted := m.PossiblyExecuted || m.inFlight != noAttempt && m.written
+	return !possiblyExecuted || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
 }
 
 // VerifyRecord checks that the record of a message, which a later process would rely on, agrees with the facts kept here.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -204,16 +204,16 @@
 	case evDirectory:
 		e.Kind, e.ListKind = control.List, control.ListKind(c.u8())
 		c.u64()
-		roster := c.u16()
+		listID := c.u16()
 		if e.ListKind > control.ListFailed {
 			return r, fmt.Errorf("list kind %d is unknown", e.ListKind)
 		}
 		if e.ListKind != control.ListFailed {
-			pool, ok := d.lists[roster]
+			entries, ok := d.lists[listID]
 			if !ok && !c.truncated {
-				return r, fmt.Errorf("list %d was never sent", roster)
+				return r, fmt.Errorf("list %d was never sent", listID)
 			}
-			e.Entries = pool
+			e.Entries = entries
 		}
 	case evInbound:
 		e.Kind, e.Message, e.Tenant = control.Arrival, control.MessageID(c.u64()), int(c.u16())
@@ -272,8 +272,8 @@
 // decodeList decodes a numbered endpoint list. It replaces an earlier list of the same number.
 func (d *Decoder) decodeList(c *cursor) error {
 	id, n := c.u16(), int(c.u32())
-	const entry = 23
-	if n > (len(c.buf)-c.offset)/entry {
+	const entryBytes = 23
+	if n > (len(c.buf)-c.offset)/entryBytes {
 		return fmt.Errorf("list of %d entries does not fit", n)
 	}
 	list := make([]control.Entry, n)
@@ -327,10 +327,10 @@
 func (r *Reply) Reset() { r.body, r.count = r.body[:0], 0 }
 
 // appendHeader begins a record with its code and instance.
-func (r *Reply) appendHeader(code uint8, who uint16) {
+func (r *Reply) appendHeader(code uint8, instance uint16) {
 	r.count++
 	r.body = append(r.body, code)
-	r.body = binary.LittleEndian.AppendUint16(r.body, who)
+	r.body = binary.LittleEndian.AppendUint16(r.body, instance)
 }
 
 func (r *Reply) appendEndpoint(e control.Endpoint) {
@@ -344,59 +344,59 @@
 }
 
 // appendText appends a record that holds a text. The text is cut at the maximum that its length field allows.
-func (r *Reply) appendText(code uint8, who uint16, s string) {
+func (r *Reply) appendText(code uint8, instance uint16, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
-	r.appendHeader(code, who)
+	r.appendHeader(code, instance)
 	r.body = binary.LittleEndian.AppendUint16(r.body, uint16(len(s)))
 	r.body = append(r.body, s...)
 }
 
 // Fatal adds a record that says that the decision code of an instance failed. The instance has ended.
-func (r *Reply) Fatal(who uint16, text string) { r.appendText(acFatal, who, text) }
+func (r *Reply) Fatal(instance uint16, text string) { r.appendText(acFatal, instance, text) }
 
 // Add adds one action of an instance. Actions that have no record are ignored.
-func (r *Reply) Add(who uint16, a control.Action) {
+func (r *Reply) Add(instance uint16, a control.Action) {
 	le := binary.LittleEndian
 	switch a.Kind {
 	case control.Send:
-		r.appendHeader(acAttempt, who)
+		r.appendHeader(acAttempt, instance)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
 		r.appendEndpoint(a.Endpoint)
 		r.appendDuration(a.After)
 	case control.Refuse:
-		r.appendHeader(acOverloadReply, who)
+		r.appendHeader(acOverloadReply, instance)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
 		r.appendDuration(a.After)
 	case control.Fail:
-		r.appendHeader(acReportFailure, who)
+		r.appendHeader(acReportFailure, instance)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
 	case control.Cancel:
-		r.appendHeader(acStopAttempt, who)
+		r.appendHeader(acStopAttempt, instance)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
 		r.body = le.AppendUint16(r.body, uint16(a.Attempt))
 	case control.Timer:
-		r.appendHeader(acTimer, who)
+		r.appendHeader(acTimer, instance)
 		r.appendDuration(a.After)
 		r.body = le.AppendUint64(r.body, a.Mark)
 	case control.Probe:
-		r.appendHeader(acAskLoad, who)
+		r.appendHeader(acAskLoad, instance)
 		r.appendEndpoint(a.Endpoint)
 	case control.Close:
-		r.appendHeader(acHangUp, who)
+		r.appendHeader(acHangUp, instance)
 		r.appendEndpoint(a.Endpoint)
 	case control.Share:
 		text := a.Text[:min(len(a.Text), maxNoteBytes)]
-		r.appendHeader(acShare, who)
+		r.appendHeader(acShare, instance)
 		r.body = le.AppendUint32(r.body, math.MaxUint32)
 		r.body = le.AppendUint16(r.body, uint16(len(text)))
 		r.body = append(r.body, text...)
 	case control.Watch:
-		r.appendHeader(acTrack, who)
+		r.appendHeader(acTrack, instance)
 		r.body = append(r.body, 1)
 	case control.Fetch:
-		r.appendHeader(acQueryAll, who)
+		r.appendHeader(acQueryAll, instance)
 	case control.Note:
-		r.appendText(acNoteDown, who, a.Text)
+		r.appendText(acNoteDown, instance, a.Text)
 	}
 }
 
