--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -26,7 +26,7 @@
 	module  *control.Dispatcher
 	events  []control.Event
 	actions []control.Action
-	queued  bool
+	queued  bool // The instance has events in the present batch.
 }
 
 // serve answers batches until the input ends. It returns an error if the input is not valid or a reply cannot be written.
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -38,7 +38,7 @@
 	// RetryAfter is how long the sender of a refused message should wait before it tries again, or zero if that is unknown.
 	RetryAfter control.Time
 
-	// DeadlineExceeded is set for a failed message whose time was over.
+	// DeadlineExceeded is set for a failed message that is answered at its deadline, or less than three ticks before it.
 	DeadlineExceeded bool
 
 	// Status is the last HTTP status of the partner, or zero if there was none.
@@ -342,7 +342,7 @@
 	stats       Stats
 }
 
-// NewCore returns a Core, or the module's error about its settings. lists may be nil if the setting AskList is off.
+// NewCore returns a Core, or the module's error about its settings. discovery may be nil if the setting AskList is off.
 func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
 	options.Settings.KeepOutages, options.Settings.Promises = options.Ledger != nil, options.Ledger != nil
 	module, err := control.New(options.Settings, seed)
@@ -667,7 +667,7 @@
 	case control.Note:
 		c.log.Info(a.Text)
 	default:
-		c.log.InternalError(fmt.Sprintf("action %d is not carried out here", a.Kind))
+		c.log.InternalError(fmt.Sprintf("action %d is not supported by the engine", a.Kind))
 	}
 }
 
@@ -675,7 +675,7 @@
 func (c *Core) send(action *control.Action) {
 	h := c.messages[action.Message]
 	if h == nil || h.ended || h.inFlight != nil {
-		c.log.InternalError(fmt.Sprintf("send of message %d, which is over or out", action.Message))
+		c.log.InternalError(fmt.Sprintf("send action for message %d, which has ended or has an attempt in flight", action.Message))
 		return
 	}
 	if !c.announce(h) {
@@ -802,8 +802,9 @@
 	}
 }
 
-// compactTimers removes the timers of finished messages and attempts once they are about half of all timers. Otherwise the
-// timers of messages with long lifetimes would accumulate when these are answered quickly.
+// compactTimers removes the timers of finished messages and attempts, once at least 1024 messages have ended since the last
+// time and they are half as many as the timers. Otherwise the timers of messages with long lifetimes would accumulate when these
+// are answered quickly.
 func (c *Core) compactTimers() {
 	if c.staleTimers < 1024 || c.staleTimers < len(c.timers)/2 {
 		return
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -40,10 +40,7 @@
 func (b *spy) CloseIdle(control.Endpoint)         {}
 func (b *spy) Info(string)                        {}
 func (b *spy) InternalError(text string)          { b.add("fault %s", text) }
-func (b *spy) Start(call []*Attempt) {
-	b.add("start %d", len(call))
-	b.calls = append(b.calls, call)
-}
+func (b *spy) Start(call []*Attempt)              { b.add("start %d", len(call)); b.calls = append(b.calls, call) }
 
 // take returns the recorded lines and clears them.
 func (b *spy) take() (l []string) { l, b.lines = b.lines, nil; return l }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -284,7 +284,7 @@
 		l.Weight = float64(c.f32())
 		c.u64()
 		if l.Health > control.Gone {
-			return fmt.Errorf("entry %d: standing %d is unknown", i, l.Health)
+			return fmt.Errorf("entry %d: health %d is unknown", i, l.Health)
 		}
 	}
 	if c.truncated {
