--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// readsOfClock lists the functions of package time that read a clock. Timers and tickers are allowed, because they measure
+// clockFunctions lists the functions of package time that read a clock. Timers and tickers are allowed, because they measure
 // spans on the monotonic clock.
-var readsOfClock = []string{"Now", "Since", "Until"}
+var clockFunctions = []string{"Now", "Since", "Until"}
 
 // TestNoOtherPackageReadsAClock checks that no other package reads a clock. Test files are exempt.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
@@ -73,7 +73,7 @@
 			if !ok {
 				return true
 			}
-			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(readsOfClock, s.Sel.Name) {
+			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(clockFunctions, s.Sel.Name) {
 				t.Errorf("%v reads a clock by time.%s", files.Position(n.Pos()), s.Sel.Name)
 			}
 			return true
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -319,7 +319,7 @@
 	guard        *safety.Guard
 	transport    Transport
 	discovery    Discovery
-	log          Logger
+	logger       Logger
 	now          control.Time
 	seq          uint64 // The Seq of the last attempt.
 	messages     map[control.MessageID]*messageState
@@ -335,7 +335,7 @@
 	waitingDests map[int]bool
 
 	nextEvents  []control.Event // Events for the next round.
-	timers      timers
+	timers      timerHeap
 	staleTimers int // An estimate of how many timers belong to finished messages.
 	events      []control.Event
 	actions     []control.Action
@@ -352,7 +352,7 @@
 	if options.Guard == nil {
 		options.Guard = safety.NewGuard(options.Settings)
 	}
-	return &Core{options: options, module: module, guard: options.Guard, transport: transport, discovery: discovery, log: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
+	return &Core{options: options, module: module, guard: options.Guard, transport: transport, discovery: discovery, logger: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
 		placements: map[control.Endpoint]Placement{}, withdrawnEndpoints: map[control.Endpoint]bool{}, waitingDests: map[int]bool{}}, nil
 }
 
@@ -541,7 +541,7 @@
 func (c *Core) handleOutcome(outcome *Outcome) {
 	attempt := c.inFlight[outcome.Seq]
 	if attempt == nil {
-		c.log.InternalError(fmt.Sprintf("attempt %d ended twice", outcome.Seq))
+		c.logger.InternalError(fmt.Sprintf("attempt %d ended twice", outcome.Seq))
 		return
 	}
 	delete(c.inFlight, outcome.Seq)
@@ -549,7 +549,7 @@
 	classification := c.classify(attempt, outcome)
 	result := safety.AttemptResult{PossiblyExecuted: classification.PossiblyExecuted, Unsent: outcome.Kind.nothingWritten(), NotCounted: classification.Result == control.NotSent, Unconfirmed: classification.unconfirmed()}
 	if err := c.guard.FinishAttempt(c.now, attempt.SafetyCall(), attempt.StartedAt, result); err != nil {
-		c.log.InternalError(err.Error())
+		c.logger.InternalError(err.Error())
 		classification = Classification{control.Reset, true, false, "its end is not what was written: it may have run"}
 		result = safety.AttemptResult{PossiblyExecuted: true, Unconfirmed: true}
 	}
@@ -604,7 +604,7 @@
 		c.stats.Served++
 	case Refused:
 		if err := c.guard.AuthorizeRefusal(state.message.ID); err != nil {
-			c.log.InternalError(err.Error())
+			c.logger.InternalError(err.Error())
 			answer.Kind = Failed
 			c.stats.Failed++
 			break
@@ -665,9 +665,9 @@
 	case control.Fetch:
 		c.discovery.Fetch()
 	case control.Note:
-		c.log.Info(a.Text)
+		c.logger.Info(a.Text)
 	default:
-		c.log.InternalError(fmt.Sprintf("action %d is not supported by the engine", a.Kind))
+		c.logger.InternalError(fmt.Sprintf("action %d is not supported by the engine", a.Kind))
 	}
 }
 
@@ -675,7 +675,7 @@
 func (c *Core) send(action *control.Action) {
 	h := c.messages[action.Message]
 	if h == nil || h.ended || h.inFlight != nil {
-		c.log.InternalError(fmt.Sprintf("send action for message %d, which has ended or has an attempt in flight", action.Message))
+		c.logger.InternalError(fmt.Sprintf("send action for message %d, which has ended or has an attempt in flight", action.Message))
 		return
 	}
 	if !c.announce(h) {
@@ -690,7 +690,7 @@
 	}
 	h.attempts++
 	if err := c.guard.AuthorizeCall(c.now, attempt.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
-		c.log.InternalError(err.Error())
+		c.logger.InternalError(err.Error())
 		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.Moot})
 		return
 	}
@@ -772,16 +772,16 @@
 	seq  uint64 // The Seq of the attempt, or zero for a Tick.
 }
 
-// timers is a heap of timers, ordered by due time and then by seq.
-type timers []timer
+// timerHeap is a heap of timers, ordered by due time and then by seq.
+type timerHeap []timer
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
+func (t timerHeap) Len() int { return len(t) }
+func (t timerHeap) Less(i, j int) bool {
 	return t[i].due < t[j].due || t[i].due == t[j].due && t[i].seq < t[j].seq
 }
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)   { *t = append(*t, x.(timer)) }
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
 	*t = (*t)[:last]
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -27,25 +27,25 @@
 // simulation implements the sides of a Core on a virtual clock. By a seed its partners answer, refuse, lose connections and do
 // not answer.
 type simulation struct {
-	t       *testing.T
-	core    *Core
-	rng     *rand.Rand
-	now     control.Time
-	pending []Input
-	at      []control.Time
-	out     map[uint64]*Attempt
-	trace   []string
-	answers map[control.MessageID]int
-	due     map[control.MessageID]control.Time
-	applied map[control.MessageID]int
-	class   map[control.MessageID]int
-	faults  []string
+	t          *testing.T
+	core       *Core
+	rng        *rand.Rand
+	now        control.Time
+	inputs     []Input
+	inputTimes []control.Time
+	inFlight   map[uint64]*Attempt
+	actions    []string
+	answers    map[control.MessageID]int
+	deadlines  map[control.MessageID]control.Time
+	executions map[control.MessageID]int
+	classes    map[control.MessageID]int
+	errors     []string
 }
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: control.Second, out: map[uint64]*Attempt{},
-		answers: map[control.MessageID]int{}, due: map[control.MessageID]control.Time{}, applied: map[control.MessageID]int{},
-		class: map[control.MessageID]int{}}
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: control.Second, inFlight: map[uint64]*Attempt{},
+		answers: map[control.MessageID]int{}, deadlines: map[control.MessageID]control.Time{}, executions: map[control.MessageID]int{},
+		classes: map[control.MessageID]int{}}
 	var err error
 	if w.core, err = NewCore(Options{Settings: settings(), PathPerMessage: []bool{false}}, seed, w, nil, w); err != nil {
 		t.Fatal(err)
@@ -55,15 +55,15 @@
 
 func (w *simulation) Info(string) {}
 func (w *simulation) InternalError(text string) {
-	w.faults = append(w.faults, text)
+	w.errors = append(w.errors, text)
 }
 
 // schedule adds an input that is due after a time.
 func (w *simulation) schedule(after control.Time, in Input) {
 	at := w.now + after
-	i, _ := slices.BinarySearch(w.at, at+1)
-	w.at = slices.Insert(w.at, i, at)
-	w.pending = slices.Insert(w.pending, i, in)
+	i, _ := slices.BinarySearch(w.inputTimes, at+1)
+	w.inputTimes = slices.Insert(w.inputTimes, i, at)
+	w.inputs = slices.Insert(w.inputs, i, in)
 }
 
 func (w *simulation) CancelUnsent(*Attempt) {}
@@ -75,21 +75,21 @@
 }
 
 func (w *simulation) start(a *Attempt) {
-	w.trace = append(w.trace, fmt.Sprint(w.now, " send ", a.Message.ID, a.Number, a.Endpoint))
+	w.actions = append(w.actions, fmt.Sprint(w.now, " send ", a.Message.ID, a.Number, a.Endpoint))
 	if w.answers[a.Message.ID] > 0 {
 		w.t.Errorf("message %d is sent after its final answer", a.Message.ID)
 	}
-	for _, o := range w.out {
+	for _, o := range w.inFlight {
 		if o.Message.ID == a.Message.ID {
 			w.t.Errorf("message %d has two attempts out", a.Message.ID)
 		}
 	}
-	w.out[a.Seq] = a
+	w.inFlight[a.Seq] = a
 	end := Outcome{Seq: a.Seq, Kind: Answered, Status: 201}
 	after := control.Time(w.rng.IntN(40)) * control.Millisecond
 	switch p := w.rng.IntN(100); {
 	case p < 60:
-		w.applied[a.Message.ID]++
+		w.executions[a.Message.ID]++
 	case p < 66:
 		end.Kind = NotConnected
 	case p < 70:
@@ -102,35 +102,35 @@
 		end.Kind = GoAwayUnprocessed
 	case p < 86:
 		end.Kind = ResetBeforeResponse
-		w.applied[a.Message.ID]++
+		w.executions[a.Message.ID]++
 	case p < 88:
 		end.Status = 404
 	default:
-		w.applied[a.Message.ID]++
+		w.executions[a.Message.ID]++
 		return // The partner does not answer.
 	}
 	w.schedule(after, Input{Outcome: &end})
 }
 
 func (w *simulation) Cancel(a *Attempt, kind OutcomeKind) {
-	if w.out[a.Seq] != nil {
+	if w.inFlight[a.Seq] != nil {
 		w.schedule(control.Millisecond, Input{Outcome: &Outcome{Seq: a.Seq, Kind: kind}})
 	}
 }
 func (w *simulation) CloseIdle(control.Endpoint) {}
 
 func (w *simulation) Answer(m *Message, a Answer) {
-	w.trace = append(w.trace, fmt.Sprint(w.now, " final ", m.ID, a.Kind, a.RetryAfter, a.DeadlineExceeded))
+	w.actions = append(w.actions, fmt.Sprint(w.now, " final ", m.ID, a.Kind, a.RetryAfter, a.DeadlineExceeded))
 	if w.answers[m.ID]++; w.answers[m.ID] > 1 {
 		w.t.Errorf("message %d is answered twice", m.ID)
 	}
-	if w.now > w.due[m.ID] {
-		w.t.Errorf("message %d is answered %d us after its time", m.ID, w.now-w.due[m.ID])
+	if w.now > w.deadlines[m.ID] {
+		w.t.Errorf("message %d is answered %d us after its time", m.ID, w.now-w.deadlines[m.ID])
 	}
-	if a.Kind == Refused && m.Class == 1 && w.applied[m.ID] > 0 {
+	if a.Kind == Refused && m.Class == 1 && w.executions[m.ID] > 0 {
 		w.t.Errorf("unsafe message %d is refused, and has taken effect", m.ID)
 	}
-	if a.Kind == Served && w.applied[m.ID] == 0 {
+	if a.Kind == Served && w.executions[m.ID] == 0 {
 		w.t.Errorf("message %d is served, and nobody took it", m.ID)
 	}
 }
@@ -138,26 +138,26 @@
 // step runs the next round, at the time of the next input or timer. It returns false if there is neither.
 func (w *simulation) step() bool {
 	next, ok := w.core.NextTimer()
-	if len(w.at) > 0 && (!ok || w.at[0] < next) {
-		next, ok = w.at[0], true
+	if len(w.inputTimes) > 0 && (!ok || w.inputTimes[0] < next) {
+		next, ok = w.inputTimes[0], true
 	}
 	if !ok {
 		return false
 	}
 	w.now = max(w.now, next)
 	var in []Input
-	for len(w.at) > 0 && w.at[0] <= w.now {
-		i := w.pending[0]
-		w.at, w.pending = w.at[1:], w.pending[1:]
+	for len(w.inputTimes) > 0 && w.inputTimes[0] <= w.now {
+		i := w.inputs[0]
+		w.inputTimes, w.inputs = w.inputTimes[1:], w.inputs[1:]
 		if i.Outcome != nil {
-			if w.out[i.Outcome.Seq] == nil { // The attempt was cancelled meanwhile.
+			if w.inFlight[i.Outcome.Seq] == nil { // The attempt was cancelled meanwhile.
 				continue
 			}
-			delete(w.out, i.Outcome.Seq)
+			delete(w.inFlight, i.Outcome.Seq)
 		}
 		if i.Submit != nil {
-			w.class[i.Submit.ID] = i.Submit.Class
-			w.due[i.Submit.ID] = w.now + min(i.Submit.Lifetime, settings().Classes[i.Submit.Class].Deadline)
+			w.classes[i.Submit.ID] = i.Submit.Class
+			w.deadlines[i.Submit.ID] = w.now + min(i.Submit.Lifetime, settings().Classes[i.Submit.Class].Deadline)
 		}
 		in = append(in, i)
 	}
@@ -197,13 +197,13 @@
 		if got := s.Served + s.Refused + s.Failed + s.Withdrawn; got != 400 || s.Open != 0 || s.InFlight != 0 || len(w.core.messages) != 0 {
 			t.Errorf("seed %d: %d of 400 ended, %d open, %d out, %d on the books", seed, got, s.Open, s.InFlight, len(w.core.messages))
 		}
-		for id, n := range w.applied {
-			if n > 1 && w.class[id] == 1 {
+		for id, n := range w.executions {
+			if n > 1 && w.classes[id] == 1 {
 				t.Errorf("seed %d: unsafe message %d applied %d times", seed, id, n)
 			}
 		}
-		if len(w.faults) > 0 {
-			t.Errorf("seed %d: %v", seed, w.faults)
+		if len(w.errors) > 0 {
+			t.Errorf("seed %d: %v", seed, w.errors)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	a, b := newSimulation(t, 5), newSimulation(t, 5)
 	a.run(300)
 	b.run(300)
-	if !slices.Equal(a.trace, b.trace) {
+	if !slices.Equal(a.actions, b.actions) {
 		t.Error("two runs of one seed differ")
 	}
 }
@@ -270,7 +270,7 @@
 	w.step()
 	for i := range 20000 {
 		m := &Message{ID: control.MessageID(i + 1), Lifetime: 4 * control.Second, Origin: w}
-		w.due[m.ID] = w.now + m.Lifetime
+		w.deadlines[m.ID] = w.now + m.Lifetime
 		w.core.Round(w.now, []Input{{Submit: m}, {Withdraw: m.ID}})
 	}
 	if n := len(w.core.timers); n > 3000 {
@@ -318,7 +318,7 @@
 }
 
 // instantTransport answers each attempt with status 201. It collects the outcomes, which the test passes to the next round.
-type instantTransport struct{ ends []Input }
+type instantTransport struct{ outcomes []Input }
 
 func (s *instantTransport) CancelUnsent(*Attempt) {}
 
@@ -329,7 +329,7 @@
 }
 
 func (s *instantTransport) start(a *Attempt) {
-	s.ends = append(s.ends, Input{Outcome: &Outcome{Seq: a.Seq, Kind: Answered, Status: 201}})
+	s.outcomes = append(s.outcomes, Input{Outcome: &Outcome{Seq: a.Seq, Kind: Answered, Status: 201}})
 }
 func (s *instantTransport) Cancel(*Attempt, OutcomeKind) {}
 func (s *instantTransport) CloseIdle(control.Endpoint)   {}
@@ -356,7 +356,7 @@
 		now += 100
 		in[0] = Input{Submit: &Message{ID: id, Lifetime: 4 * control.Second, Origin: s}}
 		core.Round(now, in)
-		core.Round(now+50, s.ends)
-		s.ends = s.ends[:0]
+		core.Round(now+50, s.outcomes)
+		s.outcomes = s.outcomes[:0]
 	}
 }
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -100,8 +100,8 @@
 	// endpointRetryAfter holds until when each endpoint that has its own limits asked to wait.
 	endpointRetryAfter map[control.Endpoint]control.Time
 
-	// keys holds the unfinished messages of each order key, in the order of their acceptance.
-	keys map[uint64][]*message
+	// keyQueues holds the unfinished messages of each order key, in the order of their acceptance.
+	keyQueues map[uint64][]*message
 
 	// blockedKeys holds until when no first attempt is made for an order key, because an earlier attempt may still be executing.
 	blockedKeys map[uint64]control.Time
@@ -124,7 +124,7 @@
 // NewGuard returns a Guard for the module's settings.
 func NewGuard(s control.Settings) *Guard {
 	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.Endpoint]control.Time{},
-		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.Endpoint]control.Time{}, keys: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
+		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.Endpoint]control.Time{}, keyQueues: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
 }
 
 // Violations returns the number of violations that were prevented since the guard was created.
@@ -141,7 +141,7 @@
 	x := &message{Message: m, class: &g.settings.Classes[m.Class], inFlight: noAttempt}
 	g.messages[m.ID] = x
 	if x.class.InOrder && m.OrderKey != 0 {
-		g.keys[m.OrderKey] = append(g.keys[m.OrderKey], x)
+		g.keyQueues[m.OrderKey] = append(g.keyQueues[m.OrderKey], x)
 	}
 }
 
@@ -244,7 +244,7 @@
 
 // isFirst reports whether no earlier message of the same order key is unfinished. It is true for messages without order.
 func (g *Guard) isFirst(m *message) bool {
-	queue := g.keys[m.OrderKey]
+	queue := g.keyQueues[m.OrderKey]
 	return !m.class.InOrder || m.OrderKey == 0 || len(queue) > 0 && queue[0] == m
 }
 
@@ -360,7 +360,7 @@
 		return
 	}
 	delete(g.messages, m.ID)
-	queue := g.keys[m.OrderKey]
+	queue := g.keyQueues[m.OrderKey]
 	for i, o := range queue {
 		if o == m {
 			queue = append(queue[:i:i], queue[i+1:]...)
@@ -368,9 +368,9 @@
 		}
 	}
 	if len(queue) == 0 {
-		delete(g.keys, m.OrderKey)
+		delete(g.keyQueues, m.OrderKey)
 	} else if m.OrderKey != 0 && m.class.InOrder {
-		g.keys[m.OrderKey] = queue
+		g.keyQueues[m.OrderKey] = queue
 	}
 }
 
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -210,8 +210,8 @@
 	for id := range control.MessageID(3) {
 		g.FinishMessage(id + 1)
 	}
-	if len(g.messages)+len(g.keys) != 0 {
-		t.Errorf("%d messages and %d keys are kept", len(g.messages), len(g.keys))
+	if len(g.messages)+len(g.keyQueues) != 0 {
+		t.Errorf("%d messages and %d keys are kept", len(g.messages), len(g.keyQueues))
 	}
 }
 
