--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -33,7 +33,7 @@
 func serve(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
-	hosts := make(map[uint16]*instance)
+	instances := make(map[uint16]*instance)
 	var reply wire.Reply
 	for {
 		batch, err := dec.Next()
@@ -44,7 +44,7 @@
 			return err
 		}
 		reply.Reset()
-		processBatch(hosts, batch, &reply)
+		processBatch(instances, batch, &reply)
 		if err := reply.Write(w, batch.Seq); err != nil {
 			return err
 		}
@@ -55,45 +55,45 @@
 }
 
 // processBatch gives each instance its events, in the order in which instances first appear in the batch.
-func processBatch(hosts map[uint16]*instance, batch wire.Batch, reply *wire.Reply) {
-	var order []*instance
+func processBatch(instances map[uint16]*instance, batch wire.Batch, reply *wire.Reply) {
+	var active []*instance
 	for i := range batch.Records {
 		r := &batch.Records[i]
 		switch r.Kind {
 		case wire.Exit:
-			if h := hosts[r.Instance]; h != nil {
+			if h := instances[r.Instance]; h != nil {
 				h.module, h.events = nil, h.events[:0]
 			}
 		case wire.Attach:
 			h := &instance{id: r.Instance}
-			if old := hosts[r.Instance]; old != nil {
+			if old := instances[r.Instance]; old != nil {
 				old.module = nil
 			}
-			hosts[r.Instance] = h
+			instances[r.Instance] = h
 			var err error
 			if h.module, err = newModule(r); err != nil {
 				reply.Fatal(r.Instance, err.Error())
 			}
 		case wire.ModuleEvent:
-			h := hosts[r.Instance]
+			h := instances[r.Instance]
 			if h == nil || h.module == nil {
 				continue
 			}
 			h.events = append(h.events, r.Event)
 			if !h.queued {
 				h.queued = true
-				order = append(order, h)
+				active = append(active, h)
 			}
 		}
 	}
-	for _, h := range order {
+	for _, h := range active {
 		h.queued = false
 		if h.module == nil {
 			continue
 		}
-		if fault := runRound(h, batch.Now); fault != nil {
+		if err := runRound(h, batch.Now); err != nil {
 			h.module = nil
-			reply.Fatal(h.id, fault.Error())
+			reply.Fatal(h.id, err.Error())
 			continue
 		}
 		for _, a := range h.actions {
@@ -112,10 +112,10 @@
 }
 
 // runRound runs one round of an instance. A panic of the module is returned as an error.
-func runRound(h *instance, now control.Time) (fault error) {
+func runRound(h *instance, now control.Time) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			fault = fmt.Errorf("panic: %v", p)
+			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
 	h.actions = h.module.Step(now, h.events, h.actions[:0])
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -10,8 +10,8 @@
 const settings = "instances=1\ntick=5000\nextra.slots=4\nlimits.max-open=10\nlimits.most-tries=3\nclasses.count=1\n" +
 	"classes.0.effect=free\nclasses.0.gain=1\nclasses.0.target=1000000\nclasses.0.hard-limit=2000000\n"
 
-func encodeAttach(who uint16, text string) []byte {
-	b := binary.LittleEndian.AppendUint16([]byte{16}, who)
+func encodeAttach(id uint16, text string) []byte {
+	b := binary.LittleEndian.AppendUint16([]byte{16}, id)
 	b = binary.LittleEndian.AppendUint64(b, 1)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -321,7 +321,7 @@
 	discovery    Discovery
 	logger       Logger
 	now          control.Time
-	seq          uint64 // The Seq of the last attempt.
+	lastSeq      uint64 // The Seq of the last attempt.
 	messages     map[control.MessageID]*messageState
 	inFlight     map[uint64]*Attempt
 	placements   map[control.Endpoint]Placement
@@ -681,8 +681,8 @@
 	if !c.announce(h) {
 		return
 	}
-	c.seq++
-	attempt := &Attempt{Seq: c.seq, Message: h.message, Number: h.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
+	c.lastSeq++
+	attempt := &Attempt{Seq: c.lastSeq, Message: h.message, Number: h.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
 		WriteBefore: c.now + action.Within, Worth: c.options.Settings.Classes[h.message.Class].Worth}
 	attempt.PerEndpointLimits = c.hasPerEndpointLimits(attempt.Placement.Kind)
 	if action.After > 0 {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -60,9 +60,9 @@
 
 // schedule adds an input that is due after a time.
 func (w *simulation) schedule(after control.Time, in Input) {
-	at := w.now + after
-	i, _ := slices.BinarySearch(w.inputTimes, at+1)
-	w.inputTimes = slices.Insert(w.inputTimes, i, at)
+	due := w.now + after
+	i, _ := slices.BinarySearch(w.inputTimes, due+1)
+	w.inputTimes = slices.Insert(w.inputTimes, i, due)
 	w.inputs = slices.Insert(w.inputs, i, in)
 }
 
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -18,7 +18,9 @@
 	calls      [][]*Attempt
 }
 
-func (b *spy) add(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
+func (b *spy) add(format string, args ...any) {
+	b.lines = append(b.lines, fmt.Sprintf(format, args...))
+}
 
 func (b *spy) RecordAccept(m *Message, _ control.Time) error {
 	if b.ledgerFull {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -73,20 +73,20 @@
 }
 
 // NewRegistry returns a Registry for a configuration.
-func NewRegistry(s Config) *Registry {
-	b := &Registry{resources: map[string]*Resource{}, exchanges: map[string]*Exchange{}, partners: s.Partners, tenants: map[string]int{},
-		tokens: s.Tokens, openTenants: make([]bool, len(s.Tenants)), maxBody: s.MaxBody, minLifetime: s.MinLifetime}
-	for i := range s.Resources {
-		b.resources[s.Resources[i].Path] = &s.Resources[i]
+func NewRegistry(config Config) *Registry {
+	b := &Registry{resources: map[string]*Resource{}, exchanges: map[string]*Exchange{}, partners: config.Partners, tenants: map[string]int{},
+		tokens: config.Tokens, openTenants: make([]bool, len(config.Tenants)), maxBody: config.MaxBody, minLifetime: config.MinLifetime}
+	for i := range config.Resources {
+		b.resources[config.Resources[i].Path] = &config.Resources[i]
 	}
-	for i := range s.Exchanges {
-		b.exchanges[s.Exchanges[i].Name] = &s.Exchanges[i]
+	for i := range config.Exchanges {
+		b.exchanges[config.Exchanges[i].Name] = &config.Exchanges[i]
 	}
-	for i, name := range s.Tenants {
+	for i, name := range config.Tenants {
 		b.tenants[name] = i
 		b.openTenants[i] = true
 	}
-	for _, t := range s.Tokens {
+	for _, t := range config.Tokens {
 		b.openTenants[t.Tenant] = false
 	}
 	return b
