--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -110,8 +110,8 @@
 	Cancelled:            {control.Cancelled, true, false, "called off: it may have run"},
 }
 
-// Classify returns what an outcome means. own is set if the path belongs to the message (a device or a subscription) and not to
-// the endpoint. Status 404 then says nothing about the endpoint.
+// Classify returns what an outcome means. pathPerMessage is set if the path belongs to the message (a device or a subscription)
+// and not to the endpoint. Status 404 then says nothing about the endpoint.
 func Classify(e Outcome, pathPerMessage bool) Classification {
 	if e.Kind != Answered {
 		if v, ok := classifications[e.Kind]; ok {
