--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -26,6 +26,8 @@
 	return append(b, body...)
 }
 
+// TestRestartInOneBatchAndCleanEnd checks that an instance can exit and start again within one batch, and that serve returns
+// without an error at the end of the input.
 func TestRestartInOneBatchAndCleanEnd(t *testing.T) {
 	exit := []byte{25, 3, 0}
 	tick := append([]byte{22, 3, 0}, make([]byte, 8)...)
@@ -39,6 +41,7 @@
 	}
 }
 
+// TestBadSettingsAreFatalForTheInstance checks that invalid settings end only the instance that has them.
 func TestBadSettingsAreFatalForTheInstance(t *testing.T) {
 	var out bytes.Buffer
 	in := encodeBatch(1, encodeAttach(3, strings.Replace(settings, "extra.slots=4\n", "", 1)), encodeAttach(4, settings))
@@ -50,6 +53,7 @@
 	}
 }
 
+// TestBadInputWritesNothing checks that invalid input is an error and produces no reply.
 func TestBadInputWritesNothing(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(encodeBatch(1, []byte{99, 3, 0})), &out); err == nil || out.Len() > 0 {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -81,7 +81,7 @@
 	}
 	for _, o := range w.inFlight {
 		if o.Message.ID == a.Message.ID {
-			w.t.Errorf("message %d has two attempts out", a.Message.ID)
+			w.t.Errorf("message %d has two attempts in flight", a.Message.ID)
 		}
 	}
 	w.inFlight[a.Seq] = a
@@ -125,13 +125,13 @@
 		w.t.Errorf("message %d is answered twice", m.ID)
 	}
 	if w.now > w.deadlines[m.ID] {
-		w.t.Errorf("message %d is answered %d us after its time", m.ID, w.now-w.deadlines[m.ID])
+		w.t.Errorf("message %d is answered %d us after its deadline", m.ID, w.now-w.deadlines[m.ID])
 	}
 	if a.Kind == Refused && m.Class == 1 && w.executions[m.ID] > 0 {
-		w.t.Errorf("unsafe message %d is refused, and has taken effect", m.ID)
+		w.t.Errorf("unsafe message %d is refused, but a partner executed it", m.ID)
 	}
 	if a.Kind == Served && w.executions[m.ID] == 0 {
-		w.t.Errorf("message %d is served, and nobody took it", m.ID)
+		w.t.Errorf("message %d is served, but no partner executed it", m.ID)
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	for i := 0; w.step(); i++ {
 		if i > 200000 {
-			w.t.Fatal("the play does not end")
+			w.t.Fatal("the scenario does not end")
 		}
 	}
 }
@@ -195,11 +195,11 @@
 		w.run(400)
 		s := w.core.Stats()
 		if got := s.Served + s.Refused + s.Failed + s.Withdrawn; got != 400 || s.Open != 0 || s.InFlight != 0 || len(w.core.messages) != 0 {
-			t.Errorf("seed %d: %d of 400 ended, %d open, %d out, %d on the books", seed, got, s.Open, s.InFlight, len(w.core.messages))
+			t.Errorf("seed %d: %d of 400 ended, %d open, %d in flight, %d kept", seed, got, s.Open, s.InFlight, len(w.core.messages))
 		}
 		for id, n := range w.executions {
 			if n > 1 && w.classes[id] == 1 {
-				t.Errorf("seed %d: unsafe message %d applied %d times", seed, id, n)
+				t.Errorf("seed %d: unsafe message %d executed %d times", seed, id, n)
 			}
 		}
 		if len(w.errors) > 0 {
@@ -254,11 +254,11 @@
 	} {
 		v := Classify(c.end, c.pathPerMessage)
 		if v.Result != c.result || v.PossiblyExecuted != c.ran || v.Final != c.final || v.Reason == "" {
-			t.Errorf("%+v own %v: %+v", c.end, c.pathPerMessage, v)
+			t.Errorf("%+v, pathPerMessage %v: %+v", c.end, c.pathPerMessage, v)
 		}
 		// The module takes these results as proof that the message was not executed, so each must agree with PossiblyExecuted.
 		if proof := v.Result == control.Full || v.Result == control.ConnectFailed || v.Result == control.Moot; proof == v.PossiblyExecuted {
-			t.Errorf("%+v: result %v and ran %v disagree", c.end, v.Result, v.PossiblyExecuted)
+			t.Errorf("%+v: result %v and possibly executed %v disagree", c.end, v.Result, v.PossiblyExecuted)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 		w.core.Round(w.now, []Input{{Submit: m}, {Withdraw: m.ID}})
 	}
 	if n := len(w.core.timers); n > 3000 {
-		t.Errorf("%d timers for no message", n)
+		t.Errorf("%d timers, but no open message", n)
 	}
 }
 
@@ -310,10 +310,10 @@
 	select {
 	case <-done:
 	default:
-		t.Error("nothing is open, and the stop waits")
+		t.Error("the stop waits, but no message is open")
 	}
 	if submit() != ErrStopping {
-		t.Error("taken while stopping")
+		t.Error("a message is accepted while stopping")
 	}
 }
 
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -99,7 +99,7 @@
 	c.Round(2*control.Second, []Input{b.msg(1, 1, 1000), b.msg(2, 1, 1000)})
 	for _, call := range b.calls {
 		if len(call) != 1 {
-			t.Errorf("a call of %d messages is larger than calls may be", len(call))
+			t.Errorf("a call of %d messages exceeds MaxCallBytes", len(call))
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	}
 	again := b.calls[1][0]
 	if over := 5*control.Second - control.StallMargin - settings().Tick; again.WriteBefore != over || again.Deadline <= over {
-		t.Fatalf("a repeat may begin until %d, is due %d", again.WriteBefore, again.Deadline)
+		t.Fatalf("a repeat must be written before %d, and its deadline is %d", again.WriteBefore, again.Deadline)
 	}
 	b.take()
 	for now, ok := c.NextTimer(); ok && now <= again.WriteBefore; now, ok = c.NextTimer() {
@@ -265,6 +265,6 @@
 	in.Submit.ReceivedAt = 2 * control.Second
 	c.Round(2*control.Second+500*control.Millisecond, []Input{in})
 	if due := b.calls[0][0].Deadline; due != 5*control.Second {
-		t.Errorf("due at %d, want %d", due, 5*control.Second)
+		t.Errorf("deadline %d, want %d", due, 5*control.Second)
 	}
 }
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -16,6 +16,8 @@
 func (testKey) ID() string             { return "k1" }
 func (k testKey) Sign(b []byte) []byte { return ed25519.Sign(k.PrivateKey, b) }
 
+// TestSignedReceipts checks that a signed receipt can be verified, and that changed, truncated and unsigned ones, and ones of
+// another key, are rejected.
 func TestSignedReceipts(t *testing.T) {
 	public, private, _ := ed25519.GenerateKey(nil)
 	other, _, _ := ed25519.GenerateKey(nil)
@@ -41,6 +43,7 @@
 	}
 }
 
+// FuzzVerify checks that no input is accepted without a key.
 func FuzzVerify(f *testing.F) {
 	_, private, _ := ed25519.GenerateKey(nil)
 	f.Add(New("e-1", &engine.Answer{Kind: engine.Served}, time.Unix(1e9, 0)).Sign(testKey{private}))
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -76,7 +76,7 @@
 			before := g.Violations()
 			err := g.AuthorizeCall(c.at, call)
 			if !errors.Is(err, c.want) || err == nil != (g.Violations() == before) {
-				t.Errorf("planned: %v, want %v; %d violations", err, c.want, g.Violations())
+				t.Errorf("AuthorizeCall: %v, want %v; %d violations", err, c.want, g.Violations())
 			}
 			if err != nil {
 				return
@@ -85,7 +85,7 @@
 				t.Errorf("written: %v", err)
 			}
 			if err := g.AuthorizeCall(c.at, call); !errors.Is(err, ErrAttemptInFlight) {
-				t.Errorf("a second one: %v", err)
+				t.Errorf("a second call: %v", err)
 			}
 		})
 	}
@@ -192,16 +192,16 @@
 	}
 	first, second := Call{Message: 1}, Call{Message: 2}
 	if err := g.AuthorizeCall(s, second); !errors.Is(err, ErrOutOfOrder) {
-		t.Errorf("out of turn: %v", err)
+		t.Errorf("out of order: %v", err)
 	}
 	_, _ = g.AuthorizeCall(s, first), g.Write(s, first)
 	g.FinishMessage(1)
 	if err := g.AuthorizeCall(s, second); !errors.Is(err, ErrOutOfOrder) {
-		t.Errorf("while the first is out: %v", err)
+		t.Errorf("while the first is in flight: %v", err)
 	}
 	_ = g.FinishAttempt(2*s, first, s, AttemptResult{PossiblyExecuted: true, Unconfirmed: true})
 	if err := g.AuthorizeCall(3*s-1, second); !errors.Is(err, ErrKeyBlocked) {
-		t.Errorf("while the key rests: %v", err)
+		t.Errorf("while the key is blocked: %v", err)
 	}
 	if err := g.AuthorizeCall(3*s, second); err != nil {
 		t.Error(err)
--- a/internal/wire/flatten_test.go
+++ b/internal/wire/flatten_test.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// FuzzFlatten checks that no input makes Flatten or ParseSettings panic.
 func FuzzFlatten(f *testing.F) {
 	f.Add([]byte(`{"a":{"b":[1,{"c":"x y"}]}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,6 +11,7 @@
 	"whinrun/control"
 )
 
+// decodeHex decodes hexadecimal digits, and ignores white space.
 func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -25,6 +26,7 @@
 	16 0300 4d00000000000000
 	15 0500 192b6f0e7a800700`
 
+// TestDecodeBatch checks the decoding of a batch with an arrival and a tick.
 func TestDecodeBatch(t *testing.T) {
 	d := NewDecoder(bytes.NewReader(decodeHex(t, sampleBatch)))
 	b, err := d.Next()
@@ -46,6 +48,7 @@
 	}
 }
 
+// TestEncodeReply checks the encoding of a reply with a send, a timer and a note.
 func TestEncodeReply(t *testing.T) {
 	var r Reply
 	r.Add(3, control.Action{
@@ -64,6 +67,7 @@
 	}
 }
 
+// TestBadInputNamesBatchAndRecord checks that the errors of invalid input name the batch and the record.
 func TestBadInputNamesBatchAndRecord(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"header cut":     {"0c0000", "batch header"},
@@ -81,6 +85,7 @@
 	}
 }
 
+// FuzzDecoder checks that no input makes the decoder panic.
 func FuzzDecoder(f *testing.F) {
 	f.Add(decodeHex(f, sampleBatch))
 	f.Add(decodeHex(f, "0c000000 03000000 09000000 5a5c800000000000 190300"))
@@ -114,6 +119,7 @@
 unknown.key=7
 `
 
+// TestParseSettings checks the parsing of valid settings, and that errors name the key that is missing or invalid.
 func TestParseSettings(t *testing.T) {
 	s, err := ParseSettings(goodSettings)
 	if err != nil {
@@ -136,6 +142,7 @@
 	}
 }
 
+// TestCloseIsHangUp checks the encoding of the action Close.
 func TestCloseIsHangUp(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
@@ -175,6 +182,7 @@
 	}
 }
 
+// TestAskPeerAndFeeSettings checks the settings of list subscriptions, notes between instances and fees.
 func TestAskPeerAndFeeSettings(t *testing.T) {
 	base := "instances=2\ntick=5000\nextra.slots=4\nlimits.max-open=9\nlimits.most-tries=3\nclasses.count=1\n" +
 		"classes.0.effect=free\nclasses.0.gain=1\nclasses.0.target=1\nclasses.0.hard-limit=2\n"
