--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -21,21 +21,52 @@
 
 // Reasons why an operation is not authorized.
 var (
-	ErrUnknownMessage    = errors.New("the message is not known")
-	ErrMessageFinished   = errors.New("the message has its final answer")
-	ErrAttemptInFlight   = errors.New("another attempt of the message is out")
+	// ErrUnknownMessage means that the message was not accepted, or has been removed after its end. For the end of an attempt it
+	// also means that the attempt is not in flight.
+	ErrUnknownMessage = errors.New("the message is not known")
+
+	// ErrMessageFinished means that the message has its final answer or was withdrawn.
+	ErrMessageFinished = errors.New("the message has its final answer")
+
+	// ErrAttemptInFlight means that another attempt of the message is in flight.
+	ErrAttemptInFlight = errors.New("another attempt of the message is out")
+
+	// ErrAttemptsExhausted means that the message has reached the maximum number of attempts.
 	ErrAttemptsExhausted = errors.New("all attempts allowed are made")
-	ErrDeadlineExceeded  = errors.New("the message's time is over")
-	ErrPossiblyExecuted  = errors.New("it may have been executed, and its class does not allow a repeat")
-	ErrWindowExpired     = errors.New("it may have been executed, and its window for repeats is over")
-	ErrOtherZone         = errors.New("it may have been executed in another zone, where alone repeats are dropped")
+
+	// ErrDeadlineExceeded means that the message's deadline has been reached.
+	ErrDeadlineExceeded = errors.New("the message's time is over")
+
+	// ErrPossiblyExecuted means that a message of a class that allows no repeats may have been executed.
+	ErrPossiblyExecuted = errors.New("it may have been executed, and its class does not allow a repeat")
+
+	// ErrWindowExpired means that a message may have been executed, and that the partner's deduplication window ends too soon
+	// for a repeat.
+	ErrWindowExpired = errors.New("it may have been executed, and its window for repeats is over")
+
+	// ErrOtherZone means that a message may have been executed in one zone, and that other zones would not deduplicate it.
+	ErrOtherZone = errors.New("it may have been executed in another zone, where alone repeats are dropped")
+
+	// ErrEndpointWithdrawn means that the endpoint is draining or gone.
 	ErrEndpointWithdrawn = errors.New("the endpoint drains or is gone")
+
+	// ErrRetryAfterPending means that the destination or the endpoint asked to wait, and that the wait is not over.
 	ErrRetryAfterPending = errors.New("a told wait is not over")
-	ErrOutOfOrder        = errors.New("an earlier message of the same key is unfinished")
-	ErrKeyBlocked        = errors.New("the key rests: what became of an earlier message is not known")
-	ErrRecordMismatch    = errors.New("the record says otherwise what became of its attempts")
-	ErrAlreadyWritten    = errors.New("it was written")
-	ErrUnsafeRepeat      = errors.New("handing it in again could execute it twice")
+
+	// ErrOutOfOrder means that an earlier message of the same order key is not finished.
+	ErrOutOfOrder = errors.New("an earlier message of the same key is unfinished")
+
+	// ErrKeyBlocked means that an earlier attempt of the same order key may still be executing.
+	ErrKeyBlocked = errors.New("the key rests: what became of an earlier message is not known")
+
+	// ErrRecordMismatch means that the ledger's record of a message disagrees with the guard's facts.
+	ErrRecordMismatch = errors.New("the record says otherwise what became of its attempts")
+
+	// ErrAlreadyWritten means that an attempt was reported as unsent although it was written.
+	ErrAlreadyWritten = errors.New("it was written")
+
+	// ErrUnsafeRepeat means that the message cannot be refused, because submitting it again could execute it twice.
+	ErrUnsafeRepeat = errors.New("handing it in again could execute it twice")
 )
 
 // Message holds the properties of an accepted message that the rules depend on.
@@ -73,8 +104,8 @@
 // Violation is the error for an operation that the rules forbid. The operation was prevented.
 type Violation struct {
 	Message control.MessageID
-	Action  string
-	Cause   error
+	Action  string // The operation, for use in the error text.
+	Cause   error  // One of the reasons of this package.
 }
 
 func (v *Violation) Error() string {
@@ -213,7 +244,8 @@
 	return m.checkRepeat(now, c.Zone)
 }
 
-// checkRepeat returns the reason why a message that may have been executed must not be sent again, or nil.
+// checkRepeat returns the reason why a message that may have been executed must not be sent again, or nil. A repeat must be sent
+// control.StallMargin before the deduplication window ends, because the caller may be delayed after reading its clock.
 func (m *message) checkRepeat(now control.Time, zone int) error {
 	switch {
 	case !m.PossiblyExecuted || m.class.Effect == control.Free:
