--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts decision modules on the batch wire: events on
-// standard input, one flushed reply for each batch on standard output.
+// Command wirehost runs decision modules behind the batch protocol of package wire. It reads events from standard input, and
+// writes and flushes one reply for each batch to standard output.
 package main
 
 import (
@@ -20,20 +20,20 @@
 	}
 }
 
-// host is one instance with the events gathered for it in this batch.
-type host struct {
-	who    uint16
-	module *control.Dispatcher
-	events []control.Event
-	acts   []control.Action
-	queued bool
+// instance is one decision module and its events of the present batch.
+type instance struct {
+	id      uint16
+	module  *control.Dispatcher
+	events  []control.Event
+	actions []control.Action
+	queued  bool // The instance has events in the present batch.
 }
 
-// serve answers batches until the input ends.
+// serve answers batches until the input ends. It returns an error if the input is not valid or a reply cannot be written.
 func serve(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
-	hosts := make(map[uint16]*host)
+	instances := make(map[uint16]*instance)
 	var reply wire.Reply
 	for {
 		batch, err := dec.Next()
@@ -44,7 +44,7 @@
 			return err
 		}
 		reply.Reset()
-		answer(hosts, batch, &reply)
+		processBatch(instances, batch, &reply)
 		if err := reply.Write(w, batch.Seq); err != nil {
 			return err
 		}
@@ -54,55 +54,56 @@
 	}
 }
 
-// answer hands each instance its events, in the order instances appear.
-func answer(hosts map[uint16]*host, batch wire.Batch, reply *wire.Reply) {
-	var order []*host
+// processBatch gives each instance its events, in the order in which instances first appear in the batch.
+func processBatch(instances map[uint16]*instance, batch wire.Batch, reply *wire.Reply) {
+	var active []*instance
 	for i := range batch.Records {
 		r := &batch.Records[i]
 		switch r.Kind {
 		case wire.Exit:
-			if h := hosts[r.Instance]; h != nil {
+			if h := instances[r.Instance]; h != nil {
 				h.module, h.events = nil, h.events[:0]
 			}
 		case wire.Attach:
-			h := &host{who: r.Instance}
-			if old := hosts[r.Instance]; old != nil {
+			h := &instance{id: r.Instance}
+			if old := instances[r.Instance]; old != nil {
 				old.module = nil
 			}
-			hosts[r.Instance] = h
+			instances[r.Instance] = h
 			var err error
-			if h.module, err = start(r); err != nil {
+			if h.module, err = newModule(r); err != nil {
 				reply.Fatal(r.Instance, err.Error())
 			}
-		case wire.Decision:
-			h := hosts[r.Instance]
+		case wire.ModuleEvent:
+			h := instances[r.Instance]
 			if h == nil || h.module == nil {
 				continue
 			}
 			h.events = append(h.events, r.Event)
 			if !h.queued {
 				h.queued = true
-				order = append(order, h)
+				active = append(active, h)
 			}
 		}
 	}
-	for _, h := range order {
+	for _, h := range active {
 		h.queued = false
 		if h.module == nil {
 			continue
 		}
-		if fault := step(h, batch.Now); fault != nil {
+		if err := runRound(h, batch.Now); err != nil {
 			h.module = nil
-			reply.Fatal(h.who, fault.Error())
+			reply.Fatal(h.id, err.Error())
 			continue
 		}
-		for _, a := range h.acts {
-			reply.Add(h.who, a)
+		for _, a := range h.actions {
+			reply.Add(h.id, a)
 		}
 	}
 }
 
-func start(r *wire.Record) (*control.Dispatcher, error) {
+// newModule returns the module of an instance that starts.
+func newModule(r *wire.Record) (*control.Dispatcher, error) {
 	s, err := wire.ParseSettings(r.Settings)
 	if err != nil {
 		return nil, err
@@ -110,14 +111,14 @@
 	return control.New(s, r.Seed)
 }
 
-// step runs one round; a panic in the module becomes an error with its text.
-func step(h *host, now control.Time) (fault error) {
+// runRound runs one round of an instance. A panic of the module is returned as an error.
+func runRound(h *instance, now control.Time) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			fault = fmt.Errorf("panic: %v", p)
+			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
-	h.acts = h.module.Step(now, h.events, h.acts[:0])
+	h.actions = h.module.Step(now, h.events, h.actions[:0])
 	h.events = h.events[:0]
 	return nil
 }
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -1,6 +1,6 @@
-// Package engine runs the decision module: it turns what fronts and back ends report into the module's events, and
-// the module's actions into final answers and attempts. It decides nothing of its own. Core is the pure part, a
-// state machine that takes the time and its inputs; Loop runs a Core on the real clock, on one goroutine.
+// Package engine runs the decision module. It turns the reports of fronts and transports into the module's events, and the
+// module's actions into final answers and attempts. It makes no decisions of its own. Core is a deterministic state machine
+// without I/O, which is given the time and its inputs. Loop runs a Core on the real clock, on one goroutine.
 package engine
 
 import (
@@ -14,477 +14,598 @@
 	"whinrun/internal/safety"
 )
 
-// Final is the kind of a final answer.
-type Final uint8
+// AnswerKind is the kind of a final answer.
+type AnswerKind uint8
 
-// Final answers.
+// Kinds of final answers.
 const (
-	Served  Final = iota + 1 // a partner took it
-	Refused                  // handing it in again is harmless
-	Failed                   // nothing is promised
+	// Served means that a partner accepted the message.
+	Served AnswerKind = iota + 1
+
+	// Refused means that the message was not delivered, and that submitting it again is harmless.
+	Refused
+
+	// Failed means that nothing is promised. The message may or may not have been executed.
+	Failed
 )
 
-func (f Final) String() string { return [...]string{"none", "served", "refused", "failed"}[f] }
+func (f AnswerKind) String() string { return [...]string{"none", "served", "refused", "failed"}[f] }
 
 // Answer is the final answer of a message.
 type Answer struct {
-	Final  Final
-	Wait   control.Time // Refused: stay away so long, 0 where nothing is known
-	Late   bool         // Failed: its time ended
-	Status int          // the partner's last status, 0 if there was none
-	Tries  int
-	Why    string // of its last attempt
-	Reason string // the module's, where it ended the message and not a partner's answer
+	Kind AnswerKind
+
+	// RetryAfter is how long the sender of a refused message should wait before it tries again, or zero if that is unknown.
+	RetryAfter control.Time
+
+	// DeadlineExceeded is set for a failed message that is answered at its deadline, or less than three ticks before it.
+	DeadlineExceeded bool
+
+	// Status is the last HTTP status of the partner, or zero if there was none.
+	Status int
+
+	// Attempts is the number of attempts that were made, including those of earlier processes.
+	Attempts int
+
+	// AttemptDetail describes how the last attempt ended.
+	AttemptDetail string
+
+	// Reason is the module's reason for ending the message. It is empty if a partner's response ended it.
+	Reason string
 }
 
-// Origin is where a message came from. Final is called once at most for each message, on the engine's goroutine; it
-// must not block. It is not called for a message that was withdrawn.
+// Origin is the source of a message. Answer is called at most once for each message, on the engine's goroutine, and must not
+// block. It is not called for a message that was withdrawn.
 type Origin interface {
-	Final(m *Message, a Answer)
+	Answer(m *Message, a Answer)
 }
 
-// Message is what a front hands over. It is not changed after.
+// Message is a message as a front submits it. It is not changed after it has been accepted.
 type Message struct {
-	ID      control.MessageID // given by the engine
-	Class   int
-	Tenant  int
-	Dest    int
-	Key     uint64       // order key, 0 is none
-	Life    control.Time // time until it is given up, at most the deadline of its class
-	Taken   control.Time // when the engine took it
-	Came    control.Time // when its sender's request was whole, 0 where Life counts from the round that takes it
-	Name    string       // id that its sender gave it, where the protocol has one
-	Repeat  string       // key by which the partner drops repeats; empty: the message's id stands in
+	ID       control.MessageID // Assigned by Loop.Submit.
+	Class    int
+	Tenant   int
+	Dest     int
+	OrderKey uint64 // Zero if the message has no order key.
+
+	// Lifetime is the time until the message is given up. The deadline of its class limits it.
+	Lifetime control.Time
+
+	// AcceptedAt is the time of the round that accepted the message. The engine sets it.
+	AcceptedAt control.Time
+
+	// ReceivedAt is when the sender's request was complete. If it is zero, Lifetime counts from AcceptedAt.
+	ReceivedAt control.Time
+
+	// ExternalID is the ID that the sender gave the message, if the protocol has one.
+	ExternalID string
+
+	// IdempotencyKey is the key by which the partner deduplicates the message. If it is empty, the message's ID is used.
+	IdempotencyKey string
+
 	Topic   string
 	Urgency string
-	Target  string // path at the partner, where the message names one
-	Type    string // content type and coding
-	Coding  string
-	Body    []byte
-	Receipt string // subscription that gets the final answer, where its sender does not wait for it; for the Trail
 
-	Recovered Recovered // what was done for it by a process that ended
+	// TargetPath is the path at the partner, if the message names one.
+	TargetPath string
+
+	ContentType     string
+	ContentEncoding string
+	Body            []byte
+
+	// ReceiptSubscription names the subscription that gets the final answer if the sender does not wait for it. It is recorded
+	// in the Trail.
+	ReceiptSubscription string
+
+	// Recovered holds what earlier processes did for the message.
+	Recovered Recovered
 
+	// Origin gets the final answer.
 	Origin Origin
-	Tag    uint64 // for the Origin
+
+	// OriginTag is for use by the Origin. The engine does not read it.
+	OriginTag uint64
 }
 
-// Recovered is what became of a message in processes before this one.
+// Recovered is what earlier processes did for a message.
 type Recovered struct {
-	Restored         bool         // it was taken on by one of them
-	Attempts         int          // made so far
-	PossiblyExecuted bool         // one of them may have been executed ...
-	ExecutedAt       control.Time // ... the first such began then, on the clock of this process, ...
-	Zone             int          // ... to this zone
+	// Restored is set if an earlier process accepted the message.
+	Restored bool
+
+	// Attempts is the number of attempts that were made.
+	Attempts int
+
+	// PossiblyExecuted is set if one of the attempts may have been executed.
+	PossiblyExecuted bool
+
+	// ExecutedAt is when the first possibly executed attempt began, on the clock of this process.
+	ExecutedAt control.Time
+
+	// ExecutedZone is the zone that this attempt went to.
+	ExecutedZone int
 }
 
-// Taker is an Origin whose sender hears that its message is taken on before its end is known.
-type Taker interface {
+// AcceptNotifier is an Origin that is told when its message has been accepted, before the final answer.
+type AcceptNotifier interface {
 	Origin
-	Taken(m *Message) // on the engine's goroutine; before Final, unless the round that took the message ended it
+
+	// Accepted is called on the engine's goroutine, before Answer. It is not called if the message ended before its sender could
+	// be told.
+	Accepted(m *Message)
 }
 
-// Ledger records what must outlive the process. It is called on the engine's goroutine, each time before the promise that rests
-// on it: Take before the sender hears that the message is taken on, Over before anybody hears of its end. Attempts are put on
-// record by the back end, in the moment in which they are written.
+// Ledger records the state that must outlive the process. Its methods are called on the engine's goroutine. Each is called
+// before the promise that depends on the record: RecordAccept before the sender is told that the message is accepted, and
+// RecordFinish before anybody is told of its end. The transport records attempts, immediately before they are written.
 type Ledger interface {
-	// Take returns an error where the message is not on record: it is refused, or failed where it is ErrUncertain.
-	Take(m *Message, due control.Time) error
-	Back(a *Attempt, e safety.End)  // an attempt ended, its message did not
-	Over(m *Message, a *Answer)     // a message ended; a is nil where it was withdrawn
-	Learn(changed []control.Outage) // what is known of outages has changed
+	// RecordAccept records an accepted message with its deadline. An error means that the message is not on record. The
+	// message is then refused, or failed if the error is ErrRecordUncertain.
+	RecordAccept(m *Message, due control.Time) error
+
+	// RecordAttemptEnd records that an attempt ended and its message did not.
+	RecordAttemptEnd(a *Attempt, e safety.AttemptResult)
+
+	// RecordFinish records that a message ended. a is nil if the message was withdrawn.
+	RecordFinish(m *Message, a *Answer)
+
+	// RecordOutages records changes of what is known of outages.
+	RecordOutages(changed []control.Outage)
 }
 
-// ErrUncertain tells that a message may be on record, or may not.
-var ErrUncertain = errors.New("it is not known whether the message is on record")
+// ErrRecordUncertain means that a message may or may not be on record.
+var ErrRecordUncertain = errors.New("it is not known whether the message is on record")
 
-// Place is what the list says of where an endpoint belongs.
-type Place struct{ Dest, Kind, Zone int }
+// Placement is the destination, kind and zone that the endpoint list gives for an endpoint.
+type Placement struct{ Dest, Kind, Zone int }
 
-// Attempt is one attempt that a back end is to make. What it is told about the message's execution is as of its start.
+// Attempt is one attempt that a transport is to make. Its facts about the execution of the message are as of its start.
 type Attempt struct {
-	Seq      uint64 // names it towards the back end
-	Msg      *Message
-	N        int // 0 is the first
-	Endpoint control.Endpoint
-	Place    Place
-	Apart    bool         // its endpoint has limits and waits of its own
-	Worth    float64      // of its message, as its class has it
-	Due      control.Time // it is given up then, at the latest
-	Ends     control.Time // its message's time is over then, and it is not sent again
-	Begin    control.Time // one that is not written by then is given up unsent, 0 for Due: a repeat would come too late
-	Sent     control.Time
+	Seq       uint64 // Identifies the attempt towards the transport.
+	Message   *Message
+	Number    int // The first attempt of a message has number zero.
+	Endpoint  control.Endpoint
+	Placement Placement
+
+	// PerEndpointLimits is set if the endpoint has its own limits and waits, instead of those of its destination.
+	PerEndpointLimits bool
+
+	// Worth is the worth of the message by its class.
+	Worth float64
+
+	// Deadline is the time at which the attempt is given up.
+	Deadline control.Time
+
+	// MessageDeadline is the time after which the message is not sent again.
+	MessageDeadline control.Time
+
+	// WriteBefore is the time at which an attempt that has not been written is given up unsent, because a repeat would be too
+	// late. If it is zero, Deadline applies.
+	WriteBefore control.Time
+
+	// StartedAt is the time of the round that started the attempt.
+	StartedAt control.Time
 }
 
-// Call names an attempt towards package safety.
-func (a *Attempt) Call() safety.Call {
-	return safety.Call{Message: a.Msg.ID, Attempt: a.N, Endpoint: a.Endpoint, Dest: a.Place.Dest, Zone: a.Place.Zone, Apart: a.Apart}
+// SafetyCall identifies the attempt for package safety.
+func (a *Attempt) SafetyCall() safety.Call {
+	return safety.Call{Message: a.Message.ID, Attempt: a.Number, Endpoint: a.Endpoint, Dest: a.Placement.Dest, Zone: a.Placement.Zone, PerEndpointLimits: a.PerEndpointLimits}
 }
 
-// Back carries attempts out. Its methods are called on the engine's goroutine and must not block. For each attempt of a
-// Start exactly one End comes back as an input, and soon after an Abandon, but where its call goes on for others: then with that.
-type Back interface {
-	Start(call []*Attempt)            // several where the kind of destination takes several messages in a call
-	Unsend(a *Attempt)                // give up with the end Unsent, if no connection has it yet
-	Abandon(a *Attempt, kind EndKind) // give up: OutOfTime or CalledOff, unless another end is on its way
-	CloseIdle(ep control.Endpoint)    // close idle connections to it
+// Transport makes attempts. Its methods are called on the engine's goroutine and must not block. Each attempt that is started
+// is followed by exactly one Outcome as an input. The Outcome follows soon after a Cancel, unless the call goes on for other
+// messages. In that case it comes with the end of the call.
+type Transport interface {
+	// Start starts a call. The call has several attempts if the kind of destination takes several messages in a call.
+	Start(call []*Attempt)
+
+	// CancelUnsent ends the attempt with the outcome Unsent if no connection has taken it yet.
+	CancelUnsent(a *Attempt)
+
+	// Cancel ends the attempt with the outcome TimedOut or Cancelled, unless another outcome is on its way.
+	Cancel(a *Attempt, kind OutcomeKind)
+
+	// CloseIdle closes the idle connections to an endpoint.
+	CloseIdle(ep control.Endpoint)
 }
 
-// Lists is where the endpoint list comes from, for settings with AskList. Each call is answered by one List input.
-type Lists interface {
-	Watch() // subscribe to the list from now on
-	Fetch() // ask for the whole list once
+// Discovery provides the endpoint list if the setting AskList is on. Each call is answered by one ListUpdate as an input.
+type Discovery interface {
+	// Watch subscribes to changes of the list.
+	Watch()
+
+	// Fetch requests the whole list once.
+	Fetch()
 }
 
-// Input is one thing that happened; exactly one of its parts is set.
+// Input is one event for a Core. Exactly one kind of event is set.
 type Input struct {
 	Submit   *Message
 	Withdraw control.MessageID
-	End      *End
-	List     *List
-	Stop     control.Time    // no message may take longer than this from now ...
-	Kept     bool            // ... or, where a ledger keeps them, no call
-	Recorded bool            // the ledger can be written again
-	Outage   *control.Outage // that a process before this one had seen
+	Outcome  *Outcome
+	List     *ListUpdate
+
+	// StopWithin is positive if the dispatcher is stopping. It is the longest time that any message may still take.
+	StopWithin control.Time
+
+	// KeepMessages goes with StopWithin. It is set if a ledger keeps the messages. StopWithin then limits calls and not messages.
+	KeepMessages bool
+
+	// LedgerWritable is set if the ledger can be written again.
+	LedgerWritable bool
+
+	// Outage is an outage that an earlier process observed.
+	Outage *control.Outage
 }
 
-// List is news of the endpoint list.
-type List struct {
+// ListUpdate is a new endpoint list or a change of it.
+type ListUpdate struct {
 	Kind    control.ListKind
 	Entries []control.Entry
 }
 
-// Trail takes down what happens to messages, as it happens. Its methods are called on the engine's goroutine; they must
-// not block, and keep nothing of what they are given.
+// Trail records what happens to messages, at the time that it happens. Its methods are called on the engine's goroutine. They
+// must not block, and must not retain their arguments.
 type Trail interface {
 	Accepted(m *Message)
-	Started(a *Attempt)
-	Ended(a *Attempt, e *End, v Verdict, after bool) // after: the message had its final answer before
+	AttemptStarted(a *Attempt)
+
+	// AttemptEnded is called with after set if the message had its final answer before.
+	AttemptEnded(a *Attempt, e *Outcome, v Classification, after bool)
+
 	Withdrawn(m *Message)
 	Answered(m *Message, a *Answer)
-	Learned(e *control.Entry)
+	EndpointChanged(e *control.Entry)
 }
 
-// Policy is what the engine must know of a message beside the module's settings.
-type Policy struct {
-	Trail    Trail             // nil for none
-	Ledger   Ledger            // nil for none
-	Guard    *safety.Guard     // permits what is irreversible; nil for one of the engine's own
-	Judge    func(End) Verdict // what ends mean, nil for push gateways (see Judge)
-	CallSize int               // bytes of bodies that one call of several messages may carry, 0 for any
+// Options configures a Core.
+type Options struct {
+	Trail  Trail  // Nil if there is none.
+	Ledger Ledger // Nil if there is none.
+
+	// Guard authorizes irreversible operations. If it is nil, the engine creates one.
+	Guard *safety.Guard
+
+	// Classify maps outcomes to their meaning. If it is nil, the rules of push gateways apply (see the function Classify).
+	Classify func(Outcome) Classification
+
+	// MaxCallBytes is the maximum size of a call of several messages, in bytes. Zero means that there is no maximum.
+	MaxCallBytes int
+
+	// Settings are the settings of the decision module.
 	Settings control.Settings
-	OwnPath  []bool // for each kind of destination: paths belong to messages (see Judge)
+
+	// PathPerMessage tells for each kind of destination whether paths belong to messages (see the function Classify).
+	PathPerMessage []bool
 }
 
-// Stats counts what the engine did since its start.
+// Stats counts what the engine has done since its start.
 type Stats struct {
-	Taken, Served, Refused, Failed, Withdrawn uint64
-	Attempts, Rounds                          uint64
-	Open, Out                                 int
-	Violations                                uint64 // of the rules, that were about to happen and were prevented
+	Accepted, Served, Refused, Failed, Withdrawn uint64
+	Attempts, Rounds                             uint64
+
+	// Open is the number of messages without a final answer. InFlight is the number of attempts in flight.
+	Open, InFlight int
+
+	// Violations is the number of violations of the safety rules that were prevented.
+	Violations uint64
 }
 
-// Log takes lines for the operators.
-type Log interface {
-	Note(text string)
-	Fault(text string) // something that must not happen
+// Logger writes log lines for operators.
+type Logger interface {
+	// Info logs a note of the decision module.
+	Info(text string)
+
+	// InternalError logs an event that a correct program does not produce.
+	InternalError(text string)
 }
 
-// held is a message that is owed an answer or has an attempt out.
-type held struct {
-	msg     *Message
-	due     control.Time
-	tries   int
-	ended   bool
-	fresh   bool // its sender has not heard yet that it is taken on
-	kept    bool // the ledger has it
-	out     *Attempt
-	lastWhy string
-	status  int
+// messageState is the state of a message that has no final answer yet or has an attempt in flight.
+type messageState struct {
+	message     *Message
+	deadline    control.Time
+	attempts    int
+	ended       bool     // The message has its final answer or was withdrawn.
+	unannounced bool     // The sender has not been told that the message is accepted.
+	recorded    bool     // The ledger has the message.
+	inFlight    *Attempt // Nil if no attempt is in flight.
+	lastDetail  string
+	lastStatus  int
 }
 
-// Core turns inputs into the module's events and its actions into calls of its two sides.
+// Core turns inputs into events of the module, and actions of the module into calls of Origin, Transport and Discovery.
 type Core struct {
-	pol    Policy
-	mod    *control.Dispatcher
-	guard  *safety.Guard
-	back   Back
-	lists  Lists
-	log    Log
-	now    control.Time
-	seq    uint64
-	msgs   map[control.MessageID]*held
-	out    map[uint64]*Attempt
-	places map[control.Endpoint]Place
-	fresh  []*held
-	calls  [][]*Attempt              // of this round, not started yet
-	shut   map[control.Endpoint]bool // told in this round to want nothing new ...
-	told   map[int]bool              // ... and destinations whose partner told a wait
-	later  []control.Event           // for the next round
-	timers timers
-	stale  int // timers of messages that are over
-	events []control.Event
-	acts   []control.Action
-	stats  Stats
-}
-
-// NewCore returns a Core, or the module's error about its settings. lists may be nil where AskList is off.
-func NewCore(p Policy, seed uint64, back Back, lists Lists, log Log) (*Core, error) {
-	p.Settings.KeepOutages, p.Settings.Promises = p.Ledger != nil, p.Ledger != nil
-	mod, err := control.New(p.Settings, seed)
+	options      Options
+	module       *control.Dispatcher
+	guard        *safety.Guard
+	transport    Transport
+	discovery    Discovery
+	logger       Logger
+	now          control.Time
+	lastSeq      uint64 // The Seq of the last attempt.
+	messages     map[control.MessageID]*messageState
+	inFlight     map[uint64]*Attempt
+	placements   map[control.Endpoint]Placement
+	unannounced  []*messageState // Messages that this round accepted.
+	pendingCalls [][]*Attempt    // Calls of this round that have not been started.
+
+	// withdrawnEndpoints holds the endpoints that this round withdrew, or that asked to wait in it and have their own limits.
+	withdrawnEndpoints map[control.Endpoint]bool
+
+	// waitingDests holds the destinations that asked to wait in this round.
+	waitingDests map[int]bool
+
+	nextEvents  []control.Event // Events for the next round.
+	timers      timerHeap
+	staleTimers int // An estimate of how many timers belong to finished messages.
+	events      []control.Event
+	actions     []control.Action
+	stats       Stats
+}
+
+// NewCore returns a Core, or the module's error about its settings. discovery may be nil if the setting AskList is off.
+func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
+	options.Settings.KeepOutages, options.Settings.Promises = options.Ledger != nil, options.Ledger != nil
+	module, err := control.New(options.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
-	if p.Guard == nil {
-		p.Guard = safety.NewGuard(p.Settings)
+	if options.Guard == nil {
+		options.Guard = safety.NewGuard(options.Settings)
 	}
-	return &Core{pol: p, mod: mod, guard: p.Guard, back: back, lists: lists, log: log, msgs: map[control.MessageID]*held{}, out: map[uint64]*Attempt{},
-		places: map[control.Endpoint]Place{}, shut: map[control.Endpoint]bool{}, told: map[int]bool{}}, nil
+	return &Core{options: options, module: module, guard: options.Guard, transport: transport, discovery: discovery, logger: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
+		placements: map[control.Endpoint]Placement{}, withdrawnEndpoints: map[control.Endpoint]bool{}, waitingDests: map[int]bool{}}, nil
 }
 
 // Stats returns the counts so far.
 func (c *Core) Stats() Stats {
 	s := c.stats
-	s.Out = len(c.out)
+	s.InFlight = len(c.inFlight)
 	s.Violations = c.guard.Violations()
 	return s
 }
 
-// Next tells when the next timer is due; ok is false where none is set.
-func (c *Core) Next() (at control.Time, ok bool) {
+// NextTimer returns when the next timer is due. ok is false if no timer is set.
+func (c *Core) NextTimer() (at control.Time, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
-	return c.timers[0].at, true
+	return c.timers[0].due, true
 }
 
-// Round takes the inputs of one round, with the timers due at now, and carries out what the module decides.
-func (c *Core) Round(now control.Time, in []Input) {
+// Round handles the inputs of one round and the timers that are due at now, and performs the actions that the module decides.
+func (c *Core) Round(now control.Time, inputs []Input) {
 	c.now = now
 	c.stats.Rounds++
-	c.events = append(c.events[:0], c.later...)
-	c.later = c.later[:0]
-	for i := range in {
-		c.input(&in[i])
-	}
-	c.takeBack()
-	c.due()
-	told := len(c.events)
-	c.acts = c.mod.Step(now, c.events, c.acts[:0])
-	if changed := c.mod.Outages(); len(changed) > 0 && c.pol.Ledger != nil {
-		c.pol.Ledger.Learn(changed)
-	}
-	for i := range c.acts {
-		c.act(&c.acts[i])
-	}
-	c.start()
-	for _, h := range c.fresh {
-		c.promise(h)
-	}
-	clear(c.fresh)
-	c.fresh = c.fresh[:0]
-	c.later = append(c.later, c.events[told:]...) // ends of calls that could not be made
+	c.events = append(c.events[:0], c.nextEvents...)
+	c.nextEvents = c.nextEvents[:0]
+	for i := range inputs {
+		c.handleInput(&inputs[i])
+	}
+	c.cancelUnsent()
+	c.fireTimers()
+	handled := len(c.events)
+	c.actions = c.module.Step(now, c.events, c.actions[:0])
+	if changed := c.module.Outages(); len(changed) > 0 && c.options.Ledger != nil {
+		c.options.Ledger.RecordOutages(changed)
+	}
+	for i := range c.actions {
+		c.perform(&c.actions[i])
+	}
+	c.startCalls()
+	for _, h := range c.unannounced {
+		c.announce(h)
+	}
+	clear(c.unannounced)
+	c.unannounced = c.unannounced[:0]
+	c.nextEvents = append(c.nextEvents, c.events[handled:]...) // Events that were added after the module's step.
 	clear(c.events)
-	c.compact()
-}
-
-// promise tells a message's sender that it is taken on, once that is on record. It is false where the message can't be
-// kept: then it is refused.
-func (c *Core) promise(h *held) bool {
-	if !h.fresh || h.ended {
-		return !h.ended
-	}
-	h.fresh = false
-	if l := c.pol.Ledger; l != nil && !h.kept {
-		if err := l.Take(h.msg, h.due); err != nil {
-			c.later = append(c.later, control.Event{Kind: control.Withdrawn, Message: h.msg.ID})
-			a := Answer{Final: Refused, Wait: control.Second, Reason: err.Error()}
-			if errors.Is(err, ErrUncertain) { // a process after this one may find it on record
-				a = Answer{Final: Failed, Reason: err.Error()}
+	c.compactTimers()
+}
+
+// announce tells the sender that its message is accepted, after the ledger has recorded it. If the ledger cannot record it, the
+// message is refused. The result is false if the message has ended.
+func (c *Core) announce(state *messageState) bool {
+	if !state.unannounced || state.ended {
+		return !state.ended
+	}
+	state.unannounced = false
+	if l := c.options.Ledger; l != nil && !state.recorded {
+		if err := l.RecordAccept(state.message, state.deadline); err != nil {
+			c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Withdrawn, Message: state.message.ID})
+			a := Answer{Kind: Refused, RetryAfter: control.Second, Reason: err.Error()}
+			if errors.Is(err, ErrRecordUncertain) { // A later process may find the message on record and deliver it.
+				a = Answer{Kind: Failed, Reason: err.Error()}
 			}
-			c.answer(h, a)
+			c.answer(state, a)
 			return false
 		}
-		h.kept = true
+		state.recorded = true
 	}
-	if t, ok := h.msg.Origin.(Taker); ok {
-		t.Taken(h.msg)
+	if t, ok := state.message.Origin.(AcceptNotifier); ok {
+		t.Accepted(state.message)
 	}
 	return true
 }
 
-func (c *Core) input(in *Input) {
+// handleInput dispatches one input by its kind.
+func (c *Core) handleInput(in *Input) {
 	switch {
 	case in.Submit != nil:
 		c.submit(in.Submit)
-	case in.End != nil:
-		c.end(in.End)
+	case in.Outcome != nil:
+		c.handleOutcome(in.Outcome)
 	case in.List != nil:
-		c.list(in.List)
+		c.updateList(in.List)
 	case in.Outage != nil:
 		c.events = append(c.events, control.Event{Kind: control.OutageRestored, Outage: in.Outage})
-	case in.Recorded:
+	case in.LedgerWritable:
 		c.events = append(c.events, control.Event{Kind: control.Recording})
-	case in.Stop > 0:
-		c.events = append(c.events, control.Event{Kind: control.Closing, Grace: in.Stop, Kept: in.Kept})
+	case in.StopWithin > 0:
+		c.events = append(c.events, control.Event{Kind: control.Closing, Grace: in.StopWithin, Kept: in.KeepMessages})
 	default:
 		c.withdraw(in.Withdraw)
 	}
 }
 
+// submit accepts a message.
 func (c *Core) submit(m *Message) {
-	life := m.Life
-	if m.Came > 0 { // a round may be late
-		life = max(0, life-(c.now-m.Came))
-	}
-	life = min(life, c.pol.Settings.Classes[m.Class].Deadline)
-	m.Taken = c.now
-	r := m.Recovered
-	h := &held{msg: m, due: c.now + life, fresh: true, kept: r.Restored, tries: r.Attempts}
-	c.msgs[m.ID] = h
-	c.fresh = append(c.fresh, h)
-	c.stats.Taken++
+	lifetime := m.Lifetime
+	if m.ReceivedAt > 0 { // The time that passed until this round counts, because a round may be late.
+		lifetime = max(0, lifetime-(c.now-m.ReceivedAt))
+	}
+	lifetime = min(lifetime, c.options.Settings.Classes[m.Class].Deadline)
+	m.AcceptedAt = c.now
+	recovered := m.Recovered
+	state := &messageState{message: m, deadline: c.now + lifetime, unannounced: true, recorded: recovered.Restored, attempts: recovered.Attempts}
+	c.messages[m.ID] = state
+	c.unannounced = append(c.unannounced, state)
+	c.stats.Accepted++
 	c.stats.Open++
-	c.guard.Accept(safety.Message{ID: m.ID, Class: m.Class, Key: m.Key, Due: h.due, Attempts: r.Attempts,
-		PossiblyExecuted: r.PossiblyExecuted, ExecutedAt: r.ExecutedAt, Zone: r.Zone})
-	if c.pol.Trail != nil {
-		c.pol.Trail.Accepted(m)
+	c.guard.Accept(safety.Message{ID: m.ID, Class: m.Class, OrderKey: m.OrderKey, Deadline: state.deadline, Attempts: recovered.Attempts,
+		PossiblyExecuted: recovered.PossiblyExecuted, ExecutedAt: recovered.ExecutedAt, ExecutedZone: recovered.ExecutedZone})
+	if c.options.Trail != nil {
+		c.options.Trail.Accepted(m)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Arrival, Message: m.ID, Class: m.Class, Tenant: m.Tenant,
-		Dest: m.Dest, Key: m.Key, Grace: life, Restored: r.Restored, Attempt: r.Attempts, Doubt: r.PossiblyExecuted, Lag: c.now - r.ExecutedAt, Zone: r.Zone})
+		Dest: m.Dest, Key: m.OrderKey, Grace: lifetime, Restored: recovered.Restored, Attempt: recovered.Attempts, Doubt: recovered.PossiblyExecuted, Lag: c.now - recovered.ExecutedAt, Zone: recovered.ExecutedZone})
 }
 
+// withdraw ends a message without an answer, because its sender does not want one any more.
 func (c *Core) withdraw(id control.MessageID) {
-	h := c.msgs[id]
+	h := c.messages[id]
 	if h == nil || h.ended {
 		return
 	}
-	c.over(h)
-	c.record(h, nil)
+	c.markFinished(h)
+	c.recordFinish(h, nil)
 	c.stats.Withdrawn++
-	if c.pol.Trail != nil {
-		c.pol.Trail.Withdrawn(h.msg)
+	if c.options.Trail != nil {
+		c.options.Trail.Withdrawn(h.message)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Withdrawn, Message: id})
 }
 
-func (c *Core) list(l *List) {
+// updateList applies an update of the endpoint list.
+func (c *Core) updateList(l *ListUpdate) {
 	for i, e := range l.Entries {
-		c.listed(&e)
-		if c.pol.Trail != nil && l.Kind == control.ListDelta {
-			c.pol.Trail.Learned(&l.Entries[i])
+		c.updateEndpoint(&e)
+		if c.options.Trail != nil && l.Kind == control.ListDelta {
+			c.options.Trail.EndpointChanged(&l.Entries[i])
 		}
 	}
 	c.events = append(c.events, control.Event{Kind: control.List, ListKind: l.Kind, Entries: l.Entries})
 }
 
-// listed keeps what a line of the list says.
-func (c *Core) listed(e *control.Entry) {
-	if e.Health == control.Gone {
-		delete(c.places, e.Endpoint)
-		c.back.CloseIdle(e.Endpoint)
+// updateEndpoint applies one entry of the endpoint list.
+func (c *Core) updateEndpoint(entry *control.Entry) {
+	if entry.Health == control.Gone {
+		delete(c.placements, entry.Endpoint)
+		c.transport.CloseIdle(entry.Endpoint)
 	} else {
-		c.places[e.Endpoint] = Place{e.Dest, e.Kind, e.Zone}
+		c.placements[entry.Endpoint] = Placement{entry.Dest, entry.Kind, entry.Zone}
 	}
-	if e.Health != control.Ready {
-		c.shut[e.Endpoint] = true
+	if entry.Health != control.Ready {
+		c.withdrawnEndpoints[entry.Endpoint] = true
 	}
-	c.guard.Listed(c.now, e.Endpoint, e.Health)
+	c.guard.SetHealth(c.now, entry.Endpoint, entry.Health)
 }
 
-// waits keeps what a partner told: of all its endpoints, or of one where routes are apart.
-func (c *Core) waits(a *Attempt, wait control.Time) {
-	c.guard.Told(a.Call(), c.now+wait)
-	if a.Apart {
-		c.shut[a.Endpoint] = true
+// applyRetryAfter applies a wait that a partner asked for. It holds for one endpoint if limits are per endpoint, else for the
+// whole destination.
+func (c *Core) applyRetryAfter(a *Attempt, wait control.Time) {
+	c.guard.SetRetryAfter(a.SafetyCall(), c.now+wait)
+	if a.PerEndpointLimits {
+		c.withdrawnEndpoints[a.Endpoint] = true
 		return
 	}
-	c.told[a.Place.Dest] = true
+	c.waitingDests[a.Placement.Dest] = true
 }
 
-// takeBack gives up what was not written yet to endpoints that this round told to want nothing now: it goes elsewhere,
-// or when the wait is over. All is looked through once a round, however many lines or waits came in it.
-func (c *Core) takeBack() {
-	if len(c.shut)+len(c.told) == 0 {
+// cancelUnsent cancels the unwritten attempts to endpoints and destinations that were withdrawn or asked to wait in this round.
+// Their messages go to other endpoints or wait. The attempts in flight are searched once a round, however many list entries or
+// waits it had.
+func (c *Core) cancelUnsent() {
+	if len(c.withdrawnEndpoints)+len(c.waitingDests) == 0 {
 		return
 	}
-	for _, seq := range slices.Sorted(maps.Keys(c.out)) {
-		if a := c.out[seq]; c.shut[a.Endpoint] || c.told[a.Place.Dest] {
-			c.back.Unsend(a)
+	for _, seq := range slices.Sorted(maps.Keys(c.inFlight)) {
+		if a := c.inFlight[seq]; c.withdrawnEndpoints[a.Endpoint] || c.waitingDests[a.Placement.Dest] {
+			c.transport.CancelUnsent(a)
 		}
 	}
-	clear(c.shut)
-	clear(c.told)
+	clear(c.withdrawnEndpoints)
+	clear(c.waitingDests)
 }
 
-// end takes the end of an attempt: the answer leaves at once where this is it.
-func (c *Core) end(e *End) {
-	a := c.out[e.Seq]
-	if a == nil {
-		c.log.Fault(fmt.Sprintf("attempt %d ended twice", e.Seq))
+// handleOutcome handles the end of an attempt. If the outcome is final, the message is answered immediately.
+func (c *Core) handleOutcome(outcome *Outcome) {
+	attempt := c.inFlight[outcome.Seq]
+	if attempt == nil {
+		c.logger.InternalError(fmt.Sprintf("attempt %d ended twice", outcome.Seq))
 		return
 	}
-	delete(c.out, e.Seq)
-	h := c.msgs[a.Msg.ID]
-	v := c.judge(a, e)
-	proof := safety.End{PossiblyExecuted: v.Ran, Unsent: e.Kind.unsent(), NoAttempt: v.Result == control.NotSent, Unheard: v.unheard()}
-	if err := c.guard.Ended(c.now, a.Call(), a.Sent, proof); err != nil {
-		c.log.Fault(err.Error())
-		v = Verdict{control.Reset, true, false, "its end is not what was written: it may have run"}
-		proof = safety.End{PossiblyExecuted: true, Unheard: true}
+	delete(c.inFlight, outcome.Seq)
+	state := c.messages[attempt.Message.ID]
+	classification := c.classify(attempt, outcome)
+	result := safety.AttemptResult{PossiblyExecuted: classification.PossiblyExecuted, Unsent: outcome.Kind.nothingWritten(), NotCounted: classification.Result == control.NotSent, Unconfirmed: classification.unconfirmed()}
+	if err := c.guard.FinishAttempt(c.now, attempt.SafetyCall(), attempt.StartedAt, result); err != nil {
+		c.logger.InternalError(err.Error())
+		classification = Classification{control.Reset, true, false, "its end is not what was written: it may have run"}
+		result = safety.AttemptResult{PossiblyExecuted: true, Unconfirmed: true}
 	}
-	h.out = nil
-	h.status, h.lastWhy = e.Status, v.Why
-	if e.Detail != "" {
-		h.lastWhy += " (" + e.Detail + ")"
+	state.inFlight = nil
+	state.lastStatus, state.lastDetail = outcome.Status, classification.Reason
+	if outcome.Detail != "" {
+		state.lastDetail += " (" + outcome.Detail + ")"
 	}
-	if c.pol.Trail != nil {
-		c.pol.Trail.Ended(a, e, v, h.ended)
+	if c.options.Trail != nil {
+		c.options.Trail.AttemptEnded(attempt, outcome, classification, state.ended)
 	}
-	if !h.ended && v.Final {
+	if !state.ended && classification.Final {
 		kind := Failed
-		if e.Kind == Answered && e.Status < 300 {
+		if outcome.Kind == Answered && outcome.Status < 300 {
 			kind = Served
 		}
-		c.answer(h, Answer{Final: kind})
+		c.answer(state, Answer{Kind: kind})
 	}
-	if l := c.pol.Ledger; l != nil && !h.ended {
-		l.Back(a, proof)
+	if l := c.options.Ledger; l != nil && !state.ended {
+		l.RecordAttemptEnd(attempt, result)
 	}
-	if e.Wait > 0 {
-		c.waits(a, e.Wait)
+	if outcome.RetryAfter > 0 {
+		c.applyRetryAfter(attempt, outcome.RetryAfter)
 	}
-	if e.Kind == NotRecorded {
+	if outcome.Kind == NotRecorded {
 		c.events = append(c.events, control.Event{Kind: control.Recording, Failing: true})
 	}
-	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: a.Msg.ID, Attempt: a.N, Endpoint: a.Endpoint,
-		Result: v.Result, Closed: h.ended, Lag: c.now - a.Sent, Wait: e.Wait, Report: e.Report})
-	c.forget(h)
+	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: attempt.Message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint,
+		Result: classification.Result, Closed: state.ended, Lag: c.now - attempt.StartedAt, Wait: outcome.RetryAfter, Report: outcome.LoadReport})
+	c.removeIfDone(state)
 }
 
-func (c *Core) judge(a *Attempt, e *End) Verdict {
-	if c.pol.Judge != nil {
-		return c.pol.Judge(*e)
+// classify returns the meaning of an attempt's outcome.
+func (c *Core) classify(a *Attempt, e *Outcome) Classification {
+	if c.options.Classify != nil {
+		return c.options.Classify(*e)
 	}
-	k := a.Place.Kind
-	return Judge(*e, k >= 0 && k < len(c.pol.OwnPath) && c.pol.OwnPath[k])
+	k := a.Placement.Kind
+	return Classify(*e, k >= 0 && k < len(c.options.PathPerMessage) && c.options.PathPerMessage[k])
 }
 
-// answer gives the one final answer.
-func (c *Core) answer(h *held, a Answer) {
-	a.Status, a.Tries, a.Why = h.status, h.tries, h.lastWhy
-	if h.out != nil {
-		a.Why = fmt.Sprintf("attempt %d has no answer yet", h.out.N)
-	} else if h.tries == 0 {
-		a.Why = "no attempt was made"
+// answer gives a message its final answer.
+func (c *Core) answer(state *messageState, answer Answer) {
+	answer.Status, answer.Attempts, answer.AttemptDetail = state.lastStatus, state.attempts, state.lastDetail
+	if state.inFlight != nil {
+		answer.AttemptDetail = fmt.Sprintf("attempt %d has no answer yet", state.inFlight.Number)
+	} else if state.attempts == 0 {
+		answer.AttemptDetail = "no attempt was made"
 	}
-	switch a.Final {
+	switch answer.Kind {
 	case Served:
 		c.stats.Served++
 	case Refused:
-		if err := c.guard.Refuse(h.msg.ID); err != nil {
-			c.log.Fault(err.Error())
-			a.Final = Failed
+		if err := c.guard.AuthorizeRefusal(state.message.ID); err != nil {
+			c.logger.InternalError(err.Error())
+			answer.Kind = Failed
 			c.stats.Failed++
 			break
 		}
@@ -492,198 +613,206 @@
 	case Failed:
 		c.stats.Failed++
 	}
-	c.over(h)
-	c.record(h, &a)
-	if c.pol.Trail != nil {
-		c.pol.Trail.Answered(h.msg, &a)
+	c.markFinished(state)
+	c.recordFinish(state, &answer)
+	if c.options.Trail != nil {
+		c.options.Trail.Answered(state.message, &answer)
 	}
-	h.msg.Origin.Final(h.msg, a)
+	state.message.Origin.Answer(state.message, answer)
 }
 
-// record has the ledger take an end down, before anybody is told.
-func (c *Core) record(h *held, a *Answer) {
-	if c.pol.Ledger != nil && h.kept {
-		c.pol.Ledger.Over(h.msg, a)
+// recordFinish records the end of a message in the ledger, before anybody is told of it.
+func (c *Core) recordFinish(state *messageState, a *Answer) {
+	if c.options.Ledger != nil && state.recorded {
+		c.options.Ledger.RecordFinish(state.message, a)
 	}
 }
 
-func (c *Core) over(h *held) {
-	h.ended = true
-	c.guard.Finish(h.msg.ID)
+// markFinished marks a message as ended.
+func (c *Core) markFinished(state *messageState) {
+	state.ended = true
+	c.guard.FinishMessage(state.message.ID)
 	c.stats.Open--
-	c.stale++
-	c.forget(h)
+	c.staleTimers++
+	c.removeIfDone(state)
 }
 
-// forget drops a message that is answered and has nothing out.
-func (c *Core) forget(h *held) {
-	if h.ended && h.out == nil {
-		delete(c.msgs, h.msg.ID)
+// removeIfDone removes a message that has ended and has no attempt in flight.
+func (c *Core) removeIfDone(state *messageState) {
+	if state.ended && state.inFlight == nil {
+		delete(c.messages, state.message.ID)
 	}
 }
 
-func (c *Core) act(a *control.Action) {
+// perform performs one action of the module.
+func (c *Core) perform(a *control.Action) {
 	switch a.Kind {
 	case control.Send:
 		c.send(a)
 	case control.Refuse, control.Fail:
 		c.finish(a)
 	case control.Cancel:
-		c.start()
-		if h := c.msgs[a.Message]; h != nil && h.out != nil && h.out.N == a.Attempt {
-			c.back.Abandon(h.out, CalledOff)
+		c.startCalls()
+		if h := c.messages[a.Message]; h != nil && h.inFlight != nil && h.inFlight.Number == a.Attempt {
+			c.transport.Cancel(h.inFlight, Cancelled)
 		}
 	case control.Timer:
-		heap.Push(&c.timers, timer{at: c.now + a.After, mark: a.Mark})
+		heap.Push(&c.timers, timer{due: c.now + a.After, mark: a.Mark})
 	case control.Close:
-		c.back.CloseIdle(a.Endpoint)
+		c.transport.CloseIdle(a.Endpoint)
 	case control.Watch:
-		c.lists.Watch()
+		c.discovery.Watch()
 	case control.Fetch:
-		c.lists.Fetch()
+		c.discovery.Fetch()
 	case control.Note:
-		c.log.Note(a.Text)
+		c.logger.Info(a.Text)
 	default:
-		c.log.Fault(fmt.Sprintf("action %d is not carried out here", a.Kind))
+		c.logger.InternalError(fmt.Sprintf("action %d is not supported by the engine", a.Kind))
 	}
 }
 
-func (c *Core) send(a *control.Action) {
-	h := c.msgs[a.Message]
-	if h == nil || h.ended || h.out != nil {
-		c.log.Fault(fmt.Sprintf("send of message %d, which is over or out", a.Message))
+// send starts an attempt that the module decided, if the guard authorizes it.
+func (c *Core) send(action *control.Action) {
+	h := c.messages[action.Message]
+	if h == nil || h.ended || h.inFlight != nil {
+		c.logger.InternalError(fmt.Sprintf("send action for message %d, which has ended or has an attempt in flight", action.Message))
 		return
 	}
-	if !c.promise(h) {
+	if !c.announce(h) {
 		return
 	}
-	c.seq++
-	at := &Attempt{Seq: c.seq, Msg: h.msg, N: h.tries, Endpoint: a.Endpoint, Place: c.places[a.Endpoint], Due: h.due, Ends: h.due, Sent: c.now,
-		Begin: c.now + a.Within, Worth: c.pol.Settings.Classes[h.msg.Class].Worth}
-	at.Apart = c.routesApart(at.Place.Kind)
-	if a.After > 0 {
-		at.Due = min(at.Due, c.now+a.After)
-	}
-	h.tries++
-	if err := c.guard.Plan(c.now, at.Call()); err != nil { // the module learns in the next round that it was not sent
-		c.log.Fault(err.Error())
-		c.later = append(c.later, control.Event{Kind: control.Outcome, Message: h.msg.ID, Attempt: at.N, Endpoint: at.Endpoint, Result: control.Moot})
+	c.lastSeq++
+	attempt := &Attempt{Seq: c.lastSeq, Message: h.message, Number: h.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
+		WriteBefore: c.now + action.Within, Worth: c.options.Settings.Classes[h.message.Class].Worth}
+	attempt.PerEndpointLimits = c.hasPerEndpointLimits(attempt.Placement.Kind)
+	if action.After > 0 {
+		attempt.Deadline = min(attempt.Deadline, c.now+action.After)
+	}
+	h.attempts++
+	if err := c.guard.AuthorizeCall(c.now, attempt.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
+		c.logger.InternalError(err.Error())
+		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.Moot})
 		return
 	}
-	h.out = at
-	c.out[at.Seq] = at
+	h.inFlight = attempt
+	c.inFlight[attempt.Seq] = attempt
 	c.stats.Attempts++
-	if c.pol.Trail != nil {
-		c.pol.Trail.Started(at)
+	if c.options.Trail != nil {
+		c.options.Trail.AttemptStarted(attempt)
 	}
-	if at.Begin+c.pol.Settings.Tick < at.Due {
-		heap.Push(&c.timers, timer{at: at.Begin, seq: at.Seq})
+	if attempt.WriteBefore+c.options.Settings.Tick < attempt.Deadline {
+		heap.Push(&c.timers, timer{due: attempt.WriteBefore, seq: attempt.Seq})
 	}
-	heap.Push(&c.timers, timer{at: at.Due, seq: at.Seq})
-	c.join(at)
+	heap.Push(&c.timers, timer{due: attempt.Deadline, seq: attempt.Seq})
+	c.addToCall(attempt)
 }
 
-// routesApart tells whether endpoints of a kind have limits and waits of their own.
-func (c *Core) routesApart(kind int) bool {
-	return kind >= 0 && kind < len(c.pol.Settings.Kinds) && c.pol.Settings.Kinds[kind].RoutesApart
+// hasPerEndpointLimits reports whether endpoints of a kind have their own limits and waits.
+func (c *Core) hasPerEndpointLimits(kind int) bool {
+	return kind >= 0 && kind < len(c.options.Settings.Kinds) && c.options.Settings.Kinds[kind].RoutesApart
 }
 
-// join puts an attempt into a call of this round to the same endpoint that has room, or begins one.
-func (c *Core) join(a *Attempt) {
-	most := 1
-	if k := a.Place.Kind; k >= 0 && k < len(c.pol.Settings.Kinds) {
-		most = max(1, c.pol.Settings.Kinds[k].Batch)
+// addToCall adds an attempt to a pending call to the same endpoint that has room, or begins a new call.
+func (c *Core) addToCall(a *Attempt) {
+	maxAttempts := 1
+	if k := a.Placement.Kind; k >= 0 && k < len(c.options.Settings.Kinds) {
+		maxAttempts = max(1, c.options.Settings.Kinds[k].Batch)
 	}
-	if most > 1 { // else there is nothing to look for, in a round of very many
-		for i, call := range c.calls {
-			if call[0].Endpoint == a.Endpoint && len(call) < most && c.fits(call, a) {
-				c.calls[i] = append(call, a)
+	if maxAttempts > 1 { // Otherwise the search would be useless, and slow in a round with very many calls.
+		for i, call := range c.pendingCalls {
+			if call[0].Endpoint == a.Endpoint && len(call) < maxAttempts && c.fits(call, a) {
+				c.pendingCalls[i] = append(call, a)
 				return
 			}
 		}
 	}
-	c.calls = append(c.calls, []*Attempt{a})
+	c.pendingCalls = append(c.pendingCalls, []*Attempt{a})
 }
 
-// lineSize is reckoned for each message of a call beside its body.
-const lineSize = 256
+// messageOverhead is the size that is assumed for each message of a call in addition to its body, in bytes.
+const messageOverhead = 256
 
+// fits reports whether an attempt can be added to a call without exceeding MaxCallBytes.
 func (c *Core) fits(call []*Attempt, a *Attempt) bool {
-	size := len(a.Msg.Body) + lineSize
+	size := len(a.Message.Body) + messageOverhead
 	for _, o := range call {
-		size += len(o.Msg.Body) + lineSize
+		size += len(o.Message.Body) + messageOverhead
 	}
-	return c.pol.CallSize == 0 || size <= c.pol.CallSize
+	return c.options.MaxCallBytes == 0 || size <= c.options.MaxCallBytes
 }
 
-// start hands the calls of this round over.
-func (c *Core) start() {
-	for _, call := range c.calls {
-		c.back.Start(call)
+// startCalls hands the pending calls of this round to the transport.
+func (c *Core) startCalls() {
+	for _, call := range c.pendingCalls {
+		c.transport.Start(call)
 	}
-	clear(c.calls)
-	c.calls = c.calls[:0]
+	clear(c.pendingCalls)
+	c.pendingCalls = c.pendingCalls[:0]
 }
 
+// finish refuses or fails a message as the module decided.
 func (c *Core) finish(a *control.Action) {
-	h := c.msgs[a.Message]
+	h := c.messages[a.Message]
 	if h == nil || h.ended {
 		return
 	}
 	if a.Kind == control.Refuse {
-		c.answer(h, Answer{Final: Refused, Wait: a.After, Reason: a.Text})
+		c.answer(h, Answer{Kind: Refused, RetryAfter: a.After, Reason: a.Text})
 		return
 	}
-	late := c.now+3*c.pol.Settings.Tick >= h.due
-	c.answer(h, Answer{Final: Failed, Late: late, Reason: a.Text})
+	deadlineExceeded := c.now+3*c.options.Settings.Tick >= h.deadline
+	c.answer(h, Answer{Kind: Failed, DeadlineExceeded: deadlineExceeded, Reason: a.Text})
 }
 
-// timer is a Tick that the module asked for, or for an attempt the last moment to begin it or its time-out.
+// timer is either a Tick that the module requested, or a time limit of an attempt. An attempt has a timer for WriteBefore and
+// one for Deadline.
 type timer struct {
-	at   control.Time
-	mark uint64 // of the module
-	seq  uint64 // of an attempt, 0 if the module's
+	due  control.Time
+	mark uint64 // The module's mark of the Tick.
+	seq  uint64 // The Seq of the attempt, or zero for a Tick.
 }
 
-type timers []timer
+// timerHeap is a heap of timers, ordered by due time and then by seq.
+type timerHeap []timer
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
+func (t timerHeap) Len() int { return len(t) }
+func (t timerHeap) Less(i, j int) bool {
+	return t[i].due < t[j].due || t[i].due == t[j].due && t[i].seq < t[j].seq
 }
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)   { *t = append(*t, x.(timer)) }
+func (t *timerHeap) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
 	*t = (*t)[:last]
 	return x
 }
 
-// due takes the timers that have come due.
-func (c *Core) due() {
-	for len(c.timers) > 0 && c.timers[0].at <= c.now {
+// fireTimers handles the timers that are due.
+func (c *Core) fireTimers() {
+	for len(c.timers) > 0 && c.timers[0].due <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		if t.seq == 0 {
 			c.events = append(c.events, control.Event{Kind: control.Tick, Mark: t.mark})
-		} else if a := c.out[t.seq]; a != nil && t.at < a.Due {
-			c.back.Unsend(a)
+		} else if a := c.inFlight[t.seq]; a != nil && t.due < a.Deadline {
+			c.transport.CancelUnsent(a)
 		} else if a != nil {
-			c.back.Abandon(a, OutOfTime)
+			c.transport.Cancel(a, TimedOut)
 		}
 	}
 }
 
-// compact drops the timers of what is over once they are the most. Guards against short answers to messages with long
-// lives: their timers would pile up for as long as the lives are.
-func (c *Core) compact() {
-	if c.stale < 1024 || c.stale < len(c.timers)/2 {
+// compactTimers removes the timers of finished messages and attempts, once at least 1024 messages have ended since the last
+// time and they are half as many as the timers. Otherwise the timers of messages with long lifetimes would accumulate when these
+// are answered quickly.
+func (c *Core) compactTimers() {
+	if c.staleTimers < 1024 || c.staleTimers < len(c.timers)/2 {
 		return
 	}
-	c.stale = 0
+	c.staleTimers = 0
 	keep := c.timers[:0]
 	for _, t := range c.timers {
-		if t.seq != 0 && c.out[t.seq] == nil || t.mark > 0 && c.msgs[control.MessageID(t.mark-1)] == nil {
+		if t.seq != 0 && c.inFlight[t.seq] == nil || t.mark > 0 && c.messages[control.MessageID(t.mark-1)] == nil {
 			continue
 		}
 		keep = append(keep, t)
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -10,50 +10,55 @@
 	"whinrun/internal/clock"
 )
 
-// Reasons why a message is not taken. None of these was ever held: handing it in again is harmless.
+// Reasons why a message is not accepted. The engine has not held such a message, so submitting it again is harmless.
 var (
+	// ErrQueueFull means that Limits.MaxQueued is reached.
 	ErrQueueFull = errors.New("too many messages arrive at once")
-	ErrHoldFull  = errors.New("too many messages are held")
-	ErrStopping  = errors.New("the dispatcher is stopping")
+
+	// ErrTooManyHeld means that Limits.MaxHeld is reached.
+	ErrTooManyHeld = errors.New("too many messages are held")
+
+	// ErrStopping means that Loop.Stop was called.
+	ErrStopping = errors.New("the dispatcher is stopping")
 )
 
-// Bounds limit what a Loop takes on.
-type Bounds struct {
-	Queue int // messages that wait for the next round
-	Hold  int // messages owed an answer
+// Limits limits the number of messages that a Loop accepts.
+type Limits struct {
+	MaxQueued int // The maximum number of messages that wait for the next round.
+	MaxHeld   int // The maximum number of messages without a final answer.
 }
 
-// Loop runs a Core: inputs come from any goroutine, rounds run on one.
+// Loop runs a Core. It takes inputs from any goroutine and runs the rounds on one.
 type Loop struct {
 	core   *Core
 	clock  clock.Clock
-	bounds Bounds
+	limits Limits
 	nextID atomic.Uint64
 
-	mu       sync.Mutex
-	queue    []Input
-	submits  int
-	open     int // messages taken or queued and not yet over
-	stopping bool
-	empty    chan struct{} // closed when stopping and nothing is open
-
-	wake  chan struct{}
-	quit  chan struct{}
-	done  chan struct{}
-	stats atomic.Pointer[Stats]
-	round atomic.Int64 // nanoseconds, decaying mean
+	mu             sync.Mutex
+	queue          []Input
+	queuedMessages int
+	open           int // The number of messages that were accepted and are not finished.
+	stopping       bool
+	drained        chan struct{} // Closed when stopping and open is zero.
+
+	wake      chan struct{}
+	quit      chan struct{}
+	done      chan struct{}
+	stats     atomic.Pointer[Stats]
+	meanRound atomic.Int64 // An exponentially weighted moving average, in nanoseconds.
 }
 
-// NewLoop makes a Loop; Run starts it.
-func NewLoop(core *Core, clock clock.Clock, b Bounds) *Loop {
-	l := &Loop{core: core, clock: clock, bounds: b, wake: make(chan struct{}, 1), quit: make(chan struct{}),
-		done: make(chan struct{}), empty: make(chan struct{})}
+// NewLoop returns a Loop. Run starts it.
+func NewLoop(core *Core, clock clock.Clock, limits Limits) *Loop {
+	l := &Loop{core: core, clock: clock, limits: limits, wake: make(chan struct{}, 1), quit: make(chan struct{}),
+		done: make(chan struct{}), drained: make(chan struct{})}
 	l.stats.Store(&Stats{})
 	return l
 }
 
-// Submit hands a message over, or tells why it is not taken. Once taken it gets exactly one final answer, at its
-// Origin, unless it is withdrawn. The id is set before the message can be answered.
+// Submit submits a message, or returns the reason why it is not accepted. An accepted message gets exactly one final answer, at
+// its Origin, unless it is withdrawn. The message's ID is set before the message can be answered.
 func (l *Loop) Submit(m *Message) error {
 	m.ID = control.MessageID(l.nextID.Add(1))
 	l.mu.Lock()
@@ -61,28 +66,30 @@
 	switch {
 	case l.stopping:
 		return ErrStopping
-	case l.submits >= l.bounds.Queue:
+	case l.queuedMessages >= l.limits.MaxQueued:
 		return ErrQueueFull
-	case l.open >= l.bounds.Hold:
-		return ErrHoldFull
+	case l.open >= l.limits.MaxHeld:
+		return ErrTooManyHeld
 	}
-	l.submits++
+	l.queuedMessages++
 	l.open++
-	l.put(Input{Submit: m})
+	l.enqueueLocked(Input{Submit: m})
 	return nil
 }
 
-// Withdraw tells that nobody wants a message any more.
-func (l *Loop) Withdraw(id control.MessageID) { l.Put(Input{Withdraw: id}) }
+// Withdraw withdraws a message whose answer nobody wants any more.
+func (l *Loop) Withdraw(id control.MessageID) { l.Enqueue(Input{Withdraw: id}) }
 
-// Put adds an input that is not a message. It is never refused: attempts and messages taken bound how many come.
-func (l *Loop) Put(in Input) {
+// Enqueue adds an input that is not a message. It never refuses, because the number of such inputs is bounded by the numbers of
+// attempts and of accepted messages.
+func (l *Loop) Enqueue(in Input) {
 	l.mu.Lock()
-	l.put(in)
+	l.enqueueLocked(in)
 	l.mu.Unlock()
 }
 
-func (l *Loop) put(in Input) {
+// enqueueLocked adds an input to the queue, and wakes Run if the queue was empty. The caller holds the lock.
+func (l *Loop) enqueueLocked(in Input) {
 	l.queue = append(l.queue, in)
 	if len(l.queue) == 1 {
 		select {
@@ -92,51 +99,53 @@
 	}
 }
 
-// Run runs rounds until Close.
+// Run runs rounds until Close is called.
 func (l *Loop) Run() {
 	defer close(l.done)
 	var batch []Input
-	sleep := time.NewTimer(time.Hour)
-	defer sleep.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
-		if at, ok := l.core.Next(); ok {
-			sleep.Reset(max(0, time.Duration(at-l.clock.Now())*time.Microsecond))
+		if at, ok := l.core.NextTimer(); ok {
+			timer.Reset(max(0, time.Duration(at-l.clock.Now())*time.Microsecond))
 		} else {
-			sleep.Reset(time.Hour)
+			timer.Reset(time.Hour)
 		}
 		select {
 		case <-l.wake:
-		case <-sleep.C:
+		case <-timer.C:
 		case <-l.quit:
 			return
 		}
 		l.mu.Lock()
 		batch, l.queue = l.queue, batch[:0]
-		l.submits = 0
+		l.queuedMessages = 0
 		l.mu.Unlock()
-		before := l.core.stats.ended()
-		start := clock.Start()
+		before := l.core.stats.finished()
+		start := clock.StartStopwatch()
 		l.core.Round(l.clock.Now(), batch)
-		old := l.round.Load()
-		l.round.Store(old + (int64(start.Elapsed())-old)/16)
+		mean := l.meanRound.Load()
+		l.meanRound.Store(mean + (int64(start.Elapsed())-mean)/16)
 		clear(batch)
 		s := l.core.Stats()
 		l.stats.Store(&s)
-		l.settle(int(s.ended() - before))
+		l.countFinished(int(s.finished() - before))
 	}
 }
 
-func (s Stats) ended() uint64 { return s.Served + s.Refused + s.Failed + s.Withdrawn }
+// finished returns the number of messages that have ended.
+func (s Stats) finished() uint64 { return s.Served + s.Refused + s.Failed + s.Withdrawn }
 
-func (l *Loop) settle(ended int) {
+// countFinished subtracts messages that ended from the open ones, and closes the drained channel when a stopping loop has none.
+func (l *Loop) countFinished(finished int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open -= ended
+	l.open -= finished
 	if l.stopping && l.open == 0 {
 		select {
-		case <-l.empty:
+		case <-l.drained:
 		default:
-			close(l.empty)
+			close(l.drained)
 		}
 	}
 }
@@ -144,25 +153,25 @@
 // Stats returns the counts after the last round.
 func (l *Loop) Stats() Stats { return *l.stats.Load() }
 
-// RoundTime is how long rounds take, as a decaying mean over some sixteen of them.
-func (l *Loop) RoundTime() time.Duration { return time.Duration(l.round.Load()) }
+// MeanRoundTime returns an exponentially weighted moving average of how long rounds take. A round has a weight of 1/16.
+func (l *Loop) MeanRoundTime() time.Duration { return time.Duration(l.meanRound.Load()) }
 
-// Stop takes no more messages; those taken have their answers within the time given. The channel is closed when
-// none is owed one any more.
+// Stop stops accepting messages. Messages that were accepted are answered within the given time. The returned channel is closed
+// when no message is without an answer.
 func (l *Loop) Stop(within time.Duration) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.stopping {
 		l.stopping = true
 		if l.open == 0 {
-			close(l.empty)
+			close(l.drained)
 		}
-		l.put(Input{Stop: max(1, control.Time(within/time.Microsecond))})
+		l.enqueueLocked(Input{StopWithin: max(1, control.Time(within/time.Microsecond))})
 	}
-	return l.empty
+	return l.drained
 }
 
-// Close ends Run at once.
+// Close stops Run without waiting for open messages, and returns after Run has returned.
 func (l *Loop) Close() {
 	close(l.quit)
 	<-l.done
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -38,10 +38,10 @@
 		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(body)))
 		return append(b, body...)
 	}
-	m := attempts[0].Msg
-	pairs := []string{"Host", host, "X-Txn", m.Name, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(m.Body))}
-	if m.Repeat != "" {
-		pairs = append(pairs, "Idempotency-Key", m.Repeat)
+	m := attempts[0].Message
+	pairs := []string{"Host", host, "X-Txn", m.ExternalID, "X-Remaining", remainingSeconds, "Content-Length", strconv.Itoa(len(m.Body))}
+	if m.IdempotencyKey != "" {
+		pairs = append(pairs, "Idempotency-Key", m.IdempotencyKey)
 	}
 	return append(h1.AppendHead(b, "POST /inbox HTTP/1.1", pairs...), m.Body...)
 }
@@ -50,20 +50,20 @@
 // for none) and its length in bytes, followed by its body and CRLF.
 func bulkBody(attempts []*engine.Attempt) (b []byte) {
 	for _, a := range attempts {
-		key := a.Msg.Repeat
+		key := a.Message.IdempotencyKey
 		if key == "" {
 			key = "-"
 		}
-		b = append(b, a.Msg.Name+" "+key+" "+strconv.Itoa(len(a.Msg.Body))+"\r\n"...)
-		b = append(append(b, a.Msg.Body...), "\r\n"...)
+		b = append(b, a.Message.ExternalID+" "+key+" "+strconv.Itoa(len(a.Message.Body))+"\r\n"...)
+		b = append(append(b, a.Message.Body...), "\r\n"...)
 	}
 	return b
 }
 
 // Assured implements outbound.Calls. A call with a single message is delivered once its status line says 200,
 // even if the rest of the response is malformed or missing.
-func (c CallCodec) Assured(attempts []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(attempts) == 1
+func (c CallCodec) Assured(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
+	return engine.Outcome{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(attempts) == 1
 }
 
 // bulkStatus maps the results that a bulk response names to the HTTP status that has the same meaning for a
@@ -72,12 +72,12 @@
 
 // Answer converts a response into one end for each attempt of the call. An attempt whose result is missing
 // from a bulk response, or whose bulk response cannot be parsed, ends as Malformed.
-func (c CallCodec) Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
-	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: parseRetryAfter(head.Fields), Report: c.parseLoadReport(head.Fields)}
+func (c CallCodec) Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome {
+	e := engine.Outcome{Kind: engine.Answered, Status: head.Status, RetryAfter: parseRetryAfter(head.Fields), LoadReport: c.parseLoadReport(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
-		e.Kind, e.Detail = engine.NoSlot, "503"
+		e.Kind, e.Detail = engine.NoFreeSlot, "503"
 	}
-	ends := make([]engine.End, len(attempts))
+	ends := make([]engine.Outcome, len(attempts))
 	for i := range ends {
 		ends[i] = e
 	}
@@ -86,8 +86,8 @@
 	}
 	statuses, ok := parseBulkEnds(body)
 	for i, a := range attempts {
-		if ends[i].Status = statuses[a.Msg.Name]; !ok || ends[i].Status == 0 {
-			ends[i] = engine.End{Kind: engine.Malformed, Wait: e.Wait, Detail: "the answer does not tell its end"}
+		if ends[i].Status = statuses[a.Message.ExternalID]; !ok || ends[i].Status == 0 {
+			ends[i] = engine.Outcome{Kind: engine.ProtocolError, RetryAfter: e.RetryAfter, Detail: "the answer does not tell its end"}
 		}
 	}
 	return ends
@@ -167,23 +167,23 @@
 
 // Classify returns what an end of an attempt means on the platform. Statuses 400, 410, 413, 429, 503 and 504
 // prove that the attempt was not executed.
-func Classify(e engine.End) engine.Verdict {
+func Classify(e engine.Outcome) engine.Classification {
 	if e.Kind != engine.Answered {
-		return engine.Judge(e, false)
+		return engine.Classify(e, false)
 	}
 	switch e.Status {
 	case 200:
-		return engine.Verdict{Result: control.OK, Ran: true, Final: true, Why: "200: delivered"}
+		return engine.Classification{Result: control.OK, PossiblyExecuted: true, Final: true, Reason: "200: delivered"}
 	case 429:
-		return engine.Verdict{Result: control.Full, Why: "429: turned away, it never ran"}
+		return engine.Classification{Result: control.Full, Reason: "429: turned away, it never ran"}
 	case 503:
-		return engine.Verdict{Result: control.Full, Why: "503: turned away, it never ran"}
+		return engine.Classification{Result: control.Full, Reason: "503: turned away, it never ran"}
 	case 504:
-		return engine.Verdict{Result: control.Moot, Why: "504: it has had all its attempts, this one never ran"}
+		return engine.Classification{Result: control.Moot, Reason: "504: it has had all its attempts, this one never ran"}
 	case 410:
-		return engine.Verdict{Result: control.Moot, Final: true, Why: "410: it is over"}
+		return engine.Classification{Result: control.Moot, Final: true, Reason: "410: it is over"}
 	case 400, 413:
-		return engine.Verdict{Result: control.Moot, Why: "the endpoint can't use the call: it never ran"}
+		return engine.Classification{Result: control.Moot, Reason: "the endpoint can't use the call: it never ran"}
 	}
-	return engine.Verdict{Result: control.Errored, Ran: true, Why: "error, it may have run"}
+	return engine.Classification{Result: control.Errored, PossiblyExecuted: true, Reason: "error, it may have run"}
 }
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -40,17 +40,17 @@
 	deadline control.Time
 }
 
-// Take implements engine.Ledger. It records an accepted message. If it is uncertain whether the record was
+// RecordAccept implements engine.Ledger. It records an accepted message. If it is uncertain whether the record was
 // written, the error is engine.ErrUncertain, unless the message can be executed again without harm.
-func (la *ledgerAdapter) Take(m *engine.Message, due control.Time) error {
-	e := &ledger.Entry{Name: m.Name, Class: la.settings.Classes[m.Class].Name, Dest: m.Dest, Due: la.clock.Instant(due), TakenAt: la.clock.Instant(m.Taken), Key: m.Repeat,
-		Order: m.Key, Body: m.Body}
+func (la *ledgerAdapter) RecordAccept(m *engine.Message, due control.Time) error {
+	e := &ledger.Entry{Name: m.ExternalID, Class: la.settings.Classes[m.Class].Name, Dest: m.Dest, Due: la.clock.ToInstant(due), TakenAt: la.clock.ToInstant(m.AcceptedAt), Key: m.IdempotencyKey,
+		Order: m.OrderKey, Body: m.Body}
 	if m.Tenant < len(la.settings.Tenants) {
 		e.Tenant = la.settings.Tenants[m.Tenant].Name
 	}
 	err := la.ledger.Take(e)
 	if errors.Is(err, recordfile.ErrUncertain) && !la.safeToRepeat(m) {
-		return fmt.Errorf("%w: %w", engine.ErrUncertain, err)
+		return fmt.Errorf("%w: %w", engine.ErrRecordUncertain, err)
 	}
 	return err
 }
@@ -65,29 +65,29 @@
 
 // Write implements outbound.Permits. It returns why an attempt must not be written now, or nil.
 func (la *ledgerAdapter) Write(now control.Time, a *engine.Attempt) error {
-	return la.guard.Write(now, a.Call())
+	return la.guard.Write(now, a.SafetyCall())
 }
 
 // TakenBack implements outbound.Permits. It records that a permitted attempt was not written after all.
 func (la *ledgerAdapter) TakenBack(a *engine.Attempt) {
-	la.guard.TakenBack(a.Call())
-	la.logFailure(la.ledger.TakeBack(a.Msg.Name))
+	la.guard.RevokeWrite(a.SafetyCall())
+	la.logFailure(la.ledger.TakeBack(a.Message.ExternalID))
 }
 
 // Record implements outbound.Permits. It records the attempts of a call before they are written. If that
 // fails, only messages that may be repeated freely are allowed; they need no record before they are sent.
 func (la *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
-	at, zone := la.clock.Instant(call[0].Sent), call[0].Place.Zone
+	at, zone := la.clock.ToInstant(call[0].StartedAt), call[0].Placement.Zone
 	err := la.ledger.Out(messageNames(call), at, zone, false)
 	if err == nil {
 		for _, a := range call {
-			la.verifyHistory(a.Msg)
+			la.verifyHistory(a.Message)
 		}
 		return call, nil
 	}
 	var allowed []*engine.Attempt
 	for _, a := range call {
-		if la.settings.Classes[a.Msg.Class].Effect == control.Free {
+		if la.settings.Classes[a.Message.Class].Effect == control.Free {
 			allowed = append(allowed, a)
 		}
 	}
@@ -102,41 +102,41 @@
 func messageNames(call []*engine.Attempt) []string {
 	names := make([]string, len(call))
 	for i, a := range call {
-		names[i] = a.Msg.Name
+		names[i] = a.Message.ExternalID
 	}
 	return names
 }
 
-// Back implements engine.Ledger. It records the end of an attempt whose message has not ended.
-func (la *ledgerAdapter) Back(a *engine.Attempt, e safety.End) {
-	la.logFailure(la.ledger.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
-	la.verifyHistory(a.Msg)
+// RecordAttemptEnd implements engine.Ledger. It records the end of an attempt whose message has not ended.
+func (la *ledgerAdapter) RecordAttemptEnd(a *engine.Attempt, e safety.AttemptResult) {
+	la.logFailure(la.ledger.Back(a.Message.ExternalID, e.PossiblyExecuted, e.NotCounted))
+	la.verifyHistory(a.Message)
 }
 
 // verifyHistory compares the recorded attempts of a message with what this process knows of them. It guards
 // against a record from which another process would conclude that a repeat is allowed.
 func (la *ledgerAdapter) verifyHistory(m *engine.Message) {
-	h, ok := la.ledger.History(m.Name)
+	h, ok := la.ledger.History(m.ExternalID)
 	if !ok {
 		return
 	}
-	if err := la.guard.Recorded(m.ID, h.Attempts, h.ExecutedAt > 0, la.clock.Time(h.ExecutedAt)); err != nil {
+	if err := la.guard.VerifyRecord(m.ID, h.Attempts, h.ExecutedAt > 0, la.clock.FromInstant(h.ExecutedAt)); err != nil {
 		la.reportFault(err.Error())
 	}
 }
 
-// Over implements engine.Ledger. It records the end of a message. A delivered or withdrawn message (a is nil
+// RecordFinish implements engine.Ledger. It records the end of a message. A delivered or withdrawn message (a is nil
 // for the latter) gets no notice, a refused one a deferred notice and a failed one an undeliverable notice.
-func (la *ledgerAdapter) Over(m *engine.Message, a *engine.Answer) {
-	if a == nil || a.Final == engine.Served {
-		la.logFailure(la.ledger.Over(m.Name))
+func (la *ledgerAdapter) RecordFinish(m *engine.Message, a *engine.Answer) {
+	if a == nil || a.Kind == engine.Served {
+		la.logFailure(la.ledger.Over(m.ExternalID))
 		return
 	}
-	n := ledger.Notice{Name: m.Name}
-	if a.Final == engine.Refused {
-		n.Deferred, n.Again = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
+	n := ledger.Notice{Name: m.ExternalID}
+	if a.Kind == engine.Refused {
+		n.Deferred, n.Again = true, int64((a.RetryAfter+control.Millisecond-1)/control.Millisecond)
 	}
-	la.recordEnd(n, m.Taken+m.Life)
+	la.recordEnd(n, m.AcceptedAt+m.Lifetime)
 }
 
 // recordEnd records the end of a message and then sends its notice. The notice must not precede the record: a
@@ -185,8 +185,8 @@
 	}
 }
 
-// Learn implements engine.Ledger. It records changed outages of listed endpoints, and outages that are over.
-func (la *ledgerAdapter) Learn(changed []control.Outage) {
+// RecordOutages implements engine.Ledger. It records changed outages of listed endpoints, and outages that are over.
+func (la *ledgerAdapter) RecordOutages(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
 		if o := &changed[i]; la.directory.IsListed(o.Endpoint) || o.Over() {
@@ -202,7 +202,7 @@
 		if t == 0 {
 			return 0
 		}
-		return la.clock.Instant(t)
+		return la.clock.ToInstant(t)
 	}
 	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
 		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
@@ -216,7 +216,7 @@
 			return 0
 		}
 		// Time 0 stands for none, so an instant that maps to 0 becomes -1.
-		if t := la.clock.Time(i); t != 0 {
+		if t := la.clock.FromInstant(i); t != 0 {
 			return t
 		}
 		return -1
@@ -249,11 +249,11 @@
 			undeliverable = append(undeliverable, e.Name)
 			continue
 		}
-		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, Key: e.Order, Name: e.Name, Repeat: e.Key, Body: e.Body,
-			Life: max(0, la.clock.Time(e.Due)-now), Came: now,
+		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, OrderKey: e.Order, ExternalID: e.Name, IdempotencyKey: e.Key, Body: e.Body,
+			Lifetime: max(0, la.clock.FromInstant(e.Due)-now), ReceivedAt: now,
 			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
 		if at, zone, ok := e.PossiblyExecuted(); ok {
-			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, la.clock.Time(at), zone
+			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.ExecutedZone = true, la.clock.FromInstant(at), zone
 		}
 		messages = append(messages, m)
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -132,7 +132,7 @@
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
 	budget := newDescriptorBudget(n.cfg.Limits.Sockets, set.Slots)
-	adapter := &ledgerAdapter{ledger: n.ledger, settings: set, clock: n.clock, guard: guard, directory: n.directory, log: n.warnLogger("ledger"), reportFault: n.Fault}
+	adapter := &ledgerAdapter{ledger: n.ledger, settings: set, clock: n.clock, guard: guard, directory: n.directory, log: n.warnLogger("ledger"), reportFault: n.InternalError}
 	if err := n.openPool(budget, adapter); err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 	adapter.notices = n.notices
 	settings := *set
 	settings.Follows = n.ledger.Follows()
-	policy := engine.Policy{Settings: settings, Ledger: adapter, Guard: guard, Judge: Classify, CallSize: maxBody}
+	policy := engine.Options{Settings: settings, Ledger: adapter, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = messageTrace{n.log, n.directory}
 	}
@@ -151,7 +151,7 @@
 	}
 	maxHeld := maxHeldFactor * set.MaxOpen
 	entries, notices := n.ledger.Owed()
-	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: maxHeld + len(entries), Hold: maxHeld + len(entries)})
+	n.loop = engine.NewLoop(core, n.clock, engine.Limits{MaxQueued: maxHeld + len(entries), MaxHeld: maxHeld + len(entries)})
 	n.notices.enqueue(notices...)
 	n.startDiscovery()
 	n.restoreOutages(adapter)
@@ -191,7 +191,7 @@
 		Trace:          n.debugLogger(), Permits: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
-	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
+	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
 	return retryTransient(n.warnLogger("node"), func() (err error) {
 		n.pool, err = outbound.New(cfg, calls, n.clock, report)
 		return err
@@ -261,7 +261,7 @@
 	for _, m := range messages {
 		m.Origin = discardOrigin{}
 		if err := n.loop.Submit(m); err != nil {
-			undeliverable = append(undeliverable, m.Name)
+			undeliverable = append(undeliverable, m.ExternalID)
 		}
 	}
 	for _, name := range undeliverable {
@@ -275,7 +275,7 @@
 	var unlisted []ledger.Outage
 	for _, o := range n.ledger.Outages() {
 		if e, ok := n.directory.Lookup(o.Host); ok {
-			n.loop.Put(engine.Input{Outage: adapter.toControlOutage(&o, e)})
+			n.loop.Enqueue(engine.Input{Outage: adapter.toControlOutage(&o, e)})
 		} else {
 			unlisted = append(unlisted, ledger.Outage{Host: o.Host})
 		}
@@ -289,8 +289,8 @@
 // and do not wait any more.
 type discardOrigin struct{}
 
-// Final implements engine.Origin.
-func (discardOrigin) Final(*engine.Message, engine.Answer) {}
+// Answer implements engine.Origin.
+func (discardOrigin) Answer(*engine.Message, engine.Answer) {}
 
 // receiveList handles a list or changes from discovery.
 func (n *Node) receiveList(l EndpointList) {
@@ -311,7 +311,7 @@
 	for _, err := range faults {
 		n.log.Warn("discovery", "%v", err)
 	}
-	n.loop.Put(engine.Input{List: &engine.List{Kind: kind, Entries: entries}})
+	n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: kind, Entries: entries}})
 	if len(l.Hosts) > 0 || kind == control.ListFull {
 		n.hasList.Store(true)
 	}
@@ -329,14 +329,14 @@
 
 // sendCurrent passes an empty change to the engine.
 func (l listSource) sendCurrent() {
-	l.node.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
+	l.node.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: control.ListDelta}})
 }
 
-// Note implements engine.Log.
-func (n *Node) Note(text string) { n.log.Info("module", "%s", text) }
+// Info implements engine.Log.
+func (n *Node) Info(text string) { n.log.Info("module", "%s", text) }
 
-// Fault implements engine.Log.
-func (n *Node) Fault(text string) { n.log.Error("engine", "%s", text) }
+// InternalError implements engine.Log.
+func (n *Node) InternalError(text string) { n.log.Error("engine", "%s", text) }
 
 // Addr returns the address that clients connect to.
 func (n *Node) Addr() net.Addr { return n.front.Addr() }
@@ -357,12 +357,12 @@
 	n.log.Info("node", "stopping")
 	n.clients.stopping.Store(true)
 	n.front.GoAway()
-	n.loop.Put(engine.Input{Stop: drainTimeout, Kept: true})
+	n.loop.Enqueue(engine.Input{StopWithin: drainTimeout, KeepMessages: true})
 	start := n.elapsed()
 	for {
 		st := n.loop.Stats()
 		elapsed := n.elapsed() - start
-		idle := st.Out == 0 && n.notices.waiting() == 0
+		idle := st.InFlight == 0 && n.notices.waiting() == 0
 		// The dispatcher stays for drainTimeout even if nothing is left to do. A client that is told when to
 		// retry fares better than one that cannot connect.
 		if elapsed > stopTimeout || idle && elapsed > time.Duration(drainTimeout)*time.Microsecond {
@@ -380,7 +380,7 @@
 	cancel()
 	n.end()
 	st := n.loop.Stats()
-	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Taken,
+	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Accepted,
 		st.Served, st.Refused, st.Failed, st.Open, st.Violations)
 }
 
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -135,22 +135,22 @@
 type submitResult struct {
 	request *pendingRequest
 	// final is how the message ended, Served if it was accepted.
-	final engine.Final
+	final engine.AnswerKind
 	// retryAfter is the wait that a refused sender is told.
 	retryAfter control.Time
 }
 
-// Taken implements engine.Taker.
-func (r *pendingRequest) Taken(*engine.Message) {
+// Accepted implements engine.Taker.
+func (r *pendingRequest) Accepted(*engine.Message) {
 	r.accepted = true
 	r.session.deliver(submitResult{request: r, final: engine.Served})
 }
 
-// Final implements engine.Origin. The end of an accepted message is reported by the ledgerAdapter
+// Answer implements engine.Origin. The end of an accepted message is reported by the ledgerAdapter
 // instead.
-func (r *pendingRequest) Final(_ *engine.Message, answer engine.Answer) {
+func (r *pendingRequest) Answer(_ *engine.Message, answer engine.Answer) {
 	if !r.accepted {
-		r.session.deliver(submitResult{r, answer.Final, answer.Wait})
+		r.session.deliver(submitResult{r, answer.Kind, answer.RetryAfter})
 	}
 }
 
@@ -294,7 +294,7 @@
 			s.reject(now, status)
 			return
 		}
-		s.lastID = m.Name
+		s.lastID = m.ExternalID
 		s.submit(now, m, head.Close)
 		return
 	}
@@ -368,8 +368,8 @@
 	if !ok {
 		return nil, bad
 	}
-	return &engine.Message{Class: class, Tenant: tenant, Dest: dest, Key: orderKey, Name: values[0], Repeat: values[5],
-		Life: control.Time(min(remaining, maxSeconds) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
+	return &engine.Message{Class: class, Tenant: tenant, Dest: dest, OrderKey: orderKey, ExternalID: values[0], IdempotencyKey: values[5],
+		Lifetime: control.Time(min(remaining, maxSeconds) * float64(control.Second)), ReceivedAt: control.Time(now / time.Microsecond), Body: body}, ""
 }
 
 // isClassPath reports whether class is the first segment of a request path.
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -37,7 +37,7 @@
 // has passed. If the process ended on a transient error instead, it would be restarted and meet the same
 // error.
 func retryTransient(log func(string, ...any), op func() error) error {
-	stopwatch := clock.Start()
+	stopwatch := clock.StartStopwatch()
 	backoff := retryBackoffMin
 	for {
 		err := op()
@@ -73,7 +73,7 @@
 
 // ledgerNow returns the present time in the form of the ledger.
 func ledgerNow(c *clock.Process) ledger.Moment {
-	return ledger.Moment{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
+	return ledger.Moment{Boot: c.BootID(), At: c.ToInstant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
 // maintainStorage repairs the ledger and the list cache whenever they fail, until the node ends. Attempts
@@ -100,7 +100,7 @@
 		err := errors.Join(n.ledger.Repair(), n.listCache.repair())
 		if failed && !n.ledger.Failing() {
 			adapter.sendRecorded()
-			n.loop.Put(engine.Input{Recorded: true})
+			n.loop.Enqueue(engine.Input{LedgerWritable: true})
 			n.log.Info("ledger", "it is written again")
 			failed = false
 		}
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -27,7 +27,7 @@
 // awaitLogLine waits until the log contains a text.
 func (d *testDispatcher) awaitLogLine(text string) {
 	d.t.Helper()
-	for watch := clock.Start(); !strings.Contains(d.logText(), text); time.Sleep(time.Millisecond) {
+	for watch := clock.StartStopwatch(); !strings.Contains(d.logText(), text); time.Sleep(time.Millisecond) {
 		if watch.Elapsed() > 10*time.Second {
 			d.t.Fatalf("the log does not say %q: %s", text, d.logText())
 		}
@@ -139,7 +139,7 @@
 
 // submitFor submits messages of all classes for a while and returns the ids of the accepted ones.
 func (d *testDispatcher) submitFor(prefix string, span time.Duration) (names []string) {
-	watch := clock.Start()
+	watch := clock.StartStopwatch()
 	for i := 0; watch.Elapsed() < span; i++ {
 		c := []string{"status", "sync", "upload", "turns"}[i%4]
 		m := newMessage(fmt.Sprintf("%s-%s-%d", prefix, c, i), c, 1+i%2)
@@ -192,7 +192,7 @@
 	d.awaitEnds(d.submitAll("before", 3, 1, "status"))
 	a.Close()
 	names := d.submitAll("x", 20, 1, "status")
-	for watch := clock.Start(); len(d.node.ledger.Outages()) == 0; time.Sleep(time.Millisecond) {
+	for watch := clock.StartStopwatch(); len(d.node.ledger.Outages()) == 0; time.Sleep(time.Millisecond) {
 		if watch.Elapsed() > 5*time.Second {
 			t.Fatal("the outage is not on record")
 		}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -19,37 +19,39 @@
 func (t messageTrace) Accepted(m *engine.Message) {
 	r := &m.Recovered
 	if !r.Restored {
-		t.log.Debug("trace", "%s accepted: class %d, dest %d, life %d ms", m.Name, m.Class, m.Dest, m.Life/control.Millisecond)
+		t.log.Debug("trace", "%s accepted: class %d, dest %d, life %d ms", m.ExternalID, m.Class, m.Dest, m.Lifetime/control.Millisecond)
 		return
 	}
 	executed := "surely not executed"
 	if r.PossiblyExecuted {
-		executed = fmt.Sprintf("possibly executed %d ms ago in zone %d", (m.Taken-r.ExecutedAt)/control.Millisecond, r.Zone)
+		executed = fmt.Sprintf("possibly executed %d ms ago in zone %d", (m.AcceptedAt-r.ExecutedAt)/control.Millisecond, r.ExecutedZone)
 	}
-	t.log.Debug("trace", "%s restored: class %d, dest %d, life %d ms, %d attempts, %s", m.Name, m.Class, m.Dest, m.Life/control.Millisecond,
+	t.log.Debug("trace", "%s restored: class %d, dest %d, life %d ms, %d attempts, %s", m.ExternalID, m.Class, m.Dest, m.Lifetime/control.Millisecond,
 		r.Attempts, executed)
 }
 
-// Started logs the start of an attempt.
-func (t messageTrace) Started(a *engine.Attempt) {
-	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Msg.Name, a.N, t.directory.HostName(a.Endpoint), (a.Begin-a.Sent)/control.Millisecond)
+// AttemptStarted logs the start of an attempt.
+func (t messageTrace) AttemptStarted(a *engine.Attempt) {
+	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Message.ExternalID, a.Number, t.directory.HostName(a.Endpoint), (a.WriteBefore-a.StartedAt)/control.Millisecond)
 }
 
-// Ended logs the end of an attempt. after tells that the message already had its final answer.
-func (t messageTrace) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
-	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Msg.Name, a.N, t.directory.HostName(a.Endpoint), v.Why, e.Detail,
-		e.Wait/control.Millisecond, after)
+// AttemptEnded logs the end of an attempt. after tells that the message already had its final answer.
+func (t messageTrace) AttemptEnded(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
+	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Message.ExternalID, a.Number, t.directory.HostName(a.Endpoint), v.Reason, e.Detail,
+		e.RetryAfter/control.Millisecond, after)
 }
 
 // Withdrawn logs that a message was withdrawn by its sender.
-func (t messageTrace) Withdrawn(m *engine.Message) { t.log.Debug("trace", "%s withdrawn", m.Name) }
+func (t messageTrace) Withdrawn(m *engine.Message) {
+	t.log.Debug("trace", "%s withdrawn", m.ExternalID)
+}
 
 // Answered logs the final answer of a message.
 func (t messageTrace) Answered(m *engine.Message, a *engine.Answer) {
-	t.log.Debug("trace", "%s class %d dest %d is %v after %d attempts: %s; %s", m.Name, m.Class, m.Dest, a.Final, a.Tries, a.Reason, a.Why)
+	t.log.Debug("trace", "%s class %d dest %d is %v after %d attempts: %s; %s", m.ExternalID, m.Class, m.Dest, a.Kind, a.Attempts, a.Reason, a.AttemptDetail)
 }
 
-// Learned logs a change of an endpoint in the list.
-func (t messageTrace) Learned(e *control.Entry) {
+// EndpointChanged logs a change of an endpoint in the list.
+func (t messageTrace) EndpointChanged(e *control.Entry) {
 	t.log.Debug("trace", "%s of dest %d listed, health %d", t.directory.HostName(e.Endpoint), e.Dest, e.Health)
 }
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -1,12 +1,13 @@
-// Package safety is the one place that permits what can't be taken back: that a call is made and written, and that a message is
-// handed back as harmless. It keeps the facts that the rules rest on apart from the decision module, from what the engine
-// learns, and is asked twice for each call: when the module decides it (Plan), and again in the moment in which its bytes are
-// put on a connection (Write), as much may have happened in between.
+// Package safety authorizes the operations that cannot be undone: making a call, writing it to a connection, and refusing a
+// message, which tells its sender that submitting it again is harmless. It keeps the facts that its rules need separately from
+// the decision module, and gets them from the engine. Each call is checked twice: when the module decides it (AuthorizeCall),
+// and again immediately before its bytes are put on a connection (Write), because the facts may have changed in between.
 //
-// A refusal of Plan or of Refuse means that the module and these facts differ: that is a defect, it is counted and reported,
-// and the call is not made. A refusal of Write is a crossing: the call is taken back unsent.
+// An error of AuthorizeCall or AuthorizeRefusal means that the module's state and these facts disagree. This is a defect. It is
+// counted and reported, and the operation is not performed. An error of Write is not a defect but a race: an event overtook the
+// call, which is then withdrawn unsent.
 //
-// The package does no input or output and reads no clock. A Guard may be used from any goroutine.
+// The package performs no I/O and reads no clock. A Guard is safe for concurrent use.
 package safety
 
 import (
@@ -18,310 +19,380 @@
 	"whinrun/control"
 )
 
-// Reasons why something is not permitted.
+// Reasons why an operation is not authorized.
 var (
-	ErrUnknown  = errors.New("the message is not known")
-	ErrEnded    = errors.New("the message has its final answer")
-	ErrOut      = errors.New("another attempt of the message is out")
-	ErrAttempts = errors.New("all attempts allowed are made")
-	ErrTimeOver = errors.New("the message's time is over")
-	ErrExecuted = errors.New("it may have been executed, and its class does not allow a repeat")
-	ErrWindow   = errors.New("it may have been executed, and its window for repeats is over")
-	ErrZone     = errors.New("it may have been executed in another zone, where alone repeats are dropped")
-	ErrDrained  = errors.New("the endpoint drains or is gone")
-	ErrWait     = errors.New("a told wait is not over")
-	ErrOrder    = errors.New("an earlier message of the same key is unfinished")
-	ErrRest     = errors.New("the key rests: what became of an earlier message is not known")
-	ErrRecord   = errors.New("the record says otherwise what became of its attempts")
-	ErrWritten  = errors.New("it was written")
-	ErrRepeated = errors.New("handing it in again could execute it twice")
+	// ErrUnknownMessage means that the message was not accepted, or has been removed after its end. For the end of an attempt it
+	// also means that the attempt is not in flight.
+	ErrUnknownMessage = errors.New("the message is not known")
+
+	// ErrMessageFinished means that the message has its final answer or was withdrawn.
+	ErrMessageFinished = errors.New("the message has its final answer")
+
+	// ErrAttemptInFlight means that another attempt of the message is in flight.
+	ErrAttemptInFlight = errors.New("another attempt of the message is out")
+
+	// ErrAttemptsExhausted means that the message has reached the maximum number of attempts.
+	ErrAttemptsExhausted = errors.New("all attempts allowed are made")
+
+	// ErrDeadlineExceeded means that the message's deadline has been reached.
+	ErrDeadlineExceeded = errors.New("the message's time is over")
+
+	// ErrPossiblyExecuted means that a message of a class that allows no repeats may have been executed.
+	ErrPossiblyExecuted = errors.New("it may have been executed, and its class does not allow a repeat")
+
+	// ErrWindowExpired means that a message may have been executed, and that the partner's deduplication window ends too soon
+	// for a repeat.
+	ErrWindowExpired = errors.New("it may have been executed, and its window for repeats is over")
+
+	// ErrOtherZone means that a message may have been executed in one zone, and that other zones would not deduplicate it.
+	ErrOtherZone = errors.New("it may have been executed in another zone, where alone repeats are dropped")
+
+	// ErrEndpointWithdrawn means that the endpoint is draining or gone.
+	ErrEndpointWithdrawn = errors.New("the endpoint drains or is gone")
+
+	// ErrRetryAfterPending means that the destination or the endpoint asked to wait, and that the wait is not over.
+	ErrRetryAfterPending = errors.New("a told wait is not over")
+
+	// ErrOutOfOrder means that an earlier message of the same order key is not finished.
+	ErrOutOfOrder = errors.New("an earlier message of the same key is unfinished")
+
+	// ErrKeyBlocked means that an earlier attempt of the same order key may still be executing.
+	ErrKeyBlocked = errors.New("the key rests: what became of an earlier message is not known")
+
+	// ErrRecordMismatch means that the ledger's record of a message disagrees with the guard's facts.
+	ErrRecordMismatch = errors.New("the record says otherwise what became of its attempts")
+
+	// ErrAlreadyWritten means that an attempt was reported as unsent although it was written.
+	ErrAlreadyWritten = errors.New("it was written")
+
+	// ErrUnsafeRepeat means that the message cannot be refused, because submitting it again could execute it twice.
+	ErrUnsafeRepeat = errors.New("handing it in again could execute it twice")
 )
 
-// Message is what counts of a message when it is accepted.
+// Message holds the properties of an accepted message that the rules depend on.
 type Message struct {
-	ID               control.MessageID
-	Class            int
-	Key              uint64       // order key, 0 for none
-	Due              control.Time // its time is over then
-	Attempts         int          // made by processes before this one
-	PossiblyExecuted bool         // by one of them, which began ...
-	ExecutedAt       control.Time // ... then ...
-	Zone             int          // ... to this zone
+	ID       control.MessageID
+	Class    int
+	OrderKey uint64       // Zero if the message has no order key.
+	Deadline control.Time // No call is made at this time or later.
+
+	// Attempts is the number of attempts that earlier processes made.
+	Attempts int
+
+	// PossiblyExecuted is set if one of these attempts may have been executed.
+	PossiblyExecuted bool
+
+	// ExecutedAt is when the first possibly executed attempt began.
+	ExecutedAt control.Time
+
+	// ExecutedZone is the zone that this attempt went to.
+	ExecutedZone int
 }
 
-// Call is one attempt.
+// Call identifies one attempt and where it goes.
 type Call struct {
 	Message  control.MessageID
-	Attempt  int // 0 is the first
+	Attempt  int // The first attempt has number zero.
 	Endpoint control.Endpoint
 	Dest     int
 	Zone     int
-	Apart    bool // limits and waits are of the endpoint, and not of the destination
+
+	// PerEndpointLimits is set if limits and waits apply to the endpoint and not to the whole destination.
+	PerEndpointLimits bool
 }
 
-// Violation is something that the rules forbid and that was about to happen. It was prevented.
+// Violation is the error for an operation that the rules forbid. The operation was prevented.
 type Violation struct {
 	Message control.MessageID
-	Action  string
-	Cause   error
+	Action  string // The operation, for use in the error text.
+	Cause   error  // One of the reasons of this package.
 }
 
 func (v *Violation) Error() string {
 	return fmt.Sprintf("safety: %s of message %d: %v", v.Action, v.Message, v.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the reason why the operation is not authorized.
 func (v *Violation) Unwrap() error { return v.Cause }
 
-// Guard keeps the facts.
+// Guard keeps the facts about messages, endpoints, waits and order keys, and authorizes operations by them.
 type Guard struct {
 	settings control.Settings
 
-	mu         sync.Mutex
-	messages   map[control.MessageID]*message
-	withdrawn  map[control.Endpoint]control.Time // draining or gone, and since when
-	destWaits  map[int]control.Time              // until when destinations told to wait
-	routeWaits map[control.Endpoint]control.Time // the same of endpoints with limits of their own
-	keys       map[uint64][]*message             // unfinished messages of a key, in the order of their acceptance
-	rests      map[uint64]control.Time           // until when keys rest
+	mu       sync.Mutex
+	messages map[control.MessageID]*message
+
+	// withdrawnSince holds when each endpoint that is draining or gone became so.
+	withdrawnSince map[control.Endpoint]control.Time
+
+	// destRetryAfter holds until when each destination asked to wait.
+	destRetryAfter map[int]control.Time
+
+	// endpointRetryAfter holds until when each endpoint that has its own limits asked to wait.
+	endpointRetryAfter map[control.Endpoint]control.Time
+
+	// keyQueues holds the unfinished messages of each order key, in the order of their acceptance.
+	keyQueues map[uint64][]*message
+
+	// blockedKeys holds until when no first attempt is made for an order key, because an earlier attempt may still be executing.
+	blockedKeys map[uint64]control.Time
+
 	violations uint64
 }
 
-// message is what is known of one.
+// message is the state of one message.
 type message struct {
 	Message
-	class   *control.Class
-	out     int  // attempt that is out, -1 for none
-	written bool // the attempt that is out may have been written
-	ended   bool
+	class    *control.Class
+	inFlight int  // The number of the attempt in flight, or noAttempt.
+	written  bool // The attempt in flight may have been written.
+	finished bool
 }
 
+// noAttempt is the value of message.inFlight while no attempt is in flight.
 const noAttempt = -1
 
-// NewGuard makes a Guard for settings.
+// NewGuard returns a Guard for the module's settings.
 func NewGuard(s control.Settings) *Guard {
-	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawn: map[control.Endpoint]control.Time{},
-		destWaits: map[int]control.Time{}, routeWaits: map[control.Endpoint]control.Time{}, keys: map[uint64][]*message{}, rests: map[uint64]control.Time{}}
+	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.Endpoint]control.Time{},
+		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.Endpoint]control.Time{}, keyQueues: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
 }
 
-// Violations counts what was prevented.
+// Violations returns the number of violations that were prevented since the guard was created.
 func (g *Guard) Violations() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.violations
 }
 
-// Accept takes a message on.
+// Accept adds a message that the dispatcher has accepted.
 func (g *Guard) Accept(m Message) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	x := &message{Message: m, class: &g.settings.Classes[m.Class], out: noAttempt}
+	x := &message{Message: m, class: &g.settings.Classes[m.Class], inFlight: noAttempt}
 	g.messages[m.ID] = x
-	if x.class.InOrder && m.Key != 0 {
-		g.keys[m.Key] = append(g.keys[m.Key], x)
+	if x.class.InOrder && m.OrderKey != 0 {
+		g.keyQueues[m.OrderKey] = append(g.keyQueues[m.OrderKey], x)
 	}
 }
 
-// Plan permits a call that the module has decided, and counts it as out. An error is a *Violation.
-func (g *Guard) Plan(now control.Time, c Call) error {
+// AuthorizeCall authorizes a call that the module has decided, and counts it as in flight. An error is a *Violation.
+func (g *Guard) AuthorizeCall(now control.Time, c Call) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
-	err := g.mayCall(now, m, c)
-	if err == nil && m.out != noAttempt {
-		err = ErrOut
+	err := g.checkCall(now, m, c)
+	if err == nil && m.inFlight != noAttempt {
+		err = ErrAttemptInFlight
 	}
 	if err == nil && m.Attempts >= g.settings.MaxTries {
-		err = ErrAttempts
+		err = ErrAttemptsExhausted
 	}
 	if err != nil {
-		return g.violated("call", c.Message, err)
+		return g.recordViolation("call", c.Message, err)
 	}
 	m.Attempts++
-	m.out, m.written = c.Attempt, false
+	m.inFlight, m.written = c.Attempt, false
 	return nil
 }
 
-// Write permits that a planned call is put on a connection now. From here on it may be executed.
+// Write authorizes that an authorized call is put on a connection now. From this moment the call counts as written, and so
+// may be executed. An error is one of the reasons of this package and not a *Violation.
 func (g *Guard) Write(now control.Time, c Call) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
-	if err := g.mayCall(now, m, c); err != nil {
+	if err := g.checkCall(now, m, c); err != nil {
 		return err
 	}
-	if m.out != c.Attempt {
-		return ErrOut
+	if m.inFlight != c.Attempt {
+		return ErrAttemptInFlight
 	}
 	m.written = true
 	return nil
 }
 
-// TakenBack tells that a call which Write permitted was not written after all: its connection had no room for it.
-func (g *Guard) TakenBack(c Call) {
+// RevokeWrite records that a call that Write authorized was not written, because its connection had no room for it.
+func (g *Guard) RevokeWrite(c Call) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if m := g.messages[c.Message]; m != nil && m.out == c.Attempt {
+	if m := g.messages[c.Message]; m != nil && m.inFlight == c.Attempt {
 		m.written = false
 	}
 }
 
-// mayCall tells why a call must not be made now, whoever asks; it is called with the lock held.
-func (g *Guard) mayCall(now control.Time, m *message, c Call) error {
+// checkCall returns the reason why a call must not be made now, or nil. It holds the checks that AuthorizeCall and Write have
+// in common. The caller holds the lock.
+func (g *Guard) checkCall(now control.Time, m *message, c Call) error {
 	if m == nil {
-		return ErrUnknown
+		return ErrUnknownMessage
 	}
 	switch {
-	case m.ended:
-		return ErrEnded
-	case now >= m.Due:
-		return ErrTimeOver
-	case g.drained(c.Endpoint):
-		return ErrDrained
-	case now < g.waitsUntil(c):
-		return ErrWait
+	case m.finished:
+		return ErrMessageFinished
+	case now >= m.Deadline:
+		return ErrDeadlineExceeded
+	case g.isWithdrawn(c.Endpoint):
+		return ErrEndpointWithdrawn
+	case now < g.retryAfter(c):
+		return ErrRetryAfterPending
 	case !g.isFirst(m):
-		return ErrOrder
-	case m.Attempts == 0 && now < g.rests[m.Key]:
-		return ErrRest
+		return ErrOutOfOrder
+	case m.Attempts == 0 && now < g.blockedKeys[m.OrderKey]:
+		return ErrKeyBlocked
 	}
-	return m.mayRepeat(now, c.Zone)
+	return m.checkRepeat(now, c.Zone)
 }
 
-// mayRepeat tells why a message that may have been executed must not be called again.
-func (m *message) mayRepeat(now control.Time, zone int) error {
+// checkRepeat returns the reason why a message that may have been executed must not be sent again, or nil. A repeat must be sent
+// control.StallMargin before the deduplication window ends, because the caller may be delayed after reading its clock.
+func (m *message) checkRepeat(now control.Time, zone int) error {
 	switch {
 	case !m.PossiblyExecuted || m.class.Effect == control.Free:
 		return nil
 	case m.class.Effect == control.SingleShot:
-		return ErrExecuted
+		return ErrPossiblyExecuted
 	case now+control.StallMargin > m.ExecutedAt+m.class.Window:
-		return ErrWindow
-	case m.class.ZoneGroup && zone != m.Zone:
-		return ErrZone
+		return ErrWindowExpired
+	case m.class.ZoneGroup && zone != m.ExecutedZone:
+		return ErrOtherZone
 	}
 	return nil
 }
 
-func (g *Guard) drained(e control.Endpoint) bool {
-	_, ok := g.withdrawn[e]
+// isWithdrawn reports whether an endpoint is draining or gone.
+func (g *Guard) isWithdrawn(e control.Endpoint) bool {
+	_, ok := g.withdrawnSince[e]
 	return ok
 }
 
-func (g *Guard) waitsUntil(c Call) control.Time {
-	if c.Apart {
-		return g.routeWaits[c.Endpoint]
+// retryAfter returns until when the endpoint or the destination of a call asked to wait.
+func (g *Guard) retryAfter(c Call) control.Time {
+	if c.PerEndpointLimits {
+		return g.endpointRetryAfter[c.Endpoint]
 	}
-	return g.destWaits[c.Dest]
+	return g.destRetryAfter[c.Dest]
 }
 
-// isFirst tells whether no earlier message of the same key is unfinished.
+// isFirst reports whether no earlier message of the same order key is unfinished. It is true for messages without order.
 func (g *Guard) isFirst(m *message) bool {
-	queue := g.keys[m.Key]
-	return !m.class.InOrder || m.Key == 0 || len(queue) > 0 && queue[0] == m
+	queue := g.keyQueues[m.OrderKey]
+	return !m.class.InOrder || m.OrderKey == 0 || len(queue) > 0 && queue[0] == m
 }
 
-// End is what the end of a call proved.
-type End struct {
-	PossiblyExecuted bool // it may have been executed
-	Unsent           bool // this side says that nothing of it was written
-	NoAttempt        bool // and it does not count as an attempt
-	Unheard          bool // the peer said nothing of its end: it may be executed yet
+// AttemptResult is what the end of an attempt proves.
+type AttemptResult struct {
+	// PossiblyExecuted is set if the attempt may have been executed.
+	PossiblyExecuted bool
+
+	// Unsent is set if this side claims that nothing of the attempt was written.
+	Unsent bool
+
+	// NotCounted is set if the attempt does not count towards the limit of attempts.
+	NotCounted bool
+
+	// Unconfirmed is set if the peer did not report the end of the attempt, which may still be executing.
+	Unconfirmed bool
 }
 
-// Ended takes the end of a call that began at a moment. An error is a *Violation: the end claims that nothing was sent of a
-// call that was written, and the message counts as possibly executed all the same.
-func (g *Guard) Ended(now control.Time, c Call, began control.Time, e End) error {
+// FinishAttempt records the end of a call that began at the given time. An error is a *Violation: either the attempt is not
+// known to be in flight, or the result claims that nothing was sent of a call that was written. In the second case the message
+// counts as possibly executed.
+func (g *Guard) FinishAttempt(now control.Time, c Call, began control.Time, result AttemptResult) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[c.Message]
-	if m == nil || m.out != c.Attempt {
-		return g.violated("end of an attempt", c.Message, ErrUnknown)
+	if m == nil || m.inFlight != c.Attempt {
+		return g.recordViolation("end of an attempt", c.Message, ErrUnknownMessage)
 	}
-	m.out = noAttempt
+	m.inFlight = noAttempt
 	var err error
-	if e.Unsent && m.written {
-		err = g.violated("end as unsent", c.Message, ErrWritten)
+	if result.Unsent && m.written {
+		err = g.recordViolation("end as unsent", c.Message, ErrAlreadyWritten)
 	}
-	if e.NoAttempt && err == nil {
+	if result.NotCounted && err == nil {
 		m.Attempts--
 	}
-	if (e.PossiblyExecuted || err != nil) && !m.PossiblyExecuted {
-		m.PossiblyExecuted, m.ExecutedAt, m.Zone = true, began, c.Zone
+	if (result.PossiblyExecuted || err != nil) && !m.PossiblyExecuted {
+		m.PossiblyExecuted, m.ExecutedAt, m.ExecutedZone = true, began, c.Zone
 	}
-	if e.Unheard && m.class.InOrder && m.Key != 0 {
-		g.rests[m.Key] = now + g.settings.SettleAfterDoubt
+	if result.Unconfirmed && m.class.InOrder && m.OrderKey != 0 {
+		g.blockedKeys[m.OrderKey] = now + g.settings.SettleAfterDoubt
 	}
-	g.forget(m)
+	g.removeIfDone(m)
 	return err
 }
 
-// Execution tells since when a message may have been executed, and where; ok is false where it surely was not.
-func (g *Guard) Execution(id control.MessageID) (at control.Time, zone int, ok bool) {
+// FirstExecution returns when the first attempt that may have been executed began, and its zone. ok is false if no attempt has
+// ended as possibly executed, or if the message is unknown.
+func (g *Guard) FirstExecution(id control.MessageID) (at control.Time, zone int, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[id]
 	if m == nil || !m.PossiblyExecuted {
 		return 0, 0, false
 	}
-	return m.ExecutedAt, m.Zone, true
+	return m.ExecutedAt, m.ExecutedZone, true
 }
 
-// Refuse permits that a message is handed back as harmless. An error is a *Violation: it must be failed instead.
-func (g *Guard) Refuse(id control.MessageID) error {
+// AuthorizeRefusal authorizes that a message is refused, which tells its sender that submitting it again is harmless. An error
+// is a *Violation, and the message must be failed instead.
+func (g *Guard) AuthorizeRefusal(id control.MessageID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[id]
 	switch {
 	case m == nil:
-		return g.violated("refusal", id, ErrUnknown)
-	case m.ended:
-		return g.violated("refusal", id, ErrEnded)
-	case m.mayBeHandedInAgain():
+		return g.recordViolation("refusal", id, ErrUnknownMessage)
+	case m.finished:
+		return g.recordViolation("refusal", id, ErrMessageFinished)
+	case m.resubmissionIsHarmless():
 		return nil
 	}
-	return g.violated("refusal", id, ErrRepeated)
+	return g.recordViolation("refusal", id, ErrUnsafeRepeat)
 }
 
-// mayBeHandedInAgain tells whether executing a message again does no harm: its sender may bring it at any time, to any
-// dispatcher, by its own clock.
-func (m *message) mayBeHandedInAgain() bool {
-	maybe := m.PossiblyExecuted || m.out != noAttempt && m.written
-	return !maybe || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
+// resubmissionIsHarmless reports whether the sender may submit the message again. The sender may do so at any time and to any
+// dispatcher. If the message may have been executed, this is harmless if repeats have no effect, or if the partner deduplicates
+// the message in all zones. It is not harmless if deduplication is limited to the zone of the first execution.
+func (m *message) resubmissionIsHarmless() bool {
+	possiblyExecuted := m.PossiblyExecuted || m.inFlight != noAttempt && m.written
+	return !possiblyExecuted || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
 }
 
-// Recorded checks that the record which another process would go by says the same of a message as this one knows: when it may
-// first have been executed, 0 for never. It is to be asked behind each change of the record. An error is a *Violation.
-func (g *Guard) Recorded(id control.MessageID, attempts int, executed bool, executedAt control.Time) error {
+// VerifyRecord checks that the record of a message, which a later process would rely on, agrees with the facts kept here.
+// executedAt is the time at which the message may first have been executed; it counts only if executed is set. It must be
+// called after each change of the record. An error is a *Violation. There is no error for a message that is not known any more.
+func (g *Guard) VerifyRecord(id control.MessageID, attempts int, executed bool, executedAt control.Time) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.messages[id]
 	if m == nil {
-		return nil // it ended meanwhile
+		return nil // The message has ended meanwhile.
 	}
 	if attempts != m.Attempts || executed != m.PossiblyExecuted || executed && executedAt != m.ExecutedAt {
-		return g.violated("record", id, ErrRecord)
+		return g.recordViolation("record", id, ErrRecordMismatch)
 	}
 	return nil
 }
 
-// Finish ends a message: nothing is sent for it any more.
-func (g *Guard) Finish(id control.MessageID) {
+// FinishMessage marks a message as finished. No further call is authorized for it.
+func (g *Guard) FinishMessage(id control.MessageID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if m := g.messages[id]; m != nil {
-		m.ended = true
-		g.forget(m)
+		m.finished = true
+		g.removeIfDone(m)
 	}
 }
 
-// forget drops a message that has ended and has nothing out; it is called with the lock held.
-func (g *Guard) forget(m *message) {
-	if !m.ended || m.out != noAttempt {
+// removeIfDone removes a message that is finished and has no attempt in flight. The caller holds the lock.
+func (g *Guard) removeIfDone(m *message) {
+	if !m.finished || m.inFlight != noAttempt {
 		return
 	}
 	delete(g.messages, m.ID)
-	queue := g.keys[m.Key]
+	queue := g.keyQueues[m.OrderKey]
 	for i, o := range queue {
 		if o == m {
 			queue = append(queue[:i:i], queue[i+1:]...)
@@ -329,54 +400,58 @@
 		}
 	}
 	if len(queue) == 0 {
-		delete(g.keys, m.Key)
-	} else if m.Key != 0 && m.class.InOrder {
-		g.keys[m.Key] = queue
+		delete(g.keyQueues, m.OrderKey)
+	} else if m.OrderKey != 0 && m.class.InOrder {
+		g.keyQueues[m.OrderKey] = queue
 	}
 }
 
-// Listed takes what the endpoint list says of an endpoint.
-func (g *Guard) Listed(now control.Time, e control.Endpoint, h control.Health) {
+// SetHealth records the health of an endpoint as the endpoint list gives it.
+func (g *Guard) SetHealth(now control.Time, e control.Endpoint, h control.Health) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h == control.Ready {
-		delete(g.withdrawn, e)
+		delete(g.withdrawnSince, e)
 		return
 	}
-	if !g.drained(e) {
-		g.withdrawn[e] = now
+	if !g.isWithdrawn(e) {
+		g.withdrawnSince[e] = now
 	}
-	if len(g.withdrawn)+len(g.rests)+len(g.routeWaits) > tidyAbove {
-		g.tidy(now)
+	if len(g.withdrawnSince)+len(g.blockedKeys)+len(g.endpointRetryAfter) > cleanupThreshold {
+		g.removeExpired(now)
 	}
 }
 
-// Told takes a wait that was told in the answer to a call.
-func (g *Guard) Told(c Call, until control.Time) {
+// SetRetryAfter records a wait that the answer to a call asked for. A shorter wait does not replace a longer one.
+func (g *Guard) SetRetryAfter(c Call, until control.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if c.Apart {
-		g.routeWaits[c.Endpoint] = max(g.routeWaits[c.Endpoint], until)
+	if c.PerEndpointLimits {
+		g.endpointRetryAfter[c.Endpoint] = max(g.endpointRetryAfter[c.Endpoint], until)
 	} else {
-		g.destWaits[c.Dest] = max(g.destWaits[c.Dest], until)
+		g.destRetryAfter[c.Dest] = max(g.destRetryAfter[c.Dest], until)
 	}
 }
 
-// Bounds of what is kept of endpoints that left the list, and of waits that are over.
 const (
-	tidyAbove = 4096
-	keptFor   = 600 * control.Second // far longer than any message lives
+	// cleanupThreshold is the number of withdrawn endpoints, blocked keys and waits of endpoints together, above which expired
+	// ones are removed.
+	cleanupThreshold = 4096
+
+	// withdrawnRetention is how long a withdrawn endpoint is kept. It is much longer than the lifetime of any message.
+	withdrawnRetention = 600 * control.Second
 )
 
-// tidy forgets what is of no more use; it is called with the lock held.
-func (g *Guard) tidy(now control.Time) {
-	maps.DeleteFunc(g.withdrawn, func(_ control.Endpoint, since control.Time) bool { return now-since > keptFor })
-	maps.DeleteFunc(g.routeWaits, func(_ control.Endpoint, until control.Time) bool { return until < now })
-	maps.DeleteFunc(g.rests, func(_ uint64, until control.Time) bool { return until < now })
+// removeExpired removes withdrawn endpoints, waits of endpoints and blocked keys that have no effect any more. The caller
+// holds the lock.
+func (g *Guard) removeExpired(now control.Time) {
+	maps.DeleteFunc(g.withdrawnSince, func(_ control.Endpoint, since control.Time) bool { return now-since > withdrawnRetention })
+	maps.DeleteFunc(g.endpointRetryAfter, func(_ control.Endpoint, until control.Time) bool { return until < now })
+	maps.DeleteFunc(g.blockedKeys, func(_ uint64, until control.Time) bool { return until < now })
 }
 
-// violated counts a violation; it is called with the lock held.
-func (g *Guard) violated(action string, id control.MessageID, cause error) error {
+// recordViolation counts a violation and returns it as an error. The caller holds the lock.
+func (g *Guard) recordViolation(action string, id control.MessageID, cause error) error {
 	g.violations++
 	return &Violation{Message: id, Action: action, Cause: cause}
 }
