--- a/internal/audit/key.go
+++ b/internal/audit/key.go
@@ -30,12 +30,12 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-const privateFile = "signing-key.pem"
+const privateKeyFile = "signing-key.pem"
 
 // OpenKey reads the signing key of a folder, or makes one. Public keys are left beside it, one file for each key that
 // ever signed: seals by a key that was replaced stay checkable.
 func OpenKey(folder string) (*Key, error) {
-	name := filepath.Join(folder, privateFile)
+	name := filepath.Join(folder, privateKeyFile)
 	b, err := os.ReadFile(name)
 	if errors.Is(err, os.ErrNotExist) {
 		b, err = makeKey(name)
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return k, writeFile(filepath.Join(folder, "key-"+k.id+".pub.pem"), pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}), 0o644)
+	return k, writeFileAtomic(filepath.Join(folder, "key-"+k.id+".pub.pem"), pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}), 0o644)
 }
 
 func makeKey(name string) ([]byte, error) {
@@ -74,10 +74,10 @@
 		return nil, err
 	}
 	b := pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: der})
-	return b, writeFile(name, b, 0o600)
+	return b, writeFileAtomic(name, b, 0o600)
 }
 
-func writeFile(name string, b []byte, mode os.FileMode) error {
+func writeFileAtomic(name string, b []byte, mode os.FileMode) error {
 	if err := os.WriteFile(name+".new", b, mode); err != nil {
 		return err
 	}
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -11,16 +11,16 @@
 )
 
 // OpenReader opens a folder's trail for reading, also beside a running dispatcher.
-func OpenReader(folder string) (*logstore.Store, logstore.Report, error) {
+func OpenReader(folder string) (*logstore.Store, logstore.RecoveryReport, error) {
 	fs, err := disk.OpenFolder(folder)
 	if err != nil {
-		return nil, logstore.Report{}, err
+		return nil, logstore.RecoveryReport{}, err
 	}
-	return logstore.Open(fs, logstore.Options{Labels: Labels, Wall: clock.Wall, ReadOnly: true})
+	return logstore.Open(fs, logstore.Options{Labels: Labels, WallClock: clock.Wall, ReadOnly: true})
 }
 
-// All returns every record, in order.
-func All(store *logstore.Store) (all []*Record, err error) {
+// AllRecords returns every record, in order.
+func AllRecords(store *logstore.Store) (all []*Record, err error) {
 	err = store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		all = append(all, r)
@@ -29,9 +29,9 @@
 	return all, err
 }
 
-// Show returns all records of a message, in order.
-func Show(store *logstore.Store, message string) (all []*Record, err error) {
-	err = find(store, label('m', message), func(r *Record) {
+// MessageRecords returns all records of a message, in order.
+func MessageRecords(store *logstore.Store, message string) (all []*Record, err error) {
+	err = findByLabel(store, label('m', message), func(r *Record) {
 		if r.Message == message {
 			all = append(all, r)
 		}
@@ -39,7 +39,7 @@
 	return all, err
 }
 
-func find(store *logstore.Store, l uint64, take func(*Record)) error {
+func findByLabel(store *logstore.Store, l uint64, take func(*Record)) error {
 	var bad []error
 	err := store.Find(l, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
@@ -55,7 +55,7 @@
 type Query struct {
 	Partner, Tenant, Outcome string
 	Since                    time.Time
-	Most                     int // 0 for no bound
+	Limit                    int // 0 for no bound
 }
 
 // Message is what became of one.
@@ -68,18 +68,18 @@
 	Size                         int
 }
 
-// Find returns the messages that a query asks for, the latest first, as far as the trail goes.
-func Find(store *logstore.Store, q Query) ([]*Message, error) {
+// FindMessages returns the messages that a query asks for, the latest first, as far as the trail goes.
+func FindMessages(store *logstore.Store, q Query) ([]*Message, error) {
 	by := map[string]*Message{}
-	take := func(r *Record) { collect(by, r) }
+	take := func(r *Record) { collectRecord(by, r) }
 	var err error
 	switch { // the narrowest look-up that there is; the answer of each is read with the rest
 	case q.Partner != "":
-		err = find(store, label('p', q.Partner), take)
+		err = findByLabel(store, label('p', q.Partner), take)
 	case q.Tenant != "":
-		err = find(store, label('t', q.Tenant), take)
+		err = findByLabel(store, label('t', q.Tenant), take)
 	case q.Outcome != "":
-		err = find(store, label('o', q.Outcome), take)
+		err = findByLabel(store, label('o', q.Outcome), take)
 	}
 	named := q.Partner != "" || q.Tenant != "" || q.Outcome != ""
 	rest := store.Read(0, func(_ uint64, payload []byte) error {
@@ -88,30 +88,30 @@
 			return err
 		}
 		if !named || by[r.Message] != nil {
-			collect(by, r)
+			collectRecord(by, r)
 		}
 		return nil
 	}, func(e error) { err = errors.Join(err, e) })
 	var all []*Message
 	for _, m := range by {
-		if m.Name != "" && !m.Taken.IsZero() && m.is(&q) {
+		if m.Name != "" && !m.Taken.IsZero() && m.matches(&q) {
 			all = append(all, m)
 		}
 	}
 	slices.SortFunc(all, func(a, b *Message) int { return b.Taken.Compare(a.Taken) })
-	if q.Most > 0 && len(all) > q.Most {
-		all = all[:q.Most]
+	if q.Limit > 0 && len(all) > q.Limit {
+		all = all[:q.Limit]
 	}
 	return all, errors.Join(err, rest)
 }
 
-func (m *Message) is(q *Query) bool {
+func (m *Message) matches(q *Query) bool {
 	return (q.Partner == "" || m.Partner == q.Partner) && (q.Tenant == "" || m.Tenant == q.Tenant) &&
 		(q.Outcome == "" || m.Outcome == q.Outcome) && !m.Taken.Before(q.Since)
 }
 
-// collect takes a record of a message in; the same one twice changes nothing.
-func collect(by map[string]*Message, r *Record) {
+// collectRecord takes a record of a message in; the same one twice changes nothing.
+func collectRecord(by map[string]*Message, r *Record) {
 	if r.Message == "" {
 		return
 	}
@@ -123,12 +123,12 @@
 	switch r.Kind {
 	case Accepted:
 		m.Partner, m.Tenant, m.Class, m.Taken, m.Size = r.Partner, r.Tenant, r.Class, r.Time(), r.Size
-	case Started:
+	case AttemptStarted:
 		m.Attempts = max(m.Attempts, r.Attempt)
 	case Answered:
 		m.Outcome, m.Answered, m.Reason = r.Result, r.Time(), r.Reason
 		if m.Reason == "" {
-			m.Reason = r.Why
+			m.Reason = r.Detail
 		}
 	case Withdrawn:
 		m.Outcome, m.Answered = "withdrawn", r.Time()
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -27,40 +27,40 @@
 	}
 	add(r.Attempt > 0, "attempt %d", r.Attempt)
 	add(r.Endpoint != "", "at %s", r.Endpoint)
-	add(r.Partner != "" && r.Kind == Accepted, "for %s, class %s, tenant %s, %d bytes, time %v", r.Partner, r.Class, r.Tenant, r.Size, micros(r.Life))
+	add(r.Partner != "" && r.Kind == Accepted, "for %s, class %s, tenant %s, %d bytes, time %v", r.Partner, r.Class, r.Tenant, r.Size, microseconds(r.LifetimeMicros))
 	add(r.Result != "", "%s", r.Result)
-	add(r.Kind == Ended && !r.Ran, "proved not to have run")
-	add(r.Kind == Ended && r.Ran && r.Result != "ok", "may have run")
-	add(r.Wait > 0, "wait %v", micros(r.Wait))
-	add(r.Took > 0, "took %v", micros(r.Took))
-	add(r.Why != "", "%s", r.Why)
+	add(r.Kind == AttemptEnded && !r.PossiblyExecuted, "proved not to have run")
+	add(r.Kind == AttemptEnded && r.PossiblyExecuted && r.Result != "ok", "may have run")
+	add(r.WaitMicros > 0, "wait %v", microseconds(r.WaitMicros))
+	add(r.TookMicros > 0, "took %v", microseconds(r.TookMicros))
+	add(r.Detail != "", "%s", r.Detail)
 	add(r.Reason != "", "decided: %s", r.Reason)
-	add(r.After, "after the final answer, which it does not change")
+	add(r.AfterAnswer, "after the final answer, which it does not change")
 	add(r.Attempts > 0, "%d attempts in all", r.Attempts)
 	add(r.Count > 0, "%d records", r.Count)
 	return b.String()
 }
 
-func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Report is a time of a trail summed up.
 type Report struct {
 	From, To time.Time
-	Slots    []Slot // the time in equal parts
-	Partners []*PartnerSum
+	Slots    []Interval // the time in equal parts
+	Partners []*PartnerSummary
 	Attempts []Bar // messages by how many attempts they took
 	Reasons  []Bar // of messages not served
 	Messages int
 }
 
-// Slot is a part of the time.
-type Slot struct {
+// Interval is a part of the time.
+type Interval struct {
 	At                              time.Time
 	Served, Refused, Failed, Withdr int
 }
 
-// PartnerSum is a partner's part.
-type PartnerSum struct {
+// PartnerSummary is a partner's part.
+type PartnerSummary struct {
 	Name                            string
 	Served, Refused, Failed, Withdr int
 	Attempts, Waits                 int
@@ -69,10 +69,10 @@
 }
 
 // P50 and P99 are how long attempts took that were answered.
-func (p *PartnerSum) P50() time.Duration { return micros(p.took.ValueAtQuantile(50)) }
+func (p *PartnerSummary) P50() time.Duration { return microseconds(p.took.ValueAtQuantile(50)) }
 
 // P99 is the 99th percentile.
-func (p *PartnerSum) P99() time.Duration { return micros(p.took.ValueAtQuantile(99)) }
+func (p *PartnerSummary) P99() time.Duration { return microseconds(p.took.ValueAtQuantile(99)) }
 
 // Bar is a count with its name.
 type Bar struct {
@@ -81,14 +81,14 @@
 	Part  float64 // of the largest
 }
 
-const slots = 60
+const reportIntervals = 60
 
 // Summarize reads a time of a trail.
 func Summarize(store *logstore.Store, from, to time.Time) (*Report, error) {
-	rep := &Report{From: from, To: to, Slots: make([]Slot, slots)}
-	by, tries, reasons := map[string]*PartnerSum{}, map[string]int{}, map[string]int{}
+	rep := &Report{From: from, To: to, Slots: make([]Interval, reportIntervals)}
+	by, tries, reasons := map[string]*PartnerSummary{}, map[string]int{}, map[string]int{}
 	for i := range rep.Slots {
-		rep.Slots[i].At = from.Add(to.Sub(from) * time.Duration(i) / slots)
+		rep.Slots[i].At = from.Add(to.Sub(from) * time.Duration(i) / reportIntervals)
 	}
 	err := store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
@@ -97,29 +97,29 @@
 		}
 		p := by[r.Partner]
 		if p == nil {
-			p = &PartnerSum{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
+			p = &PartnerSummary{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
 			by[r.Partner] = p
 		}
-		slot := &rep.Slots[int(r.Time().Sub(from)*slots/to.Sub(from))]
+		slot := &rep.Slots[int(r.Time().Sub(from)*reportIntervals/to.Sub(from))]
 		switch r.Kind {
-		case Ended:
+		case AttemptEnded:
 			p.Attempts++
-			if r.Wait > 0 {
+			if r.WaitMicros > 0 {
 				p.Waits++
-				p.LongestWait = max(p.LongestWait, micros(r.Wait))
+				p.LongestWait = max(p.LongestWait, microseconds(r.WaitMicros))
 			}
 			if r.Status > 0 {
-				_ = p.took.RecordValue(max(1, min(r.Took, 3600e6)))
+				_ = p.took.RecordValue(max(1, min(r.TookMicros, 3600e6)))
 			}
 		case Answered, Withdrawn:
 			rep.Messages++
-			outcome(r, p, slot)
+			countOutcome(r, p, slot)
 			if r.Kind == Answered {
 				tries[fmt.Sprint(r.Attempts)]++
 				if r.Result != "served" {
 					why := r.Reason
 					if why == "" {
-						why = r.Why
+						why = r.Detail
 					}
 					reasons[r.Result+": "+why]++
 				}
@@ -130,12 +130,12 @@
 	for _, p := range by {
 		rep.Partners = append(rep.Partners, p)
 	}
-	slices.SortFunc(rep.Partners, func(a, b *PartnerSum) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(rep.Partners, func(a, b *PartnerSummary) int { return strings.Compare(a.Name, b.Name) })
 	rep.Attempts, rep.Reasons = bars(tries, false), bars(reasons, true)
 	return rep, err
 }
 
-func outcome(r *Record, p *PartnerSum, s *Slot) {
+func countOutcome(r *Record, p *PartnerSummary, s *Interval) {
 	switch {
 	case r.Kind == Withdrawn:
 		p.Withdr++
@@ -172,11 +172,11 @@
 }
 
 //go:embed report.html
-var page string
+var reportHTML string
 
-var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
+var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(part float64) string { return fmt.Sprintf("%.1f", 100*part) },
-	"height": func(n int, slots []Slot) float64 {
+	"height": func(n int, slots []Interval) float64 {
 		most := 1
 		for _, s := range slots {
 			most = max(most, s.Served+s.Refused+s.Failed+s.Withdr)
@@ -193,7 +193,7 @@
 	"mul":   func(a, b int) int { return a * b },
 	"time":  func(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05") },
 	"short": func(d time.Duration) string { return d.Round(100 * time.Microsecond).String() },
-}).Parse(page))
+}).Parse(reportHTML))
 
 // Write writes the report as one HTML page that needs nothing else.
-func (r *Report) Write(w io.Writer) error { return pageTemplate.Execute(w, r) }
+func (r *Report) Write(w io.Writer) error { return reportTemplate.Execute(w, r) }
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -20,10 +20,10 @@
 	key   *Key
 	wall  func() time.Time
 
-	mu    sync.Mutex
-	chain chain
-	fresh int // records since the last seal
-	lost  uint64
+	mu       sync.Mutex
+	chain    chain
+	unsealed int // records since the last seal
+	lost     uint64
 }
 
 // Resume goes on with the chain that a store holds.
@@ -42,7 +42,7 @@
 		if r.Seal != nil && seq == last {
 			copy(t.chain[:], r.Seal.Hash)
 		}
-		t.chain = t.chain.next(payload[linkSize:])
+		t.chain = t.chain.extend(payload[linkSize:])
 		return nil
 	}, nil)
 	if err != nil {
@@ -58,16 +58,16 @@
 	defer t.mu.Unlock()
 	if t.lost > 0 && r.Kind != Gap {
 		lost := t.lost
-		if t.put(now, &Record{Kind: Gap, Count: lost}) == nil {
+		if t.append(now, &Record{Kind: Gap, Count: lost}) == nil {
 			t.lost -= lost
 		}
 	}
-	if t.lost > 0 || t.put(now, r) != nil {
+	if t.lost > 0 || t.append(now, r) != nil {
 		t.lost++
 	}
 }
 
-func (t *Trail) put(now time.Duration, r *Record) error {
+func (t *Trail) append(now time.Duration, r *Record) error {
 	if r.At == 0 {
 		r.At = t.wall().UnixMicro()
 	}
@@ -75,17 +75,17 @@
 	if err != nil {
 		return err
 	}
-	next := t.chain.next(body)
+	next := t.chain.extend(body)
 	if _, err := t.store.Append(now, append(next[:linkSize:linkSize], body...), r.labels()...); err != nil {
 		return err
 	}
 	t.chain = next
-	t.fresh++
+	t.unsealed++
 	return nil
 }
 
-// lose counts a record that nobody could take.
-func (t *Trail) lose() {
+// countLost counts a record that nobody could take.
+func (t *Trail) countLost() {
 	t.mu.Lock()
 	t.lost++
 	t.mu.Unlock()
@@ -95,13 +95,13 @@
 func (t *Trail) Seal(now time.Duration) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.fresh == 0 {
+	if t.unsealed == 0 {
 		return nil
 	}
 	hash := t.chain
-	err := t.put(now, &Record{Kind: Seal, Seal: &Mark{Hash: hash[:], Key: t.key.ID(), Sign: t.key.Sign(sealed(hash[:]))}})
+	err := t.append(now, &Record{Kind: Seal, Seal: &SealData{Hash: hash[:], KeyID: t.key.ID(), Signature: t.key.Sign(sealMessage(hash[:]))}})
 	if err == nil {
-		t.fresh = 0
+		t.unsealed = 0
 	}
 	return err
 }
@@ -113,11 +113,11 @@
 	return t.lost
 }
 
-// sealed is what is signed: a text before the hash keeps signatures of one kind from being used as another's.
-func sealed(hash []byte) []byte { return append([]byte("whinrun audit seal\x00"), hash...) }
+// sealMessage is what is signed: a text before the hash keeps signatures of one kind from being used as another's.
+func sealMessage(hash []byte) []byte { return append([]byte("whinrun audit seal\x00"), hash...) }
 
-// Verdict is what Verify found.
-type Verdict struct {
+// VerifyResult is what Verify found.
+type VerifyResult struct {
 	Records, Seals, Unsealed int
 	Lost                     uint64    // told by gaps
 	From, To                 time.Time // of the records
@@ -129,10 +129,10 @@
 
 // Verify reads the whole trail: every record is to link to the one before, every seal to be by a known key and over
 // the chain so far. The first seal that is there anchors the chain where older segments have been dropped.
-func Verify(store *logstore.Store, keys map[string]ed25519.PublicKey) (v Verdict, err error) {
+func Verify(store *logstore.Store, keys map[string]ed25519.PublicKey) (v VerifyResult, err error) {
 	var c chain
-	anchored := store.Usage().From == 1
-	expect := store.Usage().From
+	anchored := store.Usage().FirstSeq == 1
+	expect := store.Usage().FirstSeq
 	bad := func(format string, a ...any) {
 		if len(v.Problems) < 100 {
 			v.Problems = append(v.Problems, fmt.Sprintf(format, a...))
@@ -150,12 +150,12 @@
 			anchored = false
 			return nil
 		}
-		v.count(r)
+		v.countRecord(r)
 		if r.Seal != nil {
-			v.seal(seq, r, &c, anchored, keys, bad)
+			v.checkSeal(seq, r, &c, anchored, keys, bad)
 			anchored = true
 		}
-		c = c.next(payload[linkSize:])
+		c = c.extend(payload[linkSize:])
 		if anchored && !bytes.Equal(c[:linkSize], r.Link) {
 			bad("record %d: does not link to the one before: one of them was altered or removed", seq)
 			anchored = false // until the next seal
@@ -165,7 +165,7 @@
 	return v, err
 }
 
-func (v *Verdict) count(r *Record) {
+func (v *VerifyResult) countRecord(r *Record) {
 	v.Records++
 	v.Unsealed++
 	v.Lost += r.Count
@@ -176,14 +176,14 @@
 	}
 }
 
-func (v *Verdict) seal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, bad func(string, ...any)) {
+func (v *VerifyResult) checkSeal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, bad func(string, ...any)) {
 	v.Seals++
 	v.Unsealed = 0
-	key, ok := keys[r.Seal.Key]
+	key, ok := keys[r.Seal.KeyID]
 	switch {
 	case !ok:
-		bad("record %d: %v: %s", seq, ErrUnknownKey, r.Seal.Key)
-	case len(r.Seal.Hash) != len(c) || !ed25519.Verify(key, sealed(r.Seal.Hash), r.Seal.Sign):
+		bad("record %d: %v: %s", seq, ErrUnknownKey, r.Seal.KeyID)
+	case len(r.Seal.Hash) != len(c) || !ed25519.Verify(key, sealMessage(r.Seal.Hash), r.Seal.Signature):
 		bad("record %d: the seal's signature is wrong", seq)
 	case anchored && !slices.Equal(c[:], r.Seal.Hash):
 		bad("record %d: the seal is not over the records before it", seq)
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -108,8 +108,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// lockName is a file that processes of earlier versions lock.
-const lockName = "lock"
+// legacyLockName is a file that processes of earlier versions lock.
+const legacyLockName = "lock"
 
 // Lock is FS. The lock ends with the process. The folder itself is locked, which needs no write, and so is the file that earlier
 // versions lock, if it is there.
@@ -121,14 +121,14 @@
 	if err := f.flock(folder); err != nil {
 		return nil, errors.Join(err, folder.Close())
 	}
-	old, err := os.OpenFile(filepath.Join(f.path, lockName), os.O_RDWR, 0o600)
+	old, err := os.OpenFile(filepath.Join(f.path, legacyLockName), os.O_RDWR, 0o600)
 	if err != nil { // most often it is not there
 		return folder, nil
 	}
 	if err := f.flock(old); err != nil {
 		return nil, errors.Join(err, old.Close(), folder.Close())
 	}
-	return locks{folder, old}, nil
+	return lockedFiles{folder, old}, nil
 }
 
 // flock locks an open file without waiting.
@@ -146,11 +146,11 @@
 	}
 }
 
-// locks are files that are locked together.
-type locks []*os.File
+// lockedFiles are files that are locked together.
+type lockedFiles []*os.File
 
 // Close ends the locks.
-func (l locks) Close() error {
+func (l lockedFiles) Close() error {
 	var err error
 	for _, f := range l {
 		err = errors.Join(err, f.Close())
@@ -158,9 +158,9 @@
 	return err
 }
 
-// ForNow tells whether an error may pass by itself: a full disk, a fault of a device, a shortage. Others, such as a folder
+// IsTransient tells whether an error may pass by itself: a full disk, a fault of a device, a shortage. Others, such as a folder
 // that is read-only or not this user's, want an operator.
-func ForNow(err error) bool {
+func IsTransient(err error) bool {
 	for _, e := range []error{unix.ENOSPC, unix.EDQUOT, unix.EIO, unix.ENFILE, unix.EMFILE, unix.ENOMEM, unix.EAGAIN, unix.EINTR, unix.EBUSY,
 		io.ErrShortWrite, ErrLocked} {
 		if errors.Is(err, e) {
@@ -170,5 +170,5 @@
 	return false
 }
 
-// NotExist tells that an error is about a file that is not there.
-func NotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+// IsNotExist tells that an error is about a file that is not there.
+func IsNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -14,21 +14,23 @@
 // operation that changes something before it is done, FailRead about the others.
 type Memory struct {
 	mu       sync.Mutex
-	now      map[string]*node // as the program sees it
-	safe     map[string]*node // as the directory was last synced
+	current  map[string]*memNode // as the program sees it
+	durable  map[string]*memNode // as the directory was last synced
 	locked   bool
 	Fail     func(op, name string) error // nil: none
 	FailRead func(op, name string) error // nil: none
-	Ops      int
+	OpCount  int
 }
 
-type node struct {
+type memNode struct {
 	data   []byte
 	synced int
 }
 
 // NewMemory makes an empty folder.
-func NewMemory() *Memory { return &Memory{now: map[string]*node{}, safe: map[string]*node{}} }
+func NewMemory() *Memory {
+	return &Memory{current: map[string]*memNode{}, durable: map[string]*memNode{}}
+}
 
 // SetFail sets Fail while the folder is in use.
 func (m *Memory) SetFail(fail func(op, name string) error) {
@@ -52,7 +54,7 @@
 }
 
 func (m *Memory) check(op, name string) error {
-	m.Ops++
+	m.OpCount++
 	if m.Fail == nil {
 		return nil
 	}
@@ -65,12 +67,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rng.IntN(2) == 0 {
-		m.now = map[string]*node{}
-		for name, n := range m.safe {
-			m.now[name] = n
+		m.current = map[string]*memNode{}
+		for name, n := range m.durable {
+			m.current[name] = n
 		}
 	}
-	for _, n := range m.now {
+	for _, n := range m.current {
 		if tail := len(n.data) - n.synced; tail > 0 {
 			keep := n.synced + rng.IntN(tail+1)
 			n.data = n.data[:keep:keep]
@@ -80,9 +82,9 @@
 		}
 		n.synced = len(n.data)
 	}
-	m.safe = map[string]*node{}
-	for name, n := range m.now {
-		m.safe[name] = n
+	m.durable = map[string]*memNode{}
+	for name, n := range m.current {
+		m.durable[name] = n
 	}
 	m.locked, m.Fail = false, nil
 }
@@ -91,7 +93,7 @@
 func (m *Memory) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n := m.now[name]; n != nil {
+	if n := m.current[name]; n != nil {
 		return n.data
 	}
 	return nil
@@ -105,7 +107,7 @@
 		return nil, err
 	}
 	var names []string
-	for name := range m.now {
+	for name := range m.current {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -119,7 +121,7 @@
 	if err := m.check("open", name); err != nil {
 		return nil, err
 	}
-	n := m.now[name]
+	n := m.current[name]
 	if n == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
@@ -133,8 +135,8 @@
 	if err := m.check("create", name); err != nil {
 		return nil, err
 	}
-	n := &node{}
-	m.now[name] = n
+	n := &memNode{}
+	m.current[name] = n
 	return &memFile{m, n, name}, nil
 }
 
@@ -145,12 +147,12 @@
 	if err := m.check("rename", from); err != nil {
 		return err
 	}
-	n := m.now[from]
+	n := m.current[from]
 	if n == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	delete(m.now, from)
-	m.now[to] = n
+	delete(m.current, from)
+	m.current[to] = n
 	return nil
 }
 
@@ -161,10 +163,10 @@
 	if err := m.check("remove", name); err != nil {
 		return err
 	}
-	if m.now[name] == nil {
+	if m.current[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	delete(m.now, name)
+	delete(m.current, name)
 	return nil
 }
 
@@ -175,9 +177,9 @@
 	if err := m.check("syncdir", ""); err != nil {
 		return err
 	}
-	m.safe = map[string]*node{}
-	for name, n := range m.now {
-		m.safe[name] = n
+	m.durable = map[string]*memNode{}
+	for name, n := range m.current {
+		m.durable[name] = n
 	}
 	return nil
 }
@@ -193,73 +195,73 @@
 		return nil, fmt.Errorf("memory: %w", ErrLocked)
 	}
 	m.locked = true
-	return unlock{m}, nil
+	return memLock{m}, nil
 }
 
-type unlock struct{ m *Memory }
+type memLock struct{ dir *Memory }
 
-func (u unlock) Close() error {
-	u.m.mu.Lock()
-	defer u.m.mu.Unlock()
-	u.m.locked = false
+func (u memLock) Close() error {
+	u.dir.mu.Lock()
+	defer u.dir.mu.Unlock()
+	u.dir.locked = false
 	return nil
 }
 
 type memFile struct {
-	m    *Memory
-	n    *node
+	dir  *Memory
+	node *memNode
 	name string
 }
 
 func (f *memFile) ReadAt(p []byte, off int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.checkRead("read", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.checkRead("read", f.name); err != nil {
 		return 0, err
 	}
-	return bytes.NewReader(f.n.data).ReadAt(p, off)
+	return bytes.NewReader(f.node.data).ReadAt(p, off)
 }
 
 // Write may write a part before it fails, as a full disk does.
 func (f *memFile) Write(p []byte) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.check("write", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.check("write", f.name); err != nil {
 		half := len(p) / 2
-		f.n.data = append(f.n.data, p[:half]...)
+		f.node.data = append(f.node.data, p[:half]...)
 		return half, err
 	}
-	f.n.data = append(f.n.data, p...)
+	f.node.data = append(f.node.data, p...)
 	return len(p), nil
 }
 
 func (f *memFile) Size() (int64, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.checkRead("size", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.checkRead("size", f.name); err != nil {
 		return 0, err
 	}
-	return int64(len(f.n.data)), nil
+	return int64(len(f.node.data)), nil
 }
 
 func (f *memFile) Truncate(size int64) error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.check("truncate", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.check("truncate", f.name); err != nil {
 		return err
 	}
-	f.n.data = f.n.data[:size:size]
-	f.n.synced = min(f.n.synced, len(f.n.data))
+	f.node.data = f.node.data[:size:size]
+	f.node.synced = min(f.node.synced, len(f.node.data))
 	return nil
 }
 
 func (f *memFile) Sync() error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.check("sync", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.check("sync", f.name); err != nil {
 		return err
 	}
-	f.n.synced = len(f.n.data)
+	f.node.synced = len(f.node.data)
 	return nil
 }
 
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -10,21 +10,21 @@
 
 // Entry is a message that is owed its end.
 type Entry struct {
-	Name   string        `cbor:"1,keyasint"`           // id that its client gave it
-	Class  string        `cbor:"2,keyasint"`           // by name: another process may number them otherwise
-	Tenant string        `cbor:"3,keyasint,omitempty"` // by name
-	Dest   int           `cbor:"4,keyasint"`           // number of its destination
-	Due    clock.Instant `cbor:"5,keyasint"`           // when its time is over
-	Key    string        `cbor:"6,keyasint,omitempty"` // by which partners drop repeats
-	Order  uint64        `cbor:"7,keyasint,omitempty"` // key by which its class takes turns, 0 is none
-	Body   []byte        `cbor:"8,keyasint,omitempty"` //
-
-	Attempts     int           `cbor:"9,keyasint,omitempty"`  // made so far, the one that is out among them
-	ExecutedAt   clock.Instant `cbor:"10,keyasint,omitempty"` // when the first began that may have been executed, 0 for none
-	ExecutedZone int           `cbor:"11,keyasint,omitempty"` // where that went
-	OutAt        clock.Instant `cbor:"12,keyasint,omitempty"` // when the attempt that is out began, 0 for none ...
-	OutZone      int           `cbor:"13,keyasint,omitempty"` // ... and its zone
-	TakenAt      clock.Instant `cbor:"14,keyasint,omitempty"` // when it was taken on
+	Name           string        `cbor:"1,keyasint"`           // id that its client gave it
+	Class          string        `cbor:"2,keyasint"`           // by name: another process may number them otherwise
+	Tenant         string        `cbor:"3,keyasint,omitempty"` // by name
+	Destination    int           `cbor:"4,keyasint"`           // number of its destination
+	Deadline       clock.Instant `cbor:"5,keyasint"`           // when its time is over
+	IdempotencyKey string        `cbor:"6,keyasint,omitempty"` // by which partners drop repeats
+	OrderingKey    uint64        `cbor:"7,keyasint,omitempty"` // key by which its class takes turns, 0 is none
+	Body           []byte        `cbor:"8,keyasint,omitempty"` //
+
+	Attempts             int           `cbor:"9,keyasint,omitempty"`  // made so far, the one that is out among them
+	PossiblyExecutedAt   clock.Instant `cbor:"10,keyasint,omitempty"` // when the first began that may have been executed, 0 for none
+	PossiblyExecutedZone int           `cbor:"11,keyasint,omitempty"` // where that went
+	InFlightSince        clock.Instant `cbor:"12,keyasint,omitempty"` // when the attempt that is out began, 0 for none ...
+	InFlightZone         int           `cbor:"13,keyasint,omitempty"` // ... and its zone
+	AcceptedAt           clock.Instant `cbor:"14,keyasint,omitempty"` // when it was taken on
 
 	seq  uint64
 	size int
@@ -32,152 +32,154 @@
 
 // Notice is an end that the platform has not acknowledged yet.
 type Notice struct {
-	Name     string `cbor:"1,keyasint"`
-	Deferred bool   `cbor:"2,keyasint,omitempty"` // handed back; else undeliverable
-	Again    int64  `cbor:"3,keyasint,omitempty"` // Deferred: come back after so many milliseconds, 0 where nothing is known
+	Name             string `cbor:"1,keyasint"`
+	Deferred         bool   `cbor:"2,keyasint,omitempty"` // handed back; else undeliverable
+	RetryAfterMillis int64  `cbor:"3,keyasint,omitempty"` // Deferred: come back after so many milliseconds, 0 where nothing is known
 
 	seq uint64
 }
 
 // record is one line of the ledger; exactly one of its parts is set.
 type record struct {
-	Take    *Entry        `cbor:"1,keyasint,omitempty"`
-	Out     *sent         `cbor:"2,keyasint,omitempty"`
-	Back    *back         `cbor:"3,keyasint,omitempty"`
-	Over    string        `cbor:"4,keyasint,omitempty"` // delivered, or nobody's any more
-	Notice  *Notice       `cbor:"5,keyasint,omitempty"` // ended by this
-	Acked   []string      `cbor:"6,keyasint,omitempty"`
-	Form    int           `cbor:"7,keyasint,omitempty"` // first line: version of this form, ...
-	Began   *Moment       `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
-	Last    clock.Instant `cbor:"9,keyasint,omitempty"` // ... and the latest instant on record before this line
-	Outages []Outage      `cbor:"10,keyasint,omitempty"`
+	Accepted     *Entry        `cbor:"1,keyasint,omitempty"`
+	Started      *attemptStart `cbor:"2,keyasint,omitempty"`
+	Ended        *attemptEnd   `cbor:"3,keyasint,omitempty"`
+	Completed    string        `cbor:"4,keyasint,omitempty"` // delivered, or nobody's any more
+	Notice       *Notice       `cbor:"5,keyasint,omitempty"` // ended by this
+	Acknowledged []string      `cbor:"6,keyasint,omitempty"`
+	Version      int           `cbor:"7,keyasint,omitempty"` // first line: version of this form, ...
+	Opened       *ClockReading `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
+	Latest       clock.Instant `cbor:"9,keyasint,omitempty"` // ... and the latest instant on record before this line
+	Outages      []Outage      `cbor:"10,keyasint,omitempty"`
 }
 
-type sent struct {
+type attemptStart struct {
 	Names []string      `cbor:"1,keyasint"`
 	At    clock.Instant `cbor:"2,keyasint"`
 	Zone  int           `cbor:"3,keyasint,omitempty"`
 }
 
-type back struct {
-	Name   string `cbor:"1,keyasint"`
-	Ran    bool   `cbor:"2,keyasint,omitempty"`
-	Unsent bool   `cbor:"3,keyasint,omitempty"`
+type attemptEnd struct {
+	Name             string `cbor:"1,keyasint"`
+	PossiblyExecuted bool   `cbor:"2,keyasint,omitempty"`
+	NotSent          bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// overhead is reckoned for each entry beside its record: what it may grow by, and the lines around it.
-const overhead, noticeSize = 64, 128
+// entryOverhead is reckoned for each entry beside its record: what it may grow by, and the lines around it.
+const entryOverhead, noticeSize = 64, 128
 
-// book is what the records add up to: what a process that starts now would owe. It is free of I/O.
-type book struct {
-	owed    map[string]*Entry
-	notices map[string]*Notice
-	outages map[string]*Outage // by host
-	seq     uint64
-	live    int64 // bytes that a compacted ledger takes, at most
+// state is what the records add up to: what a process that starts now would owe. It is free of I/O.
+type state struct {
+	messages  map[string]*Entry
+	notices   map[string]*Notice
+	outages   map[string]*Outage // by host
+	seq       uint64
+	liveBytes int64 // bytes that a compacted ledger takes, at most
 
-	began Moment        // whose instants these are
-	last  clock.Instant // the latest of them on record
+	opened ClockReading  // whose instants these are
+	latest clock.Instant // the latest of them on record
 }
 
-func newBook() *book {
-	return &book{owed: map[string]*Entry{}, notices: map[string]*Notice{}, outages: map[string]*Outage{}}
+func newState() *state {
+	return &state{messages: map[string]*Entry{}, notices: map[string]*Notice{}, outages: map[string]*Outage{}}
 }
 
 // apply takes one record; size is that of its line. Records that name nothing known change nothing.
-func (b *book) apply(r *record, size int) {
+func (b *state) apply(r *record, size int) {
 	switch {
-	case r.Take != nil:
-		b.drop(r.Take.Name)
-		e := *r.Take
-		b.last = max(b.last, e.TakenAt, e.OutAt)
+	case r.Accepted != nil:
+		b.remove(r.Accepted.Name)
+		e := *r.Accepted
+		b.latest = max(b.latest, e.AcceptedAt, e.InFlightSince)
 		b.seq++
-		e.seq, e.size = b.seq, size+overhead
-		b.owed[e.Name] = &e
-		b.live += int64(e.size)
-	case r.Out != nil:
-		b.last = max(b.last, r.Out.At)
-		for _, name := range r.Out.Names {
-			if e := b.owed[name]; e != nil {
-				e.beginAttempt(r.Out.At, r.Out.Zone)
+		e.seq, e.size = b.seq, size+entryOverhead
+		b.messages[e.Name] = &e
+		b.liveBytes += int64(e.size)
+	case r.Started != nil:
+		b.latest = max(b.latest, r.Started.At)
+		for _, name := range r.Started.Names {
+			if e := b.messages[name]; e != nil {
+				e.beginAttempt(r.Started.At, r.Started.Zone)
 			}
 		}
-	case r.Back != nil:
-		if e := b.owed[r.Back.Name]; e != nil {
-			e.endAttempt(*r.Back)
+	case r.Ended != nil:
+		if e := b.messages[r.Ended.Name]; e != nil {
+			e.endAttempt(*r.Ended)
 		}
-	case r.Over != "":
-		b.drop(r.Over)
+	case r.Completed != "":
+		b.remove(r.Completed)
 	case r.Notice != nil:
-		b.drop(r.Notice.Name)
+		b.remove(r.Notice.Name)
 		n := *r.Notice
 		b.seq++
 		n.seq = b.seq
 		b.notices[n.Name] = &n
-		b.live += noticeSize
+		b.liveBytes += noticeSize
 	case r.Outages != nil:
-		b.learn(r.Outages)
+		b.applyOutages(r.Outages)
 	default:
-		for _, name := range r.Acked {
+		for _, name := range r.Acknowledged {
 			if b.notices[name] != nil {
 				delete(b.notices, name)
-				b.live -= noticeSize
+				b.liveBytes -= noticeSize
 			}
 		}
 	}
 }
 
-func (b *book) drop(name string) {
-	if e := b.owed[name]; e != nil {
-		b.live -= int64(e.size)
-		delete(b.owed, name)
+func (b *state) remove(name string) {
+	if e := b.messages[name]; e != nil {
+		b.liveBytes -= int64(e.size)
+		delete(b.messages, name)
 	}
 }
 
-// begin takes the first line of a file.
-func (b *book) begin(began Moment, last clock.Instant) {
-	b.began = began
-	b.last = max(b.last, began.At, last)
+// applyHeader takes the first line of a file.
+func (b *state) applyHeader(began ClockReading, last clock.Instant) {
+	b.opened = began
+	b.latest = max(b.latest, began.At, last)
 }
 
 // recoverAt takes the book over for a process that starts now: attempts without an end on record may have been executed, and
 // all instants are put on its clock.
-func (b *book) recoverAt(now Moment) {
-	for _, e := range b.owed {
-		e.conclude()
+func (b *state) recoverAt(now ClockReading) {
+	for _, e := range b.messages {
+		e.resolveInFlight()
 	}
-	if !sameBoot(b.began, b.last, now) {
-		for _, e := range b.owed {
-			e.rebase(b.began, b.last, now)
+	if !sameBoot(b.opened, b.latest, now) {
+		for _, e := range b.messages {
+			e.rebase(b.opened, b.latest, now)
 		}
 		for _, o := range b.outages {
 			o.rebase(now)
 		}
-		b.last = now.At
+		b.latest = now.At
 	}
-	b.begin(now, 0)
+	b.applyHeader(now, 0)
 }
 
-// entries are the messages owed an end, in the order in which they were taken.
-func (b *book) entries() []*Entry {
-	return slices.SortedFunc(maps.Values(b.owed), func(x, y *Entry) int { return cmp.Compare(x.seq, y.seq) })
+// sortedEntries are the messages owed an end, in the order in which they were taken.
+func (b *state) sortedEntries() []*Entry {
+	return slices.SortedFunc(maps.Values(b.messages), func(x, y *Entry) int { return cmp.Compare(x.seq, y.seq) })
 }
 
-func (b *book) pending() []*Notice {
+func (b *state) sortedNotices() []*Notice {
 	return slices.SortedFunc(maps.Values(b.notices), func(x, y *Notice) int { return cmp.Compare(x.seq, y.seq) })
 }
 
-// rules decide what fits. Of the room that a folder has, what is owed may take livePart at most: a compaction needs
+// spaceLimits decide what fits. Of the room that a folder has, what is owed may take livePart at most: a compaction needs
 // the old file and the new one beside each other, and between two of them there must be room for lines.
-type rules struct{ room int64 }
+type spaceLimits struct{ usable int64 }
 
-// livePart is of the room: with more, compactions follow each other faster than lines; with less, less can be held.
-const livePart = 0.4
+// maxLiveFraction is of the room: with more, compactions follow each other faster than lines; with less, less can be held.
+const maxLiveFraction = 0.4
 
-// takes tells whether a line of size n may be added to what is owed.
-func (r rules) takes(live int64, n int) bool {
-	return float64(live)+float64(n+overhead) <= livePart*float64(r.room)
+// admits tells whether a line of size n may be added to what is owed.
+func (r spaceLimits) admits(live int64, n int) bool {
+	return float64(live)+float64(n+entryOverhead) <= maxLiveFraction*float64(r.usable)
 }
 
-// compacts tells whether the file is to be written anew before a line of size n is added.
-func (r rules) compacts(live, file int64, n int) bool { return file+int64(n)+live > r.room }
+// needsCompaction tells whether the file is to be written anew before a line of size n is added.
+func (r spaceLimits) needsCompaction(live, file int64, n int) bool {
+	return file+int64(n)+live > r.usable
+}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -23,15 +23,15 @@
 
 // Faults of a ledger.
 var (
-	ErrFull    = errors.New("the ledger is full")
-	ErrForm    = errors.New("the ledger is of a newer form")
-	ErrClosed  = errors.New("the ledger is closed")
-	ErrFailing = errors.New("the ledger can't be written for now")
+	ErrFull         = errors.New("the ledger is full")
+	ErrNewerVersion = errors.New("the ledger is of a newer form")
+	ErrClosed       = errors.New("the ledger is closed")
+	ErrFailing      = errors.New("the ledger can't be written for now")
 )
 
 const (
-	name = "ledger"
-	form = 2
+	fileName      = "ledger"
+	formatVersion = 2
 )
 
 // Ledger is the file and what it adds up to. Its methods may be called from any goroutine.
@@ -39,58 +39,58 @@
 // Where a write fails the ledger is failing: lines that must count are kept and the others are refused, without trying the disk
 // again for each, until Repair has brought the file up to date.
 type Ledger struct {
-	fs    disk.FS
-	rules rules
-	lock  io.Closer
-
-	mu      sync.Mutex
-	book    *book
-	out     *recordfile.File
-	pending []byte // lines that count and are not in the file
-	failing bool
-	closed  bool
-	follows bool // there was a ledger
-	buf     []byte
-	broken  chan struct{} // holds a token once the ledger has begun to fail
+	fs     disk.FS
+	limits spaceLimits
+	lock   io.Closer
+
+	mu             sync.Mutex
+	state          *state
+	file           *recordfile.File
+	unwritten      []byte // lines that count and are not in the file
+	failing        bool
+	closed         bool
+	reopened       bool // there was a ledger
+	buf            []byte
+	failureStarted chan struct{} // holds a token once the ledger has begun to fail
 }
 
 // Open reads the ledger of a folder that may hold limit bytes, and writes it anew in a form that says now. What follows a torn
 // or damaged line was never promised: it is left out. Where the folder can be read and can't be written for now, the ledger
 // begins failing (see disk.ForNow); other faults are returned.
-func Open(fs disk.FS, limit int64, now Moment) (*Ledger, error) {
+func Open(fs disk.FS, limit int64, now ClockReading) (*Ledger, error) {
 	lock, err := fs.Lock()
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	l := &Ledger{fs: fs, rules: rules{limit - limit/10 - 4096}, lock: lock, book: newBook(), broken: make(chan struct{}, 1)}
-	l.out = recordfile.New(fs, name)
+	l := &Ledger{fs: fs, limits: spaceLimits{limit - limit/10 - 4096}, lock: lock, state: newState(), failureStarted: make(chan struct{}, 1)}
+	l.file = recordfile.New(fs, fileName)
 	if err := l.open(now); err != nil {
 		return nil, errors.Join(fmt.Errorf("ledger: %w", err), lock.Close())
 	}
 	return l, nil
 }
 
-func (l *Ledger) open(now Moment) error {
-	text, err := recordfile.Read(l.fs, name, math.MaxInt64)
+func (l *Ledger) open(now ClockReading) error {
+	text, err := recordfile.Read(l.fs, fileName, math.MaxInt64)
 	if err == nil {
-		err = l.book.load(text)
+		err = l.state.replay(text)
 	}
-	if err != nil && !disk.NotExist(err) {
+	if err != nil && !disk.IsNotExist(err) {
 		return err
 	}
-	l.follows = err == nil
-	l.book.recoverAt(now)
-	if err := l.rewrite(); err != nil {
-		if !disk.ForNow(err) {
+	l.reopened = err == nil
+	l.state.recoverAt(now)
+	if err := l.compact(); err != nil {
+		if !disk.IsTransient(err) {
 			return err
 		}
-		l.fail()
+		l.setFailing()
 	}
 	return nil
 }
 
-// load applies the whole lines at the front of text.
-func (b *book) load(text []byte) error {
+// replay applies the whole lines at the front of text.
+func (b *state) replay(text []byte) error {
 	for at := 0; at < len(text); {
 		line, next, err := logstore.NextRecord(text, at, 0)
 		if err != nil {
@@ -100,22 +100,22 @@
 		if err := cbor.Unmarshal(line, &r); err != nil {
 			return nil
 		}
-		if r.Form > form {
-			return fmt.Errorf("%w: %d", ErrForm, r.Form)
+		if r.Version > formatVersion {
+			return fmt.Errorf("%w: %d", ErrNewerVersion, r.Version)
 		}
 		switch {
-		case r.Form == 0:
+		case r.Version == 0:
 			b.apply(&r, next-at)
-		case r.Began != nil: // the first form had Unix times and no such line: they are read as another boot's
-			b.begin(*r.Began, r.Last)
+		case r.Opened != nil: // the first form had Unix times and no such line: they are read as another boot's
+			b.applyHeader(*r.Opened, r.Latest)
 		}
 		at = next
 	}
 	return nil
 }
 
-// line appends a record as it stands in the file.
-func line(b []byte, r *record) ([]byte, error) {
+// appendRecord appends a record as it stands in the file.
+func appendRecord(b []byte, r *record) ([]byte, error) {
 	text, err := cbor.Marshal(r)
 	if err != nil {
 		return b, err
@@ -123,59 +123,59 @@
 	return logstore.AppendRecord(b, 0, text), nil
 }
 
-// whole is a file that holds what is owed alone.
-func (b *book) whole() ([]byte, error) {
-	text, err := line(nil, &record{Form: form, Began: &b.began, Last: b.last})
-	for _, e := range b.entries() {
+// snapshot is a file that holds what is owed alone.
+func (b *state) snapshot() ([]byte, error) {
+	text, err := appendRecord(nil, &record{Version: formatVersion, Opened: &b.opened, Latest: b.latest})
+	for _, e := range b.sortedEntries() {
 		if err == nil {
-			text, err = line(text, &record{Take: e})
+			text, err = appendRecord(text, &record{Accepted: e})
 		}
 	}
-	for _, n := range b.pending() {
+	for _, n := range b.sortedNotices() {
 		if err == nil {
-			text, err = line(text, &record{Notice: n})
+			text, err = appendRecord(text, &record{Notice: n})
 		}
 	}
-	if all := b.knownOutages(); err == nil && len(all) > 0 {
-		text, err = line(text, &record{Outages: all})
+	if all := b.sortedOutages(); err == nil && len(all) > 0 {
+		text, err = appendRecord(text, &record{Outages: all})
 	}
 	return text, err
 }
 
-// rewrite puts a new file in the place of the old.
-func (l *Ledger) rewrite() error {
-	text, err := l.book.whole()
+// compact puts a new file in the place of the old.
+func (l *Ledger) compact() error {
+	text, err := l.state.snapshot()
 	if err != nil {
 		return err
 	}
-	if err := l.out.Replace(text); err != nil {
+	if err := l.file.Replace(text); err != nil {
 		return err
 	}
-	l.pending = l.pending[:0]
+	l.unwritten = l.unwritten[:0]
 	return nil
 }
 
-// put writes one line and applies it. counts tells that it is applied even if it can't be written: then it is kept, and written
+// record writes one line and applies it. counts tells that it is applied even if it can't be written: then it is kept, and written
 // by Repair. An error tells that it is not on record; with recordfile.ErrUncertain it may be.
-func (l *Ledger) put(r *record, counts bool) error {
+func (l *Ledger) record(r *record, counts bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return ErrClosed
 	}
-	b, err := line(l.buf[:0], r)
+	b, err := appendRecord(l.buf[:0], r)
 	l.buf = b
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	if r.Take != nil && !l.rules.takes(l.book.live, len(b)) {
+	if r.Accepted != nil && !l.limits.admits(l.state.liveBytes, len(b)) {
 		return ErrFull
 	}
 	if err = l.write(b); err == nil || counts {
-		l.book.apply(r, len(b))
+		l.state.apply(r, len(b))
 	}
 	if err != nil && counts {
-		l.keep(b)
+		l.keepUnwritten(b)
 	}
 	return err
 }
@@ -186,44 +186,44 @@
 		return ErrFailing
 	}
 	var err error
-	if l.rules.compacts(l.book.live, l.out.Size(), len(b)) {
-		err = l.rewrite()
+	if l.limits.needsCompaction(l.state.liveBytes, l.file.Size(), len(b)) {
+		err = l.compact()
 	}
 	if err == nil {
-		err = l.out.Append(b)
+		err = l.file.Append(b)
 	}
 	if err != nil {
-		l.fail()
+		l.setFailing()
 		return fmt.Errorf("ledger: %w", err)
 	}
 	return nil
 }
 
-// fail has the ledger failing until Repair succeeds.
-func (l *Ledger) fail() {
+// setFailing has the ledger failing until Repair succeeds.
+func (l *Ledger) setFailing() {
 	l.failing = true
 	select {
-	case l.broken <- struct{}{}:
+	case l.failureStarted <- struct{}{}:
 	default:
 	}
 }
 
-// pendingMost bounds the lines that are kept: with more the file is written anew.
-const pendingMost = 64 << 10
+// maxUnwritten bounds the lines that are kept: with more the file is written anew.
+const maxUnwritten = 64 << 10
 
-// keep keeps a line for Repair.
-func (l *Ledger) keep(b []byte) {
-	if l.out.Damaged() {
+// keepUnwritten keeps a line for Repair.
+func (l *Ledger) keepUnwritten(b []byte) {
+	if l.file.NeedsReplace() {
 		return // the file is to be written anew
 	}
-	if l.pending = append(l.pending, b...); len(l.pending) > pendingMost {
-		l.pending = l.pending[:0]
-		l.out.Damage()
+	if l.unwritten = append(l.unwritten, b...); len(l.unwritten) > maxUnwritten {
+		l.unwritten = l.unwritten[:0]
+		l.file.RequireReplace()
 	}
 }
 
-// Broken is sent to when the ledger begins to fail: then Repair is to be called, until it returns nil.
-func (l *Ledger) Broken() <-chan struct{} { return l.broken }
+// FailureStarted is sent to when the ledger begins to fail: then Repair is to be called, until it returns nil.
+func (l *Ledger) FailureStarted() <-chan struct{} { return l.failureStarted }
 
 // Failing tells whether the file is not up to date.
 func (l *Ledger) Failing() bool {
@@ -240,79 +240,81 @@
 	if l.closed || !l.failing {
 		return nil
 	}
-	lines, err := l.pending, error(nil)
+	lines, err := l.unwritten, error(nil)
 	if len(lines) == 0 { // whether the disk works shows by a line that says nothing
-		lines, err = line(nil, &record{})
+		lines, err = appendRecord(nil, &record{})
 	}
-	if l.out.Damaged() || l.rules.compacts(l.book.live, l.out.Size(), len(lines)) {
-		err = l.rewrite()
+	if l.file.NeedsReplace() || l.limits.needsCompaction(l.state.liveBytes, l.file.Size(), len(lines)) {
+		err = l.compact()
 	} else if err == nil {
-		err = l.out.Append(lines)
+		err = l.file.Append(lines)
 	}
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	l.pending, l.failing = l.pending[:0], false
+	l.unwritten, l.failing = l.unwritten[:0], false
 	return nil
 }
 
 // Take records a message as taken on.
-func (l *Ledger) Take(e *Entry) error { return l.put(&record{Take: e}, false) }
+func (l *Ledger) Accept(e *Entry) error { return l.record(&record{Accepted: e}, false) }
 
 // Out records a call before it leaves: at is when it begins, zone where it goes. counts tells that it leaves even if that can't
 // be written.
-func (l *Ledger) Out(names []string, at clock.Instant, zone int, counts bool) error {
-	return l.put(&record{Out: &sent{names, at, zone}}, counts)
+func (l *Ledger) StartAttempts(names []string, at clock.Instant, zone int, counts bool) error {
+	return l.record(&record{Started: &attemptStart{names, at, zone}}, counts)
 }
 
 // Back records the end of an attempt whose message has not ended, also of one that never went out: ran tells that it may have
 // run, unsent that it does not count as an attempt.
-func (l *Ledger) Back(name string, ran, unsent bool) error {
-	return l.put(&record{Back: &back{name, ran, unsent}}, true)
+func (l *Ledger) EndAttempt(name string, ran, unsent bool) error {
+	return l.record(&record{Ended: &attemptEnd{name, ran, unsent}}, true)
 }
 
-// TakeBack records that an attempt that was recorded was not made.
-func (l *Ledger) TakeBack(name string) error {
-	return l.put(&record{Back: &back{name, false, true}}, true)
+// RevokeAttempt records that an attempt that was recorded was not made.
+func (l *Ledger) RevokeAttempt(name string) error {
+	return l.record(&record{Ended: &attemptEnd{name, false, true}}, true)
 }
 
 // Over records that nothing is owed for a message any more.
-func (l *Ledger) Over(name string) error { return l.put(&record{Over: name}, true) }
+func (l *Ledger) Complete(name string) error { return l.record(&record{Completed: name}, true) }
 
-// End records that a message ended with a notice.
-func (l *Ledger) End(n Notice) error { return l.put(&record{Notice: &n}, true) }
+// CompleteWithNotice records that a message ended with a notice.
+func (l *Ledger) CompleteWithNotice(n Notice) error { return l.record(&record{Notice: &n}, true) }
 
 // Acked records that the platform has taken notices.
-func (l *Ledger) Acked(names []string) error { return l.put(&record{Acked: names}, true) }
+func (l *Ledger) AcknowledgeNotices(names []string) error {
+	return l.record(&record{Acknowledged: names}, true)
+}
 
-// Follows tells whether a process before this one has used the folder.
-func (l *Ledger) Follows() bool { return l.follows }
+// Reopened tells whether a process before this one has used the folder.
+func (l *Ledger) Reopened() bool { return l.reopened }
 
-// Owed returns what is owed: messages, and notices not acknowledged, each in the order in which they were taken down.
-func (l *Ledger) Owed() (entries []Entry, notices []Notice) {
+// Outstanding returns what is owed: messages, and notices not acknowledged, each in the order in which they were taken down.
+func (l *Ledger) Outstanding() (entries []Entry, notices []Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range l.book.entries() {
+	for _, e := range l.state.sortedEntries() {
 		entries = append(entries, *e)
 	}
-	for _, n := range l.book.pending() {
+	for _, n := range l.state.sortedNotices() {
 		notices = append(notices, *n)
 	}
 	return entries, notices
 }
 
-// Has tells whether a message is owed its end, or a notice of it is not acknowledged.
-func (l *Ledger) Has(name string) bool {
+// Contains tells whether a message is owed its end, or a notice of it is not acknowledged.
+func (l *Ledger) Contains(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.book.owed[name] != nil || l.book.notices[name] != nil
+	return l.state.messages[name] != nil || l.state.notices[name] != nil
 }
 
 // Size tells how much the file and what is owed of it take, in bytes.
 func (l *Ledger) Size() (file, live int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.out.Size(), l.book.live
+	return l.file.Size(), l.state.liveBytes
 }
 
 // Close ends the use of the folder.
@@ -323,5 +325,5 @@
 		return nil
 	}
 	l.closed = true
-	return errors.Join(l.out.Close(), l.lock.Close())
+	return errors.Join(l.file.Close(), l.lock.Close())
 }
--- a/internal/logstore/format.go
+++ b/internal/logstore/format.go
@@ -13,13 +13,13 @@
 
 // The form of the files is in docs/logformat.md; another program can read them by it.
 const (
-	segmentMagic = "WHRNLOG1"
-	indexMagic   = "WHRNIDX1"
-	headSize     = 32
-	recordHead   = 8
-	maxRecord    = 1 << 20
+	segmentMagic      = "WHRNLOG1"
+	indexMagic        = "WHRNIDX1"
+	segmentHeaderSize = 32
+	recordHeaderSize  = 8
+	maxRecordSize     = 1 << 20
 
-	suffixOpen, suffixPacked, suffixIndex, suffixTorn = ".seg", ".seg.zst", ".idx", ".torn"
+	suffixSegment, suffixCompressed, suffixIndex, suffixTorn = ".seg", ".seg.zst", ".idx", ".torn"
 )
 
 // ErrCorrupt is the cause of all errors about bytes that are not as they were written.
@@ -37,10 +37,10 @@
 	}
 	first, err := strconv.ParseUint(rest[:16], 16, 64)
 	suffix = rest[16:]
-	return first, suffix, err == nil && slices.Contains([]string{suffixOpen, suffixPacked, suffixIndex, suffixTorn}, suffix)
+	return first, suffix, err == nil && slices.Contains([]string{suffixSegment, suffixCompressed, suffixIndex, suffixTorn}, suffix)
 }
 
-func appendHead(b []byte, first uint64, made time.Time) []byte {
+func appendSegmentHeader(b []byte, first uint64, made time.Time) []byte {
 	at := len(b)
 	b = append(b, segmentMagic...)
 	b = binary.LittleEndian.AppendUint64(b, first)
@@ -49,8 +49,8 @@
 	return binary.LittleEndian.AppendUint32(b, 0)
 }
 
-func parseHead(b []byte) (first uint64, made time.Time, err error) {
-	if len(b) < headSize || string(b[:8]) != segmentMagic || binary.LittleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoli) {
+func parseSegmentHeader(b []byte) (first uint64, made time.Time, err error) {
+	if len(b) < segmentHeaderSize || string(b[:8]) != segmentMagic || binary.LittleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoli) {
 		return 0, made, fmt.Errorf("segment head: %w", ErrCorrupt)
 	}
 	return binary.LittleEndian.Uint64(b[8:]), time.UnixMicro(int64(binary.LittleEndian.Uint64(b[16:]))), nil
@@ -73,37 +73,37 @@
 // NextRecord reads the record at a place of b and tells where the next one begins. An error is ErrCorrupt: it is cut, or
 // not as it was written.
 func NextRecord(b []byte, at int, seq uint64) (payload []byte, next int, err error) {
-	if at+recordHead > len(b) {
+	if at+recordHeaderSize > len(b) {
 		return nil, at, fmt.Errorf("record %d: cut in its head: %w", seq, ErrCorrupt)
 	}
 	n := int(binary.LittleEndian.Uint32(b[at:]))
-	if n > maxRecord || at+recordHead+n > len(b) {
+	if n > maxRecordSize || at+recordHeaderSize+n > len(b) {
 		return nil, at, fmt.Errorf("record %d: cut, or its length is wrong: %w", seq, ErrCorrupt)
 	}
-	payload = b[at+recordHead : at+recordHead+n]
+	payload = b[at+recordHeaderSize : at+recordHeaderSize+n]
 	if binary.LittleEndian.Uint32(b[at+4:]) != checksum(seq, payload) {
 		return nil, at, fmt.Errorf("record %d: checksum: %w", seq, ErrCorrupt)
 	}
-	return payload, at + recordHead + n, nil
+	return payload, at + recordHeaderSize + n, nil
 }
 
-// mark is one label of one record: which of the segment's records carries it.
-type mark struct {
-	label uint64
-	no    uint32
+// posting is one label of one record: which of the segment's records carries it.
+type posting struct {
+	label       uint64
+	recordIndex uint32
 }
 
 // appendIndex makes an index file: the number of records, when the segment was closed, and all marks in order.
-func appendIndex(b []byte, records uint32, closed time.Time, marks []mark) []byte {
+func appendIndex(b []byte, records uint32, closed time.Time, marks []posting) []byte {
 	marks = slices.Clone(marks)
-	slices.SortFunc(marks, func(x, y mark) int {
+	slices.SortFunc(marks, func(x, y posting) int {
 		if x.label != y.label {
 			if x.label < y.label {
 				return -1
 			}
 			return 1
 		}
-		return int(x.no) - int(y.no)
+		return int(x.recordIndex) - int(y.recordIndex)
 	})
 	at := len(b)
 	b = append(b, indexMagic...)
@@ -112,42 +112,42 @@
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(marks)))
 	for _, m := range marks {
 		b = binary.LittleEndian.AppendUint64(b, m.label)
-		b = binary.LittleEndian.AppendUint32(b, m.no)
+		b = binary.LittleEndian.AppendUint32(b, m.recordIndex)
 	}
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
 }
 
-// index is an index file as read.
-type index struct {
-	records uint32
-	closed  time.Time
-	marks   []byte
+// segmentIndex is an index file as read.
+type segmentIndex struct {
+	records  uint32
+	closedAt time.Time
+	postings []byte
 }
 
-const markSize, indexHead = 12, 24
+const postingSize, indexHeaderSize = 12, 24
 
-func parseIndex(b []byte) (x index, err error) {
-	if len(b) < indexHead+4 || string(b[:8]) != indexMagic ||
+func parseIndex(b []byte) (x segmentIndex, err error) {
+	if len(b) < indexHeaderSize+4 || string(b[:8]) != indexMagic ||
 		crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) ||
-		int64(len(b)) != indexHead+4+markSize*int64(binary.LittleEndian.Uint32(b[20:])) {
+		int64(len(b)) != indexHeaderSize+4+postingSize*int64(binary.LittleEndian.Uint32(b[20:])) {
 		return x, fmt.Errorf("index: %w", ErrCorrupt)
 	}
-	return index{binary.LittleEndian.Uint32(b[8:]), time.UnixMicro(int64(binary.LittleEndian.Uint64(b[12:]))), b[indexHead : len(b)-4]}, nil
+	return segmentIndex{binary.LittleEndian.Uint32(b[8:]), time.UnixMicro(int64(binary.LittleEndian.Uint64(b[12:]))), b[indexHeaderSize : len(b)-4]}, nil
 }
 
 // find returns the records that carry a label.
-func (x index) find(label uint64) (nos []uint32) {
-	n := len(x.marks) / markSize
+func (x segmentIndex) find(label uint64) (nos []uint32) {
+	n := len(x.postings) / postingSize
 	lo, hi := 0, n
 	for lo < hi {
-		if mid := (lo + hi) / 2; binary.LittleEndian.Uint64(x.marks[mid*markSize:]) < label {
+		if mid := (lo + hi) / 2; binary.LittleEndian.Uint64(x.postings[mid*postingSize:]) < label {
 			lo = mid + 1
 		} else {
 			hi = mid
 		}
 	}
-	for ; lo < n && binary.LittleEndian.Uint64(x.marks[lo*markSize:]) == label; lo++ {
-		nos = append(nos, binary.LittleEndian.Uint32(x.marks[lo*markSize+8:]))
+	for ; lo < n && binary.LittleEndian.Uint64(x.postings[lo*postingSize:]) == label; lo++ {
+		nos = append(nos, binary.LittleEndian.Uint32(x.postings[lo*postingSize+8:]))
 	}
 	return nos
 }
--- a/internal/logstore/read.go
+++ b/internal/logstore/read.go
@@ -10,7 +10,7 @@
 )
 
 // recover lists the segments, cuts the torn end of the last one and makes missing indexes anew.
-func (s *Store) recover(rep *Report) error {
+func (s *Store) recover(rep *RecoveryReport) error {
 	names, err := s.fs.List()
 	if err != nil {
 		return err
@@ -26,36 +26,36 @@
 	}
 	var firsts []uint64
 	for first, f := range files {
-		if f[suffixOpen] || f[suffixPacked] {
+		if f[suffixSegment] || f[suffixCompressed] {
 			firsts = append(firsts, first)
 		}
 	}
 	slices.Sort(firsts)
-	s.next = 1
+	s.nextSeq = 1
 	if len(firsts) > 0 {
-		s.next = firsts[0]
+		s.nextSeq = firsts[0]
 	}
 	for i, first := range firsts {
-		if first != s.next {
-			rep.Problems = append(rep.Problems, fmt.Sprintf("records %d to %d are missing", s.next, first-1))
-			s.next = first
+		if first != s.nextSeq {
+			rep.Problems = append(rep.Problems, fmt.Sprintf("records %d to %d are missing", s.nextSeq, first-1))
+			s.nextSeq = first
 		}
-		g, err := s.load(first, files[first], i == len(firsts)-1, rep)
+		g, err := s.loadSegment(first, files[first], i == len(firsts)-1, rep)
 		if err != nil {
 			return err
 		}
-		s.next += uint64(g.records)
+		s.nextSeq += uint64(g.records)
 		rep.Records += uint64(g.records)
 	}
-	s.durable, s.written = s.next, s.next
+	s.durableSeq, s.pendingSeq = s.nextSeq, s.nextSeq
 	return nil
 }
 
-// load takes one segment on. A compressed one whose plain file is still there was about to lose that.
-func (s *Store) load(first uint64, files map[string]bool, last bool, rep *Report) (g segment, err error) {
-	g = segment{first: first, packed: files[suffixPacked]}
-	if g.packed && files[suffixOpen] && !s.opt.ReadOnly {
-		if err := s.fs.Remove(fileName(first, suffixOpen)); err != nil {
+// loadSegment takes one segment on. A compressed one whose plain file is still there was about to lose that.
+func (s *Store) loadSegment(first uint64, files map[string]bool, last bool, rep *RecoveryReport) (g segment, err error) {
+	g = segment{firstSeq: first, compressed: files[suffixCompressed]}
+	if g.compressed && files[suffixSegment] && !s.options.ReadOnly {
+		if err := s.fs.Remove(fileName(first, suffixSegment)); err != nil {
 			return g, err
 		}
 	}
@@ -67,89 +67,89 @@
 		return g, err
 	}
 	if files[suffixIndex] {
-		if b, err := s.whole(fileName(first, suffixIndex)); err == nil {
+		if b, err := s.readFile(fileName(first, suffixIndex)); err == nil {
 			if x, err := parseIndex(b); err == nil {
-				g.records, g.closed = x.records, x.closed
-				s.closed = append(s.closed, g)
+				g.records, g.closedAt = x.records, x.closedAt
+				s.closedSegments = append(s.closedSegments, g)
 				return g, f.Close()
 			}
 		}
 		rep.Problems = append(rep.Problems, fmt.Sprintf("the index of segment %x is made anew", first))
 	}
-	return g, s.mend(&g, f, last, rep)
+	return g, s.repairSegment(&g, f, last, rep)
 }
 
-// mend reads a segment that was not closed in order, up to the last whole record.
-func (s *Store) mend(g *segment, f disk.File, last bool, rep *Report) error {
-	b, err := s.segment(*g)
-	if err != nil && g.packed {
-		rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: %v", g.first, err))
+// repairSegment reads a segment that was not closed in order, up to the last whole record.
+func (s *Store) repairSegment(g *segment, f disk.File, last bool, rep *RecoveryReport) error {
+	b, err := s.readSegment(*g)
+	if err != nil && g.compressed {
+		rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: %v", g.firstSeq, err))
 		return f.Close()
 	}
 	if err != nil {
 		return err
 	}
-	first, made, err := parseHead(b)
-	if err != nil || first != g.first {
+	first, made, err := parseSegmentHeader(b)
+	if err != nil || first != g.firstSeq {
 		if !last {
-			rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: its head is not as it was written", g.first))
-			s.closed = append(s.closed, *g)
+			rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: its head is not as it was written", g.firstSeq))
+			s.closedSegments = append(s.closedSegments, *g)
 			return f.Close()
 		}
 		// A crash between making the file and its first sync: no record of it was ever durable.
-		rep.Torn += int64(len(b))
-		if s.opt.ReadOnly {
+		rep.TornBytes += int64(len(b))
+		if s.options.ReadOnly {
 			return f.Close()
 		}
-		return errors.Join(f.Close(), s.fs.Remove(fileName(g.first, suffixOpen)), s.fs.SyncDir())
+		return errors.Join(f.Close(), s.fs.Remove(fileName(g.firstSeq, suffixSegment)), s.fs.SyncDir())
 	}
-	g.made = made
-	s.last, s.marks = *g, nil
-	at := headSize
+	g.createdAt = made
+	s.active, s.postings = *g, nil
+	at := segmentHeaderSize
 	for at < len(b) {
-		payload, next, err := NextRecord(b, at, g.first+uint64(s.last.records))
+		payload, next, err := NextRecord(b, at, g.firstSeq+uint64(s.active.records))
 		if err != nil {
 			break
 		}
-		s.label(payload)
-		s.last.records++
+		s.indexRecord(payload)
+		s.active.records++
 		at = next
 	}
-	if torn := int64(len(b) - at); torn > 0 && !g.packed {
-		rep.Torn += torn
-		if s.opt.ReadOnly {
-			s.last.bytes = int64(at)
-			*g = s.last
-			s.closed = append(s.closed, *g)
+	if torn := int64(len(b) - at); torn > 0 && !g.compressed {
+		rep.TornBytes += torn
+		if s.options.ReadOnly {
+			s.active.bytes = int64(at)
+			*g = s.active
+			s.closedSegments = append(s.closedSegments, *g)
 			return f.Close()
 		}
-		if err := s.replace(fileName(g.first, suffixTorn), b[at:]); err != nil {
+		if err := s.writeFileAtomic(fileName(g.firstSeq, suffixTorn), b[at:]); err != nil {
 			return err
 		}
 		if err := errors.Join(f.Truncate(int64(at)), f.Sync()); err != nil {
 			return err
 		}
-		s.last.bytes = int64(at)
+		s.active.bytes = int64(at)
 	}
-	*g = s.last
-	if last && !g.packed {
-		s.file = f
+	*g = s.active
+	if last && !g.compressed {
+		s.activeFile = f
 		return nil
 	}
-	if s.opt.ReadOnly {
-		s.closed = append(s.closed, *g)
+	if s.options.ReadOnly {
+		s.closedSegments = append(s.closedSegments, *g)
 		return f.Close()
 	}
-	g.closed = s.opt.Wall()
-	s.closed = append(s.closed, *g)
-	err = s.replace(fileName(g.first, suffixIndex), appendIndex(nil, g.records, g.closed, s.marks))
+	g.closedAt = s.options.WallClock()
+	s.closedSegments = append(s.closedSegments, *g)
+	err = s.writeFileAtomic(fileName(g.firstSeq, suffixIndex), appendIndex(nil, g.records, g.closedAt, s.postings))
 	return errors.Join(err, f.Close())
 }
 
-// segment reads a segment's bytes, uncompressed.
-func (s *Store) segment(g segment) ([]byte, error) {
-	b, err := s.whole(fileName(g.first, g.suffix()))
-	if err != nil || !g.packed {
+// readSegment reads a segment's bytes, uncompressed.
+func (s *Store) readSegment(g segment) ([]byte, error) {
+	b, err := s.readFile(fileName(g.firstSeq, g.suffix()))
+	if err != nil || !g.compressed {
 		return b, err
 	}
 	if b, err = decoder().DecodeAll(b, nil); err != nil {
@@ -158,13 +158,13 @@
 	return b, nil
 }
 
-// segments are all, oldest first.
-func (s *Store) segments() []segment {
+// allSegments are all, oldest first.
+func (s *Store) allSegments() []segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := slices.Clone(s.closed)
-	if s.file != nil {
-		all = append(all, s.last)
+	all := slices.Clone(s.closedSegments)
+	if s.activeFile != nil {
+		all = append(all, s.active)
 	}
 	return all
 }
@@ -172,11 +172,11 @@
 // Read calls fn with the records on disk from a number on, in order. What is not as it was written goes to bad, and
 // reading goes on with the next segment; without bad it ends with that error.
 func (s *Store) Read(from uint64, fn func(seq uint64, payload []byte) error, bad func(error)) error {
-	for _, g := range s.segments() {
-		if g.first+uint64(g.records) <= from {
+	for _, g := range s.allSegments() {
+		if g.firstSeq+uint64(g.records) <= from {
 			continue
 		}
-		err := s.each(g, func(seq uint64, payload []byte) error {
+		err := s.readRecords(g, func(seq uint64, payload []byte) error {
 			if seq < from {
 				return nil
 			}
@@ -191,19 +191,19 @@
 	return nil
 }
 
-func (s *Store) each(g segment, fn func(uint64, []byte) error) error {
-	b, err := s.segment(g)
+func (s *Store) readRecords(g segment, fn func(uint64, []byte) error) error {
+	b, err := s.readSegment(g)
 	if err == nil {
-		_, _, err = parseHead(b)
+		_, _, err = parseSegmentHeader(b)
 	}
 	if err != nil {
-		return fmt.Errorf("segment %x: %w", g.first, err)
+		return fmt.Errorf("segment %x: %w", g.firstSeq, err)
 	}
-	at := headSize
-	for seq := g.first; seq < g.first+uint64(g.records); seq++ {
+	at := segmentHeaderSize
+	for seq := g.firstSeq; seq < g.firstSeq+uint64(g.records); seq++ {
 		payload, next, err := NextRecord(b, at, seq)
 		if err != nil {
-			return fmt.Errorf("segment %x: %w", g.first, err)
+			return fmt.Errorf("segment %x: %w", g.firstSeq, err)
 		}
 		if err := fn(seq, payload); err != nil {
 			return err
@@ -216,15 +216,15 @@
 // VerifyNext reads one closed segment whole, the next in turn, and returns what is wrong with it.
 func (s *Store) VerifyNext() error {
 	s.mu.Lock()
-	if len(s.closed) == 0 {
+	if len(s.closedSegments) == 0 {
 		s.mu.Unlock()
 		return nil
 	}
-	s.verified = (s.verified + 1) % len(s.closed)
-	g := s.closed[s.verified]
+	s.lastVerified = (s.lastVerified + 1) % len(s.closedSegments)
+	g := s.closedSegments[s.lastVerified]
 	s.mu.Unlock()
-	err := s.each(g, func(uint64, []byte) error { return nil })
-	if disk.NotExist(err) { // compressed or dropped meanwhile
+	err := s.readRecords(g, func(uint64, []byte) error { return nil })
+	if disk.IsNotExist(err) { // compressed or dropped meanwhile
 		return nil
 	}
 	return err
@@ -232,14 +232,14 @@
 
 // Find calls fn with the records on disk that carry a label, in order.
 func (s *Store) Find(label uint64, fn func(seq uint64, payload []byte) error, bad func(error)) error {
-	for _, g := range s.segments() {
-		nos, err := s.lookUp(g, label)
+	for _, g := range s.allSegments() {
+		nos, err := s.findInSegment(g, label)
 		blind := err != nil // without its index the segment is read whole
 		if !blind && len(nos) == 0 {
 			continue
 		}
-		err = s.each(g, func(seq uint64, payload []byte) error {
-			if _, in := slices.BinarySearch(nos, uint32(seq-g.first)); in || blind && slices.Contains(s.opt.Labels(payload), label) {
+		err = s.readRecords(g, func(seq uint64, payload []byte) error {
+			if _, in := slices.BinarySearch(nos, uint32(seq-g.firstSeq)); in || blind && slices.Contains(s.options.Labels(payload), label) {
 				return fn(seq, payload)
 			}
 			return nil
@@ -253,19 +253,19 @@
 	return nil
 }
 
-// lookUp returns which records of a segment carry a label.
-func (s *Store) lookUp(g segment, label uint64) (nos []uint32, err error) {
-	if g.closed.IsZero() {
+// findInSegment returns which records of a segment carry a label.
+func (s *Store) findInSegment(g segment, label uint64) (nos []uint32, err error) {
+	if g.closedAt.IsZero() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, m := range s.marks {
-			if m.label == label && s.last.first == g.first {
-				nos = append(nos, m.no)
+		for _, m := range s.postings {
+			if m.label == label && s.active.firstSeq == g.firstSeq {
+				nos = append(nos, m.recordIndex)
 			}
 		}
 		return slices.Compact(nos), nil
 	}
-	b, err := s.whole(fileName(g.first, suffixIndex))
+	b, err := s.readFile(fileName(g.firstSeq, suffixIndex))
 	if err != nil {
 		return nil, err
 	}
@@ -275,26 +275,26 @@
 
 // Usage is what the store takes on disk.
 type Usage struct {
-	Segments, Packed int
-	Bytes            int64
-	From, Next       uint64
-	Since            time.Time
+	Segments, Compressed int
+	Bytes                int64
+	FirstSeq, NextSeq    uint64
+	OldestCreatedAt      time.Time
 }
 
 // Usage sums the store up.
 func (s *Store) Usage() Usage {
-	all := s.segments()
+	all := s.allSegments()
 	u := Usage{Segments: len(all)}
 	s.mu.Lock()
-	u.Next = s.next
+	u.NextSeq = s.nextSeq
 	s.mu.Unlock()
 	for i, g := range all {
 		u.Bytes += g.bytes
-		if g.packed {
-			u.Packed++
+		if g.compressed {
+			u.Compressed++
 		}
 		if i == 0 {
-			u.From, u.Since = g.first, g.made
+			u.FirstSeq, u.OldestCreatedAt = g.firstSeq, g.createdAt
 		}
 	}
 	return u
--- a/internal/logstore/store.go
+++ b/internal/logstore/store.go
@@ -17,74 +17,74 @@
 	"whinrun/internal/logstore/plan"
 )
 
-// ErrBehind tells that the disk fails and no more records are kept for it.
-var ErrBehind = errors.New("the log can't be written, and what waits for it is at its bound")
+// ErrBacklogFull tells that the disk fails and no more records are kept for it.
+var ErrBacklogFull = errors.New("the log can't be written, and what waits for it is at its bound")
 
 // Options of a Store.
 type Options struct {
-	Policy plan.Policy
-	Buffer int                           // bytes that may wait for the disk
-	Labels func(payload []byte) []uint64 // labels of a record, for look-ups
-	Wall   func() time.Time
+	Policy          plan.Policy
+	MaxPendingBytes int                           // bytes that may wait for the disk
+	Labels          func(payload []byte) []uint64 // labels of a record, for look-ups
+	WallClock       func() time.Time
 	// ReadOnly opens beside a running writer: nothing is locked, mended or written, a torn end is passed over.
 	ReadOnly bool
 }
 
-// Report is what Open found.
-type Report struct {
-	Records  uint64   // that are there
-	Torn     int64    // bytes at the end of the last segment that were not whole; they are kept in a file of their own
-	Problems []string // gaps, indexes made anew
+// RecoveryReport is what Open found.
+type RecoveryReport struct {
+	Records   uint64   // that are there
+	TornBytes int64    // bytes at the end of the last segment that were not whole; they are kept in a file of their own
+	Problems  []string // gaps, indexes made anew
 }
 
 // segment is one file of records.
 type segment struct {
-	first   uint64
-	records uint32
-	bytes   int64 // on disk
-	made    time.Time
-	closed  time.Time
-	packed  bool
+	firstSeq   uint64
+	records    uint32
+	bytes      int64 // on disk
+	createdAt  time.Time
+	closedAt   time.Time
+	compressed bool
 }
 
 // Store is the log. Append may be called from any goroutine, Commit from one, Tend and VerifyNext from one.
 type Store struct {
-	fs     disk.FS
-	opt    Options
-	unlock io.Closer
+	fs      disk.FS
+	options Options
+	lock    io.Closer
 
-	mu       sync.Mutex
-	closed   []segment
-	last     segment
-	file     disk.File
-	marks    []mark // of the last segment, written and not
-	next     uint64 // number of the next record
-	durable  uint64 // all below are on disk
-	verified int    // of closed: read again last
-	pending  []byte // whole records, from written on
-	labels   []tag  // of those
-	written  uint64 // number of the first record in pending
-	since    time.Duration
-	urgent   bool
-	failed   time.Duration
-	lastErr  error
-	Dropped  uint64 // records for which there was no room while the disk failed
+	mu              sync.Mutex
+	closedSegments  []segment
+	active          segment
+	activeFile      disk.File
+	postings        []posting      // of the last segment, written and not
+	nextSeq         uint64         // number of the next record
+	durableSeq      uint64         // all below are on disk
+	lastVerified    int            // of closed: read again last
+	pending         []byte         // whole records, from written on
+	pendingLabels   []pendingLabel // of those
+	pendingSeq      uint64         // number of the first record in pending
+	pendingSince    time.Duration
+	urgent          bool
+	failedAt        time.Duration
+	lastErr         error
+	RejectedRecords uint64 // records for which there was no room while the disk failed
 }
 
 // Open reads what is there and makes it whole.
-func Open(fs disk.FS, opt Options) (*Store, Report, error) {
-	s := &Store{fs: fs, opt: opt}
-	var rep Report
+func Open(fs disk.FS, opt Options) (*Store, RecoveryReport, error) {
+	s := &Store{fs: fs, options: opt}
+	var rep RecoveryReport
 	if !opt.ReadOnly {
 		lock, err := fs.Lock()
 		if err != nil {
 			return nil, rep, fmt.Errorf("log store: %w", err)
 		}
-		s.unlock = lock
+		s.lock = lock
 	}
 	if err := s.recover(&rep); err != nil {
-		if s.unlock != nil {
-			_ = s.unlock.Close()
+		if s.lock != nil {
+			_ = s.lock.Close()
 		}
 		return nil, rep, fmt.Errorf("log store: %w", err)
 	}
@@ -96,53 +96,53 @@
 	err := s.Commit(now)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.file != nil {
-		err = errors.Join(err, s.file.Close())
+	if s.activeFile != nil {
+		err = errors.Join(err, s.activeFile.Close())
 	}
-	if s.unlock != nil {
-		err = errors.Join(err, s.unlock.Close())
+	if s.lock != nil {
+		err = errors.Join(err, s.lock.Close())
 	}
 	return err
 }
 
-// tag is a label of a record that is not written yet.
-type tag struct{ seq, label uint64 }
+// pendingLabel is a label of a record that is not written yet.
+type pendingLabel struct{ seq, label uint64 }
 
 // Append takes a record with its labels, the same that Options.Labels finds in it. Its number tells the order; it is
 // on disk once Durable has passed that.
 func (s *Store) Append(now time.Duration, payload []byte, labels ...uint64) (seq uint64, err error) {
-	if s.opt.ReadOnly {
+	if s.options.ReadOnly {
 		return 0, errors.New("the log is open for reading")
 	}
-	if len(payload) > maxRecord {
-		return 0, fmt.Errorf("record of %d bytes above %d", len(payload), maxRecord)
+	if len(payload) > maxRecordSize {
+		return 0, fmt.Errorf("record of %d bytes above %d", len(payload), maxRecordSize)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.pending)+len(payload)+recordHead > s.opt.Buffer {
-		s.Dropped++
-		return 0, ErrBehind
+	if len(s.pending)+len(payload)+recordHeaderSize > s.options.MaxPendingBytes {
+		s.RejectedRecords++
+		return 0, ErrBacklogFull
 	}
 	if len(s.pending) == 0 {
-		s.since, s.written = now, s.next
+		s.pendingSince, s.pendingSeq = now, s.nextSeq
 	}
-	s.pending = AppendRecord(s.pending, s.next, payload)
+	s.pending = AppendRecord(s.pending, s.nextSeq, payload)
 	for _, l := range labels {
-		s.labels = append(s.labels, tag{s.next, l})
+		s.pendingLabels = append(s.pendingLabels, pendingLabel{s.nextSeq, l})
 	}
-	s.next++
-	return s.next - 1, nil
+	s.nextSeq++
+	return s.nextSeq - 1, nil
 }
 
 // Durable is the number below which all records are on disk.
 func (s *Store) Durable() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.durable
+	return s.durableSeq
 }
 
-// Urge has what waits written at once.
-func (s *Store) Urge() {
+// RequestCommit has what waits written at once.
+func (s *Store) RequestCommit() {
 	s.mu.Lock()
 	s.urgent = true
 	s.mu.Unlock()
@@ -152,26 +152,26 @@
 func (s *Store) Failing() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failed == 0 {
+	if s.failedAt == 0 {
 		return nil
 	}
 	return s.lastErr
 }
 
-// Due tells when Commit is to be called.
-func (s *Store) Due() (time.Duration, bool) {
+// NextCommit tells when Commit is to be called.
+func (s *Store) NextCommit() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opt.Policy.Commit(plan.Waiting{Bytes: len(s.pending), Since: s.since, Urgent: s.urgent, Failed: s.failed})
+	return s.options.Policy.NextCommit(plan.Backlog{Bytes: len(s.pending), OldestAt: s.pendingSince, Urgent: s.urgent, FailedAt: s.failedAt})
 }
 
 // Commit writes and syncs what waits: one write and one sync for all of it. While the disk fails nothing of it is
 // given up: the half-written end is cut off, and all is written again later.
 func (s *Store) Commit(now time.Duration) error {
 	s.mu.Lock()
-	batch, labels, from, next := s.pending, s.labels, s.written, s.next
-	s.pending, s.labels, s.urgent = nil, nil, false
-	wasFailed := s.failed > 0
+	batch, labels, from, next := s.pending, s.pendingLabels, s.pendingSeq, s.nextSeq
+	s.pending, s.pendingLabels, s.urgent = nil, nil, false
+	wasFailed := s.failedAt > 0
 	s.mu.Unlock()
 	if len(batch) == 0 && !wasFailed {
 		return nil
@@ -180,70 +180,70 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.pending, s.labels = append(batch, s.pending...), append(labels, s.labels...)
-		s.written = from
-		s.failed, s.lastErr = max(now, 1), err
+		s.pending, s.pendingLabels = append(batch, s.pending...), append(labels, s.pendingLabels...)
+		s.pendingSeq = from
+		s.failedAt, s.lastErr = max(now, 1), err
 		return fmt.Errorf("log store: %w", err)
 	}
-	s.failed = 0
-	s.durable = next
+	s.failedAt = 0
+	s.durableSeq = next
 	if len(s.pending) > 0 {
-		s.written, s.since = next, now
+		s.pendingSeq, s.pendingSince = next, now
 	}
 	return nil
 }
 
 // write puts a batch into the open segment, which is closed before where that is due.
-func (s *Store) write(batch []byte, labels []tag, from, next uint64) error {
-	if s.file != nil && s.opt.Policy.Rotate(s.last.bytes, s.opt.Wall().Sub(s.last.made)) {
+func (s *Store) write(batch []byte, labels []pendingLabel, from, next uint64) error {
+	if s.activeFile != nil && s.options.Policy.ShouldRotate(s.active.bytes, s.options.WallClock().Sub(s.active.createdAt)) {
 		if err := s.rotate(); err != nil {
-			return fmt.Errorf("close segment %x: %w", s.last.first, err)
+			return fmt.Errorf("close segment %x: %w", s.active.firstSeq, err)
 		}
 	}
-	if s.file == nil {
-		if err := s.begin(from); err != nil {
+	if s.activeFile == nil {
+		if err := s.createSegment(from); err != nil {
 			return err
 		}
 	}
-	n, err := s.file.Write(batch)
+	n, err := s.activeFile.Write(batch)
 	if err == nil {
-		err = s.file.Sync()
+		err = s.activeFile.Sync()
 	}
 	if err != nil {
 		if n > 0 { // what is half there must not stand before what is written later
-			if cut := s.file.Truncate(s.last.bytes); cut != nil {
-				s.abandon()
+			if cut := s.activeFile.Truncate(s.active.bytes); cut != nil {
+				s.abandonSegment()
 			}
 		}
-		return fmt.Errorf("segment %x: %w", s.last.first, err)
+		return fmt.Errorf("segment %x: %w", s.active.firstSeq, err)
 	}
 	s.mu.Lock()
-	s.last.bytes += int64(len(batch))
-	s.last.records += uint32(next - from)
+	s.active.bytes += int64(len(batch))
+	s.active.records += uint32(next - from)
 	for _, t := range labels {
-		s.marks = append(s.marks, mark{t.label, uint32(t.seq - s.last.first)})
+		s.postings = append(s.postings, posting{t.label, uint32(t.seq - s.active.firstSeq)})
 	}
 	s.mu.Unlock()
 	return nil
 }
 
-func (s *Store) label(payload []byte) {
-	if s.opt.Labels == nil {
+func (s *Store) indexRecord(payload []byte) {
+	if s.options.Labels == nil {
 		return
 	}
-	for _, l := range s.opt.Labels(payload) {
-		s.marks = append(s.marks, mark{l, s.last.records})
+	for _, l := range s.options.Labels(payload) {
+		s.postings = append(s.postings, posting{l, s.active.records})
 	}
 }
 
-// begin makes a new segment. Its head is on disk before it has a record.
-func (s *Store) begin(first uint64) error {
-	made := s.opt.Wall()
-	f, err := s.fs.Create(fileName(first, suffixOpen))
+// createSegment makes a new segment. Its head is on disk before it has a record.
+func (s *Store) createSegment(first uint64) error {
+	made := s.options.WallClock()
+	f, err := s.fs.Create(fileName(first, suffixSegment))
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(appendHead(nil, first, made))
+	_, err = f.Write(appendSegmentHeader(nil, first, made))
 	if err == nil {
 		err = f.Sync()
 	}
@@ -254,37 +254,37 @@
 		return errors.Join(err, f.Close())
 	}
 	s.mu.Lock()
-	s.file, s.marks = f, nil
-	s.last = segment{first: first, bytes: headSize, made: made}
+	s.activeFile, s.postings = f, nil
+	s.active = segment{firstSeq: first, bytes: segmentHeaderSize, createdAt: made}
 	s.mu.Unlock()
 	return nil
 }
 
 // rotate closes the open segment with its index.
 func (s *Store) rotate() error {
-	now := s.opt.Wall()
-	if err := s.replace(fileName(s.last.first, suffixIndex), appendIndex(nil, s.last.records, now, s.marks)); err != nil {
+	now := s.options.WallClock()
+	if err := s.writeFileAtomic(fileName(s.active.firstSeq, suffixIndex), appendIndex(nil, s.active.records, now, s.postings)); err != nil {
 		return err
 	}
-	if err := s.file.Close(); err != nil {
+	if err := s.activeFile.Close(); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last.closed = now
-	s.closed = append(s.closed, s.last)
-	s.file, s.marks = nil, nil
+	s.active.closedAt = now
+	s.closedSegments = append(s.closedSegments, s.active)
+	s.activeFile, s.postings = nil, nil
 	return nil
 }
 
-// abandon leaves a segment whose end can't be cut: recovery cuts it, and the next record begins another one.
-func (s *Store) abandon() {
-	_ = s.file.Close()
+// abandonSegment leaves a segment whose end can't be cut: recovery cuts it, and the next record begins another one.
+func (s *Store) abandonSegment() {
+	_ = s.activeFile.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last.closed = s.opt.Wall()
-	s.closed = append(s.closed, s.last)
-	s.file, s.marks = nil, nil
+	s.active.closedAt = s.options.WallClock()
+	s.closedSegments = append(s.closedSegments, s.active)
+	s.activeFile, s.postings = nil, nil
 }
 
 // One coder each way serves all: whole buffers are coded without state. Making one costs more than a small segment.
@@ -299,8 +299,8 @@
 	})
 )
 
-// replace writes a whole file so that it is there in full or not at all.
-func (s *Store) replace(name string, b []byte) error {
+// writeFileAtomic writes a whole file so that it is there in full or not at all.
+func (s *Store) writeFileAtomic(name string, b []byte) error {
 	f, err := s.fs.Create(name + ".new")
 	if err != nil {
 		return err
@@ -318,33 +318,33 @@
 	return s.fs.SyncDir()
 }
 
-// Tend does one piece of upkeep: it drops what is past its time, or compresses a closed segment. It tells whether
+// Maintain does one piece of upkeep: it drops what is past its time, or compresses a closed segment. It tells whether
 // there may be more to do.
-func (s *Store) Tend() (more bool, err error) {
+func (s *Store) Maintain() (more bool, err error) {
 	s.mu.Lock()
 	var all []plan.Segment
-	for _, g := range s.closed {
-		all = append(all, plan.Segment{First: g.first, Bytes: g.bytes, Last: g.closed, Compressed: g.packed})
+	for _, g := range s.closedSegments {
+		all = append(all, plan.Segment{FirstSeq: g.firstSeq, Bytes: g.bytes, ClosedAt: g.closedAt, Compressed: g.compressed})
 	}
 	s.mu.Unlock()
-	if drop := s.opt.Policy.Drop(all, s.opt.Wall()); len(drop) > 0 {
-		return true, s.drop(drop[0])
+	if drop := s.options.Policy.Expired(all, s.options.WallClock()); len(drop) > 0 {
+		return true, s.removeSegment(drop[0])
 	}
-	if first, ok := s.opt.Policy.Compress(all); ok {
-		return true, s.pack(first)
+	if first, ok := s.options.Policy.NextToCompress(all); ok {
+		return true, s.compressSegment(first)
 	}
 	return false, nil
 }
 
-// drop removes a segment; its records are gone first, then its index.
-func (s *Store) drop(first uint64) error {
+// removeSegment removes a segment; its records are gone first, then its index.
+func (s *Store) removeSegment(first uint64) error {
 	s.mu.Lock()
-	i := slices.IndexFunc(s.closed, func(g segment) bool { return g.first == first })
-	g := s.closed[i]
-	s.closed = slices.Delete(s.closed, i, i+1)
+	i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == first })
+	g := s.closedSegments[i]
+	s.closedSegments = slices.Delete(s.closedSegments, i, i+1)
 	s.mu.Unlock()
 	for _, suffix := range []string{g.suffix(), suffixIndex} {
-		if err := s.fs.Remove(fileName(first, suffix)); err != nil && !disk.NotExist(err) {
+		if err := s.fs.Remove(fileName(first, suffix)); err != nil && !disk.IsNotExist(err) {
 			return fmt.Errorf("drop segment %x: %w", first, err)
 		}
 	}
@@ -352,35 +352,35 @@
 }
 
 func (g *segment) suffix() string {
-	if g.packed {
-		return suffixPacked
+	if g.compressed {
+		return suffixCompressed
 	}
-	return suffixOpen
+	return suffixSegment
 }
 
-// pack compresses a closed segment. The old file goes once the new one is on disk.
-func (s *Store) pack(first uint64) error {
-	b, err := s.whole(fileName(first, suffixOpen))
+// compressSegment compresses a closed segment. The old file goes once the new one is on disk.
+func (s *Store) compressSegment(first uint64) error {
+	b, err := s.readFile(fileName(first, suffixSegment))
 	if err != nil {
 		return err
 	}
 	small := encoder().EncodeAll(b, nil)
-	if err := s.replace(fileName(first, suffixPacked), small); err != nil {
+	if err := s.writeFileAtomic(fileName(first, suffixCompressed), small); err != nil {
 		return fmt.Errorf("compress segment %x: %w", first, err)
 	}
 	s.mu.Lock()
-	if i := slices.IndexFunc(s.closed, func(g segment) bool { return g.first == first }); i >= 0 {
-		s.closed[i].packed, s.closed[i].bytes = true, int64(len(small))
+	if i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == first }); i >= 0 {
+		s.closedSegments[i].compressed, s.closedSegments[i].bytes = true, int64(len(small))
 	}
 	s.mu.Unlock()
-	if err := s.fs.Remove(fileName(first, suffixOpen)); err != nil {
+	if err := s.fs.Remove(fileName(first, suffixSegment)); err != nil {
 		return fmt.Errorf("compress segment %x: %w", first, err)
 	}
 	return s.fs.SyncDir()
 }
 
-// whole reads a file.
-func (s *Store) whole(name string) ([]byte, error) {
+// readFile reads a file.
+func (s *Store) readFile(name string) ([]byte, error) {
 	f, err := s.fs.Open(name)
 	if err != nil {
 		return nil, err
@@ -401,10 +401,10 @@
 func (s *Store) Abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.file != nil {
-		_ = s.file.Close()
+	if s.activeFile != nil {
+		_ = s.activeFile.Close()
 	}
-	if s.unlock != nil {
-		_ = s.unlock.Close()
+	if s.lock != nil {
+		_ = s.lock.Close()
 	}
 }
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -37,12 +37,12 @@
 
 // Take is engine.Ledger.
 func (k *keeper) Take(m *engine.Message, due control.Time) error {
-	e := &ledger.Entry{Name: m.Name, Class: k.settings.Classes[m.Class].Name, Dest: m.Dest, Due: k.clock.Instant(due), TakenAt: k.clock.Instant(m.Taken), Key: m.Repeat,
-		Order: m.Key, Body: m.Body}
+	e := &ledger.Entry{Name: m.Name, Class: k.settings.Classes[m.Class].Name, Destination: m.Dest, Deadline: k.clock.Instant(due), AcceptedAt: k.clock.Instant(m.Taken), IdempotencyKey: m.Repeat,
+		OrderingKey: m.Key, Body: m.Body}
 	if m.Tenant < len(k.settings.Tenants) {
 		e.Tenant = k.settings.Tenants[m.Tenant].Name
 	}
-	err := k.l.Take(e)
+	err := k.l.Accept(e)
 	if errors.Is(err, recordfile.ErrUncertain) && !k.repeatable(m) {
 		return fmt.Errorf("%w: %w", engine.ErrUncertain, err)
 	}
@@ -63,13 +63,13 @@
 // TakenBack is outbound.Permits.
 func (k *keeper) TakenBack(a *engine.Attempt) {
 	k.guard.TakenBack(a.Call())
-	k.told(k.l.TakeBack(a.Msg.Name))
+	k.told(k.l.RevokeAttempt(a.Msg.Name))
 }
 
 // Record is outbound.Permits. What may be repeated at will needs no record before it is written.
 func (k *keeper) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
 	at, zone := k.clock.Instant(call[0].Sent), call[0].Place.Zone
-	err := k.l.Out(messageNames(call), at, zone, false)
+	err := k.l.StartAttempts(messageNames(call), at, zone, false)
 	if err == nil {
 		for _, a := range call {
 			k.verify(a.Msg)
@@ -83,7 +83,7 @@
 		}
 	}
 	if len(may) > 0 {
-		_ = k.l.Out(messageNames(may), at, zone, true) // it is kept, and written when that works again
+		_ = k.l.StartAttempts(messageNames(may), at, zone, true) // it is kept, and written when that works again
 	}
 	return may, err
 }
@@ -98,7 +98,7 @@
 
 // Back is engine.Ledger.
 func (k *keeper) Back(a *engine.Attempt, e safety.End) {
-	k.told(k.l.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
+	k.told(k.l.EndAttempt(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
 	k.verify(a.Msg)
 }
 
@@ -109,7 +109,7 @@
 	if !ok {
 		return
 	}
-	if err := k.guard.Recorded(m.ID, h.Attempts, h.ExecutedAt > 0, k.clock.Time(h.ExecutedAt)); err != nil {
+	if err := k.guard.Recorded(m.ID, h.Attempts, h.PossiblyExecutedAt > 0, k.clock.Time(h.PossiblyExecutedAt)); err != nil {
 		k.fault(err.Error())
 	}
 }
@@ -117,12 +117,12 @@
 // Over is engine.Ledger.
 func (k *keeper) Over(m *engine.Message, a *engine.Answer) {
 	if a == nil || a.Final == engine.Served {
-		k.told(k.l.Over(m.Name))
+		k.told(k.l.Complete(m.Name))
 		return
 	}
 	n := ledger.Notice{Name: m.Name}
 	if a.Final == engine.Refused {
-		n.Deferred, n.Again = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
+		n.Deferred, n.RetryAfterMillis = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
 	}
 	k.end(n, m.Taken+m.Life)
 }
@@ -130,7 +130,7 @@
 // end records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
 // while its sender hands it in again.
 func (k *keeper) end(n ledger.Notice, due control.Time) {
-	if err := k.l.End(n); err != nil {
+	if err := k.l.CompleteWithNotice(n); err != nil {
 		k.told(err)
 		k.mu.Lock()
 		k.unrecorded = append(k.unrecorded, unrecorded{n, due})
@@ -179,7 +179,7 @@
 			all = append(all, k.outage(o))
 		}
 	}
-	k.told(k.l.Learn(all))
+	k.told(k.l.UpdateOutages(all))
 }
 
 // outage says an outage in the ledger's terms.
@@ -190,8 +190,8 @@
 		}
 		return k.clock.Instant(t)
 	}
-	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
+	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspect, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownAt),
+		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Proven, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.ColdAt), RefusingSince: instant(o.FullAt)}
 }
 
 // known says an outage of the ledger in the module's terms, of an endpoint.
@@ -205,12 +205,12 @@
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.FailedAt), DownAt: at(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.LastFailedAt), DownAt: at(o.FirstFailedAt),
+		Failures: o.ConsecutiveFailures, Proven: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, ColdAt: at(o.RecoveredAt), FullAt: at(o.RefusingSince)}
 }
 
 // acked records that the platform has heard.
-func (k *keeper) acked(names []string) { k.told(k.l.Acked(names)) }
+func (k *keeper) acked(names []string) { k.told(k.l.AcknowledgeNotices(names)) }
 
 func (k *keeper) told(err error) {
 	if err != nil && !errors.Is(err, ledger.ErrFailing) { // what it fails for was told before
@@ -231,8 +231,8 @@
 			void = append(void, e.Name)
 			continue
 		}
-		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, Key: e.Order, Name: e.Name, Repeat: e.Key, Body: e.Body,
-			Life: max(0, k.clock.Time(e.Due)-now), Came: now,
+		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Destination, Key: e.OrderingKey, Name: e.Name, Repeat: e.IdempotencyKey, Body: e.Body,
+			Life: max(0, k.clock.Time(e.Deadline)-now), Came: now,
 			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
 		if at, zone, ok := e.PossiblyExecuted(); ok {
 			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, k.clock.Time(at), zone
--- a/internal/platform/lastlist.go
+++ b/internal/platform/lastlist.go
@@ -89,7 +89,7 @@
 	if err := k.save(l); err != nil {
 		k.behind = true
 		k.say(err)
-		if disk.ForNow(err) {
+		if disk.IsTransient(err) {
 			select {
 			case k.broken <- struct{}{}:
 			default:
@@ -99,7 +99,7 @@
 }
 
 func (k *lastList) save(l List) error {
-	if l.Whole || k.behind || k.file.Damaged() {
+	if l.Whole || k.behind || k.file.NeedsReplace() {
 		return k.rewrite()
 	}
 	text, err := json.Marshal(l)
@@ -142,7 +142,7 @@
 	if err != nil {
 		k.say(err)
 	}
-	if disk.ForNow(err) {
+	if disk.IsTransient(err) {
 		return err
 	}
 	return nil
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -111,7 +111,7 @@
 	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
 	keep.notes = n.notes
 	settings := *set
-	settings.Follows = n.ledger.Follows()
+	settings.Follows = n.ledger.Reopened()
 	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
@@ -122,7 +122,7 @@
 		return err
 	}
 	hold := heldOver * set.MaxOpen
-	entries, owed := n.ledger.Owed()
+	entries, owed := n.ledger.Outstanding()
 	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: hold + len(entries), Hold: hold + len(entries)})
 	n.notes.put(owed...)
 	n.discover()
@@ -176,7 +176,7 @@
 	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
 	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
 	n.desk = NewDesk(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
-	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Has, n.listed.Load
+	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Contains, n.listed.Load
 	if n.cfg.Trace {
 		n.desk.trace = n.debug()
 	}
@@ -249,7 +249,7 @@
 		}
 	}
 	if len(gone) > 0 {
-		k.told(k.l.Learn(gone))
+		k.told(k.l.UpdateOutages(gone))
 	}
 }
 
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -125,7 +125,7 @@
 	for _, x := range batch {
 		o := outcome{ID: x.Name, Status: "undeliverable"}
 		if x.Deferred {
-			o.Status, o.Again = "deferred", x.Again
+			o.Status, o.Again = "deferred", x.RetryAfterMillis
 		}
 		text, _ := json.Marshal(o) // plain strings and numbers: it can't fail
 		b = append(append(b, text...), '\n')
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -55,7 +55,7 @@
 			return true
 		}
 	}
-	return disk.ForNow(err)
+	return disk.IsTransient(err)
 }
 
 // openFolder makes and opens the folder that lasts.
@@ -68,8 +68,8 @@
 }
 
 // moment is now, for the ledger.
-func moment(c *clock.Process) ledger.Moment {
-	return ledger.Moment{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
+func moment(c *clock.Process) ledger.ClockReading {
+	return ledger.ClockReading{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
 // keepStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
@@ -80,7 +80,7 @@
 		select {
 		case <-n.quit:
 			return
-		case <-n.ledger.Broken():
+		case <-n.ledger.FailureStarted():
 		case <-n.last.broken:
 		}
 		n.repair(k)
--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -14,17 +14,17 @@
 var (
 	// ErrUncertain tells that records may be in the file, or may not.
 	ErrUncertain = errors.New("it is not known whether it is in the file")
-	// ErrDamaged tells that nothing can be appended: the file is to be replaced.
-	ErrDamaged = errors.New("the file is to be written anew")
+	// ErrNeedsReplace tells that nothing can be appended: the file is to be replaced.
+	ErrNeedsReplace = errors.New("the file is to be written anew")
 )
 
 // File is one such file. It is not safe for concurrent use.
 type File struct {
-	fs      disk.FS
-	name    string
-	file    disk.File // nil before the first Replace
-	size    int64     // bytes of whole records
-	damaged bool      // the file's end is not known to be whole, or it may not be the folder's any more
+	fs           disk.FS
+	name         string
+	file         disk.File // nil before the first Replace
+	size         int64     // bytes of whole records
+	needsReplace bool      // the file's end is not known to be whole, or it may not be the folder's any more
 }
 
 // New returns the file of a folder by a name; it has to be replaced before anything can be appended. A file by that name with
@@ -34,16 +34,16 @@
 // Size counts the bytes of whole records.
 func (f *File) Size() int64 { return f.size }
 
-// Damaged tells whether only Replace helps.
-func (f *File) Damaged() bool { return f.file == nil || f.damaged }
+// NeedsReplace tells whether only Replace helps.
+func (f *File) NeedsReplace() bool { return f.file == nil || f.needsReplace }
 
-// Damage has the file replaced before anything is appended again.
-func (f *File) Damage() { f.damaged = true }
+// RequireReplace has the file replaced before anything is appended again.
+func (f *File) RequireReplace() { f.needsReplace = true }
 
 // Append writes records. After an error none of them is in the file, or with ErrUncertain they may be and the file is damaged.
 func (f *File) Append(b []byte) error {
-	if f.Damaged() {
-		return ErrDamaged
+	if f.NeedsReplace() {
+		return ErrNeedsReplace
 	}
 	n, err := f.file.Write(b)
 	if err == nil && n == len(b) {
@@ -54,7 +54,7 @@
 		err = io.ErrShortWrite
 	}
 	if cut := f.file.Truncate(f.size); cut != nil { // records behind a torn one would not be read
-		f.damaged = true
+		f.needsReplace = true
 		return fmt.Errorf("%w: %w, %w", ErrUncertain, err, cut)
 	}
 	return err
@@ -75,13 +75,13 @@
 		return errors.Join(err, next.Close(), f.fs.Remove(f.name+".new"))
 	}
 	if err := f.fs.Rename(f.name+".new", f.name); err != nil {
-		f.damaged = true // it may have been renamed all the same
+		f.needsReplace = true // it may have been renamed all the same
 		return errors.Join(err, next.Close())
 	}
 	if f.file != nil {
 		_ = f.file.Close()
 	}
-	f.file, f.size, f.damaged = next, int64(len(text)), false
+	f.file, f.size, f.needsReplace = next, int64(len(text)), false
 	return nil
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -42,7 +42,7 @@
 	door   *door.Door
 	fronts []*front.Front // push, then AMQP where it is on
 	lists  *lists
-	keeper *audit.Keeper // nil where no trail is kept
+	keeper *audit.Recorder // nil where no trail is kept
 	trail  *trail
 
 	background *background
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.keeper.Put(&audit.Record{Kind: audit.Begin, Why: "epoch " + names.Epoch})
+	s.keeper.Enqueue(&audit.Record{Kind: audit.DispatcherStarted, Detail: "epoch " + names.Epoch})
 	s.trail = &trail{s.keeper, s.cfg, s.roster, names}
 	return s.trail, nil
 }
@@ -190,7 +190,7 @@
 func (s *Service) Note(text string) {
 	s.log.Info("module", "%s", text)
 	if s.keeper != nil {
-		s.keeper.Put(&audit.Record{Kind: audit.Learned, Why: text})
+		s.keeper.Enqueue(&audit.Record{Kind: audit.Learned, Detail: text})
 	}
 }
 
