--- a/internal/audit/keeper.go
+++ b/internal/audit/keeper.go
@@ -24,10 +24,10 @@
 // answer waits for the disk.
 type Recorder struct {
 	*Trail
-	store       *logstore.Store
-	now         func() time.Duration
-	log         func(format string, a ...any)
-	onDiskState func(error) // told when the disk begins to fail, and with nil when it works again
+	store             *logstore.Store
+	now               func() time.Duration
+	log               func(format string, a ...any)
+	onDiskStateChange func(error) // told when the disk begins to fail, and with nil when it works again
 
 	mu       sync.Mutex
 	queue    []*Record // not encoded yet
@@ -39,7 +39,7 @@
 }
 
 // Open opens the folder and goes on with its trail. now is the dispatcher's clock.
-func Open(cfg Config, now func() time.Duration, log func(string, ...any), bad func(error)) (*Recorder, error) {
+func Open(cfg Config, now func() time.Duration, log func(string, ...any), onDiskStateChange func(error)) (*Recorder, error) {
 	folder, err := disk.OpenFolder(cfg.Folder)
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
@@ -49,28 +49,28 @@
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	if cfg.FS != nil {
-		return openRecorder(cfg, cfg.FS, key, now, log, bad)
+		return openRecorder(cfg, cfg.FS, key, now, log, onDiskStateChange)
 	}
-	return openRecorder(cfg, folder, key, now, log, bad)
+	return openRecorder(cfg, folder, key, now, log, onDiskStateChange)
 }
 
-func openRecorder(cfg Config, fs disk.FS, key *Key, now func() time.Duration, log func(string, ...any), bad func(error)) (*Recorder, error) {
-	store, rep, err := logstore.Open(fs, logstore.Options{Policy: cfg.Policy, MaxPendingBytes: cfg.Buffer, Labels: Labels, WallClock: clock.Wall})
+func openRecorder(cfg Config, fs disk.FS, key *Key, now func() time.Duration, log func(string, ...any), onDiskStateChange func(error)) (*Recorder, error) {
+	store, report, err := logstore.Open(fs, logstore.Options{Policy: cfg.Policy, MaxPendingBytes: cfg.Buffer, Labels: Labels, WallClock: clock.Wall})
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
-	for _, p := range rep.Problems {
+	for _, p := range report.Problems {
 		log("the trail: %s", p)
 	}
-	if rep.TornBytes > 0 {
-		log("the trail: %d bytes at its end were not whole; they are kept beside it", rep.TornBytes)
+	if report.TornBytes > 0 {
+		log("the trail: %d bytes at its end were not whole; they are kept beside it", report.TornBytes)
 	}
 	trail, err := Resume(store, key, clock.Wall)
 	if err != nil {
 		_ = store.Close(now())
 		return nil, err
 	}
-	k := &Recorder{Trail: trail, store: store, now: now, log: log, onDiskState: bad, maxQueue: cfg.Buffer / 128, wakeup: make(chan struct{}, 1), quit: make(chan struct{})}
+	k := &Recorder{Trail: trail, store: store, now: now, log: log, onDiskStateChange: onDiskStateChange, maxQueue: cfg.Buffer / 128, wakeup: make(chan struct{}, 1), quit: make(chan struct{})}
 	k.done.Go(k.run)
 	return k, nil
 }
@@ -193,14 +193,14 @@
 }
 
 // commit writes what waits, and tells of a disk that begins or ceases to fail.
-func (k *Recorder) commit(now time.Duration, was bool) (failing bool) {
+func (k *Recorder) commit(now time.Duration, wasFailing bool) (failing bool) {
 	err := k.store.Commit(now)
-	if err != nil && !was {
+	if err != nil && !wasFailing {
 		k.log("the trail can't be written, no new messages are taken: %v", err)
-		k.onDiskState(err)
-	} else if err == nil && was {
+		k.onDiskStateChange(err)
+	} else if err == nil && wasFailing {
 		k.log("the trail is written again; %d records are missing", k.Lost())
-		k.onDiskState(nil)
+		k.onDiskStateChange(nil)
 	}
 	return err != nil
 }
--- a/internal/audit/key.go
+++ b/internal/audit/key.go
@@ -47,11 +47,11 @@
 	if block == nil {
 		return nil, fmt.Errorf("%s: not PEM", name)
 	}
-	any, err := x509.ParsePKCS8PrivateKey(block.Bytes)
+	parsed, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	private, ok := any.(ed25519.PrivateKey)
+	private, ok := parsed.(ed25519.PrivateKey)
 	if !ok {
 		return nil, fmt.Errorf("%s: not an Ed25519 key", name)
 	}
@@ -100,11 +100,11 @@
 		if block == nil {
 			return nil, fmt.Errorf("%s: not PEM", name)
 		}
-		any, err := x509.ParsePKIXPublicKey(block.Bytes)
+		parsed, err := x509.ParsePKIXPublicKey(block.Bytes)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		p, ok := any.(ed25519.PublicKey)
+		p, ok := parsed.(ed25519.PublicKey)
 		if !ok {
 			return nil, fmt.Errorf("%s: not an Ed25519 key", name)
 		}
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -39,16 +39,16 @@
 	return all, err
 }
 
-func findByLabel(store *logstore.Store, l uint64, take func(*Record)) error {
-	var bad []error
-	err := store.Find(l, func(_ uint64, payload []byte) error {
+func findByLabel(store *logstore.Store, labelHash uint64, collect func(*Record)) error {
+	var corruptions []error
+	err := store.Find(labelHash, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err == nil {
-			take(r)
+			collect(r)
 		}
 		return err
-	}, func(e error) { bad = append(bad, e) })
-	return errors.Join(append(bad, err)...)
+	}, func(e error) { corruptions = append(corruptions, e) })
+	return errors.Join(append(corruptions, err)...)
 }
 
 // Query asks for messages; empty fields ask for nothing.
@@ -70,30 +70,30 @@
 
 // FindMessages returns the messages that a query asks for, the latest first, as far as the trail goes.
 func FindMessages(store *logstore.Store, q Query) ([]*Message, error) {
-	by := map[string]*Message{}
-	take := func(r *Record) { collectRecord(by, r) }
+	byName := map[string]*Message{}
+	collect := func(r *Record) { collectRecord(byName, r) }
 	var err error
 	switch { // the narrowest look-up that there is; the answer of each is read with the rest
 	case q.Partner != "":
-		err = findByLabel(store, label('p', q.Partner), take)
+		err = findByLabel(store, label('p', q.Partner), collect)
 	case q.Tenant != "":
-		err = findByLabel(store, label('t', q.Tenant), take)
+		err = findByLabel(store, label('t', q.Tenant), collect)
 	case q.Outcome != "":
-		err = findByLabel(store, label('o', q.Outcome), take)
+		err = findByLabel(store, label('o', q.Outcome), collect)
 	}
-	named := q.Partner != "" || q.Tenant != "" || q.Outcome != ""
-	rest := store.Read(0, func(_ uint64, payload []byte) error {
+	filtered := q.Partner != "" || q.Tenant != "" || q.Outcome != ""
+	readErr := store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err != nil {
 			return err
 		}
-		if !named || by[r.Message] != nil {
-			collectRecord(by, r)
+		if !filtered || byName[r.Message] != nil {
+			collectRecord(byName, r)
 		}
 		return nil
 	}, func(e error) { err = errors.Join(err, e) })
 	var all []*Message
-	for _, m := range by {
+	for _, m := range byName {
 		if m.Name != "" && !m.Taken.IsZero() && m.matches(&q) {
 			all = append(all, m)
 		}
@@ -102,7 +102,7 @@
 	if q.Limit > 0 && len(all) > q.Limit {
 		all = all[:q.Limit]
 	}
-	return all, errors.Join(err, rest)
+	return all, errors.Join(err, readErr)
 }
 
 func (m *Message) matches(q *Query) bool {
@@ -111,14 +111,14 @@
 }
 
 // collectRecord takes a record of a message in; the same one twice changes nothing.
-func collectRecord(by map[string]*Message, r *Record) {
+func collectRecord(byName map[string]*Message, r *Record) {
 	if r.Message == "" {
 		return
 	}
-	m := by[r.Message]
+	m := byName[r.Message]
 	if m == nil {
 		m = &Message{Name: r.Message}
-		by[r.Message] = m
+		byName[r.Message] = m
 	}
 	switch r.Kind {
 	case Accepted:
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -104,7 +104,9 @@
 }
 
 // label names a look-up: m a message, p a partner, t a tenant, o an outcome, k a kind.
-func label(of byte, name string) uint64 { return xxhash.Sum64String(string(of) + ":" + name) }
+func label(dimension byte, name string) uint64 {
+	return xxhash.Sum64String(string(dimension) + ":" + name)
+}
 
 // Labels are the look-ups that find a record.
 func Labels(payload []byte) []uint64 {
@@ -117,9 +119,9 @@
 
 func (r *Record) labels() []uint64 {
 	var all []uint64
-	add := func(of byte, name string) {
+	add := func(dimension byte, name string) {
 		if name != "" {
-			all = append(all, label(of, name))
+			all = append(all, label(dimension, name))
 		}
 	}
 	add('m', r.Message)
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -17,8 +17,8 @@
 // Text is a record in words.
 func (r *Record) Text() string {
 	var b strings.Builder
-	add := func(on bool, format string, a ...any) {
-		if on {
+	add := func(condition bool, format string, a ...any) {
+		if condition {
 			if b.Len() > 0 {
 				b.WriteString(", ")
 			}
@@ -45,27 +45,27 @@
 
 // Report is a time of a trail summed up.
 type Report struct {
-	From, To time.Time
-	Slots    []Interval // the time in equal parts
-	Partners []*PartnerSummary
-	Attempts []Bar // messages by how many attempts they took
-	Reasons  []Bar // of messages not served
-	Messages int
+	From, To  time.Time
+	Intervals []Interval // the time in equal parts
+	Partners  []*PartnerSummary
+	Attempts  []Bar // messages by how many attempts they took
+	Reasons   []Bar // of messages not served
+	Messages  int
 }
 
 // Interval is a part of the time.
 type Interval struct {
-	At                              time.Time
-	Served, Refused, Failed, Withdr int
+	At                                 time.Time
+	Served, Refused, Failed, Withdrawn int
 }
 
 // PartnerSummary is a partner's part.
 type PartnerSummary struct {
-	Name                            string
-	Served, Refused, Failed, Withdr int
-	Attempts, Waits                 int
-	LongestWait                     time.Duration
-	took                            *hdrhistogram.Histogram
+	Name                               string
+	Served, Refused, Failed, Withdrawn int
+	Attempts, Waits                    int
+	LongestWait                        time.Duration
+	took                               *hdrhistogram.Histogram
 }
 
 // P50 and P99 are how long attempts took that were answered.
@@ -76,31 +76,31 @@
 
 // Bar is a count with its name.
 type Bar struct {
-	Name  string
-	Count int
-	Part  float64 // of the largest
+	Name     string
+	Count    int
+	Fraction float64 // of the largest
 }
 
 const reportIntervals = 60
 
 // Summarize reads a time of a trail.
 func Summarize(store *logstore.Store, from, to time.Time) (*Report, error) {
-	rep := &Report{From: from, To: to, Slots: make([]Interval, reportIntervals)}
-	by, tries, reasons := map[string]*PartnerSummary{}, map[string]int{}, map[string]int{}
-	for i := range rep.Slots {
-		rep.Slots[i].At = from.Add(to.Sub(from) * time.Duration(i) / reportIntervals)
+	report := &Report{From: from, To: to, Intervals: make([]Interval, reportIntervals)}
+	byPartner, attempts, reasons := map[string]*PartnerSummary{}, map[string]int{}, map[string]int{}
+	for i := range report.Intervals {
+		report.Intervals[i].At = from.Add(to.Sub(from) * time.Duration(i) / reportIntervals)
 	}
 	err := store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err != nil || r.Time().Before(from) || !r.Time().Before(to) || r.Partner == "" {
 			return err
 		}
-		p := by[r.Partner]
+		p := byPartner[r.Partner]
 		if p == nil {
 			p = &PartnerSummary{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
-			by[r.Partner] = p
+			byPartner[r.Partner] = p
 		}
-		slot := &rep.Slots[int(r.Time().Sub(from)*reportIntervals/to.Sub(from))]
+		interval := &report.Intervals[int(r.Time().Sub(from)*reportIntervals/to.Sub(from))]
 		switch r.Kind {
 		case AttemptEnded:
 			p.Attempts++
@@ -112,52 +112,52 @@
 				_ = p.took.RecordValue(max(1, min(r.TookMicros, 3600e6)))
 			}
 		case Answered, Withdrawn:
-			rep.Messages++
-			countOutcome(r, p, slot)
+			report.Messages++
+			countOutcome(r, p, interval)
 			if r.Kind == Answered {
-				tries[fmt.Sprint(r.Attempts)]++
+				attempts[fmt.Sprint(r.Attempts)]++
 				if r.Result != "served" {
-					why := r.Reason
-					if why == "" {
-						why = r.Detail
+					reason := r.Reason
+					if reason == "" {
+						reason = r.Detail
 					}
-					reasons[r.Result+": "+why]++
+					reasons[r.Result+": "+reason]++
 				}
 			}
 		}
 		return nil
 	}, nil)
-	for _, p := range by {
-		rep.Partners = append(rep.Partners, p)
+	for _, p := range byPartner {
+		report.Partners = append(report.Partners, p)
 	}
-	slices.SortFunc(rep.Partners, func(a, b *PartnerSummary) int { return strings.Compare(a.Name, b.Name) })
-	rep.Attempts, rep.Reasons = bars(tries, false), bars(reasons, true)
-	return rep, err
+	slices.SortFunc(report.Partners, func(a, b *PartnerSummary) int { return strings.Compare(a.Name, b.Name) })
+	report.Attempts, report.Reasons = bars(attempts, false), bars(reasons, true)
+	return report, err
 }
 
-func countOutcome(r *Record, p *PartnerSummary, s *Interval) {
+func countOutcome(r *Record, p *PartnerSummary, interval *Interval) {
 	switch {
 	case r.Kind == Withdrawn:
-		p.Withdr++
-		s.Withdr++
+		p.Withdrawn++
+		interval.Withdrawn++
 	case r.Result == "served":
 		p.Served++
-		s.Served++
+		interval.Served++
 	case r.Result == "refused":
 		p.Refused++
-		s.Refused++
+		interval.Refused++
 	default:
 		p.Failed++
-		s.Failed++
+		interval.Failed++
 	}
 }
 
 // bars puts counts in order: by count or by name; twenty at most.
-func bars(of map[string]int, byCount bool) (all []Bar) {
-	most := 1
-	for name, n := range of {
+func bars(counts map[string]int, byCount bool) (all []Bar) {
+	largest := 1
+	for name, n := range counts {
 		all = append(all, Bar{Name: name, Count: n})
-		most = max(most, n)
+		largest = max(largest, n)
 	}
 	slices.SortFunc(all, func(a, b Bar) int {
 		if byCount && a.Count != b.Count {
@@ -166,7 +166,7 @@
 		return strings.Compare(a.Name, b.Name)
 	})
 	for i := range all {
-		all[i].Part = float64(all[i].Count) / float64(most)
+		all[i].Fraction = float64(all[i].Count) / float64(largest)
 	}
 	return all[:min(20, len(all))]
 }
@@ -176,12 +176,12 @@
 
 var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(part float64) string { return fmt.Sprintf("%.1f", 100*part) },
-	"height": func(n int, slots []Interval) float64 {
-		most := 1
-		for _, s := range slots {
-			most = max(most, s.Served+s.Refused+s.Failed+s.Withdr)
+	"height": func(n int, intervals []Interval) float64 {
+		largest := 1
+		for _, s := range intervals {
+			largest = max(largest, s.Served+s.Refused+s.Failed+s.Withdrawn)
 		}
-		return 120 * float64(n) / float64(most)
+		return 120 * float64(n) / float64(largest)
 	},
 	"add": func(a ...int) (n int) {
 		for _, x := range a {
--- a/internal/audit/restore.go
+++ b/internal/audit/restore.go
@@ -15,9 +15,9 @@
 }
 
 // UnfetchedReceipts reads which receipts are still owed, oldest first, and which subscriptions there are, since a time.
-func UnfetchedReceipts(store *logstore.Store, since time.Time) (subscriptions []*Record, owed []*UnfetchedReceipt, err error) {
-	by := map[string]*UnfetchedReceipt{}
-	take := func(r *Record) {
+func UnfetchedReceipts(store *logstore.Store, since time.Time) (subscriptions []*Record, unfetched []*UnfetchedReceipt, err error) {
+	byMessage := map[string]*UnfetchedReceipt{}
+	collect := func(r *Record) {
 		if r.Time().Before(since) {
 			return
 		}
@@ -26,22 +26,22 @@
 			subscriptions = append(subscriptions, r)
 		case Accepted:
 			p := &UnfetchedReceipt{Tenant: r.Tenant, Queue: r.Receipt, Accepted: r}
-			by[r.Message] = p
-			owed = append(owed, p)
+			byMessage[r.Message] = p
+			unfetched = append(unfetched, p)
 		case Answered:
-			if p := by[r.Message]; p != nil {
+			if p := byMessage[r.Message]; p != nil {
 				p.Answered = r
 			}
 		case Fetched:
-			delete(by, r.Message)
+			delete(byMessage, r.Message)
 		}
 	}
-	err = errors.Join(findByLabel(store, label('k', Subscribed.String()), take), findByLabel(store, label('k', "receipt"), take))
-	left := owed[:0]
-	for _, p := range owed {
-		if by[p.Accepted.Message] == p {
-			left = append(left, p)
+	err = errors.Join(findByLabel(store, label('k', Subscribed.String()), collect), findByLabel(store, label('k', "receipt"), collect))
+	remaining := unfetched[:0]
+	for _, p := range unfetched {
+		if byMessage[p.Accepted.Message] == p {
+			remaining = append(remaining, p)
 		}
 	}
-	return subscriptions, left, err
+	return subscriptions, remaining, err
 }
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -29,17 +29,17 @@
 // Resume goes on with the chain that a store holds.
 func Resume(store *logstore.Store, key *Key, wall func() time.Time) (*Trail, error) {
 	t := &Trail{store: store, key: key, wall: wall}
-	last := uint64(0)
-	find := func(seq uint64, _ []byte) error { last = seq; return nil }
-	if err := store.Find(label('k', Seal.String()), find, func(error) {}); err != nil {
+	lastSeal := uint64(0)
+	remember := func(seq uint64, _ []byte) error { lastSeal = seq; return nil }
+	if err := store.Find(label('k', Seal.String()), remember, func(error) {}); err != nil {
 		return nil, err
 	}
-	err := store.Read(last, func(seq uint64, payload []byte) error {
+	err := store.Read(lastSeal, func(seq uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err != nil {
 			return err
 		}
-		if r.Seal != nil && seq == last {
+		if r.Seal != nil && seq == lastSeal {
 			copy(t.chain[:], r.Seal.Hash)
 		}
 		t.chain = t.chain.extend(payload[linkSize:])
@@ -58,16 +58,16 @@
 	defer t.mu.Unlock()
 	if t.lost > 0 && r.Kind != Gap {
 		lost := t.lost
-		if t.append(now, &Record{Kind: Gap, Count: lost}) == nil {
+		if t.appendRecord(now, &Record{Kind: Gap, Count: lost}) == nil {
 			t.lost -= lost
 		}
 	}
-	if t.lost > 0 || t.append(now, r) != nil {
+	if t.lost > 0 || t.appendRecord(now, r) != nil {
 		t.lost++
 	}
 }
 
-func (t *Trail) append(now time.Duration, r *Record) error {
+func (t *Trail) appendRecord(now time.Duration, r *Record) error {
 	if r.At == 0 {
 		r.At = t.wall().UnixMicro()
 	}
@@ -99,7 +99,7 @@
 		return nil
 	}
 	hash := t.chain
-	err := t.append(now, &Record{Kind: Seal, Seal: &SealData{Hash: hash[:], KeyID: t.key.ID(), Signature: t.key.Sign(sealMessage(hash[:]))}})
+	err := t.appendRecord(now, &Record{Kind: Seal, Seal: &SealData{Hash: hash[:], KeyID: t.key.ID(), Signature: t.key.Sign(sealMessage(hash[:]))}})
 	if err == nil {
 		t.unsealed = 0
 	}
@@ -132,36 +132,36 @@
 func Verify(store *logstore.Store, keys map[string]ed25519.PublicKey) (v VerifyResult, err error) {
 	var c chain
 	anchored := store.Usage().FirstSeq == 1
-	expect := store.Usage().FirstSeq
-	bad := func(format string, a ...any) {
+	expectedSeq := store.Usage().FirstSeq
+	addProblem := func(format string, a ...any) {
 		if len(v.Problems) < 100 {
 			v.Problems = append(v.Problems, fmt.Sprintf(format, a...))
 		}
 	}
 	err = store.Read(0, func(seq uint64, payload []byte) error {
-		if seq != expect {
-			bad("records %d to %d are missing", expect, seq-1)
+		if seq != expectedSeq {
+			addProblem("records %d to %d are missing", expectedSeq, seq-1)
 			anchored = false
 		}
-		expect = seq + 1
+		expectedSeq = seq + 1
 		r, err := parse(payload)
 		if err != nil {
-			bad("record %d: %v", seq, err)
+			addProblem("record %d: %v", seq, err)
 			anchored = false
 			return nil
 		}
 		v.countRecord(r)
 		if r.Seal != nil {
-			v.checkSeal(seq, r, &c, anchored, keys, bad)
+			v.checkSeal(seq, r, &c, anchored, keys, addProblem)
 			anchored = true
 		}
 		c = c.extend(payload[linkSize:])
 		if anchored && !bytes.Equal(c[:linkSize], r.Link) {
-			bad("record %d: does not link to the one before: one of them was altered or removed", seq)
+			addProblem("record %d: does not link to the one before: one of them was altered or removed", seq)
 			anchored = false // until the next seal
 		}
 		return nil
-	}, func(e error) { bad("%v", e) })
+	}, func(e error) { addProblem("%v", e) })
 	return v, err
 }
 
@@ -176,17 +176,17 @@
 	}
 }
 
-func (v *VerifyResult) checkSeal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, bad func(string, ...any)) {
+func (v *VerifyResult) checkSeal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, addProblem func(string, ...any)) {
 	v.Seals++
 	v.Unsealed = 0
 	key, ok := keys[r.Seal.KeyID]
 	switch {
 	case !ok:
-		bad("record %d: %v: %s", seq, ErrUnknownKey, r.Seal.KeyID)
+		addProblem("record %d: %v: %s", seq, ErrUnknownKey, r.Seal.KeyID)
 	case len(r.Seal.Hash) != len(c) || !ed25519.Verify(key, sealMessage(r.Seal.Hash), r.Seal.Signature):
-		bad("record %d: the seal's signature is wrong", seq)
+		addProblem("record %d: the seal's signature is wrong", seq)
 	case anchored && !slices.Equal(c[:], r.Seal.Hash):
-		bad("record %d: the seal is not over the records before it", seq)
+		addProblem("record %d: the seal is not over the records before it", seq)
 	}
 	copy(c[:], r.Seal.Hash)
 }
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -61,12 +61,12 @@
 
 // List is FS.
 func (f *Folder) List() ([]string, error) {
-	all, err := os.ReadDir(f.path)
+	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, e := range all {
+	for _, e := range entries {
 		if e.Type().IsRegular() {
 			names = append(names, e.Name())
 		}
@@ -84,11 +84,11 @@
 }
 
 func (f *Folder) open(name string, flag int) (File, error) {
-	o, err := os.OpenFile(filepath.Join(f.path, name), flag, 0o600)
+	file, err := os.OpenFile(filepath.Join(f.path, name), flag, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return osFile{o}, nil
+	return osFile{file}, nil
 }
 
 // Rename is FS.
@@ -101,11 +101,11 @@
 
 // SyncDir is FS.
 func (f *Folder) SyncDir() error {
-	d, err := os.Open(f.path)
+	folder, err := os.Open(f.path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(folder.Sync(), folder.Close())
 }
 
 // legacyLockName is a file that processes of earlier versions lock.
@@ -121,20 +121,20 @@
 	if err := f.flock(folder); err != nil {
 		return nil, errors.Join(err, folder.Close())
 	}
-	old, err := os.OpenFile(filepath.Join(f.path, legacyLockName), os.O_RDWR, 0o600)
+	legacy, err := os.OpenFile(filepath.Join(f.path, legacyLockName), os.O_RDWR, 0o600)
 	if err != nil { // most often it is not there
 		return folder, nil
 	}
-	if err := f.flock(old); err != nil {
-		return nil, errors.Join(err, old.Close(), folder.Close())
+	if err := f.flock(legacy); err != nil {
+		return nil, errors.Join(err, legacy.Close(), folder.Close())
 	}
-	return lockedFiles{folder, old}, nil
+	return lockedFiles{folder, legacy}, nil
 }
 
 // flock locks an open file without waiting.
-func (f *Folder) flock(o *os.File) error {
+func (f *Folder) flock(file *os.File) error {
 	for {
-		switch err := unix.Flock(int(o.Fd()), unix.LOCK_EX|unix.LOCK_NB); {
+		switch err := unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB); {
 		case err == nil:
 			return nil
 		case errors.Is(err, unix.EINTR):
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -135,9 +135,9 @@
 }
 
 // applyHeader takes the first line of a file.
-func (b *state) applyHeader(began ClockReading, last clock.Instant) {
-	b.opened = began
-	b.latest = max(b.latest, began.At, last)
+func (b *state) applyHeader(opened ClockReading, latest clock.Instant) {
+	b.opened = opened
+	b.latest = max(b.latest, opened.At, latest)
 }
 
 // recoverAt takes the book over for a process that starts now: attempts without an end on record may have been executed, and
@@ -175,11 +175,11 @@
 const maxLiveFraction = 0.4
 
 // admits tells whether a line of size n may be added to what is owed.
-func (r spaceLimits) admits(live int64, n int) bool {
-	return float64(live)+float64(n+entryOverhead) <= maxLiveFraction*float64(r.usable)
+func (r spaceLimits) admits(liveBytes int64, size int) bool {
+	return float64(liveBytes)+float64(size+entryOverhead) <= maxLiveFraction*float64(r.usable)
 }
 
 // needsCompaction tells whether the file is to be written anew before a line of size n is added.
-func (r spaceLimits) needsCompaction(live, file int64, n int) bool {
-	return file+int64(n)+live > r.usable
+func (r spaceLimits) needsCompaction(liveBytes, fileBytes int64, size int) bool {
+	return fileBytes+int64(size)+liveBytes > r.usable
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -92,12 +92,12 @@
 // replay applies the whole lines at the front of text.
 func (b *state) replay(text []byte) error {
 	for at := 0; at < len(text); {
-		line, next, err := logstore.NextRecord(text, at, 0)
+		encoded, next, err := logstore.NextRecord(text, at, 0)
 		if err != nil {
 			return nil
 		}
 		var r record
-		if err := cbor.Unmarshal(line, &r); err != nil {
+		if err := cbor.Unmarshal(encoded, &r); err != nil {
 			return nil
 		}
 		if r.Version > formatVersion {
@@ -116,11 +116,11 @@
 
 // appendRecord appends a record as it stands in the file.
 func appendRecord(b []byte, r *record) ([]byte, error) {
-	text, err := cbor.Marshal(r)
+	encoded, err := cbor.Marshal(r)
 	if err != nil {
 		return b, err
 	}
-	return logstore.AppendRecord(b, 0, text), nil
+	return logstore.AppendRecord(b, 0, encoded), nil
 }
 
 // snapshot is a file that holds what is owed alone.
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// record writes one line and applies it. counts tells that it is applied even if it can't be written: then it is kept, and written
+// logRecord writes one line and applies it. counts tells that it is applied even if it can't be written: then it is kept, and written
 // by Repair. An error tells that it is not on record; with recordfile.ErrUncertain it may be.
-func (l *Ledger) record(r *record, counts bool) error {
+func (l *Ledger) logRecord(r *record, applyOnError bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -171,17 +171,17 @@
 	if r.Accepted != nil && !l.limits.admits(l.state.liveBytes, len(b)) {
 		return ErrFull
 	}
-	if err = l.write(b); err == nil || counts {
+	if err = l.appendLine(b); err == nil || applyOnError {
 		l.state.apply(r, len(b))
 	}
-	if err != nil && counts {
+	if err != nil && applyOnError {
 		l.keepUnwritten(b)
 	}
 	return err
 }
 
-// write brings a line to the file, unless the ledger is failing.
-func (l *Ledger) write(b []byte) error {
+// appendLine brings a line to the file, unless the ledger is failing.
+func (l *Ledger) appendLine(b []byte) error {
 	if l.failing {
 		return ErrFailing
 	}
@@ -257,34 +257,34 @@
 }
 
 // Take records a message as taken on.
-func (l *Ledger) Accept(e *Entry) error { return l.record(&record{Accepted: e}, false) }
+func (l *Ledger) Accept(e *Entry) error { return l.logRecord(&record{Accepted: e}, false) }
 
 // Out records a call before it leaves: at is when it begins, zone where it goes. counts tells that it leaves even if that can't
 // be written.
-func (l *Ledger) StartAttempts(names []string, at clock.Instant, zone int, counts bool) error {
-	return l.record(&record{Started: &attemptStart{names, at, zone}}, counts)
+func (l *Ledger) StartAttempts(names []string, at clock.Instant, zone int, applyOnError bool) error {
+	return l.logRecord(&record{Started: &attemptStart{names, at, zone}}, applyOnError)
 }
 
 // Back records the end of an attempt whose message has not ended, also of one that never went out: ran tells that it may have
 // run, unsent that it does not count as an attempt.
-func (l *Ledger) EndAttempt(name string, ran, unsent bool) error {
-	return l.record(&record{Ended: &attemptEnd{name, ran, unsent}}, true)
+func (l *Ledger) EndAttempt(name string, possiblyExecuted, notSent bool) error {
+	return l.logRecord(&record{Ended: &attemptEnd{name, possiblyExecuted, notSent}}, true)
 }
 
 // RevokeAttempt records that an attempt that was recorded was not made.
 func (l *Ledger) RevokeAttempt(name string) error {
-	return l.record(&record{Ended: &attemptEnd{name, false, true}}, true)
+	return l.logRecord(&record{Ended: &attemptEnd{name, false, true}}, true)
 }
 
 // Over records that nothing is owed for a message any more.
-func (l *Ledger) Complete(name string) error { return l.record(&record{Completed: name}, true) }
+func (l *Ledger) Complete(name string) error { return l.logRecord(&record{Completed: name}, true) }
 
 // CompleteWithNotice records that a message ended with a notice.
-func (l *Ledger) CompleteWithNotice(n Notice) error { return l.record(&record{Notice: &n}, true) }
+func (l *Ledger) CompleteWithNotice(n Notice) error { return l.logRecord(&record{Notice: &n}, true) }
 
 // Acked records that the platform has taken notices.
 func (l *Ledger) AcknowledgeNotices(names []string) error {
-	return l.record(&record{Acknowledged: names}, true)
+	return l.logRecord(&record{Acknowledged: names}, true)
 }
 
 // Reopened tells whether a process before this one has used the folder.
@@ -311,7 +311,7 @@
 }
 
 // Size tells how much the file and what is owed of it take, in bytes.
-func (l *Ledger) Size() (file, live int64) {
+func (l *Ledger) Size() (fileBytes, liveBytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.file.Size(), l.state.liveBytes
--- a/internal/ledger/outage.go
+++ b/internal/ledger/outage.go
@@ -67,7 +67,7 @@
 
 // UpdateOutages records what is known of outages; an entry with nothing known takes its host off the record.
 func (l *Ledger) UpdateOutages(changed []Outage) error {
-	return l.record(&record{Outages: changed}, true)
+	return l.logRecord(&record{Outages: changed}, true)
 }
 
 // Outages returns those on record, by name.
--- a/internal/logstore/format.go
+++ b/internal/logstore/format.go
@@ -27,31 +27,33 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func fileName(first uint64, suffix string) string { return fmt.Sprintf("log-%016x%s", first, suffix) }
+func fileName(firstSeq uint64, suffix string) string {
+	return fmt.Sprintf("log-%016x%s", firstSeq, suffix)
+}
 
 // parseName splits a file's name; ok is false for files that are not of the store.
-func parseName(name string) (first uint64, suffix string, ok bool) {
+func parseName(name string) (firstSeq uint64, suffix string, ok bool) {
 	rest, ok := strings.CutPrefix(name, "log-")
 	if !ok || len(rest) < 16 {
 		return 0, "", false
 	}
-	first, err := strconv.ParseUint(rest[:16], 16, 64)
+	firstSeq, err := strconv.ParseUint(rest[:16], 16, 64)
 	suffix = rest[16:]
-	return first, suffix, err == nil && slices.Contains([]string{suffixSegment, suffixCompressed, suffixIndex, suffixTorn}, suffix)
+	return firstSeq, suffix, err == nil && slices.Contains([]string{suffixSegment, suffixCompressed, suffixIndex, suffixTorn}, suffix)
 }
 
-func appendSegmentHeader(b []byte, first uint64, made time.Time) []byte {
+func appendSegmentHeader(b []byte, firstSeq uint64, createdAt time.Time) []byte {
 	at := len(b)
 	b = append(b, segmentMagic...)
-	b = binary.LittleEndian.AppendUint64(b, first)
-	b = binary.LittleEndian.AppendUint64(b, uint64(made.UnixMicro()))
+	b = binary.LittleEndian.AppendUint64(b, firstSeq)
+	b = binary.LittleEndian.AppendUint64(b, uint64(createdAt.UnixMicro()))
 	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
 	return binary.LittleEndian.AppendUint32(b, 0)
 }
 
-func parseSegmentHeader(b []byte) (first uint64, made time.Time, err error) {
+func parseSegmentHeader(b []byte) (firstSeq uint64, createdAt time.Time, err error) {
 	if len(b) < segmentHeaderSize || string(b[:8]) != segmentMagic || binary.LittleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoli) {
-		return 0, made, fmt.Errorf("segment head: %w", ErrCorrupt)
+		return 0, createdAt, fmt.Errorf("segment head: %w", ErrCorrupt)
 	}
 	return binary.LittleEndian.Uint64(b[8:]), time.UnixMicro(int64(binary.LittleEndian.Uint64(b[16:]))), nil
 }
@@ -94,9 +96,9 @@
 }
 
 // appendIndex makes an index file: the number of records, when the segment was closed, and all marks in order.
-func appendIndex(b []byte, records uint32, closed time.Time, marks []posting) []byte {
-	marks = slices.Clone(marks)
-	slices.SortFunc(marks, func(x, y posting) int {
+func appendIndex(b []byte, records uint32, closedAt time.Time, postings []posting) []byte {
+	postings = slices.Clone(postings)
+	slices.SortFunc(postings, func(x, y posting) int {
 		if x.label != y.label {
 			if x.label < y.label {
 				return -1
@@ -108,9 +110,9 @@
 	at := len(b)
 	b = append(b, indexMagic...)
 	b = binary.LittleEndian.AppendUint32(b, records)
-	b = binary.LittleEndian.AppendUint64(b, uint64(closed.UnixMicro()))
-	b = binary.LittleEndian.AppendUint32(b, uint32(len(marks)))
-	for _, m := range marks {
+	b = binary.LittleEndian.AppendUint64(b, uint64(closedAt.UnixMicro()))
+	b = binary.LittleEndian.AppendUint32(b, uint32(len(postings)))
+	for _, m := range postings {
 		b = binary.LittleEndian.AppendUint64(b, m.label)
 		b = binary.LittleEndian.AppendUint32(b, m.recordIndex)
 	}
@@ -136,7 +138,7 @@
 }
 
 // find returns the records that carry a label.
-func (x segmentIndex) find(label uint64) (nos []uint32) {
+func (x segmentIndex) find(label uint64) (recordIndexes []uint32) {
 	n := len(x.postings) / postingSize
 	lo, hi := 0, n
 	for lo < hi {
@@ -147,7 +149,7 @@
 		}
 	}
 	for ; lo < n && binary.LittleEndian.Uint64(x.postings[lo*postingSize:]) == label; lo++ {
-		nos = append(nos, binary.LittleEndian.Uint32(x.postings[lo*postingSize+8:]))
+		recordIndexes = append(recordIndexes, binary.LittleEndian.Uint32(x.postings[lo*postingSize+8:]))
 	}
-	return nos
+	return recordIndexes
 }
--- a/internal/logstore/plan/plan.go
+++ b/internal/logstore/plan/plan.go
@@ -53,7 +53,7 @@
 }
 
 // NextToCompress names the next segment to compress: the oldest that is not.
-func (p *Policy) NextToCompress(closed []Segment) (first uint64, ok bool) {
+func (p *Policy) NextToCompress(closed []Segment) (firstSeq uint64, ok bool) {
 	for _, s := range closed {
 		if !s.Compressed {
 			return s.FirstSeq, true
@@ -63,19 +63,19 @@
 }
 
 // Expired names the segments past what is kept, oldest first. A clock that was set back drops nothing by age.
-func (p *Policy) Expired(closed []Segment, now time.Time) (firsts []uint64) {
-	var sum int64
+func (p *Policy) Expired(closed []Segment, now time.Time) (firstSeqs []uint64) {
+	var totalBytes int64
 	for _, s := range closed {
-		sum += s.Bytes
+		totalBytes += s.Bytes
 	}
-	old := slices.Clone(closed)
-	slices.SortFunc(old, func(a, b Segment) int { return int(min(max(int64(a.FirstSeq)-int64(b.FirstSeq), -1), 1)) })
-	for _, s := range old {
-		if !(p.KeepBytes > 0 && sum > p.KeepBytes || p.KeepFor > 0 && now.Sub(s.ClosedAt) > p.KeepFor) {
+	oldestFirst := slices.Clone(closed)
+	slices.SortFunc(oldestFirst, func(a, b Segment) int { return int(min(max(int64(a.FirstSeq)-int64(b.FirstSeq), -1), 1)) })
+	for _, s := range oldestFirst {
+		if !(p.KeepBytes > 0 && totalBytes > p.KeepBytes || p.KeepFor > 0 && now.Sub(s.ClosedAt) > p.KeepFor) {
 			break // what is kept has no holes
 		}
-		sum -= s.Bytes
-		firsts = append(firsts, s.FirstSeq)
+		totalBytes -= s.Bytes
+		firstSeqs = append(firstSeqs, s.FirstSeq)
 	}
-	return firsts
+	return firstSeqs
 }
--- a/internal/logstore/read.go
+++ b/internal/logstore/read.go
@@ -10,56 +10,56 @@
 )
 
 // recover lists the segments, cuts the torn end of the last one and makes missing indexes anew.
-func (s *Store) recover(rep *RecoveryReport) error {
+func (s *Store) recover(report *RecoveryReport) error {
 	names, err := s.fs.List()
 	if err != nil {
 		return err
 	}
 	files := map[uint64]map[string]bool{}
 	for _, name := range names {
-		if first, suffix, ok := parseName(name); ok {
-			if files[first] == nil {
-				files[first] = map[string]bool{}
+		if firstSeq, suffix, ok := parseName(name); ok {
+			if files[firstSeq] == nil {
+				files[firstSeq] = map[string]bool{}
 			}
-			files[first][suffix] = true
+			files[firstSeq][suffix] = true
 		}
 	}
-	var firsts []uint64
-	for first, f := range files {
+	var firstSeqs []uint64
+	for firstSeq, f := range files {
 		if f[suffixSegment] || f[suffixCompressed] {
-			firsts = append(firsts, first)
+			firstSeqs = append(firstSeqs, firstSeq)
 		}
 	}
-	slices.Sort(firsts)
+	slices.Sort(firstSeqs)
 	s.nextSeq = 1
-	if len(firsts) > 0 {
-		s.nextSeq = firsts[0]
+	if len(firstSeqs) > 0 {
+		s.nextSeq = firstSeqs[0]
 	}
-	for i, first := range firsts {
-		if first != s.nextSeq {
-			rep.Problems = append(rep.Problems, fmt.Sprintf("records %d to %d are missing", s.nextSeq, first-1))
-			s.nextSeq = first
+	for i, firstSeq := range firstSeqs {
+		if firstSeq != s.nextSeq {
+			report.Problems = append(report.Problems, fmt.Sprintf("records %d to %d are missing", s.nextSeq, firstSeq-1))
+			s.nextSeq = firstSeq
 		}
-		g, err := s.loadSegment(first, files[first], i == len(firsts)-1, rep)
+		g, err := s.loadSegment(firstSeq, files[firstSeq], i == len(firstSeqs)-1, report)
 		if err != nil {
 			return err
 		}
 		s.nextSeq += uint64(g.records)
-		rep.Records += uint64(g.records)
+		report.Records += uint64(g.records)
 	}
 	s.durableSeq, s.pendingSeq = s.nextSeq, s.nextSeq
 	return nil
 }
 
 // loadSegment takes one segment on. A compressed one whose plain file is still there was about to lose that.
-func (s *Store) loadSegment(first uint64, files map[string]bool, last bool, rep *RecoveryReport) (g segment, err error) {
-	g = segment{firstSeq: first, compressed: files[suffixCompressed]}
+func (s *Store) loadSegment(firstSeq uint64, files map[string]bool, last bool, report *RecoveryReport) (g segment, err error) {
+	g = segment{firstSeq: firstSeq, compressed: files[suffixCompressed]}
 	if g.compressed && files[suffixSegment] && !s.options.ReadOnly {
-		if err := s.fs.Remove(fileName(first, suffixSegment)); err != nil {
+		if err := s.fs.Remove(fileName(firstSeq, suffixSegment)); err != nil {
 			return g, err
 		}
 	}
-	f, err := s.fs.Open(fileName(first, g.suffix()))
+	f, err := s.fs.Open(fileName(firstSeq, g.suffix()))
 	if err != nil {
 		return g, err
 	}
@@ -67,43 +67,43 @@
 		return g, err
 	}
 	if files[suffixIndex] {
-		if b, err := s.readFile(fileName(first, suffixIndex)); err == nil {
+		if b, err := s.readFile(fileName(firstSeq, suffixIndex)); err == nil {
 			if x, err := parseIndex(b); err == nil {
 				g.records, g.closedAt = x.records, x.closedAt
 				s.closedSegments = append(s.closedSegments, g)
 				return g, f.Close()
 			}
 		}
-		rep.Problems = append(rep.Problems, fmt.Sprintf("the index of segment %x is made anew", first))
+		report.Problems = append(report.Problems, fmt.Sprintf("the index of segment %x is made anew", firstSeq))
 	}
-	return g, s.repairSegment(&g, f, last, rep)
+	return g, s.repairSegment(&g, f, last, report)
 }
 
 // repairSegment reads a segment that was not closed in order, up to the last whole record.
-func (s *Store) repairSegment(g *segment, f disk.File, last bool, rep *RecoveryReport) error {
+func (s *Store) repairSegment(g *segment, f disk.File, last bool, report *RecoveryReport) error {
 	b, err := s.readSegment(*g)
 	if err != nil && g.compressed {
-		rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: %v", g.firstSeq, err))
+		report.Problems = append(report.Problems, fmt.Sprintf("segment %x: %v", g.firstSeq, err))
 		return f.Close()
 	}
 	if err != nil {
 		return err
 	}
-	first, made, err := parseSegmentHeader(b)
-	if err != nil || first != g.firstSeq {
+	firstSeq, createdAt, err := parseSegmentHeader(b)
+	if err != nil || firstSeq != g.firstSeq {
 		if !last {
-			rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: its head is not as it was written", g.firstSeq))
+			report.Problems = append(report.Problems, fmt.Sprintf("segment %x: its head is not as it was written", g.firstSeq))
 			s.closedSegments = append(s.closedSegments, *g)
 			return f.Close()
 		}
 		// A crash between making the file and its first sync: no record of it was ever durable.
-		rep.TornBytes += int64(len(b))
+		report.TornBytes += int64(len(b))
 		if s.options.ReadOnly {
 			return f.Close()
 		}
 		return errors.Join(f.Close(), s.fs.Remove(fileName(g.firstSeq, suffixSegment)), s.fs.SyncDir())
 	}
-	g.createdAt = made
+	g.createdAt = createdAt
 	s.active, s.postings = *g, nil
 	at := segmentHeaderSize
 	for at < len(b) {
@@ -116,7 +116,7 @@
 		at = next
 	}
 	if torn := int64(len(b) - at); torn > 0 && !g.compressed {
-		rep.TornBytes += torn
+		report.TornBytes += torn
 		if s.options.ReadOnly {
 			s.active.bytes = int64(at)
 			*g = s.active
@@ -171,7 +171,7 @@
 
 // Read calls fn with the records on disk from a number on, in order. What is not as it was written goes to bad, and
 // reading goes on with the next segment; without bad it ends with that error.
-func (s *Store) Read(from uint64, fn func(seq uint64, payload []byte) error, bad func(error)) error {
+func (s *Store) Read(from uint64, fn func(seq uint64, payload []byte) error, onCorrupt func(error)) error {
 	for _, g := range s.allSegments() {
 		if g.firstSeq+uint64(g.records) <= from {
 			continue
@@ -182,8 +182,8 @@
 			}
 			return fn(seq, payload)
 		})
-		if errors.Is(err, ErrCorrupt) && bad != nil {
-			bad(err)
+		if errors.Is(err, ErrCorrupt) && onCorrupt != nil {
+			onCorrupt(err)
 		} else if err != nil {
 			return err
 		}
@@ -231,21 +231,21 @@
 }
 
 // Find calls fn with the records on disk that carry a label, in order.
-func (s *Store) Find(label uint64, fn func(seq uint64, payload []byte) error, bad func(error)) error {
+func (s *Store) Find(label uint64, fn func(seq uint64, payload []byte) error, onCorrupt func(error)) error {
 	for _, g := range s.allSegments() {
-		nos, err := s.findInSegment(g, label)
-		blind := err != nil // without its index the segment is read whole
-		if !blind && len(nos) == 0 {
+		recordIndexes, err := s.findInSegment(g, label)
+		indexMissing := err != nil // without its index the segment is read whole
+		if !indexMissing && len(recordIndexes) == 0 {
 			continue
 		}
 		err = s.readRecords(g, func(seq uint64, payload []byte) error {
-			if _, in := slices.BinarySearch(nos, uint32(seq-g.firstSeq)); in || blind && slices.Contains(s.options.Labels(payload), label) {
+			if _, in := slices.BinarySearch(recordIndexes, uint32(seq-g.firstSeq)); in || indexMissing && slices.Contains(s.options.Labels(payload), label) {
 				return fn(seq, payload)
 			}
 			return nil
 		})
-		if errors.Is(err, ErrCorrupt) && bad != nil {
-			bad(err)
+		if errors.Is(err, ErrCorrupt) && onCorrupt != nil {
+			onCorrupt(err)
 		} else if err != nil {
 			return err
 		}
@@ -254,16 +254,16 @@
 }
 
 // findInSegment returns which records of a segment carry a label.
-func (s *Store) findInSegment(g segment, label uint64) (nos []uint32, err error) {
+func (s *Store) findInSegment(g segment, label uint64) (recordIndexes []uint32, err error) {
 	if g.closedAt.IsZero() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, m := range s.postings {
 			if m.label == label && s.active.firstSeq == g.firstSeq {
-				nos = append(nos, m.recordIndex)
+				recordIndexes = append(recordIndexes, m.recordIndex)
 			}
 		}
-		return slices.Compact(nos), nil
+		return slices.Compact(recordIndexes), nil
 	}
 	b, err := s.readFile(fileName(g.firstSeq, suffixIndex))
 	if err != nil {
--- a/internal/logstore/store.go
+++ b/internal/logstore/store.go
@@ -169,39 +169,39 @@
 // given up: the half-written end is cut off, and all is written again later.
 func (s *Store) Commit(now time.Duration) error {
 	s.mu.Lock()
-	batch, labels, from, next := s.pending, s.pendingLabels, s.pendingSeq, s.nextSeq
+	batch, labels, firstSeq, nextSeq := s.pending, s.pendingLabels, s.pendingSeq, s.nextSeq
 	s.pending, s.pendingLabels, s.urgent = nil, nil, false
 	wasFailed := s.failedAt > 0
 	s.mu.Unlock()
 	if len(batch) == 0 && !wasFailed {
 		return nil
 	}
-	err := s.write(batch, labels, from, next)
+	err := s.write(batch, labels, firstSeq, nextSeq)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.pending, s.pendingLabels = append(batch, s.pending...), append(labels, s.pendingLabels...)
-		s.pendingSeq = from
+		s.pendingSeq = firstSeq
 		s.failedAt, s.lastErr = max(now, 1), err
 		return fmt.Errorf("log store: %w", err)
 	}
 	s.failedAt = 0
-	s.durableSeq = next
+	s.durableSeq = nextSeq
 	if len(s.pending) > 0 {
-		s.pendingSeq, s.pendingSince = next, now
+		s.pendingSeq, s.pendingSince = nextSeq, now
 	}
 	return nil
 }
 
 // write puts a batch into the open segment, which is closed before where that is due.
-func (s *Store) write(batch []byte, labels []pendingLabel, from, next uint64) error {
+func (s *Store) write(batch []byte, labels []pendingLabel, firstSeq, nextSeq uint64) error {
 	if s.activeFile != nil && s.options.Policy.ShouldRotate(s.active.bytes, s.options.WallClock().Sub(s.active.createdAt)) {
 		if err := s.rotate(); err != nil {
 			return fmt.Errorf("close segment %x: %w", s.active.firstSeq, err)
 		}
 	}
 	if s.activeFile == nil {
-		if err := s.createSegment(from); err != nil {
+		if err := s.createSegment(firstSeq); err != nil {
 			return err
 		}
 	}
@@ -211,7 +211,7 @@
 	}
 	if err != nil {
 		if n > 0 { // what is half there must not stand before what is written later
-			if cut := s.activeFile.Truncate(s.active.bytes); cut != nil {
+			if truncateErr := s.activeFile.Truncate(s.active.bytes); truncateErr != nil {
 				s.abandonSegment()
 			}
 		}
@@ -219,7 +219,7 @@
 	}
 	s.mu.Lock()
 	s.active.bytes += int64(len(batch))
-	s.active.records += uint32(next - from)
+	s.active.records += uint32(nextSeq - firstSeq)
 	for _, t := range labels {
 		s.postings = append(s.postings, posting{t.label, uint32(t.seq - s.active.firstSeq)})
 	}
@@ -237,13 +237,13 @@
 }
 
 // createSegment makes a new segment. Its head is on disk before it has a record.
-func (s *Store) createSegment(first uint64) error {
-	made := s.options.WallClock()
-	f, err := s.fs.Create(fileName(first, suffixSegment))
+func (s *Store) createSegment(firstSeq uint64) error {
+	createdAt := s.options.WallClock()
+	f, err := s.fs.Create(fileName(firstSeq, suffixSegment))
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(appendSegmentHeader(nil, first, made))
+	_, err = f.Write(appendSegmentHeader(nil, firstSeq, createdAt))
 	if err == nil {
 		err = f.Sync()
 	}
@@ -255,7 +255,7 @@
 	}
 	s.mu.Lock()
 	s.activeFile, s.postings = f, nil
-	s.active = segment{firstSeq: first, bytes: segmentHeaderSize, createdAt: made}
+	s.active = segment{firstSeq: firstSeq, bytes: segmentHeaderSize, createdAt: createdAt}
 	s.mu.Unlock()
 	return nil
 }
@@ -327,25 +327,25 @@
 		all = append(all, plan.Segment{FirstSeq: g.firstSeq, Bytes: g.bytes, ClosedAt: g.closedAt, Compressed: g.compressed})
 	}
 	s.mu.Unlock()
-	if drop := s.options.Policy.Expired(all, s.options.WallClock()); len(drop) > 0 {
-		return true, s.removeSegment(drop[0])
+	if expired := s.options.Policy.Expired(all, s.options.WallClock()); len(expired) > 0 {
+		return true, s.removeSegment(expired[0])
 	}
-	if first, ok := s.options.Policy.NextToCompress(all); ok {
-		return true, s.compressSegment(first)
+	if firstSeq, ok := s.options.Policy.NextToCompress(all); ok {
+		return true, s.compressSegment(firstSeq)
 	}
 	return false, nil
 }
 
 // removeSegment removes a segment; its records are gone first, then its index.
-func (s *Store) removeSegment(first uint64) error {
+func (s *Store) removeSegment(firstSeq uint64) error {
 	s.mu.Lock()
-	i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == first })
+	i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == firstSeq })
 	g := s.closedSegments[i]
 	s.closedSegments = slices.Delete(s.closedSegments, i, i+1)
 	s.mu.Unlock()
 	for _, suffix := range []string{g.suffix(), suffixIndex} {
-		if err := s.fs.Remove(fileName(first, suffix)); err != nil && !disk.IsNotExist(err) {
-			return fmt.Errorf("drop segment %x: %w", first, err)
+		if err := s.fs.Remove(fileName(firstSeq, suffix)); err != nil && !disk.IsNotExist(err) {
+			return fmt.Errorf("drop segment %x: %w", firstSeq, err)
 		}
 	}
 	return s.fs.SyncDir()
@@ -359,22 +359,22 @@
 }
 
 // compressSegment compresses a closed segment. The old file goes once the new one is on disk.
-func (s *Store) compressSegment(first uint64) error {
-	b, err := s.readFile(fileName(first, suffixSegment))
+func (s *Store) compressSegment(firstSeq uint64) error {
+	b, err := s.readFile(fileName(firstSeq, suffixSegment))
 	if err != nil {
 		return err
 	}
-	small := encoder().EncodeAll(b, nil)
-	if err := s.writeFileAtomic(fileName(first, suffixCompressed), small); err != nil {
-		return fmt.Errorf("compress segment %x: %w", first, err)
+	compressed := encoder().EncodeAll(b, nil)
+	if err := s.writeFileAtomic(fileName(firstSeq, suffixCompressed), compressed); err != nil {
+		return fmt.Errorf("compress segment %x: %w", firstSeq, err)
 	}
 	s.mu.Lock()
-	if i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == first }); i >= 0 {
-		s.closedSegments[i].compressed, s.closedSegments[i].bytes = true, int64(len(small))
+	if i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == firstSeq }); i >= 0 {
+		s.closedSegments[i].compressed, s.closedSegments[i].bytes = true, int64(len(compressed))
 	}
 	s.mu.Unlock()
-	if err := s.fs.Remove(fileName(first, suffixSegment)); err != nil {
-		return fmt.Errorf("compress segment %x: %w", first, err)
+	if err := s.fs.Remove(fileName(firstSeq, suffixSegment)); err != nil {
+		return fmt.Errorf("compress segment %x: %w", firstSeq, err)
 	}
 	return s.fs.SyncDir()
 }
@@ -386,12 +386,12 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	n, err := f.Size()
+	size, err := f.Size()
 	if err != nil {
 		return nil, err
 	}
-	b := make([]byte, n)
-	if k, err := f.ReadAt(b, 0); err != nil && !(errors.Is(err, io.EOF) && int64(k) == n) {
+	b := make([]byte, size)
+	if k, err := f.ReadAt(b, 0); err != nil && !(errors.Is(err, io.EOF) && int64(k) == size) {
 		return nil, err
 	}
 	return b, nil
--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -53,9 +53,9 @@
 	if err == nil {
 		err = io.ErrShortWrite
 	}
-	if cut := f.file.Truncate(f.size); cut != nil { // records behind a torn one would not be read
+	if truncateErr := f.file.Truncate(f.size); truncateErr != nil { // records behind a torn one would not be read
 		f.needsReplace = true
-		return fmt.Errorf("%w: %w, %w", ErrUncertain, err, cut)
+		return fmt.Errorf("%w: %w, %w", ErrUncertain, err, truncateErr)
 	}
 	return err
 }
@@ -94,22 +94,22 @@
 }
 
 // Read reads a whole file of a folder.
-func Read(fs disk.FS, name string, most int64) ([]byte, error) {
+func Read(fs disk.FS, name string, maxBytes int64) ([]byte, error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	b, err := readAll(f, most)
+	b, err := readAll(f, maxBytes)
 	return b, errors.Join(err, f.Close())
 }
 
-func readAll(f disk.File, most int64) ([]byte, error) {
+func readAll(f disk.File, maxBytes int64) ([]byte, error) {
 	size, err := f.Size()
 	if err != nil {
 		return nil, err
 	}
-	if size > most {
-		return nil, fmt.Errorf("%d bytes, %d at most", size, most)
+	if size > maxBytes {
+		return nil, fmt.Errorf("%d bytes, %d at most", size, maxBytes)
 	}
 	b := make([]byte, size)
 	if n, err := f.ReadAt(b, 0); err != nil && !(errors.Is(err, io.EOF) && int64(n) == size) {
