--- a/internal/ledger/attempts.go
+++ b/internal/ledger/attempts.go
@@ -17,12 +17,12 @@
 // nobody; one that went out and counts for none is taken off the count.
 func (e *Entry) endAttempt(end attemptEnd) {
 	if e.InFlightSince == 0 {
-		if !end.NotSent {
+		if !end.NotCounted {
 			e.Attempts++
 		}
 		return
 	}
-	if end.NotSent {
+	if end.NotCounted {
 		e.Attempts--
 	}
 	if end.PossiblyExecuted && e.PossiblyExecutedAt == 0 {
--- a/internal/ledger/clockreading.go
+++ b/internal/ledger/clockreading.go
@@ -18,15 +18,15 @@
 
 // sameBoot tells whether instants of a ledger that was begun at one moment, and has seen instants up to last, mean the same
 // at another. A clock that went back is not the same one, whatever the boot is called.
-func sameBoot(opened ClockReading, latest clock.Instant, now ClockReading) bool {
-	return opened.Boot != "" && opened.Boot == now.Boot && latest <= now.At
+func sameBoot(openedAt ClockReading, latest clock.Instant, now ClockReading) bool {
+	return openedAt.Boot != "" && openedAt.Boot == now.Boot && latest <= now.At
 }
 
 // rebase puts an entry of another boot on this one's clock. Its deadline is the earlier of two: what the wall clock says, and
 // the time that it had left when the ledger was last written. How long ago an attempt was that may have been executed is not
 // known: long, so that no window for repeats is still open.
-func (e *Entry) rebase(opened ClockReading, latest clock.Instant, now ClockReading) {
-	byWallClock := clock.Instant(opened.Wall-now.Wall) + e.Deadline - opened.At
+func (e *Entry) rebase(openedAt ClockReading, latest clock.Instant, now ClockReading) {
+	byWallClock := clock.Instant(openedAt.Wall-now.Wall) + e.Deadline - openedAt.At
 	byTimeLeft := e.Deadline - latest
 	e.Deadline = now.At + max(0, min(byWallClock, byTimeLeft))
 	e.AcceptedAt = now.At
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -74,17 +74,17 @@
 
 // An attempt that never went on record, and its end, say nothing of one that was out when the process before ended.
 func TestEndWithoutARecordedStart(t *testing.T) {
-	for _, ends := range []attemptEnd{{}, {NotSent: true}, {PossiblyExecuted: true}} {
+	for _, ends := range []attemptEnd{{}, {NotCounted: true}, {PossiblyExecuted: true}} {
 		fs := disk.NewMemory()
 		l := open(t, fs, mb)
 		must(t, l.Accept(&Entry{Name: "m", Class: "k"}))
 		must(t, l.StartAttempts([]string{"m"}, 5, 2, false))
 		l = reopen(t, l, fs, mb)
-		must(t, l.EndAttempt("m", ends.PossiblyExecuted, ends.NotSent))
+		must(t, l.EndAttempt("m", ends.PossiblyExecuted, ends.NotCounted))
 		l = reopen(t, l, fs, mb)
 		entries, _ := l.Outstanding()
 		want := 2
-		if ends.NotSent {
+		if ends.NotCounted {
 			want = 1
 		}
 		if at, zone, ok := entries[0].PossiblyExecuted(); !ok || at != 5 || zone != 2 || entries[0].Attempts != want {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -106,8 +106,8 @@
 		switch {
 		case r.Version == 0:
 			b.apply(&r, next-at)
-		case r.Opened != nil: // the first form had Unix times and no such line: they are read as another boot's
-			b.applyHeader(*r.Opened, r.Latest)
+		case r.OpenedAt != nil: // the first form had Unix times and no such line: they are read as another boot's
+			b.applyHeader(*r.OpenedAt, r.Latest)
 		}
 		at = next
 	}
@@ -125,7 +125,7 @@
 
 // snapshot is a file that holds what is owed alone.
 func (b *state) snapshot() ([]byte, error) {
-	text, err := appendRecord(nil, &record{Version: formatVersion, Opened: &b.opened, Latest: b.latest})
+	text, err := appendRecord(nil, &record{Version: formatVersion, OpenedAt: &b.openedAt, Latest: b.latest})
 	for _, e := range b.sortedEntries() {
 		if err == nil {
 			text, err = appendRecord(text, &record{Accepted: e})
@@ -267,8 +267,8 @@
 
 // Back records the end of an attempt whose message has not ended, also of one that never went out: ran tells that it may have
 // run, unsent that it does not count as an attempt.
-func (l *Ledger) EndAttempt(name string, possiblyExecuted, notSent bool) error {
-	return l.logRecord(&record{Ended: &attemptEnd{name, possiblyExecuted, notSent}}, true)
+func (l *Ledger) EndAttempt(name string, possiblyExecuted, notCounted bool) error {
+	return l.logRecord(&record{Ended: &attemptEnd{name, possiblyExecuted, notCounted}}, true)
 }
 
 // RevokeAttempt records that an attempt that was recorded was not made.
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -48,7 +48,7 @@
 	Notice       *Notice       `cbor:"5,keyasint,omitempty"` // ended by this
 	Acknowledged []string      `cbor:"6,keyasint,omitempty"`
 	Version      int           `cbor:"7,keyasint,omitempty"` // first line: version of this form, ...
-	Opened       *ClockReading `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
+	OpenedAt     *ClockReading `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
 	Latest       clock.Instant `cbor:"9,keyasint,omitempty"` // ... and the latest instant on record before this line
 	Outages      []Outage      `cbor:"10,keyasint,omitempty"`
 }
@@ -62,7 +62,7 @@
 type attemptEnd struct {
 	Name             string `cbor:"1,keyasint"`
 	PossiblyExecuted bool   `cbor:"2,keyasint,omitempty"`
-	NotSent          bool   `cbor:"3,keyasint,omitempty"`
+	NotCounted       bool   `cbor:"3,keyasint,omitempty"`
 }
 
 // entryOverhead is reckoned for each entry beside its record: what it may grow by, and the lines around it.
@@ -76,8 +76,8 @@
 	seq       uint64
 	liveBytes int64 // bytes that a compacted ledger takes, at most
 
-	opened ClockReading  // whose instants these are
-	latest clock.Instant // the latest of them on record
+	openedAt ClockReading  // whose instants these are
+	latest   clock.Instant // the latest of them on record
 }
 
 func newState() *state {
@@ -135,9 +135,9 @@
 }
 
 // applyHeader takes the first line of a file.
-func (b *state) applyHeader(opened ClockReading, latest clock.Instant) {
-	b.opened = opened
-	b.latest = max(b.latest, opened.At, latest)
+func (b *state) applyHeader(openedAt ClockReading, latest clock.Instant) {
+	b.openedAt = openedAt
+	b.latest = max(b.latest, openedAt.At, latest)
 }
 
 // recoverAt takes the book over for a process that starts now: attempts without an end on record may have been executed, and
@@ -146,9 +146,9 @@
 	for _, e := range b.messages {
 		e.resolveInFlight()
 	}
-	if !sameBoot(b.opened, b.latest, now) {
+	if !sameBoot(b.openedAt, b.latest, now) {
 		for _, e := range b.messages {
-			e.rebase(b.opened, b.latest, now)
+			e.rebase(b.openedAt, b.latest, now)
 		}
 		for _, o := range b.outages {
 			o.rebase(now)
