--- a/internal/ledger/attempts.go
+++ b/internal/ledger/attempts.go
@@ -2,19 +2,19 @@
 
 import "whinrun/internal/clock"
 
-// What a message's attempts add up to. An attempt begins and ends by lines of their own. Where the end of one is not on
-// record - its process ended first - it may have been executed, and it stays so: what later attempts come to says nothing of
-// it, however many processes follow.
+// This file tracks the attempts of a message. The start and the end of an attempt are separate records. An attempt without a
+// recorded end, because its process ended first, counts as possibly executed. It stays so: the results of later attempts say
+// nothing about it, in this process or in any that follows.
 
-// beginAttempt takes an attempt down that begins at an instant, in a zone.
+// beginAttempt notes the start of an attempt. An earlier one that is still in flight counts as possibly executed.
 func (e *Entry) beginAttempt(at clock.Instant, zone int) {
 	e.resolveInFlight()
 	e.Attempts++
 	e.InFlightSince, e.InFlightZone = at, zone
 }
 
-// endAttempt takes the end of an attempt. One that never went out counts where it was an attempt all the same, as one that met
-// nobody; one that went out and counts for none is taken off the count.
+// endAttempt notes the end of an attempt. If its start was not recorded, the attempt is counted now, unless end.NotCounted is set;
+// a failed connection is such an attempt. If its start was recorded and end.NotCounted is set, it is subtracted from the count.
 func (e *Entry) endAttempt(end attemptEnd) {
 	if e.InFlightSince == 0 {
 		if !end.NotCounted {
@@ -31,27 +31,31 @@
 	e.InFlightSince, e.InFlightZone = 0, 0
 }
 
-// resolveInFlight takes it that an attempt without an end on record may have been executed.
+// resolveInFlight ends an attempt whose end is not on record and marks it as possibly executed.
 func (e *Entry) resolveInFlight() {
 	if e.InFlightSince != 0 {
 		e.endAttempt(attemptEnd{PossiblyExecuted: true})
 	}
 }
 
-// PossiblyExecuted tells when the first attempt began that may have been executed, and the zone that it went to. ok is false
-// where none may have been. One that is out is left aside: in an opened ledger none is another process's.
+// PossiblyExecuted returns the start and the zone of the first attempt that was possibly executed. ok is false if there is none.
+// An attempt in flight is not considered. After Open it can only be an attempt of this process, as Open resolves all others.
 func (e *Entry) PossiblyExecuted() (at clock.Instant, zone int, ok bool) {
 	return e.PossiblyExecutedAt, e.PossiblyExecutedZone, e.PossiblyExecutedAt > 0
 }
 
-// History is what is on record of a message's attempts.
+// History is what is on record about the attempts of a message.
 type History struct {
-	Attempts           int           // made so far, one that is out among them
-	PossiblyExecutedAt clock.Instant // when the first began that may have been executed, 0 for none; one that is out is left aside
-	Zone               int           // where that went
+	// Attempts counts the attempts made so far, including one in flight.
+	Attempts int
+	// PossiblyExecutedAt is the start of the first attempt that was possibly executed. It is 0 if there is none. An attempt in
+	// flight is not considered.
+	PossiblyExecutedAt clock.Instant
+	// Zone is the zone that the attempt of PossiblyExecutedAt went to.
+	Zone int
 }
 
-// History returns what is on record of a message that is owed its end; ok is false where none of that name is.
+// History returns the history of an outstanding message. ok is false if no message of that name is outstanding.
 func (l *Ledger) History(name string) (h History, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/clockreading_test.go
+++ b/internal/ledger/clockreading_test.go
@@ -9,8 +9,8 @@
 
 const second clock.Instant = 1_000_000
 
-// restartAt has a message taken on and called once by one process, and opens its ledger at another moment. The message is
-// taken on at 100 s with 8 s to live, its call leaves at 101 s.
+// restartAt lets one process accept a message and send one call, and opens its ledger again at the time now. The message is
+// accepted at 100 s with a lifetime of 8 s, and its call is sent at 101 s.
 func restartAt(t *testing.T, now ClockReading) Entry {
 	t.Helper()
 	fs := disk.NewMemory()
@@ -28,15 +28,15 @@
 	return entries[0]
 }
 
-// What a process believes of a message that another one left, by what became of the clocks in between.
+// Checks the deadline and the attempt times of a message after a restart, for each way in which the clocks may have changed.
 func TestTimesOverRestarts(t *testing.T) {
 	const wallThen = int64(1012 * second) // the wall clock at 102 s of the first boot
 	for _, c := range []struct {
 		name     string
 		now      ClockReading
-		left     clock.Instant // until its time is over
-		called   clock.Instant // since its call
-		longPast bool          // instead: so long ago that no window is open
+		left     clock.Instant // time until the deadline
+		called   clock.Instant // time since the call
+		longPast bool          // the call counts as so long ago that no window is open
 	}{
 		{"same boot", ClockReading{"this", 102 * second, wallThen}, 6 * second, second, false},
 		{"same boot, wall clock an hour back", ClockReading{"this", 102 * second, wallThen - int64(3600*second)}, 6 * second, second, false},
@@ -65,7 +65,7 @@
 	}
 }
 
-// The careful reading is kept: what a process of another boot concludes holds for the next one of that boot.
+// Times that were converted after a reboot must not be converted again by later processes of the same boot.
 func TestCarefulReadingOutlivesTheProcess(t *testing.T) {
 	fs := disk.NewMemory()
 	l, err := Open(fs, mb, ClockReading{Boot: "first", At: 100 * second, Wall: int64(100 * second)})
@@ -89,7 +89,7 @@
 	}
 }
 
-// A ledger of the first form, with Unix times, is read as one of another boot.
+// A ledger of format version 1, which has Unix times, is read as one of another boot.
 func TestFirstFormIsRead(t *testing.T) {
 	fs := disk.NewMemory()
 	unix := 1_700_000_000 * second
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -9,13 +9,13 @@
 	"whinrun/internal/disk"
 )
 
-// history is what surely is known of one message's attempts, kept beside the ledger by the test.
+// history is the test's own model of the attempts of one message.
 type history struct {
 	attempts int
-	first    clock.Instant // when the first attempt began that may have run, 0 for none
-	zone     int           // where that went
-	out      clock.Instant // when the attempt that is out began, 0 for none
-	outZone  int
+	first    clock.Instant // start of the first attempt that was possibly executed, 0 for none
+	zone     int           // zone of that attempt
+	out      clock.Instant // start of the attempt in flight, 0 for none
+	outZone  int           // zone of that attempt
 }
 
 func (h *history) begin(at clock.Instant, zone int) {
@@ -23,7 +23,7 @@
 	h.out, h.outZone = at, zone
 }
 
-// end takes the end of the attempt that is out; mayHaveRun also stands for an end that no process heard.
+// end notes the end of the attempt in flight. mayHaveRun is also set for an end that no process saw.
 func (h *history) end(mayHaveRun bool) {
 	if mayHaveRun && h.first == 0 {
 		h.first, h.zone = h.out, h.outZone
@@ -31,8 +31,8 @@
 	h.out = 0
 }
 
-// Processes that come and go at any moment between the lines of a message: each of them knows of the first attempt that may
-// have run, whatever those between them learned of later ones.
+// Restarts the process at random points between the records of a message. After each restart the ledger must still know the first
+// attempt that was possibly executed, whatever the results of later attempts were.
 func TestEveryRestartKnowsTheFirstAttemptInDoubt(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 11))
@@ -44,7 +44,7 @@
 			switch {
 			case rng.IntN(3) == 0:
 				l = reopen(t, l, fs, mb)
-				if truth.out != 0 { // nobody hears its end any more
+				if truth.out != 0 { // No process will see its end.
 					truth.end(true)
 				}
 			case truth.out == 0:
@@ -72,7 +72,7 @@
 	}
 }
 
-// An attempt that never went on record, and its end, say nothing of one that was out when the process before ended.
+// The end of an attempt whose start was not recorded must not clear the attempt that was in flight when the previous process ended.
 func TestEndWithoutARecordedStart(t *testing.T) {
 	for _, ends := range []attemptEnd{{}, {NotCounted: true}, {PossiblyExecuted: true}} {
 		fs := disk.NewMemory()
@@ -93,7 +93,7 @@
 	}
 }
 
-// What is known of outages outlives processes, until it is over; in another boot it counts as of its start.
+// Outages survive restarts until they are over. In another boot their times become the time of the restart.
 func TestOutagesAreKept(t *testing.T) {
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,9 +1,11 @@
-// Package ledger keeps on disk what a dispatcher still owes: messages taken on, what may have run of their attempts,
-// and ends that the platform has not acknowledged. A promise is made only after its line is written; a process that
-// starts reads the lines and knows what the one before it owed.
+// Package ledger is a write-ahead log of a dispatcher's outstanding work. It records accepted messages, the attempts that were
+// made for them and whether those were possibly executed, final notices that the platform has not acknowledged yet, and known
+// outages of endpoints. A message is acknowledged to its sender only after its record is written. On start, a process replays
+// the records and continues where the process before it ended.
 //
-// Lines go to the end of one file; now and then the file is replaced by one that holds only what is still owed. Writes are not
-// synced: they outlast the process, and the machine's end is not what this guards against.
+// Records are appended to a single file. The file is compacted from time to time: it is replaced by one that holds only what is
+// still outstanding. Writes are not synced to disk. They survive the end of the process, but not a crash of the machine, which
+// the ledger does not guard against.
 package ledger
 
 import (
@@ -21,23 +23,30 @@
 	"whinrun/internal/recordfile"
 )
 
-// Faults of a ledger.
+// Errors that the functions and methods of this package return, possibly wrapped.
 var (
-	ErrFull         = errors.New("the ledger is full")
+	// ErrFull is returned by Accept if the space for outstanding messages is used up.
+	ErrFull = errors.New("the ledger is full")
+	// ErrNewerVersion is returned by Open if a newer version of the program wrote the file.
 	ErrNewerVersion = errors.New("the ledger is of a newer form")
-	ErrClosed       = errors.New("the ledger is closed")
-	ErrFailing      = errors.New("the ledger can't be written for now")
+	// ErrClosed is returned by methods that write after Close.
+	ErrClosed = errors.New("the ledger is closed")
+	// ErrFailing is returned by methods that write after an earlier write has failed, until Repair succeeds.
+	ErrFailing = errors.New("the ledger can't be written for now")
 )
 
 const (
-	fileName      = "ledger"
+	// fileName is the name of the ledger file in its folder.
+	fileName = "ledger"
+	// formatVersion is the version of the file format. Version 1 stored Unix times instead of instants of the boot clock.
 	formatVersion = 2
 )
 
-// Ledger is the file and what it adds up to. Its methods may be called from any goroutine.
+// Ledger is the ledger file together with the state that its records add up to. It is safe for concurrent use.
 //
-// Where a write fails the ledger is failing: lines that must count are kept and the others are refused, without trying the disk
-// again for each, until Repair has brought the file up to date.
+// After a failed write the ledger is failing until Repair has brought the file up to date. While it is failing it does not try
+// the disk for each record. Records of things that have happened are applied and kept in memory for Repair. All other records
+// are rejected.
 type Ledger struct {
 	fs     disk.FS
 	limits spaceLimits
@@ -46,17 +55,21 @@
 	mu             sync.Mutex
 	state          *state
 	file           *recordfile.File
-	unwritten      []byte // lines that count and are not in the file
+	unwritten      []byte // encoded records that have been applied but are not in the file
 	failing        bool
 	closed         bool
-	reopened       bool // there was a ledger
-	buf            []byte
-	failureStarted chan struct{} // holds a token once the ledger has begun to fail
+	reopened       bool          // the folder already held a ledger when it was opened
+	buf            []byte        // scratch space for encoding a record
+	failureStarted chan struct{} // has a capacity of 1 and receives a value when the ledger starts to fail
 }
 
-// Open reads the ledger of a folder that may hold limit bytes, and writes it anew in a form that says now. What follows a torn
-// or damaged line was never promised: it is left out. Where the folder can be read and can't be written for now, the ledger
-// begins failing (see disk.ForNow); other faults are returned.
+// Open locks the folder, replays the ledger in it, if there is one, and compacts it. The folder may hold up to limit bytes. A
+// tenth of the limit and another 4096 bytes are left unused. The file gets a header that says when it was opened.
+//
+// Replay stops at the first torn or damaged record. A record that was torn by the end of a process was never acknowledged.
+//
+// If the folder can be read, but writing fails with a transient error (see disk.IsTransient), the ledger is opened in the failing
+// state. All other errors are returned.
 func Open(fs disk.FS, limit int64, now ClockReading) (*Ledger, error) {
 	lock, err := fs.Lock()
 	if err != nil {
@@ -70,6 +83,7 @@
 	return l, nil
 }
 
+// open reads and compacts the file. A missing file counts as an empty ledger.
 func (l *Ledger) open(now ClockReading) error {
 	text, err := recordfile.Read(l.fs, fileName, math.MaxInt64)
 	if err == nil {
@@ -89,7 +103,8 @@
 	return nil
 }
 
-// replay applies the whole lines at the front of text.
+// replay applies the records in text, up to the first one that is torn, damaged or cannot be decoded. It returns an error only if
+// the file is of a newer version.
 func (b *state) replay(text []byte) error {
 	for at := 0; at < len(text); {
 		encoded, next, err := logstore.NextRecord(text, at, 0)
@@ -106,7 +121,7 @@
 		switch {
 		case r.Version == 0:
 			b.apply(&r, next-at)
-		case r.OpenedAt != nil: // the first form had Unix times and no such line: they are read as another boot's
+		case r.OpenedAt != nil: // It is missing in version 1, whose Unix times are then read as those of another boot.
 			b.applyHeader(*r.OpenedAt, r.Latest)
 		}
 		at = next
@@ -114,7 +129,7 @@
 	return nil
 }
 
-// appendRecord appends a record as it stands in the file.
+// appendRecord appends the encoded form of a record to b, as it is stored in the file.
 func appendRecord(b []byte, r *record) ([]byte, error) {
 	encoded, err := cbor.Marshal(r)
 	if err != nil {
@@ -123,7 +138,7 @@
 	return logstore.AppendRecord(b, 0, encoded), nil
 }
 
-// snapshot is a file that holds what is owed alone.
+// snapshot returns the content of a compacted file: the header and only what is still outstanding.
 func (b *state) snapshot() ([]byte, error) {
 	text, err := appendRecord(nil, &record{Version: formatVersion, OpenedAt: &b.openedAt, Latest: b.latest})
 	for _, e := range b.sortedEntries() {
@@ -142,7 +157,7 @@
 	return text, err
 }
 
-// compact puts a new file in the place of the old.
+// compact replaces the file by one that holds only what is still outstanding.
 func (l *Ledger) compact() error {
 	text, err := l.state.snapshot()
 	if err != nil {
@@ -155,8 +170,8 @@
 	return nil
 }
 
-// logRecord writes one line and applies it. counts tells that it is applied even if it can't be written: then it is kept, and written
-// by Repair. An error tells that it is not on record; with recordfile.ErrUncertain it may be.
+// logRecord writes a record and applies it. If applyOnError is set, a record that cannot be written is applied all the same and
+// kept for Repair to write. After an error the record is not in the file. If the error is recordfile.ErrUncertain it may be there.
 func (l *Ledger) logRecord(r *record, applyOnError bool) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,7 +195,8 @@
 	return err
 }
 
-// appendLine brings a line to the file, unless the ledger is failing.
+// appendLine appends an encoded record to the file and compacts the file first if necessary. While the ledger is failing it
+// returns ErrFailing without trying the disk.
 func (l *Ledger) appendLine(b []byte) error {
 	if l.failing {
 		return ErrFailing
@@ -199,7 +215,7 @@
 	return nil
 }
 
-// setFailing has the ledger failing until Repair succeeds.
+// setFailing puts the ledger into the failing state, which lasts until Repair succeeds, and signals FailureStarted.
 func (l *Ledger) setFailing() {
 	l.failing = true
 	select {
@@ -208,13 +224,13 @@
 	}
 }
 
-// maxUnwritten bounds the lines that are kept: with more the file is written anew.
+// maxUnwritten bounds the records that are kept for Repair, in bytes. With more of them Repair rewrites the whole file.
 const maxUnwritten = 64 << 10
 
-// keepUnwritten keeps a line for Repair.
+// keepUnwritten keeps an encoded record in memory for Repair.
 func (l *Ledger) keepUnwritten(b []byte) {
 	if l.file.NeedsReplace() {
-		return // the file is to be written anew
+		return // Repair will replace the whole file.
 	}
 	if l.unwritten = append(l.unwritten, b...); len(l.unwritten) > maxUnwritten {
 		l.unwritten = l.unwritten[:0]
@@ -222,18 +238,19 @@
 	}
 }
 
-// FailureStarted is sent to when the ledger begins to fail: then Repair is to be called, until it returns nil.
+// FailureStarted returns a channel that receives a value when the ledger starts to fail. The receiver has to call Repair until it
+// returns nil.
 func (l *Ledger) FailureStarted() <-chan struct{} { return l.failureStarted }
 
-// Failing tells whether the file is not up to date.
+// Failing reports whether a write has failed and Repair has not succeeded since.
 func (l *Ledger) Failing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failing
 }
 
-// Repair brings a failing ledger's file up to date: by the lines that it lacks, or as a whole. It does nothing where the ledger
-// is well.
+// Repair brings the file of a failing ledger up to date. It appends the missing records, or replaces the file. It does nothing if
+// the ledger is not failing or is closed.
 func (l *Ledger) Repair() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,7 +258,7 @@
 		return nil
 	}
 	lines, err := l.unwritten, error(nil)
-	if len(lines) == 0 { // whether the disk works shows by a line that says nothing
+	if len(lines) == 0 { // Without missing records, an empty record tests whether the disk works.
 		lines, err = appendRecord(nil, &record{})
 	}
 	if l.file.NeedsReplace() || l.limits.needsCompaction(l.state.liveBytes, l.file.Size(), len(lines)) {
@@ -256,41 +273,42 @@
 	return nil
 }
 
-// Take records a message as taken on.
+// Accept records that a message was accepted. It returns ErrFull if there is no space for it.
 func (l *Ledger) Accept(e *Entry) error { return l.logRecord(&record{Accepted: e}, false) }
 
-// Out records a call before it leaves: at is when it begins, zone where it goes. counts tells that it leaves even if that can't
-// be written.
+// StartAttempts records the attempts of one call before the call is sent. names are the messages in the call, at is its start and
+// zone the zone that it goes to. applyOnError says that the call will be sent even if the record cannot be written.
 func (l *Ledger) StartAttempts(names []string, at clock.Instant, zone int, applyOnError bool) error {
 	return l.logRecord(&record{Started: &attemptStart{names, at, zone}}, applyOnError)
 }
 
-// Back records the end of an attempt whose message has not ended, also of one that never went out: ran tells that it may have
-// run, unsent that it does not count as an attempt.
+// EndAttempt records the end of an attempt of a message that is still outstanding. It is also called for an attempt that was never
+// sent. possiblyExecuted says that the partner may have executed the attempt, notCounted that it does not count as an attempt.
 func (l *Ledger) EndAttempt(name string, possiblyExecuted, notCounted bool) error {
 	return l.logRecord(&record{Ended: &attemptEnd{name, possiblyExecuted, notCounted}}, true)
 }
 
-// RevokeAttempt records that an attempt that was recorded was not made.
+// RevokeAttempt records that an attempt was not made although its start was recorded.
 func (l *Ledger) RevokeAttempt(name string) error {
 	return l.logRecord(&record{Ended: &attemptEnd{name, false, true}}, true)
 }
 
-// Over records that nothing is owed for a message any more.
+// Complete records that a message needs no further action: it was delivered, or it is no longer this dispatcher's.
 func (l *Ledger) Complete(name string) error { return l.logRecord(&record{Completed: name}, true) }
 
-// CompleteWithNotice records that a message ended with a notice.
+// CompleteWithNotice records that a message ended with a notice that the platform has yet to acknowledge.
 func (l *Ledger) CompleteWithNotice(n Notice) error { return l.logRecord(&record{Notice: &n}, true) }
 
-// Acked records that the platform has taken notices.
+// AcknowledgeNotices records that the platform has acknowledged the notices of the named messages.
 func (l *Ledger) AcknowledgeNotices(names []string) error {
 	return l.logRecord(&record{Acknowledged: names}, true)
 }
 
-// Reopened tells whether a process before this one has used the folder.
+// Reopened reports whether the folder already held a ledger of an earlier process when it was opened.
 func (l *Ledger) Reopened() bool { return l.reopened }
 
-// Outstanding returns what is owed: messages, and notices not acknowledged, each in the order in which they were taken down.
+// Outstanding returns the messages that have not ended and the notices that are not acknowledged, each in the order in which they
+// were recorded.
 func (l *Ledger) Outstanding() (entries []Entry, notices []Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -303,21 +321,21 @@
 	return entries, notices
 }
 
-// Contains tells whether a message is owed its end, or a notice of it is not acknowledged.
+// Contains reports whether a message is outstanding or its notice is not acknowledged yet.
 func (l *Ledger) Contains(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.messages[name] != nil || l.state.notices[name] != nil
 }
 
-// Size tells how much the file and what is owed of it take, in bytes.
+// Size returns the size of the file and the upper bound of its size after a compaction, both in bytes.
 func (l *Ledger) Size() (fileBytes, liveBytes int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.file.Size(), l.state.liveBytes
 }
 
-// Close ends the use of the folder.
+// Close closes the file and unlocks the folder. Further calls do nothing.
 func (l *Ledger) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 
 const mb = 1 << 20
 
-// thisBoot is a moment of the boot that the tests' processes run in.
+// thisBoot returns a clock reading of the boot that the processes of the tests run in.
 func thisBoot(at clock.Instant) ClockReading {
 	return ClockReading{Boot: "this", At: at, Wall: 5_000_000 + int64(at)}
 }
@@ -31,7 +31,7 @@
 	return l
 }
 
-// reopen reads a folder as the next process does.
+// reopen closes a ledger and opens the folder again, as the next process does.
 func reopen(t *testing.T, l *Ledger, fs disk.FS, limit int64) *Ledger {
 	t.Helper()
 	_ = l.Close()
@@ -51,10 +51,10 @@
 	for _, n := range []string{"a", "b", "c", "d", "e"} {
 		must(t, l.Accept(&Entry{Name: n, Class: "k", Destination: 3, Deadline: 77, IdempotencyKey: "key-" + n, Body: []byte("body " + n)}))
 	}
-	must(t, l.StartAttempts([]string{"a", "b"}, 100, 1, false)) // out when the process ends: a
-	must(t, l.EndAttempt("b", false, false))                    // b never ran
+	must(t, l.StartAttempts([]string{"a", "b"}, 100, 1, false)) // a is in flight when the process ends
+	must(t, l.EndAttempt("b", false, false))                    // b was not executed
 	must(t, l.StartAttempts([]string{"c"}, 110, 1, false))
-	must(t, l.EndAttempt("c", true, false)) // c may have run, in zone 1
+	must(t, l.EndAttempt("c", true, false)) // c was possibly executed, in zone 1
 	must(t, l.StartAttempts([]string{"c"}, 120, 0, false))
 	must(t, l.Complete("d"))
 	must(t, l.CompleteWithNotice(Notice{Name: "e", Deferred: true, RetryAfterMillis: 40}))
@@ -83,7 +83,7 @@
 	}
 }
 
-// The folder never holds more than it may, a compaction in progress included, and a full ledger refuses.
+// The folder never holds more than its limit, even during a compaction, and a full ledger rejects messages.
 func TestStaysWithinTheDisk(t *testing.T) {
 	const limit = 256 << 10
 	fs := disk.NewMemory()
@@ -126,7 +126,7 @@
 	}
 }
 
-// Whatever the file's end looks like, the lines before it count and nothing is made up.
+// A file that is cut at any byte, with or without garbage behind the cut, yields only entries that were written.
 func TestTornAndDamagedTail(t *testing.T) {
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
@@ -166,8 +166,8 @@
 
 var errDisk = fmt.Errorf("disk trouble: %w", unix.EIO)
 
-// Each operation failing in turn, once and for good: what was promised is owed after a restart, what was refused is
-// not, and when the disk is well again so is the ledger.
+// Lets each disk operation in turn fail, once or together with those that follow. After a restart the accepted messages must be
+// outstanding and the rejected ones must not. Once the disk works again, so must the ledger.
 func TestEachOperationFails(t *testing.T) {
 	for _, forGood := range []bool{false, true} {
 		for at := 1; ; at++ {
@@ -189,9 +189,9 @@
 					owed[m] = true
 					_ = l.StartAttempts([]string{m}, 5, 0, false)
 				}
-				_ = l.Repair() // as often as something happens
+				_ = l.Repair() // called after each event
 				if o := fmt.Sprint("m", i-3); owed[o] {
-					_ = l.Complete(o) // it is over whatever the disk says
+					_ = l.Complete(o) // The message has ended even if the write fails.
 					delete(owed, o)
 					over[o] = true
 				}
@@ -220,7 +220,7 @@
 	}
 }
 
-// Ends at random moments, with what a killed process leaves: all that was written. The next process owes the same.
+// Kills the process at random points. All completed writes remain. The next process must have the same outstanding messages.
 func TestKilledAtRandom(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -242,7 +242,7 @@
 				if all := slices.Sorted(maps.Keys(owed)); len(all) > 0 {
 					name = all[rng.IntN(len(all))]
 				}
-				if len(notices) > 20 { // the platform takes them in the end
+				if len(notices) > 20 { // The platform acknowledges them eventually.
 					all := slices.Sorted(maps.Keys(notices))
 					_ = l.AcknowledgeNotices(all)
 					clear(notices)
@@ -256,7 +256,7 @@
 					}
 				case name == "":
 				case k == 2:
-					_ = l.Complete(name) // over it is, whatever the disk says
+					_ = l.Complete(name) // The message has ended even if the write fails.
 					delete(owed, name)
 				case k == 3 && l.CompleteWithNotice(Notice{Name: name}) == nil:
 					delete(owed, name)
@@ -276,7 +276,7 @@
 				told[x.Name] = true
 			}
 			for n := range owed {
-				if !have[n] && !told[n] { // the last operation may have been written, and its word lost
+				if !have[n] && !told[n] { // The last operation may have been written although it returned an error.
 					t.Fatalf("seed %d: %s is lost", seed, n)
 				}
 			}
@@ -293,7 +293,7 @@
 func TestRulesLeaveRoomForACompaction(t *testing.T) {
 	r := spaceLimits{usable: 1000}
 	if !r.admits(0, 300) || r.admits(300, 100) || r.admits(0, 400) {
-		t.Error("what may be owed is not bounded as said")
+		t.Error("the limit for outstanding messages is wrong")
 	}
 	if r.needsCompaction(300, 600, 100) || !r.needsCompaction(300, 601, 100) {
 		t.Error("a compaction comes too early or too late")
--- a/internal/ledger/outage.go
+++ b/internal/ledger/outage.go
@@ -7,28 +7,38 @@
 	"whinrun/internal/clock"
 )
 
-// Outage is what is known of the outage of an endpoint, or of its return from one (see control.Outage), by the name that
-// outlives processes.
+// Outage is what is known about the outage of an endpoint or its recovery. It is the stored form of control.Outage. It identifies
+// the endpoint by its host, as the numbers of endpoints change with each process.
 type Outage struct {
-	Host                string        `cbor:"1,keyasint"`
-	Suspect             bool          `cbor:"2,keyasint,omitempty"`
-	LastFailedAt        clock.Instant `cbor:"3,keyasint,omitempty"`
-	FirstFailedAt       clock.Instant `cbor:"4,keyasint,omitempty"`
-	ConsecutiveFailures int           `cbor:"5,keyasint,omitempty"`
-	LastNotExecuted     bool          `cbor:"6,keyasint,omitempty"`
-	RecoveredAt         clock.Instant `cbor:"7,keyasint,omitempty"`
-	RefusingSince       clock.Instant `cbor:"8,keyasint,omitempty"`
-	ConsecutiveErrors   int           `cbor:"9,keyasint,omitempty"`
-	Push                float64       `cbor:"10,keyasint,omitempty"`
+	Host string `cbor:"1,keyasint"`
+	// Suspect says that the endpoint gets no regular calls because the last one failed.
+	Suspect bool `cbor:"2,keyasint,omitempty"`
+	// LastFailedAt is when a call failed last.
+	LastFailedAt clock.Instant `cbor:"3,keyasint,omitempty"`
+	// FirstFailedAt is when the first call of the current series of failures failed.
+	FirstFailedAt clock.Instant `cbor:"4,keyasint,omitempty"`
+	// ConsecutiveFailures counts the calls in a row that could not connect or got no answer.
+	ConsecutiveFailures int `cbor:"5,keyasint,omitempty"`
+	// LastNotExecuted says that the last failed call was certainly not executed.
+	LastNotExecuted bool `cbor:"6,keyasint,omitempty"`
+	// RecoveredAt is when the endpoint came back and its slow start began. It is 0 if there is none.
+	RecoveredAt clock.Instant `cbor:"7,keyasint,omitempty"`
+	// RefusingSince is since when the endpoint has refused every call, if that has lasted longer than an overload may last. It is 0
+	// otherwise.
+	RefusingSince clock.Instant `cbor:"8,keyasint,omitempty"`
+	// ConsecutiveErrors counts the error responses in a row.
+	ConsecutiveErrors int `cbor:"9,keyasint,omitempty"`
+	// Push is the fraction of a trial call that the demand for a suspect endpoint has earned so far.
+	Push float64 `cbor:"10,keyasint,omitempty"`
 }
 
-// empty tells that nothing is left to be known.
+// empty reports whether there is nothing left to remember about the endpoint.
 func (o *Outage) empty() bool {
 	return !o.Suspect && o.ConsecutiveErrors == 0 && o.RecoveredAt == 0 && o.RefusingSince == 0
 }
 
-// rebase puts an outage of another boot on this one's clock. How long ago anything was is not known: it counts as of now, so
-// that a return is taken as carefully as it ever was.
+// rebase converts an outage of another boot to the clock of this one. It is not known how long ago its events were. They count as
+// having happened now, so that the recovery of the endpoint is treated with full caution.
 func (o *Outage) rebase(now ClockReading) {
 	for _, at := range []*clock.Instant{&o.LastFailedAt, &o.FirstFailedAt, &o.RecoveredAt, &o.RefusingSince} {
 		if *at > 0 {
@@ -37,10 +47,10 @@
 	}
 }
 
-// outageSize is reckoned for each outage on record.
+// outageSize is the size that is assumed for each outage on record, in bytes.
 const outageSize = 192
 
-// applyOutages takes what is known of outages now.
+// applyOutages replaces what is known about the hosts in changed. An empty outage removes its host.
 func (b *state) applyOutages(changed []Outage) {
 	for i := range changed {
 		o := changed[i]
@@ -55,7 +65,7 @@
 	}
 }
 
-// sortedOutages are those on record, by name.
+// sortedOutages returns the outages on record, sorted by host.
 func (b *state) sortedOutages() []Outage {
 	all := make([]Outage, 0, len(b.outages))
 	for _, o := range b.outages {
@@ -65,12 +75,12 @@
 	return all
 }
 
-// UpdateOutages records what is known of outages; an entry with nothing known takes its host off the record.
+// UpdateOutages records what is known about outages now. An empty outage removes its host.
 func (l *Ledger) UpdateOutages(changed []Outage) error {
 	return l.logRecord(&record{Outages: changed}, true)
 }
 
-// Outages returns those on record, by name.
+// Outages returns the outages on record, sorted by host.
 func (l *Ledger) Outages() []Outage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -8,83 +8,96 @@
 	"whinrun/internal/clock"
 )
 
-// Entry is a message that is owed its end.
+// Entry is a message that was accepted and has not ended, with the history of its attempts. Instants are of the boot clock.
 type Entry struct {
-	Name           string        `cbor:"1,keyasint"`           // id that its client gave it
-	Class          string        `cbor:"2,keyasint"`           // by name: another process may number them otherwise
-	Tenant         string        `cbor:"3,keyasint,omitempty"` // by name
-	Destination    int           `cbor:"4,keyasint"`           // number of its destination
-	Deadline       clock.Instant `cbor:"5,keyasint"`           // when its time is over
-	IdempotencyKey string        `cbor:"6,keyasint,omitempty"` // by which partners drop repeats
-	OrderingKey    uint64        `cbor:"7,keyasint,omitempty"` // key by which its class takes turns, 0 is none
-	Body           []byte        `cbor:"8,keyasint,omitempty"` //
-
-	Attempts             int           `cbor:"9,keyasint,omitempty"`  // made so far, the one that is out among them
-	PossiblyExecutedAt   clock.Instant `cbor:"10,keyasint,omitempty"` // when the first began that may have been executed, 0 for none
-	PossiblyExecutedZone int           `cbor:"11,keyasint,omitempty"` // where that went
-	InFlightSince        clock.Instant `cbor:"12,keyasint,omitempty"` // when the attempt that is out began, 0 for none ...
-	InFlightZone         int           `cbor:"13,keyasint,omitempty"` // ... and its zone
-	AcceptedAt           clock.Instant `cbor:"14,keyasint,omitempty"` // when it was taken on
-
-	seq  uint64
-	size int
+	Name           string        `cbor:"1,keyasint"`           // id that the client gave the message
+	Class          string        `cbor:"2,keyasint"`           // name of the class; its number may differ in another process
+	Tenant         string        `cbor:"3,keyasint,omitempty"` // name of the tenant
+	Destination    int           `cbor:"4,keyasint"`           // number of the destination
+	Deadline       clock.Instant `cbor:"5,keyasint"`           // end of the message's lifetime
+	IdempotencyKey string        `cbor:"6,keyasint,omitempty"` // key by which partners detect repeats
+	OrderingKey    uint64        `cbor:"7,keyasint,omitempty"` // messages of a class with the same key take turns; 0 is none
+	Body           []byte        `cbor:"8,keyasint,omitempty"`
+
+	// Attempts counts the attempts made so far, including one in flight.
+	Attempts int `cbor:"9,keyasint,omitempty"`
+	// PossiblyExecutedAt is the start of the first attempt that was possibly executed. It is 0 if there is none.
+	PossiblyExecutedAt clock.Instant `cbor:"10,keyasint,omitempty"`
+	// PossiblyExecutedZone is the zone that the attempt of PossiblyExecutedAt went to.
+	PossiblyExecutedZone int `cbor:"11,keyasint,omitempty"`
+	// InFlightSince is the start of the attempt that is in flight. It is 0 if there is none.
+	InFlightSince clock.Instant `cbor:"12,keyasint,omitempty"`
+	// InFlightZone is the zone that the attempt in flight goes to.
+	InFlightZone int `cbor:"13,keyasint,omitempty"`
+	// AcceptedAt is when the message was accepted.
+	AcceptedAt clock.Instant `cbor:"14,keyasint,omitempty"`
+
+	seq  uint64 // position in the order of acceptance
+	size int    // share of state.liveBytes, in bytes
 }
 
-// Notice is an end that the platform has not acknowledged yet.
+// Notice is a final answer other than a delivery that the platform has not acknowledged yet.
 type Notice struct {
-	Name             string `cbor:"1,keyasint"`
-	Deferred         bool   `cbor:"2,keyasint,omitempty"` // handed back; else undeliverable
-	RetryAfterMillis int64  `cbor:"3,keyasint,omitempty"` // Deferred: come back after so many milliseconds, 0 where nothing is known
-
-	seq uint64
+	// Name is the id of the message.
+	Name string `cbor:"1,keyasint"`
+	// Deferred says that the message was handed back to be sent again later. Otherwise it is undeliverable.
+	Deferred bool `cbor:"2,keyasint,omitempty"`
+	// RetryAfterMillis is how long to wait before a deferred message is sent again, in milliseconds. It is 0 if that is unknown.
+	RetryAfterMillis int64 `cbor:"3,keyasint,omitempty"`
+
+	seq uint64 // position in the order of recording
 }
 
-// record is one line of the ledger; exactly one of its parts is set.
+// record is one record of the ledger. The first record of a file is the header, which sets Version, OpenedAt and Latest. All
+// others set exactly one of the other fields. A record with no field set changes nothing; Repair writes one to test the disk.
 type record struct {
 	Accepted     *Entry        `cbor:"1,keyasint,omitempty"`
 	Started      *attemptStart `cbor:"2,keyasint,omitempty"`
 	Ended        *attemptEnd   `cbor:"3,keyasint,omitempty"`
-	Completed    string        `cbor:"4,keyasint,omitempty"` // delivered, or nobody's any more
-	Notice       *Notice       `cbor:"5,keyasint,omitempty"` // ended by this
-	Acknowledged []string      `cbor:"6,keyasint,omitempty"`
-	Version      int           `cbor:"7,keyasint,omitempty"` // first line: version of this form, ...
-	OpenedAt     *ClockReading `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
-	Latest       clock.Instant `cbor:"9,keyasint,omitempty"` // ... and the latest instant on record before this line
+	Completed    string        `cbor:"4,keyasint,omitempty"` // message that was delivered or is no longer this dispatcher's
+	Notice       *Notice       `cbor:"5,keyasint,omitempty"` // final notice of a message
+	Acknowledged []string      `cbor:"6,keyasint,omitempty"` // messages whose notices were acknowledged
+	Version      int           `cbor:"7,keyasint,omitempty"` // header: version of the file format
+	OpenedAt     *ClockReading `cbor:"8,keyasint,omitempty"` // header: when the file was opened, and in which boot
+	Latest       clock.Instant `cbor:"9,keyasint,omitempty"` // header: latest instant on record before this file
 	Outages      []Outage      `cbor:"10,keyasint,omitempty"`
 }
 
+// attemptStart records the start of the attempts that are sent in one call.
 type attemptStart struct {
 	Names []string      `cbor:"1,keyasint"`
 	At    clock.Instant `cbor:"2,keyasint"`
 	Zone  int           `cbor:"3,keyasint,omitempty"`
 }
 
+// attemptEnd records the end of one attempt.
 type attemptEnd struct {
 	Name             string `cbor:"1,keyasint"`
 	PossiblyExecuted bool   `cbor:"2,keyasint,omitempty"`
 	NotCounted       bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// entryOverhead is reckoned for each entry beside its record: what it may grow by, and the lines around it.
+// entryOverhead is added to the size of each entry's record, in bytes. It covers the growth of the entry by its attempts and the
+// other records that belong to it. noticeSize is the size that is assumed for each notice, in bytes.
 const entryOverhead, noticeSize = 64, 128
 
-// state is what the records add up to: what a process that starts now would owe. It is free of I/O.
+// state is the result of all records: the work that a process would take over if it started now. It does no I/O.
 type state struct {
-	messages  map[string]*Entry
-	notices   map[string]*Notice
+	messages  map[string]*Entry  // by name
+	notices   map[string]*Notice // by name of the message
 	outages   map[string]*Outage // by host
-	seq       uint64
-	liveBytes int64 // bytes that a compacted ledger takes, at most
+	seq       uint64             // last position given to an entry or notice
+	liveBytes int64              // upper bound of the size of a compacted file, in bytes
 
-	openedAt ClockReading  // whose instants these are
-	latest   clock.Instant // the latest of them on record
+	openedAt ClockReading  // names the boot that the instants belong to
+	latest   clock.Instant // latest instant on record
 }
 
 func newState() *state {
 	return &state{messages: map[string]*Entry{}, notices: map[string]*Notice{}, outages: map[string]*Outage{}}
 }
 
-// apply takes one record; size is that of its line. Records that name nothing known change nothing.
+// apply applies one record, whose encoded size is size bytes. Records about unknown messages change nothing.
 func (b *state) apply(r *record, size int) {
 	switch {
 	case r.Accepted != nil:
@@ -127,6 +140,7 @@
 	}
 }
 
+// remove removes a message that has ended, if it is known.
 func (b *state) remove(name string) {
 	if e := b.messages[name]; e != nil {
 		b.liveBytes -= int64(e.size)
@@ -134,14 +148,14 @@
 	}
 }
 
-// applyHeader takes the first line of a file.
+// applyHeader applies the header of a file.
 func (b *state) applyHeader(openedAt ClockReading, latest clock.Instant) {
 	b.openedAt = openedAt
 	b.latest = max(b.latest, openedAt.At, latest)
 }
 
-// recoverAt takes the book over for a process that starts now: attempts without an end on record may have been executed, and
-// all instants are put on its clock.
+// recoverAt prepares the state for a process that starts now. Attempts without a recorded end count as possibly executed. If the
+// state is of another boot, all instants are converted to the clock of this one.
 func (b *state) recoverAt(now ClockReading) {
 	for _, e := range b.messages {
 		e.resolveInFlight()
@@ -158,28 +172,31 @@
 	b.applyHeader(now, 0)
 }
 
-// sortedEntries are the messages owed an end, in the order in which they were taken.
+// sortedEntries returns the outstanding messages in the order in which they were accepted.
 func (b *state) sortedEntries() []*Entry {
 	return slices.SortedFunc(maps.Values(b.messages), func(x, y *Entry) int { return cmp.Compare(x.seq, y.seq) })
 }
 
+// sortedNotices returns the unacknowledged notices in the order in which they were recorded.
 func (b *state) sortedNotices() []*Notice {
 	return slices.SortedFunc(maps.Values(b.notices), func(x, y *Notice) int { return cmp.Compare(x.seq, y.seq) })
 }
 
-// spaceLimits decide what fits. Of the room that a folder has, what is owed may take livePart at most: a compaction needs
-// the old file and the new one beside each other, and between two of them there must be room for lines.
+// spaceLimits decides what fits into the folder, which has usable bytes. A compaction needs space for the old and the new file
+// side by side, and there has to be space for new records between two compactions. Outstanding work may therefore use only a part
+// of the space, maxLiveFraction.
 type spaceLimits struct{ usable int64 }
 
-// maxLiveFraction is of the room: with more, compactions follow each other faster than lines; with less, less can be held.
+// maxLiveFraction is the fraction of the usable bytes that outstanding work may take. With a larger one, compactions would become
+// too frequent to leave space for records in between. With a smaller one, fewer messages could be held.
 const maxLiveFraction = 0.4
 
-// admits tells whether a line of size n may be added to what is owed.
+// admits reports whether a message with a record of size bytes fits beside the liveBytes that are outstanding.
 func (r spaceLimits) admits(liveBytes int64, size int) bool {
 	return float64(liveBytes)+float64(size+entryOverhead) <= maxLiveFraction*float64(r.usable)
 }
 
-// needsCompaction tells whether the file is to be written anew before a line of size n is added.
+// needsCompaction reports whether the file has to be compacted before a record of size bytes is appended.
 func (r spaceLimits) needsCompaction(liveBytes, fileBytes int64, size int) bool {
 	return fileBytes+int64(size)+liveBytes > r.usable
 }
--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -1,5 +1,5 @@
-// Package recordfile is a file of a folder that records are appended to, and that is replaced as a whole now and then. What is in
-// the file after an operation has failed is known, or known not to be known.
+// Package recordfile implements a file that records are appended to and that is replaced as a whole from time to time. After a
+// failed operation the caller knows whether the content of the file is as before or is uncertain.
 package recordfile
 
 import (
@@ -10,37 +10,38 @@
 	"whinrun/internal/disk"
 )
 
-// Faults of a file.
+// Errors of a File.
 var (
-	// ErrUncertain tells that records may be in the file, or may not.
+	// ErrUncertain says that the records of a failed Append may or may not be in the file.
 	ErrUncertain = errors.New("it is not known whether it is in the file")
-	// ErrNeedsReplace tells that nothing can be appended: the file is to be replaced.
+	// ErrNeedsReplace says that nothing can be appended until Replace has succeeded.
 	ErrNeedsReplace = errors.New("the file is to be written anew")
 )
 
-// File is one such file. It is not safe for concurrent use.
+// File is a file of records in a folder. It is not safe for concurrent use.
 type File struct {
 	fs           disk.FS
 	name         string
 	file         disk.File // nil before the first Replace
-	size         int64     // bytes of whole records
-	needsReplace bool      // the file's end is not known to be whole, or it may not be the folder's any more
+	size         int64     // size of the complete records, in bytes
+	needsReplace bool      // the file may end with a torn record, or may no longer be the one in the folder
 }
 
-// New returns the file of a folder by a name; it has to be replaced before anything can be appended. A file by that name with
-// ".new" behind it is one being written.
+// New returns a File for the named file in a folder, without opening it. Replace has to be called before Append. Replace uses the
+// name with ".new" appended for its temporary file.
 func New(fs disk.FS, name string) *File { return &File{fs: fs, name: name} }
 
-// Size counts the bytes of whole records.
+// Size returns the size of the complete records in the file, in bytes.
 func (f *File) Size() int64 { return f.size }
 
-// NeedsReplace tells whether only Replace helps.
+// NeedsReplace reports whether Append is impossible until Replace succeeds.
 func (f *File) NeedsReplace() bool { return f.file == nil || f.needsReplace }
 
-// RequireReplace has the file replaced before anything is appended again.
+// RequireReplace makes Append fail until Replace succeeds.
 func (f *File) RequireReplace() { f.needsReplace = true }
 
-// Append writes records. After an error none of them is in the file, or with ErrUncertain they may be and the file is damaged.
+// Append appends encoded records to the file. After an error none of them is in the file, unless the error is ErrUncertain. In that
+// case they may be in the file, and it has to be replaced. Append returns ErrNeedsReplace if that is already so.
 func (f *File) Append(b []byte) error {
 	if f.NeedsReplace() {
 		return ErrNeedsReplace
@@ -53,15 +54,16 @@
 	if err == nil {
 		err = io.ErrShortWrite
 	}
-	if truncateErr := f.file.Truncate(f.size); truncateErr != nil { // records behind a torn one would not be read
+	// Records behind a torn one would not be read, so the torn one has to be removed.
+	if truncateErr := f.file.Truncate(f.size); truncateErr != nil {
 		f.needsReplace = true
 		return fmt.Errorf("%w: %w, %w", ErrUncertain, err, truncateErr)
 	}
 	return err
 }
 
-// Replace puts a file with a text in the place of the one there is. After an error the old one is in use, if it still is the
-// folder's.
+// Replace replaces the file by one with the given content. After an error the old file remains in use. If the rename failed, it may
+// no longer be the one in the folder, and the file needs to be replaced again.
 func (f *File) Replace(text []byte) error {
 	next, err := f.fs.Create(f.name + ".new")
 	if err != nil {
@@ -75,7 +77,7 @@
 		return errors.Join(err, next.Close(), f.fs.Remove(f.name+".new"))
 	}
 	if err := f.fs.Rename(f.name+".new", f.name); err != nil {
-		f.needsReplace = true // it may have been renamed all the same
+		f.needsReplace = true // The rename may have taken effect despite the error.
 		return errors.Join(err, next.Close())
 	}
 	if f.file != nil {
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// Close ends the use of the file.
+// Close closes the file.
 func (f *File) Close() error {
 	if f.file == nil {
 		return nil
@@ -93,7 +95,7 @@
 	return f.file.Close()
 }
 
-// Read reads a whole file of a folder.
+// Read returns the content of a file in a folder. It fails if the file is larger than maxBytes.
 func Read(fs disk.FS, name string, maxBytes int64) ([]byte, error) {
 	f, err := fs.Open(name)
 	if err != nil {
@@ -103,6 +105,7 @@
 	return b, errors.Join(err, f.Close())
 }
 
+// readAll returns the content of an open file that has at most maxBytes bytes.
 func readAll(f disk.File, maxBytes int64) ([]byte, error) {
 	size, err := f.Size()
 	if err != nil {
