--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -41,7 +41,7 @@
 	return k, keys
 }
 
-// write puts n messages down, a seal after each fourth.
+// write writes the records of n messages, with a seal after every fourth message.
 func write(t *testing.T, s *logstore.Store, k *Key, from, n int) *Trail {
 	t.Helper()
 	trail, err := Resume(s, k, wall)
@@ -71,7 +71,7 @@
 	s := store(t, fs, 1<<16)
 	write(t, s, k, 0, 40)
 	_ = s.Close(1)
-	k2, more := key(t) // the key is changed: old seals stay checkable
+	k2, more := key(t) // After a change of the key, old seals can still be verified.
 	s = store(t, fs, 1<<16)
 	trail := write(t, s, k2, 40, 40)
 	if err := errors.Join(trail.Seal(1), s.Commit(1)); err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// A record altered with its checksum made right, one taken out, and seals signed by another are each found.
+// An altered record with a correct checksum, a removed record and seals by another key are each detected.
 func TestTamperingShows(t *testing.T) {
 	k, keys := key(t)
 	other, _ := key(t)
@@ -151,7 +151,7 @@
 	}
 }
 
-// While the disk fails records wait; those beyond the bound are counted by a gap, and the chain holds.
+// While the disk fails, records wait. Those beyond the limit are counted by a gap, and the chain stays intact.
 func TestGap(t *testing.T) {
 	fs := disk.NewMemory()
 	k, keys := key(t)
@@ -179,7 +179,7 @@
 	}
 }
 
-// BenchmarkRestart is what a restart reads of a trail of a million records, one message in a hundred with a receipt.
+// BenchmarkRestart measures what a restart reads of a trail of a million records. One message in a hundred has a receipt.
 func BenchmarkRestart(b *testing.B) {
 	fs := disk.NewMemory()
 	opt := logstore.Options{Policy: plan.Policy{SegmentBytes: 8 << 20}, MaxPendingBytes: 4 << 20, Labels: Labels, WallClock: wall}
--- a/internal/audit/key.go
+++ b/internal/audit/key.go
@@ -13,27 +13,29 @@
 	"path/filepath"
 )
 
-// Key signs seals and receipts: Ed25519 (RFC 8032), in PEM files as other tools read them (RFC 8410).
+// Key is the Ed25519 key (RFC 8032) that signs seals and receipts. It is stored in PEM files that other tools can read (RFC 8410).
 type Key struct {
 	private ed25519.PrivateKey
 	id      string
 }
 
-// ID names a key: the first 8 bytes of the hash of the public one, in hexadecimal digits.
+// ID returns the id of the key: the first 8 bytes of the SHA-256 hash of the public key, in hexadecimal.
 func (k *Key) ID() string { return k.id }
 
-// Sign signs a text.
+// Sign returns the signature of b.
 func (k *Key) Sign(b []byte) []byte { return ed25519.Sign(k.private, b) }
 
+// keyID returns the id of a public key.
 func keyID(p ed25519.PublicKey) string {
 	sum := sha256.Sum256(p)
 	return hex.EncodeToString(sum[:8])
 }
 
+// privateKeyFile is the name of the file of the signing key.
 const privateKeyFile = "signing-key.pem"
 
-// OpenKey reads the signing key of a folder, or makes one. Public keys are left beside it, one file for each key that
-// ever signed: seals by a key that was replaced stay checkable.
+// OpenKey reads the signing key of a folder, or creates one if there is none. It also writes the public key to a file that is named
+// after the key's id. Files of earlier keys are kept, so that seals by a key that was replaced can still be verified.
 func OpenKey(folder string) (*Key, error) {
 	name := filepath.Join(folder, privateKeyFile)
 	b, err := os.ReadFile(name)
@@ -64,6 +66,7 @@
 	return k, writeFileAtomic(filepath.Join(folder, "key-"+k.id+".pub.pem"), pem.EncodeToMemory(&pem.Block{Type: "PUBLIC KEY", Bytes: der}), 0o644)
 }
 
+// makeKey creates a key, stores it in the named file and returns the content of that file.
 func makeKey(name string) ([]byte, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -77,6 +80,7 @@
 	return b, writeFileAtomic(name, b, 0o600)
 }
 
+// writeFileAtomic writes a file by way of a temporary one, so that no reader sees it in part.
 func writeFileAtomic(name string, b []byte, mode os.FileMode) error {
 	if err := os.WriteFile(name+".new", b, mode); err != nil {
 		return err
@@ -84,7 +88,7 @@
 	return os.Rename(name+".new", name)
 }
 
-// PublicKeys reads all public keys of a folder, by their ids.
+// PublicKeys reads all public keys in a folder (*.pub.pem) and returns them by id.
 func PublicKeys(folder string) (map[string]ed25519.PublicKey, error) {
 	names, err := filepath.Glob(filepath.Join(folder, "*.pub.pem"))
 	if err != nil {
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -10,7 +10,7 @@
 	"whinrun/internal/logstore"
 )
 
-// OpenReader opens a folder's trail for reading, also beside a running dispatcher.
+// OpenReader opens the trail in a folder for reading. A dispatcher may be writing to the trail at the same time.
 func OpenReader(folder string) (*logstore.Store, logstore.RecoveryReport, error) {
 	fs, err := disk.OpenFolder(folder)
 	if err != nil {
@@ -19,7 +19,7 @@
 	return logstore.Open(fs, logstore.Options{Labels: Labels, WallClock: clock.Wall, ReadOnly: true})
 }
 
-// AllRecords returns every record, in order.
+// AllRecords returns all records, in order. It fails if any of them is corrupt.
 func AllRecords(store *logstore.Store) (all []*Record, err error) {
 	err = store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
@@ -29,7 +29,8 @@
 	return all, err
 }
 
-// MessageRecords returns all records of a message, in order.
+// MessageRecords returns all records of a message, in order. If parts of the trail are corrupt, it returns the records that can be read
+// together with an error.
 func MessageRecords(store *logstore.Store, message string) (all []*Record, err error) {
 	err = findByLabel(store, label('m', message), func(r *Record) {
 		if r.Message == message {
@@ -39,6 +40,8 @@
 	return all, err
 }
 
+// findByLabel calls collect for each record that carries a label, in order. Corrupt segments are skipped, and their errors are
+// returned.
 func findByLabel(store *logstore.Store, labelHash uint64, collect func(*Record)) error {
 	var corruptions []error
 	err := store.Find(labelHash, func(_ uint64, payload []byte) error {
@@ -51,29 +54,34 @@
 	return errors.Join(append(corruptions, err)...)
 }
 
-// Query asks for messages; empty fields ask for nothing.
+// Query selects messages. Empty fields match all messages.
 type Query struct {
+	// Partner, Tenant and Outcome are the values that the message has to have.
 	Partner, Tenant, Outcome string
-	Since                    time.Time
-	Limit                    int // 0 for no bound
+	// Since is the earliest time of acceptance.
+	Since time.Time
+	// Limit is the maximum number of messages to return. 0 means no limit.
+	Limit int
 }
 
-// Message is what became of one.
+// Message is the summary of a message. Its fields are printed as JSON under their own names.
 type Message struct {
 	Name, Partner, Tenant, Class string
-	Taken, Answered              time.Time // Answered is zero while it has no answer
-	Outcome                      string    // served, refused, failed, withdrawn, or empty
-	Reason                       string
-	Attempts                     int
-	Size                         int
+	// Taken is when the message was accepted. Answered is when it got its final answer or was withdrawn, and zero before that.
+	Taken, Answered time.Time
+	Outcome         string // served, refused, failed or withdrawn, empty before that
+	Reason          string // reason for the outcome
+	Attempts        int    // number of attempts
+	Size            int    // size of the body in bytes
 }
 
-// FindMessages returns the messages that a query asks for, the latest first, as far as the trail goes.
+// FindMessages returns the messages that match a query, latest first. Messages whose acceptance is no longer in the trail are left out.
+// If parts of the trail are corrupt, it returns the messages that can be read together with an error.
 func FindMessages(store *logstore.Store, q Query) ([]*Message, error) {
 	byName := map[string]*Message{}
 	collect := func(r *Record) { collectRecord(byName, r) }
 	var err error
-	switch { // the narrowest look-up that there is; the answer of each is read with the rest
+	switch { // One look-up selects the messages. Their other records are read below.
 	case q.Partner != "":
 		err = findByLabel(store, label('p', q.Partner), collect)
 	case q.Tenant != "":
@@ -105,12 +113,13 @@
 	return all, errors.Join(err, readErr)
 }
 
+// matches reports whether a message matches a query.
 func (m *Message) matches(q *Query) bool {
 	return (q.Partner == "" || m.Partner == q.Partner) && (q.Tenant == "" || m.Tenant == q.Tenant) &&
 		(q.Outcome == "" || m.Outcome == q.Outcome) && !m.Taken.Before(q.Since)
 }
 
-// collectRecord takes a record of a message in; the same one twice changes nothing.
+// collectRecord adds a record to the summary of its message. Adding the same record again changes nothing.
 func collectRecord(byName map[string]*Message, r *Record) {
 	if r.Message == "" {
 		return
--- a/internal/audit/recorder.go
+++ b/internal/audit/recorder.go
@@ -11,34 +11,41 @@
 	"whinrun/internal/logstore/plan"
 )
 
-// Config of a Keeper.
+// Config is the configuration of a Recorder.
 type Config struct {
-	Folder    string // empty: no trail is kept
-	Policy    plan.Policy
-	Buffer    int           // bytes that wait for a disk that fails
-	SealEvery time.Duration // a seal this soon after a record
-	FS        disk.FS       // for tests: the files are here, and only the keys in Folder
+	// Folder is the folder of the trail and its keys. If it is empty, no trail is kept.
+	Folder string
+	// Policy says when records are synced and how long they are kept.
+	Policy plan.Policy
+	// Buffer is the maximum size of the records that wait for the disk, in bytes.
+	Buffer int
+	// SealEvery is the time between seals. The caller of SealNow observes it.
+	SealEvery time.Duration
+	// FS replaces the folder in tests. Only the keys are then stored in Folder.
+	FS disk.FS
 }
 
-// Recorder owns the trail of a running dispatcher: it writes, syncs and seals on a goroutine of its own, so that no
-// answer waits for the disk.
+// Recorder writes the trail of a running dispatcher. It encodes, writes and syncs records on a goroutine of its own, so that no answer
+// waits for the disk.
 type Recorder struct {
 	*Trail
 	store             *logstore.Store
 	now               func() time.Duration
 	log               func(format string, a ...any)
-	onDiskStateChange func(error) // told when the disk begins to fail, and with nil when it works again
+	onDiskStateChange func(error) // called with the error when the disk starts to fail, and with nil when it works again
 
 	mu       sync.Mutex
-	queue    []*Record // not encoded yet
-	maxQueue int       // of them
+	queue    []*Record // records that are not encoded yet
+	maxQueue int       // maximum length of queue
 
 	wakeup chan struct{}
 	quit   chan struct{}
 	done   sync.WaitGroup
 }
 
-// Open opens the folder and goes on with its trail. now is the dispatcher's clock.
+// Open opens the trail in a folder and continues it. It creates the folder and a key if they do not exist. now is the clock of the
+// dispatcher, and log takes messages for the operator. onDiskStateChange is called with the error when the disk starts to fail, and
+// with nil when it works again.
 func Open(cfg Config, now func() time.Duration, log func(string, ...any), onDiskStateChange func(error)) (*Recorder, error) {
 	folder, err := disk.OpenFolder(cfg.Folder)
 	if err != nil {
@@ -54,6 +61,7 @@
 	return openRecorder(cfg, folder, key, now, log, onDiskStateChange)
 }
 
+// openRecorder opens the trail in fs and starts the goroutine that writes it.
 func openRecorder(cfg Config, fs disk.FS, key *Key, now func() time.Duration, log func(string, ...any), onDiskStateChange func(error)) (*Recorder, error) {
 	store, report, err := logstore.Open(fs, logstore.Options{Policy: cfg.Policy, MaxPendingBytes: cfg.Buffer, Labels: Labels, WallClock: clock.Wall})
 	if err != nil {
@@ -63,7 +71,7 @@
 		log("the trail: %s", p)
 	}
 	if report.TornBytes > 0 {
-		log("the trail: %d bytes at its end were not whole; they are kept beside it", report.TornBytes)
+		log("the trail: %d incomplete bytes at its end were cut off; they are kept in a .torn file", report.TornBytes)
 	}
 	trail, err := Resume(store, key, clock.Wall)
 	if err != nil {
@@ -75,7 +83,8 @@
 	return k, nil
 }
 
-// Enqueue takes a record, which is encoded and hashed on the Keeper's goroutine: the engine's has better to do.
+// Enqueue adds a record to the queue and sets its time. The Recorder's goroutine encodes and hashes the record, so as not to delay the
+// engine. If the queue is full, the record is lost and counted.
 func (k *Recorder) Enqueue(r *Record) {
 	r.At = clock.Wall().UnixMicro()
 	k.mu.Lock()
@@ -93,7 +102,7 @@
 	}
 }
 
-// writeQueued writes down what has been put.
+// writeQueued writes the queued records to the trail.
 func (k *Recorder) writeQueued(now time.Duration) {
 	k.mu.Lock()
 	queue := k.queue
@@ -104,7 +113,7 @@
 	}
 }
 
-// Close seals and writes all, and ends the Keeper.
+// Close stops the goroutine, writes and seals all records and closes the store.
 func (k *Recorder) Close() error {
 	close(k.quit)
 	k.done.Wait()
@@ -115,30 +124,31 @@
 	return k.store.Close(k.now())
 }
 
-// Kill ends the Keeper as a crash would: what waits is not written.
+// Kill closes the Recorder without writing pending records, as if the process had crashed.
 func (k *Recorder) Kill() {
 	close(k.quit)
 	k.done.Wait()
 	k.store.Abandon()
 }
 
-// Key signs the trail, and receipts with it.
+// Key returns the key that signs seals and receipts.
 func (k *Recorder) Key() *Key { return k.key }
 
-// UnfetchedReceipts reads which receipts are still owed (see there).
+// UnfetchedReceipts reads the subscriptions and the receipts that were not fetched; see the function of that name.
 func (k *Recorder) UnfetchedReceipts(since time.Time) ([]*Record, []*UnfetchedReceipt, error) {
 	return UnfetchedReceipts(k.store, since)
 }
 
-// Failing returns the error of a disk that fails, nil while it works.
+// Failing returns the error of the disk while it fails, and nil while it works.
 func (k *Recorder) Failing() error { return k.store.Failing() }
 
-// Now is the dispatcher's clock.
+// Now returns the time on the dispatcher's clock.
 func (k *Recorder) Now() time.Duration { return k.now() }
 
-// Usage is what the trail takes on disk.
+// Usage returns what the trail holds on disk.
 func (k *Recorder) Usage() logstore.Usage { return k.store.Usage() }
 
+// run writes and commits records until Close or Kill.
 func (k *Recorder) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -163,7 +173,7 @@
 	}
 }
 
-// SealNow seals what was written since the last seal, while the disk works.
+// SealNow seals the records that were written since the last seal. It does nothing while the disk fails.
 func (k *Recorder) SealNow() error {
 	if k.Failing() != nil {
 		return nil
@@ -173,7 +183,7 @@
 	return err
 }
 
-// Maintain does one piece of the store's upkeep, while the disk works.
+// Maintain does one step of the store's maintenance. more says that there may be more to do. It does nothing while the disk fails.
 func (k *Recorder) Maintain() (more bool, err error) {
 	if k.Failing() != nil {
 		return false, nil
@@ -181,10 +191,10 @@
 	return k.store.Maintain()
 }
 
-// VerifyNext reads one closed file of the trail again, in turns: a disk that loses bits shows before they are asked for.
+// VerifyNext reads one closed segment of the trail again, the next one at each call, to detect bit rot early. more is always false.
 func (k *Recorder) VerifyNext() (more bool, err error) { return false, k.store.VerifyNext() }
 
-// signal has the Keeper look at once.
+// signal wakes the goroutine up.
 func (k *Recorder) signal() {
 	select {
 	case k.wakeup <- struct{}{}:
@@ -192,14 +202,15 @@
 	}
 }
 
-// commit writes what waits, and tells of a disk that begins or ceases to fail.
+// commit commits the pending records. It reports when the disk starts or stops failing. wasFailing and failing say whether it failed
+// before and does so now.
 func (k *Recorder) commit(now time.Duration, wasFailing bool) (failing bool) {
 	err := k.store.Commit(now)
 	if err != nil && !wasFailing {
-		k.log("the trail can't be written, no new messages are taken: %v", err)
+		k.log("the trail can't be written, no new messages are accepted: %v", err)
 		k.onDiskStateChange(err)
 	} else if err == nil && wasFailing {
-		k.log("the trail is written again; %d records are missing", k.Lost())
+		k.log("the trail can be written again; %d records were lost", k.Lost())
 		k.onDiskStateChange(nil)
 	}
 	return err != nil
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -14,7 +14,7 @@
 	"whinrun/internal/logstore"
 )
 
-// Text is a record in words.
+// Text returns a description of the record in words.
 func (r *Record) Text() string {
 	var b strings.Builder
 	add := func(condition bool, format string, a ...any) {
@@ -41,49 +41,60 @@
 	return b.String()
 }
 
+// microseconds returns the duration of n microseconds.
 func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Report is a time of a trail summed up.
+// Report summarizes the trail of a period of time.
 type Report struct {
-	From, To  time.Time
-	Intervals []Interval // the time in equal parts
-	Partners  []*PartnerSummary
-	Attempts  []Bar // messages by how many attempts they took
-	Reasons   []Bar // of messages not served
-	Messages  int
+	// From and To are the start and the end of the period. To is not part of it.
+	From, To time.Time
+	// Intervals divides the period into equal parts.
+	Intervals []Interval
+	// Partners are sorted by name.
+	Partners []*PartnerSummary
+	// Attempts counts the messages by their number of attempts.
+	Attempts []Bar
+	// Reasons counts the messages that were not served by result and reason.
+	Reasons []Bar
+	// Messages is the number of messages that ended.
+	Messages int
 }
 
-// Interval is a part of the time.
+// Interval counts the messages that ended in a part of the period, which starts at At, by outcome.
 type Interval struct {
 	At                                 time.Time
 	Served, Refused, Failed, Withdrawn int
 }
 
-// PartnerSummary is a partner's part.
+// PartnerSummary summarizes the messages and attempts to one partner.
 type PartnerSummary struct {
-	Name                               string
+	Name string
+	// Served, Refused, Failed and Withdrawn count the messages that ended by outcome.
 	Served, Refused, Failed, Withdrawn int
-	Attempts, Waits                    int
-	LongestWait                        time.Duration
-	took                               *hdrhistogram.Histogram
+	// Attempts counts the attempts that ended, and Waits those whose response asked for a wait.
+	Attempts, Waits int
+	// LongestWait is the longest wait that was asked for.
+	LongestWait time.Duration
+	took        *hdrhistogram.Histogram // durations of the attempts that got a response, in microseconds
 }
 
-// P50 and P99 are how long attempts took that were answered.
+// P50 returns the median duration of the attempts that got a response.
 func (p *PartnerSummary) P50() time.Duration { return microseconds(p.took.ValueAtQuantile(50)) }
 
-// P99 is the 99th percentile.
+// P99 returns the 99th percentile of the duration of the attempts that got a response.
 func (p *PartnerSummary) P99() time.Duration { return microseconds(p.took.ValueAtQuantile(99)) }
 
-// Bar is a count with its name.
+// Bar is one bar of a chart.
 type Bar struct {
 	Name     string
 	Count    int
-	Fraction float64 // of the largest
+	Fraction float64 // Count divided by the largest Count of the chart
 }
 
+// reportIntervals is the number of intervals in a report.
 const reportIntervals = 60
 
-// Summarize reads a time of a trail.
+// Summarize reads the trail and returns the report for the period from from up to, but not including, to.
 func Summarize(store *logstore.Store, from, to time.Time) (*Report, error) {
 	report := &Report{From: from, To: to, Intervals: make([]Interval, reportIntervals)}
 	byPartner, attempts, reasons := map[string]*PartnerSummary{}, map[string]int{}, map[string]int{}
@@ -135,6 +146,7 @@
 	return report, err
 }
 
+// countOutcome counts the outcome of a message for its partner and its interval.
 func countOutcome(r *Record, p *PartnerSummary, interval *Interval) {
 	switch {
 	case r.Kind == Withdrawn:
@@ -152,7 +164,7 @@
 	}
 }
 
-// bars puts counts in order: by count or by name; twenty at most.
+// bars returns up to 20 counts as bars, sorted by name or, if byCount is set, by descending count.
 func bars(counts map[string]int, byCount bool) (all []Bar) {
 	largest := 1
 	for name, n := range counts {
@@ -171,9 +183,12 @@
 	return all[:min(20, len(all))]
 }
 
+// reportHTML is the template of the report.
+//
 //go:embed report.html
 var reportHTML string
 
+// reportTemplate is the parsed template of the report, with the functions that it uses.
 var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(part float64) string { return fmt.Sprintf("%.1f", 100*part) },
 	"height": func(n int, intervals []Interval) float64 {
@@ -195,5 +210,5 @@
 	"short": func(d time.Duration) string { return d.Round(100 * time.Microsecond).String() },
 }).Parse(reportHTML))
 
-// Write writes the report as one HTML page that needs nothing else.
+// Write writes the report as a self-contained HTML page.
 func (r *Report) Write(w io.Writer) error { return reportTemplate.Execute(w, r) }
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -14,7 +14,7 @@
 	"whinrun/internal/logstore"
 )
 
-// Trail writes records. It may be used from any goroutine.
+// Trail appends records to a log store and maintains the hash chain over them. It is safe for concurrent use.
 type Trail struct {
 	store *logstore.Store
 	key   *Key
@@ -22,11 +22,12 @@
 
 	mu       sync.Mutex
 	chain    chain
-	unsealed int // records since the last seal
-	lost     uint64
+	unsealed int    // number of records since the last seal
+	lost     uint64 // number of lost records that no Gap has recorded yet
 }
 
-// Resume goes on with the chain that a store holds.
+// Resume returns a Trail that continues the chain in a store. It computes the chain from the last seal on. It fails if the records since
+// then cannot be read.
 func Resume(store *logstore.Store, key *Key, wall func() time.Time) (*Trail, error) {
 	t := &Trail{store: store, key: key, wall: wall}
 	lastSeal := uint64(0)
@@ -51,8 +52,8 @@
 	return t, nil
 }
 
-// Write takes one record down. Where the disk is behind and its bound reached the record is lost, and counted by the
-// next Gap.
+// Write appends a record, on the clock of the store. If the store cannot take the record, it is lost and counted. Once the store takes
+// records again, a Gap with that count precedes the next record.
 func (t *Trail) Write(now time.Duration, r *Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,6 +68,7 @@
 	}
 }
 
+// appendRecord encodes a record and appends it to the chain and the store. It sets the record's time if that is not set.
 func (t *Trail) appendRecord(now time.Duration, r *Record) error {
 	if r.At == 0 {
 		r.At = t.wall().UnixMicro()
@@ -84,14 +86,14 @@
 	return nil
 }
 
-// countLost counts a record that nobody could take.
+// countLost counts a record that was lost before it reached Write.
 func (t *Trail) countLost() {
 	t.mu.Lock()
 	t.lost++
 	t.mu.Unlock()
 }
 
-// Seal signs all that was written since the last seal; without anything new there is nothing to do.
+// Seal appends a seal over all records so far. It does nothing if there is no record since the last seal.
 func (t *Trail) Seal(now time.Duration) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,29 +108,34 @@
 	return err
 }
 
-// Lost is how many records the disk has not taken and no Gap tells of yet.
+// Lost returns the number of lost records that no Gap has recorded yet.
 func (t *Trail) Lost() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost
 }
 
-// sealMessage is what is signed: a text before the hash keeps signatures of one kind from being used as another's.
+// sealMessage returns what is signed for a seal. The prefix prevents a signature of another kind from being used as a seal, and the
+// reverse.
 func sealMessage(hash []byte) []byte { return append([]byte("whinrun audit seal\x00"), hash...) }
 
-// VerifyResult is what Verify found.
+// VerifyResult is the result of Verify.
 type VerifyResult struct {
+	// Records and Seals count all records and the seals among them. Unsealed counts the records after the last seal.
 	Records, Seals, Unsealed int
-	Lost                     uint64    // told by gaps
-	From, To                 time.Time // of the records
-	Problems                 []string
+	// Lost is the number of records that were lost, according to the gaps in the trail.
+	Lost uint64
+	// From is the time of the first record, and To the latest time of all records.
+	From, To time.Time
+	// Problems describes the first 100 problems. The trail is intact if there are none.
+	Problems []string
 }
 
-// ErrUnknownKey tells of a seal by a key that is not among those given.
+// ErrUnknownKey is the problem of a seal whose key is not among those given to Verify.
 var ErrUnknownKey = errors.New("sealed by a key that is not known")
 
-// Verify reads the whole trail: every record is to link to the one before, every seal to be by a known key and over
-// the chain so far. The first seal that is there anchors the chain where older segments have been dropped.
+// Verify reads the whole trail. It checks that each record links to the one before, and that each seal is signed by one of the given keys
+// and covers the records before it. If older segments have been removed, the links are checked from the first seal on.
 func Verify(store *logstore.Store, keys map[string]ed25519.PublicKey) (v VerifyResult, err error) {
 	var c chain
 	anchored := store.Usage().FirstSeq == 1
@@ -158,13 +165,14 @@
 		c = c.extend(payload[linkSize:])
 		if anchored && !bytes.Equal(c[:linkSize], r.Link) {
 			addProblem("record %d: does not link to the one before: one of them was altered or removed", seq)
-			anchored = false // until the next seal
+			anchored = false // Links are checked again after the next seal.
 		}
 		return nil
 	}, func(e error) { addProblem("%v", e) })
 	return v, err
 }
 
+// countRecord counts a record.
 func (v *VerifyResult) countRecord(r *Record) {
 	v.Records++
 	v.Unsealed++
@@ -176,6 +184,8 @@
 	}
 }
 
+// checkSeal checks a seal and sets the chain to the one that it signs. The chain so far is compared only if it is anchored, which means
+// that it goes back to the first record or to a seal without a break.
 func (v *VerifyResult) checkSeal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, addProblem func(string, ...any)) {
 	v.Seals++
 	v.Unsealed = 0
--- a/internal/audit/unfetched.go
+++ b/internal/audit/unfetched.go
@@ -7,14 +7,18 @@
 	"whinrun/internal/logstore"
 )
 
-// UnfetchedReceipt is a receipt that was promised and not fetched before the dispatcher ended.
+// UnfetchedReceipt is a receipt that a client asked for and had not fetched when the dispatcher ended.
 type UnfetchedReceipt struct {
+	// Tenant is the name of the client's tenant, and Queue that of the subscription.
 	Tenant, Queue string
-	Accepted      *Record
-	Answered      *Record // nil: the dispatcher ended before its final answer
+	// Accepted is the acceptance of the message.
+	Accepted *Record
+	// Answered is the final answer to the message. It is nil if the dispatcher ended before that.
+	Answered *Record
 }
 
-// UnfetchedReceipts reads which receipts are still owed, oldest first, and which subscriptions there are, since a time.
+// UnfetchedReceipts returns the records of the subscriptions that were made since a time, and the receipts of messages accepted since
+// then that were not fetched, oldest first.
 func UnfetchedReceipts(store *logstore.Store, since time.Time) (subscriptions []*Record, unfetched []*UnfetchedReceipt, err error) {
 	byMessage := map[string]*UnfetchedReceipt{}
 	collect := func(r *Record) {
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -10,42 +10,47 @@
 	"sync"
 )
 
-// Memory is a folder in memory, for tests. What is not synced may be gone after Crash, in part or whole; Fail decides about each
-// operation that changes something before it is done, FailRead about the others.
+// Memory is an FS in memory, for tests. Crash simulates a crash that loses unsynced data. Fail and FailRead inject faults: they are
+// called before an operation, with its name and the name of the file, and the operation fails with the error that they return.
 type Memory struct {
-	mu       sync.Mutex
-	current  map[string]*memNode // as the program sees it
-	durable  map[string]*memNode // as the directory was last synced
-	locked   bool
-	Fail     func(op, name string) error // nil: none
-	FailRead func(op, name string) error // nil: none
-	OpCount  int
+	mu      sync.Mutex
+	current map[string]*memNode // files as the program sees them, by name
+	durable map[string]*memNode // files as of the last SyncDir, by name
+	locked  bool
+	// Fail is called for list, open, create, rename, remove, syncdir, write, truncate and sync. If it is nil, none of them fails.
+	Fail func(op, name string) error
+	// FailRead is called for lock, read and size. If it is nil, none of them fails.
+	FailRead func(op, name string) error
+	// OpCount counts the operations that Fail is called for.
+	OpCount int
 }
 
+// memNode is the content of a file.
 type memNode struct {
 	data   []byte
-	synced int
+	synced int // number of bytes that a crash cannot lose
 }
 
-// NewMemory makes an empty folder.
+// NewMemory returns an empty folder.
 func NewMemory() *Memory {
 	return &Memory{current: map[string]*memNode{}, durable: map[string]*memNode{}}
 }
 
-// SetFail sets Fail while the folder is in use.
+// SetFail sets Fail. It may be called while the folder is in use.
 func (m *Memory) SetFail(fail func(op, name string) error) {
 	m.mu.Lock()
 	m.Fail = fail
 	m.mu.Unlock()
 }
 
-// SetFailRead sets FailRead while the folder is in use.
+// SetFailRead sets FailRead. It may be called while the folder is in use.
 func (m *Memory) SetFailRead(fail func(op, name string) error) {
 	m.mu.Lock()
 	m.FailRead = fail
 	m.mu.Unlock()
 }
 
+// checkRead returns the error that FailRead injects into an operation.
 func (m *Memory) checkRead(op, name string) error {
 	if m.FailRead == nil {
 		return nil
@@ -53,6 +58,7 @@
 	return m.FailRead(op, name)
 }
 
+// check counts an operation and returns the error that Fail injects into it.
 func (m *Memory) check(op, name string) error {
 	m.OpCount++
 	if m.Fail == nil {
@@ -61,8 +67,9 @@
 	return m.Fail(op, name)
 }
 
-// Crash forgets what a crash may forget: unsynced ends of files are cut anywhere, sometimes with garbage in them;
-// files made, renamed or removed since the last SyncDir may be as before.
+// Crash loses what a crash of the machine may lose, at random. The unsynced end of a file is cut at any byte, and sometimes one bit
+// of it is flipped. Files that were created, renamed or removed since the last SyncDir may be as they were then. Crash also releases
+// the lock and clears Fail.
 func (m *Memory) Crash(rng *rand.Rand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,7 +96,7 @@
 	m.locked, m.Fail = false, nil
 }
 
-// Bytes returns a file's content, to be changed by a test.
+// Bytes returns the content of a file, which a test may change in place. It returns nil if there is no such file.
 func (m *Memory) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,7 +106,7 @@
 	return nil
 }
 
-// List is FS.
+// List implements FS.
 func (m *Memory) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,7 +121,7 @@
 	return names, nil
 }
 
-// Open is FS.
+// Open implements FS.
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,7 +135,7 @@
 	return &memFile{m, n, name}, nil
 }
 
-// Create is FS.
+// Create implements FS.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,7 +147,7 @@
 	return &memFile{m, n, name}, nil
 }
 
-// Rename is FS.
+// Rename implements FS.
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -156,7 +163,7 @@
 	return nil
 }
 
-// Remove is FS.
+// Remove implements FS.
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,7 +177,7 @@
 	return nil
 }
 
-// SyncDir is FS.
+// SyncDir implements FS.
 func (m *Memory) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +191,7 @@
 	return nil
 }
 
-// Lock is FS.
+// Lock implements FS.
 func (m *Memory) Lock() (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,8 +205,10 @@
 	return memLock{m}, nil
 }
 
+// memLock is the lock of a Memory.
 type memLock struct{ dir *Memory }
 
+// Close releases the lock.
 func (u memLock) Close() error {
 	u.dir.mu.Lock()
 	defer u.dir.mu.Unlock()
@@ -207,12 +216,14 @@
 	return nil
 }
 
+// memFile is an open file of a Memory.
 type memFile struct {
 	dir  *Memory
 	node *memNode
 	name string
 }
 
+// ReadAt implements File.
 func (f *memFile) ReadAt(p []byte, off int64) (int, error) {
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
@@ -222,7 +233,7 @@
 	return bytes.NewReader(f.node.data).ReadAt(p, off)
 }
 
-// Write may write a part before it fails, as a full disk does.
+// Write implements File. If a fault is injected, it writes half of the data before it fails, as may happen on a full disk.
 func (f *memFile) Write(p []byte) (int, error) {
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
@@ -235,6 +246,7 @@
 	return len(p), nil
 }
 
+// Size implements File.
 func (f *memFile) Size() (int64, error) {
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
@@ -244,6 +256,7 @@
 	return int64(len(f.node.data)), nil
 }
 
+// Truncate implements File.
 func (f *memFile) Truncate(size int64) error {
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
@@ -255,6 +268,7 @@
 	return nil
 }
 
+// Sync implements File.
 func (f *memFile) Sync() error {
 	f.dir.mu.Lock()
 	defer f.dir.mu.Unlock()
@@ -265,4 +279,5 @@
 	return nil
 }
 
+// Close implements File.
 func (f *memFile) Close() error { return nil }
--- a/internal/logstore/format.go
+++ b/internal/logstore/format.go
@@ -11,27 +11,35 @@
 	"time"
 )
 
-// The form of the files is in docs/logformat.md; another program can read them by it.
+// The file format is documented in docs/logformat.md, so that other programs can read the files. All sizes are in bytes.
 const (
-	segmentMagic      = "WHRNLOG1"
-	indexMagic        = "WHRNIDX1"
+	// segmentMagic is the start of every segment file.
+	segmentMagic = "WHRNLOG1"
+	// indexMagic is the start of every index file.
+	indexMagic = "WHRNIDX1"
+	// segmentHeaderSize is the size of the header of a segment file.
 	segmentHeaderSize = 32
-	recordHeaderSize  = 8
-	maxRecordSize     = 1 << 20
+	// recordHeaderSize is the size of the length and the checksum before each payload.
+	recordHeaderSize = 8
+	// maxRecordSize is the maximum size of a payload.
+	maxRecordSize = 1 << 20
 
+	// These suffixes mark plain segments, compressed segments, indexes of closed segments and the torn ends that were cut off.
 	suffixSegment, suffixCompressed, suffixIndex, suffixTorn = ".seg", ".seg.zst", ".idx", ".torn"
 )
 
-// ErrCorrupt is the cause of all errors about bytes that are not as they were written.
-var ErrCorrupt = errors.New("not as it was written")
+// ErrCorrupt is wrapped by all errors about data that differs from what was written.
+var ErrCorrupt = errors.New("corrupt data")
 
+// castagnoli is the table of CRC-32C, which all checksums use.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// fileName returns the name of a file of the segment that starts with record firstSeq.
 func fileName(firstSeq uint64, suffix string) string {
 	return fmt.Sprintf("log-%016x%s", firstSeq, suffix)
 }
 
-// parseName splits a file's name; ok is false for files that are not of the store.
+// parseName splits the name of a file. ok is false if the file does not belong to the store.
 func parseName(name string) (firstSeq uint64, suffix string, ok bool) {
 	rest, ok := strings.CutPrefix(name, "log-")
 	if !ok || len(rest) < 16 {
@@ -42,6 +50,8 @@
 	return firstSeq, suffix, err == nil && slices.Contains([]string{suffixSegment, suffixCompressed, suffixIndex, suffixTorn}, suffix)
 }
 
+// appendSegmentHeader appends the header of a segment: magic, number of the first record, time of creation, checksum and 4 bytes that
+// are 0.
 func appendSegmentHeader(b []byte, firstSeq uint64, createdAt time.Time) []byte {
 	at := len(b)
 	b = append(b, segmentMagic...)
@@ -51,51 +61,54 @@
 	return binary.LittleEndian.AppendUint32(b, 0)
 }
 
+// parseSegmentHeader reads the header at the start of a segment. It returns ErrCorrupt if the header is incomplete or damaged.
 func parseSegmentHeader(b []byte) (firstSeq uint64, createdAt time.Time, err error) {
 	if len(b) < segmentHeaderSize || string(b[:8]) != segmentMagic || binary.LittleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoli) {
-		return 0, createdAt, fmt.Errorf("segment head: %w", ErrCorrupt)
+		return 0, createdAt, fmt.Errorf("segment header: %w", ErrCorrupt)
 	}
 	return binary.LittleEndian.Uint64(b[8:]), time.UnixMicro(int64(binary.LittleEndian.Uint64(b[16:]))), nil
 }
 
+// checksum returns the CRC-32C of a record's number and payload.
 func checksum(seq uint64, payload []byte) uint32 {
 	var n [8]byte
 	binary.LittleEndian.PutUint64(n[:], seq)
 	return crc32.Update(crc32.Checksum(n[:], castagnoli), castagnoli, payload)
 }
 
-// AppendRecord appends a record as it stands in a file: length, checksum over seq and payload, payload. seq is its number
-// where the file has them, else 0.
+// AppendRecord appends a record to b in the format of the files: the length of the payload, the checksum of seq and payload, and the
+// payload. seq is the number of the record. It is 0 in files whose records are not numbered.
 func AppendRecord(b []byte, seq uint64, payload []byte) []byte {
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(payload)))
 	b = binary.LittleEndian.AppendUint32(b, checksum(seq, payload))
 	return append(b, payload...)
 }
 
-// NextRecord reads the record at a place of b and tells where the next one begins. An error is ErrCorrupt: it is cut, or
-// not as it was written.
+// NextRecord reads the record at offset at of b and returns its payload, which is a part of b, and the offset of the next record. It
+// returns ErrCorrupt if the record is incomplete or damaged.
 func NextRecord(b []byte, at int, seq uint64) (payload []byte, next int, err error) {
 	if at+recordHeaderSize > len(b) {
-		return nil, at, fmt.Errorf("record %d: cut in its head: %w", seq, ErrCorrupt)
+		return nil, at, fmt.Errorf("record %d: incomplete header: %w", seq, ErrCorrupt)
 	}
 	n := int(binary.LittleEndian.Uint32(b[at:]))
 	if n > maxRecordSize || at+recordHeaderSize+n > len(b) {
-		return nil, at, fmt.Errorf("record %d: cut, or its length is wrong: %w", seq, ErrCorrupt)
+		return nil, at, fmt.Errorf("record %d: incomplete or wrong length: %w", seq, ErrCorrupt)
 	}
 	payload = b[at+recordHeaderSize : at+recordHeaderSize+n]
 	if binary.LittleEndian.Uint32(b[at+4:]) != checksum(seq, payload) {
-		return nil, at, fmt.Errorf("record %d: checksum: %w", seq, ErrCorrupt)
+		return nil, at, fmt.Errorf("record %d: checksum mismatch: %w", seq, ErrCorrupt)
 	}
 	return payload, at + recordHeaderSize + n, nil
 }
 
-// posting is one label of one record: which of the segment's records carries it.
+// posting says that a record of a segment carries a label.
 type posting struct {
 	label       uint64
-	recordIndex uint32
+	recordIndex uint32 // position of the record in the segment, from 0
 }
 
-// appendIndex makes an index file: the number of records, when the segment was closed, and all marks in order.
+// appendIndex appends the content of an index file: magic, number of records, time of closing, and the number of postings. The
+// postings follow, sorted by label and record, and a checksum.
 func appendIndex(b []byte, records uint32, closedAt time.Time, postings []posting) []byte {
 	postings = slices.Clone(postings)
 	slices.SortFunc(postings, func(x, y posting) int {
@@ -119,15 +132,17 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
 }
 
-// segmentIndex is an index file as read.
+// segmentIndex is the content of an index file.
 type segmentIndex struct {
-	records  uint32
-	closedAt time.Time
-	postings []byte
+	records  uint32    // number of records in the segment
+	closedAt time.Time // when the segment was closed
+	postings []byte    // encoded postings, postingSize bytes each
 }
 
+// postingSize and indexHeaderSize are the encoded sizes of a posting and of what precedes the postings, in bytes.
 const postingSize, indexHeaderSize = 12, 24
 
+// parseIndex reads an index file. It returns ErrCorrupt if the file is incomplete or damaged.
 func parseIndex(b []byte) (x segmentIndex, err error) {
 	if len(b) < indexHeaderSize+4 || string(b[:8]) != indexMagic ||
 		crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) ||
@@ -137,7 +152,7 @@
 	return segmentIndex{binary.LittleEndian.Uint32(b[8:]), time.UnixMicro(int64(binary.LittleEndian.Uint64(b[12:]))), b[indexHeaderSize : len(b)-4]}, nil
 }
 
-// find returns the records that carry a label.
+// find returns the positions of the records that carry a label, by binary search.
 func (x segmentIndex) find(label uint64) (recordIndexes []uint32) {
 	n := len(x.postings) / postingSize
 	lo, hi := 0, n
--- a/internal/logstore/read.go
+++ b/internal/logstore/read.go
@@ -9,7 +9,7 @@
 	"whinrun/internal/disk"
 )
 
-// recover lists the segments, cuts the torn end of the last one and makes missing indexes anew.
+// recover loads all segments in order. It cuts torn ends off and rebuilds missing indexes.
 func (s *Store) recover(report *RecoveryReport) error {
 	names, err := s.fs.List()
 	if err != nil {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// loadSegment takes one segment on. A compressed one whose plain file is still there was about to lose that.
+// loadSegment loads one segment, from its index if that is intact. If both the compressed and the plain file exist, the process ended
+// before it could remove the plain one, and loadSegment removes it.
 func (s *Store) loadSegment(firstSeq uint64, files map[string]bool, last bool, report *RecoveryReport) (g segment, err error) {
 	g = segment{firstSeq: firstSeq, compressed: files[suffixCompressed]}
 	if g.compressed && files[suffixSegment] && !s.options.ReadOnly {
@@ -79,7 +80,8 @@
 	return g, s.repairSegment(&g, f, last, report)
 }
 
-// repairSegment reads a segment that was not closed in order, up to the last whole record.
+// repairSegment reads a segment without a valid index up to the last complete record, cuts the rest off and rebuilds the index. The
+// last segment becomes the active one instead, unless it is compressed. A read-only store changes no file.
 func (s *Store) repairSegment(g *segment, f disk.File, last bool, report *RecoveryReport) error {
 	b, err := s.readSegment(*g)
 	if err != nil && g.compressed {
@@ -96,7 +98,7 @@
 			s.closedSegments = append(s.closedSegments, *g)
 			return f.Close()
 		}
-		// A crash between making the file and its first sync: no record of it was ever durable.
+		// The process crashed between creating the file and its first sync. No record in it was ever durable.
 		report.TornBytes += int64(len(b))
 		if s.options.ReadOnly {
 			return f.Close()
@@ -146,7 +148,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// readSegment reads a segment's bytes, uncompressed.
+// readSegment returns the uncompressed content of a segment.
 func (s *Store) readSegment(g segment) ([]byte, error) {
 	b, err := s.readFile(fileName(g.firstSeq, g.suffix()))
 	if err != nil || !g.compressed {
@@ -158,7 +160,7 @@
 	return b, nil
 }
 
-// allSegments are all, oldest first.
+// allSegments returns the closed segments and the active one, oldest first.
 func (s *Store) allSegments() []segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,8 +171,9 @@
 	return all
 }
 
-// Read calls fn with the records on disk from a number on, in order. What is not as it was written goes to bad, and
-// reading goes on with the next segment; without bad it ends with that error.
+// Read calls fn for each record on disk whose number is at least from, in order. It ends with the first error that fn returns. If a
+// segment is corrupt, onCorrupt is called with the error, and reading continues with the next segment. If onCorrupt is nil, Read
+// returns the error instead.
 func (s *Store) Read(from uint64, fn func(seq uint64, payload []byte) error, onCorrupt func(error)) error {
 	for _, g := range s.allSegments() {
 		if g.firstSeq+uint64(g.records) <= from {
@@ -191,6 +194,7 @@
 	return nil
 }
 
+// readRecords calls fn for each record of a segment, in order.
 func (s *Store) readRecords(g segment, fn func(uint64, []byte) error) error {
 	b, err := s.readSegment(g)
 	if err == nil {
@@ -213,7 +217,7 @@
 	return nil
 }
 
-// VerifyNext reads one closed segment whole, the next in turn, and returns what is wrong with it.
+// VerifyNext reads one closed segment completely, the next one at each call, and returns an error if it is damaged.
 func (s *Store) VerifyNext() error {
 	s.mu.Lock()
 	if len(s.closedSegments) == 0 {
@@ -224,17 +228,17 @@
 	g := s.closedSegments[s.lastVerified]
 	s.mu.Unlock()
 	err := s.readRecords(g, func(uint64, []byte) error { return nil })
-	if disk.IsNotExist(err) { // compressed or dropped meanwhile
+	if disk.IsNotExist(err) { // It was compressed or removed in the meantime.
 		return nil
 	}
 	return err
 }
 
-// Find calls fn with the records on disk that carry a label, in order.
+// Find calls fn for each record on disk that carries a label, in order. It treats errors and onCorrupt as Read does.
 func (s *Store) Find(label uint64, fn func(seq uint64, payload []byte) error, onCorrupt func(error)) error {
 	for _, g := range s.allSegments() {
 		recordIndexes, err := s.findInSegment(g, label)
-		indexMissing := err != nil // without its index the segment is read whole
+		indexMissing := err != nil // Then all records of the segment are checked.
 		if !indexMissing && len(recordIndexes) == 0 {
 			continue
 		}
@@ -253,7 +257,7 @@
 	return nil
 }
 
-// findInSegment returns which records of a segment carry a label.
+// findInSegment returns the positions of the records of a segment that carry a label. It fails if the index cannot be read.
 func (s *Store) findInSegment(g segment, label uint64) (recordIndexes []uint32, err error) {
 	if g.closedAt.IsZero() {
 		s.mu.Lock()
@@ -273,15 +277,19 @@
 	return slices.Compact(x.find(label)), err
 }
 
-// Usage is what the store takes on disk.
+// Usage describes what a store holds on disk.
 type Usage struct {
+	// Segments is the number of segments, and Compressed how many of them are compressed.
 	Segments, Compressed int
-	Bytes                int64
-	FirstSeq, NextSeq    uint64
-	OldestCreatedAt      time.Time
+	// Bytes is the size of all segments, in bytes.
+	Bytes int64
+	// FirstSeq is the number of the oldest record, and NextSeq that of the next record to be appended.
+	FirstSeq, NextSeq uint64
+	// OldestCreatedAt is when the oldest segment was created. It is zero if that segment was opened from its index.
+	OldestCreatedAt time.Time
 }
 
-// Usage sums the store up.
+// Usage returns the current usage of the store.
 func (s *Store) Usage() Usage {
 	all := s.allSegments()
 	u := Usage{Segments: len(all)}
--- a/internal/logstore/store.go
+++ b/internal/logstore/store.go
@@ -1,6 +1,8 @@
-// Package logstore keeps records in append-only segments: checksummed, length-prefixed, written and synced in groups.
-// What Durable has passed survives a crash. What is decided about syncing, closing, compressing and dropping stands in
-// its package plan; the disk is behind an interface.
+// Package logstore is an append-only log of records in segment files. Records are length-prefixed and checksummed. They are written
+// and synced in groups (group commit). All records below the number that Durable returns survive a crash. A closed segment has an
+// index that finds records by label.
+//
+// Package plan decides when to sync, close, compress and remove. Package disk abstracts the file system.
 package logstore
 
 import (
@@ -17,61 +19,71 @@
 	"whinrun/internal/logstore/plan"
 )
 
-// ErrBacklogFull tells that the disk fails and no more records are kept for it.
-var ErrBacklogFull = errors.New("the log can't be written, and what waits for it is at its bound")
+// ErrBacklogFull is returned by Append if the pending records reach Options.MaxPendingBytes, as they do when the disk fails.
+var ErrBacklogFull = errors.New("the backlog of records that are not on disk yet is full")
 
-// Options of a Store.
+// Options are the options of a Store.
 type Options struct {
-	Policy          plan.Policy
-	MaxPendingBytes int                           // bytes that may wait for the disk
-	Labels          func(payload []byte) []uint64 // labels of a record, for look-ups
-	WallClock       func() time.Time
-	// ReadOnly opens beside a running writer: nothing is locked, mended or written, a torn end is passed over.
+	// Policy says when records are synced and when segments are closed, compressed and removed.
+	Policy plan.Policy
+	// MaxPendingBytes is the maximum size of the records that wait for the disk, in bytes.
+	MaxPendingBytes int
+	// Labels returns the labels of a record, by which Find looks it up.
+	Labels func(payload []byte) []uint64
+	// WallClock returns the current time.
+	WallClock func() time.Time
+	// ReadOnly opens the store for reading while another process may write to it. Nothing is locked, repaired or written. A torn
+	// end is ignored.
 	ReadOnly bool
 }
 
-// RecoveryReport is what Open found.
+// RecoveryReport describes what Open found.
 type RecoveryReport struct {
-	Records   uint64   // that are there
-	TornBytes int64    // bytes at the end of the last segment that were not whole; they are kept in a file of their own
-	Problems  []string // gaps, indexes made anew
+	// Records is the number of records in the store.
+	Records uint64
+	// TornBytes is the size of the incomplete or damaged ends that were cut off, in bytes. Open saves each in a file of its own,
+	// unless the header of the segment is affected, too, or the store is read-only.
+	TornBytes int64
+	// Problems lists missing records, damaged segments and indexes that are rebuilt.
+	Problems []string
 }
 
-// segment is one file of records.
+// segment is a file of records.
 type segment struct {
-	firstSeq   uint64
-	records    uint32
-	bytes      int64 // on disk
-	createdAt  time.Time
-	closedAt   time.Time
+	firstSeq   uint64    // number of the first record
+	records    uint32    // number of records
+	bytes      int64     // size on disk
+	createdAt  time.Time // zero for a segment that was opened from its index
+	closedAt   time.Time // zero for the active segment
 	compressed bool
 }
 
-// Store is the log. Append may be called from any goroutine, Commit from one, Tend and VerifyNext from one.
+// Store is a log. Append may be called from any goroutine. Commit is to be called from one goroutine at a time, and so are Maintain
+// and VerifyNext.
 type Store struct {
 	fs      disk.FS
 	options Options
 	lock    io.Closer
 
 	mu              sync.Mutex
-	closedSegments  []segment
-	active          segment
-	activeFile      disk.File
-	postings        []posting      // of the last segment, written and not
+	closedSegments  []segment      // oldest first
+	active          segment        // segment that records are written to
+	activeFile      disk.File      // file of active, nil if there is none
+	postings        []posting      // labels of the written records of active
 	nextSeq         uint64         // number of the next record
-	durableSeq      uint64         // all below are on disk
-	lastVerified    int            // of closed: read again last
-	pending         []byte         // whole records, from written on
-	pendingLabels   []pendingLabel // of those
-	pendingSeq      uint64         // number of the first record in pending
-	pendingSince    time.Duration
-	urgent          bool
-	failedAt        time.Duration
-	lastErr         error
-	RejectedRecords uint64 // records for which there was no room while the disk failed
+	durableSeq      uint64         // all records below this number are on disk
+	lastVerified    int            // position in closedSegments that VerifyNext read last
+	pending         []byte         // encoded records that are not written, from pendingSeq on
+	pendingLabels   []pendingLabel // labels of the pending records
+	pendingSeq      uint64         // number of the first pending record
+	pendingSince    time.Duration  // when the oldest pending record was appended
+	urgent          bool           // RequestCommit was called
+	failedAt        time.Duration  // when the disk failed last, 0 if it works
+	lastErr         error          // error of the last failed Commit
+	RejectedRecords uint64         // number of records that were rejected with ErrBacklogFull
 }
 
-// Open reads what is there and makes it whole.
+// Open locks the folder and recovers the store in it. It cuts torn ends off and rebuilds missing indexes.
 func Open(fs disk.FS, opt Options) (*Store, RecoveryReport, error) {
 	s := &Store{fs: fs, options: opt}
 	var rep RecoveryReport
@@ -91,7 +103,7 @@
 	return s, rep, nil
 }
 
-// Close writes what waits and ends the store.
+// Close commits the pending records, closes the files and unlocks the folder.
 func (s *Store) Close(now time.Duration) error {
 	err := s.Commit(now)
 	s.mu.Lock()
@@ -105,17 +117,18 @@
 	return err
 }
 
-// pendingLabel is a label of a record that is not written yet.
+// pendingLabel is a label of a pending record.
 type pendingLabel struct{ seq, label uint64 }
 
-// Append takes a record with its labels, the same that Options.Labels finds in it. Its number tells the order; it is
-// on disk once Durable has passed that.
+// Append adds a record to the pending ones and returns its number. Numbers are in the order of the records. labels has to be what
+// Options.Labels returns for the record. The record is on disk once Durable is above its number. Append returns ErrBacklogFull if
+// too many records are pending.
 func (s *Store) Append(now time.Duration, payload []byte, labels ...uint64) (seq uint64, err error) {
 	if s.options.ReadOnly {
-		return 0, errors.New("the log is open for reading")
+		return 0, errors.New("the log store is open for reading only")
 	}
 	if len(payload) > maxRecordSize {
-		return 0, fmt.Errorf("record of %d bytes above %d", len(payload), maxRecordSize)
+		return 0, fmt.Errorf("record of %d bytes exceeds the maximum of %d", len(payload), maxRecordSize)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,21 +147,21 @@
 	return s.nextSeq - 1, nil
 }
 
-// Durable is the number below which all records are on disk.
+// Durable returns the number below which all records are on disk.
 func (s *Store) Durable() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.durableSeq
 }
 
-// RequestCommit has what waits written at once.
+// RequestCommit makes NextCommit ask for the pending records to be written at once.
 func (s *Store) RequestCommit() {
 	s.mu.Lock()
 	s.urgent = true
 	s.mu.Unlock()
 }
 
-// Failing returns the error of a disk that fails, nil while it works.
+// Failing returns the error of the last Commit if it failed, and nil otherwise.
 func (s *Store) Failing() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,15 +171,15 @@
 	return s.lastErr
 }
 
-// NextCommit tells when Commit is to be called.
+// NextCommit returns when Commit has to be called, on the clock of Append. ok is false if there is nothing to do.
 func (s *Store) NextCommit() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.options.Policy.NextCommit(plan.Backlog{Bytes: len(s.pending), OldestAt: s.pendingSince, Urgent: s.urgent, FailedAt: s.failedAt})
 }
 
-// Commit writes and syncs what waits: one write and one sync for all of it. While the disk fails nothing of it is
-// given up: the half-written end is cut off, and all is written again later.
+// Commit writes all pending records with one write and one sync. If that fails, no record is lost. What was written in part is cut off
+// and the records remain pending.
 func (s *Store) Commit(now time.Duration) error {
 	s.mu.Lock()
 	batch, labels, firstSeq, nextSeq := s.pending, s.pendingLabels, s.pendingSeq, s.nextSeq
@@ -193,7 +206,8 @@
 	return nil
 }
 
-// write puts a batch into the open segment, which is closed before where that is due.
+// write writes and syncs a batch of records to the active segment. Before that, it rotates the active segment if that is due, and
+// creates one if there is none.
 func (s *Store) write(batch []byte, labels []pendingLabel, firstSeq, nextSeq uint64) error {
 	if s.activeFile != nil && s.options.Policy.ShouldRotate(s.active.bytes, s.options.WallClock().Sub(s.active.createdAt)) {
 		if err := s.rotate(); err != nil {
@@ -210,7 +224,7 @@
 		err = s.activeFile.Sync()
 	}
 	if err != nil {
-		if n > 0 { // what is half there must not stand before what is written later
+		if n > 0 { // A torn record must not precede the records that are written later.
 			if truncateErr := s.activeFile.Truncate(s.active.bytes); truncateErr != nil {
 				s.abandonSegment()
 			}
@@ -227,6 +241,7 @@
 	return nil
 }
 
+// indexRecord adds the labels of the next record of the active segment to the postings.
 func (s *Store) indexRecord(payload []byte) {
 	if s.options.Labels == nil {
 		return
@@ -236,7 +251,7 @@
 	}
 }
 
-// createSegment makes a new segment. Its head is on disk before it has a record.
+// createSegment creates the segment that starts with record firstSeq. Its header is synced before the first record is written.
 func (s *Store) createSegment(firstSeq uint64) error {
 	createdAt := s.options.WallClock()
 	f, err := s.fs.Create(fileName(firstSeq, suffixSegment))
@@ -260,7 +275,7 @@
 	return nil
 }
 
-// rotate closes the open segment with its index.
+// rotate writes the index of the active segment and closes it.
 func (s *Store) rotate() error {
 	now := s.options.WallClock()
 	if err := s.writeFileAtomic(fileName(s.active.firstSeq, suffixIndex), appendIndex(nil, s.active.records, now, s.postings)); err != nil {
@@ -277,7 +292,8 @@
 	return nil
 }
 
-// abandonSegment leaves a segment whose end can't be cut: recovery cuts it, and the next record begins another one.
+// abandonSegment closes an active segment whose torn end could not be cut off, without an index. The next record goes to a new
+// segment. The next Open cuts off the torn end.
 func (s *Store) abandonSegment() {
 	_ = s.activeFile.Close()
 	s.mu.Lock()
@@ -287,19 +303,22 @@
 	s.activeFile, s.postings = nil, nil
 }
 
-// One coder each way serves all: whole buffers are coded without state. Making one costs more than a small segment.
+// All stores share one encoder and one decoder, as creating them costs more than coding a small segment. They code whole buffers and
+// keep no state in between.
 var (
+	// encoder compresses segments.
 	encoder = sync.OnceValue(func() *zstd.Encoder {
-		e, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1)) // fails for options that don't go together only
+		e, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1)) // It fails only for conflicting options.
 		return e
 	})
+	// decoder decompresses segments of up to 1 GiB.
 	decoder = sync.OnceValue(func() *zstd.Decoder {
 		d, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(2), zstd.WithDecoderMaxMemory(1<<30))
 		return d
 	})
 )
 
-// writeFileAtomic writes a whole file so that it is there in full or not at all.
+// writeFileAtomic writes a file by way of a temporary one, so that after a crash the file is either complete or not there.
 func (s *Store) writeFileAtomic(name string, b []byte) error {
 	f, err := s.fs.Create(name + ".new")
 	if err != nil {
@@ -318,8 +337,8 @@
 	return s.fs.SyncDir()
 }
 
-// Maintain does one piece of upkeep: it drops what is past its time, or compresses a closed segment. It tells whether
-// there may be more to do.
+// Maintain does one step of maintenance: it removes one expired segment, or else compresses one closed segment. more says that there
+// may be more to do.
 func (s *Store) Maintain() (more bool, err error) {
 	s.mu.Lock()
 	var all []plan.Segment
@@ -336,7 +355,7 @@
 	return false, nil
 }
 
-// removeSegment removes a segment; its records are gone first, then its index.
+// removeSegment removes a closed segment: first the file with its records, then its index.
 func (s *Store) removeSegment(firstSeq uint64) error {
 	s.mu.Lock()
 	i := slices.IndexFunc(s.closedSegments, func(g segment) bool { return g.firstSeq == firstSeq })
@@ -351,6 +370,7 @@
 	return s.fs.SyncDir()
 }
 
+// suffix returns the suffix of the segment's file.
 func (g *segment) suffix() string {
 	if g.compressed {
 		return suffixCompressed
@@ -358,7 +378,7 @@
 	return suffixSegment
 }
 
-// compressSegment compresses a closed segment. The old file goes once the new one is on disk.
+// compressSegment compresses a closed segment. It removes the plain file once the compressed one is on disk.
 func (s *Store) compressSegment(firstSeq uint64) error {
 	b, err := s.readFile(fileName(firstSeq, suffixSegment))
 	if err != nil {
@@ -379,7 +399,7 @@
 	return s.fs.SyncDir()
 }
 
-// readFile reads a file.
+// readFile returns the content of a file.
 func (s *Store) readFile(name string) ([]byte, error) {
 	f, err := s.fs.Open(name)
 	if err != nil {
@@ -397,7 +417,7 @@
 	return b, nil
 }
 
-// Abandon ends the store as a crash would: what waits is not written.
+// Abandon closes the store without writing the pending records, as if the process had crashed.
 func (s *Store) Abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logstore/store_test.go
+++ b/internal/logstore/store_test.go
@@ -47,7 +47,7 @@
 	return s, rep
 }
 
-// all reads everything and checks that it is what was written, in order.
+// all returns the numbers of all records and checks that the records are as they were written, in order.
 func all(t *testing.T, s *Store) (got []int) {
 	t.Helper()
 	last := uint64(0)
@@ -129,8 +129,8 @@
 	}
 }
 
-// Hundreds of crashes at random operations: what was durable is there, in order, nothing is invented, and the store can
-// be opened and written again.
+// Crashes at random operations, hundreds of times. All durable records must be there, in order and without others, and the store must
+// open and accept records again.
 func TestCrashes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	fs := disk.NewMemory()
@@ -180,7 +180,7 @@
 	}
 }
 
-// Every operation fails in turn, once: nothing appended is lost, and the store goes on.
+// Lets each disk operation in turn fail once. No appended record may be lost, and the store must continue to work.
 func TestEachOperationFailsOnce(t *testing.T) {
 	for bad := range 60 {
 		fs := disk.NewMemory()
@@ -222,7 +222,7 @@
 	}
 }
 
-// A full disk: appends go on up to the bound, then are refused; with room again all of them are written.
+// On a full disk, records are accepted up to the limit and then rejected. Once there is space again, all accepted records are written.
 func TestFullDisk(t *testing.T) {
 	fs := disk.NewMemory()
 	s, _ := open(t, fs)
@@ -258,14 +258,14 @@
 	}
 }
 
-// What is not as it was written is found and named, and the rest is read.
+// Damaged data is detected and reported, and the rest is read.
 func TestDamage(t *testing.T) {
 	fs := disk.NewMemory()
 	s, _ := open(t, fs)
 	fill(t, s, 0, 100)
 	_ = s.Close(time.Second)
 	names, _ := fs.List()
-	fs.Bytes(names[1])[200] ^= 1 // a record of the first segment
+	fs.Bytes(names[1])[200] ^= 1 // in a record of the first segment
 	for _, name := range names {
 		if strings.HasSuffix(name, suffixIndex) && name != names[0] {
 			fs.Bytes(name)[30] ^= 1
@@ -335,7 +335,7 @@
 	}
 }
 
-// FuzzSegment opens a store over any bytes as its last segment: no crash, and what is read was checked.
+// FuzzSegment opens a store whose last segment holds arbitrary bytes. The store must not panic, and what it then reads must be valid.
 func FuzzSegment(f *testing.F) {
 	good := appendSegmentHeader(nil, 1, time.Unix(1, 0))
 	good = AppendRecord(AppendRecord(good, 1, payload(1)), 2, payload(2))
@@ -392,7 +392,7 @@
 	}
 }
 
-// BenchmarkOpen is the recovery of a million records, of which the last segment is read.
+// BenchmarkOpen measures the recovery of a million records, of which only the last segment is read.
 func BenchmarkOpen(b *testing.B) {
 	fs := disk.NewMemory()
 	opt := options()
