--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -96,7 +96,7 @@
 }
 
 // An altered record with a correct checksum, a removed record and seals by another key are each detected.
-func TestTamperingShows(t *testing.T) {
+func TestTamperingIsDetected(t *testing.T) {
 	k, keys := key(t)
 	other, _ := key(t)
 	for name, tamper := range map[string]func(i int, r *Record) []*Record{
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -16,9 +16,9 @@
 
 // Trail appends records to a log store and maintains the hash chain over them. It is safe for concurrent use.
 type Trail struct {
-	store *logstore.Store
-	key   *Key
-	wall  func() time.Time
+	store     *logstore.Store
+	key       *Key
+	wallClock func() time.Time
 
 	mu       sync.Mutex
 	chain    chain
@@ -29,7 +29,7 @@
 // Resume returns a Trail that continues the chain in a store. It computes the chain from the last seal on. It fails if the records since
 // then cannot be read.
 func Resume(store *logstore.Store, key *Key, wall func() time.Time) (*Trail, error) {
-	t := &Trail{store: store, key: key, wall: wall}
+	t := &Trail{store: store, key: key, wallClock: wall}
 	lastSeal := uint64(0)
 	remember := func(seq uint64, _ []byte) error { lastSeal = seq; return nil }
 	if err := store.Find(label('k', Seal.String()), remember, func(error) {}); err != nil {
@@ -71,7 +71,7 @@
 // appendRecord encodes a record and appends it to the chain and the store. It sets the record's time if that is not set.
 func (t *Trail) appendRecord(now time.Duration, r *Record) error {
 	if r.At == 0 {
-		r.At = t.wall().UnixMicro()
+		r.At = t.wallClock().UnixMicro()
 	}
 	body, err := cbor.Marshal(r)
 	if err != nil {
--- a/internal/ledger/clockreading_test.go
+++ b/internal/ledger/clockreading_test.go
@@ -66,7 +66,7 @@
 }
 
 // Times that were converted after a reboot must not be converted again by later processes of the same boot.
-func TestCarefulReadingOutlivesTheProcess(t *testing.T) {
+func TestRebasedTimesAreKept(t *testing.T) {
 	fs := disk.NewMemory()
 	l, err := Open(fs, mb, ClockReading{Boot: "first", At: 100 * second, Wall: int64(100 * second)})
 	must(t, err)
@@ -90,7 +90,7 @@
 }
 
 // A ledger of format version 1, which has Unix times, is read as one of another boot.
-func TestFirstFormIsRead(t *testing.T) {
+func TestFormatVersion1IsRead(t *testing.T) {
 	fs := disk.NewMemory()
 	unix := 1_700_000_000 * second
 	b, err := appendRecord(nil, &record{Version: 1})
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -11,24 +11,24 @@
 
 // history is the test's own model of the attempts of one message.
 type history struct {
-	attempts int
-	first    clock.Instant // start of the first attempt that was possibly executed, 0 for none
-	zone     int           // zone of that attempt
-	out      clock.Instant // start of the attempt in flight, 0 for none
-	outZone  int           // zone of that attempt
+	attempts           int
+	possiblyExecutedAt clock.Instant // start of the first attempt that was possibly executed, 0 for none
+	zone               int           // zone of that attempt
+	inFlightSince      clock.Instant // start of the attempt in flight, 0 for none
+	inFlightZone       int           // zone of that attempt
 }
 
 func (h *history) begin(at clock.Instant, zone int) {
 	h.attempts++
-	h.out, h.outZone = at, zone
+	h.inFlightSince, h.inFlightZone = at, zone
 }
 
 // end notes the end of the attempt in flight. mayHaveRun is also set for an end that no process saw.
-func (h *history) end(mayHaveRun bool) {
-	if mayHaveRun && h.first == 0 {
-		h.first, h.zone = h.out, h.outZone
+func (h *history) end(possiblyExecuted bool) {
+	if possiblyExecuted && h.possiblyExecutedAt == 0 {
+		h.possiblyExecutedAt, h.zone = h.inFlightSince, h.inFlightZone
 	}
-	h.out = 0
+	h.inFlightSince = 0
 }
 
 // Restarts the process at random points between the records of a message. After each restart the ledger must still know the first
@@ -39,26 +39,26 @@
 		fs := disk.NewMemory()
 		l := open(t, fs, mb)
 		must(t, l.Accept(&Entry{Name: "m", Class: "k"}))
-		var truth history
+		var want history
 		for now := clock.Instant(1); now < 30; now++ {
 			switch {
 			case rng.IntN(3) == 0:
 				l = reopen(t, l, fs, mb)
-				if truth.out != 0 { // No process will see its end.
-					truth.end(true)
+				if want.inFlightSince != 0 { // No process will see its end.
+					want.end(true)
 				}
-			case truth.out == 0:
+			case want.inFlightSince == 0:
 				zone := rng.IntN(3)
 				must(t, l.StartAttempts([]string{"m"}, now, zone, false))
-				truth.begin(now, zone)
+				want.begin(now, zone)
 			default:
-				mayHaveRun := rng.IntN(2) == 0
-				must(t, l.EndAttempt("m", mayHaveRun, false))
-				truth.end(mayHaveRun)
+				possiblyExecuted := rng.IntN(2) == 0
+				must(t, l.EndAttempt("m", possiblyExecuted, false))
+				want.end(possiblyExecuted)
 			}
 		}
-		if truth.out != 0 {
-			truth.end(true)
+		if want.inFlightSince != 0 {
+			want.end(true)
 		}
 		l = reopen(t, l, fs, mb)
 		entries, _ := l.Outstanding()
@@ -66,8 +66,8 @@
 			t.Fatalf("seed %d: owed %+v", seed, entries)
 		}
 		at, zone, ok := entries[0].PossiblyExecuted()
-		if at != truth.first || ok != (at > 0) || ok && zone != truth.zone || entries[0].Attempts != truth.attempts {
-			t.Fatalf("seed %d: may have run since %d in zone %d after %d attempts, want %+v", seed, at, zone, entries[0].Attempts, truth)
+		if at != want.possiblyExecutedAt || ok != (at > 0) || ok && zone != want.zone || entries[0].Attempts != want.attempts {
+			t.Fatalf("seed %d: may have run since %d in zone %d after %d attempts, want %+v", seed, at, zone, entries[0].Attempts, want)
 		}
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -85,9 +85,9 @@
 
 // open reads and compacts the file. A missing file counts as an empty ledger.
 func (l *Ledger) open(now ClockReading) error {
-	text, err := recordfile.Read(l.fs, fileName, math.MaxInt64)
+	content, err := recordfile.Read(l.fs, fileName, math.MaxInt64)
 	if err == nil {
-		err = l.state.replay(text)
+		err = l.state.replay(content)
 	}
 	if err != nil && !disk.IsNotExist(err) {
 		return err
@@ -140,30 +140,30 @@
 
 // snapshot returns the content of a compacted file: the header and only what is still outstanding.
 func (b *state) snapshot() ([]byte, error) {
-	text, err := appendRecord(nil, &record{Version: formatVersion, OpenedAt: &b.openedAt, Latest: b.latest})
+	content, err := appendRecord(nil, &record{Version: formatVersion, OpenedAt: &b.openedAt, Latest: b.latest})
 	for _, e := range b.sortedEntries() {
 		if err == nil {
-			text, err = appendRecord(text, &record{Accepted: e})
+			content, err = appendRecord(content, &record{Accepted: e})
 		}
 	}
 	for _, n := range b.sortedNotices() {
 		if err == nil {
-			text, err = appendRecord(text, &record{Notice: n})
+			content, err = appendRecord(content, &record{Notice: n})
 		}
 	}
 	if all := b.sortedOutages(); err == nil && len(all) > 0 {
-		text, err = appendRecord(text, &record{Outages: all})
+		content, err = appendRecord(content, &record{Outages: all})
 	}
-	return text, err
+	return content, err
 }
 
 // compact replaces the file by one that holds only what is still outstanding.
 func (l *Ledger) compact() error {
-	text, err := l.state.snapshot()
+	content, err := l.state.snapshot()
 	if err != nil {
 		return err
 	}
-	if err := l.file.Replace(text); err != nil {
+	if err := l.file.Replace(content); err != nil {
 		return err
 	}
 	l.unwritten = l.unwritten[:0]
@@ -186,7 +186,7 @@
 	if r.Accepted != nil && !l.limits.admits(l.state.liveBytes, len(b)) {
 		return ErrFull
 	}
-	if err = l.appendLine(b); err == nil || applyOnError {
+	if err = l.appendEncoded(b); err == nil || applyOnError {
 		l.state.apply(r, len(b))
 	}
 	if err != nil && applyOnError {
@@ -195,9 +195,9 @@
 	return err
 }
 
-// appendLine appends an encoded record to the file and compacts the file first if necessary. While the ledger is failing it
+// appendEncoded appends an encoded record to the file and compacts the file first if necessary. While the ledger is failing it
 // returns ErrFailing without trying the disk.
-func (l *Ledger) appendLine(b []byte) error {
+func (l *Ledger) appendEncoded(b []byte) error {
 	if l.failing {
 		return ErrFailing
 	}
@@ -257,14 +257,14 @@
 	if l.closed || !l.failing {
 		return nil
 	}
-	lines, err := l.unwritten, error(nil)
-	if len(lines) == 0 { // Without missing records, an empty record tests whether the disk works.
-		lines, err = appendRecord(nil, &record{})
+	encoded, err := l.unwritten, error(nil)
+	if len(encoded) == 0 { // Without missing records, an empty record tests whether the disk works.
+		encoded, err = appendRecord(nil, &record{})
 	}
-	if l.file.NeedsReplace() || l.limits.needsCompaction(l.state.liveBytes, l.file.Size(), len(lines)) {
+	if l.file.NeedsReplace() || l.limits.needsCompaction(l.state.liveBytes, l.file.Size(), len(encoded)) {
 		err = l.compact()
 	} else if err == nil {
-		err = l.file.Append(lines)
+		err = l.file.Append(encoded)
 	}
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -84,7 +84,7 @@
 }
 
 // The folder never holds more than its limit, even during a compaction, and a full ledger rejects messages.
-func TestStaysWithinTheDisk(t *testing.T) {
+func TestStaysWithinTheLimit(t *testing.T) {
 	const limit = 256 << 10
 	fs := disk.NewMemory()
 	l := open(t, fs, limit)
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestNewerFormIsRefused(t *testing.T) {
+func TestNewerVersionIsRejected(t *testing.T) {
 	fs := disk.NewMemory()
 	b, err := appendRecord(nil, &record{Version: formatVersion + 1})
 	must(t, err)
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestRulesLeaveRoomForACompaction(t *testing.T) {
+func TestSpaceForACompaction(t *testing.T) {
 	r := spaceLimits{usable: 1000}
 	if !r.admits(0, 300) || r.admits(300, 100) || r.admits(0, 400) {
 		t.Error("the limit for outstanding messages is wrong")
--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -64,26 +64,26 @@
 
 // Replace replaces the file by one with the given content. After an error the old file remains in use. If the rename failed, it may
 // no longer be the one in the folder, and the file needs to be replaced again.
-func (f *File) Replace(text []byte) error {
-	next, err := f.fs.Create(f.name + ".new")
+func (f *File) Replace(content []byte) error {
+	replacement, err := f.fs.Create(f.name + ".new")
 	if err != nil {
 		return err
 	}
-	n, err := next.Write(text)
-	if err == nil && n < len(text) {
+	n, err := replacement.Write(content)
+	if err == nil && n < len(content) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		return errors.Join(err, next.Close(), f.fs.Remove(f.name+".new"))
+		return errors.Join(err, replacement.Close(), f.fs.Remove(f.name+".new"))
 	}
 	if err := f.fs.Rename(f.name+".new", f.name); err != nil {
 		f.needsReplace = true // The rename may have taken effect despite the error.
-		return errors.Join(err, next.Close())
+		return errors.Join(err, replacement.Close())
 	}
 	if f.file != nil {
 		_ = f.file.Close()
 	}
-	f.file, f.size, f.needsReplace = next, int64(len(text)), false
+	f.file, f.size, f.needsReplace = replacement, int64(len(content)), false
 	return nil
 }
 
