--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -105,9 +105,9 @@
 
 // replay applies the records in text, up to the first one that is torn, damaged or cannot be decoded. It returns an error only if
 // the file is of a newer version.
-func (b *state) replay(text []byte) error {
-	for at := 0; at < len(text); {
-		encoded, next, err := logstore.NextRecord(text, at, 0)
+func (b *state) replay(content []byte) error {
+	for at := 0; at < len(content); {
+		encoded, next, err := logstore.NextRecord(content, at, 0)
 		if err != nil {
 			return nil
 		}
