--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -23,7 +23,7 @@
 	h.inFlightSince, h.inFlightZone = at, zone
 }
 
-// end notes the end of the attempt in flight. mayHaveRun is also set for an end that no process saw.
+// end notes the end of the attempt in flight. possiblyExecuted is also set for an end that no process saw.
 func (h *history) end(possiblyExecuted bool) {
 	if possiblyExecuted && h.possiblyExecutedAt == 0 {
 		h.possiblyExecutedAt, h.zone = h.inFlightSince, h.inFlightZone
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// replay applies the records in text, up to the first one that is torn, damaged or cannot be decoded. It returns an error only if
+// replay applies the records in content, up to the first one that is torn, damaged or cannot be decoded. It returns an error only if
 // the file is of a newer version.
 func (b *state) replay(content []byte) error {
 	for at := 0; at < len(content); {
