--- a/internal/logstore/store.go
+++ b/internal/logstore/store.go
@@ -171,7 +171,7 @@
 	return s.lastErr
 }
 
-// NextCommit returns when Commit has to be called, on the clock of Append. ok is false if there is nothing to do.
+// NextCommit returns when Commit has to be called, on the clock of Append. The second result is false if there is nothing to do.
 func (s *Store) NextCommit() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
