--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -20,20 +20,20 @@
 	}
 }
 
-// host is one instance with the events gathered for it in this batch.
-type host struct {
-	who    uint16
-	module *control.Dispatcher
-	events []control.Event
-	acts   []control.Action
-	queued bool
+// instance is one instance with the events gathered for it in this batch.
+type instance struct {
+	id      uint16
+	module  *control.Dispatcher
+	events  []control.Event
+	actions []control.Action
+	queued  bool
 }
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
-	hosts := make(map[uint16]*host)
+	hosts := make(map[uint16]*instance)
 	var reply wire.Reply
 	for {
 		batch, err := dec.Next()
@@ -44,7 +44,7 @@
 			return err
 		}
 		reply.Reset()
-		answer(hosts, batch, &reply)
+		processBatch(hosts, batch, &reply)
 		if err := reply.Write(w, batch.Seq); err != nil {
 			return err
 		}
@@ -54,9 +54,9 @@
 	}
 }
 
-// answer hands each instance its events, in the order instances appear.
-func answer(hosts map[uint16]*host, batch wire.Batch, reply *wire.Reply) {
-	var order []*host
+// processBatch hands each instance its events, in the order instances appear.
+func processBatch(hosts map[uint16]*instance, batch wire.Batch, reply *wire.Reply) {
+	var order []*instance
 	for i := range batch.Records {
 		r := &batch.Records[i]
 		switch r.Kind {
@@ -65,16 +65,16 @@
 				h.module, h.events = nil, h.events[:0]
 			}
 		case wire.Attach:
-			h := &host{who: r.Instance}
+			h := &instance{id: r.Instance}
 			if old := hosts[r.Instance]; old != nil {
 				old.module = nil
 			}
 			hosts[r.Instance] = h
 			var err error
-			if h.module, err = start(r); err != nil {
+			if h.module, err = newModule(r); err != nil {
 				reply.Fatal(r.Instance, err.Error())
 			}
-		case wire.Decision:
+		case wire.ModuleEvent:
 			h := hosts[r.Instance]
 			if h == nil || h.module == nil {
 				continue
@@ -91,18 +91,18 @@
 		if h.module == nil {
 			continue
 		}
-		if fault := step(h, batch.Now); fault != nil {
+		if fault := runRound(h, batch.Now); fault != nil {
 			h.module = nil
-			reply.Fatal(h.who, fault.Error())
+			reply.Fatal(h.id, fault.Error())
 			continue
 		}
-		for _, a := range h.acts {
-			reply.Add(h.who, a)
+		for _, a := range h.actions {
+			reply.Add(h.id, a)
 		}
 	}
 }
 
-func start(r *wire.Record) (*control.Dispatcher, error) {
+func newModule(r *wire.Record) (*control.Dispatcher, error) {
 	s, err := wire.ParseSettings(r.Settings)
 	if err != nil {
 		return nil, err
@@ -110,14 +110,14 @@
 	return control.New(s, r.Seed)
 }
 
-// step runs one round; a panic in the module becomes an error with its text.
-func step(h *host, now control.Time) (fault error) {
+// runRound runs one round; a panic in the module becomes an error with its text.
+func runRound(h *instance, now control.Time) (fault error) {
 	defer func() {
 		if p := recover(); p != nil {
 			fault = fmt.Errorf("panic: %v", p)
 		}
 	}()
-	h.acts = h.module.Step(now, h.events, h.acts[:0])
+	h.actions = h.module.Step(now, h.events, h.actions[:0])
 	h.events = h.events[:0]
 	return nil
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -10,14 +10,14 @@
 const settings = "instances=1\ntick=5000\nextra.slots=4\nlimits.max-open=10\nlimits.most-tries=3\nclasses.count=1\n" +
 	"classes.0.effect=free\nclasses.0.gain=1\nclasses.0.target=1000000\nclasses.0.hard-limit=2000000\n"
 
-func attach(who uint16, text string) []byte {
+func encodeAttach(who uint16, text string) []byte {
 	b := binary.LittleEndian.AppendUint16([]byte{16}, who)
 	b = binary.LittleEndian.AppendUint64(b, 1)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(text)))
 	return append(b, text...)
 }
 
-func frame(seq uint32, records ...[]byte) []byte {
+func encodeBatch(seq uint32, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := binary.LittleEndian.AppendUint32(nil, seq)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
@@ -29,7 +29,7 @@
 func TestRestartInOneBatchAndCleanEnd(t *testing.T) {
 	exit := []byte{25, 3, 0}
 	tick := append([]byte{22, 3, 0}, make([]byte, 8)...)
-	in := append(frame(1, attach(3, settings)), frame(2, tick, exit, attach(3, settings), tick)...)
+	in := append(encodeBatch(1, encodeAttach(3, settings)), encodeBatch(2, tick, exit, encodeAttach(3, settings), tick)...)
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 
 func TestBadSettingsAreFatalForTheInstance(t *testing.T) {
 	var out bytes.Buffer
-	in := frame(1, attach(3, strings.Replace(settings, "extra.slots=4\n", "", 1)), attach(4, settings))
+	in := encodeBatch(1, encodeAttach(3, strings.Replace(settings, "extra.slots=4\n", "", 1)), encodeAttach(4, settings))
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 
 func TestBadInputWritesNothing(t *testing.T) {
 	var out bytes.Buffer
-	if err := serve(bytes.NewReader(frame(1, []byte{99, 3, 0})), &out); err == nil || out.Len() > 0 {
+	if err := serve(bytes.NewReader(encodeBatch(1, []byte{99, 3, 0})), &out); err == nil || out.Len() > 0 {
 		t.Errorf("error %v, wrote %d bytes", err, out.Len())
 	}
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -36,29 +36,29 @@
 	base  Instant // on the boot clock when Now was zero
 }
 
-// firstNow is what a clock says when it is made: no time is zero.
-const firstNow = control.Second
+// initialTime is what a clock says when it is made: no time is zero.
+const initialTime = control.Second
 
 // New starts the clock of a process.
 func New() *Process {
-	c := &Process{start: Wall().Add(-time.Duration(firstNow) * time.Microsecond)}
+	c := &Process{start: Wall().Add(-time.Duration(initialTime) * time.Microsecond)}
 	since, id := bootTime()
-	c.boot, c.base = id, since-Instant(firstNow)
+	c.boot, c.base = id, since-Instant(initialTime)
 	return c
 }
 
 // Now returns the time since a second before the process's clock was made.
 func (c *Process) Now() control.Time { return control.Time(time.Since(c.start) / time.Microsecond) }
 
-// Boot names the boot of the machine; it is empty where that can't be read. Instants are comparable where it is the same and
+// BootID names the boot of the machine; it is empty where that can't be read. Instants are comparable where it is the same and
 // not empty.
-func (c *Process) Boot() string { return c.boot }
+func (c *Process) BootID() string { return c.boot }
 
-// Instant places a time of this process on the boot clock.
-func (c *Process) Instant(t control.Time) Instant { return c.base + Instant(t) }
+// ToInstant places a time of this process on the boot clock.
+func (c *Process) ToInstant(t control.Time) Instant { return c.base + Instant(t) }
 
-// Time is the moment of an instant on this process's clock; it may lie before the process began, and be negative.
-func (c *Process) Time(i Instant) control.Time { return control.Time(i - c.base) }
+// FromInstant is the moment of an instant on this process's clock; it may lie before the process began, and be negative.
+func (c *Process) FromInstant(i Instant) control.Time { return control.Time(i - c.base) }
 
 // bootIDFile holds an identity that the kernel draws at each boot (proc(5)).
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
@@ -67,17 +67,17 @@
 func bootTime() (since Instant, id string) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return firstInstant, ""
+		return instantOffset, ""
 	}
 	text, err := os.ReadFile(bootIDFile)
 	if err != nil {
-		return firstInstant, ""
+		return instantOffset, ""
 	}
-	return Instant(t.Nano()/int64(time.Microsecond)) + firstInstant, strings.TrimSpace(string(text))
+	return Instant(t.Nano()/int64(time.Microsecond)) + instantOffset, strings.TrimSpace(string(text))
 }
 
-// firstInstant is added to the boot clock, so that instants reckoned back from its start stay above zero.
-const firstInstant = Instant(24 * time.Hour / time.Microsecond)
+// instantOffset is added to the boot clock, so that instants reckoned back from its start stay above zero.
+const instantOffset = Instant(24 * time.Hour / time.Microsecond)
 
 // Wall reads the wall clock. It may be stepped at any time: it is for what people and other systems read.
 func Wall() time.Time { return time.Now() }
@@ -89,11 +89,11 @@
 // Stopwatch measures spans on the monotonic clock.
 type Stopwatch struct{ start time.Time }
 
-// Start starts a stopwatch.
-func Start() Stopwatch { return Stopwatch{time.Now()} }
+// StartStopwatch starts a stopwatch.
+func StartStopwatch() Stopwatch { return Stopwatch{time.Now()} }
 
-// Began is the wall clock's time at the start.
-func (s Stopwatch) Began() time.Time { return s.start }
+// StartedAt is the wall clock's time at the start.
+func (s Stopwatch) StartedAt() time.Time { return s.start }
 
 // Elapsed is the span since the start.
 func (s Stopwatch) Elapsed() time.Duration { return time.Since(s.start) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -19,10 +19,10 @@
 	first := New()
 	at := first.Now()
 	for second := New(); ; second = New() {
-		if first.Boot() != second.Boot() || first.Boot() == "" {
+		if first.BootID() != second.BootID() || first.BootID() == "" {
 			t.Skip("the boot can't be told apart here")
 		}
-		ago := second.Now() - second.Time(first.Instant(at))
+		ago := second.Now() - second.FromInstant(first.ToInstant(at))
 		passed := first.Now() - at
 		if gap := passed - ago; gap < -50*control.Millisecond || gap > 50*control.Millisecond {
 			t.Fatalf("the second process takes the moment for %d us ago, %d us have passed", ago, passed)
@@ -35,16 +35,16 @@
 
 func TestClockBeginsAboveZero(t *testing.T) {
 	c := New()
-	if now := c.Now(); now < firstNow || now > firstNow+10*control.Second || Elapsed(c) < time.Second {
+	if now := c.Now(); now < initialTime || now > initialTime+10*control.Second || Elapsed(c) < time.Second {
 		t.Errorf("it begins at %d us", now)
 	}
-	if c.Instant(0) <= 0 {
-		t.Errorf("instants begin at %d", c.Instant(0))
+	if c.ToInstant(0) <= 0 {
+		t.Errorf("instants begin at %d", c.ToInstant(0))
 	}
 }
 
-// readsOfClock are functions of package time that read a clock. Timers and tickers are spans on the monotonic clock.
-var readsOfClock = []string{"Now", "Since", "Until"}
+// clockFunctions are functions of package time that read a clock. Timers and tickers are spans on the monotonic clock.
+var clockFunctions = []string{"Now", "Since", "Until"}
 
 // No other package reads a clock; tests may.
 func TestNoOtherPackageReadsAClock(t *testing.T) {
@@ -70,7 +70,7 @@
 			if !ok {
 				return true
 			}
-			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(readsOfClock, s.Sel.Name) {
+			if x, ok := s.X.(*ast.Ident); ok && x.Name == "time" && slices.Contains(clockFunctions, s.Sel.Name) {
 				t.Errorf("%v reads a clock by time.%s", files.Position(n.Pos()), s.Sel.Name)
 			}
 			return true
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -11,69 +11,72 @@
 	"whinrun/internal/safety"
 )
 
-// book writes down, in order, what the ledger, the sender and the back end were told.
-type book struct {
-	lines []string
-	full  bool
-	calls [][]*Attempt
+// spy writes down, in order, what the ledger, the sender and the back end were told.
+type spy struct {
+	lines      []string
+	ledgerFull bool
+	calls      [][]*Attempt
 }
 
-func (b *book) put(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
+func (b *spy) add(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
 
-func (b *book) Take(m *Message, _ control.Time) error {
-	if b.full {
+func (b *spy) RecordAccept(m *Message, _ control.Time) error {
+	if b.ledgerFull {
 		return errors.New("full")
 	}
-	b.put("take %s", m.Name)
+	b.add("take %s", m.ExternalID)
 	return nil
 }
 
-func (b *book) Back(a *Attempt, e safety.End) {
-	b.put("back %s %v", a.Msg.Name, e.PossiblyExecuted)
+func (b *spy) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
+	b.add("back %s %v", a.Message.ExternalID, e.PossiblyExecuted)
 }
-func (b *book) Learn([]control.Outage)        {}
-func (b *book) Over(m *Message, a *Answer)    { b.put("over %s %v", m.Name, a != nil) }
-func (b *book) Taken(m *Message)              { b.put("told %s", m.Name) }
-func (b *book) Final(m *Message, a Answer)    { b.put("final %s %v", m.Name, a.Final) }
-func (b *book) Abandon(a *Attempt, _ EndKind) { b.put("abandon %s", a.Msg.Name) }
-func (b *book) Unsend(a *Attempt)             { b.put("unsend %s", a.Msg.Name) }
-func (b *book) CloseIdle(control.Endpoint)    {}
-func (b *book) Note(string)                   {}
-func (b *book) Fault(text string)             { b.put("fault %s", text) }
-func (b *book) Start(call []*Attempt)         { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
-func (b *book) take() (l []string)            { l, b.lines = b.lines, nil; return l }
-func (b *book) want(t *testing.T, lines ...string) {
+func (b *spy) RecordOutages([]control.Outage)     {}
+func (b *spy) RecordFinish(m *Message, a *Answer) { b.add("over %s %v", m.ExternalID, a != nil) }
+func (b *spy) Accepted(m *Message)                { b.add("told %s", m.ExternalID) }
+func (b *spy) Answer(m *Message, a Answer)        { b.add("final %s %v", m.ExternalID, a.Kind) }
+func (b *spy) Cancel(a *Attempt, _ OutcomeKind)   { b.add("abandon %s", a.Message.ExternalID) }
+func (b *spy) CancelUnsent(a *Attempt)            { b.add("unsend %s", a.Message.ExternalID) }
+func (b *spy) CloseIdle(control.Endpoint)         {}
+func (b *spy) Info(string)                        {}
+func (b *spy) InternalError(text string)          { b.add("fault %s", text) }
+func (b *spy) Start(call []*Attempt) {
+	b.add("start %d", len(call))
+	b.calls = append(b.calls, call)
+}
+func (b *spy) take() (l []string) { l, b.lines = b.lines, nil; return l }
+func (b *spy) want(t *testing.T, lines ...string) {
 	t.Helper()
 	if got := b.take(); !slices.Equal(got, lines) {
 		t.Errorf("%q, want %q", got, lines)
 	}
 }
 
-func newBook(t *testing.T) (*book, *Core) {
+func newSpy(t *testing.T) (*spy, *Core) {
 	t.Helper()
 	set := settings()
 	set.MayCancel = true
 	set.Kinds = []control.Kind{{Name: "bulk", Batch: 3}, {Name: "single", Batch: 1}}
-	b := &book{}
-	c, err := NewCore(Policy{Settings: set, OwnPath: []bool{false, false}, Ledger: b, CallSize: 2000}, 1, b, nil, b)
+	b := &spy{}
+	c, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false, false}, Ledger: b, MaxCallBytes: 2000}, 1, b, nil, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Round(control.Second, []Input{{List: &List{Kind: control.ListFull, Entries: []control.Entry{
+	c.Round(control.Second, []Input{{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
 		{Endpoint: 1, Dest: 1, Kind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, Kind: 1, Health: control.Ready}}}}})
 	return b, c
 }
 
-func (b *book) msg(id control.MessageID, dest, size int) Input {
-	return Input{Submit: &Message{ID: id, Name: fmt.Sprint("m", id), Dest: dest, Life: 3 * control.Second, Body: make([]byte, size), Origin: b}}
+func (b *spy) msg(id control.MessageID, dest, size int) Input {
+	return Input{Submit: &Message{ID: id, ExternalID: fmt.Sprint("m", id), Dest: dest, Lifetime: 3 * control.Second, Body: make([]byte, size), Origin: b}}
 }
 
 // On record before the sender hears; the end on record before anybody is told.
 func TestRecordBeforePromise(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "take m1", "told m1", "start 1")
-	c.Round(2*control.Second+1000, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
+	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
 	if got := b.take(); len(got) == 0 || got[0] != "back m1 true" { // 503 without a wait, by the table of push gateways
 		t.Errorf("%q", got)
 	}
@@ -81,7 +84,7 @@
 
 // The sends of a round to one endpoint are one call, as far as kind and size allow.
 func TestCallsOfARound(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	var in []Input
 	for i := range 4 {
 		in = append(in, b.msg(control.MessageID(i+1), 1, 10))
@@ -90,7 +93,7 @@
 	if len(b.calls) == 0 || len(b.calls[0]) != 3 {
 		t.Fatalf("%d calls: %q", len(b.calls), b.lines)
 	}
-	b, c = newBook(t)
+	b, c = newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 1, 1000), b.msg(2, 1, 1000)})
 	for _, call := range b.calls {
 		if len(call) != 1 {
@@ -101,23 +104,23 @@
 
 // A repeat that no connection has taken when its window ends is given up unsent.
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class, in.Submit.Life = 2, 4*control.Second // guarded, a window of 3 s
+	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // guarded, a window of 3 s
 	c.Round(2*control.Second, []Input{in})
-	c.Round(3*control.Second, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
-	for now, ok := c.Next(); len(b.calls) < 2 && ok; now, ok = c.Next() {
+	c.Round(3*control.Second, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
+	for now, ok := c.NextTimer(); len(b.calls) < 2 && ok; now, ok = c.NextTimer() {
 		c.Round(now, nil)
 	}
 	if len(b.calls) < 2 {
 		t.Fatal("no repeat")
 	}
 	again := b.calls[1][0]
-	if over := 5*control.Second - control.StallMargin - settings().Tick; again.Begin != over || again.Due <= over {
-		t.Fatalf("a repeat may begin until %d, is due %d", again.Begin, again.Due)
+	if over := 5*control.Second - control.StallMargin - settings().Tick; again.WriteBefore != over || again.Deadline <= over {
+		t.Fatalf("a repeat may begin until %d, is due %d", again.WriteBefore, again.Deadline)
 	}
 	b.take()
-	for now, ok := c.Next(); ok && now <= again.Begin; now, ok = c.Next() {
+	for now, ok := c.NextTimer(); ok && now <= again.WriteBefore; now, ok = c.NextTimer() {
 		c.Round(now, nil)
 	}
 	if got := b.take(); !slices.Contains(got, "unsend m1") {
@@ -129,37 +132,37 @@
 // and the ledger hears of one end.
 func TestWithdrawalCrossings(t *testing.T) {
 	for name, c := range map[string]struct {
-		rounds func(b *book, seq uint64) [][]Input
+		rounds func(b *spy, seq uint64) [][]Input
 		sent   int
 		want   []string // beside what concerns the call
 	}{
-		"in the round that takes it": {func(b *book, _ uint64) [][]Input {
+		"in the round that takes it": {func(b *spy, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10), {Withdraw: 1}}}
 		}, 0, nil},
-		"in the next round": {func(b *book, _ uint64) [][]Input {
+		"in the next round": {func(b *spy, _ uint64) [][]Input {
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"ahead of a delivery": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {End: &End{Seq: seq, Kind: Answered, Status: 201}}}}
+		"ahead of a delivery": {func(b *spy, seq uint64) [][]Input {
+			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"behind a delivery": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{End: &End{Seq: seq, Kind: Answered, Status: 201}}, {Withdraw: 1}}}
+		"behind a delivery": {func(b *spy, seq uint64) [][]Input {
+			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}, {Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 true", "final m1 served"}},
-		"ahead of a failure": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {End: &End{Seq: seq, Kind: NotConnected}}}, nil}
+		"ahead of a failure": {func(b *spy, seq uint64) [][]Input {
+			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: NotConnected}}}, nil}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
-		"behind a failure": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{End: &End{Seq: seq, Kind: NotConnected}}, {Withdraw: 1}}, nil}
+		"behind a failure": {func(b *spy, seq uint64) [][]Input {
+			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: NotConnected}}, {Withdraw: 1}}, nil}
 		}, 1, []string{"take m1", "told m1", "back m1 false", "over m1 false"}},
 	} {
-		b, c2 := newBook(t)
+		b, c2 := newSpy(t)
 		now := 2 * control.Second
 		for _, in := range c.rounds(b, 1) {
 			c2.Round(now, in)
 			now += 20 * control.Millisecond
 		}
 		for range 200 {
-			next, ok := c2.Next()
+			next, ok := c2.NextTimer()
 			if !ok {
 				break
 			}
@@ -182,13 +185,13 @@
 
 // A message that can't be kept is refused, and the module forgets it.
 func TestLedgerFull(t *testing.T) {
-	b, c := newBook(t)
-	b.full = true
+	b, c := newSpy(t)
+	b.ledgerFull = true
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "final m1 refused")
 	c.Round(2*control.Second+5000, nil)
 	b.want(t)
-	if s := c.Stats(); s.Open != 0 || s.Out != 0 {
+	if s := c.Stats(); s.Open != 0 || s.InFlight != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -196,36 +199,36 @@
 // A call that could not go on record was not made: the message goes on, and the module knows that nothing can be recorded until it
 // hears otherwise.
 func TestCallNotOnRecord(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Class = 2 // guarded
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "take m1", "told m1", "start 1")
-	c.Round(2*control.Second+1000, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
+	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
 	b.want(t, "back m1 false")
 	for i := range 20 {
 		c.Round(2*control.Second+control.Time(i+1)*10*control.Millisecond, nil)
 	}
 	b.want(t)
-	c.Round(3*control.Second, []Input{{Recorded: true}})
+	c.Round(3*control.Second, []Input{{LedgerWritable: true}})
 	b.want(t, "start 1")
 }
 
 // What was not written when a drain or a wait is told is taken back.
 func TestTakenBack(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.take()
-	c.Round(2*control.Second+1000, []Input{{List: &List{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
+	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
 	b.want(t, "unsend m1")
-	b, c = newBook(t)
+	b, c = newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	c.Round(2*control.Second+1000, []Input{b.msg(2, 2, 10)})
 	if len(b.calls) < 2 {
 		t.Fatalf("%d calls", len(b.calls))
 	}
 	b.take()
-	c.Round(2*control.Second+2000, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 429, Wait: control.Second}}})
+	c.Round(2*control.Second+2000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 429, RetryAfter: control.Second}}})
 	if got := b.take(); !slices.Contains(got, "unsend m2") {
 		t.Errorf("%q", got)
 	}
@@ -233,32 +236,32 @@
 
 // A restored message is not recorded anew, and keeps its attempts and its doubt.
 func TestRestored(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
 	in.Submit.Recovered = Recovered{Restored: true, Attempts: 2}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "told m1", "start 1")
-	if n := b.calls[0][0].N; n != 2 {
+	if n := b.calls[0][0].Number; n != 2 {
 		t.Errorf("the next attempt is number %d", n)
 	}
 }
 
 // A restored message that can't be sent any more ends in the ledger, too: it must not come back at each start.
 func TestRestoredEndsOnRecord(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.pol.Settings.MaxTries}
+	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.options.Settings.MaxTries}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "over m1 true", "final m1 refused")
 }
 
 // Time that passed before the round took a message is not given again.
 func TestLateRound(t *testing.T) {
-	b, c := newBook(t)
+	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Came = 2 * control.Second
+	in.Submit.ReceivedAt = 2 * control.Second
 	c.Round(2*control.Second+500*control.Millisecond, []Input{in})
-	if due := b.calls[0][0].Due; due != 5*control.Second {
+	if due := b.calls[0][0].Deadline; due != 5*control.Second {
 		t.Errorf("due at %d, want %d", due, 5*control.Second)
 	}
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -12,42 +12,42 @@
 
 // Reasons why a message is not taken. None of these was ever held: handing it in again is harmless.
 var (
-	ErrQueueFull = errors.New("too many messages arrive at once")
-	ErrHoldFull  = errors.New("too many messages are held")
-	ErrStopping  = errors.New("the dispatcher is stopping")
+	ErrQueueFull   = errors.New("too many messages arrive at once")
+	ErrTooManyHeld = errors.New("too many messages are held")
+	ErrStopping    = errors.New("the dispatcher is stopping")
 )
 
-// Bounds limit what a Loop takes on.
-type Bounds struct {
-	Queue int // messages that wait for the next round
-	Hold  int // messages owed an answer
+// Limits limit what a Loop takes on.
+type Limits struct {
+	MaxQueued int // messages that wait for the next round
+	MaxHeld   int // messages owed an answer
 }
 
 // Loop runs a Core: inputs come from any goroutine, rounds run on one.
 type Loop struct {
 	core   *Core
 	clock  clock.Clock
-	bounds Bounds
+	bounds Limits
 	nextID atomic.Uint64
 
-	mu       sync.Mutex
-	queue    []Input
-	submits  int
-	open     int // messages taken or queued and not yet over
-	stopping bool
-	empty    chan struct{} // closed when stopping and nothing is open
-
-	wake  chan struct{}
-	quit  chan struct{}
-	done  chan struct{}
-	stats atomic.Pointer[Stats]
-	round atomic.Int64 // nanoseconds, decaying mean
+	mu             sync.Mutex
+	queue          []Input
+	queuedMessages int
+	open           int // messages taken or queued and not yet over
+	stopping       bool
+	drained        chan struct{} // closed when stopping and nothing is open
+
+	wake      chan struct{}
+	quit      chan struct{}
+	done      chan struct{}
+	stats     atomic.Pointer[Stats]
+	meanRound atomic.Int64 // nanoseconds, decaying mean
 }
 
 // NewLoop makes a Loop; Run starts it.
-func NewLoop(core *Core, clock clock.Clock, b Bounds) *Loop {
+func NewLoop(core *Core, clock clock.Clock, b Limits) *Loop {
 	l := &Loop{core: core, clock: clock, bounds: b, wake: make(chan struct{}, 1), quit: make(chan struct{}),
-		done: make(chan struct{}), empty: make(chan struct{})}
+		done: make(chan struct{}), drained: make(chan struct{})}
 	l.stats.Store(&Stats{})
 	return l
 }
@@ -61,28 +61,28 @@
 	switch {
 	case l.stopping:
 		return ErrStopping
-	case l.submits >= l.bounds.Queue:
+	case l.queuedMessages >= l.bounds.MaxQueued:
 		return ErrQueueFull
-	case l.open >= l.bounds.Hold:
-		return ErrHoldFull
+	case l.open >= l.bounds.MaxHeld:
+		return ErrTooManyHeld
 	}
-	l.submits++
+	l.queuedMessages++
 	l.open++
-	l.put(Input{Submit: m})
+	l.enqueueLocked(Input{Submit: m})
 	return nil
 }
 
 // Withdraw tells that nobody wants a message any more.
-func (l *Loop) Withdraw(id control.MessageID) { l.Put(Input{Withdraw: id}) }
+func (l *Loop) Withdraw(id control.MessageID) { l.Enqueue(Input{Withdraw: id}) }
 
-// Put adds an input that is not a message. It is never refused: attempts and messages taken bound how many come.
-func (l *Loop) Put(in Input) {
+// Enqueue adds an input that is not a message. It is never refused: attempts and messages taken bound how many come.
+func (l *Loop) Enqueue(in Input) {
 	l.mu.Lock()
-	l.put(in)
+	l.enqueueLocked(in)
 	l.mu.Unlock()
 }
 
-func (l *Loop) put(in Input) {
+func (l *Loop) enqueueLocked(in Input) {
 	l.queue = append(l.queue, in)
 	if len(l.queue) == 1 {
 		select {
@@ -99,7 +99,7 @@
 	sleep := time.NewTimer(time.Hour)
 	defer sleep.Stop()
 	for {
-		if at, ok := l.core.Next(); ok {
+		if at, ok := l.core.NextTimer(); ok {
 			sleep.Reset(max(0, time.Duration(at-l.clock.Now())*time.Microsecond))
 		} else {
 			sleep.Reset(time.Hour)
@@ -112,31 +112,31 @@
 		}
 		l.mu.Lock()
 		batch, l.queue = l.queue, batch[:0]
-		l.submits = 0
+		l.queuedMessages = 0
 		l.mu.Unlock()
-		before := l.core.stats.ended()
-		start := clock.Start()
+		before := l.core.stats.finished()
+		start := clock.StartStopwatch()
 		l.core.Round(l.clock.Now(), batch)
-		old := l.round.Load()
-		l.round.Store(old + (int64(start.Elapsed())-old)/16)
+		old := l.meanRound.Load()
+		l.meanRound.Store(old + (int64(start.Elapsed())-old)/16)
 		clear(batch)
 		s := l.core.Stats()
 		l.stats.Store(&s)
-		l.settle(int(s.ended() - before))
+		l.countFinished(int(s.finished() - before))
 	}
 }
 
-func (s Stats) ended() uint64 { return s.Served + s.Refused + s.Failed + s.Withdrawn }
+func (s Stats) finished() uint64 { return s.Served + s.Refused + s.Failed + s.Withdrawn }
 
-func (l *Loop) settle(ended int) {
+func (l *Loop) countFinished(ended int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open -= ended
 	if l.stopping && l.open == 0 {
 		select {
-		case <-l.empty:
+		case <-l.drained:
 		default:
-			close(l.empty)
+			close(l.drained)
 		}
 	}
 }
@@ -144,8 +144,8 @@
 // Stats returns the counts after the last round.
 func (l *Loop) Stats() Stats { return *l.stats.Load() }
 
-// RoundTime is how long rounds take, as a decaying mean over some sixteen of them.
-func (l *Loop) RoundTime() time.Duration { return time.Duration(l.round.Load()) }
+// MeanRoundTime is how long rounds take, as a decaying mean over some sixteen of them.
+func (l *Loop) MeanRoundTime() time.Duration { return time.Duration(l.meanRound.Load()) }
 
 // Stop takes no more messages; those taken have their answers within the time given. The channel is closed when
 // none is owed one any more.
@@ -155,11 +155,11 @@
 	if !l.stopping {
 		l.stopping = true
 		if l.open == 0 {
-			close(l.empty)
+			close(l.drained)
 		}
-		l.put(Input{Stop: max(1, control.Time(within/time.Microsecond))})
+		l.enqueueLocked(Input{StopWithin: max(1, control.Time(within/time.Microsecond))})
 	}
-	return l.empty
+	return l.drained
 }
 
 // Close ends Run at once.
--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -14,7 +14,7 @@
 )
 
 // dial connects as a client.
-func (d *day) dial() net.Conn {
+func (d *testDispatcher) dial() net.Conn {
 	d.t.Helper()
 	c, err := net.DialTimeout("tcp", d.addr, time.Second)
 	if err != nil {
@@ -25,8 +25,8 @@
 	return c
 }
 
-// ask hands a message in on a connection that is kept.
-func (d *day) ask(c net.Conn, m testbed.Message, want int) {
+// submitOn hands a message in on a connection that is kept.
+func (d *testDispatcher) submitOn(c net.Conn, m testbed.Message, want int) {
 	d.t.Helper()
 	if _, err := c.Write(testbed.Form(m)); err != nil {
 		d.t.Fatal(err)
@@ -34,16 +34,16 @@
 	if status, err := testbed.Status(c); status != want {
 		d.t.Fatalf("%s: %d, %v", m.Name, status, err)
 	}
-	d.s.Note(testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Left)})
+	d.bed.Note(testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Left)})
 }
 
 // A fault is answered and the connection ended in order while the client still sends: no reset takes the answer away.
 func TestAnswerOutlivesAnUpload(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
-	form := string(testbed.Form(msg("big", "status", 1)))
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	form := string(testbed.Form(newMessage("big", "status", 1)))
 	for name, text := range map[string]string{
 		"413": strings.Replace(form, "Content-Length: 11", "Content-Length: 62914560", 1),
 		"400": strings.Replace(form, "X-Remaining: 3.000", "X-Remaining: soon", 1) + form,
@@ -62,9 +62,9 @@
 // A client that does not end its side is not waited for for long, nor one that goes on sending.
 func TestEndIsBounded(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
 	for _, size := range []int{1, 64 << 10} {
 		c := d.dial()
 		_, _ = io.WriteString(c, "noise\r\n\r\n")
@@ -88,12 +88,12 @@
 // end without an answer and hands it in again. One that was read before is answered.
 func TestRequestCrossesTheEndOfItsConnection(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
 	kept, late := d.dial(), d.dial()
-	d.ask(kept, msg("first", "upload", 1), 202)
-	d.ask(late, msg("second", "upload", 1), 202)
+	d.submitOn(kept, newMessage("first", "upload", 1), 202)
+	d.submitOn(late, newMessage("second", "upload", 1), 202)
 	stopped := make(chan struct{})
 	go func() {
 		d.node.Stop()
@@ -104,31 +104,31 @@
 			t.Fatalf("the end of an idle connection at a stop: %v", err)
 		}
 	}
-	_, _ = late.Write(testbed.Form(msg("crossed", "upload", 1)))
+	_, _ = late.Write(testbed.Form(newMessage("crossed", "upload", 1)))
 	if n, err := late.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("an answer behind the end: %v", err)
 	}
 	<-stopped
 	d.node = nil
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
-	d.start()
-	d.over([]string{"first", "second"})
-	d.over(d.handOne(msg("crossed", "upload", 1)))
-	if n := d.count(testbed.Called, "crossed"); n != 1 {
+	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
+	d.startReady()
+	d.awaitEnds([]string{"first", "second"})
+	d.awaitEnds(d.submitOne(newMessage("crossed", "upload", 1)))
+	if n := d.countEvents(testbed.Called, "crossed"); n != 1 {
 		t.Errorf("the message that crossed was sent on %d times", n)
 	}
-	d.check()
+	d.checkRules()
 }
 
 // A request may come in pieces cut anywhere, with the body behind the head or in one piece with it.
 func TestRequestInPieces(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
 	c := d.dial()
 	var names []string
-	form := string(testbed.Form(msg("piece-000", "sync", 1)))
+	form := string(testbed.Form(newMessage("piece-000", "sync", 1)))
 	for cut := range len(form) {
 		name := fmt.Sprintf("piece-%03d", cut)
 		text := strings.ReplaceAll(form, "piece-000", name)
@@ -142,20 +142,20 @@
 		}
 		names = append(names, name)
 	}
-	d.over(names)
+	d.awaitEnds(names)
 }
 
 // A client that goes before it has heard wants nothing any more; one that goes behind the answer is owed the end.
 func TestClientGoesBesideItsAnswer(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
 	var heard []string
 	for i := range 60 {
 		c := d.dial()
 		name := fmt.Sprint("m", i)
-		m := msg(name, "upload", 1)
+		m := newMessage(name, "upload", 1)
 		if _, err := c.Write(testbed.Form(m)); err != nil {
 			t.Fatal(err)
 		}
@@ -167,17 +167,17 @@
 			t.Fatalf("%s: %d, %v", name, status, err)
 		}
 		_ = c.Close()
-		d.s.Note(testbed.Event{Kind: testbed.Taken, Name: name, Class: m.Class, Dest: 1, Due: time.Now().Add(m.Left)})
+		d.bed.Note(testbed.Event{Kind: testbed.Taken, Name: name, Class: m.Class, Dest: 1, Due: time.Now().Add(m.Left)})
 		heard = append(heard, name)
 	}
-	d.over(heard)
+	d.awaitEnds(heard)
 	for i := range 60 {
-		if n := d.count(testbed.Called, fmt.Sprint("m", i)); n > 1 {
+		if n := d.countEvents(testbed.Called, fmt.Sprint("m", i)); n > 1 {
 			t.Errorf("m%d was sent %d times", i, n)
 		}
 	}
 	if entries, _ := d.node.ledger.Outstanding(); len(entries) > 0 {
-		d.s.Await(5*time.Second, func([]testbed.Event) bool { e, _ := d.node.ledger.Outstanding(); return len(e) == 0 })
+		d.bed.Await(5*time.Second, func([]testbed.Event) bool { e, _ := d.node.ledger.Outstanding(); return len(e) == 0 })
 		if entries, _ = d.node.ledger.Outstanding(); len(entries) > 0 {
 			t.Errorf("still owed: %+v", entries)
 		}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -18,17 +18,17 @@
 
 // Config is what a dispatcher is told at its start.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
-	State     string // the folder that lasts
-	Seed      uint64
-	Limits    Limits
-	Known     List // the endpoint list as it was last had
-	Settings  control.Settings
-	Zones     []string // names, in the order of their numbers
-	Trace     bool     // log what happens to each message
-	Reports   []string // names of the values of a load report, in order
+	Name        string
+	Listen      netip.AddrPort
+	Discovery   netip.AddrPort
+	StateDir    string // the folder that lasts
+	Seed        uint64
+	Limits      Limits
+	Known       EndpointList // the endpoint list as it was last had
+	Settings    control.Settings
+	Zones       []string // names, in the order of their numbers
+	Trace       bool     // log what happens to each message
+	LoadMetrics []string // names of the values of a load report, in order
 }
 
 // Limits are what the platform gives a dispatcher.
@@ -39,8 +39,8 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// List is the endpoint list in discovery's form, whole or what changed of it.
-type List struct {
+// EndpointList is the endpoint list in discovery's form, whole or what changed of it.
+type EndpointList struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
@@ -57,28 +57,28 @@
 	Share  float64 `json:"share"`
 }
 
-// file is the configuration as it stands in its file.
-type file struct {
+// configFile is the configuration as it stands in its file.
+type configFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
 	State     string          `json:"state"`
 	Limits    Limits          `json:"limits"`
-	Known     List            `json:"known"`
+	Known     EndpointList    `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// names are the settings that the module has no use for.
-type names struct {
+// extraSettings are the settings that the module has no use for.
+type extraSettings struct {
 	Zones  []string `json:"dcs"`
 	Report struct {
 		Names []string `json:"names"`
 	} `json:"report"`
 }
 
-// maxConfig bounds the file, in bytes.
-const maxConfig = 8 << 20
+// maxConfigBytes bounds the file, in bytes.
+const maxConfigBytes = 8 << 20
 
 // Load reads the configuration that the environment names: EDGE_CONFIG is its file; EDGE_NAME, EDGE_LISTEN,
 // EDGE_DISCOVERY and EDGE_STATE stand in for what the file leaves out. An error names the file and the key.
@@ -91,22 +91,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	if st.Size() > maxConfig {
-		return nil, fmt.Errorf("%s: larger than %d bytes", path, maxConfig)
+	if st.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("%s: larger than %d bytes", path, maxConfigBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("EDGE_CONFIG: %w", err)
 	}
-	c, err := parse(text, env)
+	c, err := parseConfig(text, env)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-func parse(text []byte, env func(string) string) (*Config, error) {
-	var f file
+func parseConfig(text []byte, env func(string) string) (*Config, error) {
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		var bad *json.UnmarshalTypeError
 		if errors.As(err, &bad) {
@@ -114,8 +114,8 @@
 		}
 		return nil, err
 	}
-	c := &Config{Name: cmp.Or(f.Name, env("EDGE_NAME")), State: cmp.Or(env("EDGE_STATE"), f.State), Limits: f.Limits, Known: f.Known}
-	if c.State == "" {
+	c := &Config{Name: cmp.Or(f.Name, env("EDGE_NAME")), StateDir: cmp.Or(env("EDGE_STATE"), f.State), Limits: f.Limits, Known: f.Known}
+	if c.StateDir == "" {
 		return nil, errors.New("EDGE_STATE: not set")
 	}
 	var err error
@@ -128,13 +128,13 @@
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: %q is not 64 bits in hexadecimal", f.Seed)
 	}
-	if err := c.Limits.check(); err != nil {
+	if err := c.Limits.validate(); err != nil {
 		return nil, err
 	}
-	return c, c.settings(f.Settings)
+	return c, c.parseSettings(f.Settings)
 }
 
-func (l *Limits) check() error {
+func (l *Limits) validate() error {
 	if l.Cores <= 0 {
 		l.Cores = 1
 	}
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func (c *Config) settings(text json.RawMessage) error {
+func (c *Config) parseSettings(text json.RawMessage) error {
 	if len(text) == 0 {
 		return errors.New("settings: missing")
 	}
@@ -160,10 +160,10 @@
 	if c.Settings, err = wire.ParseSettings(flat); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	var n names
+	var n extraSettings
 	if err := json.Unmarshal(text, &n); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Zones, c.Reports = n.Zones, n.Report.Names
+	c.Zones, c.LoadMetrics = n.Zones, n.Report.Names
 	return nil
 }
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -17,43 +17,43 @@
 	zones []string
 	kinds []control.Kind
 
-	mu     sync.RWMutex
-	next   control.Endpoint
-	hosts  map[string]*place
-	byID   map[control.Endpoint]*place
-	dests  map[int]time.Duration // destinations that are listed, or were: when each was last seen listed
-	tidied time.Duration
+	mu           sync.RWMutex
+	lastEndpoint control.Endpoint
+	hosts        map[string]*endpointRecord
+	byEndpoint   map[control.Endpoint]*endpointRecord
+	destinations map[int]time.Duration // destinations that are listed, or were: when each was last seen listed
+	lastCleanup  time.Duration
 }
 
-// place is one endpoint that is listed, or was a short while ago.
-type place struct {
-	host  Host // as the list has it
-	entry control.Entry
-	addr  netip.AddrPort
-	gone  time.Duration // when it left the list, 0 if it is there
+// endpointRecord is one endpoint that is listed, or was a short while ago.
+type endpointRecord struct {
+	host   Host // as the list has it
+	entry  control.Entry
+	addr   netip.AddrPort
+	goneAt time.Duration // when it left the list, 0 if it is there
 }
 
 // forgetAfter is how long endpoints and destinations that are gone are kept: far longer than any message lives.
 const (
-	forgetAfter = 2 * time.Minute
-	tidyEvery   = 10 * time.Second
+	goneRetention   = 2 * time.Minute
+	cleanupInterval = 10 * time.Second
 )
 
 // NewDirectory returns a Directory for zones and kinds as the settings name them.
 func NewDirectory(zones []string, kinds []control.Kind) *Directory {
-	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*place{}, byID: map[control.Endpoint]*place{},
-		dests: map[int]time.Duration{}}
+	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*endpointRecord{}, byEndpoint: map[control.Endpoint]*endpointRecord{},
+		destinations: map[int]time.Duration{}}
 }
 
 // Apply takes a list, or changes of one, and returns the entries that the module is told. A host that can't be used is
 // left out, and named in faults.
-func (d *Directory) Apply(l List, now time.Duration) (entries []control.Entry, faults []error) {
+func (d *Directory) Apply(l EndpointList, now time.Duration) (entries []control.Entry, faults []error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := map[string]bool{}
 	for i := range l.Hosts {
 		h := &l.Hosts[i]
-		e, err := d.host(h, now)
+		e, err := d.applyHost(h, now)
 		if err != nil {
 			faults = append(faults, fmt.Errorf("host %.40q: %w", h.Name, err))
 			continue
@@ -65,27 +65,27 @@
 	}
 	if l.Whole {
 		for name, p := range d.hosts {
-			if !seen[name] && p.gone == 0 {
-				p.gone, p.entry.Health = now, control.Gone
+			if !seen[name] && p.goneAt == 0 {
+				p.goneAt, p.entry.Health = now, control.Gone
 				entries = append(entries, p.entry)
 			}
 		}
 	}
 	slices.SortFunc(entries, func(a, b control.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
-	if now-d.tidied >= tidyEvery {
-		d.tidied = now
-		d.tidy(now)
+	if now-d.lastCleanup >= cleanupInterval {
+		d.lastCleanup = now
+		d.removeExpired(now)
 	}
 	return entries, faults
 }
 
-func (d *Directory) host(h *Host, now time.Duration) (control.Entry, error) {
+func (d *Directory) applyHost(h *Host, now time.Duration) (control.Entry, error) {
 	p := d.hosts[h.Name]
 	if h.Health == "gone" {
 		if p == nil {
 			return control.Entry{}, nil
 		}
-		p.gone, p.entry.Health = now, control.Gone
+		p.goneAt, p.entry.Health = now, control.Gone
 		return p.entry, nil
 	}
 	health := control.Ready
@@ -104,7 +104,7 @@
 	if kind < 0 && len(d.kinds) > 0 {
 		return control.Entry{}, fmt.Errorf("class %.20q", h.Class)
 	}
-	if h.Name == "" || h.Block < 0 || h.Block > maxDest {
+	if h.Name == "" || h.Block < 0 || h.Block > maxDestination {
 		return control.Entry{}, fmt.Errorf("block %d", h.Block)
 	}
 	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
@@ -113,24 +113,24 @@
 		p = nil
 	}
 	if p == nil {
-		d.next++
-		p = &place{}
-		p.entry.Endpoint = d.next
-		d.hosts[h.Name], d.byID[d.next] = p, p
+		d.lastEndpoint++
+		p = &endpointRecord{}
+		p.entry.Endpoint = d.lastEndpoint
+		d.hosts[h.Name], d.byEndpoint[d.lastEndpoint] = p, p
 	}
 	e.Endpoint = p.entry.Endpoint
-	p.host, p.entry, p.addr, p.gone = *h, e, addr, 0
-	d.dests[e.Dest] = now
+	p.host, p.entry, p.addr, p.goneAt = *h, e, addr, 0
+	d.destinations[e.Dest] = now
 	return e, nil
 }
 
-// Whole returns all that is listed, as one list of that version.
-func (d *Directory) Whole(seq int64) List {
+// Snapshot returns all that is listed, as one list of that version.
+func (d *Directory) Snapshot(seq int64) EndpointList {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	l := List{Seq: seq, Whole: true, Hosts: []Host{}}
+	l := EndpointList{Seq: seq, Whole: true, Hosts: []Host{}}
 	for _, p := range d.hosts {
-		if p.gone == 0 {
+		if p.goneAt == 0 {
 			l.Hosts = append(l.Hosts, p.host)
 		}
 	}
@@ -138,26 +138,26 @@
 	return l
 }
 
-// maxDest bounds the numbers of destinations, as the simulator's wire does.
-const maxDest = 1<<16 - 1
+// maxDestination bounds the numbers of destinations, as the simulator's wire does.
+const maxDestination = 1<<16 - 1
 
-// tidy forgets what left the list long ago.
-func (d *Directory) tidy(now time.Duration) {
+// removeExpired forgets what left the list long ago.
+func (d *Directory) removeExpired(now time.Duration) {
 	for name, p := range d.hosts {
-		if p.gone > 0 && now-p.gone > forgetAfter {
+		if p.goneAt > 0 && now-p.goneAt > goneRetention {
 			delete(d.hosts, name)
 		}
 	}
-	for id, p := range d.byID {
-		if p.gone > 0 && now-p.gone > forgetAfter {
-			delete(d.byID, id)
-		} else if p.gone == 0 {
-			d.dests[p.entry.Dest] = now
+	for id, p := range d.byEndpoint {
+		if p.goneAt > 0 && now-p.goneAt > goneRetention {
+			delete(d.byEndpoint, id)
+		} else if p.goneAt == 0 {
+			d.destinations[p.entry.Dest] = now
 		}
 	}
-	for dest, at := range d.dests {
-		if now-at > forgetAfter {
-			delete(d.dests, dest)
+	for dest, at := range d.destinations {
+		if now-at > goneRetention {
+			delete(d.destinations, dest)
 		}
 	}
 }
@@ -166,46 +166,46 @@
 func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.byID[ep]
+	p := d.byEndpoint[ep]
 	if p == nil {
 		return netip.AddrPort{}, false
 	}
 	return p.addr, true
 }
 
-// Listed tells whether an endpoint is in the list.
-func (d *Directory) Listed(ep control.Endpoint) bool {
+// IsListed tells whether an endpoint is in the list.
+func (d *Directory) IsListed(ep control.Endpoint) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	p := d.byID[ep]
-	return p != nil && p.gone == 0
+	p := d.byEndpoint[ep]
+	return p != nil && p.goneAt == 0
 }
 
-// Find returns what the list says of a host; ok is false where it is not listed.
-func (d *Directory) Find(host string) (e control.Entry, ok bool) {
+// Lookup returns what the list says of a host; ok is false where it is not listed.
+func (d *Directory) Lookup(host string) (e control.Entry, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.hosts[host]
-	if p == nil || p.gone != 0 {
+	if p == nil || p.goneAt != 0 {
 		return control.Entry{}, false
 	}
 	return p.entry, true
 }
 
-// Host is the name of an endpoint, for logs.
-func (d *Directory) Host(ep control.Endpoint) string {
+// HostName is the name of an endpoint, for logs.
+func (d *Directory) HostName(ep control.Endpoint) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if p := d.byID[ep]; p != nil {
+	if p := d.byEndpoint[ep]; p != nil {
 		return p.host.Name
 	}
 	return "unknown"
 }
 
-// Knows tells whether a destination is listed, or was a short while ago.
-func (d *Directory) Knows(dest int) bool {
+// KnowsDestination tells whether a destination is listed, or was a short while ago.
+func (d *Directory) KnowsDestination(dest int) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	_, ok := d.dests[dest]
+	_, ok := d.destinations[dest]
 	return ok
 }
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -14,26 +14,26 @@
 
 // Times of the connections to the platform's agent, which is on this machine: it answers at once or is down.
 const (
-	agentConnect = time.Second
-	againLeast   = 100 * time.Millisecond
-	againMost    = time.Second
+	agentTimeout     = time.Second
+	noticeBackoffMin = 100 * time.Millisecond
+	noticeBackoffMax = time.Second
 )
 
 // agent is where discovery and notices are. The address may change in service: connections to the old one end then.
 type agent struct {
-	mu    sync.Mutex
-	addr  netip.AddrPort
-	conns map[net.Conn]struct{}
-	moved chan struct{} // closed at a change
-	quit  chan struct{}
+	mu          sync.Mutex
+	addr        netip.AddrPort
+	conns       map[net.Conn]struct{}
+	addrChanged chan struct{} // closed at a change
+	quit        chan struct{}
 }
 
 func newAgent(addr netip.AddrPort) *agent {
-	return &agent{addr: addr, conns: map[net.Conn]struct{}{}, moved: make(chan struct{}), quit: make(chan struct{})}
+	return &agent{addr: addr, conns: map[net.Conn]struct{}{}, addrChanged: make(chan struct{}), quit: make(chan struct{})}
 }
 
-// move changes the address.
-func (a *agent) move(addr netip.AddrPort) {
+// setAddress changes the address.
+func (a *agent) setAddress(addr netip.AddrPort) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if addr == a.addr {
@@ -43,8 +43,8 @@
 	for c := range a.conns {
 		_ = c.Close()
 	}
-	close(a.moved)
-	a.moved = make(chan struct{})
+	close(a.addrChanged)
+	a.addrChanged = make(chan struct{})
 }
 
 // stop ends all connections, for good.
@@ -71,7 +71,7 @@
 	a.mu.Lock()
 	addr := a.addr
 	a.mu.Unlock()
-	d := net.Dialer{Timeout: agentConnect}
+	d := net.Dialer{Timeout: agentTimeout}
 	c, err := d.DialContext(ctx, "tcp", addr.String())
 	return c, addr, err
 }
@@ -91,23 +91,23 @@
 	return c, nil
 }
 
-func (a *agent) hangUp(c net.Conn) {
+func (a *agent) closeConn(c net.Conn) {
 	a.mu.Lock()
 	delete(a.conns, c)
 	a.mu.Unlock()
 	_ = c.Close()
 }
 
-// change returns what is closed when the address changes next.
-func (a *agent) change() <-chan struct{} {
+// addressChange returns what is closed when the address changes next.
+func (a *agent) addressChange() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.moved
+	return a.addrChanged
 }
 
-// pause waits before a next try; a new address ends the wait. It is false at the stop.
-func (a *agent) pause(d time.Duration) bool {
-	moved := a.change()
+// wait waits before a next try; a new address ends the wait. It is false at the stop.
+func (a *agent) wait(d time.Duration) bool {
+	moved := a.addressChange()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -121,26 +121,26 @@
 
 // watcher keeps the endpoint list up to date by watches, as a watchPlan says. All but its read goroutines is run's.
 type watcher struct {
-	agent *agent
-	now   func() time.Duration
-	seq   int64 // version of the list as told last, 0 behind a change of the address: any counts then
-	told  func(List)
-	log   func(format string, a ...any)
+	agent  *agent
+	now    func() time.Duration
+	seq    int64 // version of the list as told last, 0 behind a change of the address: any counts then
+	onList func(EndpointList)
+	log    func(format string, a ...any)
 
-	plan   watchPlan
-	stops  map[uint64]context.CancelFunc
-	events chan watchEvent
+	plan    watchPlan
+	cancels map[uint64]context.CancelFunc
+	events  chan watchEvent
 }
 
 // watchEvent is what a watch has to tell: a list, an empty line, or its end.
 type watchEvent struct {
 	id   uint64
-	list *List
+	list *EndpointList
 	err  error
 }
 
-func newWatcher(a *agent, now func() time.Duration, seq int64, told func(List), log func(string, ...any)) *watcher {
-	return &watcher{agent: a, now: now, seq: seq, told: told, log: log, stops: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
+func newWatcher(a *agent, now func() time.Duration, seq int64, told func(EndpointList), log func(string, ...any)) *watcher {
+	return &watcher{agent: a, now: now, seq: seq, onList: told, log: log, cancels: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
 }
 
 // run watches until the agent is stopped.
@@ -149,56 +149,56 @@
 	defer stop()
 	again := time.NewTimer(0)
 	defer again.Stop()
-	moved := w.agent.change()
+	moved := w.agent.addressChange()
 	for {
 		select {
 		case <-w.agent.quit:
 			return
 		case <-moved:
-			moved = w.agent.change()
+			moved = w.agent.addressChange()
 			w.seq = 0
-			w.shut(w.plan.moved())
+			w.cancelWatches(w.plan.closeAll())
 		case e := <-w.events:
-			w.take(e)
+			w.handleEvent(e)
 		case <-again.C:
 		}
 		now := w.now()
 		shut, open, at := w.plan.step(now)
-		w.shut(shut)
+		w.cancelWatches(shut)
 		if open > 0 {
 			ctx, stop := context.WithCancel(ctx)
-			w.stops[open] = stop
+			w.cancels[open] = stop
 			go w.watch(ctx, open, w.seq)
 		}
 		again.Reset(max(0, at-now))
 	}
 }
 
-func (w *watcher) shut(ids []uint64) {
+func (w *watcher) cancelWatches(ids []uint64) {
 	for _, id := range ids {
-		w.stops[id]()
-		delete(w.stops, id)
+		w.cancels[id]()
+		delete(w.cancels, id)
 	}
 }
 
-func (w *watcher) take(e watchEvent) {
+func (w *watcher) handleEvent(e watchEvent) {
 	if e.err != nil {
-		if w.stops[e.id] != nil { // else it was closed here
+		if w.cancels[e.id] != nil { // else it was closed here
 			w.log("watch ended: %v", e.err)
-			w.plan.ended(e.id)
-			w.shut([]uint64{e.id})
+			w.plan.remove(e.id)
+			w.cancelWatches([]uint64{e.id})
 		}
 		return
 	}
-	shut, ok := w.plan.spoke(e.id, w.now())
-	w.shut(shut)
+	shut, ok := w.plan.recordActivity(e.id, w.now())
+	w.cancelWatches(shut)
 	if !ok || e.list == nil {
 		return
 	}
 	// Changes that are known already change nothing: a watch may begin before those of the one that it follows ended.
 	if l := e.list; l.Whole || l.Seq >= w.seq {
 		w.seq = l.Seq
-		w.told(*l)
+		w.onList(*l)
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	defer func() { _ = c.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	r := &listReader{told: func(l List) { tell(watchEvent{list: &l}) }, beat: func() { tell(watchEvent{}) }}
+	r := &listReader{onList: func(l EndpointList) { tell(watchEvent{list: &l}) }, onHeartbeat: func() { tell(watchEvent{}) }}
 	_, err = c.Write(h1.AppendHead(nil, fmt.Sprintf("GET /v1/endpoints?watch=1&from=%d HTTP/1.1", from), "Host", "discovery"))
 	buf := make([]byte, 16<<10)
 	for err == nil {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -70,13 +70,13 @@
 			_, _ = fmt.Sscanf(e.do, "spoke %d", &id)
 			switch {
 			case id > 0:
-				shut, _ := p.spoke(id, now)
+				shut, _ := p.recordActivity(id, now)
 				note(now, "-", shut...)
 			case e.do == "moved":
-				note(now, "-", p.moved()...)
+				note(now, "-", p.closeAll()...)
 			case e.do != "":
 				_, _ = fmt.Sscanf(e.do, "ended %d", &id)
-				p.ended(id)
+				p.remove(id)
 			}
 			step(now)
 		}
@@ -104,7 +104,7 @@
 				clear(live)
 			}
 			if rng.IntN(400) == 0 {
-				for _, id := range p.moved() {
+				for _, id := range p.closeAll() {
 					delete(open, id)
 					delete(live, id)
 				}
@@ -118,7 +118,7 @@
 				}
 			}) {
 				if rng.IntN(300) == 0 {
-					p.ended(id)
+					p.remove(id)
 					delete(open, id)
 					delete(live, id)
 					asked = 0
@@ -134,7 +134,7 @@
 					open[id], live[id] = true, true
 				}
 			}
-			if len(open) > watchMost {
+			if len(open) > maxOpenWatches {
 				t.Fatalf("seed %d: %d watches are open", seed, len(open))
 			}
 			if !up {
@@ -146,7 +146,7 @@
 			}
 			for id := range live { // those that are answered are so within 10 ms, and every 2 s
 				if now-heard >= 2*time.Second || rng.IntN(20) == 0 {
-					shut, ok := p.spoke(id, now)
+					shut, ok := p.recordActivity(id, now)
 					for _, s := range shut {
 						delete(open, s)
 						delete(live, s)
@@ -177,7 +177,7 @@
 		for cut := range text {
 			var seqs []int64
 			beats, host := 0, ""
-			r := &listReader{beat: func() { beats++ }, told: func(l List) {
+			r := &listReader{onHeartbeat: func() { beats++ }, onList: func(l EndpointList) {
 				seqs = append(seqs, l.Seq)
 				if len(l.Hosts) > 0 {
 					host = l.Hosts[0].Name
@@ -195,7 +195,7 @@
 		}
 	}
 	for _, bad := range []string{"x\n", "{]}\n", "{\"seq\":\"a\"}\n", "}\n"} {
-		r := &listReader{told: func(List) {}, beat: func() {}}
+		r := &listReader{onList: func(EndpointList) {}, onHeartbeat: func() {}}
 		if err := r.read([]byte("HTTP/1.1 200 OK\r\n\r\n" + bad)); err == nil {
 			t.Errorf("%q is read as a list", bad)
 		}
@@ -203,43 +203,43 @@
 }
 
 // moved hands messages in for a destination until one goes to host, which must come within a few: the list is in force then.
-func (d *day) movesTo(host string, dest int) {
+func (d *testDispatcher) awaitRoutedTo(host string, dest int) {
 	d.t.Helper()
 	for i := range 200 {
 		name := fmt.Sprint("to-", host, "-", i)
-		d.over(d.handOne(msg(name, "status", dest)))
-		for _, e := range d.s.Events() {
+		d.awaitEnds(d.submitOne(newMessage(name, "status", dest)))
+		for _, e := range d.bed.Events() {
 			if e.Kind == testbed.Called && e.Name == name && e.Host == host {
 				return
 			}
 		}
 	}
-	d.t.Fatalf("nothing goes to %s; log: %s", host, d.text())
+	d.t.Fatalf("nothing goes to %s; log: %s", host, d.logText())
 }
 
-// handOne hands a message in that must be taken.
-func (d *day) handOne(m testbed.Message) []string {
+// submitOne hands a message in that must be taken.
+func (d *testDispatcher) submitOne(m testbed.Message) []string {
 	d.t.Helper()
-	if status := d.s.Hand(d.addr, m); status != 202 {
+	if status := d.bed.Hand(d.addr, m); status != 202 {
 		d.t.Fatalf("%s: %d", m.Name, status)
 	}
 	return []string{m.Name}
 }
 
 // told waits until discovery has written a list since an event, and returns how long that took.
-func (d *day) told(since int, within time.Duration) time.Duration {
+func (d *testDispatcher) awaitList(since int, within time.Duration) time.Duration {
 	d.t.Helper()
 	start := time.Now()
-	if !d.s.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Told, "") > 0 }) {
-		d.t.Fatalf("no list is asked for within %v; log: %s", within, d.text())
+	if !d.bed.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Told, "") > 0 }) {
+		d.t.Fatalf("no list is asked for within %v; log: %s", within, d.logText())
 	}
 	return time.Since(start)
 }
 
-// only checks that messages go to one host.
-func (d *day) only(host, prefix string) {
+// expectOnlyHost checks that messages go to one host.
+func (d *testDispatcher) expectOnlyHost(host, prefix string) {
 	d.t.Helper()
-	for _, e := range d.s.Events() {
+	for _, e := range d.bed.Events() {
 		if e.Kind == testbed.Called && e.Host != host && strings.HasPrefix(e.Name, prefix) {
 			d.t.Errorf("%s went to %s", e.Name, e.Host)
 		}
@@ -250,104 +250,104 @@
 // Lists come indented on the new one.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", ok)
-	d.start()
-	d.over(d.hand("x", 1, 1, "status"))
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 1, 1, "status"))
 	d.agent.Silence()
 	d.agent.Indent()
-	since := len(d.s.Events())
-	d.list(a, "single", "draining")
-	d.endpoint("b", 1, "single", ok)
-	if took := d.told(since, 10*time.Second); took > 4*time.Second {
+	since := len(d.bed.Events())
+	d.setListed(a, "single", "draining")
+	d.addEndpoint("b", 1, "single", succeed)
+	if took := d.awaitList(since, 10*time.Second); took > 4*time.Second {
 		t.Errorf("the list came after %v", took)
 	}
-	d.movesTo("b", 1)
-	d.over(d.hand("y", 5, 1, "status"))
-	d.only("b", "y")
+	d.awaitRoutedTo("b", 1)
+	d.awaitEnds(d.submitAll("y", 5, 1, "status"))
+	d.expectOnlyHost("b", "y")
 }
 
 // Discovery is down, whatever is open then, and comes back with a change: it is heard of at once, not at the next try.
 func TestDiscoveryReturnsWithAChange(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", ok)
-	d.start()
-	d.over(d.hand("x", 1, 1, "status"))
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 1, 1, "status"))
 	d.agent.Silence() // the open watch would not speak at the return
 	d.agent.Mute(true)
-	had := len(d.s.Events())
-	if !d.s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.Watched, "") >= 2 }) {
+	had := len(d.bed.Events())
+	if !d.bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.Watched, "") >= 2 }) {
 		t.Fatal("no watch is tried while discovery is down")
 	}
-	since := len(d.s.Events())
-	d.list(a, "single", "draining")
-	d.endpoint("b", 1, "single", ok)
+	since := len(d.bed.Events())
+	d.setListed(a, "single", "draining")
+	d.addEndpoint("b", 1, "single", succeed)
 	d.agent.Mute(false)
-	if took := d.told(since, 10*time.Second); took > time.Second {
+	if took := d.awaitList(since, 10*time.Second); took > time.Second {
 		t.Errorf("the list came %v after the return", took)
 	}
-	d.movesTo("b", 1)
-	d.over(d.hand("y", 5, 1, "status"))
-	d.only("b", "y")
+	d.awaitRoutedTo("b", 1)
+	d.awaitEnds(d.submitAll("y", 5, 1, "status"))
+	d.expectOnlyHost("b", "y")
 }
 
 // What discovery had told binds the next process, too, when discovery is down and the list of the configuration is old.
 func TestRestartWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", ok)
-	d.endpoint("b", 1, "single", ok)
-	d.old = testbed.Configuration(d.addr, d.agent)
-	d.start()
-	since := len(d.s.Events())
-	d.list(a, "single", "draining")
-	d.told(since, 5*time.Second)
-	d.movesTo("b", 1)
-	d.over(d.hand("x", 5, 1, "status"))
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", succeed)
+	d.addEndpoint("b", 1, "single", succeed)
+	d.fixedConfig = testbed.Configuration(d.addr, d.agent)
+	d.startReady()
+	since := len(d.bed.Events())
+	d.setListed(a, "single", "draining")
+	d.awaitList(since, 5*time.Second)
+	d.awaitRoutedTo("b", 1)
+	d.awaitEnds(d.submitAll("x", 5, 1, "status"))
 	d.kill()
 	d.agent.Mute(true)
-	d.start()
-	d.over(d.hand("y", 10, 1, "status", "upload"))
-	d.only("b", "y")
+	d.startReady()
+	d.awaitEnds(d.submitAll("y", 10, 1, "status", "upload"))
+	d.expectOnlyHost("b", "y")
 }
 
 // At a start with an old list nothing is sent before discovery's answer: an address may be another's by now.
 func TestRestartWithAnOldList(t *testing.T) {
 	t.Parallel()
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", always(testbed.Reply{Hang: true}))
-	d.old = testbed.Configuration(d.addr, d.agent)
-	d.start()
-	names := d.hand("x", 3, 1, "status", "sync")
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Hang: true}))
+	d.fixedConfig = testbed.Configuration(d.addr, d.agent)
+	d.startReady()
+	names := d.submitAll("x", 3, 1, "status", "sync")
 	d.kill()
 	a.Close()
-	d.list(a, "single", "gone")
-	other, err := d.s.Endpoint("other", 2, a.Addr, ok)
+	d.setListed(a, "single", "gone")
+	other, err := d.bed.Endpoint("other", 2, a.Addr, succeed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(other.Close)
-	d.list(other, "single", "ready")
-	d.endpoint("a2", 1, "single", ok)
+	d.setListed(other, "single", "ready")
+	d.addEndpoint("a2", 1, "single", succeed)
 	d.agent.Mute(true)
-	since := len(d.s.Events())
+	since := len(d.bed.Events())
 	go func() { // the answer comes once the watch is there, and later than a call would
-		d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Watched, "") > 0 })
-		d.s.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Called, "") > 0 })
+		d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Watched, "") > 0 })
+		d.bed.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Called, "") > 0 })
 		d.agent.Mute(false)
 	}()
-	d.start()
-	d.over(names)
-	for _, e := range d.s.Events()[since:] {
+	d.startReady()
+	d.awaitEnds(names)
+	for _, e := range d.bed.Events()[since:] {
 		if e.Kind == testbed.Called && e.Host != "a2" {
 			t.Errorf("%s went to %s", e.Name, e.Host)
 		}
 	}
 }
 
-// keptHosts are n endpoints as a list has them.
-func keptHosts(n int) []Host {
+// testHosts are n endpoints as a list has them.
+func testHosts(n int) []Host {
 	all := make([]Host, n)
 	for i := range all {
 		all[i] = Host{Name: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Dial: fmt.Sprintf("10.%d.%d.%d:7070", i%3, i/200, i%200), Site: "a", Class: "m2",
@@ -357,9 +357,9 @@
 	return all
 }
 
-// keeping is a kept list that follows a list of its own.
-func keeping(fs disk.FS, most int, now *List, said *[]string) *lastList {
-	return newLastList(fs, most, func() List { return *now }, func(f string, a ...any) { *said = append(*said, fmt.Sprintf(f, a...)) })
+// newTestListCache is a kept list that follows a list of its own.
+func newTestListCache(fs disk.FS, most int, now *EndpointList, said *[]string) *listCache {
+	return newListCache(fs, most, func() EndpointList { return *now }, func(f string, a ...any) { *said = append(*said, fmt.Sprintf(f, a...)) })
 }
 
 // The list that is kept: changes count behind the whole one, also over many of them; what does not fit is told once; a failing
@@ -367,12 +367,12 @@
 func TestLastList(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
-	now := List{Seq: 4, Whole: true, Hosts: keptHosts(40)}
-	k := keeping(fs, 20000, &now, &said)
+	now := EndpointList{Seq: 4, Whole: true, Hosts: testHosts(40)}
+	k := newTestListCache(fs, 20000, &now, &said)
 	if _, ok := k.load(); ok {
 		t.Error("a list out of nothing")
 	}
-	k.changed(now)
+	k.update(now)
 	want := func() {
 		t.Helper()
 		if l, ok := k.load(); !ok || l.Seq != now.Seq || !l.Whole || !slices.Equal(l.Hosts, now.Hosts) {
@@ -384,25 +384,25 @@
 		now.Hosts = slices.Clone(now.Hosts)
 		now.Hosts[i%40].Share++
 		now.Seq++
-		k.changed(List{Seq: now.Seq, Hosts: []Host{now.Hosts[i%40]}})
+		k.update(EndpointList{Seq: now.Seq, Hosts: []Host{now.Hosts[i%40]}})
 	}
 	for i := range 500 {
 		change(i)
 		want()
 	}
-	if n := len(fs.Bytes(listName)); n > 20000 {
+	if n := len(fs.Bytes(listFileName)); n > 20000 {
 		t.Errorf("%d bytes", n)
 	}
 	gone := now.Hosts[3]
 	gone.Health = "gone"
 	now.Hosts, now.Seq = slices.Delete(slices.Clone(now.Hosts), 3, 4), now.Seq+1
-	k.changed(List{Seq: now.Seq, Hosts: []Host{gone}})
+	k.update(EndpointList{Seq: now.Seq, Hosts: []Host{gone}})
 	want()
 	before := now
 	fs.SetFail(func(op, name string) error { return fmt.Errorf("%s %s: %w", op, name, unix.EIO) })
 	now.Hosts = slices.Clone(now.Hosts)
 	now.Hosts[0].Health, now.Seq = "draining", now.Seq+1
-	k.changed(List{Seq: now.Seq, Hosts: now.Hosts[:1]})
+	k.update(EndpointList{Seq: now.Seq, Hosts: now.Hosts[:1]})
 	if k.repair() == nil {
 		t.Error("repaired on a disk that fails")
 	}
@@ -417,29 +417,29 @@
 	if len(said) != 1 {
 		t.Errorf("said %q", said)
 	}
-	big := List{Seq: 9000, Whole: true, Hosts: keptHosts(3000)}
+	big := EndpointList{Seq: 9000, Whole: true, Hosts: testHosts(3000)}
 	now, before = big, now
-	k.changed(big)
-	k.changed(big)
+	k.update(big)
+	k.update(big)
 	if l, ok := k.load(); !ok || l.Seq != before.Seq || len(said) != 2 {
 		t.Errorf("version %d, %v, said %d times", l.Seq, ok, len(said))
 	}
 }
 
 // Wherever the file is cut, what is read is a list that there was, with the changes up to there.
-func TestLastListIsCut(t *testing.T) {
+func TestLastListTruncated(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
-	now := List{Seq: 1, Whole: true, Hosts: keptHosts(3)}
-	k := keeping(fs, 20000, &now, &said)
-	k.changed(now)
-	base := len(fs.Bytes(listName))
+	now := EndpointList{Seq: 1, Whole: true, Hosts: testHosts(3)}
+	k := newTestListCache(fs, 20000, &now, &said)
+	k.update(now)
+	base := len(fs.Bytes(listFileName))
 	for seq := int64(2); seq < 6; seq++ {
-		k.changed(List{Seq: seq, Hosts: []Host{{Name: fmt.Sprint("new", seq), Dial: "127.0.0.1:1", Health: "ready"}}})
+		k.update(EndpointList{Seq: seq, Hosts: []Host{{Name: fmt.Sprint("new", seq), Dial: "127.0.0.1:1", Health: "ready"}}})
 	}
-	whole := slices.Clone(fs.Bytes(listName))
+	whole := slices.Clone(fs.Bytes(listFileName))
 	for cut := range whole {
-		f, err := fs.Create(listName)
+		f, err := fs.Create(listFileName)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -455,9 +455,9 @@
 func TestLastListOfALargeFleet(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
-	now := List{Seq: 1, Whole: true, Hosts: keptHosts(3200)}
-	k := keeping(fs, int(math.Floor(listPart*3*(1<<20))), &now, &said)
-	k.changed(now)
+	now := EndpointList{Seq: 1, Whole: true, Hosts: testHosts(3200)}
+	k := newTestListCache(fs, int(math.Floor(listDiskFraction*3*(1<<20))), &now, &said)
+	k.update(now)
 	if l, ok := k.load(); !ok || !slices.Equal(l.Hosts, now.Hosts) || len(said) > 0 {
 		t.Errorf("%d hosts, %v, said %q", len(l.Hosts), ok, said)
 	}
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -13,77 +13,77 @@
 	"whinrun/internal/safety"
 )
 
-// keeper is the engine's Ledger: it says messages in the ledger's terms, which another process understands, too. Ends that
+// ledgerAdapter is the engine's Ledger: it says messages in the ledger's terms, which another process understands, too. Ends that
 // the platform is to hear go on to the notices once they are on record; a delivered message needs no word.
-type keeper struct {
-	l        *ledger.Ledger
-	notes    *noticer
-	settings *control.Settings
-	clock    *clock.Process
-	guard    *safety.Guard
-	dir      *Directory
-	log      func(format string, a ...any)
-	fault    func(text string) // something that must not happen
+type ledgerAdapter struct {
+	ledger      *ledger.Ledger
+	notices     *noticeSender
+	settings    *control.Settings
+	clock       *clock.Process
+	guard       *safety.Guard
+	directory   *Directory
+	log         func(format string, a ...any)
+	reportFault func(text string) // something that must not happen
 
 	mu         sync.Mutex
-	unrecorded []unrecorded
+	unrecorded []unrecordedNotice
 }
 
-// unrecorded is a notice that is not on record yet.
-type unrecorded struct {
-	notice ledger.Notice
-	due    control.Time // the time of its message is over then
+// unrecordedNotice is a notice that is not on record yet.
+type unrecordedNotice struct {
+	notice   ledger.Notice
+	deadline control.Time // the time of its message is over then
 }
 
-// Take is engine.Ledger.
-func (k *keeper) Take(m *engine.Message, due control.Time) error {
-	e := &ledger.Entry{Name: m.Name, Class: k.settings.Classes[m.Class].Name, Destination: m.Dest, Deadline: k.clock.Instant(due), AcceptedAt: k.clock.Instant(m.Taken), IdempotencyKey: m.Repeat,
-		OrderingKey: m.Key, Body: m.Body}
+// RecordAccept is engine.Ledger.
+func (k *ledgerAdapter) RecordAccept(m *engine.Message, due control.Time) error {
+	e := &ledger.Entry{Name: m.ExternalID, Class: k.settings.Classes[m.Class].Name, Destination: m.Dest, Deadline: k.clock.ToInstant(due), AcceptedAt: k.clock.ToInstant(m.AcceptedAt), IdempotencyKey: m.IdempotencyKey,
+		OrderingKey: m.OrderKey, Body: m.Body}
 	if m.Tenant < len(k.settings.Tenants) {
 		e.Tenant = k.settings.Tenants[m.Tenant].Name
 	}
-	err := k.l.Accept(e)
-	if errors.Is(err, recordfile.ErrUncertain) && !k.repeatable(m) {
-		return fmt.Errorf("%w: %w", engine.ErrUncertain, err)
+	err := k.ledger.Accept(e)
+	if errors.Is(err, recordfile.ErrUncertain) && !k.safeToRepeat(m) {
+		return fmt.Errorf("%w: %w", engine.ErrRecordUncertain, err)
 	}
 	return err
 }
 
-// repeatable tells whether executing a message again does no harm, whoever hands it in and when.
-func (k *keeper) repeatable(m *engine.Message) bool {
+// safeToRepeat tells whether executing a message again does no harm, whoever hands it in and when.
+func (k *ledgerAdapter) safeToRepeat(m *engine.Message) bool {
 	c := &k.settings.Classes[m.Class]
 	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
 }
 
 // Write is outbound.Permits.
-func (k *keeper) Write(now control.Time, a *engine.Attempt) error {
-	return k.guard.Write(now, a.Call())
+func (k *ledgerAdapter) Write(now control.Time, a *engine.Attempt) error {
+	return k.guard.Write(now, a.SafetyCall())
 }
 
 // TakenBack is outbound.Permits.
-func (k *keeper) TakenBack(a *engine.Attempt) {
-	k.guard.TakenBack(a.Call())
-	k.told(k.l.RevokeAttempt(a.Msg.Name))
+func (k *ledgerAdapter) TakenBack(a *engine.Attempt) {
+	k.guard.RevokeWrite(a.SafetyCall())
+	k.logFailure(k.ledger.RevokeAttempt(a.Message.ExternalID))
 }
 
 // Record is outbound.Permits. What may be repeated at will needs no record before it is written.
-func (k *keeper) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
-	at, zone := k.clock.Instant(call[0].Sent), call[0].Place.Zone
-	err := k.l.StartAttempts(messageNames(call), at, zone, false)
+func (k *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
+	at, zone := k.clock.ToInstant(call[0].StartedAt), call[0].Placement.Zone
+	err := k.ledger.StartAttempts(messageNames(call), at, zone, false)
 	if err == nil {
 		for _, a := range call {
-			k.verify(a.Msg)
+			k.verifyHistory(a.Message)
 		}
 		return call, nil
 	}
 	var may []*engine.Attempt
 	for _, a := range call {
-		if k.settings.Classes[a.Msg.Class].Effect == control.Free {
+		if k.settings.Classes[a.Message.Class].Effect == control.Free {
 			may = append(may, a)
 		}
 	}
 	if len(may) > 0 {
-		_ = k.l.StartAttempts(messageNames(may), at, zone, true) // it is kept, and written when that works again
+		_ = k.ledger.StartAttempts(messageNames(may), at, zone, true) // it is kept, and written when that works again
 	}
 	return may, err
 }
@@ -91,74 +91,74 @@
 func messageNames(call []*engine.Attempt) []string {
 	names := make([]string, len(call))
 	for i, a := range call {
-		names[i] = a.Msg.Name
+		names[i] = a.Message.ExternalID
 	}
 	return names
 }
 
-// Back is engine.Ledger.
-func (k *keeper) Back(a *engine.Attempt, e safety.End) {
-	k.told(k.l.EndAttempt(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
-	k.verify(a.Msg)
+// RecordAttemptEnd is engine.Ledger.
+func (k *ledgerAdapter) RecordAttemptEnd(a *engine.Attempt, e safety.AttemptResult) {
+	k.logFailure(k.ledger.EndAttempt(a.Message.ExternalID, e.PossiblyExecuted, e.NotCounted))
+	k.verifyHistory(a.Message)
 }
 
-// verify compares what is on record of a message's attempts with what this process knows of them. Guards against a record
+// verifyHistory compares what is on record of a message's attempts with what this process knows of them. Guards against a record
 // from which another process would conclude that a repeat is allowed.
-func (k *keeper) verify(m *engine.Message) {
-	h, ok := k.l.History(m.Name)
+func (k *ledgerAdapter) verifyHistory(m *engine.Message) {
+	h, ok := k.ledger.History(m.ExternalID)
 	if !ok {
 		return
 	}
-	if err := k.guard.Recorded(m.ID, h.Attempts, h.PossiblyExecutedAt > 0, k.clock.Time(h.PossiblyExecutedAt)); err != nil {
-		k.fault(err.Error())
+	if err := k.guard.VerifyRecord(m.ID, h.Attempts, h.PossiblyExecutedAt > 0, k.clock.FromInstant(h.PossiblyExecutedAt)); err != nil {
+		k.reportFault(err.Error())
 	}
 }
 
-// Over is engine.Ledger.
-func (k *keeper) Over(m *engine.Message, a *engine.Answer) {
-	if a == nil || a.Final == engine.Served {
-		k.told(k.l.Complete(m.Name))
+// RecordFinish is engine.Ledger.
+func (k *ledgerAdapter) RecordFinish(m *engine.Message, a *engine.Answer) {
+	if a == nil || a.Kind == engine.Served {
+		k.logFailure(k.ledger.Complete(m.ExternalID))
 		return
 	}
-	n := ledger.Notice{Name: m.Name}
-	if a.Final == engine.Refused {
-		n.Deferred, n.RetryAfterMillis = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
+	n := ledger.Notice{Name: m.ExternalID}
+	if a.Kind == engine.Refused {
+		n.Deferred, n.RetryAfterMillis = true, int64((a.RetryAfter+control.Millisecond-1)/control.Millisecond)
 	}
-	k.end(n, m.Taken+m.Life)
+	k.recordEnd(n, m.AcceptedAt+m.Lifetime)
 }
 
-// end records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
+// recordEnd records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
 // while its sender hands it in again.
-func (k *keeper) end(n ledger.Notice, due control.Time) {
-	if err := k.l.CompleteWithNotice(n); err != nil {
-		k.told(err)
+func (k *ledgerAdapter) recordEnd(n ledger.Notice, due control.Time) {
+	if err := k.ledger.CompleteWithNotice(n); err != nil {
+		k.logFailure(err)
 		k.mu.Lock()
-		k.unrecorded = append(k.unrecorded, unrecorded{n, due})
+		k.unrecorded = append(k.unrecorded, unrecordedNotice{n, due})
 		k.mu.Unlock()
 		return
 	}
-	k.notes.put(n)
+	k.notices.enqueue(n)
 }
 
-// recorded has the notices told that waited for the ledger to be up to date again.
-func (k *keeper) recorded() {
+// sendRecorded has the notices told that waited for the ledger to be up to date again.
+func (k *ledgerAdapter) sendRecorded() {
 	k.mu.Lock()
 	all := k.unrecorded
 	k.unrecorded = nil
 	k.mu.Unlock()
 	for _, u := range all {
-		k.notes.put(u.notice)
+		k.notices.enqueue(u.notice)
 	}
 }
 
-// overdue has those notices told whose message's time is over: a process that still finds the message owed does not send it
+// sendExpired has those notices told whose message's time is over: a process that still finds the message owed does not send it
 // any more. Nobody is told to hand one in again that is not on record as ended.
-func (k *keeper) overdue() {
+func (k *ledgerAdapter) sendExpired() {
 	now := k.clock.Now()
 	k.mu.Lock()
-	var waiting, over []unrecorded
+	var waiting, over []unrecordedNotice
 	for _, u := range k.unrecorded {
-		if u.due > now {
+		if u.deadline > now {
 			waiting = append(waiting, u)
 		} else {
 			over = append(over, u)
@@ -167,40 +167,40 @@
 	k.unrecorded = waiting
 	k.mu.Unlock()
 	for _, u := range over {
-		k.notes.put(ledger.Notice{Name: u.notice.Name})
+		k.notices.enqueue(ledger.Notice{Name: u.notice.Name})
 	}
 }
 
-// Learn is engine.Ledger.
-func (k *keeper) Learn(changed []control.Outage) {
+// RecordOutages is engine.Ledger.
+func (k *ledgerAdapter) RecordOutages(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; k.dir.Listed(o.Endpoint) || o.Over() {
-			all = append(all, k.outage(o))
+		if o := &changed[i]; k.directory.IsListed(o.Endpoint) || o.Over() {
+			all = append(all, k.toLedgerOutage(o))
 		}
 	}
-	k.told(k.l.UpdateOutages(all))
+	k.logFailure(k.ledger.UpdateOutages(all))
 }
 
-// outage says an outage in the ledger's terms.
-func (k *keeper) outage(o *control.Outage) ledger.Outage {
+// toLedgerOutage says an outage in the ledger's terms.
+func (k *ledgerAdapter) toLedgerOutage(o *control.Outage) ledger.Outage {
 	instant := func(t control.Time) clock.Instant {
 		if t == 0 {
 			return 0
 		}
-		return k.clock.Instant(t)
+		return k.clock.ToInstant(t)
 	}
-	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspect, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownAt),
+	return ledger.Outage{Host: k.directory.HostName(o.Endpoint), Suspect: o.Suspect, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownAt),
 		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Proven, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.ColdAt), RefusingSince: instant(o.FullAt)}
 }
 
-// known says an outage of the ledger in the module's terms, of an endpoint.
-func (k *keeper) known(o *ledger.Outage, e control.Entry) *control.Outage {
+// toControlOutage says an outage of the ledger in the module's terms, of an endpoint.
+func (k *ledgerAdapter) toControlOutage(o *ledger.Outage, e control.Entry) *control.Outage {
 	at := func(i clock.Instant) control.Time {
 		if i == 0 {
 			return 0
 		}
-		if t := k.clock.Time(i); t != 0 { // which would say none
+		if t := k.clock.FromInstant(i); t != 0 { // which would say none
 			return t
 		}
 		return -1
@@ -209,19 +209,19 @@
 		Failures: o.ConsecutiveFailures, Proven: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, ColdAt: at(o.RecoveredAt), FullAt: at(o.RefusingSince)}
 }
 
-// acked records that the platform has heard.
-func (k *keeper) acked(names []string) { k.told(k.l.AcknowledgeNotices(names)) }
+// acknowledge records that the platform has heard.
+func (k *ledgerAdapter) acknowledge(names []string) { k.logFailure(k.ledger.AcknowledgeNotices(names)) }
 
-func (k *keeper) told(err error) {
+func (k *ledgerAdapter) logFailure(err error) {
 	if err != nil && !errors.Is(err, ledger.ErrFailing) { // what it fails for was told before
 		k.log("%v", err)
 	}
 }
 
-// owed makes what the ledger holds into messages as the engine takes them, in order. Those of classes or tenants that the
+// restoredMessages makes what the ledger holds into messages as the engine takes them, in order. Those of classes or tenants that the
 // settings don't have any more can't be delivered: their names come apart.
-func (k *keeper) owed(entries []ledger.Entry) (all []*engine.Message, void []string) {
-	classes, tenants := numbers(k.settings)
+func (k *ledgerAdapter) restoredMessages(entries []ledger.Entry) (all []*engine.Message, void []string) {
+	classes, tenants := indexByName(k.settings)
 	now := k.clock.Now()
 	for i := range entries {
 		e := &entries[i]
@@ -231,11 +231,11 @@
 			void = append(void, e.Name)
 			continue
 		}
-		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Destination, Key: e.OrderingKey, Name: e.Name, Repeat: e.IdempotencyKey, Body: e.Body,
-			Life: max(0, k.clock.Time(e.Deadline)-now), Came: now,
+		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Destination, OrderKey: e.OrderingKey, ExternalID: e.Name, IdempotencyKey: e.IdempotencyKey, Body: e.Body,
+			Lifetime: max(0, k.clock.FromInstant(e.Deadline)-now), ReceivedAt: now,
 			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
 		if at, zone, ok := e.PossiblyExecuted(); ok {
-			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, k.clock.Time(at), zone
+			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.ExecutedZone = true, k.clock.FromInstant(at), zone
 		}
 		all = append(all, m)
 	}
--- a/internal/platform/lastlist.go
+++ b/internal/platform/lastlist.go
@@ -15,63 +15,63 @@
 	"whinrun/internal/recordfile"
 )
 
-// lastList keeps the endpoint list as it was last had in the folder that outlasts the process: what discovery had told counts
+// listCache keeps the endpoint list as it was last had in the folder that outlasts the process: what discovery had told counts
 // as told from the next process's first moment, also where discovery says nothing then, and the list of the configuration
 // may be older.
 //
 // The file is checksummed records: the whole list, compressed, and the changes since, each as it came. It is written anew when
 // the changes have grown past a part of the whole. A first record that is damaged is no list; changes count up to the first
 // that is damaged.
-type lastList struct {
-	fs   disk.FS
-	most int // bytes that the file may take
-	log  func(format string, a ...any)
-
-	mu     sync.Mutex
-	file   *recordfile.File
-	base   int           // bytes of the whole list in it
-	whole  func() List   // the list as it is now
-	behind bool          // the file lacks changes
-	tell   bool          // that the list is not kept has been told
-	broken chan struct{} // holds a token once saving has begun to fail
+type listCache struct {
+	fs       disk.FS
+	maxBytes int // bytes that the file may take
+	log      func(format string, a ...any)
+
+	mu            sync.Mutex
+	file          *recordfile.File
+	baseBytes     int                 // bytes of the whole list in it
+	currentList   func() EndpointList // the list as it is now
+	stale         bool                // the file lacks changes
+	failureLogged bool                // that the list is not kept has been told
+	failed        chan struct{}       // holds a token once saving has begun to fail
 }
 
-const listName = "list"
+const listFileName = "list"
 
-// listPart is the part of the folder that a list may take. The one being written stands beside the other, and both fit into the
+// listDiskFraction is the part of the folder that a list may take. The one being written stands beside the other, and both fit into the
 // tenth that the ledger leaves.
-const listPart = 0.045
+const listDiskFraction = 0.045
 
 // changesPart is how much changes may grow beside the whole list, and changesLeast bytes are never too many.
 const (
-	changesPart  = 0.5
-	changesLeast = 8 << 10
+	maxDeltaFraction = 0.5
+	minDeltaBytes    = 8 << 10
 )
 
-func newLastList(fs disk.FS, most int, whole func() List, log func(string, ...any)) *lastList {
-	return &lastList{fs: fs, most: most, whole: whole, log: log, file: recordfile.New(fs, listName), broken: make(chan struct{}, 1)}
+func newListCache(fs disk.FS, most int, whole func() EndpointList, log func(string, ...any)) *listCache {
+	return &listCache{fs: fs, maxBytes: most, currentList: whole, log: log, file: recordfile.New(fs, listFileName), failed: make(chan struct{}, 1)}
 }
 
 // load returns the list that was kept; ok is false where there is none.
-func (k *lastList) load() (l List, ok bool) {
-	b, err := recordfile.Read(k.fs, listName, int64(k.most))
+func (k *listCache) load() (l EndpointList, ok bool) {
+	b, err := recordfile.Read(k.fs, listFileName, int64(k.maxBytes))
 	if err != nil {
-		return List{}, false
+		return EndpointList{}, false
 	}
 	text, at, err := logstore.NextRecord(b, 0, 0)
 	if err != nil {
-		return List{}, false
+		return EndpointList{}, false
 	}
-	if l, err = unpackList(text); err != nil {
-		return List{}, false
+	if l, err = decodeList(text); err != nil {
+		return EndpointList{}, false
 	}
-	merged := newMerge(l)
+	merged := newMergedList(l)
 	for at < len(b) {
 		text, next, err := logstore.NextRecord(b, at, 0)
 		if err != nil {
 			break
 		}
-		var change List
+		var change EndpointList
 		if json.Unmarshal(text, &change) != nil {
 			break
 		}
@@ -81,25 +81,25 @@
 	return merged.list(), true
 }
 
-// changed keeps what discovery told: changes behind the list that there is, a whole list in its place. Where that fails for now,
+// update keeps what discovery told: changes behind the list that there is, a whole list in its place. Where that fails for now,
 // repair tries again.
-func (k *lastList) changed(l List) {
+func (k *listCache) update(l EndpointList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err := k.save(l); err != nil {
-		k.behind = true
-		k.say(err)
+		k.stale = true
+		k.logFailure(err)
 		if disk.IsTransient(err) {
 			select {
-			case k.broken <- struct{}{}:
+			case k.failed <- struct{}{}:
 			default:
 			}
 		}
 	}
 }
 
-func (k *lastList) save(l List) error {
-	if l.Whole || k.behind || k.file.NeedsReplace() {
+func (k *listCache) save(l EndpointList) error {
+	if l.Whole || k.stale || k.file.NeedsReplace() {
 		return k.rewrite()
 	}
 	text, err := json.Marshal(l)
@@ -107,40 +107,40 @@
 		return err
 	}
 	b := logstore.AppendRecord(nil, 0, text)
-	changes := int(k.file.Size()) - k.base + len(b)
-	if changes > max(changesLeast, int(changesPart*float64(k.base))) || k.base+changes > k.most {
+	changes := int(k.file.Size()) - k.baseBytes + len(b)
+	if changes > max(minDeltaBytes, int(maxDeltaFraction*float64(k.baseBytes))) || k.baseBytes+changes > k.maxBytes {
 		return k.rewrite()
 	}
 	return k.file.Append(b)
 }
 
 // rewrite puts the whole list in the place of the file.
-func (k *lastList) rewrite() error {
-	text, err := packList(k.whole())
+func (k *listCache) rewrite() error {
+	text, err := encodeList(k.currentList())
 	if err != nil {
 		return err
 	}
 	b := logstore.AppendRecord(nil, 0, text)
-	if len(b) > k.most {
-		return fmt.Errorf("%d bytes, %d at most", len(b), k.most)
+	if len(b) > k.maxBytes {
+		return fmt.Errorf("%d bytes, %d at most", len(b), k.maxBytes)
 	}
 	if err := k.file.Replace(b); err != nil {
 		return err
 	}
-	k.base, k.behind, k.tell = len(b), false, false
+	k.baseBytes, k.stale, k.failureLogged = len(b), false, false
 	return nil
 }
 
 // repair saves what could not be saved. An error tells that it is to be called again.
-func (k *lastList) repair() error {
+func (k *listCache) repair() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.behind {
+	if !k.stale {
 		return nil
 	}
 	err := k.rewrite()
 	if err != nil {
-		k.say(err)
+		k.logFailure(err)
 	}
 	if disk.IsTransient(err) {
 		return err
@@ -148,28 +148,28 @@
 	return nil
 }
 
-// say tells once that the list is not kept.
-func (k *lastList) say(err error) {
-	if !k.tell {
+// logFailure tells once that the list is not kept.
+func (k *listCache) logFailure(err error) {
+	if !k.failureLogged {
 		k.log("the list is not kept for the next process: %v", err)
 	}
-	k.tell = true
+	k.failureLogged = true
 }
 
 // close ends the use of the file.
-func (k *lastList) close() error {
+func (k *listCache) close() error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.file.Close()
 }
 
-// packFrom is how many bytes a list has from which on it is compressed: it is not worth an encoder's memory below.
-const packFrom = 32 << 10
+// minCompressedListBytes is how many bytes a list has from which on it is compressed: it is not worth an encoder's memory below.
+const minCompressedListBytes = 32 << 10
 
-// packList is a list as it is kept.
-func packList(l List) ([]byte, error) {
+// encodeList is a list as it is kept.
+func encodeList(l EndpointList) ([]byte, error) {
 	text, err := json.Marshal(l)
-	if err != nil || len(text) < packFrom {
+	if err != nil || len(text) < minCompressedListBytes {
 		return text, err
 	}
 	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(256<<10))
@@ -180,16 +180,16 @@
 	return w.EncodeAll(text, nil), nil
 }
 
-// unpackList reads what packList made.
-func unpackList(b []byte) (l List, err error) {
+// decodeList reads what packList made.
+func decodeList(b []byte) (l EndpointList, err error) {
 	if len(b) > 0 && b[0] != '{' {
-		r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxList))
+		r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxListBytes))
 		if err != nil {
-			return List{}, err
+			return EndpointList{}, err
 		}
 		defer r.Close()
 		if b, err = r.DecodeAll(b, nil); err != nil {
-			return List{}, err
+			return EndpointList{}, err
 		}
 	}
 	err = json.Unmarshal(b, &l)
@@ -199,19 +199,19 @@
 	return l, err
 }
 
-// merge is a list to which changes are added.
-type merge struct {
+// mergedList is a list to which changes are added.
+type mergedList struct {
 	seq   int64
 	hosts map[string]Host
 }
 
-func newMerge(l List) *merge {
-	m := &merge{hosts: map[string]Host{}}
+func newMergedList(l EndpointList) *mergedList {
+	m := &mergedList{hosts: map[string]Host{}}
 	m.add(l)
 	return m
 }
 
-func (m *merge) add(l List) {
+func (m *mergedList) add(l EndpointList) {
 	m.seq = l.Seq
 	for _, h := range l.Hosts {
 		if h.Health == "gone" {
@@ -222,8 +222,8 @@
 	}
 }
 
-func (m *merge) list() List {
-	l := List{Seq: m.seq, Whole: true, Hosts: make([]Host, 0, len(m.hosts))}
+func (m *mergedList) list() EndpointList {
+	l := EndpointList{Seq: m.seq, Whole: true, Hosts: make([]Host, 0, len(m.hosts))}
 	for _, h := range m.hosts {
 		l.Hosts = append(l.Hosts, h)
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -25,71 +25,71 @@
 
 // Figures that follow from no setting.
 const (
-	maxAnswer  = 64 << 10 // bytes of an answer's body; none needs more
-	idlePart   = 0.8      // of the time after which endpoints close idle connections, these are used
-	heldOver   = 2        // messages held, as a multiple of max-open: the module sheds down to that
-	stopCalls  = 3000 * control.Millisecond
-	stopWithin = 3200 * time.Millisecond // the platform kills no sooner than 3.7 s after SIGTERM
-	flushTime  = 300 * time.Millisecond  // for the last answers, behind that: a process may be held up for half of it
+	maxResponseBody = 64 << 10 // bytes of an answer's body; none needs more
+	idleFraction    = 0.8      // of the time after which endpoints close idle connections, these are used
+	maxHeldFactor   = 2        // messages held, as a multiple of max-open: the module sheds down to that
+	drainTimeout    = 3000 * control.Millisecond
+	stopTimeout     = 3200 * time.Millisecond // the platform kills no sooner than 3.7 s after SIGTERM
+	flushTimeout    = 300 * time.Millisecond  // for the last answers, behind that: a process may be held up for half of it
 )
 
 // Node is a dispatcher in service on the platform.
 type Node struct {
-	cfg         *Config
-	log         *logs.Logger
-	system      eventloop.System
-	clock       *clock.Process
-	ledger      *ledger.Ledger
-	dir         *Directory
-	desk        *Desk
-	pool        *outbound.Pool
-	loop        *engine.Loop
-	front       *front.Front
-	agent       *agent
-	notes       *noticer
-	last        *lastList
-	listed      atomic.Bool
-	listSeq     atomic.Int64  // version of the list
-	first       chan struct{} // closed when discovery has told its first list
-	quit        chan struct{} // closed at the end
-	storageDone chan struct{} // closed when nothing tends the folder any more
-	heard1      sync.Once
+	cfg               *Config
+	log               *logs.Logger
+	system            eventloop.System
+	clock             *clock.Process
+	ledger            *ledger.Ledger
+	directory         *Directory
+	clients           *ClientHandler
+	pool              *outbound.Pool
+	loop              *engine.Loop
+	front             *front.Front
+	agent             *agent
+	notices           *noticeSender
+	listCache         *listCache
+	hasList           atomic.Bool
+	listSeq           atomic.Int64  // version of the list
+	firstListReceived chan struct{} // closed when discovery has told its first list
+	quit              chan struct{} // closed at the end
+	storageDone       chan struct{} // closed when nothing tends the folder any more
+	firstListOnce     sync.Once
 }
 
-// plan shares the descriptors out: clients can never take those of endpoints, discovery, notices and ledger.
-type plan struct{ clients, endpoints, opening int }
+// descriptorBudget shares the descriptors out: clients can never take those of endpoints, discovery, notices and ledger.
+type descriptorBudget struct{ clients, endpoints, connecting int }
 
-// reserved descriptors: standard streams, event loops and their wakers, listeners, ledger, discovery, notices, and some
+// reservedDescriptors descriptors: standard streams, event loops and their wakers, listeners, ledger, discovery, notices, and some
 // for what the runtime opens.
-const reserved = 40
+const reservedDescriptors = 40
 
-// clientPart of what is left is for clients; they are said to hold a third of all at most, and bad ones come beside.
-const clientPart = 0.6
+// clientFraction of what is left is for clients; they are said to hold a third of all at most, and bad ones come beside.
+const clientFraction = 0.6
 
-func newPlan(sockets, slots int) plan {
+func newDescriptorBudget(sockets, slots int) descriptorBudget {
 	opening := min(slots+4, sockets/16)
-	left := sockets - reserved - opening // a connection being opened takes two for a moment
-	p := plan{clients: int(clientPart * float64(left)), opening: opening}
+	left := sockets - reservedDescriptors - opening // a connection being opened takes two for a moment
+	p := descriptorBudget{clients: int(clientFraction * float64(left)), connecting: opening}
 	p.endpoints = left - p.clients
 	return p
 }
 
 // Start starts a dispatcher: what the ledger owes comes first.
 func Start(cfg *Config, log *logs.Logger) (*Node, error) {
-	folder, err := openFolder(cfg.State)
+	folder, err := openStateDir(cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
-	return startOn(folder, nil, cfg, log)
+	return startWith(folder, nil, cfg, log)
 }
 
-// startOn starts a dispatcher on a folder; system may be nil for the kernel.
-func startOn(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
+// startWith starts a dispatcher on a folder; system may be nil for the kernel.
+func startWith(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
-		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
-	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() List { return n.dir.Whole(n.listSeq.Load()) }, n.warn("discovery"))
-	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), directory: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+		firstListReceived: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
+	n.listCache = newListCache(folder, int(listDiskFraction*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.directory.Snapshot(n.listSeq.Load()) }, n.warnLogger("discovery"))
+	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warnLogger("ledger")); err != nil {
 		return nil, err
 	}
 	if err := n.start(); err != nil {
@@ -103,33 +103,33 @@
 func (n *Node) start() error {
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
-	shares := newPlan(n.cfg.Limits.Sockets, set.Slots)
-	keep := &keeper{l: n.ledger, settings: set, clock: n.clock, guard: guard, dir: n.dir, log: n.warn("ledger"), fault: n.Fault}
+	shares := newDescriptorBudget(n.cfg.Limits.Sockets, set.Slots)
+	keep := &ledgerAdapter{ledger: n.ledger, settings: set, clock: n.clock, guard: guard, directory: n.directory, log: n.warnLogger("ledger"), reportFault: n.InternalError}
 	if err := n.openPool(shares, keep); err != nil {
 		return err
 	}
-	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
-	keep.notes = n.notes
+	n.notices = newNoticeSender(n.agent, keep.acknowledge, n.warnLogger("notices"))
+	keep.notices = n.notices
 	settings := *set
 	settings.Follows = n.ledger.Reopened()
-	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
+	policy := engine.Options{Settings: settings, Ledger: keep, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
-		policy.Trail = trace{n.log, n.dir}
+		policy.Trail = messageTrace{n.log, n.directory}
 	}
-	core, err := engine.NewCore(policy, n.cfg.Seed, n.pool, lists{n}, n)
+	core, err := engine.NewCore(policy, n.cfg.Seed, n.pool, listSource{n}, n)
 	if err != nil {
 		n.pool.Close()
 		return err
 	}
-	hold := heldOver * set.MaxOpen
+	hold := maxHeldFactor * set.MaxOpen
 	entries, owed := n.ledger.Outstanding()
-	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: hold + len(entries), Hold: hold + len(entries)})
-	n.notes.put(owed...)
-	n.discover()
+	n.loop = engine.NewLoop(core, n.clock, engine.Limits{MaxQueued: hold + len(entries), MaxHeld: hold + len(entries)})
+	n.notices.enqueue(owed...)
+	n.startDiscovery()
 	n.restoreOutages(keep)
-	n.restore(keep, entries)
+	n.restoreMessages(keep, entries)
 	go n.loop.Run()
-	go n.keepStorage(keep)
+	go n.maintainStorage(keep)
 	if err := n.openFront(shares, hold); err != nil {
 		n.agent.stop()
 		n.loop.Close()
@@ -138,14 +138,14 @@
 		<-n.storageDone
 		return err
 	}
-	go n.notes.run()
+	go n.notices.run()
 	n.log.Info("node", "%s listens on %v: %d messages and %d notices owed, %d connections for clients, %d for endpoints", n.cfg.Name, n.front.Addr(),
 		len(entries), len(owed), shares.clients, shares.endpoints)
 	return nil
 }
 
-// debug is where what happens to connections is told, nil for nowhere.
-func (n *Node) debug() func(string, ...any) {
+// debugLogger is where what happens to connections is told, nil for nowhere.
+func (n *Node) debugLogger() func(string, ...any) {
 	if !n.cfg.Trace {
 		return nil
 	}
@@ -153,42 +153,42 @@
 }
 
 // openPool opens the connections' side towards endpoints.
-func (n *Node) openPool(shares plan, permits outbound.Permits) error {
+func (n *Node) openPool(shares descriptorBudget, permits outbound.Permits) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
-		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
-		Trace:          n.debug(), Permits: permits, System: n.system,
+		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxResponseBody,
+		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
+		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdle, 5*time.Second))),
+		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.connecting, Total: shares.endpoints},
+		Trace:          n.debugLogger(), Permits: permits, System: n.system,
 	}
-	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
-	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
-	return untilItWorks(n.warn("node"), func() (err error) {
+	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
+	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
+	return retryTransient(n.warnLogger("node"), func() (err error) {
 		n.pool, err = outbound.New(cfg, calls, n.clock, report)
 		return err
 	})
 }
 
 // openFront listens for clients.
-func (n *Node) openFront(shares plan, hold int) error {
+func (n *Node) openFront(shares descriptorBudget, hold int) error {
 	set := &n.cfg.Settings
 	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
 	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
-	n.desk = NewDesk(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
-	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Contains, n.listed.Load
+	n.clients = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Contains, n.hasList.Load
 	if n.cfg.Trace {
-		n.desk.trace = n.debug()
+		n.clients.trace = n.debugLogger()
 	}
-	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debug(), System: n.system}
+	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debugLogger(), System: n.system}
 	log := func(t string) { n.log.Warn("clients", "%s", t) }
-	return untilItWorks(n.warn("node"), func() (err error) {
-		n.front, err = front.New(cfg, n.desk.side, n.clock, log, n.desk.Open)
+	return retryTransient(n.warnLogger("node"), func() (err error) {
+		n.front, err = front.New(cfg, n.clients.admission, n.clock, log, n.clients.Open)
 		return err
 	})
 }
 
-func span(t control.Time, or time.Duration) time.Duration {
+func durationOr(t control.Time, or time.Duration) time.Duration {
 	if t <= 0 {
 		return or
 	}
@@ -197,107 +197,107 @@
 
 func (n *Node) elapsed() time.Duration { return clock.Elapsed(n.clock) }
 
-func (n *Node) warn(part string) func(string, ...any) {
+func (n *Node) warnLogger(part string) func(string, ...any) {
 	return func(f string, a ...any) { n.log.Warn(part, f, a...) }
 }
 
-// firstList is how long discovery's first answer is awaited at a start. It comes at once or discovery is down; until then
+// firstListTimeout is how long discovery's first answer is awaited at a start. It comes at once or discovery is down; until then
 // the list may name addresses that are another's by now.
-const firstList = 500 * time.Millisecond
+const firstListTimeout = 500 * time.Millisecond
 
-// discover begins with the newer of the two lists that are at hand, and has discovery's own before anything is sent, if it
+// startDiscovery begins with the newer of the two lists that are at hand, and has discovery's own before anything is sent, if it
 // answers.
-func (n *Node) discover() {
+func (n *Node) startDiscovery() {
 	known := n.cfg.Known
-	if last, ok := n.last.load(); ok && last.Seq >= known.Seq {
+	if last, ok := n.listCache.load(); ok && last.Seq >= known.Seq {
 		known = last
 	}
-	n.told(known, control.ListCached)
-	go newWatcher(n.agent, n.elapsed, known.Seq, n.heard, n.warn("discovery")).run()
-	wait := time.NewTimer(firstList)
+	n.applyList(known, control.ListCached)
+	go newWatcher(n.agent, n.elapsed, known.Seq, n.receiveList, n.warnLogger("discovery")).run()
+	wait := time.NewTimer(firstListTimeout)
 	defer wait.Stop()
 	select {
-	case <-n.first:
+	case <-n.firstListReceived:
 	case <-wait.C:
 		n.log.Warn("discovery", "no answer yet: the list of version %d is in force", known.Seq)
 	}
 }
 
-// restore hands in what the process before this one owed.
-func (n *Node) restore(k *keeper, entries []ledger.Entry) {
-	all, void := k.owed(entries)
+// restoreMessages hands in what the process before this one owed.
+func (n *Node) restoreMessages(k *ledgerAdapter, entries []ledger.Entry) {
+	all, void := k.restoredMessages(entries)
 	for _, m := range all {
-		m.Origin = nobody{}
+		m.Origin = discardOrigin{}
 		if err := n.loop.Submit(m); err != nil {
-			void = append(void, m.Name)
+			void = append(void, m.ExternalID)
 		}
 	}
 	for _, name := range void {
-		k.end(ledger.Notice{Name: name}, n.clock.Now())
+		k.recordEnd(ledger.Notice{Name: name}, n.clock.Now())
 	}
 }
 
 // restoreOutages hands in what the process before this one knew of outages. Those of endpoints that are not listed any more go
 // off the record.
-func (n *Node) restoreOutages(k *keeper) {
+func (n *Node) restoreOutages(k *ledgerAdapter) {
 	var gone []ledger.Outage
 	for _, o := range n.ledger.Outages() {
-		if e, ok := n.dir.Find(o.Host); ok {
-			n.loop.Put(engine.Input{Outage: k.known(&o, e)})
+		if e, ok := n.directory.Lookup(o.Host); ok {
+			n.loop.Enqueue(engine.Input{Outage: k.toControlOutage(&o, e)})
 		} else {
 			gone = append(gone, ledger.Outage{Host: o.Host})
 		}
 	}
 	if len(gone) > 0 {
-		k.told(k.l.UpdateOutages(gone))
+		k.logFailure(k.ledger.UpdateOutages(gone))
 	}
 }
 
-// nobody is where restored messages came from: their senders have heard that they are taken on, and wait no more.
-type nobody struct{}
+// discardOrigin is where restored messages came from: their senders have heard that they are taken on, and wait no more.
+type discardOrigin struct{}
 
-// Final is engine.Origin.
-func (nobody) Final(*engine.Message, engine.Answer) {}
+// Answer is engine.Origin.
+func (discardOrigin) Answer(*engine.Message, engine.Answer) {}
 
-// heard takes a list from discovery.
-func (n *Node) heard(l List) {
+// receiveList takes a list from discovery.
+func (n *Node) receiveList(l EndpointList) {
 	kind := control.ListDelta
 	if l.Whole {
 		kind = control.ListFull
 	}
-	n.told(l, kind)
+	n.applyList(l, kind)
 	if known := n.listSeq.Swap(l.Seq); l.Whole || len(l.Hosts) > 0 || known != l.Seq {
-		n.last.changed(l)
+		n.listCache.update(l)
 	}
-	n.heard1.Do(func() { close(n.first) })
+	n.firstListOnce.Do(func() { close(n.firstListReceived) })
 }
 
-func (n *Node) told(l List, kind control.ListKind) {
-	entries, faults := n.dir.Apply(l, n.elapsed())
+func (n *Node) applyList(l EndpointList, kind control.ListKind) {
+	entries, faults := n.directory.Apply(l, n.elapsed())
 	for _, err := range faults {
 		n.log.Warn("discovery", "%v", err)
 	}
-	n.loop.Put(engine.Input{List: &engine.List{Kind: kind, Entries: entries}})
+	n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: kind, Entries: entries}})
 	if len(l.Hosts) > 0 || kind == control.ListFull {
-		n.listed.Store(true)
+		n.hasList.Store(true)
 	}
 }
 
-// lists answers what settings with AskList ask for: the watch runs all the time.
-type lists struct{ n *Node }
+// listSource answers what settings with AskList ask for: the watch runs all the time.
+type listSource struct{ node *Node }
 
-func (l lists) Watch() { l.answer() }
-func (l lists) Fetch() { l.answer() }
+func (l listSource) Watch() { l.sendCurrent() }
+func (l listSource) Fetch() { l.sendCurrent() }
 
-func (l lists) answer() {
-	l.n.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
+func (l listSource) sendCurrent() {
+	l.node.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: control.ListDelta}})
 }
 
-// Note is engine.Log.
-func (n *Node) Note(text string) { n.log.Info("module", "%s", text) }
+// Info is engine.Log.
+func (n *Node) Info(text string) { n.log.Info("module", "%s", text) }
 
-// Fault is engine.Log.
-func (n *Node) Fault(text string) { n.log.Error("engine", "%s", text) }
+// InternalError is engine.Log.
+func (n *Node) InternalError(text string) { n.log.Error("engine", "%s", text) }
 
 // Addr is where clients connect.
 func (n *Node) Addr() net.Addr { return n.front.Addr() }
@@ -307,7 +307,7 @@
 
 // Reload takes a new configuration: discovery and notices move. All else stays as at the start.
 func (n *Node) Reload(cfg *Config) {
-	n.agent.move(cfg.Discovery)
+	n.agent.setAddress(cfg.Discovery)
 	n.log.Info("node", "configuration read again: discovery at %v", cfg.Discovery)
 }
 
@@ -315,31 +315,31 @@
 // in the ledger.
 func (n *Node) Stop() {
 	n.log.Info("node", "stopping")
-	n.desk.closing.Store(true)
+	n.clients.stopping.Store(true)
 	n.front.GoAway()
-	n.loop.Put(engine.Input{Stop: stopCalls, Kept: true})
+	n.loop.Enqueue(engine.Input{StopWithin: drainTimeout, KeepMessages: true})
 	begun := n.elapsed()
 	for {
 		st := n.loop.Stats()
 		gone := n.elapsed() - begun
-		quiet := st.Out == 0 && n.notes.waiting() == 0
+		quiet := st.InFlight == 0 && n.notices.waiting() == 0
 		// Also with nothing left to do it stays: a client that is told when to come back fares better than one that
 		// finds nobody.
-		if gone > stopWithin || quiet && gone > time.Duration(stopCalls)*time.Microsecond {
+		if gone > stopTimeout || quiet && gone > time.Duration(drainTimeout)*time.Microsecond {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	// A request that has been read is answered before its connection ends: its sender could not tell what became of it.
 	n.front.StopAccepting()
-	ctx, done := context.WithTimeout(context.Background(), flushTime)
+	ctx, done := context.WithTimeout(context.Background(), flushTimeout)
 	if left := n.front.Flush(ctx); left > 0 {
 		n.log.Warn("clients", "%d connections end with something unread or unheard", left)
 	}
 	done()
 	n.end()
 	st := n.loop.Stats()
-	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Taken,
+	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Accepted,
 		st.Served, st.Refused, st.Failed, st.Open, st.Violations)
 }
 
@@ -351,10 +351,10 @@
 	n.front.Close()
 	n.pool.Close()
 	n.agent.stop()
-	<-n.notes.done
+	<-n.notices.done
 	close(n.quit)
 	<-n.storageDone
-	if err := errors.Join(n.ledger.Close(), n.last.close()); err != nil {
+	if err := errors.Join(n.ledger.Close(), n.listCache.close()); err != nil {
 		n.log.Warn("ledger", "%v", err)
 	}
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -22,47 +22,47 @@
 	"whinrun/internal/testbed"
 )
 
-// day is one dispatcher on a test bed.
-type day struct {
-	t     *testing.T
-	s     *testbed.Testbed
-	agent *testbed.Agent
-	dir   string
-	env   map[string]string
-	addr  string
-	node  *Node
-	disk  *disk.Memory          // in place of the folder, nil for the folder
-	calls *eventlooptest.Faulty // in place of the kernel, nil for the kernel
-	old   []byte                // the configuration, where it is not to be written anew
-	log   bytes.Buffer
-	logMu sync.Mutex
-}
-
-func (d *day) Write(b []byte) (int, error) {
+// testDispatcher is one dispatcher on a test bed.
+type testDispatcher struct {
+	t           *testing.T
+	bed         *testbed.Testbed
+	agent       *testbed.Agent
+	tempDir     string
+	env         map[string]string
+	addr        string
+	node        *Node
+	disk        *disk.Memory          // in place of the folder, nil for the folder
+	faulty      *eventlooptest.Faulty // in place of the kernel, nil for the kernel
+	fixedConfig []byte                // the configuration, where it is not to be written anew
+	logBuf      bytes.Buffer
+	logMu       sync.Mutex
+}
+
+func (d *testDispatcher) Write(b []byte) (int, error) {
 	d.logMu.Lock()
 	defer d.logMu.Unlock()
-	return d.log.Write(b)
+	return d.logBuf.Write(b)
 }
 
-func newDay(t *testing.T) *day {
+func newTestDispatcher(t *testing.T) *testDispatcher {
 	t.Helper()
-	d := &day{t: t, s: testbed.New(), dir: t.TempDir()}
+	d := &testDispatcher{t: t, bed: testbed.New(), tempDir: t.TempDir()}
 	var err error
-	if d.agent, err = d.s.Agent(); err != nil {
+	if d.agent, err = d.bed.Agent(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.agent.Close)
 	if d.addr, err = testbed.FreeAddr(); err != nil {
 		t.Fatal(err)
 	}
-	d.env = map[string]string{"EDGE_CONFIG": filepath.Join(d.dir, "config.json"), "EDGE_STATE": filepath.Join(d.dir, "state")}
+	d.env = map[string]string{"EDGE_CONFIG": filepath.Join(d.tempDir, "config.json"), "EDGE_STATE": filepath.Join(d.tempDir, "state")}
 	return d
 }
 
-// configure writes the configuration with the list as it is now.
-func (d *day) configure() {
+// writeConfig writes the configuration with the list as it is now.
+func (d *testDispatcher) writeConfig() {
 	d.t.Helper()
-	text := d.old
+	text := d.fixedConfig
 	if text == nil {
 		text = testbed.Configuration(d.addr, d.agent)
 	}
@@ -71,19 +71,19 @@
 	}
 }
 
-// start starts the dispatcher, which must be ready.
-func (d *day) start() {
+// startReady starts the dispatcher, which must be ready.
+func (d *testDispatcher) startReady() {
 	d.t.Helper()
 	d.launch()
-	if status, _ := d.talk("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", time.Second); status != 200 {
+	if status, _ := d.roundTrip("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", time.Second); status != 200 {
 		d.t.Fatalf("ready: %d", status)
 	}
 }
 
 // launch starts the dispatcher.
-func (d *day) launch() {
+func (d *testDispatcher) launch() {
 	d.t.Helper()
-	d.configure()
+	d.writeConfig()
 	cfg, err := Load(func(k string) string { return d.env[k] })
 	if err != nil {
 		d.t.Fatal(err)
@@ -94,11 +94,11 @@
 	}
 	switch {
 	case d.disk != nil:
-		d.node, err = startOn(d.disk, d.system(), cfg, log)
-	case d.calls != nil:
+		d.node, err = startWith(d.disk, d.system(), cfg, log)
+	case d.faulty != nil:
 		var folder disk.FS
-		if folder, err = openFolder(cfg.State); err == nil {
-			d.node, err = startOn(folder, d.system(), cfg, log)
+		if folder, err = openStateDir(cfg.StateDir); err == nil {
+			d.node, err = startWith(folder, d.system(), cfg, log)
 		}
 	default:
 		d.node, err = Start(cfg, log)
@@ -115,39 +115,39 @@
 }
 
 // system is what the dispatcher makes its calls by.
-func (d *day) system() eventloop.System {
-	if d.calls == nil {
+func (d *testDispatcher) system() eventloop.System {
+	if d.faulty == nil {
 		return nil
 	}
-	return d.calls
+	return d.faulty
 }
 
 // kill ends it as a crash does.
-func (d *day) kill() {
+func (d *testDispatcher) kill() {
 	d.node.Kill()
 	d.node = nil
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
+	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
 }
 
-// endpoint adds an endpoint and lists it.
-func (d *day) endpoint(host string, dest int, class string, act func(testbed.Call) testbed.Reply) *testbed.Endpoint {
+// addEndpoint adds an endpoint and lists it.
+func (d *testDispatcher) addEndpoint(host string, dest int, class string, act func(testbed.Call) testbed.Reply) *testbed.Endpoint {
 	d.t.Helper()
-	e, err := d.s.Endpoint(host, dest, "", act)
+	e, err := d.bed.Endpoint(host, dest, "", act)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(e.Close)
-	d.list(e, class, "ready")
+	d.setListed(e, class, "ready")
 	return e
 }
 
-func (d *day) list(e *testbed.Endpoint, class, health string) {
+func (d *testDispatcher) setListed(e *testbed.Endpoint, class, health string) {
 	d.agent.Set(testbed.Host{Host: e.Host, Dial: e.Addr, Site: "east", Class: class, Block: e.Dest, Health: health, Share: 1})
 }
 
-// talk writes bytes on a connection of its own and returns the status of the first answer, 0 where the connection was
+// roundTrip writes bytes on a connection of its own and returns the status of the first answer, 0 where the connection was
 // closed without one, -1 where neither came in time.
-func (d *day) talk(text string, within time.Duration) (status int, took time.Duration) {
+func (d *testDispatcher) roundTrip(text string, within time.Duration) (status int, took time.Duration) {
 	d.t.Helper()
 	c, err := net.DialTimeout("tcp", d.addr, time.Second)
 	if err != nil {
@@ -164,7 +164,7 @@
 	return status, time.Since(start)
 }
 
-func msg(name, class string, dest int) testbed.Message {
+func newMessage(name, class string, dest int) testbed.Message {
 	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: dest, Left: 3 * time.Second, Body: "body of " + name}
 	if class == "sync" || class == "turns" {
 		m.Key = "key-" + name
@@ -172,12 +172,12 @@
 	return m
 }
 
-// hand hands in n messages of each class and returns their names.
-func (d *day) hand(prefix string, n, dest int, classes ...string) (names []string) {
+// submitAll hands in n messages of each class and returns their names.
+func (d *testDispatcher) submitAll(prefix string, n, dest int, classes ...string) (names []string) {
 	for i := range n {
 		for _, c := range classes {
 			name := fmt.Sprintf("%s-%s-%d", prefix, c, i)
-			if d.s.Hand(d.addr, msg(name, c, dest)) == 202 {
+			if d.bed.Hand(d.addr, newMessage(name, c, dest)) == 202 {
 				names = append(names, name)
 			}
 		}
@@ -185,41 +185,43 @@
 	return names
 }
 
-// over waits until all have their end.
-func (d *day) over(names []string) {
+// awaitEnds waits until all have their end.
+func (d *testDispatcher) awaitEnds(names []string) {
 	d.t.Helper()
-	if !d.s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) }) {
-		d.t.Fatalf("messages without an end; log: %s", d.text())
+	if !d.bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) }) {
+		d.t.Fatalf("messages without an end; log: %s", d.logText())
 	}
 }
 
-func (d *day) text() string {
+func (d *testDispatcher) logText() string {
 	d.logMu.Lock()
 	defer d.logMu.Unlock()
-	return d.log.String()
+	return d.logBuf.String()
 }
 
-// check has the six rules checked from what passed on the sockets.
-func (d *day) check() {
+// checkRules has the six rules checked from what passed on the sockets.
+func (d *testDispatcher) checkRules() {
 	d.t.Helper()
-	faults := testbed.Check(d.s.Events(), testbed.Rules{Slack: 350 * time.Millisecond, Grace: 1050 * time.Millisecond, Once: []string{"upload"},
+	faults := testbed.Check(d.bed.Events(), testbed.Rules{Slack: 350 * time.Millisecond, Grace: 1050 * time.Millisecond, Once: []string{"upload"},
 		InOrder: []string{"turns"}, Windows: map[string]time.Duration{"sync": 4 * time.Second, "turns": 4 * time.Second}, ColdBudget: 1 << 20, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}, time.Now())
 	for _, f := range faults {
 		d.t.Error(f)
 	}
-	if strings.Contains(d.text(), `"level":"error"`) {
-		d.t.Errorf("log: %s", d.text())
+	if strings.Contains(d.logText(), `"level":"error"`) {
+		d.t.Errorf("log: %s", d.logText())
 	}
 }
 
-func ok(testbed.Call) testbed.Reply { return testbed.Reply{Status: 200, After: 5 * time.Millisecond} }
+func succeed(testbed.Call) testbed.Reply {
+	return testbed.Reply{Status: 200, After: 5 * time.Millisecond}
+}
 
-func always(r testbed.Reply) func(testbed.Call) testbed.Reply {
+func alwaysReply(r testbed.Reply) func(testbed.Call) testbed.Reply {
 	return func(testbed.Call) testbed.Reply { return r }
 }
 
-// first plays r for the first n calls, and is well from then on.
-func first(n int, r testbed.Reply) func(testbed.Call) testbed.Reply {
+// replyFirst plays r for the first n calls, and is well from then on.
+func replyFirst(n int, r testbed.Reply) func(testbed.Call) testbed.Reply {
 	var mu sync.Mutex
 	return func(c testbed.Call) testbed.Reply {
 		mu.Lock()
@@ -227,14 +229,16 @@
 		if n--; n >= 0 {
 			return r
 		}
-		return ok(c)
+		return succeed(c)
 	}
 }
 
-func (d *day) count(k testbed.Kind, name string) int { return testbed.Count(d.s.Events(), k, name) }
+func (d *testDispatcher) countEvents(k testbed.Kind, name string) int {
+	return testbed.Count(d.bed.Events(), k, name)
+}
 
-func TestCalmDay(t *testing.T) {
-	d := newDay(t)
+func TestAllMessagesDelivered(t *testing.T) {
+	d := newTestDispatcher(t)
 	var mu sync.Mutex
 	bodies, keys := map[string]string{}, map[string]string{}
 	see := func(c testbed.Call) testbed.Reply {
@@ -246,23 +250,23 @@
 		for i, n := range c.Names {
 			keys[n] = c.Keys[i]
 		}
-		return ok(c)
+		return succeed(c)
 	}
-	d.endpoint("a", 1, "bulk", see)
-	d.endpoint("b", 2, "single", see)
-	d.start()
-	names := slices.Concat(d.hand("x", 20, 1, "status", "sync", "upload", "turns"), d.hand("y", 20, 2, "status", "sync", "upload"))
+	d.addEndpoint("a", 1, "bulk", see)
+	d.addEndpoint("b", 2, "single", see)
+	d.startReady()
+	names := slices.Concat(d.submitAll("x", 20, 1, "status", "sync", "upload", "turns"), d.submitAll("y", 20, 2, "status", "sync", "upload"))
 	if len(names) != 140 {
 		t.Errorf("%d taken of 140", len(names))
 	}
-	d.over(names)
-	d.check()
+	d.awaitEnds(names)
+	d.checkRules()
 	mu.Lock()
 	defer mu.Unlock()
 	if bodies["y-sync-3"] != "body of y-sync-3" || keys["y-sync-3"] != "key-y-sync-3" || keys["y-upload-3"] != "" {
 		t.Errorf("body %q, key %q, key %q", bodies["y-sync-3"], keys["y-sync-3"], keys["y-upload-3"])
 	}
-	for _, e := range d.s.Events() {
+	for _, e := range d.bed.Events() {
 		if e.Kind == testbed.Noticed || e.Kind == testbed.Refused || e.Kind == testbed.Broke || e.Kind == testbed.Answered && e.Status != 200 {
 			t.Errorf("on a calm day: %+v", e)
 		}
@@ -271,12 +275,12 @@
 
 // Messages that wait for the same endpoint leave as one call, and each gets its own end from the answer.
 func TestBulkCall(t *testing.T) {
-	d := newDay(t)
+	d := newTestDispatcher(t)
 	var mu sync.Mutex
 	most := 0
-	e := d.endpoint("a", 1, "bulk", always(testbed.Reply{Status: 429, Wait: 300 * time.Millisecond}))
-	d.start()
-	names := d.hand("x", 4, 1, "status", "upload")
+	e := d.addEndpoint("a", 1, "bulk", alwaysReply(testbed.Reply{Status: 429, Wait: 300 * time.Millisecond}))
+	d.startReady()
+	names := d.submitAll("x", 4, 1, "status", "upload")
 	e.Act(func(c testbed.Call) testbed.Reply {
 		mu.Lock()
 		defer mu.Unlock()
@@ -286,18 +290,18 @@
 			body += n + " " + []string{"done", "failed", "busy"}[i%3] + "\r\n"
 		}
 		if len(c.Names) == 1 {
-			return ok(c)
+			return succeed(c)
 		}
 		return testbed.Reply{Status: 200, Body: body}
 	})
-	d.over(names)
+	d.awaitEnds(names)
 	mu.Lock()
 	defer mu.Unlock()
 	if most < 2 || most > 5 {
 		t.Errorf("at most %d messages in a call", most)
 	}
 	for _, n := range names {
-		if calls := d.count(testbed.Called, n); strings.Contains(n, "upload") && calls > 4 {
+		if calls := d.countEvents(testbed.Called, n); strings.Contains(n, "upload") && calls > 4 {
 			t.Errorf("%s: %d calls", n, calls)
 		}
 	}
@@ -305,44 +309,44 @@
 
 // An upload whose answer is lost is not sent again: it has its end at once, long before its time is up.
 func TestAnswerLost(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", first(3, testbed.Reply{Drop: true, After: 5 * time.Millisecond}))
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", replyFirst(3, testbed.Reply{Drop: true, After: 5 * time.Millisecond}))
+	d.startReady()
 	start := time.Now()
-	names := d.hand("x", 3, 1, "upload")
-	d.over(names)
+	names := d.submitAll("x", 3, 1, "upload")
+	d.awaitEnds(names)
 	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("the ends took %v", took)
 	}
-	if n := d.count(testbed.Noticed, ""); n == 0 {
+	if n := d.countEvents(testbed.Noticed, ""); n == 0 {
 		t.Error("no notice")
 	}
-	more := d.hand("y", 3, 1, "status", "sync")
-	d.over(more)
-	d.check()
+	more := d.submitAll("y", 3, 1, "status", "sync")
+	d.awaitEnds(more)
+	d.checkRules()
 }
 
 // What a killed process owed is owed by the next: what may not run twice ends with a notice, the rest is delivered.
 func TestKillAndRestart(t *testing.T) {
-	d := newDay(t)
-	e := d.endpoint("a", 1, "single", always(testbed.Reply{Hang: true}))
-	d.start()
-	names := d.hand("x", 3, 1, "status", "sync", "upload")
-	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") >= 3 })
+	d := newTestDispatcher(t)
+	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Hang: true}))
+	d.startReady()
+	names := d.submitAll("x", 3, 1, "status", "sync", "upload")
+	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") >= 3 })
 	out := map[string]bool{}
-	for _, ev := range d.s.Events() {
+	for _, ev := range d.bed.Events() {
 		if ev.Kind == testbed.Called {
 			out[ev.Name] = true
 		}
 	}
 	d.kill()
-	e.Act(ok)
-	d.start()
-	d.over(names)
-	d.check()
+	e.Act(succeed)
+	d.startReady()
+	d.awaitEnds(names)
+	d.checkRules()
 	for _, n := range names {
-		if strings.Contains(n, "upload") && out[n] && (d.count(testbed.Called, n) != 1 || d.count(testbed.Noticed, n) != 1) {
-			t.Errorf("%s: %d calls, %d notices", n, d.count(testbed.Called, n), d.count(testbed.Noticed, n))
+		if strings.Contains(n, "upload") && out[n] && (d.countEvents(testbed.Called, n) != 1 || d.countEvents(testbed.Noticed, n) != 1) {
+			t.Errorf("%s: %d calls, %d notices", n, d.countEvents(testbed.Called, n), d.countEvents(testbed.Noticed, n))
 		}
 	}
 	if len(out) == 0 {
@@ -352,16 +356,16 @@
 
 // Kills again and again under load: nothing lost, no upload sent twice.
 func TestKillsUnderLoad(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "bulk", func(c testbed.Call) testbed.Reply {
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "bulk", func(c testbed.Call) testbed.Reply {
 		return testbed.Reply{Status: []int{200, 200, 200, 500, 503}[c.N%5], After: time.Duration(c.N%7) * 3 * time.Millisecond}
 	})
-	d.endpoint("b", 2, "single", func(c testbed.Call) testbed.Reply {
+	d.addEndpoint("b", 2, "single", func(c testbed.Call) testbed.Reply {
 		return testbed.Reply{Status: 200, Drop: c.N%6 == 0, After: time.Duration(c.N%5) * 4 * time.Millisecond}
 	})
 	var names []string
 	for round := range 6 {
-		d.start()
+		d.startReady()
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		stop := make(chan struct{})
@@ -375,7 +379,7 @@
 					}
 					c := []string{"status", "sync", "upload"}[i%3]
 					n := fmt.Sprintf("r%d-w%d-%s-%d", round, w, c, i)
-					if d.s.Hand(d.addr, msg(n, c, 1+i%2)) == 202 {
+					if d.bed.Hand(d.addr, newMessage(n, c, 1+i%2)) == 202 {
 						mu.Lock()
 						names = append(names, n)
 						mu.Unlock()
@@ -383,15 +387,15 @@
 				}
 			})
 		}
-		had := len(d.s.Events())
-		d.s.Await(3*time.Second, func(ev []testbed.Event) bool { return len(ev) > had+200+50*round })
+		had := len(d.bed.Events())
+		d.bed.Await(3*time.Second, func(ev []testbed.Event) bool { return len(ev) > had+200+50*round })
 		d.kill()
 		close(stop)
 		all.Wait()
 	}
-	d.start()
-	d.over(names)
-	d.check()
+	d.startReady()
+	d.awaitEnds(names)
+	d.checkRules()
 	if len(names) < 100 {
 		t.Errorf("only %d taken", len(names))
 	}
@@ -399,14 +403,14 @@
 
 // SIGTERM: new requests are refused, what is out is awaited, the rest is kept for the next process.
 func TestStopKeepsWhatIsHeld(t *testing.T) {
-	d := newDay(t)
-	e := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 200, After: 400 * time.Millisecond}))
-	d.endpoint("b", 2, "single", always(testbed.Reply{Status: 429, Wait: 10 * time.Second}))
-	d.start()
-	names := d.hand("x", 2, 1, "upload")
-	m := msg("held", "sync", 2)
+	d := newTestDispatcher(t)
+	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, After: 400 * time.Millisecond}))
+	d.addEndpoint("b", 2, "single", alwaysReply(testbed.Reply{Status: 429, Wait: 10 * time.Second}))
+	d.startReady()
+	names := d.submitAll("x", 2, 1, "upload")
+	m := newMessage("held", "sync", 2)
 	m.Left = 5 * time.Second
-	if d.s.Hand(d.addr, m) == 202 {
+	if d.bed.Hand(d.addr, m) == 202 {
 		names = append(names, "held")
 	}
 	done := make(chan struct{})
@@ -415,10 +419,10 @@
 		d.node.Stop()
 		close(done)
 	}()
-	for !d.node.desk.closing.Load() {
+	for !d.node.clients.stopping.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	if status := d.s.Hand(d.addr, msg("late", "status", 1)); status != 503 && status != 429 && status != 0 {
+	if status := d.bed.Hand(d.addr, newMessage("late", "status", 1)); status != 503 && status != 429 && status != 0 {
 		t.Errorf("a new request while stopping: %d", status)
 	}
 	<-done
@@ -426,18 +430,18 @@
 		t.Errorf("the stop took %v", took)
 	}
 	d.node = nil
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
-	e.Act(ok)
-	d.start()
-	d.over(names)
-	d.check()
+	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
+	e.Act(succeed)
+	d.startReady()
+	d.awaitEnds(names)
+	d.checkRules()
 }
 
 // Requests that are read while the dispatcher ends are answered: no connection ends under one.
 func TestStopAnswersWhatIsRead(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
 	done := make(chan struct{})
 	go func() {
 		d.node.Stop()
@@ -452,7 +456,7 @@
 		}
 		n := fmt.Sprint("m", i)
 		_ = c.SetDeadline(time.Now().Add(time.Second))
-		if _, err = c.Write(testbed.Form(msg(n, "status", 1))); err == nil {
+		if _, err = c.Write(testbed.Form(newMessage(n, "status", 1))); err == nil {
 			b := make([]byte, 200)
 			if k, err := c.Read(b); err != nil {
 				cut++ // it was not read: at most the last one, in the moment of the end
@@ -471,16 +475,16 @@
 	if cut > 1 {
 		t.Errorf("%d connections ended under a request", cut)
 	}
-	d.start()
-	d.over(names)
+	d.startReady()
+	d.awaitEnds(names)
 }
 
 // SIGHUP: discovery and notices move, a broken file leaves all as it was.
 func TestReload(t *testing.T) {
-	d := newDay(t)
-	e := d.endpoint("a", 1, "single", ok)
-	d.start()
-	d.over(d.hand("x", 2, 1, "status"))
+	d := newTestDispatcher(t)
+	e := d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 2, 1, "status"))
 	old := d.agent
 	if err := os.WriteFile(d.env["EDGE_CONFIG"], []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -489,83 +493,83 @@
 		t.Error("a broken file is read")
 	}
 	var err error
-	if d.agent, err = d.s.Agent(); err != nil {
+	if d.agent, err = d.bed.Agent(); err != nil {
 		t.Fatal(err)
 	}
 	defer d.agent.Close()
-	d.list(e, "single", "ready")
-	d.configure()
+	d.setListed(e, "single", "ready")
+	d.writeConfig()
 	cfg, err := Load(func(k string) string { return d.env[k] })
 	if err != nil {
 		t.Fatal(err)
 	}
 	d.node.Reload(cfg)
 	old.Close()
-	d.endpoint("b", 2, "single", always(testbed.Reply{Status: 500}))
-	for d.s.Hand(d.addr, msg("known?", "upload", 2)) == 404 { // until the new discovery has told of it
+	d.addEndpoint("b", 2, "single", alwaysReply(testbed.Reply{Status: 500}))
+	for d.bed.Hand(d.addr, newMessage("known?", "upload", 2)) == 404 { // until the new discovery has told of it
 		time.Sleep(5 * time.Millisecond)
 	}
-	names := d.hand("y", 2, 2, "upload")
-	d.over(append(names, "known?"))
-	d.check()
-	if n := d.count(testbed.Noticed, ""); n != 3 {
+	names := d.submitAll("y", 2, 2, "upload")
+	d.awaitEnds(append(names, "known?"))
+	d.checkRules()
+	if n := d.countEvents(testbed.Noticed, ""); n != 3 {
 		t.Errorf("%d notices at the new address, want 3", n)
 	}
 }
 
 // Notices are repeated until they are acknowledged, over a restart, too.
 func TestNoticesUntilAcknowledged(t *testing.T) {
-	d := newDay(t)
+	d := newTestDispatcher(t)
 	d.agent.Fail(500)
-	d.endpoint("a", 1, "single", always(testbed.Reply{Status: 500}))
-	d.start()
-	names := d.hand("x", 3, 1, "upload")
-	d.s.Await(2*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") >= 3 })
+	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 500}))
+	d.startReady()
+	names := d.submitAll("x", 3, 1, "upload")
+	d.bed.Await(2*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") >= 3 })
 	for d.node.Stats().Failed < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	d.kill()
 	d.agent.Fail(0)
-	d.start()
-	d.over(names)
-	d.check()
+	d.startReady()
+	d.awaitEnds(names)
+	d.checkRules()
 }
 
 // A drain binds at once, and what was not written to the endpoint goes elsewhere without blame.
 func TestDrain(t *testing.T) {
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", ok)
-	d.endpoint("b", 1, "single", ok)
-	d.start()
-	d.over(d.hand("x", 5, 1, "status"))
-	d.list(a, "single", "draining")
-	d.over(d.hand("y", 20, 1, "status", "upload"))
-	d.list(a, "single", "gone")
-	d.over(d.hand("z", 20, 1, "status"))
-	d.check()
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", succeed)
+	d.addEndpoint("b", 1, "single", succeed)
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 5, 1, "status"))
+	d.setListed(a, "single", "draining")
+	d.awaitEnds(d.submitAll("y", 20, 1, "status", "upload"))
+	d.setListed(a, "single", "gone")
+	d.awaitEnds(d.submitAll("z", 20, 1, "status"))
+	d.checkRules()
 }
 
 // A new endpoint at the address of one that has gone is another one: it gets no old connection.
 func TestAddressReused(t *testing.T) {
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", ok)
-	d.start()
-	d.over(d.hand("x", 5, 1, "status"))
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 5, 1, "status"))
 	had := a.Opened()
-	d.list(a, "single", "gone")
+	d.setListed(a, "single", "gone")
 	b := &testbed.Endpoint{Host: "b", Dest: 1, Addr: a.Addr}
-	d.list(b, "single", "ready")
-	d.s.Await(time.Second, func([]testbed.Event) bool { return false }) // both changes are told
-	d.over(d.hand("y", 3, 1, "status"))
+	d.setListed(b, "single", "ready")
+	d.bed.Await(time.Second, func([]testbed.Event) bool { return false }) // both changes are told
+	d.awaitEnds(d.submitAll("y", 3, 1, "status"))
 	if a.Opened() == had {
 		t.Error("no connection was opened for the new endpoint")
 	}
-	d.check()
+	d.checkRules()
 }
 
 // Spoilt answers: a single call whose first line says 200 is delivered, all else may have run, and no connection that
 // had one is used again.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply     testbed.Reply
 		delivered bool
@@ -584,19 +588,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := newDay(t)
-			e := d.endpoint("a", 1, "single", first(1, c.reply))
-			d.start()
-			names := d.hand("x", 1, 1, "upload")
-			d.over(names)
-			if got := d.count(testbed.Noticed, names[0]) == 0; got != c.delivered {
-				t.Errorf("delivered %v, want %v; log %s", got, c.delivered, d.text())
+			d := newTestDispatcher(t)
+			e := d.addEndpoint("a", 1, "single", replyFirst(1, c.reply))
+			d.startReady()
+			names := d.submitAll("x", 1, 1, "upload")
+			d.awaitEnds(names)
+			if got := d.countEvents(testbed.Noticed, names[0]) == 0; got != c.delivered {
+				t.Errorf("delivered %v, want %v; log %s", got, c.delivered, d.logText())
 			}
-			d.over(d.hand("y", 2, 1, "status"))
+			d.awaitEnds(d.submitAll("y", 2, 1, "status"))
 			if !strings.HasPrefix(name, "interim") && name != "bad report" && e.Opened() < 2 {
 				t.Error("the spoilt connection was used again")
 			}
-			d.check()
+			d.checkRules()
 		})
 	}
 }
@@ -604,10 +608,10 @@
 // Bad clients get an error or a close within 3 s of connecting, nothing of them reaches an endpoint, and the usual
 // clients are served meanwhile.
 func TestBadClients(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
-	good := string(testbed.Form(msg("m", "status", 1)))
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	good := string(testbed.Form(newMessage("m", "status", 1)))
 	swap := func(from, to string) string {
 		if !strings.Contains(good, from) {
 			t.Fatalf("no %q in %q", from, good)
@@ -644,21 +648,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if status, took := d.talk(text, 3*time.Second); status < 0 || status > 0 && status < 400 {
+			if status, took := d.roundTrip(text, 3*time.Second); status < 0 || status > 0 && status < 400 {
 				t.Errorf("status %d after %v", status, took)
 			}
 		})
 	}
 	t.Run("usual", func(t *testing.T) {
 		t.Parallel()
-		if names := d.hand("u", 50, 1, "status"); len(names) != 50 {
+		if names := d.submitAll("u", 50, 1, "status"); len(names) != 50 {
 			t.Errorf("%d of 50 taken", len(names))
 		} else {
-			d.over(names)
+			d.awaitEnds(names)
 		}
 	})
 	t.Cleanup(func() {
-		for _, e := range d.s.Events() {
+		for _, e := range d.bed.Events() {
 			if e.Kind == testbed.Called && !strings.HasPrefix(e.Name, "u-") {
 				t.Errorf("%q reached an endpoint", e.Name)
 			}
@@ -668,9 +672,9 @@
 
 // Hundreds of mute connections: the usual clients come in all the same.
 func TestMuteFlood(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
-	d.start()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
 	var conns []net.Conn
 	defer func() {
 		for _, c := range conns {
@@ -688,7 +692,7 @@
 	for i := range 20 {
 		n := fmt.Sprint("u", i)
 		for range 5 { // a connection that was closed with nothing sent on for it may be tried again
-			if d.s.Hand(d.addr, msg(n, "status", 1)) == 202 {
+			if d.bed.Hand(d.addr, newMessage(n, "status", 1)) == 202 {
 				names = append(names, n)
 				break
 			}
@@ -697,73 +701,73 @@
 	if len(names) != 20 {
 		t.Errorf("%d of 20 taken beside a flood", len(names))
 	}
-	d.over(names)
+	d.awaitEnds(names)
 	for i, c := range conns {
 		_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 			t.Fatalf("mute connection %d: %v", i, err)
 		}
 	}
-	d.check()
+	d.checkRules()
 }
 
 // The id of a message that is owed its end is not taken twice.
 func TestIDTakenTwice(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", always(testbed.Reply{Status: 200, After: 500 * time.Millisecond}))
-	d.start()
-	names := d.hand("x", 1, 1, "upload")
-	if status, _ := d.talk(string(testbed.Form(msg(names[0], "upload", 1))), time.Second); status != 409 {
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, After: 500 * time.Millisecond}))
+	d.startReady()
+	names := d.submitAll("x", 1, 1, "upload")
+	if status, _ := d.roundTrip(string(testbed.Form(newMessage(names[0], "upload", 1))), time.Second); status != 409 {
 		t.Errorf("the id of an open message: %d", status)
 	}
-	d.over(names)
-	if n := d.count(testbed.Called, names[0]); n != 1 {
+	d.awaitEnds(names)
+	if n := d.countEvents(testbed.Called, names[0]); n != 1 {
 		t.Errorf("%d calls", n)
 	}
-	d.check()
+	d.checkRules()
 }
 
 // A silent endpoint is given up where another can take the message, and all have their ends.
 func TestSilentEndpoint(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", always(testbed.Reply{Hang: true}))
-	d.endpoint("b", 1, "single", ok)
-	d.start()
-	names := d.hand("x", 10, 1, "status", "sync")
-	d.over(names)
-	d.check()
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Hang: true}))
+	d.addEndpoint("b", 1, "single", succeed)
+	d.startReady()
+	names := d.submitAll("x", 10, 1, "status", "sync")
+	d.awaitEnds(names)
+	d.checkRules()
 }
 
 // A start while discovery is down: the known list serves.
 func TestStartWithoutDiscovery(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", ok)
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", succeed)
 	d.agent.Close()
-	d.start()
-	d.over(d.hand("x", 5, 1, "status", "upload"))
-	d.check()
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 5, 1, "status", "upload"))
+	d.checkRules()
 }
 
 // Before any list is known a message is refused, not failed: nobody can tell yet that its destination is none.
 func TestStartWithoutAnyList(t *testing.T) {
-	d := newDay(t)
-	d.old = testbed.Configuration(d.addr, d.agent)
+	d := newTestDispatcher(t)
+	d.fixedConfig = testbed.Configuration(d.addr, d.agent)
 	d.agent.Mute(true)
 	d.launch()
-	if status := d.s.Hand(d.addr, msg("early", "status", 1)); status != 503 {
+	if status := d.bed.Hand(d.addr, newMessage("early", "status", 1)); status != 503 {
 		t.Errorf("a message before any list: %d", status)
 	}
-	if status, _ := d.talk("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", time.Second); status != 503 {
+	if status, _ := d.roundTrip("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", time.Second); status != 503 {
 		t.Errorf("ready: %d", status)
 	}
-	d.endpoint("a", 1, "single", ok)
-	since := len(d.s.Events())
+	d.addEndpoint("a", 1, "single", succeed)
+	since := len(d.bed.Events())
 	d.agent.Mute(false)
-	d.told(since, 5*time.Second)
+	d.awaitList(since, 5*time.Second)
 	for i := 0; ; i++ {
 		name := fmt.Sprint("later", i)
-		if status := d.s.Hand(d.addr, msg(name, "status", 1)); status == 202 {
-			d.over([]string{name})
+		if status := d.bed.Hand(d.addr, newMessage(name, "status", 1)); status == 202 {
+			d.awaitEnds([]string{name})
 			break
 		} else if status != 503 || i > 200 {
 			t.Fatalf("a message when the list is there: %d", status)
@@ -775,25 +779,25 @@
 func TestPathsOfAClass(t *testing.T) {
 	for path, want := range map[string]bool{"/status": true, "/status/": true, "/status/a/b": true, "/status?x=1": true, "/statuses": false,
 		"/": false, "status": false, "/x/status": false, "//status": false} {
-		if beginsWith(path, "status") != want {
+		if isClassPath(path, "status") != want {
 			t.Errorf("%q: %v", path, !want)
 		}
 	}
 }
 
-func TestWaitTold(t *testing.T) {
-	d := newDay(t)
-	d.endpoint("a", 1, "single", first(1, testbed.Reply{Status: 429, Wait: 700 * time.Millisecond}))
-	d.start()
-	d.over(d.hand("x", 5, 1, "status", "upload"))
-	d.check()
+func TestRetryAfter(t *testing.T) {
+	d := newTestDispatcher(t)
+	d.addEndpoint("a", 1, "single", replyFirst(1, testbed.Reply{Status: 429, Wait: 700 * time.Millisecond}))
+	d.startReady()
+	d.awaitEnds(d.submitAll("x", 5, 1, "status", "upload"))
+	d.checkRules()
 }
 
 func TestConfigurationFaults(t *testing.T) {
 	good := fmt.Sprintf(`{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","extra":{"a":[1]},
  "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":{"seq":1,"whole":true,"hosts":[]},"settings":%s}`, testbed.Settings)
 	env := func(k string) string { return map[string]string{"EDGE_STATE": "/x"}[k] }
-	if c, err := parse([]byte(good), env); err != nil || c.Settings.Slots != 10 || c.Listen != netip.MustParseAddrPort("127.0.0.1:0") {
+	if c, err := parseConfig([]byte(good), env); err != nil || c.Settings.Slots != 10 || c.Listen != netip.MustParseAddrPort("127.0.0.1:0") {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, c := range []struct{ from, to, key string }{
@@ -803,7 +807,7 @@
 		{`"slots":10`, `"slots":-1`, "extra.slots"}, {`"tick":5000`, `"tick":"x"`, "tick"}, {`"name":"n"`, `"name":`, ""},
 	} {
 		text := strings.Replace(good, c.from, c.to, 1)
-		if _, err := parse([]byte(text), env); err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
+		if _, err := parseConfig([]byte(text), env); err == nil || !strings.Contains(err.Error(), c.key) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: %v", c.to, c.from, err)
 		}
 	}
@@ -812,7 +816,7 @@
 func FuzzConfiguration(f *testing.F) {
 	f.Add([]byte(`{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":64,"sockets":256,"disk_mb":1},"settings":{}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, err := parse(b, func(string) string { return "" })
+		c, err := parseConfig(b, func(string) string { return "" })
 		if (c == nil || c.Settings.Slots < 0) && err == nil {
 			t.Fatal("neither a configuration nor an error")
 		}
@@ -822,7 +826,7 @@
 func FuzzBulkAnswer(f *testing.F) {
 	f.Add([]byte("a done\r\nb failed\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		ends, ok := bulkEnds(b)
+		ends, ok := parseBulkEnds(b)
 		if ok && len(ends) > len(b) {
 			t.Fatalf("%v", ends)
 		}
@@ -834,7 +838,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n{\"seq\":1,\"hosts\":[{\"host\":\"a\"}]}\n"), 10)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
 		d := NewDirectory(nil, nil)
-		r := &listReader{told: func(l List) { d.Apply(l, time.Second) }, beat: func() {}}
+		r := &listReader{onList: func(l EndpointList) { d.Apply(l, time.Second) }, onHeartbeat: func() {}}
 		if cut = max(0, min(cut, len(b))); r.read(b[:cut]) == nil {
 			_ = r.read(b[cut:])
 		}
@@ -843,21 +847,21 @@
 
 // Both forms of one object give equal settings.
 func TestKnownListIsOld(t *testing.T) {
-	var l List
+	var l EndpointList
 	if err := json.Unmarshal([]byte(`{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","site":"west","class":"single","block":4,"health":"ready"}]}`), &l); err != nil {
 		t.Fatal(err)
 	}
 	d := NewDirectory([]string{"east", "west"}, nil)
 	entries, faults := d.Apply(l, time.Second)
-	if len(faults) != 0 || len(entries) != 1 || entries[0].Zone != 1 || entries[0].Dest != 4 || !d.Knows(4) || d.Knows(5) {
+	if len(faults) != 0 || len(entries) != 1 || entries[0].Zone != 1 || entries[0].Dest != 4 || !d.KnowsDestination(4) || d.KnowsDestination(5) {
 		t.Fatalf("%+v, %v", entries, faults)
 	}
-	entries, _ = d.Apply(List{Seq: 4, Whole: true}, 2*time.Second)
+	entries, _ = d.Apply(EndpointList{Seq: 4, Whole: true}, 2*time.Second)
 	if len(entries) != 1 || entries[0].Health != 2 {
 		t.Errorf("an endpoint that a whole list leaves out: %+v", entries)
 	}
-	d.Apply(List{Seq: 5, Whole: true}, 2*time.Second+2*forgetAfter)
-	if d.Knows(4) || len(d.hosts) != 0 || len(d.byID) != 0 {
+	d.Apply(EndpointList{Seq: 5, Whole: true}, 2*time.Second+2*goneRetention)
+	if d.KnowsDestination(4) || len(d.hosts) != 0 || len(d.byEndpoint) != 0 {
 		t.Error("what is gone for long is kept")
 	}
 }
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -12,55 +12,55 @@
 	"whinrun/internal/ledger"
 )
 
-// group bounds the notices of one request: far below 64 KiB of lines.
-const group = 128
+// maxNoticesPerRequest bounds the notices of one request: far below 64 KiB of lines.
+const maxNoticesPerRequest = 128
 
-// noticer brings notices to the platform, in order, each until it is acknowledged.
-type noticer struct {
-	agent *agent
-	acked func(names []string)
-	log   func(format string, a ...any)
+// noticeSender brings notices to the platform, in order, each until it is acknowledged.
+type noticeSender struct {
+	agent          *agent
+	onAcknowledged func(names []string)
+	log            func(format string, a ...any)
 
 	mu    sync.Mutex
 	queue []ledger.Notice
-	kick  chan struct{}
+	wake  chan struct{}
 	done  chan struct{}
 }
 
-func newNoticer(a *agent, acked func([]string), log func(string, ...any)) *noticer {
-	return &noticer{agent: a, acked: acked, log: log, kick: make(chan struct{}, 1), done: make(chan struct{})}
+func newNoticeSender(a *agent, acked func([]string), log func(string, ...any)) *noticeSender {
+	return &noticeSender{agent: a, onAcknowledged: acked, log: log, wake: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// put adds a notice. The ledger bounds how many there can be: what waits here is in it.
-func (n *noticer) put(all ...ledger.Notice) {
+// enqueue adds a notice. The ledger bounds how many there can be: what waits here is in it.
+func (n *noticeSender) enqueue(all ...ledger.Notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, all...)
 	n.mu.Unlock()
 	select {
-	case n.kick <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
 // waiting counts the notices not acknowledged.
-func (n *noticer) waiting() int {
+func (n *noticeSender) waiting() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.queue)
 }
 
 // run sends until the agent is stopped.
-func (n *noticer) run() {
+func (n *noticeSender) run() {
 	defer close(n.done)
 	var c net.Conn
-	gap := againLeast
+	gap := noticeBackoffMin
 	for {
 		n.mu.Lock()
-		batch := n.queue[:min(group, len(n.queue)):min(group, len(n.queue))]
+		batch := n.queue[:min(maxNoticesPerRequest, len(n.queue)):min(maxNoticesPerRequest, len(n.queue))]
 		n.mu.Unlock()
 		if len(batch) == 0 {
 			select {
-			case <-n.kick:
+			case <-n.wake:
 				continue
 			case <-n.agent.quit:
 				return
@@ -73,18 +73,18 @@
 			c, err = n.agent.dial()
 		}
 		if err == nil {
-			status, err = post(c, batch)
+			status, err = postNotices(c, batch)
 		}
 		if err == nil && (status == 204 || status == 200 || status == 400) {
 			if status == 400 {
 				n.log("%d notices were not understood", len(batch))
 			}
-			n.taken(batch)
-			gap = againLeast
+			n.dequeue(batch)
+			gap = noticeBackoffMin
 			continue
 		}
 		if c != nil {
-			n.agent.hangUp(c)
+			n.agent.closeConn(c)
 			c = nil
 		}
 		if kept && err != nil && !n.agent.stopped() { // the connection may have been closed while idle
@@ -94,19 +94,19 @@
 			return
 		}
 		n.log("%d notices wait: status %d, %v", n.waiting(), status, err)
-		if !n.agent.pause(gap) {
+		if !n.agent.wait(gap) {
 			return
 		}
-		gap = min(2*gap, againMost)
+		gap = min(2*gap, noticeBackoffMax)
 	}
 }
 
-func (n *noticer) taken(batch []ledger.Notice) {
+func (n *noticeSender) dequeue(batch []ledger.Notice) {
 	names := make([]string, len(batch))
 	for i := range batch {
 		names[i] = batch[i].Name
 	}
-	n.acked(names)
+	n.onAcknowledged(names)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.queue = n.queue[len(batch):]; len(n.queue) == 0 {
@@ -116,16 +116,16 @@
 
 // outcome is one line of a request.
 type outcome struct {
-	ID     string `json:"id"`
-	Status string `json:"status"`
-	Again  int64  `json:"again_ms,omitempty"`
+	ID           string `json:"id"`
+	Status       string `json:"status"`
+	RetryAfterMs int64  `json:"again_ms,omitempty"`
 }
 
-func lines(batch []ledger.Notice) (b []byte) {
+func encodeNotices(batch []ledger.Notice) (b []byte) {
 	for _, x := range batch {
 		o := outcome{ID: x.Name, Status: "undeliverable"}
 		if x.Deferred {
-			o.Status, o.Again = "deferred", x.RetryAfterMillis
+			o.Status, o.RetryAfterMs = "deferred", x.RetryAfterMillis
 		}
 		text, _ := json.Marshal(o) // plain strings and numbers: it can't fail
 		b = append(append(b, text...), '\n')
@@ -133,10 +133,10 @@
 	return b
 }
 
-// post makes one request and reads its answer's status.
-func post(c net.Conn, batch []ledger.Notice) (int, error) {
-	body := lines(batch)
-	_ = c.SetDeadline(clock.After(agentConnect))
+// postNotices makes one request and reads its answer's status.
+func postNotices(c net.Conn, batch []ledger.Notice) (int, error) {
+	body := encodeNotices(batch)
+	_ = c.SetDeadline(clock.After(agentTimeout))
 	req := h1.AppendHead(nil, "POST /v1/outcomes HTTP/1.1", "Host", "discovery", "Content-Type", "application/x-ndjson",
 		"Content-Length", strconv.Itoa(len(body)))
 	if _, err := c.Write(append(req, body...)); err != nil {
@@ -156,7 +156,7 @@
 				_ = c.Close() // the next request finds it so, and takes another
 			}
 			return head.Status, nil
-		case size > 0 && (head.Length < 0 || head.Length > int64(maxAnswer)):
+		case size > 0 && (head.Length < 0 || head.Length > int64(maxResponseBody)):
 			return head.Status, fmt.Errorf("status %d with a body that is not read", head.Status)
 		case err != nil:
 			return 0, err
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -16,40 +16,40 @@
 // Pauses between tries on a folder that fails. The longest keeps a notice whose record fails within what may pass after the end
 // of its message's time.
 const (
-	repairLeast = 20 * time.Millisecond
-	repairMost  = 100 * time.Millisecond
-	startWithin = 8 * time.Second // a start gives up then; the platform awaits ten
+	retryBackoffMin = 20 * time.Millisecond
+	retryBackoffMax = 100 * time.Millisecond
+	startRetryLimit = 8 * time.Second // a start gives up then; the platform awaits ten
 )
 
 // openLedger opens the ledger.
 func openLedger(folder disk.FS, limit int64, c *clock.Process, log func(string, ...any)) (l *ledger.Ledger, err error) {
-	err = untilItWorks(log, func() error {
-		l, err = ledger.Open(folder, limit, moment(c))
+	err = retryTransient(log, func() error {
+		l, err = ledger.Open(folder, limit, ledgerNow(c))
 		return err
 	})
 	return l, err
 }
 
-// untilItWorks does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
+// retryTransient does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
 // most: a process that ends for one would be started again, to find the same.
-func untilItWorks(log func(string, ...any), do func() error) error {
-	begun := clock.Start()
-	gap := repairLeast
+func retryTransient(log func(string, ...any), do func() error) error {
+	begun := clock.StartStopwatch()
+	gap := retryBackoffMin
 	for {
 		err := do()
-		if err == nil || !passing(err) || begun.Elapsed() > startWithin {
+		if err == nil || !isTransient(err) || begun.Elapsed() > startRetryLimit {
 			return err
 		}
-		if gap == repairLeast {
-			log("tried again until it works, for %v at most: %v", startWithin, err)
+		if gap == retryBackoffMin {
+			log("tried again until it works, for %v at most: %v", startRetryLimit, err)
 		}
 		time.Sleep(gap)
-		gap = min(2*gap, repairMost)
+		gap = min(2*gap, retryBackoffMax)
 	}
 }
 
-// passing tells whether a fault that keeps a process from starting may pass by itself.
-func passing(err error) bool {
+// isTransient tells whether a fault that keeps a process from starting may pass by itself.
+func isTransient(err error) bool {
 	for _, e := range []error{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.ENOBUFS} {
 		if errors.Is(err, e) {
 			return true
@@ -58,8 +58,8 @@
 	return disk.IsTransient(err)
 }
 
-// openFolder makes and opens the folder that lasts.
-func openFolder(path string) (disk.FS, error) {
+// openStateDir makes and opens the folder that lasts.
+func openStateDir(path string) (disk.FS, error) {
 	folder, err := disk.OpenFolder(path)
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
@@ -67,48 +67,48 @@
 	return folder, nil
 }
 
-// moment is now, for the ledger.
-func moment(c *clock.Process) ledger.ClockReading {
-	return ledger.ClockReading{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
+// ledgerNow is now, for the ledger.
+func ledgerNow(c *clock.Process) ledger.ClockReading {
+	return ledger.ClockReading{Boot: c.BootID(), At: c.ToInstant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
-// keepStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
+// maintainStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
 // goes on then: attempts that need a record, and notices.
-func (n *Node) keepStorage(k *keeper) {
+func (n *Node) maintainStorage(k *ledgerAdapter) {
 	defer close(n.storageDone)
 	for {
 		select {
 		case <-n.quit:
 			return
 		case <-n.ledger.FailureStarted():
-		case <-n.last.broken:
+		case <-n.listCache.failed:
 		}
-		n.repair(k)
+		n.repairStorage(k)
 	}
 }
 
-// repair tries until the folder works, or the node ends.
-func (n *Node) repair(k *keeper) {
+// repairStorage tries until the folder works, or the node ends.
+func (n *Node) repairStorage(k *ledgerAdapter) {
 	failed := n.ledger.Failing()
-	gap := repairLeast
+	gap := retryBackoffMin
 	for {
 		failed = failed || n.ledger.Failing()
-		err := errors.Join(n.ledger.Repair(), n.last.repair())
+		err := errors.Join(n.ledger.Repair(), n.listCache.repair())
 		if failed && !n.ledger.Failing() {
-			k.recorded()
-			n.loop.Put(engine.Input{Recorded: true})
+			k.sendRecorded()
+			n.loop.Enqueue(engine.Input{LedgerWritable: true})
 			n.log.Info("ledger", "it is written again")
 			failed = false
 		}
 		if err == nil {
 			return
 		}
-		k.overdue()
+		k.sendExpired()
 		select {
 		case <-n.quit:
 			return
 		case <-time.After(gap):
 		}
-		gap = min(2*gap, repairMost)
+		gap = min(2*gap, retryBackoffMax)
 	}
 }
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -14,8 +14,8 @@
 	"whinrun/internal/testbed"
 )
 
-// refuseWrites has each change of a folder fail.
-func refuseWrites(fs *disk.Memory, why error) {
+// failWrites has each change of a folder fail.
+func failWrites(fs *disk.Memory, why error) {
 	fs.SetFail(func(op, name string) error {
 		if op == "open" || op == "list" {
 			return nil
@@ -24,12 +24,12 @@
 	})
 }
 
-// awaitLine waits until the log says something.
-func (d *day) awaitLine(text string) {
+// awaitLogLine waits until the log says something.
+func (d *testDispatcher) awaitLogLine(text string) {
 	d.t.Helper()
-	for watch := clock.Start(); !strings.Contains(d.text(), text); time.Sleep(time.Millisecond) {
+	for watch := clock.StartStopwatch(); !strings.Contains(d.logText(), text); time.Sleep(time.Millisecond) {
 		if watch.Elapsed() > 10*time.Second {
-			d.t.Fatalf("the log does not say %q: %s", text, d.text())
+			d.t.Fatalf("the log does not say %q: %s", text, d.logText())
 		}
 	}
 }
@@ -37,36 +37,36 @@
 // A disk that refuses writes for a while: nothing new is taken on, what needs no record goes on, what needs one waits without
 // using up its attempts, and all that was taken on has its end.
 func TestFullDisk(t *testing.T) {
-	d := newDay(t)
+	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
-	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 429, Wait: 200 * time.Millisecond}))
-	d.start()
-	held := d.hand("held", 3, 1, "status", "sync", "upload")
-	if !d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") > 0 }) {
+	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 429, Wait: 200 * time.Millisecond}))
+	d.startReady()
+	held := d.submitAll("held", 3, 1, "status", "sync", "upload")
+	if !d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") > 0 }) {
 		t.Fatal("no call")
 	}
-	refuseWrites(d.disk, unix.ENOSPC)
-	a.Act(ok)
-	if more := d.hand("late", 3, 1, "status", "upload"); len(more) > 0 {
+	failWrites(d.disk, unix.ENOSPC)
+	a.Act(succeed)
+	if more := d.submitAll("late", 3, 1, "status", "upload"); len(more) > 0 {
 		t.Errorf("taken on without a record: %v", more)
 	}
-	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, held) })
-	for _, e := range d.s.Events() {
+	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, held) })
+	for _, e := range d.bed.Events() {
 		if e.Kind == testbed.Answered && e.Status == 200 && !strings.Contains(e.Name, "status") {
 			t.Errorf("%s was called without a record", e.Name)
 		}
 	}
 	for _, name := range held {
-		if strings.Contains(name, "status") && d.count(testbed.Answered, name) == 0 {
+		if strings.Contains(name, "status") && d.countEvents(testbed.Answered, name) == 0 {
 			t.Errorf("%s waits, and needs no record", name)
 		}
 	}
 	d.disk.SetFail(nil)
-	d.awaitLine("it is written again")
-	d.over(held)
-	d.check()
+	d.awaitLogLine("it is written again")
+	d.awaitEnds(held)
+	d.checkRules()
 	for _, name := range held {
-		if d.count(testbed.Noticed, name) > 0 {
+		if d.countEvents(testbed.Noticed, name) > 0 {
 			t.Errorf("%s was given up", name)
 		}
 	}
@@ -75,25 +75,25 @@
 // The disk refuses writes, messages end meanwhile, and the process is killed before the disk works again: nobody is told to hand
 // a message in again that the next process still finds owed.
 func TestKilledWhileTheDiskRefuses(t *testing.T) {
-	d := newDay(t)
+	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
-	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 500}))
-	d.start()
-	a.Act(always(testbed.Reply{Status: 500, After: 50 * time.Millisecond}))
-	names := d.hand("x", 4, 1, "status", "sync", "upload")
-	refuseWrites(d.disk, unix.EIO)
-	d.s.Await(500*time.Millisecond, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
-	for _, e := range d.s.Events() {
+	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 500}))
+	d.startReady()
+	a.Act(alwaysReply(testbed.Reply{Status: 500, After: 50 * time.Millisecond}))
+	names := d.submitAll("x", 4, 1, "status", "sync", "upload")
+	failWrites(d.disk, unix.EIO)
+	d.bed.Await(500*time.Millisecond, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
+	for _, e := range d.bed.Events() {
 		if e.Kind == testbed.Noticed && e.Text == "deferred" {
 			t.Errorf("%s is handed back and not on record as ended", e.Name)
 		}
 	}
 	d.kill()
 	d.disk.SetFail(nil)
-	a.Act(ok)
-	d.start()
-	d.over(names)
-	d.check()
+	a.Act(succeed)
+	d.startReady()
+	d.awaitEnds(names)
+	d.checkRules()
 }
 
 // Faults of the disk that come and go under load, and kills in between: the six rules hold.
@@ -101,12 +101,12 @@
 	for seed := range 3 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := newDay(t)
+			d := newTestDispatcher(t)
 			d.disk = disk.NewMemory()
-			d.endpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
+			d.addEndpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
 				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
 			})
-			d.endpoint("b", 2, "bulk", func(c testbed.Call) testbed.Reply {
+			d.addEndpoint("b", 2, "bulk", func(c testbed.Call) testbed.Reply {
 				return testbed.Reply{Status: []int{200, 429, 200}[c.N%3], After: time.Duration(c.N%7) * 2 * time.Millisecond}
 			})
 			var mu sync.Mutex
@@ -121,15 +121,15 @@
 			}
 			var names []string
 			for round := range 3 {
-				d.start()
+				d.startReady()
 				d.disk.SetFail(fail)
-				names = append(names, d.load(fmt.Sprint("r", round), 300*time.Millisecond)...)
+				names = append(names, d.submitFor(fmt.Sprint("r", round), 300*time.Millisecond)...)
 				d.kill()
 				d.disk.SetFail(nil)
 			}
-			d.start()
-			d.over(names)
-			d.check()
+			d.startReady()
+			d.awaitEnds(names)
+			d.checkRules()
 			if len(names) < 20 {
 				t.Errorf("only %d taken", len(names))
 			}
@@ -137,16 +137,16 @@
 	}
 }
 
-// load hands messages of all classes in for a while, and returns the names of those taken on.
-func (d *day) load(prefix string, span time.Duration) (names []string) {
-	watch := clock.Start()
+// submitFor hands messages of all classes in for a while, and returns the names of those taken on.
+func (d *testDispatcher) submitFor(prefix string, span time.Duration) (names []string) {
+	watch := clock.StartStopwatch()
 	for i := 0; watch.Elapsed() < span; i++ {
 		c := []string{"status", "sync", "upload", "turns"}[i%4]
-		m := msg(fmt.Sprintf("%s-%s-%d", prefix, c, i), c, 1+i%2)
+		m := newMessage(fmt.Sprintf("%s-%s-%d", prefix, c, i), c, 1+i%2)
 		if c == "turns" {
 			m.Order = fmt.Sprint("order-", i%3)
 		}
-		if d.s.Hand(d.addr, m) == 202 {
+		if d.bed.Hand(d.addr, m) == 202 {
 			names = append(names, m.Name)
 		}
 	}
@@ -155,11 +155,11 @@
 
 // A folder that can't be read for a moment, at a start: the process waits for it.
 func TestFolderFailsAtTheStart(t *testing.T) {
-	d := newDay(t)
+	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
-	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 429, Wait: 2 * time.Second}))
-	d.start()
-	names := d.hand("x", 2, 1, "status", "sync", "upload")
+	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 429, Wait: 2 * time.Second}))
+	d.startReady()
+	names := d.submitAll("x", 2, 1, "status", "sync", "upload")
 	d.kill()
 	tries := 0
 	d.disk.SetFailRead(func(op, _ string) error {
@@ -168,47 +168,47 @@
 		}
 		return nil
 	})
-	refuseWrites(d.disk, unix.ENOSPC) // and it can't be written until the process serves
-	a.Act(ok)
-	d.start()
-	if more := d.hand("late", 2, 1, "upload"); len(more) > 0 {
+	failWrites(d.disk, unix.ENOSPC) // and it can't be written until the process serves
+	a.Act(succeed)
+	d.startReady()
+	if more := d.submitAll("late", 2, 1, "upload"); len(more) > 0 {
 		t.Errorf("taken on without a record: %v", more)
 	}
 	d.disk.SetFail(nil)
-	d.over(names)
-	d.check()
-	if !strings.Contains(d.text(), "tried again until it works") {
-		t.Errorf("log: %s", d.text())
+	d.awaitEnds(names)
+	d.checkRules()
+	if !strings.Contains(d.logText(), "tried again until it works") {
+		t.Errorf("log: %s", d.logText())
 	}
 }
 
 // A dispatcher that restarts within an outage has seen it: what it holds is not dumped on the endpoint that returns.
 func TestOutageIsKnownAfterARestart(t *testing.T) {
-	d := newDay(t)
-	a := d.endpoint("a", 1, "single", ok)
-	d.start()
-	d.over(d.hand("before", 3, 1, "status"))
+	d := newTestDispatcher(t)
+	a := d.addEndpoint("a", 1, "single", succeed)
+	d.startReady()
+	d.awaitEnds(d.submitAll("before", 3, 1, "status"))
 	a.Close()
-	names := d.hand("x", 20, 1, "status")
-	for watch := clock.Start(); len(d.node.ledger.Outages()) == 0; time.Sleep(time.Millisecond) {
+	names := d.submitAll("x", 20, 1, "status")
+	for watch := clock.StartStopwatch(); len(d.node.ledger.Outages()) == 0; time.Sleep(time.Millisecond) {
 		if watch.Elapsed() > 5*time.Second {
 			t.Fatal("the outage is not on record")
 		}
 	}
 	for range 2 {
 		d.kill()
-		d.start()
+		d.startReady()
 	}
-	back, err := d.s.Endpoint("a", 1, a.Addr, always(testbed.Reply{Status: 200, After: 300 * time.Millisecond}))
+	back, err := d.bed.Endpoint("a", 1, a.Addr, alwaysReply(testbed.Reply{Status: 200, After: 300 * time.Millisecond}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(back.Close)
-	since := len(d.s.Events())
-	d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Answered, "") > 0 })
-	if calls := testbed.Count(d.s.Events()[since:], testbed.Called, ""); calls != 1 {
+	since := len(d.bed.Events())
+	d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Answered, "") > 0 })
+	if calls := testbed.Count(d.bed.Events()[since:], testbed.Called, ""); calls != 1 {
 		t.Errorf("%d calls before the first answer, want a single trial", calls)
 	}
-	d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
-	d.check()
+	d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
+	d.checkRules()
 }
--- a/internal/platform/syscalls_test.go
+++ b/internal/platform/syscalls_test.go
@@ -18,12 +18,12 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d := newDay(t)
-			d.calls = &eventlooptest.Faulty{}
-			d.endpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
+			d := newTestDispatcher(t)
+			d.faulty = &eventlooptest.Faulty{}
+			d.addEndpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
 				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
 			})
-			d.endpoint("b", 2, "bulk", ok)
+			d.addEndpoint("b", 2, "bulk", succeed)
 			faults := map[string][]error{
 				"socket": {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}, "connect": {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR, unix.ETIMEDOUT,
 					unix.ECONNREFUSED}, "epoll_ctl": {unix.ENOMEM, unix.ENOSPC}, "getsockopt": {unix.ENOBUFS}, "getpeername": {unix.ENOBUFS}}
@@ -32,17 +32,17 @@
 			}
 			var names []string
 			for round := range 2 {
-				d.start()
-				d.calls.Set(eventlooptest.Sometimes(seed, 0.1, faults))
-				names = append(names, d.load(fmt.Sprint("r", round), 500*time.Millisecond)...)
+				d.startReady()
+				d.faulty.Set(eventlooptest.Sometimes(seed, 0.1, faults))
+				names = append(names, d.submitFor(fmt.Sprint("r", round), 500*time.Millisecond)...)
 				d.kill()
-				d.calls.Set(nil)
+				d.faulty.Set(nil)
 			}
-			d.start()
-			d.calls.Set(eventlooptest.Sometimes(seed+100, 0.1, faults))
-			d.over(names)
-			d.calls.Set(nil)
-			d.check()
+			d.startReady()
+			d.faulty.Set(eventlooptest.Sometimes(seed+100, 0.1, faults))
+			d.awaitEnds(names)
+			d.faulty.Set(nil)
+			d.checkRules()
 			if len(names) < 20 {
 				t.Errorf("only %d taken", len(names))
 			}
@@ -58,11 +58,11 @@
 	}{{"connect", unix.EADDRNOTAVAIL}, {"connect", unix.ENETUNREACH}, {"connect", unix.ENOBUFS}, {"socket", unix.ENFILE}, {"epoll_ctl", unix.ENOSPC}} {
 		t.Run(c.call+" "+c.fault.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := newDay(t)
-			d.calls = &eventlooptest.Faulty{}
-			d.endpoint("a", 1, "single", ok)
-			d.start()
-			d.calls.Set(func(call string) error {
+			d := newTestDispatcher(t)
+			d.faulty = &eventlooptest.Faulty{}
+			d.addEndpoint("a", 1, "single", succeed)
+			d.startReady()
+			d.faulty.Set(func(call string) error {
 				if call == c.call {
 					return c.fault
 				}
@@ -70,17 +70,17 @@
 			})
 			var names []string
 			if c.call == "epoll_ctl" { // clients can't be taken either: who was before is served
-				d.calls.Set(nil)
-				names = d.hand("x", 2, 1, "status", "upload")
+				d.faulty.Set(nil)
+				names = d.submitAll("x", 2, 1, "status", "upload")
 			} else {
-				names = d.hand("x", 2, 1, "status", "upload")
-				d.s.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
-				d.calls.Set(nil)
+				names = d.submitAll("x", 2, 1, "status", "upload")
+				d.bed.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
+				d.faulty.Set(nil)
 			}
-			d.over(names)
-			d.check()
-			if len(names) != 4 || d.count(testbed.Noticed, "") > 0 {
-				t.Errorf("%v taken, %d given up", names, d.count(testbed.Noticed, ""))
+			d.awaitEnds(names)
+			d.checkRules()
+			if len(names) != 4 || d.countEvents(testbed.Noticed, "") > 0 {
+				t.Errorf("%v taken, %d given up", names, d.countEvents(testbed.Noticed, ""))
 			}
 		})
 	}
@@ -91,12 +91,12 @@
 	for _, fault := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM} {
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
-			d := newDay(t)
-			d.calls = &eventlooptest.Faulty{}
-			d.endpoint("a", 1, "single", ok)
-			d.start()
+			d := newTestDispatcher(t)
+			d.faulty = &eventlooptest.Faulty{}
+			d.addEndpoint("a", 1, "single", succeed)
+			d.startReady()
 			met := make(chan struct{}, 1)
-			d.calls.Set(func(call string) error {
+			d.faulty.Set(func(call string) error {
 				if call != "accept" {
 					return nil
 				}
@@ -108,15 +108,15 @@
 			})
 			answer := make(chan int)
 			go func() {
-				status, _ := d.talk(string(testbed.Form(msg("m", "status", 1))), 5*time.Second)
+				status, _ := d.roundTrip(string(testbed.Form(newMessage("m", "status", 1))), 5*time.Second)
 				answer <- status
 			}()
 			<-met
-			d.calls.Set(nil)
+			d.faulty.Set(nil)
 			if status := <-answer; status != 202 {
 				t.Errorf("answer %d", status)
 			}
-			if !slices.Contains([]int{0, 1}, d.count(testbed.Noticed, "m")) {
+			if !slices.Contains([]int{0, 1}, d.countEvents(testbed.Noticed, "m")) {
 				t.Error("more than one end")
 			}
 		})
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -16,26 +16,26 @@
 
 // Receipt is the final answer of one message.
 type Receipt struct {
-	Message     string    `json:"message"` // the dispatcher's name of it
-	Answer      string    `json:"answer"`  // served, refused or failed
-	At          time.Time `json:"at"`
-	Detail      string    `json:"detail,omitempty"`
-	Reason      string    `json:"reason,omitempty"` // the dispatcher's own, where no partner's answer ended it
-	Attempts    int       `json:"attempts"`
-	Partner     int       `json:"partner-status,omitempty"`
-	RetryAfter  int64     `json:"retry-after-ms,omitempty"`
-	OutOfTime   bool      `json:"out-of-time,omitempty"`
-	MessageID   string    `json:"message-id,omitempty"`
-	Correlation string    `json:"correlation-id,omitempty"`
-	Exchange    string    `json:"exchange,omitempty"`
-	Key         string    `json:"routing-key,omitempty"`
-	Path        string    `json:"path,omitempty"`
+	Message          string    `json:"message"` // the dispatcher's name of it
+	Answer           string    `json:"answer"`  // served, refused or failed
+	At               time.Time `json:"at"`
+	Detail           string    `json:"detail,omitempty"`
+	Reason           string    `json:"reason,omitempty"` // the dispatcher's own, where no partner's answer ended it
+	Attempts         int       `json:"attempts"`
+	PartnerStatus    int       `json:"partner-status,omitempty"`
+	RetryAfterMillis int64     `json:"retry-after-ms,omitempty"`
+	OutOfTime        bool      `json:"out-of-time,omitempty"`
+	MessageID        string    `json:"message-id,omitempty"`
+	CorrelationID    string    `json:"correlation-id,omitempty"`
+	Exchange         string    `json:"exchange,omitempty"`
+	RoutingKey       string    `json:"routing-key,omitempty"`
+	Path             string    `json:"path,omitempty"`
 }
 
 // New makes a receipt of an answer.
 func New(name string, a *engine.Answer, at time.Time) *Receipt {
-	return &Receipt{Message: name, Answer: a.Final.String(), At: at.UTC(), Detail: a.Why, Reason: a.Reason, Attempts: a.Tries, Partner: a.Status,
-		RetryAfter: int64(a.Wait / 1000), OutOfTime: a.Late}
+	return &Receipt{Message: name, Answer: a.Kind.String(), At: at.UTC(), Detail: a.AttemptDetail, Reason: a.Reason, Attempts: a.Attempts, PartnerStatus: a.Status,
+		RetryAfterMillis: int64(a.RetryAfter / 1000), OutOfTime: a.DeadlineExceeded}
 }
 
 // JSON is the receipt unsigned.
@@ -50,24 +50,24 @@
 	Sign([]byte) []byte
 }
 
-// Media is the type of a signed receipt (RFC 7515 section 9.2.1).
-const Media = "application/jose"
+// MediaType is the type of a signed receipt (RFC 7515 section 9.2.1).
+const MediaType = "application/jose"
 
-type head struct {
+type header struct {
 	Alg string `json:"alg"`
 	Typ string `json:"typ"`
 	Kid string `json:"kid"`
 }
 
-const typ = "whinrun-receipt"
+const receiptType = "whinrun-receipt"
 
-var code = base64.RawURLEncoding.Strict()
+var encoding = base64.RawURLEncoding.Strict()
 
 // Sign returns the receipt in its signed form.
 func (r *Receipt) Sign(key Signer) string {
-	h, _ := json.Marshal(head{"EdDSA", typ, key.ID()})
-	text := code.EncodeToString(h) + "." + code.EncodeToString(r.JSON())
-	return text + "." + code.EncodeToString(key.Sign([]byte(text)))
+	h, _ := json.Marshal(header{"EdDSA", receiptType, key.ID()})
+	text := encoding.EncodeToString(h) + "." + encoding.EncodeToString(r.JSON())
+	return text + "." + encoding.EncodeToString(key.Sign([]byte(text)))
 }
 
 // ErrSignature tells of a receipt that is not as it was signed.
@@ -82,15 +82,15 @@
 	var raw [3][]byte
 	for i := range part {
 		var err error
-		if raw[i], err = code.DecodeString(part[i]); err != nil {
+		if raw[i], err = encoding.DecodeString(part[i]); err != nil {
 			return nil, fmt.Errorf("not a signed receipt: part %d: %w", i+1, err)
 		}
 	}
-	var h head
+	var h header
 	if err := json.Unmarshal(raw[0], &h); err != nil {
 		return nil, fmt.Errorf("not a signed receipt: %w", err)
 	}
-	if h.Alg != "EdDSA" || h.Typ != typ {
+	if h.Alg != "EdDSA" || h.Typ != receiptType {
 		return nil, fmt.Errorf("not a signed receipt: %s, %s", h.Typ, h.Alg)
 	}
 	key, ok := keys[h.Kid]
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -59,7 +59,7 @@
 
 // pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
 }
 
 func (b *background) stop() {
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -34,26 +34,26 @@
 
 func (t *trail) at(r *audit.Record, a *engine.Attempt) *audit.Record {
 	p, _ := t.roster.Place(a.Endpoint)
-	r.Attempt, r.Endpoint = a.N+1, p.Addr.String()
+	r.Attempt, r.Endpoint = a.Number+1, p.Addr.String()
 	return r
 }
 
 // Accepted is engine.Trail, as are the others.
 func (t *trail) Accepted(m *engine.Message) {
 	r := t.of(audit.Accepted, m)
-	r.Tenant, r.Class, r.LifetimeMicros, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Life), len(m.Body)
-	r.Receipt = m.Receipt
+	r.Tenant, r.Class, r.LifetimeMicros, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Lifetime), len(m.Body)
+	r.Receipt = m.ReceiptSubscription
 	t.keeper.Enqueue(r)
 }
 
-func (t *trail) Started(a *engine.Attempt) {
-	t.keeper.Enqueue(t.at(t.of(audit.AttemptStarted, a.Msg), a))
+func (t *trail) AttemptStarted(a *engine.Attempt) {
+	t.keeper.Enqueue(t.at(t.of(audit.AttemptStarted, a.Message), a))
 }
 
-func (t *trail) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
-	r := t.at(t.of(audit.AttemptEnded, a.Msg), a)
-	r.Result, r.PossiblyExecuted, r.Status, r.WaitMicros, r.Detail, r.AfterAnswer = results[v.Result], v.Ran, e.Status, int64(e.Wait), v.Why, after
-	r.TookMicros = max(0, t.keeper.Now().Microseconds()-int64(a.Sent))
+func (t *trail) AttemptEnded(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
+	r := t.at(t.of(audit.AttemptEnded, a.Message), a)
+	r.Result, r.PossiblyExecuted, r.Status, r.WaitMicros, r.Detail, r.AfterAnswer = results[v.Result], v.PossiblyExecuted, e.Status, int64(e.RetryAfter), v.Reason, after
+	r.TookMicros = max(0, t.keeper.Now().Microseconds()-int64(a.StartedAt))
 	t.keeper.Enqueue(r)
 }
 
@@ -65,12 +65,12 @@
 
 func (t *trail) Answered(m *engine.Message, a *engine.Answer) {
 	r := t.of(audit.Answered, m)
-	r.Tenant, r.Result, r.Status, r.WaitMicros, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Final.String(), a.Status, int64(a.Wait), a.Tries
-	r.Detail, r.Reason, r.Receipt = a.Why, a.Reason, m.Receipt
+	r.Tenant, r.Result, r.Status, r.WaitMicros, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Kind.String(), a.Status, int64(a.RetryAfter), a.Attempts
+	r.Detail, r.Reason, r.Receipt = a.AttemptDetail, a.Reason, m.ReceiptSubscription
 	t.keeper.Enqueue(r)
 }
 
-func (t *trail) Learned(e *control.Entry) {
+func (t *trail) EndpointChanged(e *control.Entry) {
 	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: standings[e.Health]}
 	if p, ok := t.roster.Place(e.Endpoint); ok {
 		r.Endpoint = p.Addr.String()
@@ -89,7 +89,7 @@
 
 // restore puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
 // answer by then gets the one that is true of it: failed, it may have been sent.
-func (s *Service) restore(room *mailbox.Room, book *intake.Book) error {
+func (s *Service) restore(room *mailbox.Room, book *intake.Registry) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
 	subscriptions, owed, err := s.keeper.UnfetchedReceipts(since)
 	if err != nil {
@@ -127,5 +127,5 @@
 
 func receiptOf(a *audit.Record) *receipt.Receipt {
 	return &receipt.Receipt{Message: a.Message, Answer: a.Result, At: a.Time(), Detail: a.Detail, Reason: a.Reason, Attempts: a.Attempts,
-		Partner: a.Status, RetryAfter: a.WaitMicros / 1000}
+		PartnerStatus: a.Status, RetryAfterMillis: a.WaitMicros / 1000}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,65 +12,65 @@
 	"whinrun/control"
 )
 
-// pairs holds the settings text; the first fault is kept, naming its key.
-type pairs struct {
-	at  map[string]string
-	err error
+// settingValues holds the settings text; the first fault is kept, naming its key.
+type settingValues struct {
+	values map[string]string
+	err    error
 }
 
-func (p *pairs) fault(key, what string) {
+func (p *settingValues) fail(key, what string) {
 	if p.err == nil {
 		p.err = fmt.Errorf("setting %s: %s", key, what)
 	}
 }
 
-// num reads a number; a key that is absent gives the fallback, or a fault
+// number reads a number; a key that is absent gives the fallback, or a fault
 // where it is needed.
-func (p *pairs) num(key string, needed bool, fallback float64) float64 {
-	text, ok := p.at[key]
+func (p *settingValues) number(key string, needed bool, fallback float64) float64 {
+	text, ok := p.values[key]
 	if !ok {
 		if needed {
-			p.fault(key, "missing")
+			p.fail(key, "missing")
 		}
 		return fallback
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.fault(key, fmt.Sprintf("%q is not a number", text))
+		p.fail(key, fmt.Sprintf("%q is not a number", text))
 		return fallback
 	}
 	if v < 0 {
-		p.fault(key, fmt.Sprintf("%s is out of range", text))
+		p.fail(key, fmt.Sprintf("%s is out of range", text))
 		return fallback
 	}
 	return v
 }
 
-func (p *pairs) count(key string, needed bool, fallback int) int {
-	v := p.num(key, needed, float64(fallback))
+func (p *settingValues) count(key string, needed bool, fallback int) int {
+	v := p.number(key, needed, float64(fallback))
 	if v > math.MaxInt32 {
-		p.fault(key, fmt.Sprintf("%g is out of range", v))
+		p.fail(key, fmt.Sprintf("%g is out of range", v))
 		return fallback
 	}
 	return int(v)
 }
 
-func (p *pairs) span(key string, needed bool) control.Time {
-	v := p.num(key, needed, 0)
+func (p *settingValues) duration(key string, needed bool) control.Time {
+	v := p.number(key, needed, 0)
 	if v > math.MaxInt64/4 {
-		p.fault(key, fmt.Sprintf("%g is out of range", v))
+		p.fail(key, fmt.Sprintf("%g is out of range", v))
 		return 0
 	}
 	return control.Time(v)
 }
 
-func (p *pairs) yes(key string) bool { return p.at[key] == "true" }
+func (p *settingValues) boolean(key string) bool { return p.values[key] == "true" }
 
-func (p *pairs) list(key string) []string {
-	if p.at[key] == "" {
+func (p *settingValues) list(key string) []string {
+	if p.values[key] == "" {
 		return nil
 	}
-	return strings.Split(p.at[key], ",")
+	return strings.Split(p.values[key], ",")
 }
 
 // Flatten turns settings that came as nested JSON into the path=value lines of the wire: lists of plain values joined by
@@ -118,35 +118,35 @@
 	}
 }
 
-var inValue = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
+var scalarReplacer = strings.NewReplacer(" ", "_", ",", "_", "\n", "_", "\r", "_")
 
-func scalar(v any) string { return inValue.Replace(fmt.Sprint(v)) }
+func scalar(v any) string { return scalarReplacer.Replace(fmt.Sprint(v)) }
 
 // ParseSettings reads path=value lines. Unknown keys are skipped.
 func ParseSettings(text string) (control.Settings, error) {
-	p := &pairs{at: make(map[string]string)}
+	p := &settingValues{values: make(map[string]string)}
 	for line := range strings.Lines(text) {
 		if k, v, ok := strings.Cut(strings.TrimSpace(line), "="); ok {
-			p.at[k] = v
+			p.values[k] = v
 		}
 	}
 	s := control.Settings{
 		Me: p.count("me", false, 0), Instances: p.count("instances", true, 1), Zone: p.count("zone", false, 0),
-		Tick: p.span("tick", true), LateHalving: p.at["extra.late"] == "halving",
-		OverShare: p.num("over-share-worth", false, 1),
+		Tick: p.duration("tick", true), LateHalving: p.values["extra.late"] == "halving",
+		OverShare: p.number("over-share-worth", false, 1),
 		Slots:     p.count("extra.slots", true, 1), MaxOpen: p.count("limits.max-open", true, 1),
-		MaxTries: p.count("limits.most-tries", true, 1), MayCancel: p.yes("limits.may-cancel"),
-		Probes: p.yes("limits.probes"), RetryAfter: p.yes("limits.retry-after"),
-		MaxRetryAfter: p.span("limits.max-retry-after", false), ConnIdle: p.span("limits.conn-idle", false),
-		ConnectTimeout: p.span("limits.connect-timeout", false), StreamsPerConn: p.count("limits.streams-per-conn", false, 1),
-		StopSendingWithin: p.span("rules.stop-sending-within", false), ColdFrom: p.num("rules.cold-from", false, 1),
-		WarmUp: p.span("rules.warm-up", false), TipMultiple: p.num("rules.tip-multiple", false, 1),
-		OverloadFor: p.span("rules.overload-for", false), SettleAfterDoubt: p.span("rules.settle-after-doubt", false),
+		MaxTries: p.count("limits.most-tries", true, 1), MayCancel: p.boolean("limits.may-cancel"),
+		Probes: p.boolean("limits.probes"), RetryAfter: p.boolean("limits.retry-after"),
+		MaxRetryAfter: p.duration("limits.max-retry-after", false), ConnIdle: p.duration("limits.conn-idle", false),
+		ConnectTimeout: p.duration("limits.connect-timeout", false), StreamsPerConn: p.count("limits.streams-per-conn", false, 1),
+		StopSendingWithin: p.duration("rules.stop-sending-within", false), ColdFrom: p.number("rules.cold-from", false, 1),
+		WarmUp: p.duration("rules.warm-up", false), TipMultiple: p.number("rules.tip-multiple", false, 1),
+		OverloadFor: p.duration("rules.overload-for", false), SettleAfterDoubt: p.duration("rules.settle-after-doubt", false),
 		ReportLeft: -1, ReportLimit: -1,
-		Peers: p.yes("limits.peer-messages"), PeerPrice: p.num("deductions.peer", false, 0) / maxNote,
-		AskList: p.at["membership-mode"] == "subscribe", AskEvery: p.span("rules.ask-every", false),
+		Peers: p.boolean("limits.peer-messages"), PeerPrice: p.number("deductions.peer", false, 0) / maxNoteBytes,
+		AskList: p.values["membership-mode"] == "subscribe", AskEvery: p.duration("rules.ask-every", false),
 	}
-	switch p.at["weights"] {
+	switch p.values["weights"] {
 	case "nominal":
 		s.Weights = control.WeightNominal
 	case "rough":
@@ -163,7 +163,7 @@
 	for _, text := range p.list("extra.carriage") {
 		fee, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(fee >= 0) || math.IsInf(fee, 0) {
-			p.fault("extra.carriage", fmt.Sprintf("%q is out of range", text))
+			p.fail("extra.carriage", fmt.Sprintf("%q is out of range", text))
 		}
 		s.Fees = append(s.Fees, fee)
 	}
@@ -171,7 +171,7 @@
 	p.classes(&s)
 	for i := range p.count("tenants.count", false, 0) {
 		at := fmt.Sprintf("tenants.%d.", i)
-		s.Tenants = append(s.Tenants, control.Tenant{Name: p.at[at+"name"], Quota: p.num(at+"quota-per-s", true, 0)})
+		s.Tenants = append(s.Tenants, control.Tenant{Name: p.values[at+"name"], Quota: p.number(at+"quota-per-s", true, 0)})
 		if p.err != nil {
 			break
 		}
@@ -179,14 +179,14 @@
 	return s, p.err
 }
 
-func (p *pairs) kinds(s *control.Settings) {
+func (p *settingValues) kinds(s *control.Settings) {
 	batch, apart := p.list("extra.batch-by-kind"), p.list("extra.routes-apart")
 	for i, name := range p.list("host-types") {
 		k := control.Kind{Name: name, Batch: 1}
 		if i < len(batch) {
 			n, err := strconv.Atoi(batch[i])
 			if err != nil || n < 1 {
-				p.fault("extra.batch-by-kind", fmt.Sprintf("%q is not a count", batch[i]))
+				p.fail("extra.batch-by-kind", fmt.Sprintf("%q is not a count", batch[i]))
 			}
 			k.Batch = n
 		}
@@ -195,15 +195,15 @@
 	}
 }
 
-func (p *pairs) classes(s *control.Settings) {
+func (p *settingValues) classes(s *control.Settings) {
 	for i := range p.count("classes.count", true, 0) {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := control.Class{
-			Name: p.at[at+"name"], ZoneGroup: p.at[at+"group"] == "zone", Window: p.span(at+"window", false),
-			Aim: p.span(at+"target", true), Deadline: p.span(at+"hard-limit", true), Worth: p.num(at+"gain", true, 1),
-			LateWorth: p.num(at+"late-worth", false, 0), InOrder: p.yes(at + "by-arrival"),
+			Name: p.values[at+"name"], ZoneGroup: p.values[at+"group"] == "zone", Window: p.duration(at+"window", false),
+			Aim: p.duration(at+"target", true), Deadline: p.duration(at+"hard-limit", true), Worth: p.number(at+"gain", true, 1),
+			LateWorth: p.number(at+"late-worth", false, 0), InOrder: p.boolean(at + "by-arrival"),
 		}
-		switch effect := p.at[at+"effect"]; effect {
+		switch effect := p.values[at+"effect"]; effect {
 		case "free":
 			c.Effect = control.Free
 		case "guarded":
@@ -211,7 +211,7 @@
 		case "single_shot":
 			c.Effect = control.SingleShot
 		default:
-			p.fault(at+"effect", fmt.Sprintf("%q is unknown", effect))
+			p.fail(at+"effect", fmt.Sprintf("%q is unknown", effect))
 		}
 		s.Classes = append(s.Classes, c)
 		if p.err != nil {
