--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,11 +13,11 @@
 	"whinrun/control"
 )
 
-// maxBody bounds a frame so that a damaged length cannot exhaust memory.
-const maxBody = 1 << 30
+// maxFrameBytes bounds a frame so that a damaged length cannot exhaust memory.
+const maxFrameBytes = 1 << 30
 
-// maxNote is the most that a note between instances may hold.
-const maxNote = 256
+// maxNoteBytes is the most that a note between instances may hold.
+const maxNoteBytes = 256
 
 // Event codes.
 const (
@@ -50,20 +50,20 @@
 	acQueryAll
 )
 
-// Kind tells what a Record is about.
-type Kind uint8
+// RecordKind tells what a Record is about.
+type RecordKind uint8
 
 // Kinds of record.
 const (
-	Decision Kind = iota // an event for the module
-	Attach               // an instance starts
-	Exit                 // an instance is killed
-	Other                // well-formed, of no use to the module
+	ModuleEvent RecordKind = iota // an event for the module
+	Attach                        // an instance starts
+	Exit                          // an instance is killed
+	Ignored                       // well-formed, of no use to the module
 )
 
 // Record is one event with the instance it is for.
 type Record struct {
-	Kind     Kind
+	Kind     RecordKind
 	Instance uint16
 	Seed     uint64
 	Settings string
@@ -81,13 +81,13 @@
 // to the connection and to no instance.
 type Decoder struct {
 	r     io.Reader
-	pools map[uint16][]control.Entry
+	lists map[uint16][]control.Entry
 	body  []byte
 }
 
 // NewDecoder returns a Decoder reading from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: r, pools: make(map[uint16][]control.Entry)}
+	return &Decoder{r: r, lists: make(map[uint16][]control.Entry)}
 }
 
 // Next returns the next batch, or io.EOF at a clean end of input.
@@ -101,7 +101,7 @@
 	}
 	b := Batch{Seq: binary.LittleEndian.Uint32(head[0:]), Now: control.Time(binary.LittleEndian.Uint64(head[12:]))}
 	size, count := binary.LittleEndian.Uint32(head[4:]), binary.LittleEndian.Uint32(head[8:])
-	if size > maxBody || count > size {
+	if size > maxFrameBytes || count > size {
 		return b, fmt.Errorf("batch %d: %d bytes cannot hold %d records", b.Seq, size, count)
 	}
 	if cap(d.body) < int(size) {
@@ -112,35 +112,35 @@
 	}
 	c := &cursor{buf: d.body[:size]}
 	for i := 0; i < int(count); i++ {
-		rec, err := d.record(c)
+		rec, err := d.decodeRecord(c)
 		if err != nil {
 			return b, fmt.Errorf("batch %d, record %d: %w", b.Seq, i, err)
 		}
-		if rec.Kind != Other {
+		if rec.Kind != Ignored {
 			b.Records = append(b.Records, rec)
 		}
 	}
-	if c.at != len(c.buf) {
-		return b, fmt.Errorf("batch %d: %d bytes left over after %d records", b.Seq, len(c.buf)-c.at, count)
+	if c.offset != len(c.buf) {
+		return b, fmt.Errorf("batch %d: %d bytes left over after %d records", b.Seq, len(c.buf)-c.offset, count)
 	}
 	return b, nil
 }
 
 // cursor takes fields off a buffer; after a short read every field is zero.
 type cursor struct {
-	buf   []byte
-	at    int
-	short bool
+	buf       []byte
+	offset    int
+	truncated bool
 }
 
 func (c *cursor) take(n int) []byte {
-	if n < 0 || len(c.buf)-c.at < n {
-		c.short = true
-		c.at = len(c.buf)
+	if n < 0 || len(c.buf)-c.offset < n {
+		c.truncated = true
+		c.offset = len(c.buf)
 		return make([]byte, min(max(n, 0), 8))
 	}
-	c.at += n
-	return c.buf[c.at-n : c.at]
+	c.offset += n
+	return c.buf[c.offset-n : c.offset]
 }
 
 func (c *cursor) u8() uint8   { return c.take(1)[0] }
@@ -150,7 +150,7 @@
 func (c *cursor) f32() float32 {
 	return math.Float32frombits(c.u32())
 }
-func (c *cursor) us() control.Time { return control.Time(c.u32()) }
+func (c *cursor) micros() control.Time { return control.Time(c.u32()) }
 
 func (c *cursor) endpoint() control.Endpoint {
 	b := c.take(4)
@@ -160,8 +160,8 @@
 
 func (c *cursor) report() []float32 {
 	n := int(c.u8())
-	if n == 0 || len(c.buf)-c.at < 4*n {
-		c.short = c.short || n > 0
+	if n == 0 || len(c.buf)-c.offset < 4*n {
+		c.truncated = c.truncated || n > 0
 		return nil
 	}
 	r := make([]float32, n)
@@ -171,11 +171,11 @@
 	return r
 }
 
-// record decodes one record.
-func (d *Decoder) record(c *cursor) (Record, error) {
+// decodeRecord decodes one record.
+func (d *Decoder) decodeRecord(c *cursor) (Record, error) {
 	code := c.u8()
 	if code == evPool {
-		return Record{Kind: Other}, d.pool(c)
+		return Record{Kind: Ignored}, d.decodeList(c)
 	}
 	r := Record{Instance: c.u16()}
 	e := &r.Event
@@ -183,7 +183,7 @@
 	case evAttach:
 		r.Kind, r.Seed = Attach, c.u64()
 		n := int(c.u32())
-		if n > len(c.buf)-c.at {
+		if n > len(c.buf)-c.offset {
 			return r, fmt.Errorf("settings of %d bytes do not fit", n)
 		}
 		r.Settings = string(c.take(n))
@@ -197,8 +197,8 @@
 			return r, fmt.Errorf("list kind %d is unknown", e.ListKind)
 		}
 		if e.ListKind != control.ListFailed {
-			pool, ok := d.pools[roster]
-			if !ok && !c.short {
+			pool, ok := d.lists[roster]
+			if !ok && !c.truncated {
 				return r, fmt.Errorf("list %d was never sent", roster)
 			}
 			e.Entries = pool
@@ -208,20 +208,20 @@
 		c.u8()
 		e.Class = int(c.u8())
 		c.u32()
-		e.Grace, e.Dest, e.Key = c.us(), int(c.f32()), c.u64()
+		e.Grace, e.Dest, e.Key = c.micros(), int(c.f32()), c.u64()
 	case evFlowing:
 		e.Kind, e.Message, e.Attempt, e.Endpoint = control.Started, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
-		e.Lag = c.us()
+		e.Lag = c.micros()
 	case evResolved:
-		return r, c.resolved(e)
+		return r, c.decodeOutcome(e)
 	case evWithdrawn:
 		e.Kind, e.Message = control.Withdrawn, control.MessageID(c.u64())
 	case evTickDue:
 		e.Kind, e.Mark = control.Tick, c.u64()
 	case evProbed:
-		e.Kind, e.Lag, e.Endpoint = control.Probed, c.us(), c.endpoint()
+		e.Kind, e.Lag, e.Endpoint = control.Probed, c.micros(), c.endpoint()
 		var err error
-		if e.Result, err = result(c.u8()); err != nil && !c.short {
+		if e.Result, err = decodeResult(c.u8()); err != nil && !c.truncated {
 			return r, err
 		}
 		e.Report = c.report()
@@ -230,37 +230,37 @@
 		c.u16()
 		e.Content = string(c.take(int(c.u16())))
 	default:
-		if c.short {
+		if c.truncated {
 			return r, io.ErrUnexpectedEOF
 		}
 		return r, fmt.Errorf("event code %d is unknown", code)
 	}
-	if c.short {
+	if c.truncated {
 		return r, fmt.Errorf("event code %d is cut short", code)
 	}
 	return r, nil
 }
 
-func (c *cursor) resolved(e *control.Event) error {
+func (c *cursor) decodeOutcome(e *control.Event) error {
 	e.Kind, e.Message, e.Attempt, e.Endpoint = control.Outcome, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
-	res, err := result(c.u8())
-	e.Result, e.Lag, e.Closed = res, c.us(), c.u8() != 0
+	res, err := decodeResult(c.u8())
+	e.Result, e.Lag, e.Closed = res, c.micros(), c.u8() != 0
 	note := c.u32()
 	if res == control.Full {
 		e.Wait = control.Time(note) * control.Millisecond
 	}
 	e.Report = c.report()
-	if c.short {
+	if c.truncated {
 		return fmt.Errorf("event code %d is cut short", evResolved)
 	}
 	return err
 }
 
-// pool decodes a numbered endpoint list; a new one replaces the old.
-func (d *Decoder) pool(c *cursor) error {
+// decodeList decodes a numbered endpoint list; a new one replaces the old.
+func (d *Decoder) decodeList(c *cursor) error {
 	id, n := c.u16(), int(c.u32())
 	const entry = 23
-	if n > (len(c.buf)-c.at)/entry {
+	if n > (len(c.buf)-c.offset)/entry {
 		return fmt.Errorf("list of %d entries does not fit", n)
 	}
 	list := make([]control.Entry, n)
@@ -274,15 +274,15 @@
 			return fmt.Errorf("entry %d: standing %d is unknown", i, l.Health)
 		}
 	}
-	if c.short {
+	if c.truncated {
 		return fmt.Errorf("event code %d is cut short", evPool)
 	}
-	d.pools[id] = list
+	d.lists[id] = list
 	return nil
 }
 
-// result translates an outcome code.
-func result(code uint8) (control.Result, error) {
+// decodeResult translates an outcome code.
+func decodeResult(code uint8) (control.Result, error) {
 	switch code {
 	case 0:
 		return control.OK, nil
@@ -313,74 +313,74 @@
 // Reset empties the reply for the next batch.
 func (r *Reply) Reset() { r.body, r.count = r.body[:0], 0 }
 
-func (r *Reply) head(code uint8, who uint16) {
+func (r *Reply) appendHeader(code uint8, who uint16) {
 	r.count++
 	r.body = append(r.body, code)
 	r.body = binary.LittleEndian.AppendUint16(r.body, who)
 }
 
-func (r *Reply) endpoint(e control.Endpoint) {
+func (r *Reply) appendEndpoint(e control.Endpoint) {
 	r.body = binary.LittleEndian.AppendUint32(r.body, uint32(e>>16))
 	r.body = binary.LittleEndian.AppendUint16(r.body, uint16(e))
 }
 
-func (r *Reply) span(t control.Time) {
+func (r *Reply) appendDuration(t control.Time) {
 	r.body = binary.LittleEndian.AppendUint32(r.body, uint32(min(max(t, 0), math.MaxUint32)))
 }
 
-func (r *Reply) text(code uint8, who uint16, s string) {
+func (r *Reply) appendText(code uint8, who uint16, s string) {
 	s = s[:min(len(s), math.MaxUint16)]
-	r.head(code, who)
+	r.appendHeader(code, who)
 	r.body = binary.LittleEndian.AppendUint16(r.body, uint16(len(s)))
 	r.body = append(r.body, s...)
 }
 
 // Fatal adds the end of an instance whose decision code failed.
-func (r *Reply) Fatal(who uint16, text string) { r.text(acFatal, who, text) }
+func (r *Reply) Fatal(who uint16, text string) { r.appendText(acFatal, who, text) }
 
 // Add encodes one action of an instance.
 func (r *Reply) Add(who uint16, a control.Action) {
 	le := binary.LittleEndian
 	switch a.Kind {
 	case control.Send:
-		r.head(acAttempt, who)
+		r.appendHeader(acAttempt, who)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
-		r.endpoint(a.Endpoint)
-		r.span(a.After)
+		r.appendEndpoint(a.Endpoint)
+		r.appendDuration(a.After)
 	case control.Refuse:
-		r.head(acOverloadReply, who)
+		r.appendHeader(acOverloadReply, who)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
-		r.span(a.After)
+		r.appendDuration(a.After)
 	case control.Fail:
-		r.head(acReportFailure, who)
+		r.appendHeader(acReportFailure, who)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
 	case control.Cancel:
-		r.head(acStopAttempt, who)
+		r.appendHeader(acStopAttempt, who)
 		r.body = le.AppendUint64(r.body, uint64(a.Message))
 		r.body = le.AppendUint16(r.body, uint16(a.Attempt))
 	case control.Timer:
-		r.head(acTimer, who)
-		r.span(a.After)
+		r.appendHeader(acTimer, who)
+		r.appendDuration(a.After)
 		r.body = le.AppendUint64(r.body, a.Mark)
 	case control.Probe:
-		r.head(acAskLoad, who)
-		r.endpoint(a.Endpoint)
+		r.appendHeader(acAskLoad, who)
+		r.appendEndpoint(a.Endpoint)
 	case control.Close:
-		r.head(acHangUp, who)
-		r.endpoint(a.Endpoint)
+		r.appendHeader(acHangUp, who)
+		r.appendEndpoint(a.Endpoint)
 	case control.Share:
-		text := a.Text[:min(len(a.Text), maxNote)]
-		r.head(acShare, who)
+		text := a.Text[:min(len(a.Text), maxNoteBytes)]
+		r.appendHeader(acShare, who)
 		r.body = le.AppendUint32(r.body, math.MaxUint32)
 		r.body = le.AppendUint16(r.body, uint16(len(text)))
 		r.body = append(r.body, text...)
 	case control.Watch:
-		r.head(acTrack, who)
+		r.appendHeader(acTrack, who)
 		r.body = append(r.body, 1)
 	case control.Fetch:
-		r.head(acQueryAll, who)
+		r.appendHeader(acQueryAll, who)
 	case control.Note:
-		r.text(acNoteDown, who, a.Text)
+		r.appendText(acNoteDown, who, a.Text)
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"whinrun/control"
 )
 
-func unhex(t testing.TB, s string) []byte {
+func decodeHex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
 	if err != nil {
@@ -20,13 +20,13 @@
 	return b
 }
 
-const sample = `0c000000 39000000 03000000 5a5c800000000000
+const sampleBatch = `0c000000 39000000 03000000 5a5c800000000000
 	12 0300 c4913a5d82c10c00 0000 01 00 e02e0000 80a90300 00006442 640ad2557c3bf091
 	16 0300 4d00000000000000
 	15 0500 192b6f0e7a800700`
 
 func TestDecodeBatch(t *testing.T) {
-	d := NewDecoder(bytes.NewReader(unhex(t, sample)))
+	d := NewDecoder(bytes.NewReader(decodeHex(t, sampleBatch)))
 	b, err := d.Next()
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	if err := r.Write(&out, 12); err != nil {
 		t.Fatal(err)
 	}
-	want := unhex(t, `0c000000 03000000 3a000000 10 0300 c4913a5d82c10c00 0a124a07 931f 80380100
+	want := decodeHex(t, `0c000000 03000000 3a000000 10 0300 c4913a5d82c10c00 0a124a07 931f 80380100
 		14 0300 20a10700 4d00000000000000 18 0500 1100`)
 	if !bytes.HasPrefix(out.Bytes(), want) || out.Len() != 12+0x3a {
 		t.Errorf("reply %x", out.Bytes())
@@ -74,7 +74,7 @@
 		"left over":      {"0c000000 04000000 01000000 5a5c800000000000 19030000", "1 bytes left over"},
 		"list never set": {"0c000000 0e000000 01000000 5a5c800000000000 110300020000000000000000 0700", "list 7 was never sent"},
 	} {
-		_, err := NewDecoder(bytes.NewReader(unhex(t, c.in))).Next()
+		_, err := NewDecoder(bytes.NewReader(decodeHex(t, c.in))).Next()
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %q", name, err, c.want)
 		}
@@ -82,9 +82,9 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(unhex(f, sample))
-	f.Add(unhex(f, "0c000000 03000000 09000000 5a5c800000000000 190300"))
-	f.Add(unhex(f, `01000000 38000000 02000000 0000000000000000 1a 0000 01000000 0a124a07931f00003900010000803f
+	f.Add(decodeHex(f, sampleBatch))
+	f.Add(decodeHex(f, "0c000000 03000000 09000000 5a5c800000000000 190300"))
+	f.Add(decodeHex(f, `01000000 38000000 02000000 0000000000000000 1a 0000 01000000 0a124a07931f00003900010000803f
 		0000000000000000 14 0300 01 00`))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		d := NewDecoder(bytes.NewReader(in))
@@ -143,7 +143,7 @@
 	if err := r.Write(&out, 1); err != nil {
 		t.Fatal(err)
 	}
-	if want := unhex(t, `01000000 01000000 09000000 16 0300 0a9011f2 bc1f`); !bytes.Equal(out.Bytes(), want) {
+	if want := decodeHex(t, `01000000 01000000 09000000 16 0300 0a9011f2 bc1f`); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("reply %x, want %x", out.Bytes(), want)
 	}
 }
@@ -155,14 +155,14 @@
 	r.Add(3, control.Action{Kind: control.Fetch})
 	r.Add(3, control.Action{Kind: control.Share, Text: "hi 7"})
 	r.Add(3, control.Action{Kind: control.Share, Text: strings.Repeat("x", 300)})
-	want := unhex(t, "1a 0300 01  1b 0300  17 0300 ffffffff 0400 68692037  17 0300 ffffffff 0001")
-	if !bytes.HasPrefix(r.body, want) || len(r.body) != len(want)+maxNote {
+	want := decodeHex(t, "1a 0300 01  1b 0300  17 0300 ffffffff 0400 68692037  17 0300 ffffffff 0001")
+	if !bytes.HasPrefix(r.body, want) || len(r.body) != len(want)+maxNoteBytes {
 		t.Errorf("encoded %x, %d bytes", r.body[:len(want)], len(r.body))
 	}
 	frame := func(body string) []byte {
-		b := unhex(t, body)
-		head := append(unhex(t, "01000000"), byte(len(b)), 0, 0, 0, 1, 0, 0, 0)
-		return append(append(head, unhex(t, "5a5c800000000000")...), b...)
+		b := decodeHex(t, body)
+		head := append(decodeHex(t, "01000000"), byte(len(b)), 0, 0, 0, 1, 0, 0, 0)
+		return append(append(head, decodeHex(t, "5a5c800000000000")...), b...)
 	}
 	b, err := NewDecoder(bytes.NewReader(frame("18 0300 0200 0400 68692037"))).Next()
 	if err != nil || len(b.Records) != 1 || b.Records[0].Event.Kind != control.NoteFrom ||
