--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -10,17 +10,17 @@
 	"whinrun/internal/logstore"
 )
 
-// OpenReader opens a folder's trail for reading, also beside a running dispatcher.
-func OpenReader(folder string) (*logstore.Store, logstore.Report, error) {
+// OpenReader opens the trail in a folder for reading. A dispatcher may be writing to the trail at the same time.
+func OpenReader(folder string) (*logstore.Store, logstore.RecoveryReport, error) {
 	fs, err := disk.OpenFolder(folder)
 	if err != nil {
-		return nil, logstore.Report{}, err
+		return nil, logstore.RecoveryReport{}, err
 	}
-	return logstore.Open(fs, logstore.Options{Labels: Labels, Wall: clock.Wall, ReadOnly: true})
+	return logstore.Open(fs, logstore.Options{Labels: Labels, WallClock: clock.Wall, ReadOnly: true})
 }
 
-// All returns every record, in order.
-func All(store *logstore.Store) (all []*Record, err error) {
+// AllRecords returns all records, in order. It fails if any of them is corrupt.
+func AllRecords(store *logstore.Store) (all []*Record, err error) {
 	err = store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		all = append(all, r)
@@ -29,9 +29,10 @@
 	return all, err
 }
 
-// Show returns all records of a message, in order.
-func Show(store *logstore.Store, message string) (all []*Record, err error) {
-	err = find(store, label('m', message), func(r *Record) {
+// MessageRecords returns all records of a message, in order. If parts of the trail are corrupt, it returns the records that can be read
+// together with an error.
+func MessageRecords(store *logstore.Store, message string) (all []*Record, err error) {
+	err = findByLabel(store, label('m', message), func(r *Record) {
 		if r.Message == message {
 			all = append(all, r)
 		}
@@ -39,96 +40,104 @@
 	return all, err
 }
 
-func find(store *logstore.Store, l uint64, take func(*Record)) error {
-	var bad []error
-	err := store.Find(l, func(_ uint64, payload []byte) error {
+// findByLabel calls collect for each record that carries a label, in order. Corrupt segments are skipped, and their errors are
+// returned.
+func findByLabel(store *logstore.Store, labelHash uint64, collect func(*Record)) error {
+	var corruptions []error
+	err := store.Find(labelHash, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err == nil {
-			take(r)
+			collect(r)
 		}
 		return err
-	}, func(e error) { bad = append(bad, e) })
-	return errors.Join(append(bad, err)...)
+	}, func(e error) { corruptions = append(corruptions, e) })
+	return errors.Join(append(corruptions, err)...)
 }
 
-// Query asks for messages; empty fields ask for nothing.
+// Query selects messages. Empty fields match all messages.
 type Query struct {
+	// Partner, Tenant and Outcome are the values that the message has to have.
 	Partner, Tenant, Outcome string
-	Since                    time.Time
-	Most                     int // 0 for no bound
+	// Since is the earliest time of acceptance.
+	Since time.Time
+	// Limit is the maximum number of messages to return. 0 means no limit.
+	Limit int
 }
 
-// Message is what became of one.
+// Message is the summary of a message. Its fields are printed as JSON under their own names.
 type Message struct {
 	Name, Partner, Tenant, Class string
-	Taken, Answered              time.Time // Answered is zero while it has no answer
-	Outcome                      string    // served, refused, failed, withdrawn, or empty
-	Reason                       string
-	Attempts                     int
-	Size                         int
+	// Taken is when the message was accepted. Answered is when it got its final answer or was withdrawn, and zero before that.
+	Taken, Answered time.Time
+	Outcome         string // served, refused, failed or withdrawn, empty before that
+	Reason          string // reason for the outcome
+	Attempts        int    // number of attempts
+	Size            int    // size of the body in bytes
 }
 
-// Find returns the messages that a query asks for, the latest first, as far as the trail goes.
-func Find(store *logstore.Store, q Query) ([]*Message, error) {
-	by := map[string]*Message{}
-	take := func(r *Record) { collect(by, r) }
+// FindMessages returns the messages that match a query, latest first. Messages whose acceptance is no longer in the trail are left out.
+// If parts of the trail are corrupt, it returns the messages that can be read together with an error.
+func FindMessages(store *logstore.Store, q Query) ([]*Message, error) {
+	byName := map[string]*Message{}
+	collect := func(r *Record) { collectRecord(byName, r) }
 	var err error
-	switch { // the narrowest look-up that there is; the answer of each is read with the rest
+	switch { // One look-up selects the messages. Their other records are read below.
 	case q.Partner != "":
-		err = find(store, label('p', q.Partner), take)
+		err = findByLabel(store, label('p', q.Partner), collect)
 	case q.Tenant != "":
-		err = find(store, label('t', q.Tenant), take)
+		err = findByLabel(store, label('t', q.Tenant), collect)
 	case q.Outcome != "":
-		err = find(store, label('o', q.Outcome), take)
+		err = findByLabel(store, label('o', q.Outcome), collect)
 	}
-	named := q.Partner != "" || q.Tenant != "" || q.Outcome != ""
-	rest := store.Read(0, func(_ uint64, payload []byte) error {
+	filtered := q.Partner != "" || q.Tenant != "" || q.Outcome != ""
+	readErr := store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err != nil {
 			return err
 		}
-		if !named || by[r.Message] != nil {
-			collect(by, r)
+		if !filtered || byName[r.Message] != nil {
+			collectRecord(byName, r)
 		}
 		return nil
 	}, func(e error) { err = errors.Join(err, e) })
 	var all []*Message
-	for _, m := range by {
-		if m.Name != "" && !m.Taken.IsZero() && m.is(&q) {
+	for _, m := range byName {
+		if m.Name != "" && !m.Taken.IsZero() && m.matches(&q) {
 			all = append(all, m)
 		}
 	}
 	slices.SortFunc(all, func(a, b *Message) int { return b.Taken.Compare(a.Taken) })
-	if q.Most > 0 && len(all) > q.Most {
-		all = all[:q.Most]
+	if q.Limit > 0 && len(all) > q.Limit {
+		all = all[:q.Limit]
 	}
-	return all, errors.Join(err, rest)
+	return all, errors.Join(err, readErr)
 }
 
-func (m *Message) is(q *Query) bool {
+// matches reports whether a message matches a query.
+func (m *Message) matches(q *Query) bool {
 	return (q.Partner == "" || m.Partner == q.Partner) && (q.Tenant == "" || m.Tenant == q.Tenant) &&
 		(q.Outcome == "" || m.Outcome == q.Outcome) && !m.Taken.Before(q.Since)
 }
 
-// collect takes a record of a message in; the same one twice changes nothing.
-func collect(by map[string]*Message, r *Record) {
+// collectRecord adds a record to the summary of its message. Adding the same record again changes nothing.
+func collectRecord(byName map[string]*Message, r *Record) {
 	if r.Message == "" {
 		return
 	}
-	m := by[r.Message]
+	m := byName[r.Message]
 	if m == nil {
 		m = &Message{Name: r.Message}
-		by[r.Message] = m
+		byName[r.Message] = m
 	}
 	switch r.Kind {
 	case Accepted:
 		m.Partner, m.Tenant, m.Class, m.Taken, m.Size = r.Partner, r.Tenant, r.Class, r.Time(), r.Size
-	case Started:
+	case AttemptStarted:
 		m.Attempts = max(m.Attempts, r.Attempt)
 	case Answered:
 		m.Outcome, m.Answered, m.Reason = r.Result, r.Time(), r.Reason
 		if m.Reason == "" {
-			m.Reason = r.Why
+			m.Reason = r.Detail
 		}
 	case Withdrawn:
 		m.Outcome, m.Answered = "withdrawn", r.Time()
--- /dev/null
+++ b/internal/audit/recorder.go
@@ -0,0 +1,217 @@
+package audit
+
+import (
+	"fmt"
+	"sync"
+	"time"
+
+	"whinrun/internal/clock"
+	"whinrun/internal/disk"
+	"whinrun/internal/logstore"
+	"whinrun/internal/logstore/plan"
+)
+
+// Config is the configuration of a Recorder.
+type Config struct {
+	// Folder is the folder of the trail and its keys. If it is empty, no trail is kept.
+	Folder string
+	// Policy says when records are synced and how long they are kept.
+	Policy plan.Policy
+	// Buffer is the maximum size of the records that wait for the disk, in bytes.
+	Buffer int
+	// SealEvery is the time between seals. The caller of SealNow observes it.
+	SealEvery time.Duration
+	// FS replaces the folder in tests. Only the keys are then stored in Folder.
+	FS disk.FS
+}
+
+// Recorder writes the trail of a running dispatcher. It encodes, writes and syncs records on a goroutine of its own, so that no answer
+// waits for the disk.
+type Recorder struct {
+	*Trail
+	store             *logstore.Store
+	now               func() time.Duration
+	log               func(format string, a ...any)
+	onDiskStateChange func(error) // called with the error when the disk starts to fail, and with nil when it works again
+
+	mu       sync.Mutex
+	queue    []*Record // records that are not encoded yet
+	maxQueue int       // maximum length of queue
+
+	wakeup chan struct{}
+	quit   chan struct{}
+	done   sync.WaitGroup
+}
+
+// Open opens the trail in a folder and continues it. It creates the folder and a key if they do not exist. now is the clock of the
+// dispatcher, and log takes messages for the operator. onDiskStateChange is called with the error when the disk starts to fail, and
+// with nil when it works again.
+func Open(cfg Config, now func() time.Duration, log func(string, ...any), onDiskStateChange func(error)) (*Recorder, error) {
+	folder, err := disk.OpenFolder(cfg.Folder)
+	if err != nil {
+		return nil, fmt.Errorf("audit: %w", err)
+	}
+	key, err := OpenKey(cfg.Folder)
+	if err != nil {
+		return nil, fmt.Errorf("audit: %w", err)
+	}
+	if cfg.FS != nil {
+		return openRecorder(cfg, cfg.FS, key, now, log, onDiskStateChange)
+	}
+	return openRecorder(cfg, folder, key, now, log, onDiskStateChange)
+}
+
+// openRecorder opens the trail in fs and starts the goroutine that writes it.
+func openRecorder(cfg Config, fs disk.FS, key *Key, now func() time.Duration, log func(string, ...any), onDiskStateChange func(error)) (*Recorder, error) {
+	store, report, err := logstore.Open(fs, logstore.Options{Policy: cfg.Policy, MaxPendingBytes: cfg.Buffer, Labels: Labels, WallClock: clock.Wall})
+	if err != nil {
+		return nil, fmt.Errorf("audit: %w", err)
+	}
+	for _, p := range report.Problems {
+		log("the trail: %s", p)
+	}
+	if report.TornBytes > 0 {
+		log("the trail: %d incomplete bytes at its end were cut off; they are kept in a .torn file", report.TornBytes)
+	}
+	trail, err := Resume(store, key, clock.Wall)
+	if err != nil {
+		_ = store.Close(now())
+		return nil, err
+	}
+	k := &Recorder{Trail: trail, store: store, now: now, log: log, onDiskStateChange: onDiskStateChange, maxQueue: cfg.Buffer / 128, wakeup: make(chan struct{}, 1), quit: make(chan struct{})}
+	k.done.Go(k.run)
+	return k, nil
+}
+
+// Enqueue adds a record to the queue and sets its time. The Recorder's goroutine encodes and hashes the record, so as not to delay the
+// engine. If the queue is full, the record is lost and counted.
+func (k *Recorder) Enqueue(r *Record) {
+	r.At = clock.Wall().UnixMicro()
+	k.mu.Lock()
+	full := len(k.queue) >= k.maxQueue
+	if !full {
+		k.queue = append(k.queue, r)
+	}
+	first := len(k.queue) == 1
+	k.mu.Unlock()
+	if full {
+		k.countLost()
+	}
+	if first {
+		k.signal()
+	}
+}
+
+// writeQueued writes the queued records to the trail.
+func (k *Recorder) writeQueued(now time.Duration) {
+	k.mu.Lock()
+	queue := k.queue
+	k.queue = nil
+	k.mu.Unlock()
+	for _, r := range queue {
+		k.Write(now, r)
+	}
+}
+
+// Close stops the goroutine, writes and seals all records and closes the store.
+func (k *Recorder) Close() error {
+	close(k.quit)
+	k.done.Wait()
+	k.writeQueued(k.now())
+	if err := k.Seal(k.now()); err != nil {
+		k.log("the trail can't be sealed: %v", err)
+	}
+	return k.store.Close(k.now())
+}
+
+// Kill closes the Recorder without writing pending records, as if the process had crashed.
+func (k *Recorder) Kill() {
+	close(k.quit)
+	k.done.Wait()
+	k.store.Abandon()
+}
+
+// Key returns the key that signs seals and receipts.
+func (k *Recorder) Key() *Key { return k.key }
+
+// UnfetchedReceipts reads the subscriptions and the receipts that were not fetched; see the function of that name.
+func (k *Recorder) UnfetchedReceipts(since time.Time) ([]*Record, []*UnfetchedReceipt, error) {
+	return UnfetchedReceipts(k.store, since)
+}
+
+// Failing returns the error of the disk while it fails, and nil while it works.
+func (k *Recorder) Failing() error { return k.store.Failing() }
+
+// Now returns the time on the dispatcher's clock.
+func (k *Recorder) Now() time.Duration { return k.now() }
+
+// Usage returns what the trail holds on disk.
+func (k *Recorder) Usage() logstore.Usage { return k.store.Usage() }
+
+// run writes and commits records until Close or Kill.
+func (k *Recorder) run() {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	failing := false
+	for {
+		now := k.now()
+		k.writeQueued(now)
+		if at, ok := k.store.NextCommit(); ok && at <= now {
+			failing = k.commit(now, failing)
+		}
+		wait := time.Hour
+		if at, ok := k.store.NextCommit(); ok {
+			wait = max(at-k.now(), time.Millisecond)
+		}
+		timer.Reset(wait)
+		select {
+		case <-timer.C:
+		case <-k.wakeup:
+		case <-k.quit:
+			return
+		}
+	}
+}
+
+// SealNow seals the records that were written since the last seal. It does nothing while the disk fails.
+func (k *Recorder) SealNow() error {
+	if k.Failing() != nil {
+		return nil
+	}
+	err := k.Seal(k.now())
+	k.signal()
+	return err
+}
+
+// Maintain does one step of the store's maintenance. more says that there may be more to do. It does nothing while the disk fails.
+func (k *Recorder) Maintain() (more bool, err error) {
+	if k.Failing() != nil {
+		return false, nil
+	}
+	return k.store.Maintain()
+}
+
+// VerifyNext reads one closed segment of the trail again, the next one at each call, to detect bit rot early. more is always false.
+func (k *Recorder) VerifyNext() (more bool, err error) { return false, k.store.VerifyNext() }
+
+// signal wakes the goroutine up.
+func (k *Recorder) signal() {
+	select {
+	case k.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// commit commits the pending records. It reports when the disk starts or stops failing. wasFailing and failing say whether it failed
+// before and does so now.
+func (k *Recorder) commit(now time.Duration, wasFailing bool) (failing bool) {
+	err := k.store.Commit(now)
+	if err != nil && !wasFailing {
+		k.log("the trail can't be written, no new messages are accepted: %v", err)
+		k.onDiskStateChange(err)
+	} else if err == nil && wasFailing {
+		k.log("the trail can be written again; %d records were lost", k.Lost())
+		k.onDiskStateChange(nil)
+	}
+	return err != nil
+}
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -14,11 +14,11 @@
 	"whinrun/internal/logstore"
 )
 
-// Text is a record in words.
+// Text returns a description of the record in words.
 func (r *Record) Text() string {
 	var b strings.Builder
-	add := func(on bool, format string, a ...any) {
-		if on {
+	add := func(condition bool, format string, a ...any) {
+		if condition {
 			if b.Len() > 0 {
 				b.WriteString(", ")
 			}
@@ -27,137 +27,149 @@
 	}
 	add(r.Attempt > 0, "attempt %d", r.Attempt)
 	add(r.Endpoint != "", "at %s", r.Endpoint)
-	add(r.Partner != "" && r.Kind == Accepted, "for %s, class %s, tenant %s, %d bytes, time %v", r.Partner, r.Class, r.Tenant, r.Size, micros(r.Life))
+	add(r.Partner != "" && r.Kind == Accepted, "for %s, class %s, tenant %s, %d bytes, time %v", r.Partner, r.Class, r.Tenant, r.Size, microseconds(r.LifetimeMicros))
 	add(r.Result != "", "%s", r.Result)
-	add(r.Kind == Ended && !r.Ran, "proved not to have run")
-	add(r.Kind == Ended && r.Ran && r.Result != "ok", "may have run")
-	add(r.Wait > 0, "wait %v", micros(r.Wait))
-	add(r.Took > 0, "took %v", micros(r.Took))
-	add(r.Why != "", "%s", r.Why)
+	add(r.Kind == AttemptEnded && !r.PossiblyExecuted, "proved not to have run")
+	add(r.Kind == AttemptEnded && r.PossiblyExecuted && r.Result != "ok", "may have run")
+	add(r.WaitMicros > 0, "wait %v", microseconds(r.WaitMicros))
+	add(r.TookMicros > 0, "took %v", microseconds(r.TookMicros))
+	add(r.Detail != "", "%s", r.Detail)
 	add(r.Reason != "", "decided: %s", r.Reason)
-	add(r.After, "after the final answer, which it does not change")
+	add(r.AfterAnswer, "after the final answer, which it does not change")
 	add(r.Attempts > 0, "%d attempts in all", r.Attempts)
 	add(r.Count > 0, "%d records", r.Count)
 	return b.String()
 }
 
-func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// microseconds returns the duration of n microseconds.
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Report is a time of a trail summed up.
+// Report summarizes the trail of a period of time.
 type Report struct {
+	// From and To are the start and the end of the period. To is not part of it.
 	From, To time.Time
-	Slots    []Slot // the time in equal parts
-	Partners []*PartnerSum
-	Attempts []Bar // messages by how many attempts they took
-	Reasons  []Bar // of messages not served
+	// Intervals divides the period into equal parts.
+	Intervals []Interval
+	// Partners are sorted by name.
+	Partners []*PartnerSummary
+	// Attempts counts the messages by their number of attempts.
+	Attempts []Bar
+	// Reasons counts the messages that were not served by result and reason.
+	Reasons []Bar
+	// Messages is the number of messages that ended.
 	Messages int
 }
 
-// Slot is a part of the time.
-type Slot struct {
-	At                              time.Time
-	Served, Refused, Failed, Withdr int
+// Interval counts the messages that ended in a part of the period, which starts at At, by outcome.
+type Interval struct {
+	At                                 time.Time
+	Served, Refused, Failed, Withdrawn int
 }
 
-// PartnerSum is a partner's part.
-type PartnerSum struct {
-	Name                            string
-	Served, Refused, Failed, Withdr int
-	Attempts, Waits                 int
-	LongestWait                     time.Duration
-	took                            *hdrhistogram.Histogram
+// PartnerSummary summarizes the messages and attempts to one partner.
+type PartnerSummary struct {
+	Name string
+	// Served, Refused, Failed and Withdrawn count the messages that ended by outcome.
+	Served, Refused, Failed, Withdrawn int
+	// Attempts counts the attempts that ended, and Waits those whose response asked for a wait.
+	Attempts, Waits int
+	// LongestWait is the longest wait that was asked for.
+	LongestWait time.Duration
+	took        *hdrhistogram.Histogram // durations of the attempts that got a response, in microseconds
 }
 
-// P50 and P99 are how long attempts took that were answered.
-func (p *PartnerSum) P50() time.Duration { return micros(p.took.ValueAtQuantile(50)) }
+// P50 returns the median duration of the attempts that got a response.
+func (p *PartnerSummary) P50() time.Duration { return microseconds(p.took.ValueAtQuantile(50)) }
 
-// P99 is the 99th percentile.
-func (p *PartnerSum) P99() time.Duration { return micros(p.took.ValueAtQuantile(99)) }
+// P99 returns the 99th percentile of the duration of the attempts that got a response.
+func (p *PartnerSummary) P99() time.Duration { return microseconds(p.took.ValueAtQuantile(99)) }
 
-// Bar is a count with its name.
+// Bar is one bar of a chart.
 type Bar struct {
-	Name  string
-	Count int
-	Part  float64 // of the largest
+	Name     string
+	Count    int
+	Fraction float64 // Count divided by the largest Count of the chart
 }
 
-const slots = 60
+// reportIntervals is the number of intervals in a report.
+const reportIntervals = 60
 
-// Summarize reads a time of a trail.
+// Summarize reads the trail and returns the report for the period from from up to, but not including, to.
 func Summarize(store *logstore.Store, from, to time.Time) (*Report, error) {
-	rep := &Report{From: from, To: to, Slots: make([]Slot, slots)}
-	by, tries, reasons := map[string]*PartnerSum{}, map[string]int{}, map[string]int{}
-	for i := range rep.Slots {
-		rep.Slots[i].At = from.Add(to.Sub(from) * time.Duration(i) / slots)
+	report := &Report{From: from, To: to, Intervals: make([]Interval, reportIntervals)}
+	byPartner, attempts, reasons := map[string]*PartnerSummary{}, map[string]int{}, map[string]int{}
+	for i := range report.Intervals {
+		report.Intervals[i].At = from.Add(to.Sub(from) * time.Duration(i) / reportIntervals)
 	}
 	err := store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		if err != nil || r.Time().Before(from) || !r.Time().Before(to) || r.Partner == "" {
 			return err
 		}
-		p := by[r.Partner]
+		p := byPartner[r.Partner]
 		if p == nil {
-			p = &PartnerSum{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
-			by[r.Partner] = p
+			p = &PartnerSummary{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
+			byPartner[r.Partner] = p
 		}
-		slot := &rep.Slots[int(r.Time().Sub(from)*slots/to.Sub(from))]
+		interval := &report.Intervals[int(r.Time().Sub(from)*reportIntervals/to.Sub(from))]
 		switch r.Kind {
-		case Ended:
+		case AttemptEnded:
 			p.Attempts++
-			if r.Wait > 0 {
+			if r.WaitMicros > 0 {
 				p.Waits++
-				p.LongestWait = max(p.LongestWait, micros(r.Wait))
+				p.LongestWait = max(p.LongestWait, microseconds(r.WaitMicros))
 			}
 			if r.Status > 0 {
-				_ = p.took.RecordValue(max(1, min(r.Took, 3600e6)))
+				_ = p.took.RecordValue(max(1, min(r.TookMicros, 3600e6)))
 			}
 		case Answered, Withdrawn:
-			rep.Messages++
-			outcome(r, p, slot)
+			report.Messages++
+			countOutcome(r, p, interval)
 			if r.Kind == Answered {
-				tries[fmt.Sprint(r.Attempts)]++
+				attempts[fmt.Sprint(r.Attempts)]++
 				if r.Result != "served" {
-					why := r.Reason
-					if why == "" {
-						why = r.Why
+					reason := r.Reason
+					if reason == "" {
+						reason = r.Detail
 					}
-					reasons[r.Result+": "+why]++
+					reasons[r.Result+": "+reason]++
 				}
 			}
 		}
 		return nil
 	}, nil)
-	for _, p := range by {
-		rep.Partners = append(rep.Partners, p)
+	for _, p := range byPartner {
+		report.Partners = append(report.Partners, p)
 	}
-	slices.SortFunc(rep.Partners, func(a, b *PartnerSum) int { return strings.Compare(a.Name, b.Name) })
-	rep.Attempts, rep.Reasons = bars(tries, false), bars(reasons, true)
-	return rep, err
+	slices.SortFunc(report.Partners, func(a, b *PartnerSummary) int { return strings.Compare(a.Name, b.Name) })
+	report.Attempts, report.Reasons = bars(attempts, false), bars(reasons, true)
+	return report, err
 }
 
-func outcome(r *Record, p *PartnerSum, s *Slot) {
+// countOutcome counts the outcome of a message for its partner and its interval.
+func countOutcome(r *Record, p *PartnerSummary, interval *Interval) {
 	switch {
 	case r.Kind == Withdrawn:
-		p.Withdr++
-		s.Withdr++
+		p.Withdrawn++
+		interval.Withdrawn++
 	case r.Result == "served":
 		p.Served++
-		s.Served++
+		interval.Served++
 	case r.Result == "refused":
 		p.Refused++
-		s.Refused++
+		interval.Refused++
 	default:
 		p.Failed++
-		s.Failed++
+		interval.Failed++
 	}
 }
 
-// bars puts counts in order: by count or by name; twenty at most.
-func bars(of map[string]int, byCount bool) (all []Bar) {
-	most := 1
-	for name, n := range of {
+// bars returns up to 20 counts as bars, sorted by name or, if byCount is set, by descending count.
+func bars(counts map[string]int, byCount bool) (all []Bar) {
+	largest := 1
+	for name, n := range counts {
 		all = append(all, Bar{Name: name, Count: n})
-		most = max(most, n)
+		largest = max(largest, n)
 	}
 	slices.SortFunc(all, func(a, b Bar) int {
 		if byCount && a.Count != b.Count {
@@ -166,22 +178,25 @@
 		return strings.Compare(a.Name, b.Name)
 	})
 	for i := range all {
-		all[i].Part = float64(all[i].Count) / float64(most)
+		all[i].Fraction = float64(all[i].Count) / float64(largest)
 	}
 	return all[:min(20, len(all))]
 }
 
+// reportHTML is the template of the report.
+//
 //go:embed report.html
-var page string
+var reportHTML string
 
-var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
+// reportTemplate is the parsed template of the report, with the functions that it uses.
+var reportTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(part float64) string { return fmt.Sprintf("%.1f", 100*part) },
-	"height": func(n int, slots []Slot) float64 {
-		most := 1
-		for _, s := range slots {
-			most = max(most, s.Served+s.Refused+s.Failed+s.Withdr)
+	"height": func(n int, intervals []Interval) float64 {
+		largest := 1
+		for _, s := range intervals {
+			largest = max(largest, s.Served+s.Refused+s.Failed+s.Withdrawn)
 		}
-		return 120 * float64(n) / float64(most)
+		return 120 * float64(n) / float64(largest)
 	},
 	"add": func(a ...int) (n int) {
 		for _, x := range a {
@@ -193,7 +208,7 @@
 	"mul":   func(a, b int) int { return a * b },
 	"time":  func(t time.Time) string { return t.UTC().Format("2006-01-02 15:04:05") },
 	"short": func(d time.Duration) string { return d.Round(100 * time.Microsecond).String() },
-}).Parse(page))
+}).Parse(reportHTML))
 
-// Write writes the report as one HTML page that needs nothing else.
-func (r *Report) Write(w io.Writer) error { return pageTemplate.Execute(w, r) }
+// Write writes the report as a self-contained HTML page.
+func (r *Report) Write(w io.Writer) error { return reportTemplate.Execute(w, r) }
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -10,40 +10,47 @@
 	"sync"
 )
 
-// Memory is a folder in memory, for tests. What is not synced may be gone after Crash, in part or whole; Fail decides about each
-// operation that changes something before it is done, FailRead about the others.
+// Memory is an FS in memory, for tests. Crash simulates a crash that loses unsynced data. Fail and FailRead inject faults: they are
+// called before an operation, with its name and the name of the file, and the operation fails with the error that they return.
 type Memory struct {
-	mu       sync.Mutex
-	now      map[string]*node // as the program sees it
-	safe     map[string]*node // as the directory was last synced
-	locked   bool
-	Fail     func(op, name string) error // nil: none
-	FailRead func(op, name string) error // nil: none
-	Ops      int
+	mu      sync.Mutex
+	current map[string]*memNode // files as the program sees them, by name
+	durable map[string]*memNode // files as of the last SyncDir, by name
+	locked  bool
+	// Fail is called for list, open, create, rename, remove, syncdir, write, truncate and sync. If it is nil, none of them fails.
+	Fail func(op, name string) error
+	// FailRead is called for lock, read and size. If it is nil, none of them fails.
+	FailRead func(op, name string) error
+	// OpCount counts the operations that Fail is called for.
+	OpCount int
 }
 
-type node struct {
+// memNode is the content of a file.
+type memNode struct {
 	data   []byte
-	synced int
+	synced int // number of bytes that a crash cannot lose
 }
 
-// NewMemory makes an empty folder.
-func NewMemory() *Memory { return &Memory{now: map[string]*node{}, safe: map[string]*node{}} }
+// NewMemory returns an empty folder.
+func NewMemory() *Memory {
+	return &Memory{current: map[string]*memNode{}, durable: map[string]*memNode{}}
+}
 
-// SetFail sets Fail while the folder is in use.
+// SetFail sets Fail. It may be called while the folder is in use.
 func (m *Memory) SetFail(fail func(op, name string) error) {
 	m.mu.Lock()
 	m.Fail = fail
 	m.mu.Unlock()
 }
 
-// SetFailRead sets FailRead while the folder is in use.
+// SetFailRead sets FailRead. It may be called while the folder is in use.
 func (m *Memory) SetFailRead(fail func(op, name string) error) {
 	m.mu.Lock()
 	m.FailRead = fail
 	m.mu.Unlock()
 }
 
+// checkRead returns the error that FailRead injects into an operation.
 func (m *Memory) checkRead(op, name string) error {
 	if m.FailRead == nil {
 		return nil
@@ -51,26 +58,28 @@
 	return m.FailRead(op, name)
 }
 
+// check counts an operation and returns the error that Fail injects into it.
 func (m *Memory) check(op, name string) error {
-	m.Ops++
+	m.OpCount++
 	if m.Fail == nil {
 		return nil
 	}
 	return m.Fail(op, name)
 }
 
-// Crash forgets what a crash may forget: unsynced ends of files are cut anywhere, sometimes with garbage in them;
-// files made, renamed or removed since the last SyncDir may be as before.
+// Crash loses what a crash of the machine may lose, at random. The unsynced end of a file is cut at any byte, and sometimes one bit
+// of it is flipped. Files that were created, renamed or removed since the last SyncDir may be as they were then. Crash also releases
+// the lock and clears Fail.
 func (m *Memory) Crash(rng *rand.Rand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rng.IntN(2) == 0 {
-		m.now = map[string]*node{}
-		for name, n := range m.safe {
-			m.now[name] = n
+		m.current = map[string]*memNode{}
+		for name, n := range m.durable {
+			m.current[name] = n
 		}
 	}
-	for _, n := range m.now {
+	for _, n := range m.current {
 		if tail := len(n.data) - n.synced; tail > 0 {
 			keep := n.synced + rng.IntN(tail+1)
 			n.data = n.data[:keep:keep]
@@ -80,24 +89,24 @@
 		}
 		n.synced = len(n.data)
 	}
-	m.safe = map[string]*node{}
-	for name, n := range m.now {
-		m.safe[name] = n
+	m.durable = map[string]*memNode{}
+	for name, n := range m.current {
+		m.durable[name] = n
 	}
 	m.locked, m.Fail = false, nil
 }
 
-// Bytes returns a file's content, to be changed by a test.
+// Bytes returns the content of a file, which a test may change in place. It returns nil if there is no such file.
 func (m *Memory) Bytes(name string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n := m.now[name]; n != nil {
+	if n := m.current[name]; n != nil {
 		return n.data
 	}
 	return nil
 }
 
-// List is FS.
+// List implements FS.
 func (m *Memory) List() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -105,84 +114,84 @@
 		return nil, err
 	}
 	var names []string
-	for name := range m.now {
+	for name := range m.current {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-// Open is FS.
+// Open implements FS.
 func (m *Memory) Open(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.check("open", name); err != nil {
 		return nil, err
 	}
-	n := m.now[name]
+	n := m.current[name]
 	if n == nil {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: fs.ErrNotExist}
 	}
 	return &memFile{m, n, name}, nil
 }
 
-// Create is FS.
+// Create implements FS.
 func (m *Memory) Create(name string) (File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.check("create", name); err != nil {
 		return nil, err
 	}
-	n := &node{}
-	m.now[name] = n
+	n := &memNode{}
+	m.current[name] = n
 	return &memFile{m, n, name}, nil
 }
 
-// Rename is FS.
+// Rename implements FS.
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.check("rename", from); err != nil {
 		return err
 	}
-	n := m.now[from]
+	n := m.current[from]
 	if n == nil {
 		return &fs.PathError{Op: "rename", Path: from, Err: fs.ErrNotExist}
 	}
-	delete(m.now, from)
-	m.now[to] = n
+	delete(m.current, from)
+	m.current[to] = n
 	return nil
 }
 
-// Remove is FS.
+// Remove implements FS.
 func (m *Memory) Remove(name string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.check("remove", name); err != nil {
 		return err
 	}
-	if m.now[name] == nil {
+	if m.current[name] == nil {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	delete(m.now, name)
+	delete(m.current, name)
 	return nil
 }
 
-// SyncDir is FS.
+// SyncDir implements FS.
 func (m *Memory) SyncDir() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.check("syncdir", ""); err != nil {
 		return err
 	}
-	m.safe = map[string]*node{}
-	for name, n := range m.now {
-		m.safe[name] = n
+	m.durable = map[string]*memNode{}
+	for name, n := range m.current {
+		m.durable[name] = n
 	}
 	return nil
 }
 
-// Lock is FS.
+// Lock implements FS.
 func (m *Memory) Lock() (io.Closer, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -193,74 +202,82 @@
 		return nil, fmt.Errorf("memory: %w", ErrLocked)
 	}
 	m.locked = true
-	return unlock{m}, nil
+	return memLock{m}, nil
 }
 
-type unlock struct{ m *Memory }
+// memLock is the lock of a Memory.
+type memLock struct{ dir *Memory }
 
-func (u unlock) Close() error {
-	u.m.mu.Lock()
-	defer u.m.mu.Unlock()
-	u.m.locked = false
+// Close releases the lock.
+func (u memLock) Close() error {
+	u.dir.mu.Lock()
+	defer u.dir.mu.Unlock()
+	u.dir.locked = false
 	return nil
 }
 
+// memFile is an open file of a Memory.
 type memFile struct {
-	m    *Memory
-	n    *node
+	dir  *Memory
+	node *memNode
 	name string
 }
 
+// ReadAt implements File.
 func (f *memFile) ReadAt(p []byte, off int64) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.checkRead("read", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.checkRead("read", f.name); err != nil {
 		return 0, err
 	}
-	return bytes.NewReader(f.n.data).ReadAt(p, off)
+	return bytes.NewReader(f.node.data).ReadAt(p, off)
 }
 
-// Write may write a part before it fails, as a full disk does.
+// Write implements File. If a fault is injected, it writes half of the data before it fails, as may happen on a full disk.
 func (f *memFile) Write(p []byte) (int, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.check("write", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.check("write", f.name); err != nil {
 		half := len(p) / 2
-		f.n.data = append(f.n.data, p[:half]...)
+		f.node.data = append(f.node.data, p[:half]...)
 		return half, err
 	}
-	f.n.data = append(f.n.data, p...)
+	f.node.data = append(f.node.data, p...)
 	return len(p), nil
 }
 
+// Size implements File.
 func (f *memFile) Size() (int64, error) {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.checkRead("size", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.checkRead("size", f.name); err != nil {
 		return 0, err
 	}
-	return int64(len(f.n.data)), nil
+	return int64(len(f.node.data)), nil
 }
 
+// Truncate implements File.
 func (f *memFile) Truncate(size int64) error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.check("truncate", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.check("truncate", f.name); err != nil {
 		return err
 	}
-	f.n.data = f.n.data[:size:size]
-	f.n.synced = min(f.n.synced, len(f.n.data))
+	f.node.data = f.node.data[:size:size]
+	f.node.synced = min(f.node.synced, len(f.node.data))
 	return nil
 }
 
+// Sync implements File.
 func (f *memFile) Sync() error {
-	f.m.mu.Lock()
-	defer f.m.mu.Unlock()
-	if err := f.m.check("sync", f.name); err != nil {
+	f.dir.mu.Lock()
+	defer f.dir.mu.Unlock()
+	if err := f.dir.check("sync", f.name); err != nil {
 		return err
 	}
-	f.n.synced = len(f.n.data)
+	f.node.synced = len(f.node.data)
 	return nil
 }
 
+// Close implements File.
 func (f *memFile) Close() error { return nil }
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -9,82 +9,82 @@
 	"whinrun/internal/disk"
 )
 
-// history is what surely is known of one message's attempts, kept beside the ledger by the test.
+// history is the test's own model of the attempts of one message.
 type history struct {
-	attempts int
-	first    clock.Instant // when the first attempt began that may have run, 0 for none
-	zone     int           // where that went
-	out      clock.Instant // when the attempt that is out began, 0 for none
-	outZone  int
+	attempts           int
+	possiblyExecutedAt clock.Instant // start of the first attempt that was possibly executed, 0 for none
+	zone               int           // zone of that attempt
+	inFlightSince      clock.Instant // start of the attempt in flight, 0 for none
+	inFlightZone       int           // zone of that attempt
 }
 
 func (h *history) begin(at clock.Instant, zone int) {
 	h.attempts++
-	h.out, h.outZone = at, zone
+	h.inFlightSince, h.inFlightZone = at, zone
 }
 
-// end takes the end of the attempt that is out; mayHaveRun also stands for an end that no process heard.
-func (h *history) end(mayHaveRun bool) {
-	if mayHaveRun && h.first == 0 {
-		h.first, h.zone = h.out, h.outZone
+// end notes the end of the attempt in flight. possiblyExecuted is also set for an end that no process saw.
+func (h *history) end(possiblyExecuted bool) {
+	if possiblyExecuted && h.possiblyExecutedAt == 0 {
+		h.possiblyExecutedAt, h.zone = h.inFlightSince, h.inFlightZone
 	}
-	h.out = 0
+	h.inFlightSince = 0
 }
 
-// Processes that come and go at any moment between the lines of a message: each of them knows of the first attempt that may
-// have run, whatever those between them learned of later ones.
+// Restarts the process at random points between the records of a message. After each restart the ledger must still know the first
+// attempt that was possibly executed, whatever the results of later attempts were.
 func TestEveryRestartKnowsTheFirstAttemptInDoubt(t *testing.T) {
 	for seed := range uint64(500) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		fs := disk.NewMemory()
 		l := open(t, fs, mb)
-		must(t, l.Take(&Entry{Name: "m", Class: "k"}))
-		var truth history
+		must(t, l.Accept(&Entry{Name: "m", Class: "k"}))
+		var want history
 		for now := clock.Instant(1); now < 30; now++ {
 			switch {
 			case rng.IntN(3) == 0:
 				l = reopen(t, l, fs, mb)
-				if truth.out != 0 { // nobody hears its end any more
-					truth.end(true)
+				if want.inFlightSince != 0 { // No process will see its end.
+					want.end(true)
 				}
-			case truth.out == 0:
+			case want.inFlightSince == 0:
 				zone := rng.IntN(3)
-				must(t, l.Out([]string{"m"}, now, zone, false))
-				truth.begin(now, zone)
+				must(t, l.StartAttempts([]string{"m"}, now, zone, false))
+				want.begin(now, zone)
 			default:
-				mayHaveRun := rng.IntN(2) == 0
-				must(t, l.Back("m", mayHaveRun, false))
-				truth.end(mayHaveRun)
+				possiblyExecuted := rng.IntN(2) == 0
+				must(t, l.EndAttempt("m", possiblyExecuted, false))
+				want.end(possiblyExecuted)
 			}
 		}
-		if truth.out != 0 {
-			truth.end(true)
+		if want.inFlightSince != 0 {
+			want.end(true)
 		}
 		l = reopen(t, l, fs, mb)
-		entries, _ := l.Owed()
+		entries, _ := l.Outstanding()
 		if len(entries) != 1 {
 			t.Fatalf("seed %d: owed %+v", seed, entries)
 		}
 		at, zone, ok := entries[0].PossiblyExecuted()
-		if at != truth.first || ok != (at > 0) || ok && zone != truth.zone || entries[0].Attempts != truth.attempts {
-			t.Fatalf("seed %d: may have run since %d in zone %d after %d attempts, want %+v", seed, at, zone, entries[0].Attempts, truth)
+		if at != want.possiblyExecutedAt || ok != (at > 0) || ok && zone != want.zone || entries[0].Attempts != want.attempts {
+			t.Fatalf("seed %d: may have run since %d in zone %d after %d attempts, want %+v", seed, at, zone, entries[0].Attempts, want)
 		}
 	}
 }
 
-// An attempt that never went on record, and its end, say nothing of one that was out when the process before ended.
+// The end of an attempt whose start was not recorded must not clear the attempt that was in flight when the previous process ended.
 func TestEndWithoutARecordedStart(t *testing.T) {
-	for _, ends := range []back{{}, {Unsent: true}, {Ran: true}} {
+	for _, ends := range []attemptEnd{{}, {NotCounted: true}, {PossiblyExecuted: true}} {
 		fs := disk.NewMemory()
 		l := open(t, fs, mb)
-		must(t, l.Take(&Entry{Name: "m", Class: "k"}))
-		must(t, l.Out([]string{"m"}, 5, 2, false))
+		must(t, l.Accept(&Entry{Name: "m", Class: "k"}))
+		must(t, l.StartAttempts([]string{"m"}, 5, 2, false))
 		l = reopen(t, l, fs, mb)
-		must(t, l.Back("m", ends.Ran, ends.Unsent))
+		must(t, l.EndAttempt("m", ends.PossiblyExecuted, ends.NotCounted))
 		l = reopen(t, l, fs, mb)
-		entries, _ := l.Owed()
+		entries, _ := l.Outstanding()
 		want := 2
-		if ends.Unsent {
+		if ends.NotCounted {
 			want = 1
 		}
 		if at, zone, ok := entries[0].PossiblyExecuted(); !ok || at != 5 || zone != 2 || entries[0].Attempts != want {
@@ -93,13 +93,13 @@
 	}
 }
 
-// What is known of outages outlives processes, until it is over; in another boot it counts as of its start.
+// Outages survive restarts until they are over. In another boot their times become the time of the restart.
 func TestOutagesAreKept(t *testing.T) {
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
-	must(t, l.Learn([]Outage{{Host: "b", Suspect: true, FailedAt: 900, DownAt: 800, Failures: 3}, {Host: "a", ColdAt: 700}, {Host: "c", FullAt: 5}}))
-	must(t, l.Learn([]Outage{{Host: "c"}}))
-	want := []Outage{{Host: "a", ColdAt: 700}, {Host: "b", Suspect: true, FailedAt: 900, DownAt: 800, Failures: 3}}
+	must(t, l.UpdateOutages([]Outage{{Host: "b", Suspect: true, LastFailedAt: 900, FirstFailedAt: 800, ConsecutiveFailures: 3}, {Host: "a", RecoveredAt: 700}, {Host: "c", RefusingSince: 5}}))
+	must(t, l.UpdateOutages([]Outage{{Host: "c"}}))
+	want := []Outage{{Host: "a", RecoveredAt: 700}, {Host: "b", Suspect: true, LastFailedAt: 900, FirstFailedAt: 800, ConsecutiveFailures: 3}}
 	for range 2 {
 		l = reopen(t, l, fs, mb)
 		if got := l.Outages(); !slices.Equal(got, want) {
@@ -107,12 +107,12 @@
 		}
 	}
 	must(t, l.Close())
-	l, err := Open(fs, mb, Moment{Boot: "other", At: 50})
+	l, err := Open(fs, mb, ClockReading{Boot: "other", At: 50})
 	must(t, err)
-	if got := l.Outages(); len(got) != 2 || got[0].ColdAt != 50 || got[1].FailedAt != 50 || got[1].DownAt != 50 {
+	if got := l.Outages(); len(got) != 2 || got[0].RecoveredAt != 50 || got[1].LastFailedAt != 50 || got[1].FirstFailedAt != 50 {
 		t.Errorf("in another boot: %+v", got)
 	}
-	must(t, l.Learn([]Outage{{Host: "a"}, {Host: "b"}}))
+	must(t, l.UpdateOutages([]Outage{{Host: "a"}, {Host: "b"}}))
 	if _, live := l.Size(); live != 0 {
 		t.Errorf("%d bytes live with nothing known", live)
 	}
--- a/internal/logstore/read.go
+++ b/internal/logstore/read.go
@@ -9,57 +9,58 @@
 	"whinrun/internal/disk"
 )
 
-// recover lists the segments, cuts the torn end of the last one and makes missing indexes anew.
-func (s *Store) recover(rep *Report) error {
+// recover loads all segments in order. It cuts torn ends off and rebuilds missing indexes.
+func (s *Store) recover(report *RecoveryReport) error {
 	names, err := s.fs.List()
 	if err != nil {
 		return err
 	}
 	files := map[uint64]map[string]bool{}
 	for _, name := range names {
-		if first, suffix, ok := parseName(name); ok {
-			if files[first] == nil {
-				files[first] = map[string]bool{}
+		if firstSeq, suffix, ok := parseName(name); ok {
+			if files[firstSeq] == nil {
+				files[firstSeq] = map[string]bool{}
 			}
-			files[first][suffix] = true
+			files[firstSeq][suffix] = true
 		}
 	}
-	var firsts []uint64
-	for first, f := range files {
-		if f[suffixOpen] || f[suffixPacked] {
-			firsts = append(firsts, first)
+	var firstSeqs []uint64
+	for firstSeq, f := range files {
+		if f[suffixSegment] || f[suffixCompressed] {
+			firstSeqs = append(firstSeqs, firstSeq)
 		}
 	}
-	slices.Sort(firsts)
-	s.next = 1
-	if len(firsts) > 0 {
-		s.next = firsts[0]
+	slices.Sort(firstSeqs)
+	s.nextSeq = 1
+	if len(firstSeqs) > 0 {
+		s.nextSeq = firstSeqs[0]
 	}
-	for i, first := range firsts {
-		if first != s.next {
-			rep.Problems = append(rep.Problems, fmt.Sprintf("records %d to %d are missing", s.next, first-1))
-			s.next = first
+	for i, firstSeq := range firstSeqs {
+		if firstSeq != s.nextSeq {
+			report.Problems = append(report.Problems, fmt.Sprintf("records %d to %d are missing", s.nextSeq, firstSeq-1))
+			s.nextSeq = firstSeq
 		}
-		g, err := s.load(first, files[first], i == len(firsts)-1, rep)
+		g, err := s.loadSegment(firstSeq, files[firstSeq], i == len(firstSeqs)-1, report)
 		if err != nil {
 			return err
 		}
-		s.next += uint64(g.records)
-		rep.Records += uint64(g.records)
+		s.nextSeq += uint64(g.records)
+		report.Records += uint64(g.records)
 	}
-	s.durable, s.written = s.next, s.next
+	s.durableSeq, s.pendingSeq = s.nextSeq, s.nextSeq
 	return nil
 }
 
-// load takes one segment on. A compressed one whose plain file is still there was about to lose that.
-func (s *Store) load(first uint64, files map[string]bool, last bool, rep *Report) (g segment, err error) {
-	g = segment{first: first, packed: files[suffixPacked]}
-	if g.packed && files[suffixOpen] && !s.opt.ReadOnly {
-		if err := s.fs.Remove(fileName(first, suffixOpen)); err != nil {
+// loadSegment loads one segment, from its index if that is intact. If both the compressed and the plain file exist, the process ended
+// before it could remove the plain one, and loadSegment removes it.
+func (s *Store) loadSegment(firstSeq uint64, files map[string]bool, last bool, report *RecoveryReport) (g segment, err error) {
+	g = segment{firstSeq: firstSeq, compressed: files[suffixCompressed]}
+	if g.compressed && files[suffixSegment] && !s.options.ReadOnly {
+		if err := s.fs.Remove(fileName(firstSeq, suffixSegment)); err != nil {
 			return g, err
 		}
 	}
-	f, err := s.fs.Open(fileName(first, g.suffix()))
+	f, err := s.fs.Open(fileName(firstSeq, g.suffix()))
 	if err != nil {
 		return g, err
 	}
@@ -67,89 +68,90 @@
 		return g, err
 	}
 	if files[suffixIndex] {
-		if b, err := s.whole(fileName(first, suffixIndex)); err == nil {
+		if b, err := s.readFile(fileName(firstSeq, suffixIndex)); err == nil {
 			if x, err := parseIndex(b); err == nil {
-				g.records, g.closed = x.records, x.closed
-				s.closed = append(s.closed, g)
+				g.records, g.closedAt = x.records, x.closedAt
+				s.closedSegments = append(s.closedSegments, g)
 				return g, f.Close()
 			}
 		}
-		rep.Problems = append(rep.Problems, fmt.Sprintf("the index of segment %x is made anew", first))
+		report.Problems = append(report.Problems, fmt.Sprintf("the index of segment %x is made anew", firstSeq))
 	}
-	return g, s.mend(&g, f, last, rep)
+	return g, s.repairSegment(&g, f, last, report)
 }
 
-// mend reads a segment that was not closed in order, up to the last whole record.
-func (s *Store) mend(g *segment, f disk.File, last bool, rep *Report) error {
-	b, err := s.segment(*g)
-	if err != nil && g.packed {
-		rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: %v", g.first, err))
+// repairSegment reads a segment without a valid index up to the last complete record, cuts the rest off and rebuilds the index. The
+// last segment becomes the active one instead, unless it is compressed. A read-only store changes no file.
+func (s *Store) repairSegment(g *segment, f disk.File, last bool, report *RecoveryReport) error {
+	b, err := s.readSegment(*g)
+	if err != nil && g.compressed {
+		report.Problems = append(report.Problems, fmt.Sprintf("segment %x: %v", g.firstSeq, err))
 		return f.Close()
 	}
 	if err != nil {
 		return err
 	}
-	first, made, err := parseHead(b)
-	if err != nil || first != g.first {
+	firstSeq, createdAt, err := parseSegmentHeader(b)
+	if err != nil || firstSeq != g.firstSeq {
 		if !last {
-			rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: its head is not as it was written", g.first))
-			s.closed = append(s.closed, *g)
+			report.Problems = append(report.Problems, fmt.Sprintf("segment %x: its head is not as it was written", g.firstSeq))
+			s.closedSegments = append(s.closedSegments, *g)
 			return f.Close()
 		}
-		// A crash between making the file and its first sync: no record of it was ever durable.
-		rep.Torn += int64(len(b))
-		if s.opt.ReadOnly {
+		// The process crashed between creating the file and its first sync. No record in it was ever durable.
+		report.TornBytes += int64(len(b))
+		if s.options.ReadOnly {
 			return f.Close()
 		}
-		return errors.Join(f.Close(), s.fs.Remove(fileName(g.first, suffixOpen)), s.fs.SyncDir())
+		return errors.Join(f.Close(), s.fs.Remove(fileName(g.firstSeq, suffixSegment)), s.fs.SyncDir())
 	}
-	g.made = made
-	s.last, s.marks = *g, nil
-	at := headSize
+	g.createdAt = createdAt
+	s.active, s.postings = *g, nil
+	at := segmentHeaderSize
 	for at < len(b) {
-		payload, next, err := NextRecord(b, at, g.first+uint64(s.last.records))
+		payload, next, err := NextRecord(b, at, g.firstSeq+uint64(s.active.records))
 		if err != nil {
 			break
 		}
-		s.label(payload)
-		s.last.records++
+		s.indexRecord(payload)
+		s.active.records++
 		at = next
 	}
-	if torn := int64(len(b) - at); torn > 0 && !g.packed {
-		rep.Torn += torn
-		if s.opt.ReadOnly {
-			s.last.bytes = int64(at)
-			*g = s.last
-			s.closed = append(s.closed, *g)
+	if torn := int64(len(b) - at); torn > 0 && !g.compressed {
+		report.TornBytes += torn
+		if s.options.ReadOnly {
+			s.active.bytes = int64(at)
+			*g = s.active
+			s.closedSegments = append(s.closedSegments, *g)
 			return f.Close()
 		}
-		if err := s.replace(fileName(g.first, suffixTorn), b[at:]); err != nil {
+		if err := s.writeFileAtomic(fileName(g.firstSeq, suffixTorn), b[at:]); err != nil {
 			return err
 		}
 		if err := errors.Join(f.Truncate(int64(at)), f.Sync()); err != nil {
 			return err
 		}
-		s.last.bytes = int64(at)
+		s.active.bytes = int64(at)
 	}
-	*g = s.last
-	if last && !g.packed {
-		s.file = f
+	*g = s.active
+	if last && !g.compressed {
+		s.activeFile = f
 		return nil
 	}
-	if s.opt.ReadOnly {
-		s.closed = append(s.closed, *g)
+	if s.options.ReadOnly {
+		s.closedSegments = append(s.closedSegments, *g)
 		return f.Close()
 	}
-	g.closed = s.opt.Wall()
-	s.closed = append(s.closed, *g)
-	err = s.replace(fileName(g.first, suffixIndex), appendIndex(nil, g.records, g.closed, s.marks))
+	g.closedAt = s.options.WallClock()
+	s.closedSegments = append(s.closedSegments, *g)
+	err = s.writeFileAtomic(fileName(g.firstSeq, suffixIndex), appendIndex(nil, g.records, g.closedAt, s.postings))
 	return errors.Join(err, f.Close())
 }
 
-// segment reads a segment's bytes, uncompressed.
-func (s *Store) segment(g segment) ([]byte, error) {
-	b, err := s.whole(fileName(g.first, g.suffix()))
-	if err != nil || !g.packed {
+// readSegment returns the uncompressed content of a segment.
+func (s *Store) readSegment(g segment) ([]byte, error) {
+	b, err := s.readFile(fileName(g.firstSeq, g.suffix()))
+	if err != nil || !g.compressed {
 		return b, err
 	}
 	if b, err = decoder().DecodeAll(b, nil); err != nil {
@@ -158,32 +160,33 @@
 	return b, nil
 }
 
-// segments are all, oldest first.
-func (s *Store) segments() []segment {
+// allSegments returns the closed segments and the active one, oldest first.
+func (s *Store) allSegments() []segment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := slices.Clone(s.closed)
-	if s.file != nil {
-		all = append(all, s.last)
+	all := slices.Clone(s.closedSegments)
+	if s.activeFile != nil {
+		all = append(all, s.active)
 	}
 	return all
 }
 
-// Read calls fn with the records on disk from a number on, in order. What is not as it was written goes to bad, and
-// reading goes on with the next segment; without bad it ends with that error.
-func (s *Store) Read(from uint64, fn func(seq uint64, payload []byte) error, bad func(error)) error {
-	for _, g := range s.segments() {
-		if g.first+uint64(g.records) <= from {
+// Read calls fn for each record on disk whose number is at least from, in order. It ends with the first error that fn returns. If a
+// segment is corrupt, onCorrupt is called with the error, and reading continues with the next segment. If onCorrupt is nil, Read
+// returns the error instead.
+func (s *Store) Read(from uint64, fn func(seq uint64, payload []byte) error, onCorrupt func(error)) error {
+	for _, g := range s.allSegments() {
+		if g.firstSeq+uint64(g.records) <= from {
 			continue
 		}
-		err := s.each(g, func(seq uint64, payload []byte) error {
+		err := s.readRecords(g, func(seq uint64, payload []byte) error {
 			if seq < from {
 				return nil
 			}
 			return fn(seq, payload)
 		})
-		if errors.Is(err, ErrCorrupt) && bad != nil {
-			bad(err)
+		if errors.Is(err, ErrCorrupt) && onCorrupt != nil {
+			onCorrupt(err)
 		} else if err != nil {
 			return err
 		}
@@ -191,19 +194,20 @@
 	return nil
 }
 
-func (s *Store) each(g segment, fn func(uint64, []byte) error) error {
-	b, err := s.segment(g)
+// readRecords calls fn for each record of a segment, in order.
+func (s *Store) readRecords(g segment, fn func(uint64, []byte) error) error {
+	b, err := s.readSegment(g)
 	if err == nil {
-		_, _, err = parseHead(b)
+		_, _, err = parseSegmentHeader(b)
 	}
 	if err != nil {
-		return fmt.Errorf("segment %x: %w", g.first, err)
+		return fmt.Errorf("segment %x: %w", g.firstSeq, err)
 	}
-	at := headSize
-	for seq := g.first; seq < g.first+uint64(g.records); seq++ {
+	at := segmentHeaderSize
+	for seq := g.firstSeq; seq < g.firstSeq+uint64(g.records); seq++ {
 		payload, next, err := NextRecord(b, at, seq)
 		if err != nil {
-			return fmt.Errorf("segment %x: %w", g.first, err)
+			return fmt.Errorf("segment %x: %w", g.firstSeq, err)
 		}
 		if err := fn(seq, payload); err != nil {
 			return err
@@ -213,39 +217,39 @@
 	return nil
 }
 
-// VerifyNext reads one closed segment whole, the next in turn, and returns what is wrong with it.
+// VerifyNext reads one closed segment completely, the next one at each call, and returns an error if it is damaged.
 func (s *Store) VerifyNext() error {
 	s.mu.Lock()
-	if len(s.closed) == 0 {
+	if len(s.closedSegments) == 0 {
 		s.mu.Unlock()
 		return nil
 	}
-	s.verified = (s.verified + 1) % len(s.closed)
-	g := s.closed[s.verified]
+	s.lastVerified = (s.lastVerified + 1) % len(s.closedSegments)
+	g := s.closedSegments[s.lastVerified]
 	s.mu.Unlock()
-	err := s.each(g, func(uint64, []byte) error { return nil })
-	if disk.NotExist(err) { // compressed or dropped meanwhile
+	err := s.readRecords(g, func(uint64, []byte) error { return nil })
+	if disk.IsNotExist(err) { // It was compressed or removed in the meantime.
 		return nil
 	}
 	return err
 }
 
-// Find calls fn with the records on disk that carry a label, in order.
-func (s *Store) Find(label uint64, fn func(seq uint64, payload []byte) error, bad func(error)) error {
-	for _, g := range s.segments() {
-		nos, err := s.lookUp(g, label)
-		blind := err != nil // without its index the segment is read whole
-		if !blind && len(nos) == 0 {
+// Find calls fn for each record on disk that carries a label, in order. It treats errors and onCorrupt as Read does.
+func (s *Store) Find(label uint64, fn func(seq uint64, payload []byte) error, onCorrupt func(error)) error {
+	for _, g := range s.allSegments() {
+		recordIndexes, err := s.findInSegment(g, label)
+		indexMissing := err != nil // Then all records of the segment are checked.
+		if !indexMissing && len(recordIndexes) == 0 {
 			continue
 		}
-		err = s.each(g, func(seq uint64, payload []byte) error {
-			if _, in := slices.BinarySearch(nos, uint32(seq-g.first)); in || blind && slices.Contains(s.opt.Labels(payload), label) {
+		err = s.readRecords(g, func(seq uint64, payload []byte) error {
+			if _, in := slices.BinarySearch(recordIndexes, uint32(seq-g.firstSeq)); in || indexMissing && slices.Contains(s.options.Labels(payload), label) {
 				return fn(seq, payload)
 			}
 			return nil
 		})
-		if errors.Is(err, ErrCorrupt) && bad != nil {
-			bad(err)
+		if errors.Is(err, ErrCorrupt) && onCorrupt != nil {
+			onCorrupt(err)
 		} else if err != nil {
 			return err
 		}
@@ -253,19 +257,19 @@
 	return nil
 }
 
-// lookUp returns which records of a segment carry a label.
-func (s *Store) lookUp(g segment, label uint64) (nos []uint32, err error) {
-	if g.closed.IsZero() {
+// findInSegment returns the positions of the records of a segment that carry a label. It fails if the index cannot be read.
+func (s *Store) findInSegment(g segment, label uint64) (recordIndexes []uint32, err error) {
+	if g.closedAt.IsZero() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, m := range s.marks {
-			if m.label == label && s.last.first == g.first {
-				nos = append(nos, m.no)
+		for _, m := range s.postings {
+			if m.label == label && s.active.firstSeq == g.firstSeq {
+				recordIndexes = append(recordIndexes, m.recordIndex)
 			}
 		}
-		return slices.Compact(nos), nil
+		return slices.Compact(recordIndexes), nil
 	}
-	b, err := s.whole(fileName(g.first, suffixIndex))
+	b, err := s.readFile(fileName(g.firstSeq, suffixIndex))
 	if err != nil {
 		return nil, err
 	}
@@ -273,28 +277,32 @@
 	return slices.Compact(x.find(label)), err
 }
 
-// Usage is what the store takes on disk.
+// Usage describes what a store holds on disk.
 type Usage struct {
-	Segments, Packed int
-	Bytes            int64
-	From, Next       uint64
-	Since            time.Time
+	// Segments is the number of segments, and Compressed how many of them are compressed.
+	Segments, Compressed int
+	// Bytes is the size of all segments, in bytes.
+	Bytes int64
+	// FirstSeq is the number of the oldest record, and NextSeq that of the next record to be appended.
+	FirstSeq, NextSeq uint64
+	// OldestCreatedAt is when the oldest segment was created. It is zero if that segment was opened from its index.
+	OldestCreatedAt time.Time
 }
 
-// Usage sums the store up.
+// Usage returns the current usage of the store.
 func (s *Store) Usage() Usage {
-	all := s.segments()
+	all := s.allSegments()
 	u := Usage{Segments: len(all)}
 	s.mu.Lock()
-	u.Next = s.next
+	u.NextSeq = s.nextSeq
 	s.mu.Unlock()
 	for i, g := range all {
 		u.Bytes += g.bytes
-		if g.packed {
-			u.Packed++
+		if g.compressed {
+			u.Compressed++
 		}
 		if i == 0 {
-			u.From, u.Since = g.first, g.made
+			u.FirstSeq, u.OldestCreatedAt = g.firstSeq, g.createdAt
 		}
 	}
 	return u
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -43,12 +43,12 @@
 // RecordAccept implements engine.Ledger. It records an accepted message. If it is uncertain whether the record was
 // written, the error is engine.ErrUncertain, unless the message can be executed again without harm.
 func (la *ledgerAdapter) RecordAccept(m *engine.Message, due control.Time) error {
-	e := &ledger.Entry{Name: m.ExternalID, Class: la.settings.Classes[m.Class].Name, Dest: m.Dest, Due: la.clock.ToInstant(due), TakenAt: la.clock.ToInstant(m.AcceptedAt), Key: m.IdempotencyKey,
-		Order: m.OrderKey, Body: m.Body}
+	e := &ledger.Entry{Name: m.ExternalID, Class: la.settings.Classes[m.Class].Name, Destination: m.Dest, Deadline: la.clock.ToInstant(due), AcceptedAt: la.clock.ToInstant(m.AcceptedAt), IdempotencyKey: m.IdempotencyKey,
+		OrderingKey: m.OrderKey, Body: m.Body}
 	if m.Tenant < len(la.settings.Tenants) {
 		e.Tenant = la.settings.Tenants[m.Tenant].Name
 	}
-	err := la.ledger.Take(e)
+	err := la.ledger.Accept(e)
 	if errors.Is(err, recordfile.ErrUncertain) && !la.safeToRepeat(m) {
 		return fmt.Errorf("%w: %w", engine.ErrRecordUncertain, err)
 	}
@@ -71,14 +71,14 @@
 // TakenBack implements outbound.Permits. It records that a permitted attempt was not written after all.
 func (la *ledgerAdapter) TakenBack(a *engine.Attempt) {
 	la.guard.RevokeWrite(a.SafetyCall())
-	la.logFailure(la.ledger.TakeBack(a.Message.ExternalID))
+	la.logFailure(la.ledger.RevokeAttempt(a.Message.ExternalID))
 }
 
 // Record implements outbound.Permits. It records the attempts of a call before they are written. If that
 // fails, only messages that may be repeated freely are allowed; they need no record before they are sent.
 func (la *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
 	at, zone := la.clock.ToInstant(call[0].StartedAt), call[0].Placement.Zone
-	err := la.ledger.Out(messageNames(call), at, zone, false)
+	err := la.ledger.StartAttempts(messageNames(call), at, zone, false)
 	if err == nil {
 		for _, a := range call {
 			la.verifyHistory(a.Message)
@@ -93,7 +93,7 @@
 	}
 	if len(allowed) > 0 {
 		// The ledger keeps this record and writes it once writes succeed again.
-		_ = la.ledger.Out(messageNames(allowed), at, zone, true)
+		_ = la.ledger.StartAttempts(messageNames(allowed), at, zone, true)
 	}
 	return allowed, err
 }
@@ -109,7 +109,7 @@
 
 // RecordAttemptEnd implements engine.Ledger. It records the end of an attempt whose message has not ended.
 func (la *ledgerAdapter) RecordAttemptEnd(a *engine.Attempt, e safety.AttemptResult) {
-	la.logFailure(la.ledger.Back(a.Message.ExternalID, e.PossiblyExecuted, e.NotCounted))
+	la.logFailure(la.ledger.EndAttempt(a.Message.ExternalID, e.PossiblyExecuted, e.NotCounted))
 	la.verifyHistory(a.Message)
 }
 
@@ -120,7 +120,7 @@
 	if !ok {
 		return
 	}
-	if err := la.guard.VerifyRecord(m.ID, h.Attempts, h.ExecutedAt > 0, la.clock.FromInstant(h.ExecutedAt)); err != nil {
+	if err := la.guard.VerifyRecord(m.ID, h.Attempts, h.PossiblyExecutedAt > 0, la.clock.FromInstant(h.PossiblyExecutedAt)); err != nil {
 		la.reportFault(err.Error())
 	}
 }
@@ -129,12 +129,12 @@
 // for the latter) gets no notice, a refused one a deferred notice and a failed one an undeliverable notice.
 func (la *ledgerAdapter) RecordFinish(m *engine.Message, a *engine.Answer) {
 	if a == nil || a.Kind == engine.Served {
-		la.logFailure(la.ledger.Over(m.ExternalID))
+		la.logFailure(la.ledger.Complete(m.ExternalID))
 		return
 	}
 	n := ledger.Notice{Name: m.ExternalID}
 	if a.Kind == engine.Refused {
-		n.Deferred, n.Again = true, int64((a.RetryAfter+control.Millisecond-1)/control.Millisecond)
+		n.Deferred, n.RetryAfterMillis = true, int64((a.RetryAfter+control.Millisecond-1)/control.Millisecond)
 	}
 	la.recordEnd(n, m.AcceptedAt+m.Lifetime)
 }
@@ -142,7 +142,7 @@
 // recordEnd records the end of a message and then sends its notice. The notice must not precede the record: a
 // process that finds the message still owed would send it while its sender submits it again.
 func (la *ledgerAdapter) recordEnd(n ledger.Notice, deadline control.Time) {
-	if err := la.ledger.End(n); err != nil {
+	if err := la.ledger.CompleteWithNotice(n); err != nil {
 		la.logFailure(err)
 		la.mu.Lock()
 		la.unrecorded = append(la.unrecorded, unrecordedNotice{n, deadline})
@@ -193,7 +193,7 @@
 			all = append(all, la.toLedgerOutage(o))
 		}
 	}
-	la.logFailure(la.ledger.Learn(all))
+	la.logFailure(la.ledger.UpdateOutages(all))
 }
 
 // toLedgerOutage converts an outage to the form of the ledger.
@@ -204,8 +204,8 @@
 		}
 		return la.clock.ToInstant(t)
 	}
-	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
+	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspect, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownAt),
+		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Proven, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.ColdAt), RefusingSince: instant(o.FullAt)}
 }
 
 // toControlOutage converts an outage of the ledger to the form of the decision library, for the endpoint of
@@ -221,12 +221,14 @@
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.FailedAt), DownAt: at(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.LastFailedAt), DownAt: at(o.FirstFailedAt),
+		Failures: o.ConsecutiveFailures, Proven: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, ColdAt: at(o.RecoveredAt), FullAt: at(o.RefusingSince)}
 }
 
 // acknowledge records that the platform has received notices.
-func (la *ledgerAdapter) acknowledge(names []string) { la.logFailure(la.ledger.Acked(names)) }
+func (la *ledgerAdapter) acknowledge(names []string) {
+	la.logFailure(la.ledger.AcknowledgeNotices(names))
+}
 
 // logFailure logs a ledger error. Errors that only say that the ledger is failing are dropped, because the
 // cause has been logged.
@@ -249,8 +251,8 @@
 			undeliverable = append(undeliverable, e.Name)
 			continue
 		}
-		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, OrderKey: e.Order, ExternalID: e.Name, IdempotencyKey: e.Key, Body: e.Body,
-			Lifetime: max(0, la.clock.FromInstant(e.Due)-now), ReceivedAt: now,
+		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Destination, OrderKey: e.OrderingKey, ExternalID: e.Name, IdempotencyKey: e.IdempotencyKey, Body: e.Body,
+			Lifetime: max(0, la.clock.FromInstant(e.Deadline)-now), ReceivedAt: now,
 			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
 		if at, zone, ok := e.PossiblyExecuted(); ok {
 			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.ExecutedZone = true, la.clock.FromInstant(at), zone
--- a/internal/platform/listcache.go
+++ b/internal/platform/listcache.go
@@ -99,7 +99,7 @@
 	if err := c.save(l); err != nil {
 		c.stale = true
 		c.logFailure(err)
-		if disk.ForNow(err) {
+		if disk.IsTransient(err) {
 			select {
 			case c.failed <- struct{}{}:
 			default:
@@ -111,7 +111,7 @@
 // save appends a change to the file, or rewrites the file if l is a whole list, the file cannot be appended
 // to, or the changes would grow too large.
 func (c *listCache) save(l EndpointList) error {
-	if l.Whole || c.stale || c.file.Damaged() {
+	if l.Whole || c.stale || c.file.NeedsReplace() {
 		return c.rewrite()
 	}
 	text, err := json.Marshal(l)
@@ -154,7 +154,7 @@
 	if err != nil {
 		c.logFailure(err)
 	}
-	if disk.ForNow(err) {
+	if disk.IsTransient(err) {
 		return err
 	}
 	return nil
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -139,7 +139,7 @@
 	n.notices = newNoticeSender(n.agent, adapter.acknowledge, n.warnLogger("notices"))
 	adapter.notices = n.notices
 	settings := *set
-	settings.Follows = n.ledger.Follows()
+	settings.Follows = n.ledger.Reopened()
 	policy := engine.Options{Settings: settings, Ledger: adapter, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = messageTrace{n.log, n.directory}
@@ -150,7 +150,7 @@
 		return err
 	}
 	maxHeld := maxHeldFactor * set.MaxOpen
-	entries, notices := n.ledger.Owed()
+	entries, notices := n.ledger.Outstanding()
 	n.loop = engine.NewLoop(core, n.clock, engine.Limits{MaxQueued: maxHeld + len(entries), MaxHeld: maxHeld + len(entries)})
 	n.notices.enqueue(notices...)
 	n.startDiscovery()
@@ -204,7 +204,7 @@
 	maxBytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
 	limits := door.Limits{Conns: budget.clients, Bytes: maxBytes, Hold: maxHeld, BlockAt: 1, UnblockAt: 1}
 	n.clients = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
-	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Has, n.hasList.Load
+	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Contains, n.hasList.Load
 	if n.cfg.Trace {
 		n.clients.trace = n.debugLogger()
 	}
@@ -281,7 +281,7 @@
 		}
 	}
 	if len(unlisted) > 0 {
-		adapter.logFailure(adapter.ledger.Learn(unlisted))
+		adapter.logFailure(adapter.ledger.UpdateOutages(unlisted))
 	}
 }
 
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -140,7 +140,7 @@
 	for _, notice := range batch {
 		o := outcome{ID: notice.Name, Status: "undeliverable"}
 		if notice.Deferred {
-			o.Status, o.RetryAfterMs = "deferred", notice.Again
+			o.Status, o.RetryAfterMs = "deferred", notice.RetryAfterMillis
 		}
 		// Marshalling plain strings and numbers cannot fail.
 		text, _ := json.Marshal(o)
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -59,7 +59,7 @@
 			return true
 		}
 	}
-	return disk.ForNow(err)
+	return disk.IsTransient(err)
 }
 
 // openStateDir opens the state directory and creates it if it does not exist.
@@ -72,8 +72,8 @@
 }
 
 // ledgerNow returns the present time in the form of the ledger.
-func ledgerNow(c *clock.Process) ledger.Moment {
-	return ledger.Moment{Boot: c.BootID(), At: c.ToInstant(c.Now()), Wall: clock.Wall().UnixMicro()}
+func ledgerNow(c *clock.Process) ledger.ClockReading {
+	return ledger.ClockReading{Boot: c.BootID(), At: c.ToInstant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
 // maintainStorage repairs the ledger and the list cache whenever they fail, until the node ends. Attempts
@@ -84,7 +84,7 @@
 		select {
 		case <-n.quit:
 			return
-		case <-n.ledger.Broken():
+		case <-n.ledger.FailureStarted():
 		case <-n.listCache.failed:
 		}
 		n.repairStorage(adapter)
