--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -18,7 +18,7 @@
 // plain calls: the path has the names of the messages.
 type plain struct{ addr netip.AddrPort }
 
-func (p plain) Address(control.Endpoint) (netip.AddrPort, bool) { return p.addr, true }
+func (p plain) Address(control.EndpointID) (netip.AddrPort, bool) { return p.addr, true }
 func (p plain) Request(b []byte, as []*engine.Attempt, _ []time.Duration) []byte {
 	names := make([]string, len(as))
 	for i, a := range as {
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -69,7 +69,7 @@
 // speech is the plainest: every endpoint is the peer.
 type speech struct{ addr netip.AddrPort }
 
-func (s speech) Address(control.Endpoint) (netip.AddrPort, bool) { return s.addr, true }
+func (s speech) Address(control.EndpointID) (netip.AddrPort, bool) { return s.addr, true }
 func (s speech) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
@@ -95,7 +95,7 @@
 	}
 	defer p.Close()
 	for i := range n {
-		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Msg: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Due: clock.Now() + 60*control.Second}})
+		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Msg: &engine.Message{}, Endpoint: control.EndpointID(i + 1), Due: clock.Now() + 60*control.Second}})
 	}
 	for range n {
 		<-all
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -24,7 +24,7 @@
 
 // Addresses tells where endpoints are; ok is false for one that was never listed.
 type Addresses interface {
-	Address(ep control.Endpoint) (addr netip.AddrPort, ok bool)
+	Address(ep control.EndpointID) (addr netip.AddrPort, ok bool)
 }
 
 // Protocol is what is spoken on the connections of a Pool.
@@ -97,17 +97,17 @@
 
 	mu      sync.Mutex
 	planner *opener.Planner
-	sites   map[control.Endpoint]*site // those with connections or attempts; the others cost nothing
-	tasks   map[uint64]*task           // attempts without an end
-	idle    *list.List                 // connections without attempts, longest idle first
-	active  map[*conn]struct{}         // connections whose time limits are looked at
+	sites   map[control.EndpointID]*site // those with connections or attempts; the others cost nothing
+	tasks   map[uint64]*task             // attempts without an end
+	idle    *list.List                   // connections without attempts, longest idle first
+	active  map[*conn]struct{}           // connections whose time limits are looked at
 
 	opened atomic.Int64
 }
 
 // site is the pool of one endpoint. All fields are guarded by Pool.mu.
 type site struct {
-	ep      control.Endpoint
+	ep      control.EndpointID
 	addr    netip.AddrPort
 	conns   []*conn
 	pending []*call // calls for which no connection has room
@@ -168,7 +168,7 @@
 
 // New makes a Pool that reports ends to report, which must not block.
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.End)) (*Pool, error) {
-	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.Endpoint]*site{},
+	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.EndpointID]*site{},
 		tasks: map[uint64]*task{}, quit: make(chan struct{}), kick: make(chan struct{}, 1),
 		planner: opener.New(cfg.Opening), idle: list.New(), active: map[*conn]struct{}{}}
 	if p.cfg.Trace == nil {
@@ -306,7 +306,7 @@
 		var s *site
 		switch answer {
 		case opener.Open:
-			if s = p.sites[control.Endpoint(key)]; s == nil {
+			if s = p.sites[control.EndpointID(key)]; s == nil {
 				p.planner.Failed(now, opener.PeerFailed)
 			} else {
 				s.wished = false
@@ -380,7 +380,7 @@
 }
 
 // CloseIdle is engine.Back.
-func (p *Pool) CloseIdle(ep control.Endpoint) {
+func (p *Pool) CloseIdle(ep control.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.sites[ep]; s != nil {
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -160,15 +160,15 @@
 	case 200:
 		return engine.Verdict{Result: control.OK, Ran: true, Final: true, Why: "200: delivered"}
 	case 429:
-		return engine.Verdict{Result: control.Full, Why: "429: turned away, it never ran"}
+		return engine.Verdict{Result: control.LimitExceeded, Why: "429: turned away, it never ran"}
 	case 503:
-		return engine.Verdict{Result: control.Full, Why: "503: turned away, it never ran"}
+		return engine.Verdict{Result: control.LimitExceeded, Why: "503: turned away, it never ran"}
 	case 504:
-		return engine.Verdict{Result: control.Moot, Why: "504: it has had all its attempts, this one never ran"}
+		return engine.Verdict{Result: control.NotExecuted, Why: "504: it has had all its attempts, this one never ran"}
 	case 410:
-		return engine.Verdict{Result: control.Moot, Final: true, Why: "410: it is over"}
+		return engine.Verdict{Result: control.NotExecuted, Final: true, Why: "410: it is over"}
 	case 400, 413:
-		return engine.Verdict{Result: control.Moot, Why: "the endpoint can't use the call: it never ran"}
+		return engine.Verdict{Result: control.NotExecuted, Why: "the endpoint can't use the call: it never ran"}
 	}
-	return engine.Verdict{Result: control.Errored, Ran: true, Why: "error, it may have run"}
+	return engine.Verdict{Result: control.ErrorResponse, Ran: true, Why: "error, it may have run"}
 }
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -52,7 +52,7 @@
 // repeatable tells whether executing a message again does no harm, whoever hands it in and when.
 func (k *keeper) repeatable(m *engine.Message) bool {
 	c := &k.settings.Classes[m.Class]
-	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
+	return c.Effect == control.Idempotent || c.Effect == control.Deduplicated && !c.DedupPerZone
 }
 
 // Write is outbound.Permits.
@@ -78,7 +78,7 @@
 	}
 	var may []*engine.Attempt
 	for _, a := range call {
-		if k.settings.Classes[a.Msg.Class].Effect == control.Free {
+		if k.settings.Classes[a.Msg.Class].Effect == control.Idempotent {
 			may = append(may, a)
 		}
 	}
@@ -175,7 +175,7 @@
 func (k *keeper) Learn(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; k.dir.Listed(o.Endpoint) || o.Over() {
+		if o := &changed[i]; k.dir.Listed(o.Endpoint) || o.Ended() {
 			all = append(all, k.outage(o))
 		}
 	}
@@ -190,8 +190,8 @@
 		}
 		return k.clock.Instant(t)
 	}
-	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
+	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspected, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownSince),
+		Failures: o.Failures, Proven: o.Unreachable, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.RampStart), FullAt: instant(o.RefusingSince)}
 }
 
 // known says an outage of the ledger in the module's terms, of an endpoint.
@@ -205,8 +205,8 @@
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.FailedAt), DownAt: at(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspected: o.Suspect, FailedAt: at(o.FailedAt), DownSince: at(o.DownAt),
+		Failures: o.Failures, Unreachable: o.Proven, Errors: o.Errors, Push: o.Push, RampStart: at(o.ColdAt), RefusingSince: at(o.FullAt)}
 }
 
 // acked records that the platform has heard.
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -86,7 +86,7 @@
 // startOn starts a dispatcher on a folder; system may be nil for the kernel.
 func startOn(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.DestinationKinds), agent: newAgent(cfg.Discovery),
 		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
 	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() List { return n.dir.Whole(n.listSeq.Load()) }, n.warn("discovery"))
 	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
@@ -111,7 +111,7 @@
 	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
 	keep.notes = n.notes
 	settings := *set
-	settings.Follows = n.ledger.Follows()
+	settings.HasPredecessor = n.ledger.Follows()
 	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
@@ -158,7 +158,7 @@
 	cfg := outbound.Config{
 		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
 		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
+		Idle:           time.Duration(idlePart * float64(span(set.ConnIdleTimeout, 5*time.Second))),
 		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
 		Trace:          n.debug(), Permits: permits, System: n.system,
 	}
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -45,7 +45,7 @@
 	d := &Desk{side: side, trace: func(string, ...any) {}}
 	d.classes, d.tenants = numbers(&s)
 	for _, c := range s.Classes {
-		d.keyed = append(d.keyed, c.Effect == control.Guarded)
+		d.keyed = append(d.keyed, c.Effect == control.Deduplicated)
 	}
 	return d
 }
