--- a/control/control_test.go
+++ b/control/control_test.go
@@ -57,8 +57,8 @@
 
 // ep returns an endpoint, of a destination that nothing was asked for yet, too.
 func (r *rig) ep(id EndpointID) *endpoint {
-	r.d.dest(int(id) / 10)
-	return r.d.byID[id]
+	r.d.destination(int(id) / 10)
+	return r.d.endpointByID[id]
 }
 
 func ep(dest, n int) EndpointID { return EndpointID(dest*10 + n) }
@@ -205,7 +205,7 @@
 	r.want(r.at(2*s-s/10, done(1, 0, OK)), 3)
 	r.want(r.at(s, done(3, 0, OK)), 4)
 	r.want(r.at(2*s, done(4, 0, OK)), 2)
-	if a, b := r.d.dest(1).acc, r.d.dest(2).acc; a != 2 || b != 3 {
+	if a, b := r.d.destination(1).virtualTime, r.d.destination(2).virtualTime; a != 2 || b != 3 {
 		t.Errorf("counters %v and %v, want 2 and 3", a, b)
 	}
 }
@@ -219,7 +219,7 @@
 		r := newRig(t, set, e)
 		r.want(r.at(0, r.msg(free, 1)), 1)
 		r.at(2*s, done(1, 0, OK))
-		if got := r.d.dest(1).acc; got != c.want {
+		if got := r.d.destination(1).virtualTime; got != c.want {
 			t.Errorf("weight %v: charged %v, want %v", c.weight, got, c.want)
 		}
 	}
@@ -228,16 +228,16 @@
 func TestRevivalTakesTheLeastOtherCounter(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	r.at(0, r.msg(free, 1), r.msg(free, 2))
-	r.d.dest(1).acc, r.d.dest(2).acc, r.d.dest(3).acc = 7, 5, 90
-	r.d.place(r.d.dest(1))
-	r.d.place(r.d.dest(2))
+	r.d.destination(1).virtualTime, r.d.destination(2).virtualTime, r.d.destination(3).virtualTime = 7, 5, 90
+	r.d.reindex(r.d.destination(1))
+	r.d.reindex(r.d.destination(2))
 	r.at(s/10, r.msg(free, 3))
-	if got := r.d.dest(3).acc; got != 5 {
+	if got := r.d.destination(3).virtualTime; got != 5 {
 		t.Errorf("revived at %v, want 5", got)
 	}
 	r.at(s/10, done(1, 0, OK), done(2, 0, OK), done(3, 0, OK))
 	r.at(s/10, r.msg(free, 1))
-	if got := r.d.dest(1).acc; got != 0 {
+	if got := r.d.destination(1).virtualTime; got != 0 {
 		t.Errorf("revived alone at %v, want 0: idle counters are dropped", got)
 	}
 }
@@ -245,16 +245,16 @@
 // Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
-	d := r.d.dest(1)
-	if r.d.room(d); d.wmax != 4 {
-		t.Fatalf("Wmax starts at %d, want 4", d.wmax)
+	d := r.d.destination(1)
+	if r.d.effectiveWindow(d); d.window != 4 {
+		t.Fatalf("Wmax starts at %d, want 4", d.window)
 	}
 	for i := range 3 {
 		r.at(s/10, r.msg(free, 1))
 		r.at(s/10, done(MessageID(i+1), 0, OK))
 	}
-	if d.wmax != 5 {
-		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.wmax)
+	if d.window != 5 {
+		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.window)
 	}
 }
 
@@ -267,17 +267,17 @@
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
 		r := newRig(t, testSettings(), entry(1, 0, 0))
-		d := r.d.dest(1)
-		d.starting, d.wmax, d.w = false, c.wmax, c.w
-		for i := range fairF * c.wmax {
+		d := r.d.destination(1)
+		d.windowStarting, d.window, d.inFlight = false, c.wmax, c.w
+		for i := range windowReviewFactor * c.wmax {
 			res := OK
 			if i < c.bad {
 				res = ErrorResponse
 			}
-			r.d.revise(d, res)
+			r.d.adjustWindow(d, res)
 		}
-		if d.wmax != c.want {
-			t.Errorf("%s: Wmax %d, want %d", c.name, d.wmax, c.want)
+		if d.window != c.want {
+			t.Errorf("%s: Wmax %d, want %d", c.name, d.window, c.want)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	r.want(r.at(0, r.msg(free, 1), r.msg(free, 1), r.msg(free, 1), r.msg(free, 1)), 1, 2, 3)
 	r.want(r.at(s, done(1, 0, OK), done(2, 0, OK))) // the slot is held until the last outcome
 	r.want(r.at(s, done(3, 0, OK)), 4)
-	if got := r.d.dest(1).acc; got != 2 {
+	if got := r.d.destination(1).virtualTime; got != 2 {
 		t.Errorf("a batch of three charged %v, want 2", got)
 	}
 }
@@ -470,7 +470,7 @@
 	}
 	r.want(r.at(0, r.msg(single, 1)), 5)
 	r.wait(2 * s)
-	if e := r.ep(ep(1, 0)); !e.suspect {
+	if e := r.ep(ep(1, 0)); !e.suspected {
 		t.Fatal("a call out for 20 times the usual raises no suspicion")
 	}
 	if got := sent(append(r.at(0, r.msg(single, 1)), r.wait(300*Millisecond)...)); len(got) > 0 {
@@ -486,7 +486,7 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.at(s/10, done(1, 0, ConnectFailed))
-	if !r.ep(ep(1, 0)).suspect {
+	if !r.ep(ep(1, 0)).suspected {
 		t.Fatal("not suspect")
 	}
 	var trials []MessageID
@@ -496,7 +496,7 @@
 	if len(trials) != 1 {
 		t.Fatalf("trials %v, want a single one", trials)
 	}
-	r.at(s/10, done(trials[0], r.d.msgs[trials[0]].tries-1, OK))
+	r.at(s/10, done(trials[0], r.d.messages[trials[0]].attempts-1, OK))
 	if got := sent(r.wait(s)); len(got) > 5 {
 		t.Errorf("%d messages in the first second of its return", len(got))
 	}
@@ -523,7 +523,7 @@
 	if closed(r.at(s/10, done(4, 0, OK)), ep(3, 0)) {
 		t.Error("closed at another kind")
 	}
-	r.wait(scarceFor)
+	r.wait(connScarcityPeriod)
 	r.at(s/10, r.msg(free, 2))
 	if closed(r.at(s/10, done(5, 0, OK)), ep(2, 0)) {
 		t.Error("the lesson is never forgotten")
@@ -565,7 +565,7 @@
 		}
 		r.at(s/10, done(MessageID(i+1), 0, res))
 	}
-	if r.ep(ep(1, 0)).suspect {
+	if r.ep(ep(1, 0)).suspected {
 		t.Error("an endpoint that answers every fourth call is shut off")
 	}
 }
@@ -579,7 +579,7 @@
 	r.want(r.at(s/50, done(1, 0, ErrorResponse)), 1)
 	acts := slices.Concat(r.at(s/50, done(1, 1, ErrorResponse)), r.wait(s/2))
 	r.want(acts)
-	if e := r.ep(ep(1, 0)); !e.suspect || !r.d.sure(e) {
+	if e := r.ep(ep(1, 0)); !e.suspected || !r.d.outageConfirmed(e) {
 		t.Error("two errors of a sender with one message in 20 s are no outage")
 	}
 }
@@ -592,17 +592,17 @@
 			r.at(0, r.msg(single, 1))
 		}
 		e := r.ep(ep(1, 0))
-		for r.wait(3 * s); !e.suspect; r.wait(s) {
+		for r.wait(3 * s); !e.suspected; r.wait(s) {
 		}
 		r.at(0, r.msg(single, 1))
 		r.wait(s)
 		trial := e.calls[len(e.calls)-1]
-		if !e.suspect || !trial.trial || len(e.calls) != calls+1 {
-			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, e.suspect, trial.trial, len(e.calls))
+		if !e.suspected || !trial.trial || len(e.calls) != calls+1 {
+			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, e.suspected, trial.trial, len(e.calls))
 		}
-		r.at(0, done(trial.msgs[0].id, 0, OK))
-		if ramps := e.coldAt != 0; e.suspect || ramps != (calls == 3) {
-			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, e.suspect, ramps)
+		r.at(0, done(trial.messages[0].id, 0, OK))
+		if ramps := e.rampStart != 0; e.suspected || ramps != (calls == 3) {
+			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, e.suspected, ramps)
 		}
 	}
 }
@@ -624,7 +624,7 @@
 // After refusals the release rate comes back within seconds; it once took half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
-	p := r.d.dest(1).pace
+	p := r.d.destination(1).limiter
 	n, served := 0, 0
 	var next []Event
 	for r.now < 1030*s {
@@ -634,9 +634,9 @@
 			events = append(events, r.msg(free, 1))
 		}
 		for _, id := range sent(r.at(s/20, events...)) {
-			e := done(id, r.d.msgs[id].tries-1, OK)
+			e := done(id, r.d.messages[id].attempts-1, OK)
 			if r.now > 1005*s && r.now < 1006*s {
-				e = full(id, r.d.msgs[id].tries-1, 0)
+				e = full(id, r.d.messages[id].attempts-1, 0)
 			} else {
 				served++
 			}
@@ -644,8 +644,8 @@
 		}
 	}
 	n /= 2
-	if p.allow < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allow, served, n)
+	if p.allowance < 1 || served < n*8/10 {
+		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allowance, served, n)
 	}
 }
 
@@ -683,8 +683,8 @@
 			}
 		}
 	}
-	if refused == 0 || r.d.open > 8 {
-		t.Errorf("%d refused, %d held", refused, r.d.open)
+	if refused == 0 || r.d.openMessages > 8 {
+		t.Errorf("%d refused, %d held", refused, r.d.openMessages)
 	}
 }
 
@@ -719,7 +719,7 @@
 		for i := range 200 {
 			acts := r.at(s/50, r.msg(i%3, 1+i%2))
 			for _, id := range sent(acts) {
-				acts = append(acts, r.at(s/50, done(id, r.d.msgs[id].tries-1, Result(i%6)))...)
+				acts = append(acts, r.at(s/50, done(id, r.d.messages[id].attempts-1, Result(i%6)))...)
 			}
 			all = append(all, acts...)
 		}
@@ -736,12 +736,12 @@
 	r.want(r.at(0, r.msg(single, 1)), 1)
 	r.wait(3 * s)
 	e := r.ep(ep(1, 0))
-	if !e.suspect {
+	if !e.suspected {
 		t.Fatal("not suspect after 3 s")
 	}
 	r.at(0, done(1, 0, OK))
-	if e.suspect || e.coldAt != 0 {
-		t.Errorf("suspect %v, cold since %v", e.suspect, e.coldAt)
+	if e.suspected || e.rampStart != 0 {
+		t.Errorf("suspect %v, cold since %v", e.suspected, e.rampStart)
 	}
 }
 
@@ -749,18 +749,18 @@
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.d.dest(n)
-		r.d.started(d)
-		d.wmax, d.base, d.lat.mean, d.w = 5, 100, 100, 0
-	}
-	one, two := r.d.dest(1), r.d.dest(2)
-	r.d.calling = []*dest{one, two}
-	one.lat.mean, two.lat.mean, two.w = 900, 900, 3
-	if got := r.d.room(one); got != 1 {
+		d := r.d.destination(n)
+		r.d.initWindow(d)
+		d.window, d.baselineLatency, d.latency.mean, d.inFlight = 5, 100, 100, 0
+	}
+	one, two := r.d.destination(1), r.d.destination(2)
+	r.d.calling = []*destination{one, two}
+	one.latency.mean, two.latency.mean, two.inFlight = 900, 900, 3
+	if got := r.d.effectiveWindow(one); got != 1 {
 		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
 	}
-	two.lat.mean = 100
-	if got := r.d.room(one); got != 4 {
+	two.latency.mean = 100
+	if got := r.d.effectiveWindow(one); got != 4 {
 		t.Errorf("room %d as the only sick one, want half of the slots", got)
 	}
 }
@@ -784,7 +784,7 @@
 		for id := MessageID(1); id <= r.id; id++ {
 			if at, out := ends[id]; out && r.now >= at {
 				delete(ends, id)
-				events = append(events, done(id, r.d.msgs[id].tries-1, OK))
+				events = append(events, done(id, r.d.messages[id].attempts-1, OK))
 			}
 		}
 		for _, a := range r.at(50*Millisecond, events...) {
--- a/control/drops_test.go
+++ b/control/drops_test.go
@@ -14,7 +14,7 @@
 	for range 20 {
 		send(end)
 		r.at(s / 50)
-		if m := r.d.msgs[r.id]; m == nil || m.out == nil {
+		if m := r.d.messages[r.id]; m == nil || m.call == nil {
 			t.Fatal("it does not go again")
 		}
 		r.at(s/50, done(r.id, 1, OK))
@@ -30,8 +30,8 @@
 		less bool
 	}{{50 * Millisecond, false}, {400 * Millisecond, false}, {3 * s, true}} {
 		r := drops(t, c.idle, Reset)
-		if got := r.d.kinds[0].keep < 2*r.d.set.ConnIdleTimeout; got != c.less {
-			t.Errorf("idle for %v: used up to %v", c.idle, r.d.kinds[0].keep)
+		if got := r.d.kinds[0].safeIdleAge < 2*r.d.settings.ConnIdleTimeout; got != c.less {
+			t.Errorf("idle for %v: used up to %v", c.idle, r.d.kinds[0].safeIdleAge)
 		}
 	}
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -46,7 +46,7 @@
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.want(r.at(s/50, done(1, 0, ConnectFailed)), 1)
 	r.want(r.at(s/50, done(1, 1, ConnectFailed)))
-	if a, b := r.ep(ep(1, 0)), r.ep(ep(1, 1)); !r.d.sure(a) || !r.d.sure(b) {
+	if a, b := r.ep(ep(1, 0)), r.ep(ep(1, 1)); !r.d.outageConfirmed(a) || !r.d.outageConfirmed(b) {
 		t.Error("two endpoints of one destination failed and the outage is not taken as sure")
 	}
 }
@@ -62,7 +62,7 @@
 			next = nil
 			for _, id := range sent(r.at(s/20, events...)) {
 				sends++
-				next = append(next, full(id, r.d.msgs[id].tries-1, 0))
+				next = append(next, full(id, r.d.messages[id].attempts-1, 0))
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 	}{{1, 8 * s}, {0.05, 0}} {
 		served := 0
 		for _, r := range fleet(t, 20, testSettings(), entry(1, 0, 0)) {
-			r.d.kinds[0].again = c.again
+			r.d.kinds[0].retrySuccess = c.again
 			r.want(r.at(0, r.msg(free, 1)), 1)
 			r.at(s/10, full(1, 0, 0))
 			if got := sent(r.wait(8 * s)); len(got) > 0 {
@@ -99,7 +99,7 @@
 		r.want(r.at(s/2, r.msg(free, 1)), r.id)
 		r.at(s/10, done(r.id, 0, OK))
 	}
-	before := r.d.silence(r.d.dest(1))
+	before := r.d.silenceTimeout(r.d.destination(1))
 	for range 6 {
 		r.want(r.at(s/2, r.msg(single, 1)), r.id)
 		lost := r.id
@@ -107,12 +107,12 @@
 		r.want(r.at(0, r.msg(free, 1)), r.id)
 		r.at(s/10, done(r.id, 0, OK))
 		r.at(0, done(lost, 0, Cancelled))
-		if e := r.ep(ep(1, 0)); e.suspect || e.coldAt != 0 {
-			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspect, e.coldAt)
+		if e := r.ep(ep(1, 0)); e.suspected || e.rampStart != 0 {
+			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspected, e.rampStart)
 		}
 	}
-	if after := r.d.silence(r.d.dest(1)); r.d.lost < 0.2 || after >= before {
-		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lost, after, before)
+	if after := r.d.silenceTimeout(r.d.destination(1)); r.d.lossShare < 0.2 || after >= before {
+		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lossShare, after, before)
 	}
 }
 
@@ -121,14 +121,14 @@
 	for _, c := range []struct {
 		allow float64
 		want  ActionKind
-	}{{0.2, Fail}, {unfelt, Refuse}} {
+	}{{0.2, Fail}, {unlimitedAllowance, Refuse}} {
 		set := testSettings()
 		set.MaxOpen = 3
 		r := newRig(t, set, entry(1, 0, 0))
 		r.wait(20 * s)
 		r.at(0, r.msg(free, 1))
 		r.at(s/10, full(1, 0, 10*s))
-		r.d.dest(1).pace.allow = c.allow
+		r.d.destination(1).limiter.allowance = c.allow
 		acts := append(r.at(s/10, r.msg(free, 1)), r.at(s/10, r.msg(free, 1))...)
 		if len(acts) != 1 || acts[0].Kind != c.want {
 			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, acts, c.want)
@@ -145,8 +145,8 @@
 	r.wait(4 * s)
 	r.at(0, r.msg(single, 2))
 	r.wait(4 * s)
-	one, two := r.d.dest(1), r.d.dest(2)
-	if !r.d.sick(one) || !r.d.sick(two) {
+	one, two := r.d.destination(1), r.d.destination(2)
+	if !r.d.degraded(one) || !r.d.degraded(two) {
 		t.Fatal("not both are taken as hung")
 	}
 	acts := r.at(0, r.msg(free, 3))
@@ -185,11 +185,11 @@
 		r.at(s/50, Event{Kind: Withdrawn, Message: k.Message}, done(k.Message, 1, OK))
 		r.wait(s)
 	}
-	r.wait(2 * seldom)
+	r.wait(2 * housekeepingInterval)
 	d := r.d
-	if len(d.byID) > 2 || len(d.byNo) > 2 || len(d.dests) > 2 || len(d.msgs) > 0 || len(d.keys) > 0 || len(d.resting) > 0 {
+	if len(d.endpointByID) > 2 || len(d.destByNumber) > 2 || len(d.dests) > 2 || len(d.messages) > 0 || len(d.keys) > 0 || len(d.restingKeys) > 0 {
 		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
-			len(d.byID), len(d.byNo), len(d.dests), len(d.msgs), len(d.keys), len(d.resting))
+			len(d.endpointByID), len(d.destByNumber), len(d.dests), len(d.messages), len(d.keys), len(d.restingKeys))
 	}
 }
 
@@ -200,7 +200,7 @@
 	r := newRig(t, set, entry(1, 0, 0))
 	r.want(r.at(0, r.keyed(9)), 1)
 	r.at(s/10, Event{Kind: Withdrawn, Message: 1}, done(1, 0, Reset))
-	r.wait(2 * seldom)
+	r.wait(2 * housekeepingInterval)
 	e := r.keyed(9)
 	e.TimeLeft = 40 * s
 	r.want(append(r.at(0, e), r.wait(9*s)...))
@@ -220,7 +220,7 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	notes := 0
 	for range 40 {
-		r.d.chill(r.ep(ep(1, 0)), r.now)
+		r.d.startSlowStart(r.ep(ep(1, 0)), r.now)
 		r.now += s / 2
 		for _, a := range r.d.Step(r.now, nil, nil) {
 			if a.Kind == Log {
@@ -244,13 +244,13 @@
 	gone := entry(1, int(acts[0].Endpoint)%10, 0)
 	gone.Health = Gone
 	r.at(s/50, done(1, 1, ConnectFailed), Event{Kind: ListUpdate, Entries: []Entry{gone}})
-	r.wait(2 * seldom)
-	left := r.d.dest(1).eps
-	if len(left) != 1 || !r.d.sure(left[0]) {
+	r.wait(2 * housekeepingInterval)
+	left := r.d.destination(1).endpoints
+	if len(left) != 1 || !r.d.outageConfirmed(left[0]) {
 		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
 	}
 	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 2, 0)}})
-	if e := r.ep(ep(1, 2)); e.coldAt == 0 {
+	if e := r.ep(ep(1, 2)); e.rampStart == 0 {
 		t.Error("an endpoint that joins does not start cold")
 	}
 }
@@ -264,12 +264,12 @@
 	r := newRig(t, set, entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.at(s/10, full(1, 0, 0))
-	p := r.d.dest(1).pace
-	if r.wait(5 * s); p.tokens != p.tokens || p.wait > r.now+backoffMost {
-		t.Errorf("tokens %v, wait until %v at %v", p.tokens, p.wait, r.now)
+	p := r.d.destination(1).limiter
+	if r.wait(5 * s); p.tokens != p.tokens || p.waitUntil > r.now+maxBackoff {
+		t.Errorf("tokens %v, wait until %v at %v", p.tokens, p.waitUntil, r.now)
 	}
-	if d := r.d; !(d.aim > 0) {
-		t.Errorf("aim %v", d.aim)
+	if d := r.d; !(d.minTarget > 0) {
+		t.Errorf("aim %v", d.minTarget)
 	}
 }
 
@@ -279,20 +279,20 @@
 	set.PullList, set.PullInterval = true, 10*s
 	r := newRig(t, set, entry(1, 0, 2))
 	for i := range 200 {
-		n := hintName(ep(1, i+2))
+		n := hintID(ep(1, i+2))
 		r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, i+2, 2)}}, Event{Kind: ListUpdate, ListKind: ListFailed})
 		m := r.msg(free, 1)
 		r.at(s/10, m, Event{Kind: GossipReceived, Payload: string([]byte{byte(i), byte(n >> 16), byte(n >> 8), byte(n)})})
 		r.wait(s)
-		if r.d.msgs[m.Message] != nil && r.d.msgs[m.Message].out != nil {
-			r.at(0, usedUp(m.Message, r.d.msgs[m.Message].tries-1, 0))
+		if r.d.messages[m.Message] != nil && r.d.messages[m.Message].call != nil {
+			r.at(0, usedUp(m.Message, r.d.messages[m.Message].attempts-1, 0))
 		}
 		r.at(s/10, Event{Kind: Withdrawn, Message: m.Message})
 	}
-	r.wait(3 * seldom)
-	if d := r.d; len(d.byHint) > 2 || len(d.byID) > 2 || len(d.notes) > 0 || len(d.msgs) > 0 || len(r.timers) > 40 {
+	r.wait(3 * housekeepingInterval)
+	if d := r.d; len(d.endpointByHint) > 2 || len(d.endpointByID) > 2 || len(d.hints) > 0 || len(d.messages) > 0 || len(r.timers) > 40 {
 		t.Errorf("left: %d names, %d endpoints, %d bytes of notes, %d messages, %d timers",
-			len(d.byHint), len(d.byID), len(d.notes), len(d.msgs), len(r.timers))
+			len(d.endpointByHint), len(d.endpointByID), len(d.hints), len(d.messages), len(r.timers))
 	}
 }
 
--- a/control/list_test.go
+++ b/control/list_test.go
@@ -116,7 +116,7 @@
 // drains bind, its endpoints keep their destination. One that told to wait is kept in full until that is over.
 func TestQuietDestinationsAreLinesOfTheList(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0), entry(2, 0, 0))
-	if len(r.d.dests) != 0 || len(r.d.idle) != 2 {
+	if len(r.d.dests) != 0 || len(r.d.unusedEntries) != 2 {
 		t.Fatalf("%d destinations in full before anything was asked for", len(r.d.dests))
 	}
 	one, two := r.msg(free, 1), r.msg(free, 2)
@@ -128,8 +128,8 @@
 	for range 4 {
 		r.at(200 * s)
 	}
-	if r.d.byNo[1] != nil || r.d.byNo[2] == nil {
-		t.Errorf("after 800 s: destination 1 in full %v, want not; 2, told to wait, %v, want so", r.d.byNo[1] != nil, r.d.byNo[2] != nil)
+	if r.d.destByNumber[1] != nil || r.d.destByNumber[2] == nil {
+		t.Errorf("after 800 s: destination 1 in full %v, want not; 2, told to wait, %v, want so", r.d.destByNumber[1] != nil, r.d.destByNumber[2] != nil)
 	}
 	drained := entry(1, 0, 0)
 	drained.Health = Draining
@@ -145,7 +145,7 @@
 	for range 3 {
 		r.at(200 * s)
 	}
-	if len(r.d.idle) != 0 || len(r.d.owner) != 0 || r.d.byNo[1] != nil {
-		t.Errorf("gone endpoints are kept: %d idle, %d owned, destination 1 %v", len(r.d.idle), len(r.d.owner), r.d.byNo[1])
+	if len(r.d.unusedEntries) != 0 || len(r.d.unusedOwner) != 0 || r.d.destByNumber[1] != nil {
+		t.Errorf("gone endpoints are kept: %d idle, %d owned, destination 1 %v", len(r.d.unusedEntries), len(r.d.unusedOwner), r.d.destByNumber[1])
 	}
 }
--- a/control/outage.go
+++ b/control/outage.go
@@ -28,65 +28,65 @@
 // Outages returns what has changed since it was last called, one entry for each endpoint, in the order of the changes. It is to
 // be called behind each Step by a caller that keeps outages for another process (Settings.KeepOutages).
 func (d *Dispatcher) Outages() []Outage {
-	if len(d.outages) == 0 {
+	if len(d.changedOutages) == 0 {
 		return nil
 	}
-	changed := make([]Outage, len(d.outages))
-	for i, ep := range d.outages {
-		changed[i] = d.outage(ep)
-		ep.changed = false
+	changed := make([]Outage, len(d.changedOutages))
+	for i, ep := range d.changedOutages {
+		changed[i] = d.outageOf(ep)
+		ep.outageChanged = false
 	}
-	d.outages = d.outages[:0]
+	d.changedOutages = d.changedOutages[:0]
 	return changed
 }
 
-// outage is what is known of an endpoint's outage.
-func (d *Dispatcher) outage(ep *endpoint) Outage {
-	o := Outage{Endpoint: ep.id, Dest: ep.dest.no, Suspected: ep.suspect, Errors: ep.errs, RampStart: ep.coldAt}
-	if ep.pace.shutSeen {
-		o.RefusingSince = ep.pace.fullSince
+// outageOf is what is known of an endpoint's outage.
+func (d *Dispatcher) outageOf(ep *endpoint) Outage {
+	o := Outage{Endpoint: ep.id, Dest: ep.dest.number, Suspected: ep.suspected, Errors: ep.errorStreak, RampStart: ep.rampStart}
+	if ep.limiter.presumedDown {
+		o.RefusingSince = ep.limiter.refusingSince
 	}
-	if ep.suspect {
-		o.Push = ep.push
-		o.FailedAt, o.DownSince, o.Failures, o.Unreachable = ep.failedAt, ep.downAt, max(ep.bad, ep.pace.bad), ep.proven
-		if d.sure(ep) { // by errors in a row, of which failures count one
-			o.Failures = max(o.Failures, sureAfter)
+	if ep.suspected {
+		o.Push = ep.rampTokens
+		o.FailedAt, o.DownSince, o.Failures, o.Unreachable = ep.failedAt, ep.downSince, max(ep.failureStreak, ep.limiter.failureStreak), ep.unreachable
+		if d.outageConfirmed(ep) { // by errors in a row, of which failures count one
+			o.Failures = max(o.Failures, minConfirmFailures)
 		}
 	}
 	if ep.health == Gone {
-		return Outage{Endpoint: ep.id, Dest: ep.dest.no}
+		return Outage{Endpoint: ep.id, Dest: ep.dest.number}
 	}
 	return o
 }
 
 // outageChanged notes that what is known of an endpoint's outage is another now.
 func (d *Dispatcher) outageChanged(ep *endpoint) {
-	if d.set.TrackOutages && !ep.changed {
-		ep.changed = true
-		d.outages = append(d.outages, ep)
+	if d.settings.TrackOutages && !ep.outageChanged {
+		ep.outageChanged = true
+		d.changedOutages = append(d.changedOutages, ep)
 	}
 }
 
 // restoreOutage takes what a process before this one knew of an outage. The endpoint has to be listed.
 func (d *Dispatcher) restoreOutage(o *Outage) {
-	t := d.dest(o.Dest)
-	i := slices.IndexFunc(t.eps, func(ep *endpoint) bool { return ep.id == o.Endpoint })
+	t := d.destination(o.Dest)
+	i := slices.IndexFunc(t.endpoints, func(ep *endpoint) bool { return ep.id == o.Endpoint })
 	if i < 0 || o.Ended() {
 		return
 	}
-	ep := t.eps[i]
+	ep := t.endpoints[i]
 	d.startRamp(ep)
-	ep.coldAt, ep.errs = o.RampStart, o.Errors
-	ep.liftAt = rampEnd
+	ep.rampStart, ep.errorStreak = o.RampStart, o.Errors
+	ep.rampEnd = maxRampEnd
 	if o.RefusingSince != 0 { // its next success is taken for the end of an outage
-		ep.pace.fullSince, ep.pace.shutSeen, ep.pace.streak = o.RefusingSince, true, max(ep.pace.streak, 1)
+		ep.limiter.refusingSince, ep.limiter.presumedDown, ep.limiter.refusalStreak = o.RefusingSince, true, max(ep.limiter.refusalStreak, 1)
 	}
 	if o.Suspected {
-		ep.push = o.Push
-		ep.suspect, ep.proven, ep.downAt, ep.failedAt = true, o.Unreachable, o.DownSince, o.FailedAt
-		ep.bad, ep.pace.bad = o.Failures, max(ep.pace.bad, o.Failures)
-		ep.trialGap = d.silence(t)
-		ep.trialAt = d.now + Time(d.random()*float64(ep.trialGap))
+		ep.rampTokens = o.Push
+		ep.suspected, ep.unreachable, ep.downSince, ep.failedAt = true, o.Unreachable, o.DownSince, o.FailedAt
+		ep.failureStreak, ep.limiter.failureStreak = o.Failures, max(ep.limiter.failureStreak, o.Failures)
+		ep.trialInterval = d.silenceTimeout(t)
+		ep.trialAt = d.now + Time(d.random()*float64(ep.trialInterval))
 	}
-	d.awaken(t)
+	d.wakeUp(t)
 }
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -65,23 +65,23 @@
 		}
 		collect(told, r.d.Outages())
 	}
-	if e := r.ep(ep(1, 0)); !e.suspect || !r.d.sure(e) {
+	if e := r.ep(ep(1, 0)); !e.suspected || !r.d.outageConfirmed(e) {
 		t.Error("the outage is forgotten")
 	}
 	res := ConnectFailed
-	for n := 0; r.ep(ep(1, 0)).suspect && n < 2000; n++ { // with some demand a trial comes soon, fails first, and goes well then
+	for n := 0; r.ep(ep(1, 0)).suspected && n < 2000; n++ { // with some demand a trial comes soon, fails first, and goes well then
 		for _, id := range sent(r.at(s/20, r.msg(free, 1))) {
-			r.at(s/50, done(id, r.d.msgs[id].tries-1, res))
+			r.at(s/50, done(id, r.d.messages[id].attempts-1, res))
 			res = OK
 		}
 	}
 	collect(told, r.d.Outages())
-	if e := r.ep(ep(1, 0)); e.suspect || e.coldAt == 0 || told[ep(1, 0)].RampStart != e.coldAt {
-		t.Errorf("after the return: suspect %v, cold since %d, told %+v", e.suspect, e.coldAt, told)
+	if e := r.ep(ep(1, 0)); e.suspected || e.rampStart == 0 || told[ep(1, 0)].RampStart != e.rampStart {
+		t.Errorf("after the return: suspect %v, cold since %d, told %+v", e.suspected, e.rampStart, told)
 	}
-	cold := r.ep(ep(1, 0)).coldAt
-	if r = r.restart(told, r.now+s); r.ep(ep(1, 0)).coldAt != cold {
-		t.Errorf("the ramp began at %d, the next process has it begin at %d", cold, r.ep(ep(1, 0)).coldAt)
+	cold := r.ep(ep(1, 0)).rampStart
+	if r = r.restart(told, r.now+s); r.ep(ep(1, 0)).rampStart != cold {
+		t.Errorf("the ramp began at %d, the next process has it begin at %d", cold, r.ep(ep(1, 0)).rampStart)
 	}
 }
 
@@ -92,15 +92,15 @@
 	r.wait(20 * s)
 	for n := range 200 {
 		r.at(s/2, r.msg(free, 1))
-		for _, m := range r.d.msgs {
-			if m.out == nil {
+		for _, m := range r.d.messages {
+			if m.call == nil {
 				continue
 			}
 			res := OK
 			if n < 8 {
 				res = ConnectFailed
 			}
-			r.at(s/50, done(m.id, m.tries-1, res))
+			r.at(s/50, done(m.id, m.attempts-1, res))
 		}
 		collect(told, r.d.Outages())
 	}
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -40,8 +40,8 @@
 	}
 	heard := Event{Kind: GossipReceived, Payload: told}
 	b.want(b.at(0, heard, b.msg(free, 1)))
-	b.want(b.wait(hintHold - s/50))
-	if got := sent(b.wait(2 * spreadMost)); !slices.Equal(got, []MessageID{1}) {
+	b.want(b.wait(defaultHold - s/50))
+	if got := sent(b.wait(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
 		t.Errorf("after the hold sent %v", got)
 	}
 	var at []Time // many receivers: their releases are apart
@@ -50,11 +50,11 @@
 		r.d.rng += seed * 2862933555777941757
 		start := r.now
 		r.at(0, heard, r.msg(free, 1))
-		for r.now < start+2*spreadMost && len(sent(r.at(20*Millisecond))) == 0 {
+		for r.now < start+2*maxSpread && len(sent(r.at(20*Millisecond))) == 0 {
 		}
 		at = append(at, r.now-start)
 	}
-	if slices.Sort(at); at[17]-at[2] < hintHold/4 {
+	if slices.Sort(at); at[17]-at[2] < defaultHold/4 {
 		t.Errorf("20 senders go on within %v us", at[17]-at[2])
 	}
 }
@@ -64,8 +64,8 @@
 // apart than a shut endpoint's calls are paced.
 func TestRefusalsWithLimitLeftAreToldTwice(t *testing.T) {
 	r := newRig(t, peers(), entry(1, 0, 0))
-	r.d.noteCredit = 1000
-	apart := doubtFade*r.d.set.WarmUp + s
+	r.d.gossipCredit = 1000
+	apart := unseenWarmUps*r.d.settings.WarmUp + s
 	told := 0
 	for i := range 5 {
 		r.want(r.at(apart, r.msg(free, 1)), r.id)
@@ -73,14 +73,14 @@
 			told++
 		}
 		r.at(0, Event{Kind: Withdrawn, Message: r.id})
-		if want := min(i+1, sureAfter); told != want {
+		if want := min(i+1, minConfirmFailures); told != want {
 			t.Fatalf("%d refusals in a row, %d told, want %d", i+1, told, want)
 		}
-		r.d.dest(1).pace.tokens, r.ep(ep(1, 0)).coldAt = 1, 0
+		r.d.destination(1).limiter.tokens, r.ep(ep(1, 0)).rampStart = 1, 0
 	}
 	r = newRig(t, peers(), entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.ep(ep(1, 0)).coldAt = r.now
+	r.ep(ep(1, 0)).rampStart = r.now
 	if got := note(r.at(s/50, usedUp(1, 0, 0.9))); got != "" {
 		t.Errorf("a cold one's refusal was told: %q", got)
 	}
@@ -107,15 +107,15 @@
 	b.at(s/50, done(1, 0, ConnectFailed))
 	b.untilSent(5 * s)
 	b.at(0, done(1, 1, ConnectFailed))
-	a.ep(ep(1, 0)).downAt -= 5 * s // here it has lasted longer
+	a.ep(ep(1, 0)).downSince -= 5 * s // here it has lasted longer
 	e := b.ep(ep(1, 0))
-	if !e.suspect || !b.d.sure(e) {
+	if !e.suspected || !b.d.outageConfirmed(e) {
 		t.Fatal("not sure of an outage")
 	}
 	told := note(a.at(0, done(1, 1, OK)))
 	b.at(0, Event{Kind: GossipReceived, Payload: told})
-	if e.suspect || e.coldAt == 0 {
-		t.Errorf("suspect %v, ramp since %v after a told return", e.suspect, e.coldAt)
+	if e.suspected || e.rampStart == 0 {
+		t.Errorf("suspect %v, ramp since %v after a told return", e.suspected, e.rampStart)
 	}
 }
 
@@ -130,14 +130,14 @@
 	bytes := 0
 	for range 400 {
 		r.at(s/10, r.msg(free, 1))
-		for m := range r.d.msgs {
-			if r.d.msgs[m].out != nil {
-				bytes += len(note(r.at(s/100, usedUp(m, r.d.msgs[m].tries-1, 0))))
+		for m := range r.d.messages {
+			if r.d.messages[m].call != nil {
+				bytes += len(note(r.at(s/100, usedUp(m, r.d.messages[m].attempts-1, 0))))
 				break
 			}
 		}
 	}
-	if cost := float64(bytes) * 99 / 256 / 400 * 0.01; cost > 2*noteSpend || bytes == 0 {
+	if cost := float64(bytes) * 99 / 256 / 400 * 0.01; cost > 2*gossipBudget || bytes == 0 {
 		t.Errorf("%d bytes, %v of the result spent on notes", bytes, cost)
 	}
 	if r := newRig(t, testSettings(), entry(1, 0, 0)); true { // where peers are not allowed nothing is told
@@ -165,7 +165,7 @@
 				if i >= 10*20 {
 					sends++
 				}
-				next = append(next, usedUp(id, r.d.msgs[id].tries-1, 0))
+				next = append(next, usedUp(id, r.d.messages[id].attempts-1, 0))
 			}
 		}
 	}
@@ -187,10 +187,10 @@
 				r.at(0, done(id, 0, OK))
 			}
 		}
-		r.d.chill(e, r.now)
+		r.d.startSlowStart(e, r.now)
 		for range 3 * 20 {
 			for _, id := range sent(r.at(s/20, r.msg(free, 1))) {
-				r.at(0, done(id, r.d.msgs[id].tries-1, OK))
+				r.at(0, done(id, r.d.messages[id].attempts-1, OK))
 				sends++
 			}
 		}
@@ -227,10 +227,10 @@
 	r.at(s/50, done(1, 1, ConnectFailed))
 	r.wait(4 * s)
 	a, b := r.ep(ep(1, 0)), r.ep(ep(1, 1))
-	n := hintName(a.id)
+	n := hintID(a.id)
 	r.at(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
-	if a.suspect || !b.suspect || !r.d.sure(b) {
-		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspect, b.suspect, r.d.sure(b))
+	if a.suspected || !b.suspected || !r.d.outageConfirmed(b) {
+		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspected, b.suspected, r.d.outageConfirmed(b))
 	}
 }
 
@@ -262,10 +262,10 @@
 	r.at(s/50, done(1, 0, ConnectFailed), Event{Kind: Withdrawn, Message: 1})
 	r.wait(15 * s)
 	e := r.ep(ep(1, 0))
-	n := hintName(e.id)
+	n := hintID(e.id)
 	r.at(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
-	if e.coldAt != r.now {
-		t.Errorf("ramp since %v, told at %v", e.coldAt, r.now)
+	if e.rampStart != r.now {
+		t.Errorf("ramp since %v, told at %v", e.rampStart, r.now)
 	}
 }
 
@@ -286,7 +286,7 @@
 				r.at(0, done(id, 0, OK))
 			}
 		}
-		r.d.chill(r.ep(ep(1, 0)), r.now)
+		r.d.startSlowStart(r.ep(ep(1, 0)), r.now)
 		for i := range 40 {
 			var events []Event
 			if i%10 == 0 {
@@ -294,7 +294,7 @@
 			}
 			for _, id := range sent(r.at(s/20, events...)) {
 				sends++
-				r.at(0, done(id, r.d.msgs[id].tries-1, OK))
+				r.at(0, done(id, r.d.messages[id].attempts-1, OK))
 			}
 		}
 	}
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -257,14 +257,14 @@
 	work := func(live int) uint64 {
 		d := size(t, live+1, live, 256)
 		d.Step(3*Second, nil, nil)
-		before := d.looks
+		before := d.scanCount
 		now := 4 * Second
 		for id := range MessageID(1000) {
 			now += 100
 			d.Step(now, []Event{{Kind: Arrival, Message: id + 1, Dest: 0, TimeLeft: 3000 * Second}}, nil)
 			d.Step(now+50, []Event{{Kind: Outcome, Message: id + 1, Endpoint: 1, Elapsed: 50}}, nil)
 		}
-		return d.looks - before
+		return d.scanCount - before
 	}
 	if few, many := work(100), work(20000); many > 3*few || many > 5000 {
 		t.Errorf("work for 1000 messages: %d beside 100 live destinations, %d beside 20,000", few, many)
--- a/control/prompt_test.go
+++ b/control/prompt_test.go
@@ -40,8 +40,8 @@
 			if acts[0].After != c.after {
 				t.Errorf("told to stay away for %v, want %v", acts[0].After, c.after)
 			}
-			if d := r.d.dest(1); len(r.d.msgs) > 0 || d.held > 0 || r.d.open > 0 {
-				t.Errorf("left in the hold: %d messages, %d held, %d open", len(r.d.msgs), d.held, r.d.open)
+			if d := r.d.destination(1); len(r.d.messages) > 0 || d.queuedCount > 0 || r.d.openMessages > 0 {
+				t.Errorf("left in the hold: %d messages, %d held, %d open", len(r.d.messages), d.queuedCount, r.d.openMessages)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 	r.want(r.at(0, r.msg(guarded, 1), r.msg(guarded, 1)), 1, 2)
 	acts = r.at(s/10, full(1, 0, 12*s), done(2, 0, Reset))
 	r.wantEnd(acts, Refuse, 2) // the wait outlasts its window of 10 s
-	if r.d.msgs[1] == nil {
+	if r.d.messages[1] == nil {
 		t.Error("one that may still go was answered, too")
 	}
 }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -216,8 +216,8 @@
 			return m.ended
 		})
 	}
-	if len(d.msgs) > 0 || d.busy != 0 || d.open != 0 {
-		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(d.msgs), d.busy, d.open)
+	if len(d.messages) > 0 || d.busySlots != 0 || d.openMessages != 0 {
+		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(d.messages), d.busySlots, d.openMessages)
 	}
 }
 
@@ -254,7 +254,7 @@
 	case 2:
 		return []Event{done(MessageID(1+rng.Intn(50)), 90, OK), {Kind: ListUpdate, ListKind: ListFailed}}
 	case 3:
-		n := hintName(ep(1+rng.Intn(4), rng.Intn(3)))
+		n := hintID(ep(1+rng.Intn(4), rng.Intn(3)))
 		return []Event{{Kind: GossipReceived, Payload: string([]byte{byte(rng.Intn(256)), byte(n >> 16), byte(n >> 8), byte(n), 7})}}
 	}
 	return nil
--- a/control/settings.go
+++ b/control/settings.go
@@ -7,8 +7,8 @@
 
 // What a setting may be at all; nothing is decided here.
 
-// check returns an error that names the first setting out of range.
-func (s *Settings) check() error {
+// validate returns an error that names the first setting out of range.
+func (s *Settings) validate() error {
 	for _, c := range []struct {
 		name string
 		v    int
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -17,7 +17,7 @@
 	r.at(s/100, r.msg(free, 1), r.msg(free, 1)) // held behind the slot
 	acts := r.at(s/100, r.msg(free, 1))
 	r.wantEnd(acts, Refuse, 4)
-	if len(acts) == 0 || r.d.msgs[2] == nil || r.d.msgs[3] == nil {
+	if len(acts) == 0 || r.d.messages[2] == nil || r.d.messages[3] == nil {
 		t.Errorf("%+v", acts)
 	}
 }
@@ -35,7 +35,7 @@
 		next := r.msg(single, 1) // worth more
 		r.wantEnd(r.at(s/100, next), Refuse, next.Message)
 	}
-	if r.d.msgs[2] == nil || r.d.msgs[3] == nil {
+	if r.d.messages[2] == nil || r.d.messages[3] == nil {
 		t.Error("a restored message was given up")
 	}
 }
--- a/control/state.go
+++ b/control/state.go
@@ -12,269 +12,269 @@
 
 // Dispatcher decides for one relay. It is deterministic and not safe for concurrent use.
 type Dispatcher struct {
-	set                       Settings
-	rng                       uint64
-	aim                       Time // the least aim of a class
-	now, wake, tidied, noteAt Time
-	stopAt                    Time // this process ends then and its successor goes on, 0 if not known
-	askAt, askDue, askGap     Time // next asking for the list; its timer; pause after the next failure
-	out                       []Action
-	msgs                      map[MessageID]*message
-	keys                      map[uint64]*keyTurn
-	byNo                      map[int]*dest
-	byID                      map[EndpointID]*endpoint
-	byHint                    map[uint32]*endpoint // by the short name that notes between peers use
-	resting                   []*keyTurn
-	dests                     []*dest // those that something was heard of or asked for
-	idle                      map[int][]line
-	owner                     map[EndpointID]int // destinations of the endpoints in idle
-	byAcc, turns, costs, naps order              // see place
-	calling, emptied          []*dest            // those with calls out, by seq; those that may be live no more
-	joins, lists              uint64             // destinations that came to life; lists taken
-	fair, shedAt              int                // first window, by the last list; where the next look for what to shed begins
-	kinds                     []*kind
-	left                      []*endpoint // calls there ended in this round
-	outages                   []*endpoint // what is known of their outages has changed
-	busy, open                int         // slots taken; messages owed an answer
-	count, round, looks       uint64      // looks: destinations tried or watched, the work of rounds
-	tenants                   []meter
-	all                       meter
-	quota, slack              float64 // messages a second within all shares; factor on a listed rate
-	lost                      float64 // share of answers that get lost
-	short                     bool    // messages wait for want of slots
-	keysRest                  Time    // all keys rest until then: calls of a process before this one may be executed yet
-	unrecorded                bool    // attempts can't be put on record now
-	watching                  bool    // subscribed to the list
-	notes                     []byte  // hints for the peers, sent at the end of the round
-	noteCredit, notePart      float64 // bytes that may be told now; what a message adds
-	noteHeard                 Time
+	settings                                           Settings
+	rng                                                uint64
+	minTarget                                          Time // the least aim of a class
+	now, wakeAt, housekeepingAt, nextLogAt             Time
+	stopAt                                             Time // this process ends then and its successor goes on, 0 if not known
+	pullAt, pullTimerAt, pullBackoff                   Time // next asking for the list; its timer; pause after the next failure
+	actions                                            []Action
+	messages                                           map[MessageID]*message
+	keys                                               map[uint64]*keyQueue
+	destByNumber                                       map[int]*destination
+	endpointByID                                       map[EndpointID]*endpoint
+	endpointByHint                                     map[uint32]*endpoint // by the short name that notes between peers use
+	restingKeys                                        []*keyQueue
+	dests                                              []*destination // those that something was heard of or asked for
+	unusedEntries                                      map[int][]unusedEntry
+	unusedOwner                                        map[EndpointID]int // destinations of the endpoints in idle
+	byVirtualTime, eligible, byVirtualFinish, sleeping destinationHeap    // see place
+	calling, maybeInactive                             []*destination     // those with calls out, by seq; those that may be live no more
+	activations, listCount                             uint64             // destinations that came to life; lists taken
+	initialWindow, shedCursor                          int                // first window, by the last list; where the next look for what to shed begins
+	kinds                                              []*kindState
+	freedEndpoints                                     []*endpoint // calls there ended in this round
+	changedOutages                                     []*endpoint // what is known of their outages has changed
+	busySlots, openMessages                            int         // slots taken; messages owed an answer
+	arrivalCount, round, scanCount                     uint64      // looks: destinations tried or watched, the work of rounds
+	tenantRates                                        []rateMeter
+	totalRate                                          rateMeter
+	totalQuota, weightFactor                           float64 // messages a second within all shares; factor on a listed rate
+	lossShare                                          float64 // share of answers that get lost
+	slotShortage                                       bool    // messages wait for want of slots
+	keysRestUntil                                      Time    // all keys rest until then: calls of a process before this one may be executed yet
+	recordingFails                                     bool    // attempts can't be put on record now
+	subscribed                                         bool    // subscribed to the list
+	hints                                              []byte  // hints for the peers, sent at the end of the round
+	gossipCredit, gossipCreditPerMessage               float64 // bytes that may be told now; what a message adds
+	gossipHeardAt                                      Time
 }
 
 // message is one message from arrival to its end and its last outcome.
 type message struct {
-	id                MessageID
-	class             *Class
-	dest              *dest
-	lane              int
-	key               *keyTurn
-	born, deadline    Time // when it was first handed in, when it is given up
-	arrived           uint64
-	round             uint64 // in which it arrived
-	restored          bool   // a process before this one had taken it on
-	over, held, ended bool
-	tries             int // attempts decided ...
-	unsent            int // ... of them not sent
-	out               *call
-	doubt             bool // an attempt may have run ...
-	doubtAt           Time // ... the first such was sent then ...
-	doubtZone         int  // ... to this zone
+	id                       MessageID
+	class                    *Class
+	dest                     *destination
+	lane                     int
+	key                      *keyQueue
+	createdAt, deadline      Time // when it was first handed in, when it is given up
+	arrivalSeq               uint64
+	arrivalRound             uint64 // in which it arrived
+	restored                 bool   // a process before this one had taken it on
+	overQuota, queued, ended bool
+	attempts                 int // attempts decided ...
+	attemptsNotSent          int // ... of them not sent
+	call                     *call
+	possiblyExecuted         bool // an attempt may have run ...
+	possiblyExecutedAt       Time // ... the first such was sent then ...
+	possiblyExecutedZone     int  // ... to this zone
 }
 
 // call is one call out, holding a slot: a message, or several of one round.
 type call struct {
-	ep           *endpoint
-	sent         Time
-	msgs         []*message
-	left         int
-	trial, asked bool // a trial of a suspect; called off by us
-	cut          bool // its connection broke
-	idle         Time // how long the connection that it went out on had been idle, 0 if new or in use
+	ep               *endpoint
+	sentAt           Time
+	messages         []*message
+	pending          int
+	trial, cancelled bool // a trial of a suspect; called off by us
+	connReset        bool // its connection broke
+	connIdle         Time // how long the connection that it went out on had been idle, 0 if new or in use
 }
 
-// keyTurn orders the messages that share a key.
-type keyTurn struct {
-	key    uint64
-	queue  []*message
-	rest   Time
-	parked bool // in the list of those at rest
+// keyQueue orders the messages that share a key.
+type keyQueue struct {
+	key       uint64
+	messages  []*message
+	restUntil Time
+	resting   bool // in the list of those at rest
 }
 
 // endpoint is a place to send to, with its own health.
 type endpoint struct {
-	id                  EndpointID
-	dest                *dest
-	zone                int
-	health              Health
-	pace                *pace
-	calls               []*call // out, oldest first
-	open                bool    // a connection is thought open
-	used, heard, okSent Time    // last use; last answer; send time of the newest call answered ok
-	bad, errs           int     // calls in a row that met nobody or silence; answers in a row that were errors
-	suspect, proven     bool    // not fed; its last failure proved that calls do not run
-	dropped             Time    // idle age of the connection on which the last failed call went out
-	downAt, failedAt    Time    // while suspect: since when; when the last failure was known
-	trialAt, trialGap   Time    // next trial, and how long until the one after
-	coldAt              Time    // start of its ramp, 0 none
-	push, past          float64 // calls that the ramp permits now; demand seen when that was reckoned ...
-	rampAt              Time    // ... which was then
-	liftAt              float64 // multiple of the own demand at which its ramp ends, where a single message is held
-	changed             bool    // what is known of its outage is to be told, see Outages
-}
-
-// line is one listed endpoint of a destination that nothing was asked for yet: all that is kept of it.
-type line struct {
+	id                            EndpointID
+	dest                          *destination
+	zone                          int
+	health                        Health
+	limiter                       *limiter
+	calls                         []*call // out, oldest first
+	connOpen                      bool    // a connection is thought open
+	usedAt, heardAt, lastOKSentAt Time    // last use; last answer; send time of the newest call answered ok
+	failureStreak, errorStreak    int     // calls in a row that met nobody or silence; answers in a row that were errors
+	suspected, unreachable        bool    // not fed; its last failure proved that calls do not run
+	failedConnIdle                Time    // idle age of the connection on which the last failed call went out
+	downSince, failedAt           Time    // while suspect: since when; when the last failure was known
+	trialAt, trialInterval        Time    // next trial, and how long until the one after
+	rampStart                     Time    // start of its ramp, 0 none
+	rampTokens, demandSeen        float64 // calls that the ramp permits now; demand seen when that was reckoned ...
+	rampUpdatedAt                 Time    // ... which was then
+	rampEnd                       float64 // multiple of the own demand at which its ramp ends, where a single message is held
+	outageChanged                 bool    // what is known of its outage is to be told, see Outages
+}
+
+// unusedEntry is one listed endpoint of a destination that nothing was asked for yet: all that is kept of it.
+type unusedEntry struct {
 	id         EndpointID
-	at         Time // when it was listed
+	listedAt   Time // when it was listed
 	weight     float64
 	zone, kind int32
 	health     Health
 }
 
-// kind is what the destinations of one kind have in common.
-type kind struct {
-	lat    latency
-	keep   Time    // idle age up to which connections are known to hold
-	again  float64 // how often the call after a refusal went well
-	drops  float64 // share of calls on idle connections that failed where the next one went well
-	scarce Time    // until then connections are taken to be scarce
+// kindState is what the destinations of one kind have in common.
+type kindState struct {
+	latency      latencyEstimate
+	safeIdleAge  Time    // idle age up to which connections are known to hold
+	retrySuccess float64 // how often the call after a refusal went well
+	dropShare    float64 // share of calls on idle connections that failed where the next one went well
+	scarceUntil  Time    // until then connections are taken to be scarce
 }
 
-// latency is a running mean and deviation.
-type latency struct{ mean, dev, n float64 }
+// latencyEstimate is a running mean and deviation.
+type latencyEstimate struct{ mean, deviation, samples float64 }
 
-func (l *latency) add(v, gain float64) {
-	l.n++
-	l.dev += gain * (math.Abs(v-l.mean) - l.dev)
+func (l *latencyEstimate) add(v, gain float64) {
+	l.samples++
+	l.deviation += gain * (math.Abs(v-l.mean) - l.deviation)
 	l.mean += gain * (v - l.mean)
 }
 
-// pace is what bounds the rate to a destination, or to one route where routes are apart.
-type pace struct {
-	wait, at, cutAt, okAt, fullSince Time    // wait is told, or our own backoff
-	allow, bound, tokens             float64 // share of the own demand let go; listed or reported rate
-	past                             float64 // demand seen when the tokens were reckoned
-	holdTo, spread                   Time    // all senders hold until then and go on spread over this
-	streak, bad                      int     // refusals in a row; calls in a row that met nobody or silence, at all its endpoints
-	ok                               meter
-	shutSeen                         bool // it has refused for longer than an overload may last
-}
-
-// dest is a destination: its hold, turn counter, window and what was learned.
-type dest struct {
-	no            int
-	eps           []*endpoint
-	kind          *kind
-	pace          *pace
-	batch         int
-	live          bool   // messages were held or out since the last round
-	seq, list     uint64 // place among the live ones; the list that its first window is by
-	at            [4]int // places in the orders, counted from 1
-	calls         bool   // it is among those with calls out
-	cost          float64
-	lookAt        Time // asleep until then: nothing can be released
-	asleep        bool
-	open          int // messages owed an answer
-	share, acc    float64
-	lanes         [][]*message // by class and over-share, oldest first
-	held          int
-	w, wmax       int
-	starting      bool
-	ends, badEnds int
-	lat           latency
-	base          float64 // the long view of its latency
-	demand        meter
-}
-
-// meter is a rate with exponential decay.
-type meter struct {
-	v, n        float64
-	at, tau, t0 Time
-}
-
-func (m *meter) add(now Time, n float64) {
-	m.v = m.v*math.Exp(-float64(now-m.at)/float64(m.tau)) + n
-	m.at = now
-	m.n += n
-}
-
-// credit is what was counted since the last look, smoothed by the decay; last is moved on.
-func (m *meter) credit(now Time, last *float64) float64 {
-	past := m.n - m.v*math.Exp(-float64(now-m.at)/float64(m.tau))
+// limiter is what bounds the rate to a destination, or to one route where routes are apart.
+type limiter struct {
+	waitUntil, refilledAt, refusedAt, lastOKAt, refusingSince Time    // wait is told, or our own backoff
+	allowance, knownRate, tokens                              float64 // share of the own demand let go; listed or reported rate
+	demandSeen                                                float64 // demand seen when the tokens were reckoned
+	holdUntil, spread                                         Time    // all senders hold until then and go on spread over this
+	refusalStreak, failureStreak                              int     // refusals in a row; calls in a row that met nobody or silence, at all its endpoints
+	successes                                                 rateMeter
+	presumedDown                                              bool // it has refused for longer than an overload may last
+}
+
+// destination is a destination: its hold, turn counter, window and what was learned.
+type destination struct {
+	number                         int
+	endpoints                      []*endpoint
+	kind                           *kindState
+	limiter                        *limiter
+	maxBatch                       int
+	active                         bool   // messages were held or out since the last round
+	activationSeq, windowList      uint64 // place among the live ones; the list that its first window is by
+	heapIndex                      [4]int // places in the orders, counted from 1
+	inCalling                      bool   // it is among those with calls out
+	virtualFinish                  float64
+	wakeAt                         Time // asleep until then: nothing can be released
+	asleep                         bool
+	openMessages                   int // messages owed an answer
+	listedWeight, virtualTime      float64
+	lanes                          [][]*message // by class and over-share, oldest first
+	queuedCount                    int
+	inFlight, window               int
+	windowStarting                 bool
+	completions, failedCompletions int
+	latency                        latencyEstimate
+	baselineLatency                float64 // the long view of its latency
+	demand                         rateMeter
+}
+
+// rateMeter is a rate with exponential decay.
+type rateMeter struct {
+	decayed, total                     float64
+	updatedAt, timeConstant, startedAt Time
+}
+
+func (m *rateMeter) add(now Time, n float64) {
+	m.decayed = m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) + n
+	m.updatedAt = now
+	m.total += n
+}
+
+// takeSmoothed is what was counted since the last look, smoothed by the decay; last is moved on.
+func (m *rateMeter) takeSmoothed(now Time, last *float64) float64 {
+	past := m.total - m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant))
 	gone := past - *last
 	*last = past
-	return gone / m.span(now)
+	return gone / m.filledShare(now)
 }
 
-// span is the part of the memory that is filled.
-func (m *meter) span(now Time) float64 {
-	return 1 - math.Exp(-float64(now-m.t0+meterStart)/float64(m.tau))
+// filledShare is the part of the memory that is filled.
+func (m *rateMeter) filledShare(now Time) float64 {
+	return 1 - math.Exp(-float64(now-m.startedAt+meterInitialHistory)/float64(m.timeConstant))
 }
 
 // rate is per second; the start is corrected for the short history.
-func (m *meter) rate(now Time) float64 {
-	return m.v * math.Exp(-float64(now-m.at)/float64(m.tau)) / m.tau.seconds() / m.span(now)
+func (m *rateMeter) rate(now Time) float64 {
+	return m.decayed * math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) / m.timeConstant.seconds() / m.filledShare(now)
 }
 
-// steady is the rate per second as if nothing had come before the measure began: a burst at its start is none.
-func (m *meter) steady(now Time) float64 {
-	return m.v * math.Exp(-float64(now-m.at)/float64(m.tau)) / m.tau.seconds()
+// uncorrectedRate is the rate per second as if nothing had come before the measure began: a burst at its start is none.
+func (m *rateMeter) uncorrectedRate(now Time) float64 {
+	return m.decayed * math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) / m.timeConstant.seconds()
 }
 
 func (t Time) seconds() float64 { return float64(t) / float64(Second) }
 
-// put adds a message to its lane, which is in order of arrival.
-func (t *dest) put(m *message) {
+// insert adds a message to its lane, which is in order of arrival.
+func (t *destination) insert(m *message) {
 	l := t.lanes[m.lane]
 	at := len(l)
-	for at > 0 && l[at-1].arrived > m.arrived {
+	for at > 0 && l[at-1].arrivalSeq > m.arrivalSeq {
 		at--
 	}
 	t.lanes[m.lane] = slices.Insert(l, at, m)
-	m.held = true
-	t.held++
+	m.queued = true
+	t.queuedCount++
 }
 
-// drop takes a message out of its lane, if it is in one.
-func (t *dest) drop(m *message) {
-	if !m.held {
+// remove takes a message out of its lane, if it is in one.
+func (t *destination) remove(m *message) {
+	if !m.queued {
 		return
 	}
 	l := t.lanes[m.lane]
-	i, _ := slices.BinarySearchFunc(l, m.arrived, func(o *message, n uint64) int { return cmp.Compare(o.arrived, n) })
+	i, _ := slices.BinarySearchFunc(l, m.arrivalSeq, func(o *message, n uint64) int { return cmp.Compare(o.arrivalSeq, n) })
 	t.lanes[m.lane] = slices.Delete(l, i, i+1)
-	t.held--
-	m.held = false
+	t.queuedCount--
+	m.queued = false
 }
 
-// order is a heap of destinations. Each knows its place in it. Keys stand in the heap as they were when each was last
+// destinationHeap is a heap of destinations. Each knows its place in it. Keys stand in the heap as they were when each was last
 // set: a comparison then reads one array and calls nothing, which is what a round mostly does.
-type order struct {
-	of    int
-	key   func(*dest) float64
-	items []spot
+type destinationHeap struct {
+	index int
+	key   func(*destination) float64
+	items []heapItem
 }
 
-type spot struct {
-	key float64
-	t   *dest
+type heapItem struct {
+	key  float64
+	dest *destination
 }
 
-func (o *order) Len() int { return len(o.items) }
-func (o *order) Less(i, j int) bool {
+func (o *destinationHeap) Len() int { return len(o.items) }
+func (o *destinationHeap) Less(i, j int) bool {
 	a, b := &o.items[i], &o.items[j]
-	return a.key < b.key || a.key == b.key && a.t.seq < b.t.seq
+	return a.key < b.key || a.key == b.key && a.dest.activationSeq < b.dest.activationSeq
 }
-func (o *order) Swap(i, j int) {
+func (o *destinationHeap) Swap(i, j int) {
 	o.items[i], o.items[j] = o.items[j], o.items[i]
-	o.items[i].t.at[o.of], o.items[j].t.at[o.of] = i+1, j+1
+	o.items[i].dest.heapIndex[o.index], o.items[j].dest.heapIndex[o.index] = i+1, j+1
 }
-func (o *order) Push(x any) {
-	t := x.(*dest)
-	o.items = append(o.items, spot{o.key(t), t})
-	t.at[o.of] = len(o.items)
+func (o *destinationHeap) Push(x any) {
+	t := x.(*destination)
+	o.items = append(o.items, heapItem{o.key(t), t})
+	t.heapIndex[o.index] = len(o.items)
 }
-func (o *order) Pop() any {
+func (o *destinationHeap) Pop() any {
 	n := len(o.items) - 1
-	t := o.items[n].t
-	o.items[n] = spot{}
+	t := o.items[n].dest
+	o.items[n] = heapItem{}
 	o.items = o.items[:n]
-	t.at[o.of] = 0
+	t.heapIndex[o.index] = 0
 	return t
 }
 
 // set puts a destination in its place, or takes it out.
-func (o *order) set(t *dest, in bool) {
-	switch at := t.at[o.of]; {
+func (o *destinationHeap) update(t *destination, in bool) {
+	switch at := t.heapIndex[o.index]; {
 	case in && at == 0:
 		heap.Push(o, t)
 	case in:
@@ -287,12 +287,12 @@
 	}
 }
 
-// least is the smallest key of all but one destination, or infinity.
-func (o *order) least(but *dest) float64 {
+// minKeyExcept is the smallest key of all but one destination, or infinity.
+func (o *destinationHeap) minKeyExcept(but *destination) float64 {
 	switch n := len(o.items); {
 	case n == 0:
 		return math.Inf(1)
-	case o.items[0].t != but:
+	case o.items[0].dest != but:
 		return o.items[0].key
 	default: // it is at the top: the next is one of the two below
 		v := math.Inf(1)
@@ -303,26 +303,26 @@
 	}
 }
 
-// place puts a destination where its counts and its sleep say: byAcc are all live ones by their counters; turns and
+// reindex puts a destination where its counts and its sleep say: byAcc are all live ones by their counters; turns and
 // costs those that may release, by counter and by tag; naps those asleep; calling those with calls out.
-func (d *Dispatcher) place(t *dest) {
-	live, awake := t.held > 0 || t.w > 0, t.held > 0 && !t.asleep
+func (d *Dispatcher) reindex(t *destination) {
+	live, awake := t.queuedCount > 0 || t.inFlight > 0, t.queuedCount > 0 && !t.asleep
 	if !live {
 		t.asleep = false
-		d.emptied = append(d.emptied, t)
+		d.maybeInactive = append(d.maybeInactive, t)
 	}
-	d.byAcc.set(t, live)
-	d.turns.set(t, awake)
-	if len(d.costs.items) > 0 { // kept only while very many wait
+	d.byVirtualTime.update(t, live)
+	d.eligible.update(t, awake)
+	if len(d.byVirtualFinish.items) > 0 { // kept only while very many wait
 		if awake {
-			t.cost = d.tag(t)
+			t.virtualFinish = d.finishTag(t)
 		}
-		d.costs.set(t, awake)
+		d.byVirtualFinish.update(t, awake)
 	}
-	d.naps.set(t, t.asleep)
-	if calls := t.w > 0; calls != t.calls {
-		t.calls = calls
-		i, _ := slices.BinarySearchFunc(d.calling, t.seq, func(o *dest, seq uint64) int { return cmp.Compare(o.seq, seq) })
+	d.sleeping.update(t, t.asleep)
+	if calls := t.inFlight > 0; calls != t.inCalling {
+		t.inCalling = calls
+		i, _ := slices.BinarySearchFunc(d.calling, t.activationSeq, func(o *destination, seq uint64) int { return cmp.Compare(o.activationSeq, seq) })
 		if calls {
 			d.calling = slices.Insert(d.calling, i, t)
 		} else {
@@ -331,77 +331,77 @@
 	}
 }
 
-// awaken has a destination looked at again: something happened there.
-func (d *Dispatcher) awaken(t *dest) {
+// wakeUp has a destination looked at again: something happened there.
+func (d *Dispatcher) wakeUp(t *destination) {
 	t.asleep = false
-	d.place(t)
+	d.reindex(t)
 }
 
-// rouse wakes the destinations whose time has come.
-func (d *Dispatcher) rouse() {
-	for len(d.naps.items) > 0 && d.naps.items[0].t.lookAt <= d.now {
-		d.awaken(d.naps.items[0].t)
+// wakeUpDue wakes the destinations whose time has come.
+func (d *Dispatcher) wakeUpDue() {
+	for len(d.sleeping.items) > 0 && d.sleeping.items[0].dest.wakeAt <= d.now {
+		d.wakeUp(d.sleeping.items[0].dest)
 	}
 }
 
 // rest lets those be that have nothing held or out any more.
-func (d *Dispatcher) rest() {
-	for _, t := range d.emptied {
-		if t.held == 0 && t.w == 0 {
-			t.live = false
+func (d *Dispatcher) deactivate() {
+	for _, t := range d.maybeInactive {
+		if t.queuedCount == 0 && t.inFlight == 0 {
+			t.active = false
 		}
 	}
-	d.emptied = d.emptied[:0]
+	d.maybeInactive = d.maybeInactive[:0]
 }
 
-// first is the destination whose turn it is: by counter, or by tag while messages wait for slots. Tags of a few are
+// nextDestination is the destination whose turn it is: by counter, or by tag while messages wait for slots. Tags of a few are
 // reckoned at the moment. Those of very many are as of when each was placed, but for the first, which is reckoned anew.
-func (d *Dispatcher) first() *dest {
-	if !d.short {
-		if len(d.turns.items) == 0 {
+func (d *Dispatcher) nextDestination() *destination {
+	if !d.slotShortage {
+		if len(d.eligible.items) == 0 {
 			return nil
 		}
-		return d.turns.items[0].t
+		return d.eligible.items[0].dest
 	}
-	if len(d.turns.items) <= shedLooks {
-		for _, s := range d.costs.items {
-			s.t.at[d.costs.of] = 0
+	if len(d.eligible.items) <= maxShedScan {
+		for _, s := range d.byVirtualFinish.items {
+			s.dest.heapIndex[d.byVirtualFinish.index] = 0
 		}
-		d.costs.items = d.costs.items[:0]
-		var best *dest
+		d.byVirtualFinish.items = d.byVirtualFinish.items[:0]
+		var best *destination
 		least := math.Inf(1)
-		for _, s := range d.turns.items {
-			if v := d.tag(s.t); v < least || v == least && s.t.seq < best.seq {
-				best, least = s.t, v
+		for _, s := range d.eligible.items {
+			if v := d.finishTag(s.dest); v < least || v == least && s.dest.activationSeq < best.activationSeq {
+				best, least = s.dest, v
 			}
 		}
 		return best
 	}
-	if len(d.costs.items) == 0 {
-		for _, s := range d.turns.items {
-			s.t.cost = d.tag(s.t)
-			d.costs.set(s.t, true)
+	if len(d.byVirtualFinish.items) == 0 {
+		for _, s := range d.eligible.items {
+			s.dest.virtualFinish = d.finishTag(s.dest)
+			d.byVirtualFinish.update(s.dest, true)
 		}
 	}
 	for {
-		t := d.costs.items[0].t
-		cost := d.tag(t)
-		if cost <= t.cost {
+		t := d.byVirtualFinish.items[0].dest
+		cost := d.finishTag(t)
+		if cost <= t.virtualFinish {
 			return t
 		}
-		t.cost = cost
-		d.costs.set(t, true)
+		t.virtualFinish = cost
+		d.byVirtualFinish.update(t, true)
 	}
 }
 
-// trying tells whether a trial is out.
-func (ep *endpoint) trying() bool {
+// hasTrial tells whether a trial is out.
+func (ep *endpoint) hasTrial() bool {
 	return slices.ContainsFunc(ep.calls, func(c *call) bool { return c.trial })
 }
 
-// ready counts the endpoints listed ready.
-func (t *dest) ready() (n int) {
-	for _, ep := range t.eps {
+// readyCount counts the endpoints listed ready.
+func (t *destination) readyCount() (n int) {
+	for _, ep := range t.endpoints {
 		if ep.health == Ready {
 			n++
 		}
@@ -417,73 +417,73 @@
 	return float64(d.rng>>11) / (1 << 53)
 }
 
-// newPace returns a pace as of now.
-func (d *Dispatcher) newPace() *pace {
-	return &pace{at: d.now, tokens: 1, allow: unfelt, ok: meter{tau: rateTau, at: d.now, t0: d.now}}
+// newLimiter returns a pace as of now.
+func (d *Dispatcher) newLimiter() *limiter {
+	return &limiter{refilledAt: d.now, tokens: 1, allowance: unlimitedAllowance, successes: rateMeter{timeConstant: rateTimeConstant, updatedAt: d.now, startedAt: d.now}}
 }
 
-func byAim(m *message, at Time) int { return cmp.Compare(m.born+m.class.Target, at) }
+func compareTarget(m *message, at Time) int { return cmp.Compare(m.createdAt+m.class.Target, at) }
 
-// worth is what delivering the message at t would earn.
-func (d *Dispatcher) worth(m *message, t Time) float64 {
+// valueAt is what delivering the message at t would earn.
+func (d *Dispatcher) valueAt(m *message, t Time) float64 {
 	c, v := m.class, m.class.Value
-	if m.over {
-		v *= d.set.OverQuotaFactor
+	if m.overQuota {
+		v *= d.settings.OverQuotaFactor
 	}
-	late := t - m.born - c.Target
+	late := t - m.createdAt - c.Target
 	switch {
 	case t >= m.deadline:
 		return 0
 	case late <= 0:
 		return v
-	case d.set.HalveLateValue:
+	case d.settings.HalveLateValue:
 		return v * max(c.LateValue, math.Exp2(-float64(late)/float64(max(c.Target, 1))))
 	}
 	return v * (1 - (1-c.LateValue)*float64(late)/float64(max(c.Deadline-c.Target, 1)))
 }
 
-// tidy forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
+// collectGarbage forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
 // A told wait binds until it is over, a drain while calls are out, and a key's rest while it lasts.
-func (d *Dispatcher) tidy() {
+func (d *Dispatcher) collectGarbage() {
 	for _, t := range d.dests {
-		t.eps = slices.DeleteFunc(t.eps, func(ep *endpoint) bool {
-			old := ep.health == Gone && len(ep.calls) == 0 && ep.pace.wait <= d.now
+		t.endpoints = slices.DeleteFunc(t.endpoints, func(ep *endpoint) bool {
+			old := ep.health == Gone && len(ep.calls) == 0 && ep.limiter.waitUntil <= d.now
 			if old {
-				delete(d.byID, ep.id)
-				delete(d.byHint, hintName(ep.id))
-				if ill(ep) || ep.errs > 0 || ep.pace.shutSeen {
+				delete(d.endpointByID, ep.id)
+				delete(d.endpointByHint, hintID(ep.id))
+				if isUnhealthy(ep) || ep.errorStreak > 0 || ep.limiter.presumedDown {
 					d.outageChanged(ep)
 				}
 			}
 			return old
 		})
 	}
-	d.dests = slices.DeleteFunc(d.dests, func(t *dest) bool {
+	d.dests = slices.DeleteFunc(d.dests, func(t *destination) bool {
 		switch {
-		case t.open > 0 || t.w > 0 || t.pace.wait > d.now:
+		case t.openMessages > 0 || t.inFlight > 0 || t.limiter.waitUntil > d.now:
 			return false
-		case len(t.eps) == 0:
-			delete(d.byNo, t.no)
+		case len(t.endpoints) == 0:
+			delete(d.destByNumber, t.number)
 			return true
-		case !d.set.Gossip && d.quiet(t):
-			d.forget(t)
+		case !d.settings.Gossip && d.isQuiet(t):
+			d.demoteToUnused(t)
 			return true
 		}
 		return false
 	})
-	for no, lines := range d.idle {
-		d.idle[no] = slices.DeleteFunc(lines, func(l line) bool {
+	for no, lines := range d.unusedEntries {
+		d.unusedEntries[no] = slices.DeleteFunc(lines, func(l unusedEntry) bool {
 			if l.health == Gone {
-				delete(d.owner, l.id)
+				delete(d.unusedOwner, l.id)
 			}
 			return l.health == Gone
 		})
-		if len(d.idle[no]) == 0 {
-			delete(d.idle, no)
+		if len(d.unusedEntries[no]) == 0 {
+			delete(d.unusedEntries, no)
 		}
 	}
-	d.resting = slices.DeleteFunc(d.resting, func(k *keyTurn) bool {
-		old := len(k.queue) == 0 && k.rest <= d.now
+	d.restingKeys = slices.DeleteFunc(d.restingKeys, func(k *keyQueue) bool {
+		old := len(k.messages) == 0 && k.restUntil <= d.now
 		if old {
 			delete(d.keys, k.key)
 		}
@@ -491,187 +491,187 @@
 	})
 }
 
-// note tells the operators something, if nothing else was told lately.
-func (d *Dispatcher) note(t *dest, what string) {
-	if d.now >= d.noteAt {
-		d.noteAt = d.now + seldom
-		d.out = append(d.out, Action{Kind: Log, Text: fmt.Sprintf("destination %d %s", t.no, what)})
+// logDestination tells the operators something, if nothing else was told lately.
+func (d *Dispatcher) logDestination(t *destination, what string) {
+	if d.now >= d.nextLogAt {
+		d.nextLogAt = d.now + housekeepingInterval
+		d.actions = append(d.actions, Action{Kind: Log, Text: fmt.Sprintf("destination %d %s", t.number, what)})
 	}
 }
 
-// dest returns a destination, making it when something is first asked for there, as if it had been since it was listed.
-func (d *Dispatcher) dest(no int) *dest {
-	t := d.byNo[no]
+// destination returns a destination, making it when something is first asked for there, as if it had been since it was listed.
+func (d *Dispatcher) destination(no int) *destination {
+	t := d.destByNumber[no]
 	if t == nil {
-		lines, now := d.idle[no], d.now
+		lines, now := d.unusedEntries[no], d.now
 		if len(lines) > 0 {
-			d.now = lines[0].at
+			d.now = lines[0].listedAt
 		}
-		t = &dest{no: no, batch: 1, starting: true, lanes: make([][]*message, 2*len(d.set.Classes))}
+		t = &destination{number: no, maxBatch: 1, windowStarting: true, lanes: make([][]*message, 2*len(d.settings.Classes))}
 		t.kind = d.kinds[0]
-		t.pace = d.newPace()
-		t.demand = meter{tau: demandTau, at: d.now, t0: d.now}
-		d.byNo[no] = t
+		t.limiter = d.newLimiter()
+		t.demand = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
+		d.destByNumber[no] = t
 		d.dests = append(d.dests, t)
-		delete(d.idle, no)
-		if t.wmax, t.list = d.fair, d.lists; len(lines) == 0 {
-			t.wmax = max(1, d.set.Slots/(len(d.dests)+len(d.idle)))
+		delete(d.unusedEntries, no)
+		if t.window, t.windowList = d.initialWindow, d.listCount; len(lines) == 0 {
+			t.window = max(1, d.settings.Slots/(len(d.dests)+len(d.unusedEntries)))
 		}
 		for _, l := range lines {
-			d.now = l.at
-			delete(d.owner, l.id)
-			d.enlist(t, &Entry{Endpoint: l.id, Dest: no, Zone: int(l.zone), DestinationKind: int(l.kind), Health: l.health, Weight: l.weight})
+			d.now = l.listedAt
+			delete(d.unusedOwner, l.id)
+			d.addEndpoint(t, &Entry{Endpoint: l.id, Dest: no, Zone: int(l.zone), DestinationKind: int(l.kind), Health: l.health, Weight: l.weight})
 		}
 		d.now = now
 	}
 	return t
 }
 
-// remember keeps a line of the list for a destination that nothing was asked for yet.
-func (d *Dispatcher) remember(n *Entry) {
-	if no, known := d.owner[n.Endpoint]; known && no != n.Dest || d.byID[n.Endpoint] != nil {
+// storeUnused keeps a line of the list for a destination that nothing was asked for yet.
+func (d *Dispatcher) storeUnused(n *Entry) {
+	if no, known := d.unusedOwner[n.Endpoint]; known && no != n.Dest || d.endpointByID[n.Endpoint] != nil {
 		return // an endpoint does not change its destination
 	}
-	d.owner[n.Endpoint] = n.Dest
-	lines := d.idle[n.Dest]
-	i := slices.IndexFunc(lines, func(l line) bool { return l.id == n.Endpoint })
+	d.unusedOwner[n.Endpoint] = n.Dest
+	lines := d.unusedEntries[n.Dest]
+	i := slices.IndexFunc(lines, func(l unusedEntry) bool { return l.id == n.Endpoint })
 	if i < 0 {
 		i = len(lines)
-		lines = append(lines, line{id: n.Endpoint, at: d.now})
-		d.idle[n.Dest] = lines
+		lines = append(lines, unusedEntry{id: n.Endpoint, listedAt: d.now})
+		d.unusedEntries[n.Dest] = lines
 	}
 	l := &lines[i]
 	l.zone, l.kind, l.health, l.weight = int32(n.Zone), int32(n.DestinationKind), n.Health, n.Weight
 }
 
-// forget makes a destination that has been quiet for long a line of the list again.
-func (d *Dispatcher) forget(t *dest) {
-	delete(d.byNo, t.no)
-	for _, ep := range t.eps {
-		delete(d.byID, ep.id)
-		delete(d.byHint, hintName(ep.id))
-		weight := t.share
-		if ep.pace != t.pace {
-			weight = ep.pace.bound / d.slack
+// demoteToUnused makes a destination that has been quiet for long a line of the list again.
+func (d *Dispatcher) demoteToUnused(t *destination) {
+	delete(d.destByNumber, t.number)
+	for _, ep := range t.endpoints {
+		delete(d.endpointByID, ep.id)
+		delete(d.endpointByHint, hintID(ep.id))
+		weight := t.listedWeight
+		if ep.limiter != t.limiter {
+			weight = ep.limiter.knownRate / d.weightFactor
 		}
 		kind := slices.Index(d.kinds, t.kind)
-		d.remember(&Entry{Endpoint: ep.id, Dest: t.no, Zone: ep.zone, DestinationKind: kind, Health: ep.health, Weight: weight})
+		d.storeUnused(&Entry{Endpoint: ep.id, Dest: t.number, Zone: ep.zone, DestinationKind: kind, Health: ep.health, Weight: weight})
 	}
 }
 
 // list takes a new endpoint list; what a whole list leaves out is gone.
-func (d *Dispatcher) list(e *Event) {
+func (d *Dispatcher) applyList(e *Event) {
 	if e.ListKind == ListFailed {
 		return
 	}
 	if e.ListKind != ListDelta {
 		for _, t := range d.dests {
-			for _, ep := range t.eps {
+			for _, ep := range t.endpoints {
 				ep.health = Gone
 			}
 		}
-		for _, lines := range d.idle {
+		for _, lines := range d.unusedEntries {
 			for i := range lines {
 				lines[i].health = Gone
 			}
 		}
 	}
 	for i := range e.Entries {
-		d.entry(&e.Entries[i])
+		d.applyEntry(&e.Entries[i])
 	}
-	d.lists++
-	d.fair = max(1, d.set.Slots/max(1, len(d.dests)+len(d.idle)))
+	d.listCount++
+	d.initialWindow = max(1, d.settings.Slots/max(1, len(d.dests)+len(d.unusedEntries)))
 }
 
-// entry takes one line of the list. Peers may speak of any destination, so all are held in full where there are some.
-func (d *Dispatcher) entry(n *Entry) {
-	if t := d.byNo[n.Dest]; t != nil || d.set.Gossip {
-		d.enlist(d.dest(n.Dest), n)
+// applyEntry takes one line of the list. Peers may speak of any destination, so all are held in full where there are some.
+func (d *Dispatcher) applyEntry(n *Entry) {
+	if t := d.destByNumber[n.Dest]; t != nil || d.settings.Gossip {
+		d.addEndpoint(d.destination(n.Dest), n)
 		return
 	}
-	d.remember(n)
+	d.storeUnused(n)
 }
 
-// enlist gives a destination a line of the list.
-func (d *Dispatcher) enlist(t *dest, n *Entry) {
+// addEndpoint gives a destination a line of the list.
+func (d *Dispatcher) addEndpoint(t *destination, n *Entry) {
 	apart := false
-	if n.DestinationKind >= 0 && n.DestinationKind < len(d.set.DestinationKinds) {
+	if n.DestinationKind >= 0 && n.DestinationKind < len(d.settings.DestinationKinds) {
 		t.kind = d.kinds[n.DestinationKind]
-		t.batch, apart = d.set.DestinationKinds[n.DestinationKind].MaxBatch, d.set.DestinationKinds[n.DestinationKind].PerEndpointLimits
+		t.maxBatch, apart = d.settings.DestinationKinds[n.DestinationKind].MaxBatch, d.settings.DestinationKinds[n.DestinationKind].PerEndpointLimits
 	}
-	ep := d.byID[n.Endpoint]
+	ep := d.endpointByID[n.Endpoint]
 	if ep == nil {
-		if _, other := d.owner[n.Endpoint]; other {
+		if _, other := d.unusedOwner[n.Endpoint]; other {
 			return
 		}
-		ep = &endpoint{id: n.Endpoint, dest: t, pace: t.pace}
+		ep = &endpoint{id: n.Endpoint, dest: t, limiter: t.limiter}
 		if apart {
-			ep.pace = d.newPace()
+			ep.limiter = d.newLimiter()
 		}
-		d.byID[n.Endpoint] = ep
-		d.byHint[hintName(n.Endpoint)] = ep
+		d.endpointByID[n.Endpoint] = ep
+		d.endpointByHint[hintID(n.Endpoint)] = ep
 	}
 	if ep.dest != t {
 		return // an endpoint does not change its destination
 	}
-	if !slices.Contains(t.eps, ep) {
-		d.joined(t, ep)
-		t.eps = append(t.eps, ep)
+	if !slices.Contains(t.endpoints, ep) {
+		d.onJoin(t, ep)
+		t.endpoints = append(t.endpoints, ep)
 	}
 	ep.zone, ep.health = n.Zone, n.Health
-	d.awaken(t)
-	if n.Weight > 0 && n.Weight <= math.MaxFloat32 && d.set.Weights != WeightNone {
-		t.share = n.Weight
-		ep.pace.bound = n.Weight * d.slack
+	d.wakeUp(t)
+	if n.Weight > 0 && n.Weight <= math.MaxFloat32 && d.settings.Weights != WeightNone {
+		t.listedWeight = n.Weight
+		ep.limiter.knownRate = n.Weight * d.weightFactor
 	}
 }
 
-// end drops a message that is answered; one with an attempt out is kept until its outcome.
-func (d *Dispatcher) end(m *message) {
+// endMessage drops a message that is answered; one with an attempt out is kept until its outcome.
+func (d *Dispatcher) endMessage(m *message) {
 	if !m.ended {
 		m.ended = true
-		d.open--
-		m.dest.open--
-		m.dest.drop(m)
-		d.place(m.dest)
+		d.openMessages--
+		m.dest.openMessages--
+		m.dest.remove(m)
+		d.reindex(m.dest)
 	}
-	if m.out != nil {
+	if m.call != nil {
 		return
 	}
-	delete(d.msgs, m.id)
+	delete(d.messages, m.id)
 	if m.key != nil {
-		d.turn(m.key)
+		d.advanceKey(m.key)
 	}
 }
 
-// turn puts the message whose turn it is into its hold. One that waits for its turn is in no hold.
-func (d *Dispatcher) turn(k *keyTurn) {
-	for len(k.queue) > 0 && k.queue[0].ended && k.queue[0].out == nil {
-		k.queue = k.queue[1:]
+// advanceKey puts the message whose turn it is into its hold. One that waits for its turn is in no hold.
+func (d *Dispatcher) advanceKey(k *keyQueue) {
+	for len(k.messages) > 0 && k.messages[0].ended && k.messages[0].call == nil {
+		k.messages = k.messages[1:]
 	}
-	if len(k.queue) == 0 {
-		if !k.parked { // its rest binds those to come; it is dropped later
-			k.parked = true
-			d.resting = append(d.resting, k)
+	if len(k.messages) == 0 {
+		if !k.resting { // its rest binds those to come; it is dropped later
+			k.resting = true
+			d.restingKeys = append(d.restingKeys, k)
 		}
 		return
 	}
-	if m := k.queue[0]; !m.ended && !m.held && m.out == nil {
-		d.hold(m)
+	if m := k.messages[0]; !m.ended && !m.queued && m.call == nil {
+		d.enqueue(m)
 	}
 }
 
-// hintName is the short name of an endpoint in notes, the same at every dispatcher.
-func hintName(e EndpointID) uint32 {
+// hintID is the short name of an endpoint in notes, the same at every dispatcher.
+func hintID(e EndpointID) uint32 {
 	h := uint64(e) * 0x9E3779B97F4A7C15
 	return uint32(h >> 40)
 }
 
 // share sends what this round has to tell the peers.
-func (d *Dispatcher) share() {
-	if len(d.notes) > 0 {
-		d.out = append(d.out, Action{Kind: SendGossip, Text: string(d.notes)})
-		d.notes = d.notes[:0]
+func (d *Dispatcher) sendHints() {
+	if len(d.hints) > 0 {
+		d.actions = append(d.actions, Action{Kind: SendGossip, Text: string(d.hints)})
+		d.hints = d.hints[:0]
 	}
 }
 
@@ -679,98 +679,98 @@
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case Arrival:
-		d.arrive(e)
+		d.onArrival(e)
 	case Outcome:
-		d.outcome(e)
+		d.onOutcome(e)
 	case Withdrawn:
-		if m := d.msgs[e.Message]; m != nil {
-			d.end(m)
+		if m := d.messages[e.Message]; m != nil {
+			d.endMessage(m)
 		}
 	case TimerFired:
-		if m := d.msgs[MessageID(e.TimerToken-1)]; e.TimerToken > 0 && m != nil && !m.ended {
-			d.due(m)
+		if m := d.messages[MessageID(e.TimerToken-1)]; e.TimerToken > 0 && m != nil && !m.ended {
+			d.expire(m)
 		}
 	case GossipReceived:
-		d.hear(e.Payload)
+		d.receiveHints(e.Payload)
 	case ListUpdate:
-		d.list(e)
-		d.listed(e.ListKind)
+		d.applyList(e)
+		d.planNextPull(e.ListKind)
 	case OutageRestored:
 		d.restoreOutage(e.Outage)
 	case RecordingStatus:
-		d.unrecorded = e.RecordingFails
+		d.recordingFails = e.RecordingFails
 		for _, t := range d.dests {
-			d.awaken(t)
+			d.wakeUp(t)
 		}
 	case Shutdown:
-		d.closing(e.TimeLeft, e.KeepHeld)
+		d.shutdown(e.TimeLeft, e.KeepHeld)
 	}
 }
 
-// begin starts the measures that need the first round's time.
-func (d *Dispatcher) begin() {
-	if d.set.HasPredecessor {
-		d.keysRest = d.now + d.set.SettleTime
+// startMeters starts the measures that need the first round's time.
+func (d *Dispatcher) startMeters() {
+	if d.settings.HasPredecessor {
+		d.keysRestUntil = d.now + d.settings.SettleTime
 	}
-	d.all = meter{tau: demandTau, at: d.now, t0: d.now}
-	for i := range d.tenants {
-		d.tenants[i] = d.all
+	d.totalRate = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
+	for i := range d.tenantRates {
+		d.tenantRates[i] = d.totalRate
 	}
 }
 
-// sample learns the latency of a destination and of its kind.
-func (d *Dispatcher) sample(t *dest, lag float64) {
-	if t.lat.n == 0 {
-		t.lat.mean, t.lat.dev = d.latency(t)
-		t.base = lag
+// recordLatency learns the latency of a destination and of its kind.
+func (d *Dispatcher) recordLatency(t *destination, lag float64) {
+	if t.latency.samples == 0 {
+		t.latency.mean, t.latency.deviation = d.latency(t)
+		t.baselineLatency = lag
 	}
-	t.lat.add(lag, max(latGain, 1/(t.lat.n+priorCount+1)))
-	t.base += baseGain * (lag - t.base)
-	t.kind.lat.add(lag, max(baseGain, 1/(t.kind.lat.n+1)))
+	t.latency.add(lag, max(latencyGain, 1/(t.latency.samples+latencyPriorSamples+1)))
+	t.baselineLatency += baselineGain * (lag - t.baselineLatency)
+	t.kind.latency.add(lag, max(baselineGain, 1/(t.kind.latency.samples+1)))
 }
 
-// stayAwake asks for a next round: soon while calls are out, else when the first sleeper is to be looked at.
-func (d *Dispatcher) stayAwake() {
-	after, n := wakeTicks*d.set.Tick, d.naps.items
+// scheduleNextRound asks for a next round: soon while calls are out, else when the first sleeper is to be looked at.
+func (d *Dispatcher) scheduleNextRound() {
+	after, n := wakeTicks*d.settings.Tick, d.sleeping.items
 	switch {
-	case d.busy > 0:
-	case len(n) > 0 && n[0].t.lookAt < never:
-		after = max(n[0].t.lookAt-d.now, after) // what is polled needs no more than that
+	case d.busySlots > 0:
+	case len(n) > 0 && n[0].dest.wakeAt < never:
+		after = max(n[0].dest.wakeAt-d.now, after) // what is polled needs no more than that
 	default:
 		return
 	}
-	if at := d.now + after; d.wake <= d.now || at < d.wake {
-		d.wake = at
-		d.out = append(d.out, Action{Kind: Timer, After: after})
+	if at := d.now + after; d.wakeAt <= d.now || at < d.wakeAt {
+		d.wakeAt = at
+		d.actions = append(d.actions, Action{Kind: Timer, After: after})
 	}
 }
 
-// take has a call hold a slot, free gives it back.
-func (d *Dispatcher) take(c *call) {
-	c.left = len(c.msgs)
-	d.busy++
-	c.ep.dest.w++
+// acquireSlot has a call hold a slot, free gives it back.
+func (d *Dispatcher) acquireSlot(c *call) {
+	c.pending = len(c.messages)
+	d.busySlots++
+	c.ep.dest.inFlight++
 	c.ep.calls = append(c.ep.calls, c)
-	c.ep.open, c.ep.used = true, d.now
-	d.place(c.ep.dest)
+	c.ep.connOpen, c.ep.usedAt = true, d.now
+	d.reindex(c.ep.dest)
 }
 
-func (d *Dispatcher) free(c *call) {
-	d.busy--
-	c.ep.dest.w--
+func (d *Dispatcher) releaseSlot(c *call) {
+	d.busySlots--
+	c.ep.dest.inFlight--
 	c.ep.calls = slices.DeleteFunc(c.ep.calls, func(o *call) bool { return o == c })
-	c.ep.used = d.now
-	d.left = append(d.left, c.ep)
-	d.awaken(c.ep.dest)
+	c.ep.usedAt = d.now
+	d.freedEndpoints = append(d.freedEndpoints, c.ep)
+	d.wakeUp(c.ep.dest)
 }
 
-// holds tells whether a message of a class with that effect is held.
-func (t *dest) holds(e RepeatEffect) bool {
+// hasQueuedEffect tells whether a message of a class with that effect is held.
+func (t *destination) hasQueuedEffect(e RepeatEffect) bool {
 	return slices.ContainsFunc(t.lanes, func(l []*message) bool { return len(l) > 0 && l[0].class.Effect == e })
 }
 
-// each calls f for every message held.
-func (t *dest) each(f func(*message)) {
+// eachQueued calls f for every message held.
+func (t *destination) eachQueued(f func(*message)) {
 	for i := range t.lanes {
 		for _, m := range slices.Clone(t.lanes[i]) {
 			f(m)
@@ -778,23 +778,23 @@
 	}
 }
 
-// made counts the attempts that were sent.
-func (m *message) made() int { return m.tries - m.unsent }
+// attemptsSent counts the attempts that were sent.
+func (m *message) attemptsSent() int { return m.attempts - m.attemptsNotSent }
 
-// lasts is when a message can't be sent any more: at its deadline, or once partners forget the key of one that may have run.
-func (m *message) lasts() Time {
-	if m.doubt && m.class.Effect == Deduplicated {
-		return min(m.deadline, m.doubtAt+m.class.DedupWindow-StallMargin)
+// sendDeadline is when a message can't be sent any more: at its deadline, or once partners forget the key of one that may have run.
+func (m *message) sendDeadline() Time {
+	if m.possiblyExecuted && m.class.Effect == Deduplicated {
+		return min(m.deadline, m.possiblyExecutedAt+m.class.DedupWindow-StallMargin)
 	}
 	return m.deadline
 }
 
-// opens tells when the first endpoint that the message may go to is past its wait, 0 if none is listed.
-func (d *Dispatcher) opens(m *message) Time {
+// availableAt tells when the first endpoint that the message may go to is past its wait, 0 if none is listed.
+func (d *Dispatcher) availableAt(m *message) Time {
 	at, any := Time(math.MaxInt64), false
-	for _, ep := range m.dest.eps {
-		if ep.health == Ready && !(m.doubt && m.class.DedupPerZone && ep.zone != m.doubtZone) {
-			at, any = min(at, ep.pace.wait), true
+	for _, ep := range m.dest.endpoints {
+		if ep.health == Ready && !(m.possiblyExecuted && m.class.DedupPerZone && ep.zone != m.possiblyExecutedZone) {
+			at, any = min(at, ep.limiter.waitUntil), true
 		}
 	}
 	if !any {
