--- a/control/control.go
+++ b/control/control.go
@@ -127,8 +127,8 @@
 		d.handle(&events[i])
 	}
 	d.deactivate()
-	for _, t := range d.calling {
-		d.checkCalls(t)
+	for _, dest := range d.calling {
+		d.checkCalls(dest)
 	}
 	d.wakeUpDue()
 	d.dispatch()
@@ -166,8 +166,8 @@
 }
 
 // planNextPull plans the next asking: after a failure with jittered backoff, else after a long silence.
-func (d *Dispatcher) planNextPull(k ListKind) {
-	switch k {
+func (d *Dispatcher) planNextPull(kind ListKind) {
+	switch kind {
 	case ListCached:
 	case ListFailed:
 		d.subscribed = false
@@ -187,11 +187,11 @@
 		d.actions = append(d.actions, Action{Kind: Refuse, Message: e.Message})
 		return
 	}
-	c := &d.settings.Classes[e.Class]
+	class := &d.settings.Classes[e.Class]
 	d.arrivalCount++
-	m := &message{id: e.Message, class: c, dest: d.destination(e.Dest), deadline: d.now + e.TimeLeft}
+	m := &message{id: e.Message, class: class, dest: d.destination(e.Dest), deadline: d.now + e.TimeLeft}
 	m.arrivalSeq, m.arrivalRound, m.restored = d.arrivalCount, d.round, e.Restored
-	m.createdAt = m.deadline - c.Deadline
+	m.createdAt = m.deadline - class.Deadline
 	if m.attempts = e.Attempt; e.PossiblyExecuted { // a process that ended had it
 		d.markPossiblyExecuted(m, d.now-e.Elapsed, e.Zone)
 	}
@@ -213,18 +213,18 @@
 	}
 	// The answer leaves before the time is up, one round early for rounding.
 	d.actions = append(d.actions, Action{Kind: Timer, After: max(e.TimeLeft-2*d.settings.Tick, 0), TimerToken: uint64(m.id) + 1})
-	if c.InOrder && e.Key != 0 {
-		k := d.keys[e.Key]
-		if k == nil {
-			k = &keyQueue{key: e.Key, restUntil: d.keysRestUntil}
-			d.keys[e.Key] = k
+	if class.InOrder && e.Key != 0 {
+		queue := d.keys[e.Key]
+		if queue == nil {
+			queue = &keyQueue{key: e.Key, restUntil: d.keysRestUntil}
+			d.keys[e.Key] = queue
 		}
-		m.key = k
+		m.key = queue
 		if m.possiblyExecuted {
-			k.restUntil = d.now + d.settings.SettleTime
+			queue.restUntil = d.now + d.settings.SettleTime
 		}
-		k.messages = append(k.messages, m)
-		d.advanceKey(k)
+		queue.messages = append(queue.messages, m)
+		d.advanceKey(queue)
 		return
 	}
 	d.enqueue(m)
@@ -233,36 +233,36 @@
 // markPossiblyExecuted binds a message to what its class allows: an attempt may have run, here or in a process before.
 func (d *Dispatcher) markPossiblyExecuted(m *message, at Time, zone int) {
 	m.possiblyExecuted, m.possiblyExecutedAt, m.possiblyExecutedZone = true, at, zone
-	over := at + m.class.DedupWindow - StallMargin - d.settings.Tick - d.now
-	d.actions = append(d.actions, Action{Kind: Timer, After: max(over, 0), TimerToken: uint64(m.id) + 1})
+	expiresIn := at + m.class.DedupWindow - StallMargin - d.settings.Tick - d.now
+	d.actions = append(d.actions, Action{Kind: Timer, After: max(expiresIn, 0), TimerToken: uint64(m.id) + 1})
 }
 
 // countAndCheckQuota tells whether a tenant now sends more than its share, measured against what comes here.
-func (d *Dispatcher) countAndCheckQuota(t int) bool {
+func (d *Dispatcher) countAndCheckQuota(tenant int) bool {
 	d.totalRate.add(d.now, 1)
-	if t < 0 || t >= len(d.tenantRates) || d.totalQuota <= 0 {
+	if tenant < 0 || tenant >= len(d.tenantRates) || d.totalQuota <= 0 {
 		return false
 	}
-	d.tenantRates[t].add(d.now, 1)
-	part := max(1/float64(d.settings.Instances), d.totalRate.rate(d.now)/d.totalQuota)
-	return d.tenantRates[t].rate(d.now) > d.settings.Tenants[t].Quota*part*overQuotaMargin
+	d.tenantRates[tenant].add(d.now, 1)
+	share := max(1/float64(d.settings.Instances), d.totalRate.rate(d.now)/d.totalQuota)
+	return d.tenantRates[tenant].rate(d.now) > d.settings.Tenants[tenant].Quota*share*overQuotaMargin
 }
 
 // enqueue puts a message into its lane, by age. A hold turning non-empty takes the least other counter.
 func (d *Dispatcher) enqueue(m *message) {
-	t := m.dest
-	if t.queuedCount == 0 {
-		if t.virtualTime = d.byVirtualTime.minKeyExcept(t); math.IsInf(t.virtualTime, 1) {
-			t.virtualTime = 0
+	dest := m.dest
+	if dest.queuedCount == 0 {
+		if dest.virtualTime = d.byVirtualTime.minKeyExcept(dest); math.IsInf(dest.virtualTime, 1) {
+			dest.virtualTime = 0
 		}
 	}
-	t.insert(m)
-	if !t.active {
-		t.active = true
+	dest.insert(m)
+	if !dest.active {
+		dest.active = true
 		d.activations++
-		t.activationSeq = d.activations
+		dest.activationSeq = d.activations
 	}
-	d.wakeUp(t)
+	d.wakeUp(dest)
 	d.expire(m)
 }
 
@@ -291,23 +291,23 @@
 // shutdown cuts the time of all that is held, for a dispatcher that stops: each has its answer before that.
 // Guards against leaving clients without one. It could hurt by refusing what would soon have been served.
 // Where the next process goes on with what is held, only calls that may not end in time are not begun.
-func (d *Dispatcher) shutdown(in Time, kept bool) {
-	if kept {
-		d.stopAt = d.now + in
+func (d *Dispatcher) shutdown(timeLeft Time, keep bool) {
+	if keep {
+		d.stopAt = d.now + timeLeft
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(d.messages)) {
-		if m := d.messages[id]; d.now+in < m.deadline && !m.ended {
-			m.deadline = d.now + in
-			d.actions = append(d.actions, Action{Kind: Timer, After: max(in-2*d.settings.Tick, 0), TimerToken: uint64(id) + 1})
+		if m := d.messages[id]; d.now+timeLeft < m.deadline && !m.ended {
+			m.deadline = d.now + timeLeft
+			d.actions = append(d.actions, Action{Kind: Timer, After: max(timeLeft-2*d.settings.Tick, 0), TimerToken: uint64(id) + 1})
 		}
 	}
 }
 
 // finish gives a final answer: handed back, if that is wanted and provably harmless, else failed.
-func (d *Dispatcher) finish(m *message, back bool, why string) {
+func (d *Dispatcher) finish(m *message, refuse bool, why string) {
 	a := Action{Kind: Fail, Message: m.id, Text: why}
-	if back && d.safeToRefuse(m) {
+	if refuse && d.safeToRefuse(m) {
 		if a.Kind = Refuse; d.settings.RetryAfter && d.stopAt > 0 {
 			a.After = d.settings.MaxRetryAfter // its successor is not there sooner
 		} else if d.settings.RetryAfter {
@@ -320,22 +320,22 @@
 
 // safeToRefuse tells whether handing the message in again can do no harm.
 func (d *Dispatcher) safeToRefuse(m *message) bool {
-	maybe := m.possiblyExecuted || m.call != nil
-	return !maybe || m.class.Effect == Idempotent || m.class.Effect == Deduplicated && !m.class.DedupPerZone
+	possiblyExecuted := m.possiblyExecuted || m.call != nil
+	return !possiblyExecuted || m.class.Effect == Idempotent || m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
 // dispatch hands free slots to the destinations with the smallest counters. Who can release nothing sleeps
 // until something happens there, or its time comes.
 func (d *Dispatcher) dispatch() {
 	for d.busySlots < d.settings.Slots {
-		best := d.nextDestination()
+		dest := d.nextDestination()
 		d.slotShortage = false
-		if best == nil {
+		if dest == nil {
 			return
 		}
-		if !d.sendNext(best) {
-			best.asleep, best.wakeAt = true, d.nextWakeUp(best)
-			d.reindex(best)
+		if !d.sendNext(dest) {
+			dest.asleep, dest.wakeAt = true, d.nextWakeUp(dest)
+			d.reindex(dest)
 		}
 	}
 	d.slotShortage = len(d.eligible.items)+len(d.sleeping.items) > 0
@@ -343,63 +343,63 @@
 
 // nextWakeUp tells when a destination that can release nothing is looked at again: after the first wait; for what
 // else changes with time, such as a ramp or a trial, in the next tick. Where very many sleep they take turns.
-func (d *Dispatcher) nextWakeUp(t *destination) Time {
-	soon := d.now + d.settings.Tick*Time(1+len(d.sleeping.items)/wakeupsPerTick)
+func (d *Dispatcher) nextWakeUp(dest *destination) Time {
+	nextLook := d.now + d.settings.Tick*Time(1+len(d.sleeping.items)/wakeupsPerTick)
 	at := never // only the list can change it
-	for _, ep := range t.endpoints {
+	for _, ep := range dest.endpoints {
 		switch {
 		case ep.health != Ready:
 		case d.now < ep.limiter.waitUntil:
 			at = min(at, ep.limiter.waitUntil)
 		default:
-			at = min(at, soon)
+			at = min(at, nextLook)
 		}
 	}
 	return at
 }
 
 // weight is the listed one; where none is listed what is asked of the destination stands in.
-func (d *Dispatcher) weight(t *destination) float64 {
-	if t.listedWeight > 0 {
-		return t.listedWeight
+func (d *Dispatcher) weight(dest *destination) float64 {
+	if dest.listedWeight > 0 {
+		return dest.listedWeight
 	}
-	return max(t.demand.rate(d.now), minWeight)
+	return max(dest.demand.rate(d.now), minWeight)
 }
 
 // finishTag orders the turns: by the counter, and while messages wait for slots by what it will be after the call:
 // who revives at the least counter for calls of seconds would take the slots from all that is held. It acts
 // in any shortage of slots, and could hurt by later turns for a slow destination with little traffic.
-func (d *Dispatcher) finishTag(t *destination) float64 {
-	mean, _ := d.latency(t)
-	return t.virtualTime + mean/float64(Second)/d.weight(t)
+func (d *Dispatcher) finishTag(dest *destination) float64 {
+	mean, _ := d.latency(dest)
+	return dest.virtualTime + mean/float64(Second)/d.weight(dest)
 }
 
 // sendNext sends the head of a destination's hold, with others in the same call where its kind allows.
-func (d *Dispatcher) sendNext(t *destination) bool {
+func (d *Dispatcher) sendNext(dest *destination) bool {
 	d.scanCount++
-	ep, trial := d.chooseEndpoint(t)
-	if ep == nil || t.inFlight >= d.effectiveWindow(t) {
+	ep, trial := d.chooseEndpoint(dest)
+	if ep == nil || dest.inFlight >= d.effectiveWindow(dest) {
 		return false
 	}
-	m := d.pickMessage(t, ep, trial)
+	m := d.pickMessage(dest, ep, trial)
 	if m == nil {
 		return false
 	}
 	c := &call{ep: ep, sentAt: d.now, trial: trial, connIdle: d.prepareConn(ep)}
-	for n := t.maxBatch; m != nil && n > 0; n-- {
-		t.remove(m)
+	for n := dest.maxBatch; m != nil && n > 0; n-- {
+		dest.remove(m)
 		m.call = c
 		m.attempts++
 		c.messages = append(c.messages, m)
 		a := Action{Kind: Send, Message: m.id, Endpoint: ep.id, SendWithin: m.sendDeadline() - d.settings.Tick - d.now}
 		if !d.settings.MayCancel && m.class.Effect != AtMostOnce {
-			a.After = stuckSilences * d.silenceTimeout(t)
+			a.After = stuckSilences * d.silenceTimeout(dest)
 		}
 		d.actions = append(d.actions, a)
 		if trial {
 			break
 		}
-		m = d.pickMessage(t, ep, false)
+		m = d.pickMessage(dest, ep, false)
 	}
 	d.acquireSlot(c)
 	ep.limiter.tokens--
@@ -415,7 +415,7 @@
 
 // maySend is the one place that permits a send; every rule that binds sends is here.
 func (d *Dispatcher) maySend(m *message, ep *endpoint) bool {
-	c := m.class
+	class := m.class
 	switch {
 	case m.ended || m.call != nil || m.attemptsSent() >= d.settings.MaxAttempts || ep.dest != m.dest:
 		return false
@@ -423,42 +423,42 @@
 		return false
 	case d.stopAt > 0 && d.now+d.silenceTimeout(ep.dest) > d.stopAt:
 		return false
-	case d.recordingFails && c.Effect != Idempotent:
+	case d.recordingFails && class.Effect != Idempotent:
 		return false
 	case m.key != nil && (m.key.messages[0] != m || m.attempts == 0 && d.now < m.key.restUntil):
 		return false
-	case !m.possiblyExecuted || c.Effect == Idempotent:
+	case !m.possiblyExecuted || class.Effect == Idempotent:
 		return true
-	case c.Effect == AtMostOnce:
+	case class.Effect == AtMostOnce:
 		return false
 	}
-	return !c.DedupPerZone || ep.zone == m.possiblyExecutedZone
+	return !class.DedupPerZone || ep.zone == m.possiblyExecutedZone
 }
 
 // pickMessage picks the message to send: of the oldest of each lane, the one that would lose most worth by
 // waiting until the hold is worked off. With a short hold none loses any and worth decides.
-func (d *Dispatcher) pickMessage(t *destination, ep *endpoint, trial bool) *message {
+func (d *Dispatcher) pickMessage(dest *destination, ep *endpoint, trial bool) *message {
 	var best *message
-	top := -1.0
-	mean, _ := d.latency(t)
-	soon := d.now + Time(mean)
-	wait := d.queueDelay(t)
-	for i := range t.lanes {
-		if len(t.lanes[i]) == 0 {
+	maxLoss := -1.0
+	mean, _ := d.latency(dest)
+	deliveredAt := d.now + Time(mean)
+	wait := d.queueDelay(dest)
+	for i := range dest.lanes {
+		if len(dest.lanes[i]) == 0 {
 			continue
 		}
 		// The oldest, and the oldest still in time: late worth may have nothing more to lose.
-		l := t.lanes[i]
-		fresh, _ := slices.BinarySearchFunc(l, soon, compareTarget)
-		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
+		lane := dest.lanes[i]
+		firstInTime, _ := slices.BinarySearchFunc(lane, deliveredAt, compareTarget)
+		for _, m := range [2]*message{lane[0], lane[min(firstInTime, len(lane)-1)]} {
 			// A doubtful unsafe one could only fail: trials risk it after proof that calls do not run, or when rare.
 			risky := m.class.Effect == AtMostOnce && !ep.unreachable && ep.trialInterval < maxTrialInterval
 			if trial && risky || !d.maySend(m, ep) {
 				continue
 			}
-			now := d.valueAt(m, soon)
-			if v := now - d.valueAt(m, soon+wait) + now*valueTieBreak; v > top {
-				best, top = m, v
+			value := d.valueAt(m, deliveredAt)
+			if loss := value - d.valueAt(m, deliveredAt+wait) + value*valueTieBreak; loss > maxLoss {
+				best, maxLoss = m, loss
 			}
 		}
 	}
@@ -466,65 +466,65 @@
 }
 
 // queueDelay reckons how long the hold takes to be worked off.
-func (d *Dispatcher) queueDelay(t *destination) Time {
-	wait := float64(t.queuedCount) / max(t.limiter.successes.rate(d.now), minThroughput) * float64(Second)
+func (d *Dispatcher) queueDelay(dest *destination) Time {
+	wait := float64(dest.queuedCount) / max(dest.limiter.successes.rate(d.now), minThroughput) * float64(Second)
 	return min(max(Time(wait), minQueueDelay), maxQueueDelay)
 }
 
 // unsendable tells that no attempt can ever be made again: the message is answered at once, wherever it lies.
 func (d *Dispatcher) unsendable(m *message) bool {
-	used := m.attemptsSent() >= d.settings.MaxAttempts || m.possiblyExecuted && m.class.Effect == AtMostOnce
-	return used || max(d.availableAt(m), d.now)+d.settings.Tick >= m.sendDeadline()
+	noAttemptLeft := m.attemptsSent() >= d.settings.MaxAttempts || m.possiblyExecuted && m.class.Effect == AtMostOnce
+	return noAttemptLeft || max(d.availableAt(m), d.now)+d.settings.Tick >= m.sendDeadline()
 }
 
 // maxWindow is the most calls out to one destination: under three quarters of the slots.
 func (d *Dispatcher) maxWindow() int { return max(1, (3*d.settings.Slots+3)/4-1) }
 
 // degraded tells that a destination fails or is slow.
-func (d *Dispatcher) degraded(t *destination) bool {
-	return t.latency.mean > slowFactor*t.baselineLatency || slices.ContainsFunc(t.endpoints, isSuspected)
+func (d *Dispatcher) degraded(dest *destination) bool {
+	return dest.latency.mean > slowFactor*dest.baselineLatency || slices.ContainsFunc(dest.endpoints, isSuspected)
 }
 
 // effectiveWindow is the window in force: failing and slow destinations share half of the slots among them all, so
 // that two of them cannot hold two slots of two.
-func (d *Dispatcher) effectiveWindow(t *destination) int {
-	d.initWindow(t)
-	if !d.degraded(t) {
-		return max(1, min(t.window, d.maxWindow()))
-	}
-	most := max(1, d.settings.Slots/2)
-	for _, o := range d.calling {
-		if o != t && d.degraded(o) {
-			most -= o.inFlight
+func (d *Dispatcher) effectiveWindow(dest *destination) int {
+	d.initWindow(dest)
+	if !d.degraded(dest) {
+		return max(1, min(dest.window, d.maxWindow()))
+	}
+	limit := max(1, d.settings.Slots/2)
+	for _, other := range d.calling {
+		if other != dest && d.degraded(other) {
+			limit -= other.inFlight
 		}
 	}
-	return min(t.window, most, d.maxWindow())
+	return min(dest.window, limit, d.maxWindow())
 }
 
 // adjustWindow is the window's completion test; w still counts the call that ended.
-func (d *Dispatcher) adjustWindow(t *destination, r Result) {
-	if r == Cancelled || r == NotExecuted || r == NotSent {
+func (d *Dispatcher) adjustWindow(dest *destination, result Result) {
+	if result == Cancelled || result == NotExecuted || result == NotSent {
 		return
 	}
-	d.initWindow(t)
-	if r != OK {
-		t.windowStarting = false
-		t.failedCompletions++
+	d.initWindow(dest)
+	if result != OK {
+		dest.windowStarting = false
+		dest.failedCompletions++
 	}
-	t.completions++
-	clean := float64(t.failedCompletions) <= maxFailedShare*float64(t.completions)
+	dest.completions++
+	clean := float64(dest.failedCompletions) <= maxFailedShare*float64(dest.completions)
 	switch {
-	case t.windowStarting:
-		t.window = min(t.window+1, d.maxWindow())
+	case dest.windowStarting:
+		dest.window = min(dest.window+1, d.maxWindow())
 		return
-	case t.completions < windowReviewFactor*t.window:
+	case dest.completions < windowReviewFactor*dest.window:
 		return
-	case t.inFlight >= t.window && clean:
-		t.window = min(t.window+1, d.maxWindow())
-	case t.inFlight >= t.window:
-		t.window = max(t.window-1, 1)
+	case dest.inFlight >= dest.window && clean:
+		dest.window = min(dest.window+1, d.maxWindow())
+	case dest.inFlight >= dest.window:
+		dest.window = max(dest.window-1, 1)
 	}
-	t.completions, t.failedCompletions = 0, 0
+	dest.completions, dest.failedCompletions = 0, 0
 }
 
 // ---- outcomes and what is learned from them ----
@@ -574,21 +574,21 @@
 	if c.pending > 0 {
 		return
 	}
-	t := c.ep.dest
-	t.virtualTime += (d.now - c.sentAt).seconds() / d.weight(t)
-	d.adjustWindow(t, e.Result)
+	dest := c.ep.dest
+	dest.virtualTime += (d.now - c.sentAt).seconds() / d.weight(dest)
+	d.adjustWindow(dest, e.Result)
 	d.releaseSlot(c)
 }
 
 func (d *Dispatcher) learnOutcome(c *call, e *Event) {
-	ep, t := c.ep, c.ep.dest
+	ep, dest := c.ep, c.ep.dest
 	c.connReset = e.Result == Reset
 	if i := d.settings.ReportLimitIndex; i >= 0 && i < len(e.Report) && e.Report[i] > 0 && e.Report[i] <= math.MaxFloat32 {
 		ep.limiter.knownRate = float64(e.Report[i])
 	}
 	switch e.Result {
 	case OK:
-		d.recordLatency(t, float64(e.Elapsed))
+		d.recordLatency(dest, float64(e.Elapsed))
 		d.onSuccess(ep, c)
 	case LimitExceeded:
 		ep.heardAt = d.now
@@ -598,9 +598,9 @@
 	case ConnectFailed:
 		// An outage, or all its connections are taken. Idle ones of many senders fill a table made for calls.
 		if d.settings.Instances > d.settings.Slots {
-			t.kind.scarceUntil = d.now + connScarcityPeriod
+			dest.kind.scarceUntil = d.now + connScarcityPeriod
 		}
-		if ep.failureStreak == 0 && len(ep.calls) > 1 && d.now-ep.heardAt < d.silenceTimeout(t) {
+		if ep.failureStreak == 0 && len(ep.calls) > 1 && d.now-ep.heardAt < d.silenceTimeout(dest) {
 			d.onRefusal(ep, c, 0, false) // others are answered: no outage
 			return
 		}
@@ -622,45 +622,45 @@
 // traffic see one call each, and against what a restart finds held: what all spend to make sure must not
 // push the endpoint over. It could hurt where errors are common and calls rare.
 func (d *Dispatcher) errorsMeanOutage(ep *endpoint) bool {
-	own := ep.dest.demand.uncorrectedRate(d.now) * d.settings.MaxOverload.seconds()
-	return ep.errorStreak >= min(max(int(own), minConfirmFailures), maxErrorStreak)
+	expected := ep.dest.demand.uncorrectedRate(d.now) * d.settings.MaxOverload.seconds()
+	return ep.errorStreak >= min(max(int(expected), minConfirmFailures), maxErrorStreak)
 }
 
 // latency is what a destination's calls take and how much that varies: its own samples, or those of its kind.
-func (d *Dispatcher) latency(t *destination) (mean, dev float64) {
+func (d *Dispatcher) latency(dest *destination) (mean, dev float64) {
 	switch {
-	case t.latency.samples > 0:
-		return t.latency.mean, t.latency.deviation
-	case t.kind.latency.samples > 0:
-		return t.kind.latency.mean, t.kind.latency.deviation
+	case dest.latency.samples > 0:
+		return dest.latency.mean, dest.latency.deviation
+	case dest.kind.latency.samples > 0:
+		return dest.kind.latency.mean, dest.kind.latency.deviation
 	}
 	return float64(defaultLatency), float64(defaultLatency) / 2
 }
 
 // silenceTimeout is how long a destination may say nothing with a call out before that is suspicious.
-func (d *Dispatcher) silenceTimeout(t *destination) Time {
-	mean, dev := d.latency(t)
-	return max(minSilence, Time(mean+dev*min(silenceDeviations, lossDeviations-math.Log(d.lossShare))*(1+1/(1+t.latency.samples))))
+func (d *Dispatcher) silenceTimeout(dest *destination) Time {
+	mean, dev := d.latency(dest)
+	return max(minSilence, Time(mean+dev*min(silenceDeviations, lossDeviations-math.Log(d.lossShare))*(1+1/(1+dest.latency.samples))))
 }
 
 func (d *Dispatcher) onSuccess(ep *endpoint, c *call) {
-	p := ep.limiter
-	p.successes.add(d.now, 1)
+	lim := ep.limiter
+	lim.successes.add(d.now, 1)
 	d.lossShare += lossGain * (minLossShare - d.lossShare)
-	if p.allowance < unlimitedAllowance {
-		p.allowance += allowanceSuccessGain * min(1, (d.now-max(p.lastOKAt, p.refusedAt)).seconds())
+	if lim.allowance < unlimitedAllowance {
+		lim.allowance += allowanceSuccessGain * min(1, (d.now-max(lim.lastOKAt, lim.refusedAt)).seconds())
 	}
-	if k := ep.dest.kind; c.connIdle > 0 {
-		k.dropShare -= lossGain * k.dropShare
-		k.safeIdleAge = min(Time(idleAgeGrowth*float64(k.safeIdleAge)), d.settings.ConnIdleTimeout*2)
+	if kind := ep.dest.kind; c.connIdle > 0 {
+		kind.dropShare -= lossGain * kind.dropShare
+		kind.safeIdleAge = min(Time(idleAgeGrowth*float64(kind.safeIdleAge)), d.settings.ConnIdleTimeout*2)
 	}
-	if p.refusalStreak > 0 {
+	if lim.refusalStreak > 0 {
 		d.rampAfterRefusals(ep, d.now)
 		ep.dest.kind.retrySuccess += lossGain * (1 - ep.dest.kind.retrySuccess)
 	}
-	p.refusalStreak, p.refusingSince, p.lastOKAt = 0, 0, d.now
-	if p.presumedDown {
-		p.presumedDown = false
+	lim.refusalStreak, lim.refusingSince, lim.lastOKAt = 0, 0, d.now
+	if lim.presumedDown {
+		lim.presumedDown = false
 		d.outageChanged(ep)
 	}
 	d.clearFailures(ep, c)
@@ -682,10 +682,10 @@
 // rampAfterRefusals starts the ramp of all that share a limit which refused for longer than an overload may last: it
 // may have been shut, and a told wait tells when it opens. It could hurt by a ramp where a limit was lowered.
 func (d *Dispatcher) rampAfterRefusals(ep *endpoint, at Time) {
-	for _, o := range ep.dest.endpoints {
+	for _, other := range ep.dest.endpoints {
 		since := ep.limiter.refusingSince
-		if o.limiter == ep.limiter && since != 0 && at-since > d.settings.MaxOverload && (o.rampStart == 0 || at > d.now) {
-			d.startSlowStart(o, at)
+		if other.limiter == ep.limiter && since != 0 && at-since > d.settings.MaxOverload && (other.rampStart == 0 || at > d.now) {
+			d.startSlowStart(other, at)
 		}
 	}
 }
@@ -694,27 +694,27 @@
 // last failure, in the mean half way: what many senders reckon so adds up to its real warmth. A failure that
 // the next call does not bear out was a lost answer or a dropped connection.
 func (d *Dispatcher) onReturn(ep *endpoint, c *call) {
-	gone := d.now - ep.downSince
+	downFor := d.now - ep.downSince
 	switch {
-	case c != nil && !c.trial && gone <= 2*d.settings.MaxOverload: // late, not lost: it is slow
-	case c == nil || (ep.unreachable || d.outageConfirmed(ep) || ep.overtakenCalls() > d.confirmThreshold(ep)) && gone > d.settings.MaxOverload:
-		back := d.now
+	case c != nil && !c.trial && downFor <= 2*d.settings.MaxOverload: // late, not lost: it is slow
+	case c == nil || (ep.unreachable || d.outageConfirmed(ep) || ep.overtakenCalls() > d.confirmThreshold(ep)) && downFor > d.settings.MaxOverload:
+		returnedAt := d.now
 		if c != nil {
-			back -= (d.now - ep.failedAt) / 2
+			returnedAt -= (d.now - ep.failedAt) / 2
 			d.addHint(ep, 0)
 		}
-		d.startSlowStart(ep, back)
-		for _, o := range ep.dest.endpoints { // of the others that failed it stays sure: each has its own return
-			if o.suspected && o.limiter == ep.limiter {
-				o.failureStreak = max(o.failureStreak, o.limiter.failureStreak)
+		d.startSlowStart(ep, returnedAt)
+		for _, other := range ep.dest.endpoints { // of the others that failed it stays sure: each has its own return
+			if other.suspected && other.limiter == ep.limiter {
+				other.failureStreak = max(other.failureStreak, other.limiter.failureStreak)
 			}
 		}
 	case !ep.unreachable:
-		k := ep.dest.kind
+		kind := ep.dest.kind
 		d.lossShare += float64(ep.failureStreak) * lossGain * (1 - d.lossShare)
 		if ep.failedConnIdle > 0 {
-			if k.dropShare += lossGain * (1 - k.dropShare); k.dropShare > confirmedDropShare && ep.failedConnIdle > minDropIdleAge {
-				k.safeIdleAge = min(k.safeIdleAge, ep.failedConnIdle)
+			if kind.dropShare += lossGain * (1 - kind.dropShare); kind.dropShare > confirmedDropShare && ep.failedConnIdle > minDropIdleAge {
+				kind.safeIdleAge = min(kind.safeIdleAge, ep.failedConnIdle)
 			}
 		}
 	}
@@ -753,8 +753,8 @@
 }
 
 // startSlowStart starts an endpoint's ramp, as if it had come back at the moment given.
-func (d *Dispatcher) startSlowStart(ep *endpoint, back Time) {
-	ep.rampStart = back
+func (d *Dispatcher) startSlowStart(ep *endpoint, returnedAt Time) {
+	ep.rampStart = returnedAt
 	ep.rampEnd = 1 + (maxRampEnd-1)*d.random() // not all that were told the same moment at once
 	d.outageChanged(ep)
 	d.startRamp(ep)
@@ -764,16 +764,16 @@
 // onFailure counts calls that met nobody or silence; only one sent after the last failure was known is new
 // evidence. One is enough to hold messages back and send single trials, as a sender with little traffic may
 // see no second. Guards against crashes, silence, hangs and floods of errors. It could hurt at rare answers.
-func (d *Dispatcher) onFailure(ep *endpoint, c *call, proven bool) {
+func (d *Dispatcher) onFailure(ep *endpoint, c *call, unreachable bool) {
 	d.outageChanged(ep)
 	if c.sentAt >= ep.failedAt {
 		ep.failureStreak++
 		ep.limiter.failureStreak++ // kept when an endpoint that failed leaves the list
-		if ep.failedAt, ep.unreachable, ep.failedConnIdle = d.now, proven, c.connIdle; !c.connReset && c.connIdle <= minDropIdleAge {
+		if ep.failedAt, ep.unreachable, ep.failedConnIdle = d.now, unreachable, c.connIdle; !c.connReset && c.connIdle <= minDropIdleAge {
 			ep.failedConnIdle = 0
 		}
 	}
-	ep.unreachable = ep.unreachable || proven // silence at first, then no connection: it was no lost answer
+	ep.unreachable = ep.unreachable || unreachable // silence at first, then no connection: it was no lost answer
 	if ep.suspected {
 		return
 	}
@@ -785,49 +785,49 @@
 }
 
 // onRefusal learns from a refusal: waits are kept, a smaller share of the own demand is let go.
-func (d *Dispatcher) onRefusal(ep *endpoint, c *call, wait Time, spent bool) {
-	p, k := ep.limiter, ep.dest.kind
-	if spent && wait <= d.settings.MaxOverload {
-		p.refusingSince = 0
-		if p.presumedDown {
-			p.presumedDown = false
+func (d *Dispatcher) onRefusal(ep *endpoint, c *call, wait Time, usedUp bool) {
+	lim, kind := ep.limiter, ep.dest.kind
+	if usedUp && wait <= d.settings.MaxOverload {
+		lim.refusingSince = 0
+		if lim.presumedDown {
+			lim.presumedDown = false
 			d.outageChanged(ep)
 		}
-	} else if p.refusingSince == 0 {
-		p.refusingSince = d.now
-	} else if !p.presumedDown && d.now-p.refusingSince > d.settings.MaxOverload {
-		p.presumedDown = true
+	} else if lim.refusingSince == 0 {
+		lim.refusingSince = d.now
+	} else if !lim.presumedDown && d.now-lim.refusingSince > d.settings.MaxOverload {
+		lim.presumedDown = true
 		d.startRamp(ep)
 		d.outageChanged(ep)
 	}
 	if wait > 0 {
 		d.rampAfterRefusals(ep, d.now+wait)
 	}
-	if c.sentAt < p.refusedAt {
+	if c.sentAt < lim.refusedAt {
 		return
 	}
-	p.refusedAt = d.now
-	if p.refusalStreak++; p.refusalStreak > 1 {
-		k.retrySuccess -= lossGain * k.retrySuccess
+	lim.refusedAt = d.now
+	if lim.refusalStreak++; lim.refusalStreak > 1 {
+		kind.retrySuccess -= lossGain * kind.retrySuccess
 	}
-	want := ep.dest.demand.rate(d.now)
+	demand := ep.dest.demand.rate(d.now)
 	span := min(max(wait, defaultHold), maxBackoff)
-	used := spent || p.knownRate > 0 && p.refusalStreak <= minConfirmFailures && !isUnhealthy(ep) // the report may be late
-	told := used && (d.now < p.holdUntil || d.addHint(ep, span))
+	limitUsedUp := usedUp || lim.knownRate > 0 && lim.refusalStreak <= minConfirmFailures && !isUnhealthy(ep) // the report may be late
+	hinted := limitUsedUp && (d.now < lim.holdUntil || d.addHint(ep, span))
 	switch {
-	case told && d.now-d.gossipHeardAt < gossipTimeout: // all hold together, then this one may go again
-		d.holdAndSpread(p, span)
-		p.tokens++
+	case hinted && d.now-d.gossipHeardAt < gossipTimeout: // all hold together, then this one may go again
+		d.holdAndSpread(lim, span)
+		lim.tokens++
 	case wait == 0:
-		base := max(minBackoff, Time(min(float64(d.minTarget), float64(Second)/want)/2))
-		pause := min(base<<min(p.refusalStreak-1, 6), maxBackoff)
-		p.waitUntil = max(p.waitUntil, d.now+pause/2+Time(d.random()*float64(pause)/2))
+		base := max(minBackoff, Time(min(float64(d.minTarget), float64(Second)/demand)/2))
+		pause := min(base<<min(lim.refusalStreak-1, 6), maxBackoff)
+		lim.waitUntil = max(lim.waitUntil, d.now+pause/2+Time(d.random()*float64(pause)/2))
 		fallthrough
 	default:
-		p.tokens = min(p.tokens, d.random()) // retries, too, stay within the share
+		lim.tokens = min(lim.tokens, d.random()) // retries, too, stay within the share
 	}
-	if p.allowance = min(p.allowance, 1) * allowanceDecrease; p.knownRate == 0 {
-		p.allowance = max(p.allowance, minAllowance)
+	if lim.allowance = min(lim.allowance, 1) * allowanceDecrease; lim.knownRate == 0 {
+		lim.allowance = max(lim.allowance, minAllowance)
 	}
 }
 
@@ -838,18 +838,18 @@
 		return false
 	}
 	d.gossipCredit -= hintCost
-	n := hintID(ep.id)
-	d.hints = append(d.hints, byte(min(wait/hintWaitUnit, 255)), byte(n>>16), byte(n>>8), byte(n))
+	hint := hintID(ep.id)
+	d.hints = append(d.hints, byte(min(wait/hintWaitUnit, 255)), byte(hint>>16), byte(hint>>8), byte(hint))
 	return true
 }
 
 // receiveHints takes a peer's hints. They are never proof, and all works without any. They tell what one sender sees
 // too little of: limits and returns of partners that it seldom calls. Wrong ones hurt by a hold or a try.
-func (d *Dispatcher) receiveHints(note string) {
+func (d *Dispatcher) receiveHints(hints string) {
 	d.gossipHeardAt = d.now
-	for ; len(note) >= hintSize; note = note[hintSize:] {
-		ep := d.endpointByHint[uint32(note[1])<<16|uint32(note[2])<<8|uint32(note[3])]
-		switch wait := Time(note[0]) * hintWaitUnit; {
+	for ; len(hints) >= hintSize; hints = hints[hintSize:] {
+		ep := d.endpointByHint[uint32(hints[1])<<16|uint32(hints[2])<<8|uint32(hints[3])]
+		switch wait := Time(hints[0]) * hintWaitUnit; {
 		case ep == nil:
 		case wait > 0:
 			d.holdAndSpread(ep.limiter, wait)
@@ -862,23 +862,23 @@
 
 // holdAndSpread holds messages for a used-up limit and spreads their release, longer when the next refusal follows
 // soon. Guards against limits that refused calls keep at nothing. It hurts where only one sender was refused.
-func (d *Dispatcher) holdAndSpread(p *limiter, span Time) {
+func (d *Dispatcher) holdAndSpread(lim *limiter, span Time) {
 	switch {
-	case d.now < p.holdUntil:
-	case d.now-p.holdUntil < p.spread/2:
-		p.spread = min(max(p.spread*3/2, span), maxSpread)
+	case d.now < lim.holdUntil:
+	case d.now-lim.holdUntil < lim.spread/2:
+		lim.spread = min(max(lim.spread*3/2, span), maxSpread)
 	default:
-		p.spread = max(p.spread*2/3, span)
+		lim.spread = max(lim.spread*2/3, span)
 	}
-	if to := d.now + span; to > p.holdUntil {
-		p.holdUntil = to
-		p.waitUntil = max(p.waitUntil, to+Time(d.random()*float64(p.spread)))
+	if to := d.now + span; to > lim.holdUntil {
+		lim.holdUntil = to
+		lim.waitUntil = max(lim.waitUntil, to+Time(d.random()*float64(lim.spread)))
 	}
 }
 
 // keep is the age up to which an idle connection is used.
-func (d *Dispatcher) maxIdleAge(t *destination) Time {
-	return min(d.settings.ConnIdleTimeout, Time(idleAgeMargin*float64(t.kind.safeIdleAge)))
+func (d *Dispatcher) maxIdleAge(dest *destination) Time {
+	return min(d.settings.ConnIdleTimeout, Time(idleAgeMargin*float64(dest.kind.safeIdleAge)))
 }
 
 // closeScarceConns closes what this round left idle where connections are scarce. Guards against tables filled by the
@@ -914,10 +914,10 @@
 // checkCalls judges calls still out by their age and gives up those overtaken by later ones or at a suspect: those
 // whose messages can go again, others only where messages wait for slots. Guards against hangs, lost answers
 // and dead connections. It could hurt a slow destination, where work is done twice; trials wait longer.
-func (d *Dispatcher) checkCalls(t *destination) {
+func (d *Dispatcher) checkCalls(dest *destination) {
 	d.scanCount++
-	limit := d.silenceTimeout(t)
-	for _, ep := range t.endpoints {
+	limit := d.silenceTimeout(dest)
+	for _, ep := range dest.endpoints {
 		if len(ep.calls) == 0 {
 			continue
 		}
@@ -927,8 +927,8 @@
 		}
 		for _, c := range ep.calls {
 			// Where answers get lost or messages wait for slots one silence is enough.
-			age, once := float64(d.now-c.sentAt)/float64(limit), min(1, lossConfirmFactor*d.lossShare)
-			patience := stuckSilences - once
+			age, lossDiscount := float64(d.now-c.sentAt)/float64(limit), min(1, lossConfirmFactor*d.lossShare)
+			patience := stuckSilences - lossDiscount
 			switch {
 			case c.trial:
 				patience = float64(1 + min(ep.failureStreak, maxErrorStreak))
@@ -936,7 +936,7 @@
 				patience = max(1, patience-2/float64(d.settings.Slots))
 			}
 			if age > patience && (ep.lastOKSentAt > c.sentAt || ep.suspected) {
-				d.cancelCall(c, d.slotShortage && age > patience*(stuckSilences-once))
+				d.cancelCall(c, d.slotShortage && age > patience*(stuckSilences-lossDiscount))
 			}
 		}
 	}
@@ -964,8 +964,8 @@
 }
 
 // chooseEndpoint picks an endpoint: a trial that is due, else the least loaded, warm and near one.
-func (d *Dispatcher) chooseEndpoint(t *destination) (best *endpoint, trial bool) {
-	for _, ep := range t.endpoints {
+func (d *Dispatcher) chooseEndpoint(dest *destination) (best *endpoint, trial bool) {
+	for _, ep := range dest.endpoints {
 		if ep.health != Ready || d.now < ep.limiter.waitUntil || !d.hasTokens(ep) {
 			continue
 		}
@@ -984,77 +984,77 @@
 
 // endpointLoad is the load of an endpoint in calls; a handshake or a crossing counts as one more, a fee as some.
 func (d *Dispatcher) endpointLoad(ep *endpoint) float64 {
-	v := float64(len(ep.calls))
+	load := float64(len(ep.calls))
 	if ep.zone != d.settings.Zone {
-		v++
+		load++
 	}
-	if z := ep.zone; ep.limiter != ep.dest.limiter && z >= 0 && z < len(d.settings.ZoneCosts) {
-		v += zoneCostCalls * d.settings.ZoneCosts[z]
+	if zone := ep.zone; ep.limiter != ep.dest.limiter && zone >= 0 && zone < len(d.settings.ZoneCosts) {
+		load += zoneCostCalls * d.settings.ZoneCosts[zone]
 	}
 	if len(ep.calls) == 0 && (!ep.connOpen || d.now-ep.usedAt > d.maxIdleAge(ep.dest)) {
-		v++
+		load++
 	}
-	return v
+	return load
 }
 
 // hasTokens tells whether the allowed share of the demand and the ramp leave room for one more call.
 func (d *Dispatcher) hasTokens(ep *endpoint) bool {
-	p, t := ep.limiter, ep.dest
-	credit, gone := 1.0, (d.now - p.refilledAt).seconds()
-	want := t.demand.takeSmoothed(d.now, &p.demandSeen)
-	want += t.kind.retrySuccess * t.kind.retrySuccess * float64(t.queuedCount) * gone / (heldRetryTargets * d.minTarget.seconds())
-	if p.knownRate > 0 {
-		credit = p.knownRate * gone
-	}
-	if fair := fairShare * credit / float64(d.settings.Instances); p.allowance < unlimitedAllowance {
-		if p.knownRate == 0 {
+	lim, dest := ep.limiter, ep.dest
+	credit, elapsed := 1.0, (d.now - lim.refilledAt).seconds()
+	demand := dest.demand.takeSmoothed(d.now, &lim.demandSeen)
+	demand += dest.kind.retrySuccess * dest.kind.retrySuccess * float64(dest.queuedCount) * elapsed / (heldRetryTargets * d.minTarget.seconds())
+	if lim.knownRate > 0 {
+		credit = lim.knownRate * elapsed
+	}
+	if fair := fairShare * credit / float64(d.settings.Instances); lim.allowance < unlimitedAllowance {
+		if lim.knownRate == 0 {
 			fair = 0
-			p.allowance += allowanceDemandGain * min(want, 2*gone)
+			lim.allowance += allowanceDemandGain * min(demand, 2*elapsed)
 		}
-		credit = min(credit, max(p.allowance*want, fair))
+		credit = min(credit, max(lim.allowance*demand, fair))
 	}
-	p.refilledAt = d.now
-	p.tokens = min(p.tokens+credit, max(1, burstSeconds*p.allowance*t.demand.rate(d.now), burstSeconds*p.knownRate))
-	return p.tokens >= 1 && d.rampPermits(ep)
+	lim.refilledAt = d.now
+	lim.tokens = min(lim.tokens+credit, max(1, burstSeconds*lim.allowance*dest.demand.rate(d.now), burstSeconds*lim.knownRate))
+	return lim.tokens >= 1 && d.rampPermits(ep)
 }
 
 // rampPermits holds a suspect, and one back from an outage, to the own demand times its warmth, with a drawn start,
 // so that all senders together stay within what a cold destination can do however many they are. Guards
 // against pushing it over. It could hurt a wrongly suspected one, which is used less for the warm-up.
 func (d *Dispatcher) rampPermits(ep *endpoint) bool {
-	warmth := d.warmCapacity(d.now-ep.rampStart) * min(maxRampMargin, collapseMarginShare*max(d.settings.CollapseMultiple, 1))
+	capacity := d.warmCapacity(d.now-ep.rampStart) * min(maxRampMargin, collapseMarginShare*max(d.settings.CollapseMultiple, 1))
 	switch {
 	case ep.suspected && !d.outageConfirmed(ep):
 		return true // the trial that makes sure
 	case ep.suspected:
-		warmth = trialShare * d.warmCapacity((d.now-ep.failedAt)/unseenWarmUps)
+		capacity = trialShare * d.warmCapacity((d.now-ep.failedAt)/unseenWarmUps)
 	case ep.limiter.presumedDown: // it may open in any moment
-		warmth = d.warmCapacity((d.now - ep.limiter.refusedAt) / unseenWarmUps)
+		capacity = d.warmCapacity((d.now - ep.limiter.refusedAt) / unseenWarmUps)
 	case ep.rampStart == 0:
 		return true
 	}
-	if warmth >= maxRampEnd || warmth >= max(ep.rampEnd, 1) && ep.dest.queuedCount <= 1 {
+	if capacity >= maxRampEnd || capacity >= max(ep.rampEnd, 1) && ep.dest.queuedCount <= 1 {
 		ep.rampStart = 0
 		d.outageChanged(ep)
 		return true
 	}
-	want := d.rampDemand(ep) / float64(max(ep.dest.readyCount(), 1))
+	demand := d.rampDemand(ep) / float64(max(ep.dest.readyCount(), 1))
 	if b := ep.limiter.knownRate; b > 0 { // demand over a known limit does not make it stronger
-		want *= min(1, b/(float64(d.settings.Instances)*max(ep.dest.demand.rate(d.now), b/math.MaxInt32)))
+		demand *= min(1, b/(float64(d.settings.Instances)*max(ep.dest.demand.rate(d.now), b/math.MaxInt32)))
 	}
-	ep.rampTokens = min(ep.rampTokens+warmth*want, 1)
+	ep.rampTokens = min(ep.rampTokens+capacity*demand, 1)
 	return ep.rampTokens >= 1
 }
 
 // rampDemand is the demand since the ramp was last reckoned. What came before an endpoint opens counts for
 // nothing: all that wait for the same moment would have saved up a call by then, and make it at once.
 func (d *Dispatcher) rampDemand(ep *endpoint) float64 {
-	want := ep.dest.demand.takeSmoothed(d.now, &ep.demandSeen)
+	demand := ep.dest.demand.takeSmoothed(d.now, &ep.demandSeen)
 	if span := d.now - ep.rampUpdatedAt; ep.rampStart > ep.rampUpdatedAt && span > 0 {
-		want *= float64(max(0, d.now-ep.rampStart)) / float64(span)
+		demand *= float64(max(0, d.now-ep.rampStart)) / float64(span)
 	}
 	ep.rampUpdatedAt = d.now
-	return want
+	return demand
 }
 
 // warmCapacity is the part of its capacity that a destination has so long after its return.
@@ -1063,16 +1063,16 @@
 }
 
 // initWindow gives a destination without ends yet its first window: a fair share of the slots, by the last list.
-func (d *Dispatcher) initWindow(t *destination) {
-	if t.windowStarting && t.completions == 0 && t.windowList != d.listCount {
-		t.window, t.windowList = d.initialWindow, d.listCount
+func (d *Dispatcher) initWindow(dest *destination) {
+	if dest.windowStarting && dest.completions == 0 && dest.windowList != d.listCount {
+		dest.window, dest.windowList = d.initialWindow, d.listCount
 	}
 }
 
 // onJoin judges an endpoint new to the list: one that joins a destination which is all down or cold shares
 // its fate, as the held messages must not be dumped on it.
-func (d *Dispatcher) onJoin(t *destination, ep *endpoint) {
-	if (t.limiter.failureStreak > 0 || slices.ContainsFunc(t.endpoints, isUnhealthy)) && !slices.ContainsFunc(t.endpoints, isHealthy) {
+func (d *Dispatcher) onJoin(dest *destination, ep *endpoint) {
+	if (dest.limiter.failureStreak > 0 || slices.ContainsFunc(dest.endpoints, isUnhealthy)) && !slices.ContainsFunc(dest.endpoints, isHealthy) {
 		d.startSlowStart(ep, d.now)
 	}
 }
@@ -1080,13 +1080,13 @@
 // isQuiet tells that a destination has said nothing for long and that nothing learned there binds: what is lost
 // is its latency, for which that of its kind stands in. Guards against memory for partners that get a message
 // a month. It could hurt by a first call or two judged by others' pace.
-func (d *Dispatcher) isQuiet(t *destination) bool {
-	if d.now-t.demand.updatedAt < quietPeriod || t.queuedCount > 0 {
+func (d *Dispatcher) isQuiet(dest *destination) bool {
+	if d.now-dest.demand.updatedAt < quietPeriod || dest.queuedCount > 0 {
 		return false
 	}
-	return !slices.ContainsFunc(t.endpoints, func(ep *endpoint) bool {
-		p := ep.limiter
-		bound := p.waitUntil > d.now || p.holdUntil > d.now || p.allowance < unlimitedAllowance || p.refusalStreak > 0 || p.failureStreak > 0
+	return !slices.ContainsFunc(dest.endpoints, func(ep *endpoint) bool {
+		lim := ep.limiter
+		bound := lim.waitUntil > d.now || lim.holdUntil > d.now || lim.allowance < unlimitedAllowance || lim.refusalStreak > 0 || lim.failureStreak > 0
 		return bound || isUnhealthy(ep) || ep.failureStreak > 0 || ep.errorStreak > 0 || len(ep.calls) > 0 || d.now-ep.usedAt < quietPeriod
 	})
 }
--- a/control/outage.go
+++ b/control/outage.go
@@ -69,12 +69,12 @@
 
 // restoreOutage takes what a process before this one knew of an outage. The endpoint has to be listed.
 func (d *Dispatcher) restoreOutage(o *Outage) {
-	t := d.destination(o.Dest)
-	i := slices.IndexFunc(t.endpoints, func(ep *endpoint) bool { return ep.id == o.Endpoint })
+	dest := d.destination(o.Dest)
+	i := slices.IndexFunc(dest.endpoints, func(ep *endpoint) bool { return ep.id == o.Endpoint })
 	if i < 0 || o.Ended() {
 		return
 	}
-	ep := t.endpoints[i]
+	ep := dest.endpoints[i]
 	d.startRamp(ep)
 	ep.rampStart, ep.errorStreak = o.RampStart, o.Errors
 	ep.rampEnd = maxRampEnd
@@ -85,8 +85,8 @@
 		ep.rampTokens = o.Push
 		ep.suspected, ep.unreachable, ep.downSince, ep.failedAt = true, o.Unreachable, o.DownSince, o.FailedAt
 		ep.failureStreak, ep.limiter.failureStreak = o.Failures, max(ep.limiter.failureStreak, o.Failures)
-		ep.trialInterval = d.silenceTimeout(t)
+		ep.trialInterval = d.silenceTimeout(dest)
 		ep.trialAt = d.now + Time(d.random()*float64(ep.trialInterval))
 	}
-	d.wakeUp(t)
+	d.wakeUp(dest)
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -20,11 +20,11 @@
 			return fmt.Errorf("setting %s: %d is out of range", c.name, c.v)
 		}
 	}
-	type figure struct {
+	type setting struct {
 		name string
 		v    float64
 	}
-	figures := []figure{
+	settings := []setting{
 		{"me", float64(s.InstanceIndex)}, {"zone", float64(s.Zone)}, {"over-share-worth", s.OverQuotaFactor},
 		{"limits.max-retry-after", float64(s.MaxRetryAfter)}, {"limits.conn-idle", float64(s.ConnIdleTimeout)},
 		{"limits.connect-timeout", float64(s.ConnectTimeout)}, {"limits.streams-per-conn", float64(s.StreamsPerConn)},
@@ -35,19 +35,19 @@
 	}
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("classes.%d.", i)
-		figures = append(figures, figure{at + "window", float64(c.DedupWindow)}, figure{at + "target", float64(c.Target)},
-			figure{at + "hard-limit", float64(c.Deadline)}, figure{at + "gain", c.Value}, figure{at + "late-worth", c.LateValue})
+		settings = append(settings, setting{at + "window", float64(c.DedupWindow)}, setting{at + "target", float64(c.Target)},
+			setting{at + "hard-limit", float64(c.Deadline)}, setting{at + "gain", c.Value}, setting{at + "late-worth", c.LateValue})
 	}
 	for i, t := range s.Tenants {
-		figures = append(figures, figure{fmt.Sprintf("tenants.%d.quota-per-s", i), t.Quota})
+		settings = append(settings, setting{fmt.Sprintf("tenants.%d.quota-per-s", i), t.Quota})
 	}
 	for _, f := range s.ZoneCosts {
-		figures = append(figures, figure{"extra.carriage", f})
+		settings = append(settings, setting{"extra.carriage", f})
 	}
 	for _, k := range s.DestinationKinds {
-		figures = append(figures, figure{"extra.batch-by-kind", float64(k.MaxBatch - 1)})
+		settings = append(settings, setting{"extra.batch-by-kind", float64(k.MaxBatch - 1)})
 	}
-	for _, f := range figures {
+	for _, f := range settings {
 		if f.v < 0 || math.IsNaN(f.v) || math.IsInf(f.v, 0) {
 			return fmt.Errorf("setting %s: %g is out of range", f.name, f.v)
 		}
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -22,8 +22,8 @@
 			return
 		}
 		// Other senders know as little of a limit where traffic is rare: clients should not try them.
-		hopeless := worst.dest.limiter.allowance < 1 && worst.dest.demand.rate(d.now)*d.minTarget.seconds() < 1
-		d.finish(worst, !hopeless, "more is held than there is room for, and it is worth least")
+		retryPointless := worst.dest.limiter.allowance < 1 && worst.dest.demand.rate(d.now)*d.minTarget.seconds() < 1
+		d.finish(worst, !retryPointless, "more is held than there is room for, and it is worth least")
 	}
 }
 
@@ -33,16 +33,16 @@
 	least := math.Inf(1)
 	all := d.byVirtualTime.items
 	for k := range min(len(all), maxShedScan) {
-		t := all[(d.shedCursor+k)%len(all)].dest
-		at := d.now + d.queueDelay(t)
-		for _, lane := range t.lanes {
+		dest := all[(d.shedCursor+k)%len(all)].dest
+		at := d.now + d.queueDelay(dest)
+		for _, lane := range dest.lanes {
 			if len(lane) == 0 {
 				continue
 			}
 			for _, m := range [2]*message{lane[len(lane)-1], lane[0]} {
-				v := d.keepingValue(m, at)
-				if d.safeToRefuse(m) && (v < least || v == least && t.activationSeq < worst.dest.activationSeq) {
-					worst, least = m, v
+				value := d.keepingValue(m, at)
+				if d.safeToRefuse(m) && (value < least || value == least && dest.activationSeq < worst.dest.activationSeq) {
+					worst, least = m, value
 				}
 			}
 		}
@@ -54,15 +54,15 @@
 // keepingValue is what keeping a message earns that would be delivered at a moment. One that its sender was promised costs more
 // to give up early than its worth; one that a process before this one had promised is kept as long as others can go.
 func (d *Dispatcher) keepingValue(m *message, at Time) float64 {
-	v := d.valueAt(m, at) * min(1, m.dest.limiter.allowance)
+	value := d.valueAt(m, at) * min(1, m.dest.limiter.allowance)
 	early := d.now < m.createdAt+Time(earlySheddingShare*float64(m.class.Deadline))
 	switch {
 	case !d.settings.EarlyAck || m.arrivalRound == d.round || !early:
-		return v
+		return value
 	case m.restored:
-		return v + restoredValue
+		return value + restoredValue
 	}
-	return v + ackedSheddingCost*d.valueAt(m, d.now)
+	return value + ackedSheddingCost*d.valueAt(m, d.now)
 }
 
 // restoredValue is above the worth of any message.
--- a/control/state.go
+++ b/control/state.go
@@ -189,10 +189,10 @@
 
 // takeSmoothed is what was counted since the last look, smoothed by the decay; last is moved on.
 func (m *rateMeter) takeSmoothed(now Time, last *float64) float64 {
-	past := m.total - m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant))
-	gone := past - *last
-	*last = past
-	return gone / m.filledShare(now)
+	smoothed := m.total - m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant))
+	increment := smoothed - *last
+	*last = smoothed
+	return increment / m.filledShare(now)
 }
 
 // filledShare is the part of the memory that is filled.
@@ -214,12 +214,12 @@
 
 // insert adds a message to its lane, which is in order of arrival.
 func (t *destination) insert(m *message) {
-	l := t.lanes[m.lane]
-	at := len(l)
-	for at > 0 && l[at-1].arrivalSeq > m.arrivalSeq {
+	lane := t.lanes[m.lane]
+	at := len(lane)
+	for at > 0 && lane[at-1].arrivalSeq > m.arrivalSeq {
 		at--
 	}
-	t.lanes[m.lane] = slices.Insert(l, at, m)
+	t.lanes[m.lane] = slices.Insert(lane, at, m)
 	m.queued = true
 	t.queuedCount++
 }
@@ -229,9 +229,9 @@
 	if !m.queued {
 		return
 	}
-	l := t.lanes[m.lane]
-	i, _ := slices.BinarySearchFunc(l, m.arrivalSeq, func(o *message, n uint64) int { return cmp.Compare(o.arrivalSeq, n) })
-	t.lanes[m.lane] = slices.Delete(l, i, i+1)
+	lane := t.lanes[m.lane]
+	i, _ := slices.BinarySearchFunc(lane, m.arrivalSeq, func(o *message, n uint64) int { return cmp.Compare(o.arrivalSeq, n) })
+	t.lanes[m.lane] = slices.Delete(lane, i, i+1)
 	t.queuedCount--
 	m.queued = false
 }
@@ -273,12 +273,12 @@
 }
 
 // set puts a destination in its place, or takes it out.
-func (o *destinationHeap) update(t *destination, in bool) {
-	switch at := t.heapIndex[o.index]; {
-	case in && at == 0:
-		heap.Push(o, t)
-	case in:
-		if k := o.key(t); o.items[at-1].key != k {
+func (o *destinationHeap) update(dest *destination, present bool) {
+	switch at := dest.heapIndex[o.index]; {
+	case present && at == 0:
+		heap.Push(o, dest)
+	case present:
+		if k := o.key(dest); o.items[at-1].key != k {
 			o.items[at-1].key = k
 			heap.Fix(o, at-1)
 		}
@@ -288,43 +288,43 @@
 }
 
 // minKeyExcept is the smallest key of all but one destination, or infinity.
-func (o *destinationHeap) minKeyExcept(but *destination) float64 {
+func (o *destinationHeap) minKeyExcept(except *destination) float64 {
 	switch n := len(o.items); {
 	case n == 0:
 		return math.Inf(1)
-	case o.items[0].dest != but:
+	case o.items[0].dest != except:
 		return o.items[0].key
 	default: // it is at the top: the next is one of the two below
-		v := math.Inf(1)
+		least := math.Inf(1)
 		for _, s := range o.items[1:min(3, n)] {
-			v = min(v, s.key)
+			least = min(least, s.key)
 		}
-		return v
+		return least
 	}
 }
 
 // reindex puts a destination where its counts and its sleep say: byAcc are all live ones by their counters; turns and
 // costs those that may release, by counter and by tag; naps those asleep; calling those with calls out.
-func (d *Dispatcher) reindex(t *destination) {
-	live, awake := t.queuedCount > 0 || t.inFlight > 0, t.queuedCount > 0 && !t.asleep
-	if !live {
-		t.asleep = false
-		d.maybeInactive = append(d.maybeInactive, t)
-	}
-	d.byVirtualTime.update(t, live)
-	d.eligible.update(t, awake)
+func (d *Dispatcher) reindex(dest *destination) {
+	active, awake := dest.queuedCount > 0 || dest.inFlight > 0, dest.queuedCount > 0 && !dest.asleep
+	if !active {
+		dest.asleep = false
+		d.maybeInactive = append(d.maybeInactive, dest)
+	}
+	d.byVirtualTime.update(dest, active)
+	d.eligible.update(dest, awake)
 	if len(d.byVirtualFinish.items) > 0 { // kept only while very many wait
 		if awake {
-			t.virtualFinish = d.finishTag(t)
+			dest.virtualFinish = d.finishTag(dest)
 		}
-		d.byVirtualFinish.update(t, awake)
+		d.byVirtualFinish.update(dest, awake)
 	}
-	d.sleeping.update(t, t.asleep)
-	if calls := t.inFlight > 0; calls != t.inCalling {
-		t.inCalling = calls
-		i, _ := slices.BinarySearchFunc(d.calling, t.activationSeq, func(o *destination, seq uint64) int { return cmp.Compare(o.activationSeq, seq) })
+	d.sleeping.update(dest, dest.asleep)
+	if calls := dest.inFlight > 0; calls != dest.inCalling {
+		dest.inCalling = calls
+		i, _ := slices.BinarySearchFunc(d.calling, dest.activationSeq, func(o *destination, seq uint64) int { return cmp.Compare(o.activationSeq, seq) })
 		if calls {
-			d.calling = slices.Insert(d.calling, i, t)
+			d.calling = slices.Insert(d.calling, i, dest)
 		} else {
 			d.calling = slices.Delete(d.calling, i, i+1)
 		}
@@ -332,9 +332,9 @@
 }
 
 // wakeUp has a destination looked at again: something happened there.
-func (d *Dispatcher) wakeUp(t *destination) {
-	t.asleep = false
-	d.reindex(t)
+func (d *Dispatcher) wakeUp(dest *destination) {
+	dest.asleep = false
+	d.reindex(dest)
 }
 
 // wakeUpDue wakes the destinations whose time has come.
@@ -346,9 +346,9 @@
 
 // rest lets those be that have nothing held or out any more.
 func (d *Dispatcher) deactivate() {
-	for _, t := range d.maybeInactive {
-		if t.queuedCount == 0 && t.inFlight == 0 {
-			t.active = false
+	for _, dest := range d.maybeInactive {
+		if dest.queuedCount == 0 && dest.inFlight == 0 {
+			dest.active = false
 		}
 	}
 	d.maybeInactive = d.maybeInactive[:0]
@@ -371,8 +371,8 @@
 		var best *destination
 		least := math.Inf(1)
 		for _, s := range d.eligible.items {
-			if v := d.finishTag(s.dest); v < least || v == least && s.dest.activationSeq < best.activationSeq {
-				best, least = s.dest, v
+			if tag := d.finishTag(s.dest); tag < least || tag == least && s.dest.activationSeq < best.activationSeq {
+				best, least = s.dest, tag
 			}
 		}
 		return best
@@ -384,13 +384,13 @@
 		}
 	}
 	for {
-		t := d.byVirtualFinish.items[0].dest
-		cost := d.finishTag(t)
-		if cost <= t.virtualFinish {
-			return t
+		dest := d.byVirtualFinish.items[0].dest
+		cost := d.finishTag(dest)
+		if cost <= dest.virtualFinish {
+			return dest
 		}
-		t.virtualFinish = cost
-		d.byVirtualFinish.update(t, true)
+		dest.virtualFinish = cost
+		d.byVirtualFinish.update(dest, true)
 	}
 }
 
@@ -425,137 +425,137 @@
 func compareTarget(m *message, at Time) int { return cmp.Compare(m.createdAt+m.class.Target, at) }
 
 // valueAt is what delivering the message at t would earn.
-func (d *Dispatcher) valueAt(m *message, t Time) float64 {
-	c, v := m.class, m.class.Value
+func (d *Dispatcher) valueAt(m *message, at Time) float64 {
+	class, value := m.class, m.class.Value
 	if m.overQuota {
-		v *= d.settings.OverQuotaFactor
+		value *= d.settings.OverQuotaFactor
 	}
-	late := t - m.createdAt - c.Target
+	late := at - m.createdAt - class.Target
 	switch {
-	case t >= m.deadline:
+	case at >= m.deadline:
 		return 0
 	case late <= 0:
-		return v
+		return value
 	case d.settings.HalveLateValue:
-		return v * max(c.LateValue, math.Exp2(-float64(late)/float64(max(c.Target, 1))))
+		return value * max(class.LateValue, math.Exp2(-float64(late)/float64(max(class.Target, 1))))
 	}
-	return v * (1 - (1-c.LateValue)*float64(late)/float64(max(c.Deadline-c.Target, 1)))
+	return value * (1 - (1-class.LateValue)*float64(late)/float64(max(class.Deadline-class.Target, 1)))
 }
 
 // collectGarbage forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
 // A told wait binds until it is over, a drain while calls are out, and a key's rest while it lasts.
 func (d *Dispatcher) collectGarbage() {
-	for _, t := range d.dests {
-		t.endpoints = slices.DeleteFunc(t.endpoints, func(ep *endpoint) bool {
-			old := ep.health == Gone && len(ep.calls) == 0 && ep.limiter.waitUntil <= d.now
-			if old {
+	for _, dest := range d.dests {
+		dest.endpoints = slices.DeleteFunc(dest.endpoints, func(ep *endpoint) bool {
+			expired := ep.health == Gone && len(ep.calls) == 0 && ep.limiter.waitUntil <= d.now
+			if expired {
 				delete(d.endpointByID, ep.id)
 				delete(d.endpointByHint, hintID(ep.id))
 				if isUnhealthy(ep) || ep.errorStreak > 0 || ep.limiter.presumedDown {
 					d.outageChanged(ep)
 				}
 			}
-			return old
+			return expired
 		})
 	}
-	d.dests = slices.DeleteFunc(d.dests, func(t *destination) bool {
+	d.dests = slices.DeleteFunc(d.dests, func(dest *destination) bool {
 		switch {
-		case t.openMessages > 0 || t.inFlight > 0 || t.limiter.waitUntil > d.now:
+		case dest.openMessages > 0 || dest.inFlight > 0 || dest.limiter.waitUntil > d.now:
 			return false
-		case len(t.endpoints) == 0:
-			delete(d.destByNumber, t.number)
+		case len(dest.endpoints) == 0:
+			delete(d.destByNumber, dest.number)
 			return true
-		case !d.settings.Gossip && d.isQuiet(t):
-			d.demoteToUnused(t)
+		case !d.settings.Gossip && d.isQuiet(dest):
+			d.demoteToUnused(dest)
 			return true
 		}
 		return false
 	})
-	for no, lines := range d.unusedEntries {
-		d.unusedEntries[no] = slices.DeleteFunc(lines, func(l unusedEntry) bool {
+	for number, lines := range d.unusedEntries {
+		d.unusedEntries[number] = slices.DeleteFunc(lines, func(l unusedEntry) bool {
 			if l.health == Gone {
 				delete(d.unusedOwner, l.id)
 			}
 			return l.health == Gone
 		})
-		if len(d.unusedEntries[no]) == 0 {
-			delete(d.unusedEntries, no)
+		if len(d.unusedEntries[number]) == 0 {
+			delete(d.unusedEntries, number)
 		}
 	}
 	d.restingKeys = slices.DeleteFunc(d.restingKeys, func(k *keyQueue) bool {
-		old := len(k.messages) == 0 && k.restUntil <= d.now
-		if old {
+		expired := len(k.messages) == 0 && k.restUntil <= d.now
+		if expired {
 			delete(d.keys, k.key)
 		}
-		return old
+		return expired
 	})
 }
 
 // logDestination tells the operators something, if nothing else was told lately.
-func (d *Dispatcher) logDestination(t *destination, what string) {
+func (d *Dispatcher) logDestination(dest *destination, text string) {
 	if d.now >= d.nextLogAt {
 		d.nextLogAt = d.now + housekeepingInterval
-		d.actions = append(d.actions, Action{Kind: Log, Text: fmt.Sprintf("destination %d %s", t.number, what)})
+		d.actions = append(d.actions, Action{Kind: Log, Text: fmt.Sprintf("destination %d %s", dest.number, text)})
 	}
 }
 
 // destination returns a destination, making it when something is first asked for there, as if it had been since it was listed.
-func (d *Dispatcher) destination(no int) *destination {
-	t := d.destByNumber[no]
-	if t == nil {
-		lines, now := d.unusedEntries[no], d.now
+func (d *Dispatcher) destination(number int) *destination {
+	dest := d.destByNumber[number]
+	if dest == nil {
+		lines, now := d.unusedEntries[number], d.now
 		if len(lines) > 0 {
 			d.now = lines[0].listedAt
 		}
-		t = &destination{number: no, maxBatch: 1, windowStarting: true, lanes: make([][]*message, 2*len(d.settings.Classes))}
-		t.kind = d.kinds[0]
-		t.limiter = d.newLimiter()
-		t.demand = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
-		d.destByNumber[no] = t
-		d.dests = append(d.dests, t)
-		delete(d.unusedEntries, no)
-		if t.window, t.windowList = d.initialWindow, d.listCount; len(lines) == 0 {
-			t.window = max(1, d.settings.Slots/(len(d.dests)+len(d.unusedEntries)))
+		dest = &destination{number: number, maxBatch: 1, windowStarting: true, lanes: make([][]*message, 2*len(d.settings.Classes))}
+		dest.kind = d.kinds[0]
+		dest.limiter = d.newLimiter()
+		dest.demand = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
+		d.destByNumber[number] = dest
+		d.dests = append(d.dests, dest)
+		delete(d.unusedEntries, number)
+		if dest.window, dest.windowList = d.initialWindow, d.listCount; len(lines) == 0 {
+			dest.window = max(1, d.settings.Slots/(len(d.dests)+len(d.unusedEntries)))
 		}
-		for _, l := range lines {
-			d.now = l.listedAt
-			delete(d.unusedOwner, l.id)
-			d.addEndpoint(t, &Entry{Endpoint: l.id, Dest: no, Zone: int(l.zone), DestinationKind: int(l.kind), Health: l.health, Weight: l.weight})
+		for _, entry := range lines {
+			d.now = entry.listedAt
+			delete(d.unusedOwner, entry.id)
+			d.addEndpoint(dest, &Entry{Endpoint: entry.id, Dest: number, Zone: int(entry.zone), DestinationKind: int(entry.kind), Health: entry.health, Weight: entry.weight})
 		}
 		d.now = now
 	}
-	return t
+	return dest
 }
 
 // storeUnused keeps a line of the list for a destination that nothing was asked for yet.
-func (d *Dispatcher) storeUnused(n *Entry) {
-	if no, known := d.unusedOwner[n.Endpoint]; known && no != n.Dest || d.endpointByID[n.Endpoint] != nil {
+func (d *Dispatcher) storeUnused(entry *Entry) {
+	if number, known := d.unusedOwner[entry.Endpoint]; known && number != entry.Dest || d.endpointByID[entry.Endpoint] != nil {
 		return // an endpoint does not change its destination
 	}
-	d.unusedOwner[n.Endpoint] = n.Dest
-	lines := d.unusedEntries[n.Dest]
-	i := slices.IndexFunc(lines, func(l unusedEntry) bool { return l.id == n.Endpoint })
+	d.unusedOwner[entry.Endpoint] = entry.Dest
+	lines := d.unusedEntries[entry.Dest]
+	i := slices.IndexFunc(lines, func(l unusedEntry) bool { return l.id == entry.Endpoint })
 	if i < 0 {
 		i = len(lines)
-		lines = append(lines, unusedEntry{id: n.Endpoint, listedAt: d.now})
-		d.unusedEntries[n.Dest] = lines
+		lines = append(lines, unusedEntry{id: entry.Endpoint, listedAt: d.now})
+		d.unusedEntries[entry.Dest] = lines
 	}
-	l := &lines[i]
-	l.zone, l.kind, l.health, l.weight = int32(n.Zone), int32(n.DestinationKind), n.Health, n.Weight
+	unused := &lines[i]
+	unused.zone, unused.kind, unused.health, unused.weight = int32(entry.Zone), int32(entry.DestinationKind), entry.Health, entry.Weight
 }
 
 // demoteToUnused makes a destination that has been quiet for long a line of the list again.
-func (d *Dispatcher) demoteToUnused(t *destination) {
-	delete(d.destByNumber, t.number)
-	for _, ep := range t.endpoints {
+func (d *Dispatcher) demoteToUnused(dest *destination) {
+	delete(d.destByNumber, dest.number)
+	for _, ep := range dest.endpoints {
 		delete(d.endpointByID, ep.id)
 		delete(d.endpointByHint, hintID(ep.id))
-		weight := t.listedWeight
-		if ep.limiter != t.limiter {
+		weight := dest.listedWeight
+		if ep.limiter != dest.limiter {
 			weight = ep.limiter.knownRate / d.weightFactor
 		}
-		kind := slices.Index(d.kinds, t.kind)
-		d.storeUnused(&Entry{Endpoint: ep.id, Dest: t.number, Zone: ep.zone, DestinationKind: kind, Health: ep.health, Weight: weight})
+		kind := slices.Index(d.kinds, dest.kind)
+		d.storeUnused(&Entry{Endpoint: ep.id, Dest: dest.number, Zone: ep.zone, DestinationKind: kind, Health: ep.health, Weight: weight})
 	}
 }
 
@@ -565,8 +565,8 @@
 		return
 	}
 	if e.ListKind != ListDelta {
-		for _, t := range d.dests {
-			for _, ep := range t.endpoints {
+		for _, dest := range d.dests {
+			for _, ep := range dest.endpoints {
 				ep.health = Gone
 			}
 		}
@@ -584,45 +584,45 @@
 }
 
 // applyEntry takes one line of the list. Peers may speak of any destination, so all are held in full where there are some.
-func (d *Dispatcher) applyEntry(n *Entry) {
-	if t := d.destByNumber[n.Dest]; t != nil || d.settings.Gossip {
-		d.addEndpoint(d.destination(n.Dest), n)
+func (d *Dispatcher) applyEntry(entry *Entry) {
+	if dest := d.destByNumber[entry.Dest]; dest != nil || d.settings.Gossip {
+		d.addEndpoint(d.destination(entry.Dest), entry)
 		return
 	}
-	d.storeUnused(n)
+	d.storeUnused(entry)
 }
 
 // addEndpoint gives a destination a line of the list.
-func (d *Dispatcher) addEndpoint(t *destination, n *Entry) {
-	apart := false
-	if n.DestinationKind >= 0 && n.DestinationKind < len(d.settings.DestinationKinds) {
-		t.kind = d.kinds[n.DestinationKind]
-		t.maxBatch, apart = d.settings.DestinationKinds[n.DestinationKind].MaxBatch, d.settings.DestinationKinds[n.DestinationKind].PerEndpointLimits
+func (d *Dispatcher) addEndpoint(dest *destination, entry *Entry) {
+	perEndpoint := false
+	if entry.DestinationKind >= 0 && entry.DestinationKind < len(d.settings.DestinationKinds) {
+		dest.kind = d.kinds[entry.DestinationKind]
+		dest.maxBatch, perEndpoint = d.settings.DestinationKinds[entry.DestinationKind].MaxBatch, d.settings.DestinationKinds[entry.DestinationKind].PerEndpointLimits
 	}
-	ep := d.endpointByID[n.Endpoint]
+	ep := d.endpointByID[entry.Endpoint]
 	if ep == nil {
-		if _, other := d.unusedOwner[n.Endpoint]; other {
+		if _, other := d.unusedOwner[entry.Endpoint]; other {
 			return
 		}
-		ep = &endpoint{id: n.Endpoint, dest: t, limiter: t.limiter}
-		if apart {
+		ep = &endpoint{id: entry.Endpoint, dest: dest, limiter: dest.limiter}
+		if perEndpoint {
 			ep.limiter = d.newLimiter()
 		}
-		d.endpointByID[n.Endpoint] = ep
-		d.endpointByHint[hintID(n.Endpoint)] = ep
+		d.endpointByID[entry.Endpoint] = ep
+		d.endpointByHint[hintID(entry.Endpoint)] = ep
 	}
-	if ep.dest != t {
+	if ep.dest != dest {
 		return // an endpoint does not change its destination
 	}
-	if !slices.Contains(t.endpoints, ep) {
-		d.onJoin(t, ep)
-		t.endpoints = append(t.endpoints, ep)
+	if !slices.Contains(dest.endpoints, ep) {
+		d.onJoin(dest, ep)
+		dest.endpoints = append(dest.endpoints, ep)
 	}
-	ep.zone, ep.health = n.Zone, n.Health
-	d.wakeUp(t)
-	if n.Weight > 0 && n.Weight <= math.MaxFloat32 && d.settings.Weights != WeightNone {
-		t.listedWeight = n.Weight
-		ep.limiter.knownRate = n.Weight * d.weightFactor
+	ep.zone, ep.health = entry.Zone, entry.Health
+	d.wakeUp(dest)
+	if entry.Weight > 0 && entry.Weight <= math.MaxFloat32 && d.settings.Weights != WeightNone {
+		dest.listedWeight = entry.Weight
+		ep.limiter.knownRate = entry.Weight * d.weightFactor
 	}
 }
 
@@ -645,25 +645,25 @@
 }
 
 // advanceKey puts the message whose turn it is into its hold. One that waits for its turn is in no hold.
-func (d *Dispatcher) advanceKey(k *keyQueue) {
-	for len(k.messages) > 0 && k.messages[0].ended && k.messages[0].call == nil {
-		k.messages = k.messages[1:]
-	}
-	if len(k.messages) == 0 {
-		if !k.resting { // its rest binds those to come; it is dropped later
-			k.resting = true
-			d.restingKeys = append(d.restingKeys, k)
+func (d *Dispatcher) advanceKey(queue *keyQueue) {
+	for len(queue.messages) > 0 && queue.messages[0].ended && queue.messages[0].call == nil {
+		queue.messages = queue.messages[1:]
+	}
+	if len(queue.messages) == 0 {
+		if !queue.resting { // its rest binds those to come; it is dropped later
+			queue.resting = true
+			d.restingKeys = append(d.restingKeys, queue)
 		}
 		return
 	}
-	if m := k.messages[0]; !m.ended && !m.queued && m.call == nil {
+	if m := queue.messages[0]; !m.ended && !m.queued && m.call == nil {
 		d.enqueue(m)
 	}
 }
 
 // hintID is the short name of an endpoint in notes, the same at every dispatcher.
-func hintID(e EndpointID) uint32 {
-	h := uint64(e) * 0x9E3779B97F4A7C15
+func hintID(id EndpointID) uint32 {
+	h := uint64(id) * 0x9E3779B97F4A7C15
 	return uint32(h >> 40)
 }
 
@@ -699,8 +699,8 @@
 		d.restoreOutage(e.Outage)
 	case RecordingStatus:
 		d.recordingFails = e.RecordingFails
-		for _, t := range d.dests {
-			d.wakeUp(t)
+		for _, dest := range d.dests {
+			d.wakeUp(dest)
 		}
 	case Shutdown:
 		d.shutdown(e.TimeLeft, e.KeepHeld)
@@ -719,14 +719,14 @@
 }
 
 // recordLatency learns the latency of a destination and of its kind.
-func (d *Dispatcher) recordLatency(t *destination, lag float64) {
-	if t.latency.samples == 0 {
-		t.latency.mean, t.latency.deviation = d.latency(t)
-		t.baselineLatency = lag
+func (d *Dispatcher) recordLatency(dest *destination, elapsed float64) {
+	if dest.latency.samples == 0 {
+		dest.latency.mean, dest.latency.deviation = d.latency(dest)
+		dest.baselineLatency = elapsed
 	}
-	t.latency.add(lag, max(latencyGain, 1/(t.latency.samples+latencyPriorSamples+1)))
-	t.baselineLatency += baselineGain * (lag - t.baselineLatency)
-	t.kind.latency.add(lag, max(baselineGain, 1/(t.kind.latency.samples+1)))
+	dest.latency.add(elapsed, max(latencyGain, 1/(dest.latency.samples+latencyPriorSamples+1)))
+	dest.baselineLatency += baselineGain * (elapsed - dest.baselineLatency)
+	dest.kind.latency.add(elapsed, max(baselineGain, 1/(dest.kind.latency.samples+1)))
 }
 
 // scheduleNextRound asks for a next round: soon while calls are out, else when the first sleeper is to be looked at.
@@ -791,14 +791,14 @@
 
 // availableAt tells when the first endpoint that the message may go to is past its wait, 0 if none is listed.
 func (d *Dispatcher) availableAt(m *message) Time {
-	at, any := Time(math.MaxInt64), false
+	earliest, found := Time(math.MaxInt64), false
 	for _, ep := range m.dest.endpoints {
 		if ep.health == Ready && !(m.possiblyExecuted && m.class.DedupPerZone && ep.zone != m.possiblyExecutedZone) {
-			at, any = min(at, ep.limiter.waitUntil), true
+			earliest, found = min(earliest, ep.limiter.waitUntil), true
 		}
 	}
-	if !any {
+	if !found {
 		return 0
 	}
-	return at
+	return earliest
 }
