--- a/control/api.go
+++ b/control/api.go
@@ -1,11 +1,12 @@
-// Package control decides, for one relay, which message goes where and when.
+// Package control is the decision library of the delivery service. It decides which message is sent to which endpoint and when.
 //
-// This file is the whole interface: the settings a Dispatcher starts with,
-// the events it is told of and the actions it answers with. It holds no
-// decision; those are in control.go.
+// The library does no I/O and reads no clock. The caller creates a Dispatcher from Settings, passes it the events of one round
+// with Step and carries out the actions that Step returns. The same settings, seed and events always give the same actions.
+//
+// This file is the whole interface: settings, events and actions. The exception is Outage, which is declared in outage.go.
 package control
 
-// Time is an instant on the caller's clock, or a span, in microseconds.
+// Time is an instant on the caller's clock or a duration. Its unit is the microsecond.
 type Time int64
 
 // Units of Time.
@@ -14,245 +15,378 @@
 	Second      Time = 1000 * Millisecond
 )
 
-// StallMargin is how long the caller may be held up between reading its clock and carrying an action out. Windows for repeats
-// are taken to end so much sooner.
+// StallMargin is the longest delay that is allowed for between the moment at which the caller reads its clock and the moment at
+// which it carries out an action. Deduplication windows are taken to end this much earlier.
 const StallMargin = 150 * Millisecond
 
-// MessageID names a message; no id is used twice.
+// MessageID identifies a message. The caller assigns it and never uses one twice.
 type MessageID uint64
 
-// EndpointID names an endpoint. It is opaque and only compared.
+// EndpointID identifies an endpoint. The caller assigns it. The library only compares IDs and derives hash values from them.
 type EndpointID uint64
 
-// RepeatEffect says what repeating a message of a class does.
+// RepeatEffect tells what happens when a message of a class is sent again after an attempt that was possibly executed.
 type RepeatEffect uint8
 
-// Effects of a class.
+// Effects of a repeated attempt.
 const (
-	Idempotent   RepeatEffect = iota // may be repeated at will
-	Deduplicated                     // repeats are dropped for a window of time
-	AtMostOnce                       // must never take effect twice
+	// Idempotent means that the message may be repeated any number of times.
+	Idempotent RepeatEffect = iota
+	// Deduplicated means that the partner drops repeats within a deduplication window.
+	Deduplicated
+	// AtMostOnce means that the message must never take effect twice. A possibly executed attempt is not repeated.
+	AtMostOnce
 )
 
-// Class describes a class of message.
+// Class describes a class of messages. The caller sets all fields.
 type Class struct {
-	Name         string
-	Effect       RepeatEffect
-	DedupPerZone bool    // Guarded: only endpoints of one zone drop repeats (else all of the destination)
-	DedupWindow  Time    // Guarded: how long repeats are dropped, from the first doubtful send
-	Target       Time    // full worth when delivered within this
-	Deadline     Time    // given up after this
-	Value        float64 // worth of one message
-	LateValue    float64 // share of the worth left at the deadline
-	InOrder      bool    // messages sharing a key go one at a time, in order
+	// Name is for the caller only.
+	Name string
+	// Effect tells whether an attempt that was possibly executed may be repeated.
+	Effect RepeatEffect
+	// DedupPerZone tells that only the endpoints of one zone share their deduplication state. Otherwise all endpoints of the
+	// destination share it. It applies to Deduplicated classes.
+	DedupPerZone bool
+	// DedupWindow is how long repeats are dropped. It starts when the first possibly executed attempt is sent. It applies to
+	// Deduplicated classes.
+	DedupWindow Time
+	// Target is the age up to which a delivered message has its full value.
+	Target Time
+	// Deadline is the age at which a message is given up.
+	Deadline Time
+	// Value is what the delivery of one message is worth, relative to other classes.
+	Value float64
+	// LateValue is the share of Value that is left at the deadline, from 0 to 1.
+	LateValue float64
+	// InOrder tells that messages with the same key are sent one at a time, in order of arrival.
+	InOrder bool
 }
 
-// Tenant describes a customer and its share of the service.
+// Tenant describes a customer and its quota. The caller sets all fields.
 type Tenant struct {
-	Name  string
-	Quota float64 // messages a second within its share, over all dispatchers
+	// Name is for the caller only.
+	Name string
+	// Quota is the rate of messages a second that the tenant is entitled to, over all dispatchers.
+	Quota float64
 }
 
-// DestinationKind describes a kind of destination.
+// DestinationKind describes a kind of destination. The caller sets all fields.
 type DestinationKind struct {
-	Name              string
-	MaxBatch          int  // most messages in one call
-	PerEndpointLimits bool // endpoints have limits, waits and outages of their own
+	// Name is for the caller only.
+	Name string
+	// MaxBatch is the largest number of messages in one call.
+	MaxBatch int
+	// PerEndpointLimits tells that each endpoint has its own rate limit, waits and outages. Otherwise the endpoints of a
+	// destination share them.
+	PerEndpointLimits bool
 }
 
-// WeightKind says what Entry.Weight means.
+// WeightKind tells what Entry.Weight means.
 type WeightKind uint8
 
-// Meanings of a listed weight.
+// Meanings of Entry.Weight.
 const (
-	WeightNone        WeightKind = iota // nothing
-	WeightNominal                       // the rate a destination takes from all dispatchers
-	WeightApproximate                   // the same, but inexact
+	// WeightNone means that the weight is ignored.
+	WeightNone WeightKind = iota
+	// WeightNominal means that the weight is the rate, in calls a second, that a destination accepts from all dispatchers.
+	WeightNominal
+	// WeightApproximate means the same rate, but inexact. The true one may be higher.
+	WeightApproximate
 )
 
-// Settings are told once, at the start.
+// Settings configure a Dispatcher. The caller sets them once, before New. New returns an error for a value out of range.
 type Settings struct {
-	InstanceIndex, Instances int // this dispatcher's number and how many there are
-	Zone                     int
-	Tick                     Time
-	Classes                  []Class
-	Tenants                  []Tenant
-	DestinationKinds         []DestinationKind
-	Weights                  WeightKind
-	HalveLateValue           bool // late worth halves with each further aim, else falls evenly
-	OverQuotaFactor          float64
-	ReportRemainingIndex     int // position in a report of the share of the limit left, -1 if none
-	ReportLimitIndex         int // position in a report of the limit in calls a second, -1 if none
-
-	Slots           int // calls out at once
-	MaxOpen         int // messages held, sent or not
-	MaxAttempts     int
-	MayCancel       bool
-	Probes          bool
-	RetryAfter      bool // a refusal may carry a wait
-	MaxRetryAfter   Time
+	// InstanceIndex is the number of this dispatcher and Instances is how many dispatchers there are. No decision depends on the
+	// index.
+	InstanceIndex, Instances int
+	// Zone is the zone of this dispatcher. Endpoints in the same zone are preferred.
+	Zone int
+	// Tick is the granularity of the caller's rounds and timers. At least 1 microsecond.
+	Tick Time
+	// Classes are the message classes. Event.Class is an index into them. There is at least one.
+	Classes []Class
+	// Tenants are the customers. Event.Tenant is an index into them.
+	Tenants []Tenant
+	// DestinationKinds are the kinds of destination. Entry.DestinationKind is an index into them.
+	DestinationKinds []DestinationKind
+	// Weights tells what Entry.Weight means.
+	Weights WeightKind
+	// HalveLateValue tells that the value of a late message halves with each further Class.Target, down to Class.LateValue. If
+	// it is false, the value falls linearly between the target and the deadline.
+	HalveLateValue bool
+	// OverQuotaFactor is the factor on the value of messages that a tenant sends above its quota.
+	OverQuotaFactor float64
+	// ReportRemainingIndex is the position in Event.Report of the share of the limit that is left. It is -1 if there is none.
+	ReportRemainingIndex int
+	// ReportLimitIndex is the position in Event.Report of the limit in calls a second. It is -1 if there is none.
+	ReportLimitIndex int
+
+	// Slots is the largest number of calls in flight. At least 1.
+	Slots int
+	// MaxOpen is the largest number of messages that have no final answer yet, whether they are queued or in flight. At least 1.
+	MaxOpen int
+	// MaxAttempts is the largest number of attempts that are sent for one message. At least 1.
+	MaxAttempts int
+	// MayCancel tells that the caller can carry out Cancel. Otherwise each Send of a repeatable class has a timeout instead.
+	MayCancel bool
+	// Probes tells that the caller can carry out Probe. The dispatcher returns no Probe actions at present.
+	Probes bool
+	// RetryAfter tells that a refusal may carry a wait, in Action.After.
+	RetryAfter bool
+	// MaxRetryAfter is the longest wait that a refusal may carry.
+	MaxRetryAfter Time
+	// ConnIdleTimeout is the idle age at which the caller closes a connection to an endpoint.
 	ConnIdleTimeout Time
-	ConnectTimeout  Time
-	StreamsPerConn  int
-
-	// AskList: the endpoint list comes only when asked for, by Watch or Fetch; else it is pushed. Who has not
-	// asked for AskEvery counts as told of what was listed then.
-	PullList     bool
+	// ConnectTimeout is how long a connect may take. It is for the caller only.
+	ConnectTimeout Time
+	// StreamsPerConn is the largest number of concurrent calls on one connection. It is for the caller only.
+	StreamsPerConn int
+
+	// PullList tells that the endpoint list is sent only after a Watch or Fetch action. Otherwise the list is pushed.
+	PullList bool
+	// PullInterval bounds how long the dispatcher may go without asking for the list. One that has not asked for this long is
+	// taken to know the list of that moment. With 0 the dispatcher never asks.
 	PullInterval Time
 
-	// Fees: for each zone, the part of the result that a message costs which a route apart there takes on.
+	// ZoneCosts gives for each zone the share of a message's value that sending it to an endpoint there costs. It applies to
+	// kinds with PerEndpointLimits.
 	ZoneCosts []float64
 
-	// Peers: dispatchers may send each other notes, which may be late or lost. PeerPrice is the part of the result
-	// that a byte delivered for each message would cost.
-	Gossip     bool
+	// Gossip tells that dispatchers may send hints to each other. Hints may be late or lost.
+	Gossip bool
+	// GossipCost is the share of the total value that one byte of gossip for each message would cost.
 	GossipCost float64
 
-	// Follows: a process before this one dispatched for the same name. What became of its last calls is not known.
+	// HasPredecessor tells that an earlier process dispatched under the same name. The results of its last calls are unknown.
 	HasPredecessor bool
 
-	// Promises: who hands a message in hears in the round of its arrival that it is taken on, unless that round ends it.
-	// Giving one up early that was promised costs more than refusing it at once.
+	// EarlyAck tells that the client learns in the round of an arrival that the message is accepted, unless the round ends the
+	// message. Giving an acknowledged message up early costs more than refusing it at once.
 	EarlyAck bool
 
-	// KeepOutages: what is known of outages is asked for behind each Step (see Dispatcher.Outages).
+	// TrackOutages tells that the caller calls Dispatcher.Outages after each Step.
 	TrackOutages bool
 
+	// StopSendingWithin is how soon sends to an endpoint must stop after it is listed as draining. It is for the caller only: the
+	// dispatcher stops in the round of the ListUpdate.
 	StopSendingWithin Time
-	ColdCapacity      float64
-	WarmUp            Time
-	CollapseMultiple  float64
-	MaxOverload       Time
-	SettleTime        Time
+	// ColdCapacity is the share of its capacity that a destination has when it returns from an outage, from 0 to 1.
+	ColdCapacity float64
+	// WarmUp is how long a destination takes from its return to its full capacity.
+	WarmUp Time
+	// CollapseMultiple is the multiple of its present capacity at which the load on a cold destination makes it fail again.
+	CollapseMultiple float64
+	// MaxOverload is the longest time that an overload lasts. What fails or refuses for longer is taken to be an outage.
+	MaxOverload Time
+	// SettleTime is how long the remaining messages of a key wait after an attempt that was possibly executed and may still be
+	// running. It applies to classes with InOrder.
+	SettleTime Time
 }
 
-// EventKind tells what an Event is.
+// EventKind tells what an Event reports.
 type EventKind uint8
 
-// Kinds of event. The fields each one uses are in brackets.
+// Kinds of event. The comment of each one lists the fields of Event that it uses.
 const (
-	// Arrival is a new message [Message Class Tenant Dest Key Grace], or one that a process before this had taken on
-	// [also Restored; Attempt: attempts made; Doubt: one of them may have run, the first such was sent Lag ago to Zone].
-	Arrival        EventKind = iota + 1
-	Outcome                  // an attempt ended [Message Attempt Endpoint Result Lag Closed Wait Report]
-	Started                  // a streamed answer began [Message Attempt Endpoint Lag]
-	Withdrawn                // nobody wants the message any more [Message]
-	TimerFired               // a timer came due [Mark]
-	ProbeResult              // a probe ended [Endpoint Result Lag Report]
-	ListUpdate               // the endpoint list [ListKind Entries]
-	GossipReceived           // a note of another dispatcher [Content]
-	// Closing: this dispatcher stops, no message may take longer than Grace from now; Kept: what is held then is kept
-	// for the next process and needs no answer.
+	// Arrival reports a new message. It uses Message, Class, Tenant, Dest, Key and TimeLeft. Restored marks a message that an
+	// earlier process had accepted. Then Attempt is the number of attempts already made. If PossiblyExecuted is set, the first
+	// attempt that was possibly executed was sent Elapsed ago to an endpoint in Zone.
+	Arrival EventKind = iota + 1
+	// Outcome reports the end of an attempt. It uses Message, Attempt, Endpoint, Result, Elapsed, Closed, RetryAfter and Report.
+	Outcome
+	// Started reports the start of a streamed answer. It uses Message, Attempt, Endpoint and Elapsed. The dispatcher ignores it.
+	Started
+	// Withdrawn reports that the client no longer wants the message. It uses Message. No final answer follows.
+	Withdrawn
+	// TimerFired reports that a timer is due. It uses TimerToken.
+	TimerFired
+	// ProbeResult reports the end of a probe. It uses Endpoint, Result, Elapsed and Report. The dispatcher ignores it.
+	ProbeResult
+	// ListUpdate reports an endpoint list. It uses ListKind and Entries.
+	ListUpdate
+	// GossipReceived reports hints from another dispatcher. It uses Payload.
+	GossipReceived
+	// Shutdown reports that this dispatcher stops. It uses TimeLeft and KeepHeld. No message may take longer than TimeLeft from
+	// now. With KeepHeld, messages that are still open then are kept for the next process and need no answer.
 	Shutdown
-	// RecordingStatus tells whether attempts can be put on record [Failing: they can't, and only what needs no record may be sent].
+	// RecordingStatus reports whether attempts can be recorded in the ledger. It uses RecordingFails. While recording fails, only
+	// messages of Idempotent classes are sent.
 	RecordingStatus
-	// OutageRestored tells of an outage that a process before this one had seen [Outage]; its endpoint is listed.
+	// OutageRestored reports an outage that an earlier process had observed. It uses Outage. The endpoint must be listed before.
 	OutageRestored
 )
 
-// Result is how an attempt or a probe ended.
+// Result tells how an attempt or a probe ended.
 type Result uint8
 
-// Results.
+// Results of an attempt.
 const (
+	// OK means that the endpoint handled the message. An answer that rejects the message for good counts as OK, too.
 	OK Result = iota
+	// ErrorResponse means that the endpoint answered with an error. The attempt was possibly executed.
 	ErrorResponse
+	// LimitExceeded means that the endpoint refused the attempt because a limit was reached. The attempt was not executed.
 	LimitExceeded
+	// TimedOut means that no answer came in time. The attempt was possibly executed.
 	TimedOut
+	// ConnectFailed means that there was no working connection. The attempt was not executed.
 	ConnectFailed
+	// Reset means that the connection or the stream broke. The attempt was possibly executed.
 	Reset
+	// Cancelled means that the caller stopped waiting. The attempt was possibly executed.
 	Cancelled
-	NotExecuted // it surely has not run, and says nothing of the endpoint
-	NotSent     // the same, and it was not sent: it does not count as an attempt
+	// NotExecuted means that the attempt was surely not executed. It tells nothing about the endpoint.
+	NotExecuted
+	// NotSent means that the attempt was never sent. It does not count as an attempt and tells nothing about the endpoint.
+	NotSent
 )
 
-// ListKind tells how a List event relates to the list before it.
+// ListKind tells how a ListUpdate relates to the list before it.
 type ListKind uint8
 
 // Kinds of list.
 const (
+	// ListDelta contains only the entries that changed.
 	ListDelta ListKind = iota
+	// ListFull is the whole list. Endpoints that are not in it are gone.
 	ListFull
+	// ListCached is a whole list that may be out of date, such as the last one of an earlier process.
 	ListCached
-	ListFailed // a Watch or Fetch failed or the subscription broke; the list before it stays valid
+	// ListFailed means that a Watch or Fetch failed or that the subscription broke. The list before it stays valid.
+	ListFailed
 )
 
-// Health is an endpoint's standing in the list; it says nothing of outages.
+// Health is the state of an endpoint in the list. It is independent of outages that the dispatcher observes.
 type Health uint8
 
-// Standings.
+// States of a listed endpoint.
 const (
+	// Draining means that the endpoint takes no new calls and finishes those in flight.
 	Draining Health = iota
+	// Ready means that the endpoint takes calls.
 	Ready
+	// Gone means that the endpoint has been removed from the list.
 	Gone
 )
 
-// Entry is one line of the endpoint list.
+// Entry is one endpoint of a list. Discovery sets all fields.
 type Entry struct {
-	Endpoint        EndpointID
-	Dest            int
-	Zone            int
+	// Endpoint identifies the endpoint. An endpoint never changes its destination.
+	Endpoint EndpointID
+	// Dest is the number of its destination.
+	Dest int
+	// Zone is its zone.
+	Zone int
+	// DestinationKind is an index into Settings.DestinationKinds.
 	DestinationKind int
-	Health          Health
-	Weight          float64
+	// Health tells whether the endpoint takes calls.
+	Health Health
+	// Weight is a rate as described by Settings.Weights, in calls a second. 0 means that none is listed.
+	Weight float64
 }
 
-// Event is something a Dispatcher is told.
+// Event tells a Dispatcher what happened. The caller sets Kind and the fields that the kind uses.
 type Event struct {
-	Kind             EventKind
-	Message          MessageID
-	Class            int
-	Tenant           int
-	Dest             int
-	Key              uint64 // 0 is no key
-	TimeLeft         Time   // time until the message is given up
-	Attempt          int
-	Endpoint         EndpointID
-	Result           Result
-	Closed           bool // the message has ended
-	Elapsed          Time
+	Kind EventKind
+	// Message identifies the message.
+	Message MessageID
+	// Class is an index into Settings.Classes.
+	Class int
+	// Tenant is an index into Settings.Tenants.
+	Tenant int
+	// Dest is the number of the destination.
+	Dest int
+	// Key is the ordering key. 0 means that there is none.
+	Key uint64
+	// TimeLeft is the time from now until the message is given up. In a Shutdown it is the time until the dispatcher stops.
+	TimeLeft Time
+	// Attempt is the number of the attempt, counted from 0. In an Arrival it is the number of attempts already made.
+	Attempt int
+	// Endpoint is where the attempt or probe was sent.
+	Endpoint EndpointID
+	// Result tells how the attempt or probe ended.
+	Result Result
+	// Closed tells that the message has its final answer and is not sent again.
+	Closed bool
+	// Elapsed is the time since the attempt or probe was sent.
+	Elapsed Time
+	// PossiblyExecuted tells that an earlier process made an attempt that was possibly executed.
 	PossiblyExecuted bool
-	Restored         bool
-	Zone             int
-	KeepHeld         bool
-	RecordingFails   bool
-	Outage           *Outage
-	RetryAfter       Time // told wait, 0 if none
-	Report           []float32
-	TimerToken       uint64
-	ListKind         ListKind
-	Entries          []Entry
-	Payload          string // bytes of a peer's note
+	// Restored tells that an earlier process had accepted the message.
+	Restored bool
+	// Zone is the zone to which an earlier process sent the first attempt that was possibly executed.
+	Zone int
+	// KeepHeld tells that the next process goes on with the messages that are still open.
+	KeepHeld bool
+	// RecordingFails tells that attempts cannot be recorded in the ledger.
+	RecordingFails bool
+	// Outage is what an earlier process knew about an outage.
+	Outage *Outage
+	// RetryAfter is the wait that the endpoint asked for. 0 means that it asked for none.
+	RetryAfter Time
+	// Report holds the figures that the endpoint sent with its answer. Their positions are in Settings.
+	Report []float32
+	// TimerToken is the token of the Timer action.
+	TimerToken uint64
+	// ListKind tells how Entries relate to the list before.
+	ListKind ListKind
+	// Entries are the endpoints of the list.
+	Entries []Entry
+	// Payload holds the hints of another dispatcher, as SendGossip passed them.
+	Payload string
 }
 
-// ActionKind tells what an Action is.
+// ActionKind tells what the caller has to do.
 type ActionKind uint8
 
-// Kinds of action. The fields each one uses are in brackets.
+// Kinds of action. The comment of each one lists the fields of Action that it uses.
 const (
-	// Send starts an attempt [Message Endpoint After: its time-out, 0 is the deadline; Within: one that is not written
-	// within this is given up unsent, however long it waits for a connection].
-	Send       ActionKind = iota + 1
-	Refuse                // final: handed back, harmless to repeat [Message After: stay away so long]
-	Fail                  // final: nothing promised [Message]
-	Cancel                // stop waiting for an attempt [Message Attempt]
-	Timer                 // ask for a Tick [After Mark: 0, or a message's id + 1: of no use once that one is over]
-	Probe                 // check an endpoint [Endpoint]
-	Close                 // close the idle connections to an endpoint [Endpoint]
-	Watch                 // AskList only: subscribe to the list from now on; answered by one List event []
-	Fetch                 // AskList only: ask for the whole list once; answered by one List event []
-	SendGossip            // Peers only: send a note to every other dispatcher [Text: its bytes, 256 at most]
-	Log                   // a line for the operators [Text]
+	// Send starts an attempt. It uses Message, Endpoint, After and SendWithin. After is the timeout of the attempt; with 0 it
+	// ends at the deadline of the message. An attempt that has not been written within SendWithin is dropped unsent, even if it
+	// is still waiting for a connection.
+	Send ActionKind = iota + 1
+	// Refuse is a final answer: the message was not accepted and may safely be sent again by the client. It uses Message, After
+	// and Text. After is the wait that the client is asked to keep.
+	Refuse
+	// Fail is a final answer that promises nothing about the execution of the message. It uses Message and Text.
+	Fail
+	// Cancel stops waiting for an attempt. It uses Message and Attempt.
+	Cancel
+	// Timer asks for a TimerFired event. It uses After and TimerToken. The token is 0 or the ID of a message plus 1. The caller
+	// may drop a timer whose message is over.
+	Timer
+	// Probe checks an endpoint. It uses Endpoint.
+	Probe
+	// Close closes the idle connections to an endpoint. It uses Endpoint.
+	Close
+	// Watch subscribes to the endpoint list. It is only returned with Settings.PullList. The caller answers with one ListUpdate
+	// and reports changes from then on.
+	Watch
+	// Fetch asks once for the whole endpoint list. It is only returned with Settings.PullList. The caller answers with one
+	// ListUpdate.
+	Fetch
+	// SendGossip sends hints to every other dispatcher. It is only returned with Settings.Gossip. It uses Text, which holds at
+	// most 256 bytes.
+	SendGossip
+	// Log writes a line for the operators. It uses Text.
+	Log
 )
 
-// Action is something a Dispatcher wants done.
+// Action is something that the caller has to do. The Dispatcher sets Kind and the fields that the kind uses.
 type Action struct {
-	Kind       ActionKind
-	Message    MessageID
-	Attempt    int
-	Endpoint   EndpointID
-	After      Time
+	Kind ActionKind
+	// Message identifies the message.
+	Message MessageID
+	// Attempt is the number of the attempt, counted from 0.
+	Attempt int
+	// Endpoint is where to send, probe or close.
+	Endpoint EndpointID
+	// After is a duration: the timeout of a Send, the wait of a Refuse or the delay of a Timer.
+	After Time
+	// SendWithin is the time from now within which the attempt must be written.
 	SendWithin Time
+	// TimerToken is returned with the TimerFired event.
 	TimerToken uint64
-	Text       string // Note, Share: their text; Refuse, Fail: the reason, in words
+	// Text is the line of a Log, the bytes of a SendGossip or the reason of a Refuse or Fail in words.
+	Text string
 }
