--- a/control/control.go
+++ b/control/control.go
@@ -1,8 +1,7 @@
 package control
 
-// The interface - settings, events, actions - is in api.go. This file holds
-// every decision. A message's path: arrive -> hold (lanes of its destination)
-// -> dispatch -> gate -> launch -> outcome -> back to its hold, or finish.
+// This file contains the decisions. The path of a message is onArrival, enqueue, dispatch, sendNext with
+// maySend, and onOutcome, which ends it or queues it again. finish ends it if it is not delivered.
 
 import (
 	"maps"
@@ -10,91 +9,136 @@
 	"slices"
 )
 
-// Tuned values. None is a figure of one deployment; each says what it trades.
+// Parameters of the decisions. None of them depends on a particular deployment.
 const (
-	windowReviewFactor      = 4                 // F: completions of a whole window between two revisions
-	maxFailedShare          = 0.1               // an interval with more than this share of bad ends is not clean
-	latencyGain             = 1.0 / 8           // weight of a new latency sample
-	baselineGain            = 1.0 / 64          // the same for the long view, against which slow is told
-	latencyPriorSamples     = 2                 // samples that the latency of the kind counts for
-	silenceDeviations       = 6                 // deviations past the mean before silence is suspicious, more at first
-	defaultLatency          = 400 * Millisecond // latency believed before the first answer
-	minSilence              = 300 * Millisecond // silence shorter than this is never suspicious: short pauses are common
-	maxErrorStreak          = 5                 // errors in a row that make an endpoint suspect, at most
-	minConfirmFailures      = 2                 // calls in a row that met nobody or silence before an outage is sure
-	lossConfirmFactor       = 6                 // so many more for the share of answers that get lost, times this
-	lossGain                = 1.0 / 8           // weight of a new call in the share of answers that get lost over a kind
-	minLossShare            = 0.01              // share of them reckoned with at least
-	lossDeviations          = 1                 // silence: so many deviations and one more for each factor e in that share
-	slowFactor              = 3.0               // latency over its long view by this much: a slow destination
-	trialBackoffFactor      = 1.5               // each failed trial spaces the next one so much wider ...
-	maxTrialInterval        = 2 * Second        // ... up to this; longer would waste what a returned endpoint can do
-	unseenWarmUps           = 4                 // warm-ups after which one unseen since its failure is tried like any other
-	trialShare              = 0.5               // part of that which trials of a suspect take, as new senders try it, too
-	minBackoff              = 100 * Millisecond // least first pause after a refusal that told no wait; doubles ...
-	maxBackoff              = 4 * Second        // ... up to this
-	allowanceDecrease       = 0.7               // share of the own demand allowed after a refusal, of the share before
-	allowanceSuccessGain    = 0.1               // its growth by an ok, but no faster than this in a second ...
-	allowanceDemandGain     = 0.05              // and by a message of the demand, two a second at most
-	minAllowance            = 0.05              // its floor
-	heldRetryTargets        = 2                 // aims after which a held message is demand again, times the square of ...
-	initialRetrySuccess     = 0.3               // ... how often over a kind the call after a refusal goes well, at first
-	unlimitedAllowance      = 2.0               // past so many times the demand a limit is not felt any more
-	rateTimeConstant        = 2 * Second        // memory of the measured rates
-	meterInitialHistory     = Second / 2        // history reckoned for a rate that has just begun to be measured
-	minWeight               = 0.1               // a second, the least demand that stands in for a weight
-	demandTimeConstant      = 10 * Second       // memory of the demand that ramps and shares are sized by
-	burstSeconds            = 0.5               // seconds of the release rate that may go at once
-	approximateWeightFactor = 1.5               // a rough listed rate may be this much too low
-	maxRampMargin           = 1.2               // a ramp's rate over own demand x warmth, and at most this part ...
-	collapseMarginShare     = 0.6               // ... of tip-multiple, lest chance alone reaches it
-	maxRampEnd              = 1.5               // multiple of the own demand at which a ramp ends while messages are held
-	fairShare               = 0.8               // part of an even share of a known limit that a sender may always use
-	limitUsedUpBelow        = 0.1               // refused with more than this share of the limit left: not for the limit
-	batchRampCost           = 0.25              // push of each further message of a call on a cold endpoint
-	connScarcityPeriod      = 30 * Second       // connections count as scarce so long after the last sign of it
-	zoneCostCalls           = 40                // calls that a fee of the whole result counts for in the choice of a route
-	minDropIdleAge          = Second / 2        // idle age up to which silence does not tell of a dropped connection
-	atMostOnceDropShare     = 0.02              // share of drops from which on single-shot messages get new connections
-	confirmedDropShare      = 0.2               // share of calls on idle connections that fail before they count as dropped
-	idleAgeMargin           = 0.8               // idle connections are used up to this part of the age at which one failed
-	idleAgeGrowth           = 1.02              // growth of that age by an ok
-	overQuotaMargin         = 1.1               // a tenant is over its share when past it by this factor
-	minQueueDelay           = 500 * Millisecond // bounds on how far ahead the wait for a turn is reckoned; the upper one
-	maxQueueDelay           = 8 * Second        // keeps a stalled hold comparable with a busy one
-	minThroughput           = 0.2               // calls a second reckoned for a destination that answers nothing
-	valueTieBreak           = 0.01              // of its worth counts for a message that loses nothing by waiting
-	stuckSilences           = 2                 // silences after which a call is given up
-	pullSpreadDivisor       = 2                 // the first asking for the list is spread over ask-every by this, and ...
-	pullBackoffDivisor      = 16                // ... pauses after a failed one double from this part of it to the former
-	pullRefreshFactor       = 6                 // a list silent for so many times ask-every is fetched whole, to be sure
-	gossipBudget            = 0.02              // of the result may be spent on notes to peers
-	hintCost                = 16                // bytes reckoned for a note with a hint
-	maxGossipCredit         = 40                // bytes that may be saved up
-	hintSize                = 4                 // bytes of one hint
-	hintWaitUnit            = 20 * Millisecond  // unit of the wait in it
-	defaultHold             = Second / 2        // hold of a destination at its limit where no wait was told
-	maxSpread               = 8 * Second        // a release is spread over this at most
-	gossipTimeout           = 3 * Second        // notes count as lost when none was heard for so long
-	wakeTicks               = 4                 // ticks between looks at the clock while anything is held or out
-	quietPeriod             = 600 * Second      // a destination silent for so long is kept as a line of the list alone
-	never                   = Time(1 << 60)     // past all times
-	wakeupsPerTick          = 100               // sleeping destinations looked at in a tick, about
-	housekeepingInterval    = 10 * Second       // how often state without use is looked for and operators are told something
+	windowReviewFactor = 4 // A window is reviewed after this many completions for each call that it permits.
+
+	maxFailedShare = 0.1 // A window grows only if no larger share of the completions has failed.
+
+	latencyGain  = 1.0 / 8  // This is the weight of a new sample in a destination's latency.
+	baselineGain = 1.0 / 64 // This is its weight in the long-term latency, the baseline for slowness.
+
+	latencyPriorSamples = 2 // The latency of the kind counts for this many samples of a new destination.
+
+	silenceDeviations = 6 // Silence lasts at most this many deviations above the mean, or twice that at first.
+
+	defaultLatency = 400 * Millisecond // This is assumed before the first answer.
+	minSilence     = 300 * Millisecond // A shorter silence is never suspicious because short pauses are common.
+
+	maxErrorStreak = 5 // It takes at most this many consecutive errors to suspect an endpoint.
+
+	minConfirmFailures = 2 // An outage is confirmed by at least this many consecutive failures.
+	lossConfirmFactor  = 6 // This times the share of lost answers is added to minConfirmFailures.
+
+	lossGain = 1.0 / 8 // This is the weight of a call in the shares of lost answers, drops and good retries.
+
+	minLossShare   = 0.01 // This is the smallest share of lost answers that is assumed.
+	lossDeviations = 1    // The silence timeout has this minus ln(share of lost answers) deviations.
+	slowFactor     = 3.0  // A destination is slow if its latency exceeds its baseline by this factor.
+
+	trialBackoffFactor = 1.5 // The interval between trials grows by this factor with each trial.
+
+	maxTrialInterval = 2 * Second // Longer intervals would waste the capacity of an endpoint that has returned.
+
+	unseenWarmUps = 4   // A suspected endpoint is assumed to be warm this many warm-ups after its last failure.
+	trialShare    = 0.5 // Trials use this share of its capacity, because other dispatchers send trials, too.
+
+	minBackoff = 100 * Millisecond // This is the shortest first backoff after a refusal without a wait.
+	maxBackoff = 4 * Second        // The backoff doubles with each refusal up to this.
+
+	allowanceDecrease    = 0.7  // A refusal multiplies the allowed share of the own demand by this.
+	allowanceSuccessGain = 0.1  // A success adds this to the allowance, but successes add no more in a second.
+	allowanceDemandGain  = 0.05 // Each message of demand adds this, for at most two messages a second.
+	minAllowance         = 0.05 // The allowance does not fall below this where the limit is unknown.
+
+	heldRetryTargets = 2 // A queued message adds retrySuccess squared to the demand in this many targets.
+
+	initialRetrySuccess = 0.3 // This is assumed for the share of calls after a refusal that go well.
+	unlimitedAllowance  = 2.0 // From this multiple of the demand on, no limit is applied.
+
+	rateTimeConstant    = 2 * Second // This is the time constant of the rate of successes.
+	meterInitialHistory = Second / 2 // A new rate meter is taken to have measured for this long.
+
+	minWeight = 0.1 // A demand that stands in for a listed weight is at least this many messages a second.
+
+	demandTimeConstant = 10 * Second // This is the time constant of the demand that sizes ramps and shares.
+
+	burstSeconds = 0.5 // This many seconds of the permitted rate may be sent at once.
+
+	approximateWeightFactor = 1.5 // An approximate listed rate may be too low by this factor.
+
+	maxRampMargin       = 1.2 // A ramp exceeds the own demand times the capacity by at most this factor.
+	collapseMarginShare = 0.6 // It stays at this share of CollapseMultiple, which chance alone must not reach.
+	maxRampEnd          = 1.5 // A ramp ends at this multiple of the own demand while messages are queued.
+
+	fairShare        = 0.8 // A dispatcher may always use this share of its equal part of a known limit.
+	limitUsedUpBelow = 0.1 // A refusal is put down to the limit only if less than this share of it is left.
+
+	batchRampCost = 0.25 // Each further message of a call costs this many ramp tokens. The first one costs 1.
+
+	connScarcityPeriod = 30 * Second // Connections count as scarce for this long after the last sign of it.
+
+	zoneCostCalls = 40 // A zone cost of 1 counts as this many calls in flight in the choice of an endpoint.
+
+	minDropIdleAge = Second / 2 // Up to this idle age, silence is no sign of a dropped connection.
+
+	atMostOnceDropShare = 0.02 // AtMostOnce messages get new connections above this share of drops.
+	confirmedDropShare  = 0.2  // The safe idle age is lowered above this share of drops on idle connections.
+	idleAgeMargin       = 0.8  // Idle connections are used up to this share of the safe idle age.
+	idleAgeGrowth       = 1.02 // A success on an idle connection multiplies the safe idle age by this.
+
+	overQuotaMargin = 1.1 // A tenant is over its quota if it exceeds the quota by this factor.
+
+	minQueueDelay = 500 * Millisecond // The estimated queue delay is at least this.
+	maxQueueDelay = 8 * Second        // This bound keeps a stalled queue comparable with a busy one.
+
+	minThroughput = 0.2 // A destination that answers nothing is taken to complete this many calls a second.
+
+	valueTieBreak = 0.01 // This share of its value counts for a message that loses nothing by waiting.
+
+	stuckSilences = 2 // A call is stuck after this many silence timeouts.
+
+	pullSpreadDivisor  = 2  // First list requests are spread over PullInterval divided by this.
+	pullBackoffDivisor = 16 // Backoffs double from PullInterval over this to that over pullSpreadDivisor.
+	pullRefreshFactor  = 6  // After this many PullIntervals without a list it is fetched in case one was lost.
+
+	gossipBudget    = 0.02 // This share of the total value may be spent on gossip.
+	hintCost        = 16   // A hint is charged with this many bytes, including the overhead of sending it.
+	maxGossipCredit = 40   // This many bytes may be saved up for gossip.
+	hintSize        = 4    // An encoded hint has this many bytes.
+
+	hintWaitUnit  = 20 * Millisecond // This is the unit of the wait in a hint.
+	defaultHold   = Second / 2       // A destination at its limit is held for this long if no wait was told.
+	maxSpread     = 8 * Second       // The release after a hold is spread over at most this.
+	gossipTimeout = 3 * Second       // Gossip counts as lost if none was received for this long.
+
+	wakeTicks = 4 // Rounds are at most this many ticks apart while calls are in flight.
+
+	quietPeriod = 600 * Second // A destination without messages for this long is reduced to its list entries.
+
+	never = Time(1 << 60) // This is later than every instant.
+
+	wakeupsPerTick = 100 // About this many sleeping destinations are looked at in a tick.
+
+	housekeepingInterval = 10 * Second // Garbage collections and log lines are at least this far apart.
 )
 
-// New returns a Dispatcher, or an error that names the setting at fault.
+// New returns a Dispatcher, or an error that names a setting out of range. seed determines its random
+// numbers.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	d := &Dispatcher{
-		settings: s, rng: seed*2862933555777941757 + 3037000493, minTarget: s.Classes[0].Target, lossShare: minLossShare,
+		settings: s, rng: seed*2862933555777941757 + 3037000493, minTarget: s.Classes[0].Target,
+		lossShare:              minLossShare,
 		gossipCredit:           maxGossipCredit / 2,
 		gossipCreditPerMessage: gossipBudget / max(s.GossipCost*float64(s.Instances), gossipBudget),
-		messages:               map[MessageID]*message{}, keys: map[uint64]*keyQueue{}, destByNumber: map[int]*destination{},
+		messages:               map[MessageID]*message{}, keys: map[uint64]*keyQueue{},
+		destByNumber:  map[int]*destination{},
 		unusedEntries: map[int][]unusedEntry{}, unusedOwner: map[EndpointID]int{},
-		endpointByID: map[EndpointID]*endpoint{}, endpointByHint: map[uint32]*endpoint{}, tenantRates: make([]rateMeter, len(s.Tenants)),
+		endpointByID: map[EndpointID]*endpoint{}, endpointByHint: map[uint32]*endpoint{},
+		tenantRates: make([]rateMeter, len(s.Tenants)),
 	}
 	if d.weightFactor = 1; s.Weights == WeightApproximate {
 		d.weightFactor = approximateWeightFactor
@@ -115,7 +159,7 @@
 	return d, nil
 }
 
-// Step handles the events of one round, dispatches once and returns actions with its own appended.
+// Step handles the events of one round at now, dispatches once and appends the resulting actions to actions.
 func (d *Dispatcher) Step(now Time, events []Event, actions []Action) []Action {
 	if d.now, d.actions = now, actions; d.round == 0 {
 		d.startMeters()
@@ -144,9 +188,10 @@
 	return d.actions
 }
 
-// pullList subscribes to the list where it is not pushed; one silent for long is fetched whole, lest a change was
-// lost. First askings are spread: restarts in numbers must not stampede the list. Guards against lists out of
-// reach, broken subscriptions and lost answers. It could hurt by learning of new endpoints some seconds late.
+// pullList subscribes to a list that is not pushed. After a long time without one it fetches the whole list
+// in case a change was lost. First requests are spread so that restarts of many do not overload discovery.
+// This handles unreachable discovery, broken subscriptions and lost answers. New endpoints may be known
+// seconds late.
 func (d *Dispatcher) pullList() {
 	if !d.settings.PullList || d.settings.PullInterval <= 0 {
 		return
@@ -157,7 +202,7 @@
 			kind = Fetch
 		}
 		d.actions = append(d.actions, Action{Kind: kind})
-		d.pullAt = d.now + d.settings.PullInterval/pullSpreadDivisor // should no answer come
+		d.pullAt = d.now + d.settings.PullInterval/pullSpreadDivisor // in case no answer comes
 	}
 	if d.pullAt < d.pullTimerAt || d.pullTimerAt <= d.now {
 		d.pullTimerAt = d.pullAt
@@ -165,7 +210,7 @@
 	}
 }
 
-// planNextPull plans the next asking: after a failure with jittered backoff, else after a long silence.
+// planNextPull schedules the next request: after a failure with jittered backoff, else after a long silence.
 func (d *Dispatcher) planNextPull(kind ListKind) {
 	switch kind {
 	case ListCached:
@@ -179,6 +224,7 @@
 	}
 }
 
+// onArrival accepts a new or restored message and queues it at its destination or behind its key.
 func (d *Dispatcher) onArrival(e *Event) {
 	if d.messages[e.Message] != nil {
 		return
@@ -192,7 +238,7 @@
 	m := &message{id: e.Message, class: class, dest: d.destination(e.Dest), deadline: d.now + e.TimeLeft}
 	m.arrivalSeq, m.arrivalRound, m.restored = d.arrivalCount, d.round, e.Restored
 	m.createdAt = m.deadline - class.Deadline
-	if m.attempts = e.Attempt; e.PossiblyExecuted { // a process that ended had it
+	if m.attempts = e.Attempt; e.PossiblyExecuted { // an earlier process sent it
 		d.markPossiblyExecuted(m, d.now-e.Elapsed, e.Zone)
 	}
 	m.overQuota = d.countAndCheckQuota(e.Tenant)
@@ -203,7 +249,7 @@
 	d.messages[m.id] = m
 	d.openMessages++
 	m.dest.openMessages++
-	if !e.Restored { // else it was counted before
+	if !e.Restored { // a restored message was counted by the earlier process
 		m.dest.demand.add(d.now, 1)
 	}
 	d.gossipCredit = min(d.gossipCredit+d.gossipCreditPerMessage, maxGossipCredit)
@@ -211,8 +257,9 @@
 		d.finish(m, true, "this dispatcher stops")
 		return
 	}
-	// The answer leaves before the time is up, one round early for rounding.
-	d.actions = append(d.actions, Action{Kind: Timer, After: max(e.TimeLeft-2*d.settings.Tick, 0), TimerToken: uint64(m.id) + 1})
+	// The final answer leaves before the deadline. One more tick allows for rounding.
+	d.actions = append(d.actions, Action{Kind: Timer, After: max(e.TimeLeft-2*d.settings.Tick, 0),
+		TimerToken: uint64(m.id) + 1})
 	if class.InOrder && e.Key != 0 {
 		queue := d.keys[e.Key]
 		if queue == nil {
@@ -230,14 +277,15 @@
 	d.enqueue(m)
 }
 
-// markPossiblyExecuted binds a message to what its class allows: an attempt may have run, here or in a process before.
+// markPossiblyExecuted restricts further attempts, as this or an earlier process sent one that may have run.
 func (d *Dispatcher) markPossiblyExecuted(m *message, at Time, zone int) {
 	m.possiblyExecuted, m.possiblyExecutedAt, m.possiblyExecutedZone = true, at, zone
 	expiresIn := at + m.class.DedupWindow - StallMargin - d.settings.Tick - d.now
 	d.actions = append(d.actions, Action{Kind: Timer, After: max(expiresIn, 0), TimerToken: uint64(m.id) + 1})
 }
 
-// countAndCheckQuota tells whether a tenant now sends more than its share, measured against what comes here.
+// countAndCheckQuota tells whether a tenant exceeds its quota, scaled by the share of all traffic that comes
+// here.
 func (d *Dispatcher) countAndCheckQuota(tenant int) bool {
 	d.totalRate.add(d.now, 1)
 	if tenant < 0 || tenant >= len(d.tenantRates) || d.totalQuota <= 0 {
@@ -248,7 +296,7 @@
 	return d.tenantRates[tenant].rate(d.now) > d.settings.Tenants[tenant].Quota*share*overQuotaMargin
 }
 
-// enqueue puts a message into its lane, by age. A hold turning non-empty takes the least other counter.
+// enqueue puts a message into its lane. An empty queue takes the least virtual time of the others.
 func (d *Dispatcher) enqueue(m *message) {
 	dest := m.dest
 	if dest.queuedCount == 0 {
@@ -266,14 +314,14 @@
 	d.expire(m)
 }
 
-// expire answers a message whose time is nearly up, or that can't be sent any more.
+// expire answers a message that is close to its deadline or can no longer be sent.
 func (d *Dispatcher) expire(m *message) {
 	if d.now+2*d.settings.Tick >= m.deadline || m.queued && d.unsendable(m) {
 		d.finish(m, true, d.endReason(m))
 	}
 }
 
-// endReason tells what ends a message, for records: it decides nothing.
+// endReason returns the reason for the end of a message for records. It decides nothing.
 func (d *Dispatcher) endReason(m *message) string {
 	switch {
 	case d.now+2*d.settings.Tick >= m.deadline:
@@ -288,9 +336,9 @@
 	return "nothing opens for it before its time ends"
 }
 
-// shutdown cuts the time of all that is held, for a dispatcher that stops: each has its answer before that.
-// Guards against leaving clients without one. It could hurt by refusing what would soon have been served.
-// Where the next process goes on with what is held, only calls that may not end in time are not begun.
+// shutdown shortens all deadlines so that each client has its answer before the process ends. It costs
+// messages that would soon have been delivered. With keep the next process goes on with the messages. Then
+// only calls that may not end in time are not started.
 func (d *Dispatcher) shutdown(timeLeft Time, keep bool) {
 	if keep {
 		d.stopAt = d.now + timeLeft
@@ -299,17 +347,18 @@
 	for _, id := range slices.Sorted(maps.Keys(d.messages)) {
 		if m := d.messages[id]; d.now+timeLeft < m.deadline && !m.ended {
 			m.deadline = d.now + timeLeft
-			d.actions = append(d.actions, Action{Kind: Timer, After: max(timeLeft-2*d.settings.Tick, 0), TimerToken: uint64(id) + 1})
+			d.actions = append(d.actions, Action{Kind: Timer, After: max(timeLeft-2*d.settings.Tick, 0),
+				TimerToken: uint64(id) + 1})
 		}
 	}
 }
 
-// finish gives a final answer: handed back, if that is wanted and provably harmless, else failed.
+// finish gives a final answer: a refusal if that is wanted and a repeat is safe, else a failure.
 func (d *Dispatcher) finish(m *message, refuse bool, why string) {
 	a := Action{Kind: Fail, Message: m.id, Text: why}
 	if refuse && d.safeToRefuse(m) {
 		if a.Kind = Refuse; d.settings.RetryAfter && d.stopAt > 0 {
-			a.After = d.settings.MaxRetryAfter // its successor is not there sooner
+			a.After = d.settings.MaxRetryAfter // the next process is not ready sooner
 		} else if d.settings.RetryAfter {
 			a.After = min(max(d.availableAt(m)-d.now, 0), d.settings.MaxRetryAfter)
 		}
@@ -318,14 +367,15 @@
 	d.endMessage(m)
 }
 
-// safeToRefuse tells whether handing the message in again can do no harm.
+// safeToRefuse tells whether the client can safely send the message again.
 func (d *Dispatcher) safeToRefuse(m *message) bool {
 	possiblyExecuted := m.possiblyExecuted || m.call != nil
-	return !possiblyExecuted || m.class.Effect == Idempotent || m.class.Effect == Deduplicated && !m.class.DedupPerZone
+	return !possiblyExecuted || m.class.Effect == Idempotent ||
+		m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
-// dispatch hands free slots to the destinations with the smallest counters. Who can release nothing sleeps
-// until something happens there, or its time comes.
+// dispatch gives free slots to the destinations with the least virtual time. One that cannot send sleeps
+// until something changes there or its wake-up time comes.
 func (d *Dispatcher) dispatch() {
 	for d.busySlots < d.settings.Slots {
 		dest := d.nextDestination()
@@ -341,11 +391,11 @@
 	d.slotShortage = len(d.eligible.items)+len(d.sleeping.items) > 0
 }
 
-// nextWakeUp tells when a destination that can release nothing is looked at again: after the first wait; for what
-// else changes with time, such as a ramp or a trial, in the next tick. Where very many sleep they take turns.
+// nextWakeUp is when a destination that cannot send is tried again: after its first wait, or in the next tick
+// for what else changes with time, such as a ramp. Very many sleeping destinations take turns.
 func (d *Dispatcher) nextWakeUp(dest *destination) Time {
 	nextLook := d.now + d.settings.Tick*Time(1+len(d.sleeping.items)/wakeupsPerTick)
-	at := never // only the list can change it
+	at := never // without a ready endpoint only a new list helps
 	for _, ep := range dest.endpoints {
 		switch {
 		case ep.health != Ready:
@@ -358,7 +408,7 @@
 	return at
 }
 
-// weight is the listed one; where none is listed what is asked of the destination stands in.
+// weight is the listed weight. The demand stands in for it if none is listed.
 func (d *Dispatcher) weight(dest *destination) float64 {
 	if dest.listedWeight > 0 {
 		return dest.listedWeight
@@ -366,15 +416,16 @@
 	return max(dest.demand.rate(d.now), minWeight)
 }
 
-// finishTag orders the turns: by the counter, and while messages wait for slots by what it will be after the call:
-// who revives at the least counter for calls of seconds would take the slots from all that is held. It acts
-// in any shortage of slots, and could hurt by later turns for a slow destination with little traffic.
+// finishTag is the virtual time after the next call. It decides while messages wait for slots. Otherwise a
+// destination that becomes active with calls of seconds would take the slots from all others. It costs slow
+// destinations with little traffic later turns.
 func (d *Dispatcher) finishTag(dest *destination) float64 {
 	mean, _ := d.latency(dest)
 	return dest.virtualTime + mean/float64(Second)/d.weight(dest)
 }
 
-// sendNext sends the head of a destination's hold, with others in the same call where its kind allows.
+// sendNext starts a call with a queued message, and with others if the kind allows. It returns false if it
+// cannot.
 func (d *Dispatcher) sendNext(dest *destination) bool {
 	d.scanCount++
 	ep, trial := d.chooseEndpoint(dest)
@@ -391,7 +442,8 @@
 		m.call = c
 		m.attempts++
 		c.messages = append(c.messages, m)
-		a := Action{Kind: Send, Message: m.id, Endpoint: ep.id, SendWithin: m.sendDeadline() - d.settings.Tick - d.now}
+		a := Action{Kind: Send, Message: m.id, Endpoint: ep.id,
+			SendWithin: m.sendDeadline() - d.settings.Tick - d.now}
 		if !d.settings.MayCancel && m.class.Effect != AtMostOnce {
 			a.After = stuckSilences * d.silenceTimeout(dest)
 		}
@@ -403,7 +455,7 @@
 	}
 	d.acquireSlot(c)
 	ep.limiter.tokens--
-	if !trial || d.outageConfirmed(ep) { // the trial that makes sure is not of the ramp
+	if !trial || d.outageConfirmed(ep) { // the trial that confirms an outage does not belong to the ramp
 		ep.rampTokens -= 1 + batchRampCost*float64(len(c.messages)-1)
 	}
 	if c.trial {
@@ -413,7 +465,7 @@
 	return true
 }
 
-// maySend is the one place that permits a send; every rule that binds sends is here.
+// maySend is the only place that permits an attempt. It contains every rule that restricts attempts.
 func (d *Dispatcher) maySend(m *message, ep *endpoint) bool {
 	class := m.class
 	switch {
@@ -435,8 +487,8 @@
 	return !class.DedupPerZone || ep.zone == m.possiblyExecutedZone
 }
 
-// pickMessage picks the message to send: of the oldest of each lane, the one that would lose most worth by
-// waiting until the hold is worked off. With a short hold none loses any and worth decides.
+// pickMessage picks the message that would lose the most value while the queue is worked off. With a short
+// queue none loses any, and the value itself decides.
 func (d *Dispatcher) pickMessage(dest *destination, ep *endpoint, trial bool) *message {
 	var best *message
 	maxLoss := -1.0
@@ -447,11 +499,11 @@
 		if len(dest.lanes[i]) == 0 {
 			continue
 		}
-		// The oldest, and the oldest still in time: late worth may have nothing more to lose.
+		// Try the oldest and the oldest within its target: a late one may have no more value to lose.
 		lane := dest.lanes[i]
 		firstInTime, _ := slices.BinarySearchFunc(lane, deliveredAt, compareTarget)
 		for _, m := range [2]*message{lane[0], lane[min(firstInTime, len(lane)-1)]} {
-			// A doubtful unsafe one could only fail: trials risk it after proof that calls do not run, or when rare.
+			// AtMostOnce cannot be repeated. Trials risk it after proof that calls do not run, or when rare.
 			risky := m.class.Effect == AtMostOnce && !ep.unreachable && ep.trialInterval < maxTrialInterval
 			if trial && risky || !d.maySend(m, ep) {
 				continue
@@ -465,28 +517,30 @@
 	return best
 }
 
-// queueDelay reckons how long the hold takes to be worked off.
+// queueDelay estimates how long it takes to work off the queue.
 func (d *Dispatcher) queueDelay(dest *destination) Time {
 	wait := float64(dest.queuedCount) / max(dest.limiter.successes.rate(d.now), minThroughput) * float64(Second)
 	return min(max(Time(wait), minQueueDelay), maxQueueDelay)
 }
 
-// unsendable tells that no attempt can ever be made again: the message is answered at once, wherever it lies.
+// unsendable tells that no attempt can be made any more, so the message is answered wherever it is queued.
 func (d *Dispatcher) unsendable(m *message) bool {
-	noAttemptLeft := m.attemptsSent() >= d.settings.MaxAttempts || m.possiblyExecuted && m.class.Effect == AtMostOnce
+	noAttemptLeft := m.attemptsSent() >= d.settings.MaxAttempts ||
+		m.possiblyExecuted && m.class.Effect == AtMostOnce
 	return noAttemptLeft || max(d.availableAt(m), d.now)+d.settings.Tick >= m.sendDeadline()
 }
 
-// maxWindow is the most calls out to one destination: under three quarters of the slots.
+// maxWindow is the most calls in flight to one destination: below 3/4 of the slots, but at least 1.
 func (d *Dispatcher) maxWindow() int { return max(1, (3*d.settings.Slots+3)/4-1) }
 
 // degraded tells that a destination fails or is slow.
 func (d *Dispatcher) degraded(dest *destination) bool {
-	return dest.latency.mean > slowFactor*dest.baselineLatency || slices.ContainsFunc(dest.endpoints, isSuspected)
+	return dest.latency.mean > slowFactor*dest.baselineLatency ||
+		slices.ContainsFunc(dest.endpoints, isSuspected)
 }
 
-// effectiveWindow is the window in force: failing and slow destinations share half of the slots among them all, so
-// that two of them cannot hold two slots of two.
+// effectiveWindow is the window in force. Failing and slow destinations share half of the slots, so that two
+// of them cannot take both of two slots.
 func (d *Dispatcher) effectiveWindow(dest *destination) int {
 	d.initWindow(dest)
 	if !d.degraded(dest) {
@@ -501,7 +555,7 @@
 	return min(dest.window, limit, d.maxWindow())
 }
 
-// adjustWindow is the window's completion test; w still counts the call that ended.
+// adjustWindow reviews the window after a completion. inFlight still includes the call that ended.
 func (d *Dispatcher) adjustWindow(dest *destination, result Result) {
 	if result == Cancelled || result == NotExecuted || result == NotSent {
 		return
@@ -527,8 +581,7 @@
 	dest.completions, dest.failedCompletions = 0, 0
 }
 
-// ---- outcomes and what is learned from them ----
-
+// onOutcome handles the end of an attempt. It ends the message or queues it again.
 func (d *Dispatcher) onOutcome(e *Event) {
 	m := d.messages[e.Message]
 	if m == nil || m.call == nil || m.attempts-1 != e.Attempt {
@@ -556,17 +609,17 @@
 	}
 }
 
-// provesNotExecuted tells that a result proves the attempt never ran.
+// provesNotExecuted tells that a result proves that the attempt was not executed.
 func provesNotExecuted(r Result) bool {
 	return r == LimitExceeded || r == ConnectFailed || r == NotExecuted || r == NotSent
 }
 
-// settleMessage takes one message of a call off it; the first outcome is learned from, the last frees the slot.
+// settleMessage takes a message off its call. The first outcome is evaluated, the last one frees the slot.
 func (d *Dispatcher) settleMessage(c *call, e *Event) {
 	c.pending--
-	if e.RetryAfter > 0 { // every outcome's wait binds, also of a call learned from already
+	if e.RetryAfter > 0 { // every outcome of a call may tell a wait
 		c.ep.limiter.waitUntil = max(c.ep.limiter.waitUntil, d.now+e.RetryAfter+d.settings.Tick)
-		c.ep.dest.eachQueued(d.expire) // some have no time left for it
+		c.ep.dest.eachQueued(d.expire) // the wait outlasts the deadline of some messages
 	}
 	if c.pending == len(c.messages)-1 {
 		d.learnOutcome(c, e)
@@ -580,10 +633,12 @@
 	d.releaseSlot(c)
 }
 
+// learnOutcome updates the state of the endpoint and its destination from the result of a call.
 func (d *Dispatcher) learnOutcome(c *call, e *Event) {
 	ep, dest := c.ep, c.ep.dest
 	c.connReset = e.Result == Reset
-	if i := d.settings.ReportLimitIndex; i >= 0 && i < len(e.Report) && e.Report[i] > 0 && e.Report[i] <= math.MaxFloat32 {
+	if i := d.settings.ReportLimitIndex; i >= 0 && i < len(e.Report) &&
+		e.Report[i] > 0 && e.Report[i] <= math.MaxFloat32 {
 		ep.limiter.knownRate = float64(e.Report[i])
 	}
 	switch e.Result {
@@ -596,12 +651,12 @@
 		known := ep.limiter.knownRate > 0 && left >= 0 && left < len(e.Report)
 		d.onRefusal(ep, c, e.RetryAfter, known && e.Report[left] < limitUsedUpBelow)
 	case ConnectFailed:
-		// An outage, or all its connections are taken. Idle ones of many senders fill a table made for calls.
+		// Down or out of connections: idle ones of many dispatchers fill a table that is sized for calls.
 		if d.settings.Instances > d.settings.Slots {
 			dest.kind.scarceUntil = d.now + connScarcityPeriod
 		}
 		if ep.failureStreak == 0 && len(ep.calls) > 1 && d.now-ep.heardAt < d.silenceTimeout(dest) {
-			d.onRefusal(ep, c, 0, false) // others are answered: no outage
+			d.onRefusal(ep, c, 0, false) // other calls are answered, so it is no outage
 			return
 		}
 		d.onFailure(ep, c, true)
@@ -617,16 +672,16 @@
 	}
 }
 
-// errorsMeanOutage tells that errors in a row mean an outage: as many as the own demand brings in the time of an
-// overload, by its long view. Guards against floods of errors of which hundreds of senders with little
-// traffic see one call each, and against what a restart finds held: what all spend to make sure must not
-// push the endpoint over. It could hurt where errors are common and calls rare.
+// errorsMeanOutage tells that consecutive errors mean an outage: as many as the long-term demand brings
+// within MaxOverload. It detects floods of errors of which hundreds of dispatchers see one call each. After
+// restarts, what all of them spend on detection must not overload the endpoint. It may suspect wrongly where
+// errors are common and calls rare.
 func (d *Dispatcher) errorsMeanOutage(ep *endpoint) bool {
 	expected := ep.dest.demand.uncorrectedRate(d.now) * d.settings.MaxOverload.seconds()
 	return ep.errorStreak >= min(max(int(expected), minConfirmFailures), maxErrorStreak)
 }
 
-// latency is what a destination's calls take and how much that varies: its own samples, or those of its kind.
+// latency is the mean and deviation of the latency in microseconds, from own samples or those of the kind.
 func (d *Dispatcher) latency(dest *destination) (mean, dev float64) {
 	switch {
 	case dest.latency.samples > 0:
@@ -637,10 +692,11 @@
 	return float64(defaultLatency), float64(defaultLatency) / 2
 }
 
-// silenceTimeout is how long a destination may say nothing with a call out before that is suspicious.
+// silenceTimeout is how long a call may be without an answer before that is suspicious.
 func (d *Dispatcher) silenceTimeout(dest *destination) Time {
 	mean, dev := d.latency(dest)
-	return max(minSilence, Time(mean+dev*min(silenceDeviations, lossDeviations-math.Log(d.lossShare))*(1+1/(1+dest.latency.samples))))
+	return max(minSilence, Time(mean+dev*min(silenceDeviations, lossDeviations-math.Log(d.lossShare))*
+		(1+1/(1+dest.latency.samples))))
 }
 
 func (d *Dispatcher) onSuccess(ep *endpoint, c *call) {
@@ -667,6 +723,7 @@
 	ep.lastOKSentAt = max(ep.lastOKSentAt, c.sentAt)
 }
 
+// clearFailures ends a suspicion after an answered call, or if c is nil after a hint.
 func (d *Dispatcher) clearFailures(ep *endpoint, c *call) {
 	if ep.suspected {
 		d.onReturn(ep, c)
@@ -679,32 +736,34 @@
 	ep.heardAt, ep.failureStreak, ep.errorStreak, ep.limiter.failureStreak = d.now, 0, 0, 0
 }
 
-// rampAfterRefusals starts the ramp of all that share a limit which refused for longer than an overload may last: it
-// may have been shut, and a told wait tells when it opens. It could hurt by a ramp where a limit was lowered.
+// rampAfterRefusals starts the ramp of all that share a limit that has refused for longer than MaxOverload,
+// as they may have been down. A wait tells when they return. It costs a ramp where a limit was lowered.
 func (d *Dispatcher) rampAfterRefusals(ep *endpoint, at Time) {
 	for _, other := range ep.dest.endpoints {
 		since := ep.limiter.refusingSince
-		if other.limiter == ep.limiter && since != 0 && at-since > d.settings.MaxOverload && (other.rampStart == 0 || at > d.now) {
+		if other.limiter == ep.limiter && since != 0 && at-since > d.settings.MaxOverload &&
+			(other.rampStart == 0 || at > d.now) {
 			d.startSlowStart(other, at)
 		}
 	}
 }
 
-// onReturn judges what a suspect's first answer tells. After an outage it came back at some moment since the
-// last failure, in the mean half way: what many senders reckon so adds up to its real warmth. A failure that
-// the next call does not bear out was a lost answer or a dropped connection.
+// onReturn evaluates the first answer of a suspected endpoint. It returned between the last failure and now.
+// The middle is assumed, which over many dispatchers adds up to its true capacity. A failure that the next
+// call does not confirm was a lost answer or a dropped connection.
 func (d *Dispatcher) onReturn(ep *endpoint, c *call) {
 	downFor := d.now - ep.downSince
 	switch {
-	case c != nil && !c.trial && downFor <= 2*d.settings.MaxOverload: // late, not lost: it is slow
-	case c == nil || (ep.unreachable || d.outageConfirmed(ep) || ep.overtakenCalls() > d.confirmThreshold(ep)) && downFor > d.settings.MaxOverload:
+	case c != nil && !c.trial && downFor <= 2*d.settings.MaxOverload: // not lost but late
+	case c == nil || (ep.unreachable || d.outageConfirmed(ep) || ep.overtakenCalls() > d.confirmThreshold(ep)) &&
+		downFor > d.settings.MaxOverload:
 		returnedAt := d.now
 		if c != nil {
 			returnedAt -= (d.now - ep.failedAt) / 2
 			d.addHint(ep, 0)
 		}
 		d.startSlowStart(ep, returnedAt)
-		for _, other := range ep.dest.endpoints { // of the others that failed it stays sure: each has its own return
+		for _, other := range ep.dest.endpoints { // their outages stay confirmed
 			if other.suspected && other.limiter == ep.limiter {
 				other.failureStreak = max(other.failureStreak, other.limiter.failureStreak)
 			}
@@ -713,15 +772,15 @@
 		kind := ep.dest.kind
 		d.lossShare += float64(ep.failureStreak) * lossGain * (1 - d.lossShare)
 		if ep.failedConnIdle > 0 {
-			if kind.dropShare += lossGain * (1 - kind.dropShare); kind.dropShare > confirmedDropShare && ep.failedConnIdle > minDropIdleAge {
+			if kind.dropShare += lossGain * (1 - kind.dropShare); kind.dropShare > confirmedDropShare &&
+				ep.failedConnIdle > minDropIdleAge {
 				kind.safeIdleAge = min(kind.safeIdleAge, ep.failedConnIdle)
 			}
 		}
 	}
 }
 
-// overtakenCalls counts the calls since the last one answered that began before the last failure and are still
-// out: silence that stands beside it.
+// overtakenCalls counts the calls in flight that were sent after the last OK and before the last failure.
 func (ep *endpoint) overtakenCalls() (n int) {
 	for _, c := range ep.calls {
 		if c.sentAt > ep.lastOKSentAt && c.sentAt < ep.failedAt {
@@ -731,13 +790,13 @@
 	return n
 }
 
-// outageConfirmed tells that what failed in a row means an outage. It mostly takes all endpoints of a destination: those
-// that fail now bear each other out. Where answers get lost it takes more of them.
+// outageConfirmed tells that consecutive failures mean an outage. Those of all endpoints of a destination
+// count, as it mostly fails as a whole.
 func (d *Dispatcher) outageConfirmed(ep *endpoint) bool {
 	return max(ep.failureStreak, ep.limiter.failureStreak) >= d.confirmThreshold(ep) || d.errorsMeanOutage(ep)
 }
 
-// confirmThreshold is how many failures in a row make sure.
+// confirmThreshold is how many failures confirm an outage. Where answers get lost, it takes more.
 func (d *Dispatcher) confirmThreshold(ep *endpoint) int {
 	if ep.unreachable {
 		return minConfirmFailures
@@ -745,35 +804,36 @@
 	return minConfirmFailures + int(lossConfirmFactor*d.lossShare)
 }
 
-// startRamp has what an endpoint is sent follow the demand from now on, with a drawn start.
+// startRamp makes the rate to an endpoint follow the demand from now on, with a random first token.
 func (d *Dispatcher) startRamp(ep *endpoint) {
 	ep.rampTokens = d.random()
 	ep.dest.demand.takeSmoothed(d.now, &ep.demandSeen)
 	ep.rampUpdatedAt = d.now
 }
 
-// startSlowStart starts an endpoint's ramp, as if it had come back at the moment given.
+// startSlowStart starts a ramp as if the endpoint had returned at returnedAt.
 func (d *Dispatcher) startSlowStart(ep *endpoint, returnedAt Time) {
 	ep.rampStart = returnedAt
-	ep.rampEnd = 1 + (maxRampEnd-1)*d.random() // not all that were told the same moment at once
+	ep.rampEnd = 1 + (maxRampEnd-1)*d.random() // random, so that ramps do not all end together
 	d.outageChanged(ep)
 	d.startRamp(ep)
 	d.logDestination(ep.dest, "is back, cold: its calls rise over the warm-up")
 }
 
-// onFailure counts calls that met nobody or silence; only one sent after the last failure was known is new
-// evidence. One is enough to hold messages back and send single trials, as a sender with little traffic may
-// see no second. Guards against crashes, silence, hangs and floods of errors. It could hurt at rare answers.
+// onFailure counts failed connects and missing answers. Only a call sent after the last failure was known is
+// new evidence. One failure restricts the endpoint to trials, as a dispatcher with little traffic may see no
+// second. This handles crashes, hangs and floods of errors. It may suspect wrongly where answers are rare.
 func (d *Dispatcher) onFailure(ep *endpoint, c *call, unreachable bool) {
 	d.outageChanged(ep)
 	if c.sentAt >= ep.failedAt {
 		ep.failureStreak++
-		ep.limiter.failureStreak++ // kept when an endpoint that failed leaves the list
-		if ep.failedAt, ep.unreachable, ep.failedConnIdle = d.now, unreachable, c.connIdle; !c.connReset && c.connIdle <= minDropIdleAge {
+		ep.limiter.failureStreak++ // kept when the endpoint leaves the list
+		if ep.failedAt, ep.unreachable, ep.failedConnIdle = d.now, unreachable, c.connIdle; !c.connReset &&
+			c.connIdle <= minDropIdleAge {
 			ep.failedConnIdle = 0
 		}
 	}
-	ep.unreachable = ep.unreachable || unreachable // silence at first, then no connection: it was no lost answer
+	ep.unreachable = ep.unreachable || unreachable // proof that no answer was lost
 	if ep.suspected {
 		return
 	}
@@ -784,7 +844,7 @@
 	}
 }
 
-// onRefusal learns from a refusal: waits are kept, a smaller share of the own demand is let go.
+// onRefusal keeps the wait of a refusal and lowers the allowed share of the own demand.
 func (d *Dispatcher) onRefusal(ep *endpoint, c *call, wait Time, usedUp bool) {
 	lim, kind := ep.limiter, ep.dest.kind
 	if usedUp && wait <= d.settings.MaxOverload {
@@ -812,10 +872,11 @@
 	}
 	demand := ep.dest.demand.rate(d.now)
 	span := min(max(wait, defaultHold), maxBackoff)
-	limitUsedUp := usedUp || lim.knownRate > 0 && lim.refusalStreak <= minConfirmFailures && !isUnhealthy(ep) // the report may be late
+	limitUsedUp := usedUp || lim.knownRate > 0 && lim.refusalStreak <= minConfirmFailures &&
+		!isUnhealthy(ep) // the report may be late
 	hinted := limitUsedUp && (d.now < lim.holdUntil || d.addHint(ep, span))
 	switch {
-	case hinted && d.now-d.gossipHeardAt < gossipTimeout: // all hold together, then this one may go again
+	case hinted && d.now-d.gossipHeardAt < gossipTimeout: // all hold, then this one may go again
 		d.holdAndSpread(lim, span)
 		lim.tokens++
 	case wait == 0:
@@ -824,15 +885,15 @@
 		lim.waitUntil = max(lim.waitUntil, d.now+pause/2+Time(d.random()*float64(pause)/2))
 		fallthrough
 	default:
-		lim.tokens = min(lim.tokens, d.random()) // retries, too, stay within the share
+		lim.tokens = min(lim.tokens, d.random()) // retries stay within the allowed share, too
 	}
 	if lim.allowance = min(lim.allowance, 1) * allowanceDecrease; lim.knownRate == 0 {
 		lim.allowance = max(lim.allowance, minAllowance)
 	}
 }
 
-// addHint adds a hint to the notes of this round, as far as their price allows. A hint is four bytes: a wait, or
-// 0 for a return, and the endpoint's short name.
+// addHint adds a hint if the budget permits: one byte for the wait, 0 for a return, and three for the hint
+// ID.
 func (d *Dispatcher) addHint(ep *endpoint, wait Time) bool {
 	if !d.settings.Gossip || d.gossipCredit < hintCost {
 		return false
@@ -843,8 +904,8 @@
 	return true
 }
 
-// receiveHints takes a peer's hints. They are never proof, and all works without any. They tell what one sender sees
-// too little of: limits and returns of partners that it seldom calls. Wrong ones hurt by a hold or a try.
+// receiveHints applies hints about limits and returns of partners that one dispatcher rarely calls. A hint is
+// never proof and may be lost. A wrong one costs a hold or a call.
 func (d *Dispatcher) receiveHints(hints string) {
 	d.gossipHeardAt = d.now
 	for ; len(hints) >= hintSize; hints = hints[hintSize:] {
@@ -860,8 +921,8 @@
 	}
 }
 
-// holdAndSpread holds messages for a used-up limit and spreads their release, longer when the next refusal follows
-// soon. Guards against limits that refused calls keep at nothing. It hurts where only one sender was refused.
+// holdAndSpread holds messages for a used-up limit and spreads their release, longer if refusals follow soon.
+// This handles limits that refused calls keep used up. It costs a hold where only one dispatcher was refused.
 func (d *Dispatcher) holdAndSpread(lim *limiter, span Time) {
 	switch {
 	case d.now < lim.holdUntil:
@@ -876,13 +937,13 @@
 	}
 }
 
-// keep is the age up to which an idle connection is used.
+// maxIdleAge is the age up to which an idle connection is used.
 func (d *Dispatcher) maxIdleAge(dest *destination) Time {
 	return min(d.settings.ConnIdleTimeout, Time(idleAgeMargin*float64(dest.kind.safeIdleAge)))
 }
 
-// closeScarceConns closes what this round left idle where connections are scarce. Guards against tables filled by the
-// idle connections of many senders. It could hurt by handshakes, where the failed connect was an outage.
+// closeScarceConns closes connections that became idle in this round where they are scarce, as those of many
+// dispatchers fill connection tables. It costs handshakes where the failed connect was an outage.
 func (d *Dispatcher) closeScarceConns() {
 	for _, ep := range d.freedEndpoints {
 		if len(ep.calls) == 0 && ep.connOpen && d.now < ep.dest.kind.scarceUntil {
@@ -893,8 +954,8 @@
 	d.freedEndpoints = d.freedEndpoints[:0]
 }
 
-// prepareConn closes connections idle for longer than is known to be safe before a call goes out on one, and
-// tells how long the one that is used was idle. Guards against connections that were dropped unseen.
+// prepareConn closes a connection that was idle for too long before a call, as it may have been dropped
+// unnoticed. It returns how long the connection of the call was idle.
 func (d *Dispatcher) prepareConn(ep *endpoint) Time {
 	idle := d.now - ep.usedAt
 	if ep.connOpen && ep.dest.kind.dropShare > atMostOnceDropShare && ep.dest.hasQueuedEffect(AtMostOnce) {
@@ -911,9 +972,9 @@
 	return 0
 }
 
-// checkCalls judges calls still out by their age and gives up those overtaken by later ones or at a suspect: those
-// whose messages can go again, others only where messages wait for slots. Guards against hangs, lost answers
-// and dead connections. It could hurt a slow destination, where work is done twice; trials wait longer.
+// checkCalls cancels late calls that later ones have overtaken and late calls to suspected endpoints. Without
+// a shortage of slots these are only repeatable ones. This handles hangs, lost answers and dead connections.
+// It costs double work at slow destinations. Trials may take longer.
 func (d *Dispatcher) checkCalls(dest *destination) {
 	d.scanCount++
 	limit := d.silenceTimeout(dest)
@@ -926,13 +987,13 @@
 			ep.downSince = min(ep.downSince, max(old.sentAt, ep.heardAt))
 		}
 		for _, c := range ep.calls {
-			// Where answers get lost or messages wait for slots one silence is enough.
+			// One silence timeout is enough where answers get lost or messages wait for slots.
 			age, lossDiscount := float64(d.now-c.sentAt)/float64(limit), min(1, lossConfirmFactor*d.lossShare)
 			patience := stuckSilences - lossDiscount
 			switch {
 			case c.trial:
 				patience = float64(1 + min(ep.failureStreak, maxErrorStreak))
-			case d.slotShortage: // a slot of two is dearer than one of ten
+			case d.slotShortage: // each of few slots is worth more
 				patience = max(1, patience-2/float64(d.settings.Slots))
 			}
 			if age > patience && (ep.lastOKSentAt > c.sentAt || ep.suspected) {
@@ -942,7 +1003,7 @@
 	}
 }
 
-// cancelCall stops waiting for a call whose messages can go again; force also gives up the others.
+// cancelCall stops waiting for a call whose messages can be repeated, or with force for any call.
 func (d *Dispatcher) cancelCall(c *call, force bool) {
 	if c.cancelled || !d.settings.MayCancel {
 		return
@@ -963,7 +1024,7 @@
 	}
 }
 
-// chooseEndpoint picks an endpoint: a trial that is due, else the least loaded, warm and near one.
+// chooseEndpoint picks an endpoint whose trial is due, else the one with the least load.
 func (d *Dispatcher) chooseEndpoint(dest *destination) (best *endpoint, trial bool) {
 	for _, ep := range dest.endpoints {
 		if ep.health != Ready || d.now < ep.limiter.waitUntil || !d.hasTokens(ep) {
@@ -982,7 +1043,8 @@
 	return best, false
 }
 
-// endpointLoad is the load of an endpoint in calls; a handshake or a crossing counts as one more, a fee as some.
+// endpointLoad is the load in calls. A handshake and another zone count as one more each, a zone cost as
+// some.
 func (d *Dispatcher) endpointLoad(ep *endpoint) float64 {
 	load := float64(len(ep.calls))
 	if ep.zone != d.settings.Zone {
@@ -997,12 +1059,13 @@
 	return load
 }
 
-// hasTokens tells whether the allowed share of the demand and the ramp leave room for one more call.
+// hasTokens refills the token bucket and tells whether it and the ramp permit one more call.
 func (d *Dispatcher) hasTokens(ep *endpoint) bool {
 	lim, dest := ep.limiter, ep.dest
 	credit, elapsed := 1.0, (d.now - lim.refilledAt).seconds()
 	demand := dest.demand.takeSmoothed(d.now, &lim.demandSeen)
-	demand += dest.kind.retrySuccess * dest.kind.retrySuccess * float64(dest.queuedCount) * elapsed / (heldRetryTargets * d.minTarget.seconds())
+	demand += dest.kind.retrySuccess * dest.kind.retrySuccess * float64(dest.queuedCount) * elapsed /
+		(heldRetryTargets * d.minTarget.seconds())
 	if lim.knownRate > 0 {
 		credit = lim.knownRate * elapsed
 	}
@@ -1014,21 +1077,23 @@
 		credit = min(credit, max(lim.allowance*demand, fair))
 	}
 	lim.refilledAt = d.now
-	lim.tokens = min(lim.tokens+credit, max(1, burstSeconds*lim.allowance*dest.demand.rate(d.now), burstSeconds*lim.knownRate))
+	lim.tokens = min(lim.tokens+credit,
+		max(1, burstSeconds*lim.allowance*dest.demand.rate(d.now), burstSeconds*lim.knownRate))
 	return lim.tokens >= 1 && d.rampPermits(ep)
 }
 
-// rampPermits holds a suspect, and one back from an outage, to the own demand times its warmth, with a drawn start,
-// so that all senders together stay within what a cold destination can do however many they are. Guards
-// against pushing it over. It could hurt a wrongly suspected one, which is used less for the warm-up.
+// rampPermits limits calls to a suspected or returned endpoint to the own demand times its capacity, with a
+// random first token. All dispatchers together then stay within what it can do, however many they are. This
+// prevents overload. It costs a wrongly suspected endpoint traffic during the warm-up.
 func (d *Dispatcher) rampPermits(ep *endpoint) bool {
-	capacity := d.warmCapacity(d.now-ep.rampStart) * min(maxRampMargin, collapseMarginShare*max(d.settings.CollapseMultiple, 1))
+	capacity := d.warmCapacity(d.now-ep.rampStart) *
+		min(maxRampMargin, collapseMarginShare*max(d.settings.CollapseMultiple, 1))
 	switch {
 	case ep.suspected && !d.outageConfirmed(ep):
-		return true // the trial that makes sure
+		return true // the trial that decides on an outage
 	case ep.suspected:
 		capacity = trialShare * d.warmCapacity((d.now-ep.failedAt)/unseenWarmUps)
-	case ep.limiter.presumedDown: // it may open in any moment
+	case ep.limiter.presumedDown: // it may return at any moment
 		capacity = d.warmCapacity((d.now - ep.limiter.refusedAt) / unseenWarmUps)
 	case ep.rampStart == 0:
 		return true
@@ -1039,15 +1104,15 @@
 		return true
 	}
 	demand := d.rampDemand(ep) / float64(max(ep.dest.readyCount(), 1))
-	if b := ep.limiter.knownRate; b > 0 { // demand over a known limit does not make it stronger
+	if b := ep.limiter.knownRate; b > 0 { // demand above a known limit does not increase the capacity
 		demand *= min(1, b/(float64(d.settings.Instances)*max(ep.dest.demand.rate(d.now), b/math.MaxInt32)))
 	}
 	ep.rampTokens = min(ep.rampTokens+capacity*demand, 1)
 	return ep.rampTokens >= 1
 }
 
-// rampDemand is the demand since the ramp was last reckoned. What came before an endpoint opens counts for
-// nothing: all that wait for the same moment would have saved up a call by then, and make it at once.
+// rampDemand is the demand since the last update. Demand before the return does not count: dispatchers that
+// wait for the same moment would all have saved up a call and would make it at once.
 func (d *Dispatcher) rampDemand(ep *endpoint) float64 {
 	demand := ep.dest.demand.takeSmoothed(d.now, &ep.demandSeen)
 	if span := d.now - ep.rampUpdatedAt; ep.rampStart > ep.rampUpdatedAt && span > 0 {
@@ -1057,40 +1122,45 @@
 	return demand
 }
 
-// warmCapacity is the part of its capacity that a destination has so long after its return.
+// warmCapacity is the share of its capacity that a destination has so long after its return.
 func (d *Dispatcher) warmCapacity(since Time) float64 {
-	return d.settings.ColdCapacity + (1-d.settings.ColdCapacity)*float64(since)/float64(max(d.settings.WarmUp, 1))
+	return d.settings.ColdCapacity +
+		(1-d.settings.ColdCapacity)*float64(since)/float64(max(d.settings.WarmUp, 1))
 }
 
-// initWindow gives a destination without ends yet its first window: a fair share of the slots, by the last list.
+// initWindow sets the first window to an equal share of the slots, by the last list.
 func (d *Dispatcher) initWindow(dest *destination) {
 	if dest.windowStarting && dest.completions == 0 && dest.windowList != d.listCount {
 		dest.window, dest.windowList = d.initialWindow, d.listCount
 	}
 }
 
-// onJoin judges an endpoint new to the list: one that joins a destination which is all down or cold shares
-// its fate, as the held messages must not be dumped on it.
+// onJoin makes a new endpoint start cold if all others of its destination are down or cold, because the
+// queued messages must not all be sent to it.
 func (d *Dispatcher) onJoin(dest *destination, ep *endpoint) {
-	if (dest.limiter.failureStreak > 0 || slices.ContainsFunc(dest.endpoints, isUnhealthy)) && !slices.ContainsFunc(dest.endpoints, isHealthy) {
+	if (dest.limiter.failureStreak > 0 || slices.ContainsFunc(dest.endpoints, isUnhealthy)) &&
+		!slices.ContainsFunc(dest.endpoints, isHealthy) {
 		d.startSlowStart(ep, d.now)
 	}
 }
 
-// isQuiet tells that a destination has said nothing for long and that nothing learned there binds: what is lost
-// is its latency, for which that of its kind stands in. Guards against memory for partners that get a message
-// a month. It could hurt by a first call or two judged by others' pace.
+// isQuiet tells that a destination was unused for long and that nothing learned there restricts calls. Then
+// its state need not be kept. It costs first calls judged by the latency of the kind.
 func (d *Dispatcher) isQuiet(dest *destination) bool {
 	if d.now-dest.demand.updatedAt < quietPeriod || dest.queuedCount > 0 {
 		return false
 	}
 	return !slices.ContainsFunc(dest.endpoints, func(ep *endpoint) bool {
 		lim := ep.limiter
-		bound := lim.waitUntil > d.now || lim.holdUntil > d.now || lim.allowance < unlimitedAllowance || lim.refusalStreak > 0 || lim.failureStreak > 0
-		return bound || isUnhealthy(ep) || ep.failureStreak > 0 || ep.errorStreak > 0 || len(ep.calls) > 0 || d.now-ep.usedAt < quietPeriod
+		bound := lim.waitUntil > d.now || lim.holdUntil > d.now || lim.allowance < unlimitedAllowance ||
+			lim.refusalStreak > 0 || lim.failureStreak > 0
+		return bound || isUnhealthy(ep) || ep.failureStreak > 0 || ep.errorStreak > 0 ||
+			len(ep.calls) > 0 || d.now-ep.usedAt < quietPeriod
 	})
 }
 
 func isSuspected(ep *endpoint) bool { return ep.suspected }
+
 func isUnhealthy(ep *endpoint) bool { return ep.suspected || ep.rampStart != 0 }
-func isHealthy(ep *endpoint) bool   { return ep.health == Ready && !isUnhealthy(ep) }
+
+func isHealthy(ep *endpoint) bool { return ep.health == Ready && !isUnhealthy(ep) }
--- a/control/outage.go
+++ b/control/outage.go
@@ -2,31 +2,43 @@
 
 import "slices"
 
-// What is known of outages, in a form that outlives the process: slow start binds every dispatcher that has seen an outage, and
-// one that restarts within it, or while the endpoint is still cold, has seen it all the same.
+// This file exports what is known of outages, so that it can outlive the process. Slow start applies to every dispatcher that has
+// observed an outage. A dispatcher that restarts during the outage, or while the endpoint is still cold, must observe it, too.
 
-// Outage is what a Dispatcher knows of the outage of one endpoint, or of its return from one.
+// Outage is what a Dispatcher knows about the outage of one endpoint, or about its return from one. The Dispatcher sets all
+// fields. The caller keeps them for the next process, which gets them with OutageRestored. Instants are on the same clock.
 type Outage struct {
-	Endpoint      EndpointID
-	Dest          int
-	Suspected     bool    // it is not fed: its last call failed, at ...
-	FailedAt      Time    // ... this moment ...
-	DownSince     Time    // ... the first such at this one
-	Failures      int     // calls in a row that met nobody or silence
-	Unreachable   bool    // the last one surely was not executed
-	Errors        int     // answers in a row that were errors
-	Push          float64 // while Suspect: part of a trial that its own demand has earned
-	RampStart     Time    // it came back then, and its calls rise over the warm-up; 0 for none
-	RefusingSince Time    // since then it has refused every call, for longer than an overload may last; 0 for none
+	Endpoint EndpointID
+	// Dest is the number of its destination.
+	Dest int
+	// Suspected tells that the endpoint is possibly down and gets only trials.
+	Suspected bool
+	// FailedAt is when the last failed call became known. It applies while Suspected.
+	FailedAt Time
+	// DownSince is the assumed start of the outage. It applies while Suspected.
+	DownSince Time
+	// Failures is the number of consecutive calls that failed to connect or got no answer. It applies while Suspected.
+	Failures int
+	// Unreachable tells that the last failed call was surely not executed. It applies while Suspected.
+	Unreachable bool
+	// Errors is the number of consecutive answers that were errors.
+	Errors int
+	// Push is the number of trials that the own demand permits now, from 0 to 1. It applies while Suspected.
+	Push float64
+	// RampStart is when the endpoint returned. Its calls rise over the warm-up from then on. 0 means that there is no ramp.
+	RampStart Time
+	// RefusingSince is the start of a series of refusals of every call that has lasted longer than Settings.MaxOverload. 0 means
+	// that there is none.
+	RefusingSince Time
 }
 
-// Ended tells that nothing is left to be known.
+// Ended tells that the outage and its ramp are over. Nothing needs to be kept about the endpoint.
 func (o *Outage) Ended() bool {
 	return !o.Suspected && o.Errors == 0 && o.RampStart == 0 && o.RefusingSince == 0
 }
 
-// Outages returns what has changed since it was last called, one entry for each endpoint, in the order of the changes. It is to
-// be called behind each Step by a caller that keeps outages for another process (Settings.KeepOutages).
+// Outages returns what has changed since the last call, with one entry for each endpoint, in the order of the changes. A
+// caller that sets Settings.TrackOutages calls it after each Step.
 func (d *Dispatcher) Outages() []Outage {
 	if len(d.changedOutages) == 0 {
 		return nil
@@ -40,7 +52,7 @@
 	return changed
 }
 
-// outageOf is what is known of an endpoint's outage.
+// outageOf returns what is known about the outage of an endpoint.
 func (d *Dispatcher) outageOf(ep *endpoint) Outage {
 	o := Outage{Endpoint: ep.id, Dest: ep.dest.number, Suspected: ep.suspected, Errors: ep.errorStreak, RampStart: ep.rampStart}
 	if ep.limiter.presumedDown {
@@ -49,7 +61,7 @@
 	if ep.suspected {
 		o.Push = ep.rampTokens
 		o.FailedAt, o.DownSince, o.Failures, o.Unreachable = ep.failedAt, ep.downSince, max(ep.failureStreak, ep.limiter.failureStreak), ep.unreachable
-		if d.outageConfirmed(ep) { // by errors in a row, of which failures count one
+		if d.outageConfirmed(ep) { // consecutive errors may have confirmed it, and they count as a single failure
 			o.Failures = max(o.Failures, minConfirmFailures)
 		}
 	}
@@ -59,7 +71,7 @@
 	return o
 }
 
-// outageChanged notes that what is known of an endpoint's outage is another now.
+// outageChanged records that what is known about the outage of an endpoint has changed.
 func (d *Dispatcher) outageChanged(ep *endpoint) {
 	if d.settings.TrackOutages && !ep.outageChanged {
 		ep.outageChanged = true
@@ -67,7 +79,7 @@
 	}
 }
 
-// restoreOutage takes what a process before this one knew of an outage. The endpoint has to be listed.
+// restoreOutage restores what an earlier process knew about an outage. It does nothing if the endpoint is not listed.
 func (d *Dispatcher) restoreOutage(o *Outage) {
 	dest := d.destination(o.Dest)
 	i := slices.IndexFunc(dest.endpoints, func(ep *endpoint) bool { return ep.id == o.Endpoint })
@@ -78,7 +90,7 @@
 	d.startRamp(ep)
 	ep.rampStart, ep.errorStreak = o.RampStart, o.Errors
 	ep.rampEnd = maxRampEnd
-	if o.RefusingSince != 0 { // its next success is taken for the end of an outage
+	if o.RefusingSince != 0 { // the next success then counts as the end of an outage
 		ep.limiter.refusingSince, ep.limiter.presumedDown, ep.limiter.refusalStreak = o.RefusingSince, true, max(ep.limiter.refusalStreak, 1)
 	}
 	if o.Suspected {
--- a/control/settings.go
+++ b/control/settings.go
@@ -5,9 +5,9 @@
 	"math"
 )
 
-// What a setting may be at all; nothing is decided here.
+// This file checks the ranges of the settings.
 
-// validate returns an error that names the first setting out of range.
+// validate returns an error that names the first setting that is out of range.
 func (s *Settings) validate() error {
 	for _, c := range []struct {
 		name string
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -2,32 +2,38 @@
 
 import "math"
 
-// Load shedding: what is handed back where more is held than there is room for.
+// This file contains load shedding: it refuses queued messages when there are too many open ones.
 
-// Tuned values of load shedding.
+// Parameters of load shedding.
 const (
-	openReserveDivisor = 16  // one part in so many of max-open is kept free for better messages
-	maxShedScan        = 512 // destinations looked at for what to shed
-	ackedSheddingCost  = 0.3 // part of its worth that giving a promised message up early costs beside the worth itself ...
-	earlySheddingShare = 0.7 // ... before this part of its time
+	// openReserveDivisor sets the part of MaxOpen that is kept free for messages of more value: one part in this many.
+	openReserveDivisor = 16
+	// maxShedScan is the largest number of destinations that one scan for messages to shed looks at.
+	maxShedScan = 512
+	// ackedSheddingCost is the share of its value that giving up an acknowledged message early costs in addition to the value.
+	ackedSheddingCost = 0.3
+	// earlySheddingShare is the share of its deadline within which giving up an acknowledged message counts as early.
+	earlySheddingShare = 0.7
 )
 
-// shed keeps room below max-open by handing back what is worth least, from the lanes' two ends. Guards against overload and
-// outages filling the hold. It could hurt just before an outage ends. Of very many destinations with messages it looks at some
-// in turns, lest each message costs a look at all of them.
+// shed keeps the number of open messages below MaxOpen by refusing the queued messages of least value. It considers the two
+// ends of each lane. This guards against overloads and outages that fill the queues. The cost is that messages are refused
+// that could be delivered if an outage ends soon after. With very many active destinations each scan looks at some of them
+// in turn, because a scan of all of them for each message would take too long.
 func (d *Dispatcher) shed() {
 	for d.openMessages > d.settings.MaxOpen-d.settings.MaxOpen/openReserveDivisor-1 {
 		worst := d.leastValuable()
 		if worst == nil {
 			return
 		}
-		// Other senders know as little of a limit where traffic is rare: clients should not try them.
+		// Where traffic is rare, other dispatchers know no more about a limit. The message fails, so that the client does not try
+		// them.
 		retryPointless := worst.dest.limiter.allowance < 1 && worst.dest.demand.rate(d.now)*d.minTarget.seconds() < 1
 		d.finish(worst, !retryPointless, "more is held than there is room for, and it is worth least")
 	}
 }
 
-// leastValuable is the message that loses least by being handed back, nil where none may be.
+// leastValuable is the queued message whose refusal loses the least value. It is nil if no message may be refused.
 func (d *Dispatcher) leastValuable() *message {
 	var worst *message
 	least := math.Inf(1)
@@ -51,8 +57,9 @@
 	return worst
 }
 
-// keepingValue is what keeping a message earns that would be delivered at a moment. One that its sender was promised costs more
-// to give up early than its worth; one that a process before this one had promised is kept as long as others can go.
+// keepingValue is the value of keeping a message that would be delivered at an instant. Giving up an acknowledged message
+// early costs more than its value. A message that an earlier process had acknowledged is kept as long as others can be
+// shed.
 func (d *Dispatcher) keepingValue(m *message, at Time) float64 {
 	value := d.valueAt(m, at) * min(1, m.dest.limiter.allowance)
 	early := d.now < m.createdAt+Time(earlySheddingShare*float64(m.class.Deadline))
@@ -65,5 +72,5 @@
 	return value + ackedSheddingCost*d.valueAt(m, d.now)
 }
 
-// restoredValue is above the worth of any message.
+// restoredValue is added to the value of a restored message. It is larger than the value of any message.
 const restoredValue = 1e9
--- a/control/state.go
+++ b/control/state.go
@@ -1,6 +1,6 @@
 package control
 
-// State that control.go decides with, and the plain upkeep of it. Nothing is decided here.
+// This file contains the state of a Dispatcher and its bookkeeping. The decisions are in control.go.
 
 import (
 	"cmp"
@@ -10,184 +10,297 @@
 	"slices"
 )
 
-// Dispatcher decides for one relay. It is deterministic and not safe for concurrent use.
+// Dispatcher decides for one instance of the service. The same settings, seed and events always lead to the same decisions. It
+// must not be used by several goroutines at once.
 type Dispatcher struct {
-	settings                                           Settings
-	rng                                                uint64
-	minTarget                                          Time // the least aim of a class
-	now, wakeAt, housekeepingAt, nextLogAt             Time
-	stopAt                                             Time // this process ends then and its successor goes on, 0 if not known
-	pullAt, pullTimerAt, pullBackoff                   Time // next asking for the list; its timer; pause after the next failure
-	actions                                            []Action
-	messages                                           map[MessageID]*message
-	keys                                               map[uint64]*keyQueue
-	destByNumber                                       map[int]*destination
-	endpointByID                                       map[EndpointID]*endpoint
-	endpointByHint                                     map[uint32]*endpoint // by the short name that notes between peers use
-	restingKeys                                        []*keyQueue
-	dests                                              []*destination // those that something was heard of or asked for
-	unusedEntries                                      map[int][]unusedEntry
-	unusedOwner                                        map[EndpointID]int // destinations of the endpoints in idle
-	byVirtualTime, eligible, byVirtualFinish, sleeping destinationHeap    // see place
-	calling, maybeInactive                             []*destination     // those with calls out, by seq; those that may be live no more
-	activations, listCount                             uint64             // destinations that came to life; lists taken
-	initialWindow, shedCursor                          int                // first window, by the last list; where the next look for what to shed begins
-	kinds                                              []*kindState
-	freedEndpoints                                     []*endpoint // calls there ended in this round
-	changedOutages                                     []*endpoint // what is known of their outages has changed
-	busySlots, openMessages                            int         // slots taken; messages owed an answer
-	arrivalCount, round, scanCount                     uint64      // looks: destinations tried or watched, the work of rounds
-	tenantRates                                        []rateMeter
-	totalRate                                          rateMeter
-	totalQuota, weightFactor                           float64 // messages a second within all shares; factor on a listed rate
-	lossShare                                          float64 // share of answers that get lost
-	slotShortage                                       bool    // messages wait for want of slots
-	keysRestUntil                                      Time    // all keys rest until then: calls of a process before this one may be executed yet
-	recordingFails                                     bool    // attempts can't be put on record now
-	subscribed                                         bool    // subscribed to the list
-	hints                                              []byte  // hints for the peers, sent at the end of the round
-	gossipCredit, gossipCreditPerMessage               float64 // bytes that may be told now; what a message adds
-	gossipHeardAt                                      Time
-}
-
-// message is one message from arrival to its end and its last outcome.
+	settings Settings
+	// rng is the state of the random number generator.
+	rng uint64
+	// minTarget is the smallest Target of a class, but at least one tick.
+	minTarget Time
+	// now is the time of this round and wakeAt that of the next requested one. housekeepingAt is the time of the last garbage
+	// collection. nextLogAt is the earliest time of the next log line.
+	now, wakeAt, housekeepingAt, nextLogAt Time
+	// stopAt is when this process ends and the next one goes on with its messages. 0 means that no end is known.
+	stopAt Time
+	// pullAt is when the list is requested next and pullTimerAt when the timer for that fires. pullBackoff is the pause after
+	// the next failed request.
+	pullAt, pullTimerAt, pullBackoff Time
+	// actions are the actions of this round.
+	actions []Action
+	// messages are the messages that have no final answer or have an attempt in flight.
+	messages     map[MessageID]*message
+	keys         map[uint64]*keyQueue
+	destByNumber map[int]*destination
+	endpointByID map[EndpointID]*endpoint
+	// endpointByHint finds an endpoint by its hint ID.
+	endpointByHint map[uint32]*endpoint
+	// restingKeys are the keys without messages that are kept until their restUntil.
+	restingKeys []*keyQueue
+	// dests are the destinations that are held in full, because there was a message or a hint for them.
+	dests []*destination
+	// unusedEntries are the list entries of all other destinations, by destination number.
+	unusedEntries map[int][]unusedEntry
+	// unusedOwner is the destination number of each endpoint in unusedEntries.
+	unusedOwner map[EndpointID]int
+	// These heaps order the destinations. reindex describes them.
+	byVirtualTime, eligible, byVirtualFinish, sleeping destinationHeap
+	// calling are the destinations with calls in flight, by activationSeq. maybeInactive are those that may have become inactive.
+	calling, maybeInactive []*destination
+	// activations counts how often a destination became active. listCount counts the lists that were applied.
+	activations, listCount uint64
+	// initialWindow is the first window of a destination, by the last list. shedCursor is where the next scan for messages to
+	// shed begins.
+	initialWindow, shedCursor int
+	// kinds are the states of the kinds of destination. The first one also serves destinations without a valid kind.
+	kinds []*kindState
+	// freedEndpoints are the endpoints where a call ended in this round.
+	freedEndpoints []*endpoint
+	// changedOutages are the endpoints for which Outages has something new to return.
+	changedOutages []*endpoint
+	// busySlots is the number of calls in flight. openMessages is the number of messages without a final answer.
+	busySlots, openMessages int
+	// arrivalCount counts arrivals and round counts rounds. scanCount counts the destinations that were tried or checked, which
+	// is the main work of a round.
+	arrivalCount, round, scanCount uint64
+	// tenantRates are the rates of messages from each tenant.
+	tenantRates []rateMeter
+	// totalRate is the rate of messages from all tenants.
+	totalRate rateMeter
+	// totalQuota is the sum of all quotas in messages a second. weightFactor is the factor on a listed rate.
+	totalQuota, weightFactor float64
+	// lossShare is the estimated share of answers that get lost.
+	lossShare float64
+	// slotShortage tells that messages wait because all slots are busy.
+	slotShortage bool
+	// keysRestUntil is the restUntil of new keys. Calls of an earlier process may still be running before that.
+	keysRestUntil Time
+	// recordingFails tells that attempts cannot be recorded in the ledger at present.
+	recordingFails bool
+	// subscribed tells that the dispatcher is subscribed to the list.
+	subscribed bool
+	// hints are the encoded hints that are sent at the end of the round.
+	hints []byte
+	// gossipCredit is the number of bytes that may be sent now. gossipCreditPerMessage is what each message adds to it.
+	gossipCredit, gossipCreditPerMessage float64
+	// gossipHeardAt is when hints were last received.
+	gossipHeardAt Time
+}
+
+// message is one message from its arrival until it has its final answer and no attempt in flight.
 type message struct {
-	id                       MessageID
-	class                    *Class
-	dest                     *destination
-	lane                     int
-	key                      *keyQueue
-	createdAt, deadline      Time // when it was first handed in, when it is given up
-	arrivalSeq               uint64
-	arrivalRound             uint64 // in which it arrived
-	restored                 bool   // a process before this one had taken it on
+	id    MessageID
+	class *Class
+	dest  *destination
+	// lane is an index into the lanes of dest.
+	lane int
+	// key is the queue of its ordering key. It is nil if the message may be sent in any order.
+	key *keyQueue
+	// createdAt is when the client handed the message in. deadline is when it is given up.
+	createdAt, deadline Time
+	// arrivalSeq is the position of its arrival among all arrivals.
+	arrivalSeq uint64
+	// arrivalRound is the round in which it arrived.
+	arrivalRound uint64
+	// restored tells that an earlier process had accepted it.
+	restored bool
+	// overQuota tells that its tenant was over its quota. queued tells that it is in a lane. ended tells that it has its final
+	// answer.
 	overQuota, queued, ended bool
-	attempts                 int // attempts decided ...
-	attemptsNotSent          int // ... of them not sent
-	call                     *call
-	possiblyExecuted         bool // an attempt may have run ...
-	possiblyExecutedAt       Time // ... the first such was sent then ...
-	possiblyExecutedZone     int  // ... to this zone
-}
-
-// call is one call out, holding a slot: a message, or several of one round.
+	// attempts is the number of attempts that were decided.
+	attempts int
+	// attemptsNotSent is how many of these were not sent.
+	attemptsNotSent int
+	// call is the call in flight that contains it, or nil.
+	call *call
+	// possiblyExecuted tells that an attempt was possibly executed.
+	possiblyExecuted bool
+	// possiblyExecutedAt is when the first such attempt was sent.
+	possiblyExecutedAt Time
+	// possiblyExecutedZone is the zone to which that attempt was sent.
+	possiblyExecutedZone int
+}
+
+// call is a call in flight, which occupies a slot. It contains one message or several of the same round.
 type call struct {
-	ep               *endpoint
-	sentAt           Time
-	messages         []*message
-	pending          int
-	trial, cancelled bool // a trial of a suspect; called off by us
-	connReset        bool // its connection broke
-	connIdle         Time // how long the connection that it went out on had been idle, 0 if new or in use
+	ep       *endpoint
+	sentAt   Time
+	messages []*message
+	// pending is the number of messages whose outcome is not known yet.
+	pending int
+	// trial marks a trial of a suspected endpoint. cancelled tells that this dispatcher cancelled the call.
+	trial, cancelled bool
+	// connReset tells that the connection broke.
+	connReset bool
+	// connIdle is how long the connection had been idle before the call. It is 0 for a new connection or one in use.
+	connIdle Time
 }
 
 // keyQueue orders the messages that share a key.
 type keyQueue struct {
-	key       uint64
-	messages  []*message
+	key uint64
+	// messages are the messages that are not over, oldest first. Only the first one may be sent.
+	messages []*message
+	// restUntil is when the next message may have its first attempt. An earlier message may still be executed before that.
 	restUntil Time
-	resting   bool // in the list of those at rest
+	// resting tells that the queue is in restingKeys.
+	resting bool
 }
 
-// endpoint is a place to send to, with its own health.
+// endpoint is a listed endpoint and what was learned about its health.
 type endpoint struct {
-	id                            EndpointID
-	dest                          *destination
-	zone                          int
-	health                        Health
-	limiter                       *limiter
-	calls                         []*call // out, oldest first
-	connOpen                      bool    // a connection is thought open
-	usedAt, heardAt, lastOKSentAt Time    // last use; last answer; send time of the newest call answered ok
-	failureStreak, errorStreak    int     // calls in a row that met nobody or silence; answers in a row that were errors
-	suspected, unreachable        bool    // not fed; its last failure proved that calls do not run
-	failedConnIdle                Time    // idle age of the connection on which the last failed call went out
-	downSince, failedAt           Time    // while suspect: since when; when the last failure was known
-	trialAt, trialInterval        Time    // next trial, and how long until the one after
-	rampStart                     Time    // start of its ramp, 0 none
-	rampTokens, demandSeen        float64 // calls that the ramp permits now; demand seen when that was reckoned ...
-	rampUpdatedAt                 Time    // ... which was then
-	rampEnd                       float64 // multiple of the own demand at which its ramp ends, where a single message is held
-	outageChanged                 bool    // what is known of its outage is to be told, see Outages
-}
-
-// unusedEntry is one listed endpoint of a destination that nothing was asked for yet: all that is kept of it.
+	id     EndpointID
+	dest   *destination
+	zone   int
+	health Health
+	// limiter is that of the destination, or its own one if the kind has PerEndpointLimits.
+	limiter *limiter
+	// calls are the calls in flight, oldest first.
+	calls []*call
+	// connOpen tells that a connection is assumed to be open.
+	connOpen bool
+	// usedAt is when a call last began or ended. heardAt is when the last answer came. lastOKSentAt is when the latest call that
+	// ended with OK was sent.
+	usedAt, heardAt, lastOKSentAt Time
+	// failureStreak is the number of consecutive calls that failed to connect or got no answer. errorStreak is the number of
+	// consecutive answers that were errors.
+	failureStreak, errorStreak int
+	// suspected tells that the endpoint is possibly down and gets only trials. unreachable tells that the last failure proved
+	// that calls are not executed.
+	suspected, unreachable bool
+	// failedConnIdle is how long the connection of the last failed call had been idle. It is 0 if that is no sign of a dropped
+	// connection.
+	failedConnIdle Time
+	// downSince is the assumed start of the outage. failedAt is when the last failure became known. They apply while it is
+	// suspected.
+	downSince, failedAt Time
+	// trialAt is when the next trial is due. trialInterval is the time from that trial to the one after it.
+	trialAt, trialInterval Time
+	// rampStart is when the ramp began. 0 means that there is none.
+	rampStart Time
+	// rampTokens is the number of calls that the ramp permits now. demandSeen is the demand that was counted at rampUpdatedAt.
+	rampTokens, demandSeen float64
+	// rampUpdatedAt is when rampTokens was last computed.
+	rampUpdatedAt Time
+	// rampEnd is the multiple of the own demand at which the ramp ends while at most one message is queued.
+	rampEnd float64
+	// outageChanged tells that the endpoint is in changedOutages.
+	outageChanged bool
+}
+
+// unusedEntry is a listed endpoint of a destination that has had no messages or is quiet. Nothing else is kept about it.
 type unusedEntry struct {
 	id         EndpointID
-	listedAt   Time // when it was listed
+	listedAt   Time
 	weight     float64
 	zone, kind int32
 	health     Health
 }
 
-// kindState is what the destinations of one kind have in common.
+// kindState is what all destinations of one kind share.
 type kindState struct {
-	latency      latencyEstimate
-	safeIdleAge  Time    // idle age up to which connections are known to hold
-	retrySuccess float64 // how often the call after a refusal went well
-	dropShare    float64 // share of calls on idle connections that failed where the next one went well
-	scarceUntil  Time    // until then connections are taken to be scarce
-}
-
-// latencyEstimate is a running mean and deviation.
+	latency latencyEstimate
+	// safeIdleAge is the idle age up to which connections are known to stay open.
+	safeIdleAge Time
+	// retrySuccess is the share of calls after a refusal that ended with OK.
+	retrySuccess float64
+	// dropShare is the share of calls on idle connections that failed although the next call went well.
+	dropShare float64
+	// scarceUntil is until when connections are assumed to be scarce.
+	scarceUntil Time
+}
+
+// latencyEstimate is a running mean and mean deviation of the latency, in microseconds. samples is the number of samples.
 type latencyEstimate struct{ mean, deviation, samples float64 }
 
+// add adds a sample in microseconds. gain is its weight in the moving averages.
 func (l *latencyEstimate) add(v, gain float64) {
 	l.samples++
 	l.deviation += gain * (math.Abs(v-l.mean) - l.deviation)
 	l.mean += gain * (v - l.mean)
 }
 
-// limiter is what bounds the rate to a destination, or to one route where routes are apart.
+// limiter limits the rate of calls to a destination, or to one endpoint if the kind has PerEndpointLimits.
 type limiter struct {
-	waitUntil, refilledAt, refusedAt, lastOKAt, refusingSince Time    // wait is told, or our own backoff
-	allowance, knownRate, tokens                              float64 // share of the own demand let go; listed or reported rate
-	demandSeen                                                float64 // demand seen when the tokens were reckoned
-	holdUntil, spread                                         Time    // all senders hold until then and go on spread over this
-	refusalStreak, failureStreak                              int     // refusals in a row; calls in a row that met nobody or silence, at all its endpoints
-	successes                                                 rateMeter
-	presumedDown                                              bool // it has refused for longer than an overload may last
-}
-
-// destination is a destination: its hold, turn counter, window and what was learned.
+	// waitUntil is when calls are permitted again after a wait that was told or a backoff. refilledAt is when the tokens were
+	// last refilled. refusedAt is the time of the last refusal and lastOKAt that of the last success. refusingSince is the
+	// first of the consecutive refusals that a used-up limit does not explain, or 0.
+	waitUntil, refilledAt, refusedAt, lastOKAt, refusingSince Time
+	// allowance is the share of the own demand that is permitted. knownRate is the listed or reported limit in calls a second,
+	// or 0. tokens is the number of calls that are permitted now.
+	allowance, knownRate, tokens float64
+	// demandSeen is the demand that was counted when the tokens were last refilled.
+	demandSeen float64
+	// holdUntil is until when all dispatchers hold their calls. spread is the time over which they resume after that.
+	holdUntil, spread Time
+	// refusalStreak is the number of consecutive refusals. failureStreak is the number of consecutive calls to any of its
+	// endpoints that failed to connect or got no answer.
+	refusalStreak, failureStreak int
+	// successes is the rate of successful calls.
+	successes rateMeter
+	// presumedDown tells that it has refused every call for longer than MaxOverload.
+	presumedDown bool
+}
+
+// destination is a destination with its queue, its place in the fair queueing, its window and its estimates.
 type destination struct {
-	number                         int
-	endpoints                      []*endpoint
-	kind                           *kindState
-	limiter                        *limiter
-	maxBatch                       int
-	active                         bool   // messages were held or out since the last round
-	activationSeq, windowList      uint64 // place among the live ones; the list that its first window is by
-	heapIndex                      [4]int // places in the orders, counted from 1
-	inCalling                      bool   // it is among those with calls out
-	virtualFinish                  float64
-	wakeAt                         Time // asleep until then: nothing can be released
-	asleep                         bool
-	openMessages                   int // messages owed an answer
-	listedWeight, virtualTime      float64
-	lanes                          [][]*message // by class and over-share, oldest first
-	queuedCount                    int
-	inFlight, window               int
-	windowStarting                 bool
+	number    int
+	endpoints []*endpoint
+	kind      *kindState
+	limiter   *limiter
+	maxBatch  int
+	// active tells that messages were queued or in flight since the last round.
+	active bool
+	// activationSeq is its position among the active destinations. windowList is the list from which its first window was
+	// computed.
+	activationSeq, windowList uint64
+	// heapIndex is its position in each heap, counted from 1. 0 means that it is not in that heap.
+	heapIndex [4]int
+	// inCalling tells that it is in Dispatcher.calling.
+	inCalling bool
+	// virtualFinish is its finish tag when it was last placed in byVirtualFinish.
+	virtualFinish float64
+	// wakeAt is until when it sleeps, because it cannot send anything.
+	wakeAt Time
+	asleep bool
+	// openMessages is the number of its messages without a final answer.
+	openMessages int
+	// listedWeight is the weight from the list, or 0. virtualTime is its virtual time in the weighted fair queueing.
+	listedWeight, virtualTime float64
+	// lanes are the queued messages, oldest first. Each class has one lane for messages within the quota and one for the others.
+	lanes [][]*message
+	// queuedCount is the number of messages in all lanes.
+	queuedCount int
+	// inFlight is the number of calls in flight. window is its largest number, before the limits of effectiveWindow.
+	inFlight, window int
+	// windowStarting tells that the window still grows with each success, because none has failed yet.
+	windowStarting bool
+	// completions and failedCompletions count the calls since the last review of the window.
 	completions, failedCompletions int
 	latency                        latencyEstimate
-	baselineLatency                float64 // the long view of its latency
-	demand                         rateMeter
+	// baselineLatency is the long-term mean latency in microseconds.
+	baselineLatency float64
+	// demand is the rate of new messages.
+	demand rateMeter
 }
 
-// rateMeter is a rate with exponential decay.
+// rateMeter measures a rate with exponential decay.
 type rateMeter struct {
-	decayed, total                     float64
+	// decayed is the count with decay and total the count without it.
+	decayed, total float64
+	// updatedAt is when something was last counted. timeConstant is the time in which the count decays by a factor of e.
+	// startedAt is when the measurement began.
 	updatedAt, timeConstant, startedAt Time
 }
 
+// add counts n at the instant now.
 func (m *rateMeter) add(now Time, n float64) {
 	m.decayed = m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) + n
 	m.updatedAt = now
 	m.total += n
 }
 
-// takeSmoothed is what was counted since the last look, smoothed by the decay; last is moved on.
+// takeSmoothed returns what was counted since the last call with the same last, smoothed by the decay. It updates last.
 func (m *rateMeter) takeSmoothed(now Time, last *float64) float64 {
 	smoothed := m.total - m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant))
 	increment := smoothed - *last
@@ -195,21 +308,23 @@
 	return increment / m.filledShare(now)
 }
 
-// filledShare is the part of the memory that is filled.
+// filledShare is the share of the time constant's history that has been measured so far, from 0 to 1.
 func (m *rateMeter) filledShare(now Time) float64 {
 	return 1 - math.Exp(-float64(now-m.startedAt+meterInitialHistory)/float64(m.timeConstant))
 }
 
-// rate is per second; the start is corrected for the short history.
+// rate is the rate per second, corrected for a short history.
 func (m *rateMeter) rate(now Time) float64 {
 	return m.decayed * math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) / m.timeConstant.seconds() / m.filledShare(now)
 }
 
-// uncorrectedRate is the rate per second as if nothing had come before the measure began: a burst at its start is none.
+// uncorrectedRate is the rate per second as if nothing had come before the measurement began. A burst at the start does not
+// count as a high rate.
 func (m *rateMeter) uncorrectedRate(now Time) float64 {
 	return m.decayed * math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) / m.timeConstant.seconds()
 }
 
+// seconds converts a duration to seconds.
 func (t Time) seconds() float64 { return float64(t) / float64(Second) }
 
 // insert adds a message to its lane, which is in order of arrival.
@@ -224,7 +339,7 @@
 	t.queuedCount++
 }
 
-// remove takes a message out of its lane, if it is in one.
+// remove takes a message out of its lane if it is in one.
 func (t *destination) remove(m *message) {
 	if !m.queued {
 		return
@@ -236,33 +351,44 @@
 	m.queued = false
 }
 
-// destinationHeap is a heap of destinations. Each knows its place in it. Keys stand in the heap as they were when each was last
-// set: a comparison then reads one array and calls nothing, which is what a round mostly does.
+// destinationHeap is a heap of destinations that implements heap.Interface. Each destination knows its position. The items
+// contain the keys as of the last update, so that a comparison reads one array and calls nothing. Comparisons are most of
+// the work of a round.
 type destinationHeap struct {
 	index int
 	key   func(*destination) float64
 	items []heapItem
 }
 
+// heapItem is a destination with its key as of the last update.
 type heapItem struct {
 	key  float64
 	dest *destination
 }
 
+// Len implements heap.Interface.
 func (o *destinationHeap) Len() int { return len(o.items) }
+
+// Less implements heap.Interface. Destinations with equal keys are in order of activation.
 func (o *destinationHeap) Less(i, j int) bool {
 	a, b := &o.items[i], &o.items[j]
 	return a.key < b.key || a.key == b.key && a.dest.activationSeq < b.dest.activationSeq
 }
+
+// Swap implements heap.Interface.
 func (o *destinationHeap) Swap(i, j int) {
 	o.items[i], o.items[j] = o.items[j], o.items[i]
 	o.items[i].dest.heapIndex[o.index], o.items[j].dest.heapIndex[o.index] = i+1, j+1
 }
+
+// Push implements heap.Interface.
 func (o *destinationHeap) Push(x any) {
 	t := x.(*destination)
 	o.items = append(o.items, heapItem{o.key(t), t})
 	t.heapIndex[o.index] = len(o.items)
 }
+
+// Pop implements heap.Interface.
 func (o *destinationHeap) Pop() any {
 	n := len(o.items) - 1
 	t := o.items[n].dest
@@ -272,7 +398,7 @@
 	return t
 }
 
-// set puts a destination in its place, or takes it out.
+// update puts a destination at its position in the heap, or removes it if it is not present any more.
 func (o *destinationHeap) update(dest *destination, present bool) {
 	switch at := dest.heapIndex[o.index]; {
 	case present && at == 0:
@@ -287,14 +413,14 @@
 	}
 }
 
-// minKeyExcept is the smallest key of all but one destination, or infinity.
+// minKeyExcept is the smallest key of all destinations but one. It is infinite if there is no other.
 func (o *destinationHeap) minKeyExcept(except *destination) float64 {
 	switch n := len(o.items); {
 	case n == 0:
 		return math.Inf(1)
 	case o.items[0].dest != except:
 		return o.items[0].key
-	default: // it is at the top: the next is one of the two below
+	default: // the exception is at the top, so the next smallest is one of the two below it
 		least := math.Inf(1)
 		for _, s := range o.items[1:min(3, n)] {
 			least = min(least, s.key)
@@ -303,8 +429,9 @@
 	}
 }
 
-// reindex puts a destination where its counts and its sleep say: byAcc are all live ones by their counters; turns and
-// costs those that may release, by counter and by tag; naps those asleep; calling those with calls out.
+// reindex puts a destination into the heaps and lists to which its state belongs. byVirtualTime contains all active
+// destinations. eligible and byVirtualFinish contain those that may send, by virtual time and by finish tag. sleeping
+// contains those asleep, by wake-up time. calling contains those with calls in flight.
 func (d *Dispatcher) reindex(dest *destination) {
 	active, awake := dest.queuedCount > 0 || dest.inFlight > 0, dest.queuedCount > 0 && !dest.asleep
 	if !active {
@@ -313,7 +440,7 @@
 	}
 	d.byVirtualTime.update(dest, active)
 	d.eligible.update(dest, awake)
-	if len(d.byVirtualFinish.items) > 0 { // kept only while very many wait
+	if len(d.byVirtualFinish.items) > 0 { // maintained only while very many destinations wait
 		if awake {
 			dest.virtualFinish = d.finishTag(dest)
 		}
@@ -331,20 +458,20 @@
 	}
 }
 
-// wakeUp has a destination looked at again: something happened there.
+// wakeUp makes a destination eligible again because its state has changed.
 func (d *Dispatcher) wakeUp(dest *destination) {
 	dest.asleep = false
 	d.reindex(dest)
 }
 
-// wakeUpDue wakes the destinations whose time has come.
+// wakeUpDue wakes the destinations whose wake-up time has come.
 func (d *Dispatcher) wakeUpDue() {
 	for len(d.sleeping.items) > 0 && d.sleeping.items[0].dest.wakeAt <= d.now {
 		d.wakeUp(d.sleeping.items[0].dest)
 	}
 }
 
-// rest lets those be that have nothing held or out any more.
+// deactivate marks the destinations inactive that have nothing queued or in flight any more.
 func (d *Dispatcher) deactivate() {
 	for _, dest := range d.maybeInactive {
 		if dest.queuedCount == 0 && dest.inFlight == 0 {
@@ -354,8 +481,9 @@
 	d.maybeInactive = d.maybeInactive[:0]
 }
 
-// nextDestination is the destination whose turn it is: by counter, or by tag while messages wait for slots. Tags of a few are
-// reckoned at the moment. Those of very many are as of when each was placed, but for the first, which is reckoned anew.
+// nextDestination is the destination whose turn it is, by virtual time, or by finish tag while messages wait for slots.
+// With few destinations the finish tags are computed afresh. With very many they are as of the last update, except that the
+// smallest one is computed afresh until it stays the smallest.
 func (d *Dispatcher) nextDestination() *destination {
 	if !d.slotShortage {
 		if len(d.eligible.items) == 0 {
@@ -394,12 +522,12 @@
 	}
 }
 
-// hasTrial tells whether a trial is out.
+// hasTrial tells whether a trial is in flight.
 func (ep *endpoint) hasTrial() bool {
 	return slices.ContainsFunc(ep.calls, func(c *call) bool { return c.trial })
 }
 
-// readyCount counts the endpoints listed ready.
+// readyCount counts the endpoints that are listed as ready.
 func (t *destination) readyCount() (n int) {
 	for _, ep := range t.endpoints {
 		if ep.health == Ready {
@@ -409,7 +537,7 @@
 	return n
 }
 
-// random returns a number from 0 to 1, from the seed alone.
+// random returns a pseudo-random number from 0 up to but not including 1. The sequence depends on the seed alone.
 func (d *Dispatcher) random() float64 {
 	d.rng ^= d.rng << 13
 	d.rng ^= d.rng >> 7
@@ -417,14 +545,15 @@
 	return float64(d.rng>>11) / (1 << 53)
 }
 
-// newLimiter returns a pace as of now.
+// newLimiter returns a limiter that starts now, with one token and no limit.
 func (d *Dispatcher) newLimiter() *limiter {
 	return &limiter{refilledAt: d.now, tokens: 1, allowance: unlimitedAllowance, successes: rateMeter{timeConstant: rateTimeConstant, updatedAt: d.now, startedAt: d.now}}
 }
 
+// compareTarget compares the end of the target time of a message with an instant.
 func compareTarget(m *message, at Time) int { return cmp.Compare(m.createdAt+m.class.Target, at) }
 
-// valueAt is what delivering the message at t would earn.
+// valueAt is the value of delivering the message at an instant.
 func (d *Dispatcher) valueAt(m *message, at Time) float64 {
 	class, value := m.class, m.class.Value
 	if m.overQuota {
@@ -442,8 +571,9 @@
 	return value * (1 - (1-class.LateValue)*float64(late)/float64(max(class.Deadline-class.Target, 1)))
 }
 
-// collectGarbage forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
-// A told wait binds until it is over, a drain while calls are out, and a key's rest while it lasts.
+// collectGarbage drops state that is not needed any more: gone endpoints without calls, destinations that are unlisted or
+// quiet, and resting keys. A wait is kept until it is over, a draining endpoint while it has calls in flight, and a resting
+// key until its restUntil.
 func (d *Dispatcher) collectGarbage() {
 	for _, dest := range d.dests {
 		dest.endpoints = slices.DeleteFunc(dest.endpoints, func(ep *endpoint) bool {
@@ -491,7 +621,7 @@
 	})
 }
 
-// logDestination tells the operators something, if nothing else was told lately.
+// logDestination logs a line about a destination, unless another line was logged within housekeepingInterval.
 func (d *Dispatcher) logDestination(dest *destination, text string) {
 	if d.now >= d.nextLogAt {
 		d.nextLogAt = d.now + housekeepingInterval
@@ -499,7 +629,8 @@
 	}
 }
 
-// destination returns a destination, making it when something is first asked for there, as if it had been since it was listed.
+// destination returns the destination with a number. If it is not held in full yet, it is created from its unused list entries,
+// as of the times at which they were listed.
 func (d *Dispatcher) destination(number int) *destination {
 	dest := d.destByNumber[number]
 	if dest == nil {
@@ -527,7 +658,7 @@
 	return dest
 }
 
-// storeUnused keeps a line of the list for a destination that nothing was asked for yet.
+// storeUnused keeps a list entry of a destination that has had no messages.
 func (d *Dispatcher) storeUnused(entry *Entry) {
 	if number, known := d.unusedOwner[entry.Endpoint]; known && number != entry.Dest || d.endpointByID[entry.Endpoint] != nil {
 		return // an endpoint does not change its destination
@@ -544,7 +675,7 @@
 	unused.zone, unused.kind, unused.health, unused.weight = int32(entry.Zone), int32(entry.DestinationKind), entry.Health, entry.Weight
 }
 
-// demoteToUnused makes a destination that has been quiet for long a line of the list again.
+// demoteToUnused reduces a quiet destination to its list entries.
 func (d *Dispatcher) demoteToUnused(dest *destination) {
 	delete(d.destByNumber, dest.number)
 	for _, ep := range dest.endpoints {
@@ -559,7 +690,7 @@
 	}
 }
 
-// list takes a new endpoint list; what a whole list leaves out is gone.
+// applyList applies a new endpoint list. Endpoints that a whole list does not contain are gone.
 func (d *Dispatcher) applyList(e *Event) {
 	if e.ListKind == ListFailed {
 		return
@@ -583,7 +714,7 @@
 	d.initialWindow = max(1, d.settings.Slots/max(1, len(d.dests)+len(d.unusedEntries)))
 }
 
-// applyEntry takes one line of the list. Peers may speak of any destination, so all are held in full where there are some.
+// applyEntry applies one list entry. With gossip all destinations are held in full, because a hint may concern any of them.
 func (d *Dispatcher) applyEntry(entry *Entry) {
 	if dest := d.destByNumber[entry.Dest]; dest != nil || d.settings.Gossip {
 		d.addEndpoint(d.destination(entry.Dest), entry)
@@ -592,7 +723,7 @@
 	d.storeUnused(entry)
 }
 
-// addEndpoint gives a destination a line of the list.
+// addEndpoint adds or updates an endpoint of a destination from a list entry.
 func (d *Dispatcher) addEndpoint(dest *destination, entry *Entry) {
 	perEndpoint := false
 	if entry.DestinationKind >= 0 && entry.DestinationKind < len(d.settings.DestinationKinds) {
@@ -626,7 +757,7 @@
 	}
 }
 
-// endMessage drops a message that is answered; one with an attempt out is kept until its outcome.
+// endMessage drops a message that has its final answer. If an attempt is in flight, the message is kept until its outcome.
 func (d *Dispatcher) endMessage(m *message) {
 	if !m.ended {
 		m.ended = true
@@ -644,13 +775,13 @@
 	}
 }
 
-// advanceKey puts the message whose turn it is into its hold. One that waits for its turn is in no hold.
+// advanceKey queues the first message of a key at its destination. The later messages of the key are in no lane.
 func (d *Dispatcher) advanceKey(queue *keyQueue) {
 	for len(queue.messages) > 0 && queue.messages[0].ended && queue.messages[0].call == nil {
 		queue.messages = queue.messages[1:]
 	}
 	if len(queue.messages) == 0 {
-		if !queue.resting { // its rest binds those to come; it is dropped later
+		if !queue.resting { // restUntil still applies to later messages, so the queue is dropped only after it
 			queue.resting = true
 			d.restingKeys = append(d.restingKeys, queue)
 		}
@@ -661,13 +792,13 @@
 	}
 }
 
-// hintID is the short name of an endpoint in notes, the same at every dispatcher.
+// hintID is the short ID of an endpoint in hints. It is the same at every dispatcher.
 func hintID(id EndpointID) uint32 {
 	h := uint64(id) * 0x9E3779B97F4A7C15
 	return uint32(h >> 40)
 }
 
-// share sends what this round has to tell the peers.
+// sendHints sends the hints of this round to the other dispatchers.
 func (d *Dispatcher) sendHints() {
 	if len(d.hints) > 0 {
 		d.actions = append(d.actions, Action{Kind: SendGossip, Text: string(d.hints)})
@@ -675,7 +806,7 @@
 	}
 }
 
-// handle takes an event to where it is dealt with.
+// handle passes an event to the method that handles it.
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case Arrival:
@@ -707,7 +838,8 @@
 	}
 }
 
-// startMeters starts the measures that need the first round's time.
+// startMeters starts the rate meters, which need the time of the first round. It also sets how long keys rest after an
+// earlier process.
 func (d *Dispatcher) startMeters() {
 	if d.settings.HasPredecessor {
 		d.keysRestUntil = d.now + d.settings.SettleTime
@@ -718,7 +850,7 @@
 	}
 }
 
-// recordLatency learns the latency of a destination and of its kind.
+// recordLatency adds a sample, in microseconds, to the latency of a destination and of its kind.
 func (d *Dispatcher) recordLatency(dest *destination, elapsed float64) {
 	if dest.latency.samples == 0 {
 		dest.latency.mean, dest.latency.deviation = d.latency(dest)
@@ -729,13 +861,14 @@
 	dest.kind.latency.add(elapsed, max(baselineGain, 1/(dest.kind.latency.samples+1)))
 }
 
-// scheduleNextRound asks for a next round: soon while calls are out, else when the first sleeper is to be looked at.
+// scheduleNextRound requests a timer for the next round: a few ticks from now while calls are in flight, otherwise when the
+// first sleeping destination is due.
 func (d *Dispatcher) scheduleNextRound() {
 	after, n := wakeTicks*d.settings.Tick, d.sleeping.items
 	switch {
 	case d.busySlots > 0:
 	case len(n) > 0 && n[0].dest.wakeAt < never:
-		after = max(n[0].dest.wakeAt-d.now, after) // what is polled needs no more than that
+		after = max(n[0].dest.wakeAt-d.now, after) // polling more often is not needed
 	default:
 		return
 	}
@@ -745,7 +878,7 @@
 	}
 }
 
-// acquireSlot has a call hold a slot, free gives it back.
+// acquireSlot makes a call occupy a slot.
 func (d *Dispatcher) acquireSlot(c *call) {
 	c.pending = len(c.messages)
 	d.busySlots++
@@ -755,6 +888,7 @@
 	d.reindex(c.ep.dest)
 }
 
+// releaseSlot frees the slot of a call.
 func (d *Dispatcher) releaseSlot(c *call) {
 	d.busySlots--
 	c.ep.dest.inFlight--
@@ -764,12 +898,12 @@
 	d.wakeUp(c.ep.dest)
 }
 
-// hasQueuedEffect tells whether a message of a class with that effect is held.
+// hasQueuedEffect tells whether a message of a class with the effect is queued.
 func (t *destination) hasQueuedEffect(e RepeatEffect) bool {
 	return slices.ContainsFunc(t.lanes, func(l []*message) bool { return len(l) > 0 && l[0].class.Effect == e })
 }
 
-// eachQueued calls f for every message held.
+// eachQueued calls f for every queued message.
 func (t *destination) eachQueued(f func(*message)) {
 	for i := range t.lanes {
 		for _, m := range slices.Clone(t.lanes[i]) {
@@ -781,7 +915,8 @@
 // attemptsSent counts the attempts that were sent.
 func (m *message) attemptsSent() int { return m.attempts - m.attemptsNotSent }
 
-// sendDeadline is when a message can't be sent any more: at its deadline, or once partners forget the key of one that may have run.
+// sendDeadline is when a message can no longer be sent. That is its deadline, or the end of the deduplication window of one
+// that was possibly executed.
 func (m *message) sendDeadline() Time {
 	if m.possiblyExecuted && m.class.Effect == Deduplicated {
 		return min(m.deadline, m.possiblyExecutedAt+m.class.DedupWindow-StallMargin)
@@ -789,7 +924,7 @@
 	return m.deadline
 }
 
-// availableAt tells when the first endpoint that the message may go to is past its wait, 0 if none is listed.
+// availableAt is when the first endpoint that may get the message is past its wait. It is 0 if no such endpoint is listed.
 func (d *Dispatcher) availableAt(m *message) Time {
 	earliest, found := Time(math.MaxInt64), false
 	for _, ep := range m.dest.endpoints {
