--- a/control/api.go
+++ b/control/api.go
@@ -206,8 +206,9 @@
 	ListUpdate
 	// GossipReceived reports hints from another dispatcher. It uses Payload.
 	GossipReceived
-	// Shutdown reports that this dispatcher stops. It uses TimeLeft and KeepHeld. No message may take longer than TimeLeft from
-	// now. With KeepHeld, messages that are still open then are kept for the next process and need no answer.
+	// Shutdown reports that this dispatcher stops. It uses TimeLeft and KeepHeld. Without KeepHeld, every open message gets its
+	// final answer within TimeLeft from now. With KeepHeld, messages that are still open then are kept for the next process and
+	// need no answer, and new messages are refused.
 	Shutdown
 	// RecordingStatus reports whether attempts can be recorded in the ledger. It uses RecordingFails. While recording fails, only
 	// messages of Idempotent classes are sent.
--- a/control/control.go
+++ b/control/control.go
@@ -16,7 +16,7 @@
 	maxFailedShare = 0.1 // A window grows only if no larger share of the completions has failed.
 
 	latencyGain  = 1.0 / 8  // This is the weight of a new sample in a destination's latency.
-	baselineGain = 1.0 / 64 // This is its weight in the long-term latency, the baseline for slowness.
+	baselineGain = 1.0 / 64 // This is the weight of a new sample in the baseline, which tells what is slow.
 
 	latencyPriorSamples = 2 // The latency of the kind counts for this many samples of a new destination.
 
@@ -41,15 +41,15 @@
 	maxTrialInterval = 2 * Second // Longer intervals would waste the capacity of an endpoint that has returned.
 
 	unseenWarmUps = 4   // A suspected endpoint is assumed to be warm this many warm-ups after its last failure.
-	trialShare    = 0.5 // Trials use this share of its capacity, because other dispatchers send trials, too.
+	trialShare    = 0.5 // Trials use this share of the assumed capacity, as other dispatchers send some, too.
 
-	minBackoff = 100 * Millisecond // This is the shortest first backoff after a refusal without a wait.
-	maxBackoff = 4 * Second        // The backoff doubles with each refusal up to this.
+	minBackoff = 100 * Millisecond // The first backoff after a refusal without a wait is at least this.
+	maxBackoff = 4 * Second        // The doubling of the backoff ends at this.
 
 	allowanceDecrease    = 0.7  // A refusal multiplies the allowed share of the own demand by this.
-	allowanceSuccessGain = 0.1  // A success adds this to the allowance, but successes add no more in a second.
-	allowanceDemandGain  = 0.05 // Each message of demand adds this, for at most two messages a second.
-	minAllowance         = 0.05 // The allowance does not fall below this where the limit is unknown.
+	allowanceSuccessGain = 0.1  // A success adds this to the allowed share. Successes add no more in a second.
+	allowanceDemandGain  = 0.05 // A message of demand adds this to the allowed share, for at most two a second.
+	minAllowance         = 0.05 // The allowed share does not fall below this if the limit is unknown.
 
 	heldRetryTargets = 2 // A queued message adds retrySuccess squared to the demand in this many targets.
 
@@ -59,7 +59,7 @@
 	rateTimeConstant    = 2 * Second // This is the time constant of the rate of successes.
 	meterInitialHistory = Second / 2 // A new rate meter is taken to have measured for this long.
 
-	minWeight = 0.1 // A demand that stands in for a listed weight is at least this many messages a second.
+	minWeight = 0.1 // A demand that stands in for a weight counts as at least this many messages a second.
 
 	demandTimeConstant = 10 * Second // This is the time constant of the demand that sizes ramps and shares.
 
@@ -68,8 +68,8 @@
 	approximateWeightFactor = 1.5 // An approximate listed rate may be too low by this factor.
 
 	maxRampMargin       = 1.2 // A ramp exceeds the own demand times the capacity by at most this factor.
-	collapseMarginShare = 0.6 // It stays at this share of CollapseMultiple, which chance alone must not reach.
-	maxRampEnd          = 1.5 // A ramp ends at this multiple of the own demand while messages are queued.
+	collapseMarginShare = 0.6 // A ramp stays below this share of CollapseMultiple, so chance does not reach it.
+	maxRampEnd          = 1.5 // Every ramp ends at this multiple of the own demand, even with messages queued.
 
 	fairShare        = 0.8 // A dispatcher may always use this share of its equal part of a known limit.
 	limitUsedUpBelow = 0.1 // A refusal is put down to the limit only if less than this share of it is left.
@@ -82,7 +82,7 @@
 
 	minDropIdleAge = Second / 2 // Up to this idle age, silence is no sign of a dropped connection.
 
-	atMostOnceDropShare = 0.02 // AtMostOnce messages get new connections above this share of drops.
+	atMostOnceDropShare = 0.02 // AtMostOnce messages get new connections above this share of dropped ones.
 	confirmedDropShare  = 0.2  // The safe idle age is lowered above this share of drops on idle connections.
 	idleAgeMargin       = 0.8  // Idle connections are used up to this share of the safe idle age.
 	idleAgeGrowth       = 1.02 // A success on an idle connection multiplies the safe idle age by this.
@@ -98,9 +98,9 @@
 
 	stuckSilences = 2 // A call is stuck after this many silence timeouts.
 
-	pullSpreadDivisor  = 2  // First list requests are spread over PullInterval divided by this.
-	pullBackoffDivisor = 16 // Backoffs double from PullInterval over this to that over pullSpreadDivisor.
-	pullRefreshFactor  = 6  // After this many PullIntervals without a list it is fetched in case one was lost.
+	pullSpreadDivisor  = 2  // PullInterval over this is the spread of first requests and the longest backoff.
+	pullBackoffDivisor = 16 // PullInterval over this is the first backoff. Each failure doubles it.
+	pullRefreshFactor  = 6  // After this many silent PullIntervals the list is fetched, as a change may be lost.
 
 	gossipBudget    = 0.02 // This share of the total value may be spent on gossip.
 	hintCost        = 16   // A hint is charged with this many bytes, including the overhead of sending it.
@@ -112,7 +112,7 @@
 	maxSpread     = 8 * Second       // The release after a hold is spread over at most this.
 	gossipTimeout = 3 * Second       // Gossip counts as lost if none was received for this long.
 
-	wakeTicks = 4 // Rounds are at most this many ticks apart while calls are in flight.
+	wakeTicks = 4 // While calls are in flight, the next round is at most this many ticks away.
 
 	quietPeriod = 600 * Second // A destination without messages for this long is reduced to its list entries.
 
@@ -123,8 +123,7 @@
 	housekeepingInterval = 10 * Second // Garbage collections and log lines are at least this far apart.
 )
 
-// New returns a Dispatcher, or an error that names a setting out of range. seed determines its random
-// numbers.
+// New returns a Dispatcher, or an error that names a setting out of range. seed is for random numbers.
 func New(s Settings, seed uint64) (*Dispatcher, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -284,7 +283,7 @@
 	d.actions = append(d.actions, Action{Kind: Timer, After: max(expiresIn, 0), TimerToken: uint64(m.id) + 1})
 }
 
-// countAndCheckQuota tells whether a tenant exceeds its quota, scaled by the share of all traffic that comes
+// countAndCheckQuota tells whether a tenant exceeds its quota, scaled by the share of traffic that comes
 // here.
 func (d *Dispatcher) countAndCheckQuota(tenant int) bool {
 	d.totalRate.add(d.now, 1)
@@ -336,9 +335,9 @@
 	return "nothing opens for it before its time ends"
 }
 
-// shutdown shortens all deadlines so that each client has its answer before the process ends. It costs
-// messages that would soon have been delivered. With keep the next process goes on with the messages. Then
-// only calls that may not end in time are not started.
+// shutdown shortens all deadlines so that each client has its answer before the process ends. The cost is
+// refusals of messages that would soon have been delivered. With keep, the next process goes on with the
+// messages. Then only calls that may not end in time are not started.
 func (d *Dispatcher) shutdown(timeLeft Time, keep bool) {
 	if keep {
 		d.stopAt = d.now + timeLeft
@@ -417,15 +416,14 @@
 }
 
 // finishTag is the virtual time after the next call. It decides while messages wait for slots. Otherwise a
-// destination that becomes active with calls of seconds would take the slots from all others. It costs slow
-// destinations with little traffic later turns.
+// destination that becomes active with calls of seconds would take the slots from all others. The cost is
+// later turns for a slow destination with little traffic.
 func (d *Dispatcher) finishTag(dest *destination) float64 {
 	mean, _ := d.latency(dest)
 	return dest.virtualTime + mean/float64(Second)/d.weight(dest)
 }
 
-// sendNext starts a call with a queued message, and with others if the kind allows. It returns false if it
-// cannot.
+// sendNext starts a call with a queued message, or several if the kind allows. It tells whether it could.
 func (d *Dispatcher) sendNext(dest *destination) bool {
 	d.scanCount++
 	ep, trial := d.chooseEndpoint(dest)
@@ -503,7 +501,7 @@
 		lane := dest.lanes[i]
 		firstInTime, _ := slices.BinarySearchFunc(lane, deliveredAt, compareTarget)
 		for _, m := range [2]*message{lane[0], lane[min(firstInTime, len(lane)-1)]} {
-			// AtMostOnce cannot be repeated. Trials risk it after proof that calls do not run, or when rare.
+			// AtMostOnce has one try. Trials risk it after proof that calls do not run, or when rare.
 			risky := m.class.Effect == AtMostOnce && !ep.unreachable && ep.trialInterval < maxTrialInterval
 			if trial && risky || !d.maySend(m, ep) {
 				continue
@@ -651,7 +649,7 @@
 		known := ep.limiter.knownRate > 0 && left >= 0 && left < len(e.Report)
 		d.onRefusal(ep, c, e.RetryAfter, known && e.Report[left] < limitUsedUpBelow)
 	case ConnectFailed:
-		// Down or out of connections: idle ones of many dispatchers fill a table that is sized for calls.
+		// It may be out of connections: idle ones of many dispatchers can fill a table sized for calls.
 		if d.settings.Instances > d.settings.Slots {
 			dest.kind.scarceUntil = d.now + connScarcityPeriod
 		}
@@ -699,6 +697,7 @@
 		(1+1/(1+dest.latency.samples))))
 }
 
+// onSuccess raises the allowance after a call that ended with OK and clears failures and refusals.
 func (d *Dispatcher) onSuccess(ep *endpoint, c *call) {
 	lim := ep.limiter
 	lim.successes.add(d.now, 1)
@@ -737,7 +736,7 @@
 }
 
 // rampAfterRefusals starts the ramp of all that share a limit that has refused for longer than MaxOverload,
-// as they may have been down. A wait tells when they return. It costs a ramp where a limit was lowered.
+// as they may have been down. A wait tells when they return. The cost is a ramp where a limit was lowered.
 func (d *Dispatcher) rampAfterRefusals(ep *endpoint, at Time) {
 	for _, other := range ep.dest.endpoints {
 		since := ep.limiter.refusingSince
@@ -749,12 +748,12 @@
 }
 
 // onReturn evaluates the first answer of a suspected endpoint. It returned between the last failure and now.
-// The middle is assumed, which over many dispatchers adds up to its true capacity. A failure that the next
-// call does not confirm was a lost answer or a dropped connection.
+// The middle is assumed, so that the ramps of many dispatchers add up to its true capacity. A failure that
+// the next call does not confirm was a lost answer or a dropped connection.
 func (d *Dispatcher) onReturn(ep *endpoint, c *call) {
 	downFor := d.now - ep.downSince
 	switch {
-	case c != nil && !c.trial && downFor <= 2*d.settings.MaxOverload: // not lost but late
+	case c != nil && !c.trial && downFor <= 2*d.settings.MaxOverload: // it was late, not lost
 	case c == nil || (ep.unreachable || d.outageConfirmed(ep) || ep.overtakenCalls() > d.confirmThreshold(ep)) &&
 		downFor > d.settings.MaxOverload:
 		returnedAt := d.now
@@ -781,6 +780,7 @@
 }
 
 // overtakenCalls counts the calls in flight that were sent after the last OK and before the last failure.
+// Their silence confirms that failure.
 func (ep *endpoint) overtakenCalls() (n int) {
 	for _, c := range ep.calls {
 		if c.sentAt > ep.lastOKSentAt && c.sentAt < ep.failedAt {
@@ -892,8 +892,7 @@
 	}
 }
 
-// addHint adds a hint if the budget permits: one byte for the wait, 0 for a return, and three for the hint
-// ID.
+// addHint adds a hint if the budget permits: one byte of wait, 0 for a return, and three of the hint ID.
 func (d *Dispatcher) addHint(ep *endpoint, wait Time) bool {
 	if !d.settings.Gossip || d.gossipCredit < hintCost {
 		return false
@@ -922,7 +921,7 @@
 }
 
 // holdAndSpread holds messages for a used-up limit and spreads their release, longer if refusals follow soon.
-// This handles limits that refused calls keep used up. It costs a hold where only one dispatcher was refused.
+// This handles limits that refused calls keep used up. The cost is a hold if only one dispatcher was refused.
 func (d *Dispatcher) holdAndSpread(lim *limiter, span Time) {
 	switch {
 	case d.now < lim.holdUntil:
@@ -943,7 +942,7 @@
 }
 
 // closeScarceConns closes connections that became idle in this round where they are scarce, as those of many
-// dispatchers fill connection tables. It costs handshakes where the failed connect was an outage.
+// dispatchers fill connection tables. The cost is handshakes where the failed connect was an outage.
 func (d *Dispatcher) closeScarceConns() {
 	for _, ep := range d.freedEndpoints {
 		if len(ep.calls) == 0 && ep.connOpen && d.now < ep.dest.kind.scarceUntil {
@@ -974,7 +973,7 @@
 
 // checkCalls cancels late calls that later ones have overtaken and late calls to suspected endpoints. Without
 // a shortage of slots these are only repeatable ones. This handles hangs, lost answers and dead connections.
-// It costs double work at slow destinations. Trials may take longer.
+// The cost is double work at slow destinations. Trials may take longer.
 func (d *Dispatcher) checkCalls(dest *destination) {
 	d.scanCount++
 	limit := d.silenceTimeout(dest)
@@ -1043,8 +1042,7 @@
 	return best, false
 }
 
-// endpointLoad is the load in calls. A handshake and another zone count as one more each, a zone cost as
-// some.
+// endpointLoad is the load in calls. A handshake and another zone each count as one, a zone cost as some.
 func (d *Dispatcher) endpointLoad(ep *endpoint) float64 {
 	load := float64(len(ep.calls))
 	if ep.zone != d.settings.Zone {
@@ -1084,7 +1082,7 @@
 
 // rampPermits limits calls to a suspected or returned endpoint to the own demand times its capacity, with a
 // random first token. All dispatchers together then stay within what it can do, however many they are. This
-// prevents overload. It costs a wrongly suspected endpoint traffic during the warm-up.
+// prevents overload. The cost is that a wrongly suspected endpoint is used less during the warm-up.
 func (d *Dispatcher) rampPermits(ep *endpoint) bool {
 	capacity := d.warmCapacity(d.now-ep.rampStart) *
 		min(maxRampMargin, collapseMarginShare*max(d.settings.CollapseMultiple, 1))
@@ -1145,7 +1143,7 @@
 }
 
 // isQuiet tells that a destination was unused for long and that nothing learned there restricts calls. Then
-// its state need not be kept. It costs first calls judged by the latency of the kind.
+// its state is not kept in memory. The cost is first calls judged by the latency of the kind.
 func (d *Dispatcher) isQuiet(dest *destination) bool {
 	if d.now-dest.demand.updatedAt < quietPeriod || dest.queuedCount > 0 {
 		return false
--- a/control/state.go
+++ b/control/state.go
@@ -29,9 +29,12 @@
 	// actions are the actions of this round.
 	actions []Action
 	// messages are the messages that have no final answer or have an attempt in flight.
-	messages     map[MessageID]*message
-	keys         map[uint64]*keyQueue
+	messages map[MessageID]*message
+	// keys are the queues of the ordering keys.
+	keys map[uint64]*keyQueue
+	// destByNumber finds a destination that is held in full.
 	destByNumber map[int]*destination
+	// endpointByID finds an endpoint of such a destination.
 	endpointByID map[EndpointID]*endpoint
 	// endpointByHint finds an endpoint by its hint ID.
 	endpointByHint map[uint32]*endpoint
