--- a/control/control_test.go
+++ b/control/control_test.go
@@ -21,15 +21,15 @@
 
 func testSettings() Settings {
 	return Settings{
-		Instances: 2, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 200, MaxTries: 6, MayCancel: true, StreamsPerConn: 8,
-		ConnIdle: 5 * s, ConnectTimeout: s, ColdFrom: 0.2, WarmUp: 10 * s, TipMultiple: 2, OverloadFor: 2 * s,
-		SettleAfterDoubt: 3 * s, ReportLeft: -1, ReportLimit: -1, OverShare: 0.05,
-		Kinds: []Kind{{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
+		Instances: 2, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 200, MaxAttempts: 6, MayCancel: true, StreamsPerConn: 8,
+		ConnIdleTimeout: 5 * s, ConnectTimeout: s, ColdCapacity: 0.2, WarmUp: 10 * s, CollapseMultiple: 2, MaxOverload: 2 * s,
+		SettleTime: 3 * s, ReportRemainingIndex: -1, ReportLimitIndex: -1, OverQuotaFactor: 0.05,
+		DestinationKinds: []DestinationKind{{Name: "plain", MaxBatch: 1}, {Name: "batch", MaxBatch: 3}, {Name: "apart", MaxBatch: 1, PerEndpointLimits: true}},
 		Classes: []Class{
-			{Name: "free", Effect: Free, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "guarded", Effect: Guarded, Window: 10 * s, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "single", Effect: SingleShot, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "ordered", Effect: Guarded, Window: 10 * s, Aim: 2 * s, Deadline: 20 * s, Worth: 1, InOrder: true},
+			{Name: "free", Effect: Idempotent, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
+			{Name: "guarded", Effect: Deduplicated, DedupWindow: 10 * s, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
+			{Name: "single", Effect: AtMostOnce, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
+			{Name: "ordered", Effect: Deduplicated, DedupWindow: 10 * s, Target: 2 * s, Deadline: 20 * s, Value: 1, InOrder: true},
 		},
 	}
 }
@@ -51,20 +51,20 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 1000 * s}
-	r.at(0, Event{Kind: List, ListKind: ListCached, Entries: entries})
+	r.at(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: entries})
 	return r
 }
 
 // ep returns an endpoint, of a destination that nothing was asked for yet, too.
-func (r *rig) ep(id Endpoint) *endpoint {
-	r.d.dest(int(id) / 10)
-	return r.d.byID[id]
+func (r *rig) ep(id EndpointID) *endpoint {
+	r.d.destination(int(id) / 10)
+	return r.d.endpointByID[id]
 }
 
-func ep(dest, n int) Endpoint { return Endpoint(dest*10 + n) }
+func ep(dest, n int) EndpointID { return EndpointID(dest*10 + n) }
 
 func entry(dest, n, kind int) Entry {
-	return Entry{Endpoint: ep(dest, n), Dest: dest, Kind: kind, Health: Ready}
+	return Entry{Endpoint: ep(dest, n), Dest: dest, DestinationKind: kind, Health: Ready}
 }
 
 // at moves the clock on and plays one round with the ticks due; timers are left out of what is returned.
@@ -72,24 +72,24 @@
 	r.now += after
 	r.timers = slices.DeleteFunc(r.timers, func(a Action) bool {
 		if a.After <= r.now {
-			events = append(events, Event{Kind: Tick, Mark: a.Mark})
+			events = append(events, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 		}
 		return a.After <= r.now
 	})
 	acts := r.d.Step(r.now, events, nil)
 	for _, a := range acts {
-		if a.Kind == Timer && a.Mark != 0 {
+		if a.Kind == Timer && a.TimerToken != 0 {
 			a.After += r.now
 			r.timers = append(r.timers, a)
 		}
 	}
-	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Note })
+	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Log })
 }
 
 // msg makes the arrival of the next message.
 func (r *rig) msg(class, dest int) Event {
 	r.id++
-	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, Grace: 20 * s}
+	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, TimeLeft: 20 * s}
 }
 
 func (r *rig) keyed(key uint64) Event {
@@ -99,12 +99,12 @@
 }
 
 func done(m MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Lag: 100 * Millisecond}
+	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Elapsed: 100 * Millisecond}
 }
 
 func full(m MessageID, attempt int, wait Time) Event {
-	e := done(m, attempt, Full)
-	e.Wait = wait
+	e := done(m, attempt, LimitExceeded)
+	e.RetryAfter = wait
 	return e
 }
 
@@ -163,26 +163,26 @@
 	for name, spoil := range map[string]func(*Settings){
 		"extra.slots":       func(s *Settings) { s.Slots = 0 },
 		"limits.max-open":   func(s *Settings) { s.MaxOpen = 0 },
-		"limits.most-tries": func(s *Settings) { s.MaxTries = 0 },
+		"limits.most-tries": func(s *Settings) { s.MaxAttempts = 0 },
 		"classes.count":     func(s *Settings) { s.Classes = nil },
 		"instances":         func(s *Settings) { s.Instances = 0 },
 		"tick":              func(s *Settings) { s.Tick = 0 },
 
-		"rules.cold-from":          func(s *Settings) { s.ColdFrom = 1.5 },
+		"rules.cold-from":          func(s *Settings) { s.ColdCapacity = 1.5 },
 		"rules.warm-up":            func(s *Settings) { s.WarmUp = -1 },
-		"rules.overload-for":       func(s *Settings) { s.OverloadFor = -s.OverloadFor },
-		"rules.tip-multiple":       func(s *Settings) { s.TipMultiple = math.NaN() },
-		"limits.conn-idle":         func(s *Settings) { s.ConnIdle = -1 },
-		"over-share-worth":         func(s *Settings) { s.OverShare = math.Inf(1) },
-		"classes.1.gain":           func(s *Settings) { s.Classes[1].Worth = -1 },
-		"classes.2.target":         func(s *Settings) { s.Classes[2].Aim = -1 },
-		"classes.0.late-worth":     func(s *Settings) { s.Classes[0].LateWorth = math.NaN() },
+		"rules.overload-for":       func(s *Settings) { s.MaxOverload = -s.MaxOverload },
+		"rules.tip-multiple":       func(s *Settings) { s.CollapseMultiple = math.NaN() },
+		"limits.conn-idle":         func(s *Settings) { s.ConnIdleTimeout = -1 },
+		"over-share-worth":         func(s *Settings) { s.OverQuotaFactor = math.Inf(1) },
+		"classes.1.gain":           func(s *Settings) { s.Classes[1].Value = -1 },
+		"classes.2.target":         func(s *Settings) { s.Classes[2].Target = -1 },
+		"classes.0.late-worth":     func(s *Settings) { s.Classes[0].LateValue = math.NaN() },
 		"tenants.0.quota-per-s":    func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
-		"extra.batch-by-kind":      func(s *Settings) { s.Kinds[0].Batch = 0 },
-		"extra.carriage":           func(s *Settings) { s.Fees = []float64{-1} },
-		"rules.ask-every":          func(s *Settings) { s.AskEvery = -1 },
-		"deductions.peer":          func(s *Settings) { s.PeerPrice = math.NaN() },
-		"rules.settle-after-doubt": func(s *Settings) { s.SettleAfterDoubt = -1 },
+		"extra.batch-by-kind":      func(s *Settings) { s.DestinationKinds[0].MaxBatch = 0 },
+		"extra.carriage":           func(s *Settings) { s.ZoneCosts = []float64{-1} },
+		"rules.ask-every":          func(s *Settings) { s.PullInterval = -1 },
+		"deductions.peer":          func(s *Settings) { s.GossipCost = math.NaN() },
+		"rules.settle-after-doubt": func(s *Settings) { s.SettleTime = -1 },
 	} {
 		set := testSettings()
 		spoil(&set)
@@ -205,7 +205,7 @@
 	r.want(r.at(2*s-s/10, done(1, 0, OK)), 3)
 	r.want(r.at(s, done(3, 0, OK)), 4)
 	r.want(r.at(2*s, done(4, 0, OK)), 2)
-	if a, b := r.d.dest(1).acc, r.d.dest(2).acc; a != 2 || b != 3 {
+	if a, b := r.d.destination(1).virtualTime, r.d.destination(2).virtualTime; a != 2 || b != 3 {
 		t.Errorf("counters %v and %v, want 2 and 3", a, b)
 	}
 }
@@ -219,7 +219,7 @@
 		r := newRig(t, set, e)
 		r.want(r.at(0, r.msg(free, 1)), 1)
 		r.at(2*s, done(1, 0, OK))
-		if got := r.d.dest(1).acc; got != c.want {
+		if got := r.d.destination(1).virtualTime; got != c.want {
 			t.Errorf("weight %v: charged %v, want %v", c.weight, got, c.want)
 		}
 	}
@@ -228,16 +228,16 @@
 func TestRevivalTakesTheLeastOtherCounter(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	r.at(0, r.msg(free, 1), r.msg(free, 2))
-	r.d.dest(1).acc, r.d.dest(2).acc, r.d.dest(3).acc = 7, 5, 90
-	r.d.place(r.d.dest(1))
-	r.d.place(r.d.dest(2))
+	r.d.destination(1).virtualTime, r.d.destination(2).virtualTime, r.d.destination(3).virtualTime = 7, 5, 90
+	r.d.reindex(r.d.destination(1))
+	r.d.reindex(r.d.destination(2))
 	r.at(s/10, r.msg(free, 3))
-	if got := r.d.dest(3).acc; got != 5 {
+	if got := r.d.destination(3).virtualTime; got != 5 {
 		t.Errorf("revived at %v, want 5", got)
 	}
 	r.at(s/10, done(1, 0, OK), done(2, 0, OK), done(3, 0, OK))
 	r.at(s/10, r.msg(free, 1))
-	if got := r.d.dest(1).acc; got != 0 {
+	if got := r.d.destination(1).virtualTime; got != 0 {
 		t.Errorf("revived alone at %v, want 0: idle counters are dropped", got)
 	}
 }
@@ -245,16 +245,16 @@
 // Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
-	d := r.d.dest(1)
-	if r.d.room(d); d.wmax != 4 {
-		t.Fatalf("Wmax starts at %d, want 4", d.wmax)
+	d := r.d.destination(1)
+	if r.d.effectiveWindow(d); d.window != 4 {
+		t.Fatalf("Wmax starts at %d, want 4", d.window)
 	}
 	for i := range 3 {
 		r.at(s/10, r.msg(free, 1))
 		r.at(s/10, done(MessageID(i+1), 0, OK))
 	}
-	if d.wmax != 5 {
-		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.wmax)
+	if d.window != 5 {
+		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.window)
 	}
 }
 
@@ -267,17 +267,17 @@
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
 		r := newRig(t, testSettings(), entry(1, 0, 0))
-		d := r.d.dest(1)
-		d.starting, d.wmax, d.w = false, c.wmax, c.w
-		for i := range fairF * c.wmax {
+		d := r.d.destination(1)
+		d.windowStarting, d.window, d.inFlight = false, c.wmax, c.w
+		for i := range windowReviewFactor * c.wmax {
 			res := OK
 			if i < c.bad {
-				res = Errored
+				res = ErrorResponse
 			}
-			r.d.revise(d, res)
+			r.d.adjustWindow(d, res)
 		}
-		if d.wmax != c.want {
-			t.Errorf("%s: Wmax %d, want %d", c.name, d.wmax, c.want)
+		if d.window != c.want {
+			t.Errorf("%s: Wmax %d, want %d", c.name, d.window, c.want)
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	r.want(r.at(0, r.msg(free, 1), r.msg(free, 1), r.msg(free, 1), r.msg(free, 1)), 1, 2, 3)
 	r.want(r.at(s, done(1, 0, OK), done(2, 0, OK))) // the slot is held until the last outcome
 	r.want(r.at(s, done(3, 0, OK)), 4)
-	if got := r.d.dest(1).acc; got != 2 {
+	if got := r.d.destination(1).virtualTime; got != 2 {
 		t.Errorf("a batch of three charged %v, want 2", got)
 	}
 }
@@ -306,11 +306,11 @@
 		end    ActionKind
 	}{
 		{"free is resent", free, TimedOut, 3 * s, true, 0},
-		{"guarded inside its window", guarded, Errored, 10*s - StallMargin - 100*Millisecond, true, 0},
-		{"guarded so near its window's end that a stall passes it", guarded, Errored, 9900 * Millisecond, false, Refuse},
-		{"guarded past its window is handed back", guarded, Errored, 10 * s, false, Refuse},
+		{"guarded inside its window", guarded, ErrorResponse, 10*s - StallMargin - 100*Millisecond, true, 0},
+		{"guarded so near its window's end that a stall passes it", guarded, ErrorResponse, 9900 * Millisecond, false, Refuse},
+		{"guarded past its window is handed back", guarded, ErrorResponse, 10 * s, false, Refuse},
 		{"unsafe in doubt only fails", single, Reset, s, false, Fail},
-		{"unsafe turned away is resent", single, Full, s, true, 0},
+		{"unsafe turned away is resent", single, LimitExceeded, s, true, 0},
 		{"unsafe that met nobody is resent", single, ConnectFailed, s, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -335,7 +335,7 @@
 		if i < 0 {
 			t.Fatalf("nothing is sent: %+v", acts)
 		}
-		return acts[i].Within
+		return acts[i].SendWithin
 	}
 	tick := testSettings().Tick
 	for class, want := range map[int]Time{free: 18*s - tick, guarded: 8*s - StallMargin - tick} { // the deadline, the window
@@ -343,7 +343,7 @@
 		if got := within(r.at(0, r.msg(class, 1))); got != 20*s-tick {
 			t.Errorf("class %d: a first attempt may begin within %d", class, got)
 		}
-		if got := within(r.at(2*s, done(1, 0, Errored))); got != want {
+		if got := within(r.at(2*s, done(1, 0, ErrorResponse))); got != want {
 			t.Errorf("class %d: a repeat may begin within %d, want %d", class, got, want)
 		}
 	}
@@ -351,7 +351,7 @@
 
 func TestGuardedByZoneStaysInItsZoneAndIsNotHandedBack(t *testing.T) {
 	set := testSettings()
-	set.Classes[guarded].ZoneGroup = true
+	set.Classes[guarded].DedupPerZone = true
 	far := entry(1, 1, 0)
 	far.Zone = 1
 	r := newRig(t, set, entry(1, 0, 0), far)
@@ -361,8 +361,8 @@
 	}
 	gone := entry(1, 0, 0)
 	gone.Health = Draining
-	r.at(s/10, Event{Kind: List, Entries: []Entry{gone}})
-	r.want(r.at(s/10, done(1, 0, Errored)))
+	r.at(s/10, Event{Kind: ListUpdate, Entries: []Entry{gone}})
+	r.want(r.at(s/10, done(1, 0, ErrorResponse)))
 	r.wantEnd(r.wait(11*s), Fail, 1)
 }
 
@@ -376,15 +376,15 @@
 		var mark uint64
 		var due Time
 		for _, a := range acts {
-			if a.Kind == Timer && a.Mark != 0 {
-				mark, due = a.Mark, a.After
+			if a.Kind == Timer && a.TimerToken != 0 {
+				mark, due = a.TimerToken, a.After
 			}
 		}
 		if due >= 20*s {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantEnd(r.at(due, Event{Kind: Tick, Mark: mark}), c.end, 1)
-		if more := r.at(s, Event{Kind: Tick, Mark: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
+		r.wantEnd(r.at(due, Event{Kind: TimerFired, TimerToken: mark}), c.end, 1)
+		if more := r.at(s, Event{Kind: TimerFired, TimerToken: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
 			t.Errorf("acts for an ended message: %+v", more)
 		}
 	}
@@ -423,12 +423,12 @@
 		r := newRig(t, testSettings(), entry(1, 0, 0))
 		e := entry(1, 0, 0)
 		e.Health = h
-		r.at(0, Event{Kind: List, Entries: []Entry{e}})
+		r.at(0, Event{Kind: ListUpdate, Entries: []Entry{e}})
 		r.want(r.at(s/10, r.msg(free, 1)))
-		r.at(s/10, Event{Kind: List, ListKind: ListFailed})
+		r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFailed})
 		r.want(r.wait(s)) // held, not answered
 		fresh := entry(1, 1, 0)
-		r.want(r.at(s/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
+		r.want(r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
 	}
 }
 
@@ -454,11 +454,11 @@
 
 func TestTriesAreCounted(t *testing.T) {
 	set := testSettings()
-	set.MaxTries = 2
+	set.MaxAttempts = 2
 	r := newRig(t, set, entry(1, 0, 0), entry(1, 1, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/10, done(1, 0, Errored)), 1)
-	r.wantEnd(r.at(s/10, done(1, 1, Errored)), Refuse, 1)
+	r.want(r.at(s/10, done(1, 0, ErrorResponse)), 1)
+	r.wantEnd(r.at(s/10, done(1, 1, ErrorResponse)), Refuse, 1)
 }
 
 // A hang shows as age, long before any time-out: the destination is not fed, and a trial is harmless.
@@ -470,7 +470,7 @@
 	}
 	r.want(r.at(0, r.msg(single, 1)), 5)
 	r.wait(2 * s)
-	if e := r.ep(ep(1, 0)); !e.suspect {
+	if e := r.ep(ep(1, 0)); !e.suspected {
 		t.Fatal("a call out for 20 times the usual raises no suspicion")
 	}
 	if got := sent(append(r.at(0, r.msg(single, 1)), r.wait(300*Millisecond)...)); len(got) > 0 {
@@ -486,7 +486,7 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.at(s/10, done(1, 0, ConnectFailed))
-	if !r.ep(ep(1, 0)).suspect {
+	if !r.ep(ep(1, 0)).suspected {
 		t.Fatal("not suspect")
 	}
 	var trials []MessageID
@@ -496,7 +496,7 @@
 	if len(trials) != 1 {
 		t.Fatalf("trials %v, want a single one", trials)
 	}
-	r.at(s/10, done(trials[0], r.d.msgs[trials[0]].tries-1, OK))
+	r.at(s/10, done(trials[0], r.d.messages[trials[0]].attempts-1, OK))
 	if got := sent(r.wait(s)); len(got) > 5 {
 		t.Errorf("%d messages in the first second of its return", len(got))
 	}
@@ -508,7 +508,7 @@
 	set := testSettings()
 	set.Instances = 20
 	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
-	closed := func(acts []Action, e Endpoint) bool {
+	closed := func(acts []Action, e EndpointID) bool {
 		return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
 	}
 	r.want(r.at(0, r.msg(free, 1)), 1)
@@ -523,7 +523,7 @@
 	if closed(r.at(s/10, done(4, 0, OK)), ep(3, 0)) {
 		t.Error("closed at another kind")
 	}
-	r.wait(scarceFor)
+	r.wait(connScarcityPeriod)
 	r.at(s/10, r.msg(free, 2))
 	if closed(r.at(s/10, done(5, 0, OK)), ep(2, 0)) {
 		t.Error("the lesson is never forgotten")
@@ -559,13 +559,13 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	for i := range 72 {
 		r.at(s/10, r.msg(single, 1))
-		res := Errored
+		res := ErrorResponse
 		if i < 60 || i%4 == 3 {
 			res = OK
 		}
 		r.at(s/10, done(MessageID(i+1), 0, res))
 	}
-	if r.ep(ep(1, 0)).suspect {
+	if r.ep(ep(1, 0)).suspected {
 		t.Error("an endpoint that answers every fourth call is shut off")
 	}
 }
@@ -576,10 +576,10 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.wait(20 * s)
 	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/50, done(1, 0, Errored)), 1)
-	acts := slices.Concat(r.at(s/50, done(1, 1, Errored)), r.wait(s/2))
+	r.want(r.at(s/50, done(1, 0, ErrorResponse)), 1)
+	acts := slices.Concat(r.at(s/50, done(1, 1, ErrorResponse)), r.wait(s/2))
 	r.want(acts)
-	if e := r.ep(ep(1, 0)); !e.suspect || !r.d.sure(e) {
+	if e := r.ep(ep(1, 0)); !e.suspected || !r.d.outageConfirmed(e) {
 		t.Error("two errors of a sender with one message in 20 s are no outage")
 	}
 }
@@ -592,17 +592,17 @@
 			r.at(0, r.msg(single, 1))
 		}
 		e := r.ep(ep(1, 0))
-		for r.wait(3 * s); !e.suspect; r.wait(s) {
+		for r.wait(3 * s); !e.suspected; r.wait(s) {
 		}
 		r.at(0, r.msg(single, 1))
 		r.wait(s)
 		trial := e.calls[len(e.calls)-1]
-		if !e.suspect || !trial.trial || len(e.calls) != calls+1 {
-			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, e.suspect, trial.trial, len(e.calls))
+		if !e.suspected || !trial.trial || len(e.calls) != calls+1 {
+			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, e.suspected, trial.trial, len(e.calls))
 		}
-		r.at(0, done(trial.msgs[0].id, 0, OK))
-		if ramps := e.coldAt != 0; e.suspect || ramps != (calls == 3) {
-			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, e.suspect, ramps)
+		r.at(0, done(trial.messages[0].id, 0, OK))
+		if ramps := e.rampStart != 0; e.suspected || ramps != (calls == 3) {
+			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, e.suspected, ramps)
 		}
 	}
 }
@@ -615,7 +615,7 @@
 	for range 20 {
 		r.at(s/20, r.msg(single, 1))
 	}
-	acts := r.at(s/20, Event{Kind: List, Entries: []Entry{entry(1, 1, 0)}})
+	acts := r.at(s/20, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}})
 	if got := sent(acts); len(got) > 1 {
 		t.Errorf("dumped %d messages on it", len(got))
 	}
@@ -624,7 +624,7 @@
 // After refusals the release rate comes back within seconds; it once took half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
-	p := r.d.dest(1).pace
+	p := r.d.destination(1).limiter
 	n, served := 0, 0
 	var next []Event
 	for r.now < 1030*s {
@@ -634,9 +634,9 @@
 			events = append(events, r.msg(free, 1))
 		}
 		for _, id := range sent(r.at(s/20, events...)) {
-			e := done(id, r.d.msgs[id].tries-1, OK)
+			e := done(id, r.d.messages[id].attempts-1, OK)
 			if r.now > 1005*s && r.now < 1006*s {
-				e = full(id, r.d.msgs[id].tries-1, 0)
+				e = full(id, r.d.messages[id].attempts-1, 0)
 			} else {
 				served++
 			}
@@ -644,17 +644,17 @@
 		}
 	}
 	n /= 2
-	if p.allow < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allow, served, n)
+	if p.allowance < 1 || served < n*8/10 {
+		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allowance, served, n)
 	}
 }
 
 // Late worth that has reached its floor yields to messages still in time.
 func TestOldLateMessagesYield(t *testing.T) {
 	set := testSettings()
-	set.LateHalving, set.Slots = true, 1
+	set.HalveLateValue, set.Slots = true, 1
 	r := newRig(t, set, entry(1, 0, 0))
-	r.at(0, Event{Kind: List, Entries: []Entry{entry(2, 0, 0)}})
+	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(2, 0, 0)}})
 	r.want(r.at(0, r.msg(free, 2)), 1)
 	r.want(r.at(0, r.msg(free, 1)))
 	r.at(8*s, r.msg(free, 1))
@@ -664,7 +664,7 @@
 func TestSheddingKeepsTheBetter(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen, set.Slots = 8, 1
-	set.Classes[single].Worth = 5
+	set.Classes[single].Value = 5
 	r := newRig(t, set, entry(1, 0, 0))
 	var acts []Action
 	for i := range 12 {
@@ -683,8 +683,8 @@
 			}
 		}
 	}
-	if refused == 0 || r.d.open > 8 {
-		t.Errorf("%d refused, %d held", refused, r.d.open)
+	if refused == 0 || r.d.openMessages > 8 {
+		t.Errorf("%d refused, %d held", refused, r.d.openMessages)
 	}
 }
 
@@ -703,8 +703,8 @@
 
 func TestStrangeEventsDoNothing(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
-	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, Mark: 12345},
-		Event{Kind: Probed, Endpoint: 4}, Event{Kind: Started, Message: 3})
+	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: TimerFired, TimerToken: 12345},
+		Event{Kind: ProbeResult, Endpoint: 4}, Event{Kind: Started, Message: 3})
 	if len(acts) > 0 {
 		t.Errorf("acts: %+v", acts)
 	}
@@ -719,7 +719,7 @@
 		for i := range 200 {
 			acts := r.at(s/50, r.msg(i%3, 1+i%2))
 			for _, id := range sent(acts) {
-				acts = append(acts, r.at(s/50, done(id, r.d.msgs[id].tries-1, Result(i%6)))...)
+				acts = append(acts, r.at(s/50, done(id, r.d.messages[id].attempts-1, Result(i%6)))...)
 			}
 			all = append(all, acts...)
 		}
@@ -736,12 +736,12 @@
 	r.want(r.at(0, r.msg(single, 1)), 1)
 	r.wait(3 * s)
 	e := r.ep(ep(1, 0))
-	if !e.suspect {
+	if !e.suspected {
 		t.Fatal("not suspect after 3 s")
 	}
 	r.at(0, done(1, 0, OK))
-	if e.suspect || e.coldAt != 0 {
-		t.Errorf("suspect %v, cold since %v", e.suspect, e.coldAt)
+	if e.suspected || e.rampStart != 0 {
+		t.Errorf("suspect %v, cold since %v", e.suspected, e.rampStart)
 	}
 }
 
@@ -749,18 +749,18 @@
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.d.dest(n)
-		r.d.started(d)
-		d.wmax, d.base, d.lat.mean, d.w = 5, 100, 100, 0
-	}
-	one, two := r.d.dest(1), r.d.dest(2)
-	r.d.calling = []*dest{one, two}
-	one.lat.mean, two.lat.mean, two.w = 900, 900, 3
-	if got := r.d.room(one); got != 1 {
+		d := r.d.destination(n)
+		r.d.initWindow(d)
+		d.window, d.baselineLatency, d.latency.mean, d.inFlight = 5, 100, 100, 0
+	}
+	one, two := r.d.destination(1), r.d.destination(2)
+	r.d.calling = []*destination{one, two}
+	one.latency.mean, two.latency.mean, two.inFlight = 900, 900, 3
+	if got := r.d.effectiveWindow(one); got != 1 {
 		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
 	}
-	two.lat.mean = 100
-	if got := r.d.room(one); got != 4 {
+	two.latency.mean = 100
+	if got := r.d.effectiveWindow(one); got != 4 {
 		t.Errorf("room %d as the only sick one, want half of the slots", got)
 	}
 }
@@ -784,7 +784,7 @@
 		for id := MessageID(1); id <= r.id; id++ {
 			if at, out := ends[id]; out && r.now >= at {
 				delete(ends, id)
-				events = append(events, done(id, r.d.msgs[id].tries-1, OK))
+				events = append(events, done(id, r.d.messages[id].attempts-1, OK))
 			}
 		}
 		for _, a := range r.at(50*Millisecond, events...) {
@@ -807,7 +807,7 @@
 func TestFeeWeighsInTheChoiceOfARoute(t *testing.T) {
 	for kind, want := range map[int]int{2: 1, 0: 0} {
 		set := testSettings()
-		set.Fees = []float64{0.05, 0}
+		set.ZoneCosts = []float64{0.05, 0}
 		far := entry(1, 1, kind)
 		far.Zone = 1
 		r := newRig(t, set, entry(1, 0, kind), far)
--- a/control/outage.go
+++ b/control/outage.go
@@ -2,89 +2,103 @@
 
 import "slices"
 
-// What is known of outages, in a form that outlives the process: slow start binds every dispatcher that has seen an outage, and
-// one that restarts within it, or while the endpoint is still cold, has seen it all the same.
+// This file exports what is known of outages, so that it can outlive the process. Slow start applies to every dispatcher that has
+// observed an outage. A dispatcher that restarts during the outage, or while the endpoint is still cold, must observe it, too.
 
-// Outage is what a Dispatcher knows of the outage of one endpoint, or of its return from one.
+// Outage is what a Dispatcher knows about the outage of one endpoint, or about its return from one. The Dispatcher sets all
+// fields. The caller keeps them for the next process, which gets them with OutageRestored. Instants are on the same clock.
 type Outage struct {
-	Endpoint Endpoint
-	Dest     int
-	Suspect  bool    // it is not fed: its last call failed, at ...
-	FailedAt Time    // ... this moment ...
-	DownAt   Time    // ... the first such at this one
-	Failures int     // calls in a row that met nobody or silence
-	Proven   bool    // the last one surely was not executed
-	Errors   int     // answers in a row that were errors
-	Push     float64 // while Suspect: part of a trial that its own demand has earned
-	ColdAt   Time    // it came back then, and its calls rise over the warm-up; 0 for none
-	FullAt   Time    // since then it has refused every call, for longer than an overload may last; 0 for none
+	Endpoint EndpointID
+	// Dest is the number of its destination.
+	Dest int
+	// Suspected tells that the endpoint is possibly down and gets only trials.
+	Suspected bool
+	// FailedAt is when the last failed call became known. It applies while Suspected.
+	FailedAt Time
+	// DownSince is the assumed start of the outage. It applies while Suspected.
+	DownSince Time
+	// Failures is the number of consecutive calls that failed to connect or got no answer. It applies while Suspected.
+	Failures int
+	// Unreachable tells that the last failed call was surely not executed. It applies while Suspected.
+	Unreachable bool
+	// Errors is the number of consecutive answers that were errors.
+	Errors int
+	// Push is the number of trials that the own demand permits now, from 0 to 1. It applies while Suspected.
+	Push float64
+	// RampStart is when the endpoint returned. Its calls rise over the warm-up from then on. 0 means that there is no ramp.
+	RampStart Time
+	// RefusingSince is the start of a series of refusals of every call that has lasted longer than Settings.MaxOverload. 0 means
+	// that there is none.
+	RefusingSince Time
 }
 
-// Over tells that nothing is left to be known.
-func (o *Outage) Over() bool { return !o.Suspect && o.Errors == 0 && o.ColdAt == 0 && o.FullAt == 0 }
+// Ended tells that the outage and its ramp are over. Nothing needs to be kept about the endpoint.
+func (o *Outage) Ended() bool {
+	return !o.Suspected && o.Errors == 0 && o.RampStart == 0 && o.RefusingSince == 0
+}
 
-// Outages returns what has changed since it was last called, one entry for each endpoint, in the order of the changes. It is to
-// be called behind each Step by a caller that keeps outages for another process (Settings.KeepOutages).
+// Outages returns what has changed since the last call, with one entry for each endpoint, in the order of the changes. A
+// caller that sets Settings.TrackOutages calls it after each Step.
 func (d *Dispatcher) Outages() []Outage {
-	if len(d.outages) == 0 {
+	if len(d.changedOutages) == 0 {
 		return nil
 	}
-	changed := make([]Outage, len(d.outages))
-	for i, ep := range d.outages {
-		changed[i] = d.outage(ep)
-		ep.changed = false
+	changed := make([]Outage, len(d.changedOutages))
+	for i, ep := range d.changedOutages {
+		changed[i] = d.outageOf(ep)
+		ep.outageChanged = false
 	}
-	d.outages = d.outages[:0]
+	d.changedOutages = d.changedOutages[:0]
 	return changed
 }
 
-// outage is what is known of an endpoint's outage.
-func (d *Dispatcher) outage(ep *endpoint) Outage {
-	o := Outage{Endpoint: ep.id, Dest: ep.dest.no, Suspect: ep.suspect, Errors: ep.errs, ColdAt: ep.coldAt}
-	if ep.pace.shutSeen {
-		o.FullAt = ep.pace.fullSince
+// outageOf returns what is known about the outage of an endpoint.
+func (d *Dispatcher) outageOf(ep *endpoint) Outage {
+	o := Outage{Endpoint: ep.id, Dest: ep.dest.number, Suspected: ep.suspected, Errors: ep.errorStreak, RampStart: ep.rampStart}
+	if ep.limiter.presumedDown {
+		o.RefusingSince = ep.limiter.refusingSince
 	}
-	if ep.suspect {
-		o.Push = ep.push
-		o.FailedAt, o.DownAt, o.Failures, o.Proven = ep.failedAt, ep.downAt, max(ep.bad, ep.pace.bad), ep.proven
-		if d.sure(ep) { // by errors in a row, of which failures count one
-			o.Failures = max(o.Failures, sureAfter)
+	if ep.suspected {
+		o.Push = ep.rampTokens
+		o.FailedAt, o.DownSince, o.Failures, o.Unreachable = ep.failedAt, ep.downSince, max(ep.failureStreak, ep.limiter.failureStreak), ep.unreachable
+		if d.outageConfirmed(ep) { // consecutive errors may have confirmed it, and they count as a single failure
+			o.Failures = max(o.Failures, minConfirmFailures)
 		}
 	}
 	if ep.health == Gone {
-		return Outage{Endpoint: ep.id, Dest: ep.dest.no}
+		return Outage{Endpoint: ep.id, Dest: ep.dest.number}
 	}
 	return o
 }
 
-// outageChanged notes that what is known of an endpoint's outage is another now.
+// outageChanged records that what is known about the outage of an endpoint has changed.
 func (d *Dispatcher) outageChanged(ep *endpoint) {
-	if d.set.KeepOutages && !ep.changed {
-		ep.changed = true
-		d.outages = append(d.outages, ep)
+	if d.settings.TrackOutages && !ep.outageChanged {
+		ep.outageChanged = true
+		d.changedOutages = append(d.changedOutages, ep)
 	}
 }
 
-// restoreOutage takes what a process before this one knew of an outage. The endpoint has to be listed.
+// restoreOutage restores what an earlier process knew about an outage. It does nothing if the endpoint is not listed.
 func (d *Dispatcher) restoreOutage(o *Outage) {
-	t := d.dest(o.Dest)
-	i := slices.IndexFunc(t.eps, func(ep *endpoint) bool { return ep.id == o.Endpoint })
-	if i < 0 || o.Over() {
+	dest := d.destination(o.Dest)
+	i := slices.IndexFunc(dest.endpoints, func(ep *endpoint) bool { return ep.id == o.Endpoint })
+	if i < 0 || o.Ended() {
 		return
 	}
-	ep := t.eps[i]
+	ep := dest.endpoints[i]
 	d.startRamp(ep)
-	ep.coldAt, ep.errs = o.ColdAt, o.Errors
-	ep.liftAt = rampEnd
-	if o.FullAt != 0 { // its next success is taken for the end of an outage
-		ep.pace.fullSince, ep.pace.shutSeen, ep.pace.streak = o.FullAt, true, max(ep.pace.streak, 1)
+	ep.rampStart, ep.errorStreak = o.RampStart, o.Errors
+	ep.rampEnd = maxRampEnd
+	if o.RefusingSince != 0 { // the next success then counts as the end of an outage
+		ep.limiter.refusingSince, ep.limiter.presumedDown, ep.limiter.refusalStreak = o.RefusingSince, true, max(ep.limiter.refusalStreak, 1)
 	}
-	if o.Suspect {
-		ep.push = o.Push
-		ep.suspect, ep.proven, ep.downAt, ep.failedAt = true, o.Proven, o.DownAt, o.FailedAt
-		ep.bad, ep.pace.bad = o.Failures, max(ep.pace.bad, o.Failures)
-		ep.trialGap = d.silence(t)
-		ep.trialAt = d.now + Time(d.random()*float64(ep.trialGap))
+	if o.Suspected {
+		ep.rampTokens = o.Push
+		ep.suspected, ep.unreachable, ep.downSince, ep.failedAt = true, o.Unreachable, o.DownSince, o.FailedAt
+		ep.failureStreak, ep.limiter.failureStreak = o.Failures, max(ep.limiter.failureStreak, o.Failures)
+		ep.trialInterval = d.silenceTimeout(dest)
+		ep.trialAt = d.now + Time(d.random()*float64(ep.trialInterval))
 	}
-	d.awaken(t)
+	d.wakeUp(dest)
 }
--- a/control/state.go
+++ b/control/state.go
@@ -1,6 +1,6 @@
 package control
 
-// State that control.go decides with, and the plain upkeep of it. Nothing is decided here.
+// This file contains the state of a Dispatcher and its bookkeeping. The decisions are in control.go.
 
 import (
 	"cmp"
@@ -10,275 +10,404 @@
 	"slices"
 )
 
-// Dispatcher decides for one relay. It is deterministic and not safe for concurrent use.
+// Dispatcher decides for one instance of the service. The same settings, seed and events always lead to the same decisions. It
+// must not be used by several goroutines at once.
 type Dispatcher struct {
-	set                       Settings
-	rng                       uint64
-	aim                       Time // the least aim of a class
-	now, wake, tidied, noteAt Time
-	stopAt                    Time // this process ends then and its successor goes on, 0 if not known
-	askAt, askDue, askGap     Time // next asking for the list; its timer; pause after the next failure
-	out                       []Action
-	msgs                      map[MessageID]*message
-	keys                      map[uint64]*keyTurn
-	byNo                      map[int]*dest
-	byID                      map[Endpoint]*endpoint
-	byHint                    map[uint32]*endpoint // by the short name that notes between peers use
-	resting                   []*keyTurn
-	dests                     []*dest // those that something was heard of or asked for
-	idle                      map[int][]line
-	owner                     map[Endpoint]int // destinations of the endpoints in idle
-	byAcc, turns, costs, naps order            // see place
-	calling, emptied          []*dest          // those with calls out, by seq; those that may be live no more
-	joins, lists              uint64           // destinations that came to life; lists taken
-	fair, shedAt              int              // first window, by the last list; where the next look for what to shed begins
-	kinds                     []*kind
-	left                      []*endpoint // calls there ended in this round
-	outages                   []*endpoint // what is known of their outages has changed
-	busy, open                int         // slots taken; messages owed an answer
-	count, round, looks       uint64      // looks: destinations tried or watched, the work of rounds
-	tenants                   []meter
-	all                       meter
-	quota, slack              float64 // messages a second within all shares; factor on a listed rate
-	lost                      float64 // share of answers that get lost
-	short                     bool    // messages wait for want of slots
-	keysRest                  Time    // all keys rest until then: calls of a process before this one may be executed yet
-	unrecorded                bool    // attempts can't be put on record now
-	watching                  bool    // subscribed to the list
-	notes                     []byte  // hints for the peers, sent at the end of the round
-	noteCredit, notePart      float64 // bytes that may be told now; what a message adds
-	noteHeard                 Time
-}
-
-// message is one message from arrival to its end and its last outcome.
+	settings Settings
+	// rng is the state of the random number generator.
+	rng uint64
+	// minTarget is the smallest Target of a class, but at least one tick.
+	minTarget Time
+	// now is the time of this round and wakeAt that of the next requested one. housekeepingAt is the time of the last garbage
+	// collection. nextLogAt is the earliest time of the next log line.
+	now, wakeAt, housekeepingAt, nextLogAt Time
+	// stopAt is when this process ends and the next one goes on with its messages. 0 means that no end is known.
+	stopAt Time
+	// pullAt is when the list is requested next and pullTimerAt when the timer for that fires. pullBackoff is the pause after
+	// the next failed request.
+	pullAt, pullTimerAt, pullBackoff Time
+	// actions are the actions of this round.
+	actions []Action
+	// messages are the messages that have no final answer or have an attempt in flight.
+	messages map[MessageID]*message
+	// keys are the queues of the ordering keys.
+	keys map[uint64]*keyQueue
+	// destByNumber finds a destination that is held in full.
+	destByNumber map[int]*destination
+	// endpointByID finds an endpoint of such a destination.
+	endpointByID map[EndpointID]*endpoint
+	// endpointByHint finds an endpoint by its hint ID.
+	endpointByHint map[uint32]*endpoint
+	// restingKeys are the keys without messages that are kept until their restUntil.
+	restingKeys []*keyQueue
+	// dests are the destinations that are held in full, because there was a message or a hint for them.
+	dests []*destination
+	// unusedEntries are the list entries of all other destinations, by destination number.
+	unusedEntries map[int][]unusedEntry
+	// unusedOwner is the destination number of each endpoint in unusedEntries.
+	unusedOwner map[EndpointID]int
+	// These heaps order the destinations. reindex describes them.
+	byVirtualTime, eligible, byVirtualFinish, sleeping destinationHeap
+	// calling are the destinations with calls in flight, by activationSeq. maybeInactive are those that may have become inactive.
+	calling, maybeInactive []*destination
+	// activations counts how often a destination became active. listCount counts the lists that were applied.
+	activations, listCount uint64
+	// initialWindow is the first window of a destination, by the last list. shedCursor is where the next scan for messages to
+	// shed begins.
+	initialWindow, shedCursor int
+	// kinds are the states of the kinds of destination. The first one also serves destinations without a valid kind.
+	kinds []*kindState
+	// freedEndpoints are the endpoints where a call ended in this round.
+	freedEndpoints []*endpoint
+	// changedOutages are the endpoints for which Outages has something new to return.
+	changedOutages []*endpoint
+	// busySlots is the number of calls in flight. openMessages is the number of messages without a final answer.
+	busySlots, openMessages int
+	// arrivalCount counts arrivals and round counts rounds. scanCount counts the destinations that were tried or checked, which
+	// is the main work of a round.
+	arrivalCount, round, scanCount uint64
+	// tenantRates are the rates of messages from each tenant.
+	tenantRates []rateMeter
+	// totalRate is the rate of messages from all tenants.
+	totalRate rateMeter
+	// totalQuota is the sum of all quotas in messages a second. weightFactor is the factor on a listed rate.
+	totalQuota, weightFactor float64
+	// lossShare is the estimated share of answers that get lost.
+	lossShare float64
+	// slotShortage tells that messages wait because all slots are busy.
+	slotShortage bool
+	// keysRestUntil is the restUntil of new keys. Calls of an earlier process may still be running before that.
+	keysRestUntil Time
+	// recordingFails tells that attempts cannot be recorded in the ledger at present.
+	recordingFails bool
+	// subscribed tells that the dispatcher is subscribed to the list.
+	subscribed bool
+	// hints are the encoded hints that are sent at the end of the round.
+	hints []byte
+	// gossipCredit is the number of bytes that may be sent now. gossipCreditPerMessage is what each message adds to it.
+	gossipCredit, gossipCreditPerMessage float64
+	// gossipHeardAt is when hints were last received.
+	gossipHeardAt Time
+}
+
+// message is one message from its arrival until it has its final answer and no attempt in flight.
 type message struct {
-	id                MessageID
-	class             *Class
-	dest              *dest
-	lane              int
-	key               *keyTurn
-	born, deadline    Time // when it was first handed in, when it is given up
-	arrived           uint64
-	round             uint64 // in which it arrived
-	restored          bool   // a process before this one had taken it on
-	over, held, ended bool
-	tries             int // attempts decided ...
-	unsent            int // ... of them not sent
-	out               *call
-	doubt             bool // an attempt may have run ...
-	doubtAt           Time // ... the first such was sent then ...
-	doubtZone         int  // ... to this zone
-}
-
-// call is one call out, holding a slot: a message, or several of one round.
+	id    MessageID
+	class *Class
+	dest  *destination
+	// lane is an index into the lanes of dest.
+	lane int
+	// key is the queue of its ordering key. It is nil if the message may be sent in any order.
+	key *keyQueue
+	// createdAt is when the client handed the message in. deadline is when it is given up.
+	createdAt, deadline Time
+	// arrivalSeq is the position of its arrival among all arrivals.
+	arrivalSeq uint64
+	// arrivalRound is the round in which it arrived.
+	arrivalRound uint64
+	// restored tells that an earlier process had accepted it.
+	restored bool
+	// overQuota tells that its tenant was over its quota. queued tells that it is in a lane. ended tells that it has its final
+	// answer.
+	overQuota, queued, ended bool
+	// attempts is the number of attempts that were decided.
+	attempts int
+	// attemptsNotSent is how many of these were not sent.
+	attemptsNotSent int
+	// call is the call in flight that contains it, or nil.
+	call *call
+	// possiblyExecuted tells that an attempt was possibly executed.
+	possiblyExecuted bool
+	// possiblyExecutedAt is when the first such attempt was sent.
+	possiblyExecutedAt Time
+	// possiblyExecutedZone is the zone to which that attempt was sent.
+	possiblyExecutedZone int
+}
+
+// call is a call in flight, which occupies a slot. It contains one message or several of the same round.
 type call struct {
-	ep           *endpoint
-	sent         Time
-	msgs         []*message
-	left         int
-	trial, asked bool // a trial of a suspect; called off by us
-	cut          bool // its connection broke
-	idle         Time // how long the connection that it went out on had been idle, 0 if new or in use
-}
-
-// keyTurn orders the messages that share a key.
-type keyTurn struct {
-	key    uint64
-	queue  []*message
-	rest   Time
-	parked bool // in the list of those at rest
-}
-
-// endpoint is a place to send to, with its own health.
+	ep       *endpoint
+	sentAt   Time
+	messages []*message
+	// pending is the number of messages whose outcome is not known yet.
+	pending int
+	// trial marks a trial of a suspected endpoint. cancelled tells that this dispatcher cancelled the call.
+	trial, cancelled bool
+	// connReset tells that the connection broke.
+	connReset bool
+	// connIdle is how long the connection had been idle before the call. It is 0 for a new connection or one in use.
+	connIdle Time
+}
+
+// keyQueue orders the messages that share a key.
+type keyQueue struct {
+	key uint64
+	// messages are the messages that are not over, oldest first. Only the first one may be sent.
+	messages []*message
+	// restUntil is when the next message may have its first attempt. An earlier message may still be executed before that.
+	restUntil Time
+	// resting tells that the queue is in restingKeys.
+	resting bool
+}
+
+// endpoint is a listed endpoint and what was learned about its health.
 type endpoint struct {
-	id                  Endpoint
-	dest                *dest
-	zone                int
-	health              Health
-	pace                *pace
-	calls               []*call // out, oldest first
-	open                bool    // a connection is thought open
-	used, heard, okSent Time    // last use; last answer; send time of the newest call answered ok
-	bad, errs           int     // calls in a row that met nobody or silence; answers in a row that were errors
-	suspect, proven     bool    // not fed; its last failure proved that calls do not run
-	dropped             Time    // idle age of the connection on which the last failed call went out
-	downAt, failedAt    Time    // while suspect: since when; when the last failure was known
-	trialAt, trialGap   Time    // next trial, and how long until the one after
-	coldAt              Time    // start of its ramp, 0 none
-	push, past          float64 // calls that the ramp permits now; demand seen when that was reckoned ...
-	rampAt              Time    // ... which was then
-	liftAt              float64 // multiple of the own demand at which its ramp ends, where a single message is held
-	changed             bool    // what is known of its outage is to be told, see Outages
-}
-
-// line is one listed endpoint of a destination that nothing was asked for yet: all that is kept of it.
-type line struct {
-	id         Endpoint
-	at         Time // when it was listed
+	id     EndpointID
+	dest   *destination
+	zone   int
+	health Health
+	// limiter is that of the destination, or its own one if the kind has PerEndpointLimits.
+	limiter *limiter
+	// calls are the calls in flight, oldest first.
+	calls []*call
+	// connOpen tells that a connection is assumed to be open.
+	connOpen bool
+	// usedAt is when a call last began or ended. heardAt is when the last answer came. lastOKSentAt is when the latest call that
+	// ended with OK was sent.
+	usedAt, heardAt, lastOKSentAt Time
+	// failureStreak is the number of consecutive calls that failed to connect or got no answer. errorStreak is the number of
+	// consecutive answers that were errors.
+	failureStreak, errorStreak int
+	// suspected tells that the endpoint is possibly down and gets only trials. unreachable tells that the last failure proved
+	// that calls are not executed.
+	suspected, unreachable bool
+	// failedConnIdle is how long the connection of the last failed call had been idle. It is 0 if that is no sign of a dropped
+	// connection.
+	failedConnIdle Time
+	// downSince is the assumed start of the outage. failedAt is when the last failure became known. They apply while it is
+	// suspected.
+	downSince, failedAt Time
+	// trialAt is when the next trial is due. trialInterval is the time from that trial to the one after it.
+	trialAt, trialInterval Time
+	// rampStart is when the ramp began. 0 means that there is none.
+	rampStart Time
+	// rampTokens is the number of calls that the ramp permits now. demandSeen is the demand that was counted at rampUpdatedAt.
+	rampTokens, demandSeen float64
+	// rampUpdatedAt is when rampTokens was last computed.
+	rampUpdatedAt Time
+	// rampEnd is the multiple of the own demand at which the ramp ends while at most one message is queued.
+	rampEnd float64
+	// outageChanged tells that the endpoint is in changedOutages.
+	outageChanged bool
+}
+
+// unusedEntry is a listed endpoint of a destination that has had no messages or is quiet. Nothing else is kept about it.
+type unusedEntry struct {
+	id         EndpointID
+	listedAt   Time
 	weight     float64
 	zone, kind int32
 	health     Health
 }
 
-// kind is what the destinations of one kind have in common.
-type kind struct {
-	lat    latency
-	keep   Time    // idle age up to which connections are known to hold
-	again  float64 // how often the call after a refusal went well
-	drops  float64 // share of calls on idle connections that failed where the next one went well
-	scarce Time    // until then connections are taken to be scarce
+// kindState is what all destinations of one kind share.
+type kindState struct {
+	latency latencyEstimate
+	// safeIdleAge is the idle age up to which connections are known to stay open.
+	safeIdleAge Time
+	// retrySuccess is the share of calls after a refusal that ended with OK.
+	retrySuccess float64
+	// dropShare is the share of calls on idle connections that failed although the next call went well.
+	dropShare float64
+	// scarceUntil is until when connections are assumed to be scarce.
+	scarceUntil Time
 }
 
-// latency is a running mean and deviation.
-type latency struct{ mean, dev, n float64 }
+// latencyEstimate is a running mean and mean deviation of the latency, in microseconds. samples is the number of samples.
+type latencyEstimate struct{ mean, deviation, samples float64 }
 
-func (l *latency) add(v, gain float64) {
-	l.n++
-	l.dev += gain * (math.Abs(v-l.mean) - l.dev)
+// add adds a sample in microseconds. gain is its weight in the moving averages.
+func (l *latencyEstimate) add(v, gain float64) {
+	l.samples++
+	l.deviation += gain * (math.Abs(v-l.mean) - l.deviation)
 	l.mean += gain * (v - l.mean)
 }
 
-// pace is what bounds the rate to a destination, or to one route where routes are apart.
-type pace struct {
-	wait, at, cutAt, okAt, fullSince Time    // wait is told, or our own backoff
-	allow, bound, tokens             float64 // share of the own demand let go; listed or reported rate
-	past                             float64 // demand seen when the tokens were reckoned
-	holdTo, spread                   Time    // all senders hold until then and go on spread over this
-	streak, bad                      int     // refusals in a row; calls in a row that met nobody or silence, at all its endpoints
-	ok                               meter
-	shutSeen                         bool // it has refused for longer than an overload may last
-}
-
-// dest is a destination: its hold, turn counter, window and what was learned.
-type dest struct {
-	no            int
-	eps           []*endpoint
-	kind          *kind
-	pace          *pace
-	batch         int
-	live          bool   // messages were held or out since the last round
-	seq, list     uint64 // place among the live ones; the list that its first window is by
-	at            [4]int // places in the orders, counted from 1
-	calls         bool   // it is among those with calls out
-	cost          float64
-	lookAt        Time // asleep until then: nothing can be released
-	asleep        bool
-	open          int // messages owed an answer
-	share, acc    float64
-	lanes         [][]*message // by class and over-share, oldest first
-	held          int
-	w, wmax       int
-	starting      bool
-	ends, badEnds int
-	lat           latency
-	base          float64 // the long view of its latency
-	demand        meter
-}
-
-// meter is a rate with exponential decay.
-type meter struct {
-	v, n        float64
-	at, tau, t0 Time
-}
-
-func (m *meter) add(now Time, n float64) {
-	m.v = m.v*math.Exp(-float64(now-m.at)/float64(m.tau)) + n
-	m.at = now
-	m.n += n
-}
-
-// credit is what was counted since the last look, smoothed by the decay; last is moved on.
-func (m *meter) credit(now Time, last *float64) float64 {
-	past := m.n - m.v*math.Exp(-float64(now-m.at)/float64(m.tau))
-	gone := past - *last
-	*last = past
-	return gone / m.span(now)
-}
-
-// span is the part of the memory that is filled.
-func (m *meter) span(now Time) float64 {
-	return 1 - math.Exp(-float64(now-m.t0+meterStart)/float64(m.tau))
-}
-
-// rate is per second; the start is corrected for the short history.
-func (m *meter) rate(now Time) float64 {
-	return m.v * math.Exp(-float64(now-m.at)/float64(m.tau)) / m.tau.seconds() / m.span(now)
-}
-
-// steady is the rate per second as if nothing had come before the measure began: a burst at its start is none.
-func (m *meter) steady(now Time) float64 {
-	return m.v * math.Exp(-float64(now-m.at)/float64(m.tau)) / m.tau.seconds()
-}
-
+// limiter limits the rate of calls to a destination, or to one endpoint if the kind has PerEndpointLimits.
+type limiter struct {
+	// waitUntil is when calls are permitted again after a wait that was told or a backoff. refilledAt is when the tokens were
+	// last refilled. refusedAt is the time of the last refusal and lastOKAt that of the last success. refusingSince is the
+	// first of the consecutive refusals that a used-up limit does not explain, or 0.
+	waitUntil, refilledAt, refusedAt, lastOKAt, refusingSince Time
+	// allowance is the share of the own demand that is permitted. knownRate is the listed or reported limit in calls a second,
+	// or 0. tokens is the number of calls that are permitted now.
+	allowance, knownRate, tokens float64
+	// demandSeen is the demand that was counted when the tokens were last refilled.
+	demandSeen float64
+	// holdUntil is until when all dispatchers hold their calls. spread is the time over which they resume after that.
+	holdUntil, spread Time
+	// refusalStreak is the number of consecutive refusals. failureStreak is the number of consecutive calls to any of its
+	// endpoints that failed to connect or got no answer.
+	refusalStreak, failureStreak int
+	// successes is the rate of successful calls.
+	successes rateMeter
+	// presumedDown tells that it has refused every call for longer than MaxOverload.
+	presumedDown bool
+}
+
+// destination is a destination with its queue, its place in the fair queueing, its window and its estimates.
+type destination struct {
+	number    int
+	endpoints []*endpoint
+	kind      *kindState
+	limiter   *limiter
+	maxBatch  int
+	// active tells that messages were queued or in flight since the last round.
+	active bool
+	// activationSeq is its position among the active destinations. windowList is the list from which its first window was
+	// computed.
+	activationSeq, windowList uint64
+	// heapIndex is its position in each heap, counted from 1. 0 means that it is not in that heap.
+	heapIndex [4]int
+	// inCalling tells that it is in Dispatcher.calling.
+	inCalling bool
+	// virtualFinish is its finish tag when it was last placed in byVirtualFinish.
+	virtualFinish float64
+	// wakeAt is until when it sleeps, because it cannot send anything.
+	wakeAt Time
+	asleep bool
+	// openMessages is the number of its messages without a final answer.
+	openMessages int
+	// listedWeight is the weight from the list, or 0. virtualTime is its virtual time in the weighted fair queueing.
+	listedWeight, virtualTime float64
+	// lanes are the queued messages, oldest first. Each class has one lane for messages within the quota and one for the others.
+	lanes [][]*message
+	// queuedCount is the number of messages in all lanes.
+	queuedCount int
+	// inFlight is the number of calls in flight. window is its largest number, before the limits of effectiveWindow.
+	inFlight, window int
+	// windowStarting tells that the window still grows with each success, because none has failed yet.
+	windowStarting bool
+	// completions and failedCompletions count the calls since the last review of the window.
+	completions, failedCompletions int
+	latency                        latencyEstimate
+	// baselineLatency is the long-term mean latency in microseconds.
+	baselineLatency float64
+	// demand is the rate of new messages.
+	demand rateMeter
+}
+
+// rateMeter measures a rate with exponential decay.
+type rateMeter struct {
+	// decayed is the count with decay and total the count without it.
+	decayed, total float64
+	// updatedAt is when something was last counted. timeConstant is the time in which the count decays by a factor of e.
+	// startedAt is when the measurement began.
+	updatedAt, timeConstant, startedAt Time
+}
+
+// add counts n at the instant now.
+func (m *rateMeter) add(now Time, n float64) {
+	m.decayed = m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) + n
+	m.updatedAt = now
+	m.total += n
+}
+
+// takeSmoothed returns what was counted since the last call with the same last, smoothed by the decay. It updates last.
+func (m *rateMeter) takeSmoothed(now Time, last *float64) float64 {
+	smoothed := m.total - m.decayed*math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant))
+	increment := smoothed - *last
+	*last = smoothed
+	return increment / m.filledShare(now)
+}
+
+// filledShare is the share of the time constant's history that has been measured so far, from 0 to 1.
+func (m *rateMeter) filledShare(now Time) float64 {
+	return 1 - math.Exp(-float64(now-m.startedAt+meterInitialHistory)/float64(m.timeConstant))
+}
+
+// rate is the rate per second, corrected for a short history.
+func (m *rateMeter) rate(now Time) float64 {
+	return m.decayed * math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) / m.timeConstant.seconds() / m.filledShare(now)
+}
+
+// uncorrectedRate is the rate per second as if nothing had come before the measurement began. A burst at the start does not
+// count as a high rate.
+func (m *rateMeter) uncorrectedRate(now Time) float64 {
+	return m.decayed * math.Exp(-float64(now-m.updatedAt)/float64(m.timeConstant)) / m.timeConstant.seconds()
+}
+
+// seconds converts a duration to seconds.
 func (t Time) seconds() float64 { return float64(t) / float64(Second) }
 
-// put adds a message to its lane, which is in order of arrival.
-func (t *dest) put(m *message) {
-	l := t.lanes[m.lane]
-	at := len(l)
-	for at > 0 && l[at-1].arrived > m.arrived {
+// insert adds a message to its lane, which is in order of arrival.
+func (t *destination) insert(m *message) {
+	lane := t.lanes[m.lane]
+	at := len(lane)
+	for at > 0 && lane[at-1].arrivalSeq > m.arrivalSeq {
 		at--
 	}
-	t.lanes[m.lane] = slices.Insert(l, at, m)
-	m.held = true
-	t.held++
+	t.lanes[m.lane] = slices.Insert(lane, at, m)
+	m.queued = true
+	t.queuedCount++
 }
 
-// drop takes a message out of its lane, if it is in one.
-func (t *dest) drop(m *message) {
-	if !m.held {
+// remove takes a message out of its lane if it is in one.
+func (t *destination) remove(m *message) {
+	if !m.queued {
 		return
 	}
-	l := t.lanes[m.lane]
-	i, _ := slices.BinarySearchFunc(l, m.arrived, func(o *message, n uint64) int { return cmp.Compare(o.arrived, n) })
-	t.lanes[m.lane] = slices.Delete(l, i, i+1)
-	t.held--
-	m.held = false
+	lane := t.lanes[m.lane]
+	i, _ := slices.BinarySearchFunc(lane, m.arrivalSeq, func(o *message, n uint64) int { return cmp.Compare(o.arrivalSeq, n) })
+	t.lanes[m.lane] = slices.Delete(lane, i, i+1)
+	t.queuedCount--
+	m.queued = false
 }
 
-// order is a heap of destinations. Each knows its place in it. Keys stand in the heap as they were when each was last
-// set: a comparison then reads one array and calls nothing, which is what a round mostly does.
-type order struct {
-	of    int
-	key   func(*dest) float64
-	items []spot
+// destinationHeap is a heap of destinations that implements heap.Interface. Each destination knows its position. The items
+// contain the keys as of the last update, so that a comparison reads one array and calls nothing. Comparisons are most of
+// the work of a round.
+type destinationHeap struct {
+	index int
+	key   func(*destination) float64
+	items []heapItem
 }
 
-type spot struct {
-	key float64
-	t   *dest
+// heapItem is a destination with its key as of the last update.
+type heapItem struct {
+	key  float64
+	dest *destination
 }
 
-func (o *order) Len() int { return len(o.items) }
-func (o *order) Less(i, j int) bool {
+// Len implements heap.Interface.
+func (o *destinationHeap) Len() int { return len(o.items) }
+
+// Less implements heap.Interface. Destinations with equal keys are in order of activation.
+func (o *destinationHeap) Less(i, j int) bool {
 	a, b := &o.items[i], &o.items[j]
-	return a.key < b.key || a.key == b.key && a.t.seq < b.t.seq
+	return a.key < b.key || a.key == b.key && a.dest.activationSeq < b.dest.activationSeq
 }
-func (o *order) Swap(i, j int) {
+
+// Swap implements heap.Interface.
+func (o *destinationHeap) Swap(i, j int) {
 	o.items[i], o.items[j] = o.items[j], o.items[i]
-	o.items[i].t.at[o.of], o.items[j].t.at[o.of] = i+1, j+1
+	o.items[i].dest.heapIndex[o.index], o.items[j].dest.heapIndex[o.index] = i+1, j+1
 }
-func (o *order) Push(x any) {
-	t := x.(*dest)
-	o.items = append(o.items, spot{o.key(t), t})
-	t.at[o.of] = len(o.items)
+
+// Push implements heap.Interface.
+func (o *destinationHeap) Push(x any) {
+	t := x.(*destination)
+	o.items = append(o.items, heapItem{o.key(t), t})
+	t.heapIndex[o.index] = len(o.items)
 }
-func (o *order) Pop() any {
+
+// Pop implements heap.Interface.
+func (o *destinationHeap) Pop() any {
 	n := len(o.items) - 1
-	t := o.items[n].t
-	o.items[n] = spot{}
+	t := o.items[n].dest
+	o.items[n] = heapItem{}
 	o.items = o.items[:n]
-	t.at[o.of] = 0
+	t.heapIndex[o.index] = 0
 	return t
 }
 
-// set puts a destination in its place, or takes it out.
-func (o *order) set(t *dest, in bool) {
-	switch at := t.at[o.of]; {
-	case in && at == 0:
-		heap.Push(o, t)
-	case in:
-		if k := o.key(t); o.items[at-1].key != k {
+// update puts a destination at its position in the heap, or removes it if it is not present any more.
+func (o *destinationHeap) update(dest *destination, present bool) {
+	switch at := dest.heapIndex[o.index]; {
+	case present && at == 0:
+		heap.Push(o, dest)
+	case present:
+		if k := o.key(dest); o.items[at-1].key != k {
 			o.items[at-1].key = k
 			heap.Fix(o, at-1)
 		}
@@ -287,121 +416,123 @@
 	}
 }
 
-// least is the smallest key of all but one destination, or infinity.
-func (o *order) least(but *dest) float64 {
+// minKeyExcept is the smallest key of all destinations but one. It is infinite if there is no other.
+func (o *destinationHeap) minKeyExcept(except *destination) float64 {
 	switch n := len(o.items); {
 	case n == 0:
 		return math.Inf(1)
-	case o.items[0].t != but:
+	case o.items[0].dest != except:
 		return o.items[0].key
-	default: // it is at the top: the next is one of the two below
-		v := math.Inf(1)
+	default: // the exception is at the top, so the next smallest is one of the two below it
+		least := math.Inf(1)
 		for _, s := range o.items[1:min(3, n)] {
-			v = min(v, s.key)
+			least = min(least, s.key)
 		}
-		return v
+		return least
 	}
 }
 
-// place puts a destination where its counts and its sleep say: byAcc are all live ones by their counters; turns and
-// costs those that may release, by counter and by tag; naps those asleep; calling those with calls out.
-func (d *Dispatcher) place(t *dest) {
-	live, awake := t.held > 0 || t.w > 0, t.held > 0 && !t.asleep
-	if !live {
-		t.asleep = false
-		d.emptied = append(d.emptied, t)
+// reindex puts a destination into the heaps and lists to which its state belongs. byVirtualTime contains all active
+// destinations. eligible and byVirtualFinish contain those that may send, by virtual time and by finish tag. sleeping
+// contains those asleep, by wake-up time. calling contains those with calls in flight.
+func (d *Dispatcher) reindex(dest *destination) {
+	active, awake := dest.queuedCount > 0 || dest.inFlight > 0, dest.queuedCount > 0 && !dest.asleep
+	if !active {
+		dest.asleep = false
+		d.maybeInactive = append(d.maybeInactive, dest)
 	}
-	d.byAcc.set(t, live)
-	d.turns.set(t, awake)
-	if len(d.costs.items) > 0 { // kept only while very many wait
+	d.byVirtualTime.update(dest, active)
+	d.eligible.update(dest, awake)
+	if len(d.byVirtualFinish.items) > 0 { // maintained only while very many destinations wait
 		if awake {
-			t.cost = d.tag(t)
+			dest.virtualFinish = d.finishTag(dest)
 		}
-		d.costs.set(t, awake)
+		d.byVirtualFinish.update(dest, awake)
 	}
-	d.naps.set(t, t.asleep)
-	if calls := t.w > 0; calls != t.calls {
-		t.calls = calls
-		i, _ := slices.BinarySearchFunc(d.calling, t.seq, func(o *dest, seq uint64) int { return cmp.Compare(o.seq, seq) })
+	d.sleeping.update(dest, dest.asleep)
+	if calls := dest.inFlight > 0; calls != dest.inCalling {
+		dest.inCalling = calls
+		i, _ := slices.BinarySearchFunc(d.calling, dest.activationSeq, func(o *destination, seq uint64) int { return cmp.Compare(o.activationSeq, seq) })
 		if calls {
-			d.calling = slices.Insert(d.calling, i, t)
+			d.calling = slices.Insert(d.calling, i, dest)
 		} else {
 			d.calling = slices.Delete(d.calling, i, i+1)
 		}
 	}
 }
 
-// awaken has a destination looked at again: something happened there.
-func (d *Dispatcher) awaken(t *dest) {
-	t.asleep = false
-	d.place(t)
+// wakeUp makes a destination eligible again because its state has changed.
+func (d *Dispatcher) wakeUp(dest *destination) {
+	dest.asleep = false
+	d.reindex(dest)
 }
 
-// rouse wakes the destinations whose time has come.
-func (d *Dispatcher) rouse() {
-	for len(d.naps.items) > 0 && d.naps.items[0].t.lookAt <= d.now {
-		d.awaken(d.naps.items[0].t)
+// wakeUpDue wakes the destinations whose wake-up time has come.
+func (d *Dispatcher) wakeUpDue() {
+	for len(d.sleeping.items) > 0 && d.sleeping.items[0].dest.wakeAt <= d.now {
+		d.wakeUp(d.sleeping.items[0].dest)
 	}
 }
 
-// rest lets those be that have nothing held or out any more.
-func (d *Dispatcher) rest() {
-	for _, t := range d.emptied {
-		if t.held == 0 && t.w == 0 {
-			t.live = false
+// deactivate marks the destinations inactive that have nothing queued or in flight any more.
+func (d *Dispatcher) deactivate() {
+	for _, dest := range d.maybeInactive {
+		if dest.queuedCount == 0 && dest.inFlight == 0 {
+			dest.active = false
 		}
 	}
-	d.emptied = d.emptied[:0]
+	d.maybeInactive = d.maybeInactive[:0]
 }
 
-// first is the destination whose turn it is: by counter, or by tag while messages wait for slots. Tags of a few are
-// reckoned at the moment. Those of very many are as of when each was placed, but for the first, which is reckoned anew.
-func (d *Dispatcher) first() *dest {
-	if !d.short {
-		if len(d.turns.items) == 0 {
+// nextDestination is the destination whose turn it is, by virtual time, or by finish tag while messages wait for slots.
+// With few destinations the finish tags are computed afresh. With very many they are as of the last update, except that the
+// smallest one is computed afresh until it stays the smallest.
+func (d *Dispatcher) nextDestination() *destination {
+	if !d.slotShortage {
+		if len(d.eligible.items) == 0 {
 			return nil
 		}
-		return d.turns.items[0].t
+		return d.eligible.items[0].dest
 	}
-	if len(d.turns.items) <= shedLooks {
-		for _, s := range d.costs.items {
-			s.t.at[d.costs.of] = 0
+	if len(d.eligible.items) <= maxShedScan {
+		for _, s := range d.byVirtualFinish.items {
+			s.dest.heapIndex[d.byVirtualFinish.index] = 0
 		}
-		d.costs.items = d.costs.items[:0]
-		var best *dest
+		d.byVirtualFinish.items = d.byVirtualFinish.items[:0]
+		var best *destination
 		least := math.Inf(1)
-		for _, s := range d.turns.items {
-			if v := d.tag(s.t); v < least || v == least && s.t.seq < best.seq {
-				best, least = s.t, v
+		for _, s := range d.eligible.items {
+			if tag := d.finishTag(s.dest); tag < least || tag == least && s.dest.activationSeq < best.activationSeq {
+				best, least = s.dest, tag
 			}
 		}
 		return best
 	}
-	if len(d.costs.items) == 0 {
-		for _, s := range d.turns.items {
-			s.t.cost = d.tag(s.t)
-			d.costs.set(s.t, true)
+	if len(d.byVirtualFinish.items) == 0 {
+		for _, s := range d.eligible.items {
+			s.dest.virtualFinish = d.finishTag(s.dest)
+			d.byVirtualFinish.update(s.dest, true)
 		}
 	}
 	for {
-		t := d.costs.items[0].t
-		cost := d.tag(t)
-		if cost <= t.cost {
-			return t
+		dest := d.byVirtualFinish.items[0].dest
+		cost := d.finishTag(dest)
+		if cost <= dest.virtualFinish {
+			return dest
 		}
-		t.cost = cost
-		d.costs.set(t, true)
+		dest.virtualFinish = cost
+		d.byVirtualFinish.update(dest, true)
 	}
 }
 
-// trying tells whether a trial is out.
-func (ep *endpoint) trying() bool {
+// hasTrial tells whether a trial is in flight.
+func (ep *endpoint) hasTrial() bool {
 	return slices.ContainsFunc(ep.calls, func(c *call) bool { return c.trial })
 }
 
-// ready counts the endpoints listed ready.
-func (t *dest) ready() (n int) {
-	for _, ep := range t.eps {
+// readyCount counts the endpoints that are listed as ready.
+func (t *destination) readyCount() (n int) {
+	for _, ep := range t.endpoints {
 		if ep.health == Ready {
 			n++
 		}
@@ -409,7 +540,7 @@
 	return n
 }
 
-// random returns a number from 0 to 1, from the seed alone.
+// random returns a pseudo-random number from 0 up to but not including 1. The sequence depends on the seed alone.
 func (d *Dispatcher) random() float64 {
 	d.rng ^= d.rng << 13
 	d.rng ^= d.rng >> 7
@@ -417,360 +548,366 @@
 	return float64(d.rng>>11) / (1 << 53)
 }
 
-// newPace returns a pace as of now.
-func (d *Dispatcher) newPace() *pace {
-	return &pace{at: d.now, tokens: 1, allow: unfelt, ok: meter{tau: rateTau, at: d.now, t0: d.now}}
+// newLimiter returns a limiter that starts now, with one token and no limit.
+func (d *Dispatcher) newLimiter() *limiter {
+	return &limiter{refilledAt: d.now, tokens: 1, allowance: unlimitedAllowance, successes: rateMeter{timeConstant: rateTimeConstant, updatedAt: d.now, startedAt: d.now}}
 }
 
-func byAim(m *message, at Time) int { return cmp.Compare(m.born+m.class.Aim, at) }
+// compareTarget compares the end of the target time of a message with an instant.
+func compareTarget(m *message, at Time) int { return cmp.Compare(m.createdAt+m.class.Target, at) }
 
-// worth is what delivering the message at t would earn.
-func (d *Dispatcher) worth(m *message, t Time) float64 {
-	c, v := m.class, m.class.Worth
-	if m.over {
-		v *= d.set.OverShare
+// valueAt is the value of delivering the message at an instant.
+func (d *Dispatcher) valueAt(m *message, at Time) float64 {
+	class, value := m.class, m.class.Value
+	if m.overQuota {
+		value *= d.settings.OverQuotaFactor
 	}
-	late := t - m.born - c.Aim
+	late := at - m.createdAt - class.Target
 	switch {
-	case t >= m.deadline:
+	case at >= m.deadline:
 		return 0
 	case late <= 0:
-		return v
-	case d.set.LateHalving:
-		return v * max(c.LateWorth, math.Exp2(-float64(late)/float64(max(c.Aim, 1))))
-	}
-	return v * (1 - (1-c.LateWorth)*float64(late)/float64(max(c.Deadline-c.Aim, 1)))
-}
-
-// tidy forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
-// A told wait binds until it is over, a drain while calls are out, and a key's rest while it lasts.
-func (d *Dispatcher) tidy() {
-	for _, t := range d.dests {
-		t.eps = slices.DeleteFunc(t.eps, func(ep *endpoint) bool {
-			old := ep.health == Gone && len(ep.calls) == 0 && ep.pace.wait <= d.now
-			if old {
-				delete(d.byID, ep.id)
-				delete(d.byHint, hintName(ep.id))
-				if ill(ep) || ep.errs > 0 || ep.pace.shutSeen {
+		return value
+	case d.settings.HalveLateValue:
+		return value * max(class.LateValue, math.Exp2(-float64(late)/float64(max(class.Target, 1))))
+	}
+	return value * (1 - (1-class.LateValue)*float64(late)/float64(max(class.Deadline-class.Target, 1)))
+}
+
+// collectGarbage drops state that is not needed any more: gone endpoints without calls, destinations that are unlisted or
+// quiet, and resting keys. A wait is kept until it is over, a draining endpoint while it has calls in flight, and a resting
+// key until its restUntil.
+func (d *Dispatcher) collectGarbage() {
+	for _, dest := range d.dests {
+		dest.endpoints = slices.DeleteFunc(dest.endpoints, func(ep *endpoint) bool {
+			expired := ep.health == Gone && len(ep.calls) == 0 && ep.limiter.waitUntil <= d.now
+			if expired {
+				delete(d.endpointByID, ep.id)
+				delete(d.endpointByHint, hintID(ep.id))
+				if isUnhealthy(ep) || ep.errorStreak > 0 || ep.limiter.presumedDown {
 					d.outageChanged(ep)
 				}
 			}
-			return old
+			return expired
 		})
 	}
-	d.dests = slices.DeleteFunc(d.dests, func(t *dest) bool {
+	d.dests = slices.DeleteFunc(d.dests, func(dest *destination) bool {
 		switch {
-		case t.open > 0 || t.w > 0 || t.pace.wait > d.now:
+		case dest.openMessages > 0 || dest.inFlight > 0 || dest.limiter.waitUntil > d.now:
 			return false
-		case len(t.eps) == 0:
-			delete(d.byNo, t.no)
+		case len(dest.endpoints) == 0:
+			delete(d.destByNumber, dest.number)
 			return true
-		case !d.set.Peers && d.quiet(t):
-			d.forget(t)
+		case !d.settings.Gossip && d.isQuiet(dest):
+			d.demoteToUnused(dest)
 			return true
 		}
 		return false
 	})
-	for no, lines := range d.idle {
-		d.idle[no] = slices.DeleteFunc(lines, func(l line) bool {
+	for number, lines := range d.unusedEntries {
+		d.unusedEntries[number] = slices.DeleteFunc(lines, func(l unusedEntry) bool {
 			if l.health == Gone {
-				delete(d.owner, l.id)
+				delete(d.unusedOwner, l.id)
 			}
 			return l.health == Gone
 		})
-		if len(d.idle[no]) == 0 {
-			delete(d.idle, no)
+		if len(d.unusedEntries[number]) == 0 {
+			delete(d.unusedEntries, number)
 		}
 	}
-	d.resting = slices.DeleteFunc(d.resting, func(k *keyTurn) bool {
-		old := len(k.queue) == 0 && k.rest <= d.now
-		if old {
+	d.restingKeys = slices.DeleteFunc(d.restingKeys, func(k *keyQueue) bool {
+		expired := len(k.messages) == 0 && k.restUntil <= d.now
+		if expired {
 			delete(d.keys, k.key)
 		}
-		return old
+		return expired
 	})
 }
 
-// note tells the operators something, if nothing else was told lately.
-func (d *Dispatcher) note(t *dest, what string) {
-	if d.now >= d.noteAt {
-		d.noteAt = d.now + seldom
-		d.out = append(d.out, Action{Kind: Note, Text: fmt.Sprintf("destination %d %s", t.no, what)})
+// logDestination logs a line about a destination, unless another line was logged within housekeepingInterval.
+func (d *Dispatcher) logDestination(dest *destination, text string) {
+	if d.now >= d.nextLogAt {
+		d.nextLogAt = d.now + housekeepingInterval
+		d.actions = append(d.actions, Action{Kind: Log, Text: fmt.Sprintf("destination %d %s", dest.number, text)})
 	}
 }
 
-// dest returns a destination, making it when something is first asked for there, as if it had been since it was listed.
-func (d *Dispatcher) dest(no int) *dest {
-	t := d.byNo[no]
-	if t == nil {
-		lines, now := d.idle[no], d.now
+// destination returns the destination with a number. If it is not held in full yet, it is created from its unused list entries,
+// as of the times at which they were listed.
+func (d *Dispatcher) destination(number int) *destination {
+	dest := d.destByNumber[number]
+	if dest == nil {
+		lines, now := d.unusedEntries[number], d.now
 		if len(lines) > 0 {
-			d.now = lines[0].at
+			d.now = lines[0].listedAt
 		}
-		t = &dest{no: no, batch: 1, starting: true, lanes: make([][]*message, 2*len(d.set.Classes))}
-		t.kind = d.kinds[0]
-		t.pace = d.newPace()
-		t.demand = meter{tau: demandTau, at: d.now, t0: d.now}
-		d.byNo[no] = t
-		d.dests = append(d.dests, t)
-		delete(d.idle, no)
-		if t.wmax, t.list = d.fair, d.lists; len(lines) == 0 {
-			t.wmax = max(1, d.set.Slots/(len(d.dests)+len(d.idle)))
+		dest = &destination{number: number, maxBatch: 1, windowStarting: true, lanes: make([][]*message, 2*len(d.settings.Classes))}
+		dest.kind = d.kinds[0]
+		dest.limiter = d.newLimiter()
+		dest.demand = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
+		d.destByNumber[number] = dest
+		d.dests = append(d.dests, dest)
+		delete(d.unusedEntries, number)
+		if dest.window, dest.windowList = d.initialWindow, d.listCount; len(lines) == 0 {
+			dest.window = max(1, d.settings.Slots/(len(d.dests)+len(d.unusedEntries)))
 		}
-		for _, l := range lines {
-			d.now = l.at
-			delete(d.owner, l.id)
-			d.enlist(t, &Entry{Endpoint: l.id, Dest: no, Zone: int(l.zone), Kind: int(l.kind), Health: l.health, Weight: l.weight})
+		for _, entry := range lines {
+			d.now = entry.listedAt
+			delete(d.unusedOwner, entry.id)
+			d.addEndpoint(dest, &Entry{Endpoint: entry.id, Dest: number, Zone: int(entry.zone), DestinationKind: int(entry.kind), Health: entry.health, Weight: entry.weight})
 		}
 		d.now = now
 	}
-	return t
+	return dest
 }
 
-// remember keeps a line of the list for a destination that nothing was asked for yet.
-func (d *Dispatcher) remember(n *Entry) {
-	if no, known := d.owner[n.Endpoint]; known && no != n.Dest || d.byID[n.Endpoint] != nil {
+// storeUnused keeps a list entry of a destination that has had no messages.
+func (d *Dispatcher) storeUnused(entry *Entry) {
+	if number, known := d.unusedOwner[entry.Endpoint]; known && number != entry.Dest || d.endpointByID[entry.Endpoint] != nil {
 		return // an endpoint does not change its destination
 	}
-	d.owner[n.Endpoint] = n.Dest
-	lines := d.idle[n.Dest]
-	i := slices.IndexFunc(lines, func(l line) bool { return l.id == n.Endpoint })
+	d.unusedOwner[entry.Endpoint] = entry.Dest
+	lines := d.unusedEntries[entry.Dest]
+	i := slices.IndexFunc(lines, func(l unusedEntry) bool { return l.id == entry.Endpoint })
 	if i < 0 {
 		i = len(lines)
-		lines = append(lines, line{id: n.Endpoint, at: d.now})
-		d.idle[n.Dest] = lines
-	}
-	l := &lines[i]
-	l.zone, l.kind, l.health, l.weight = int32(n.Zone), int32(n.Kind), n.Health, n.Weight
-}
-
-// forget makes a destination that has been quiet for long a line of the list again.
-func (d *Dispatcher) forget(t *dest) {
-	delete(d.byNo, t.no)
-	for _, ep := range t.eps {
-		delete(d.byID, ep.id)
-		delete(d.byHint, hintName(ep.id))
-		weight := t.share
-		if ep.pace != t.pace {
-			weight = ep.pace.bound / d.slack
+		lines = append(lines, unusedEntry{id: entry.Endpoint, listedAt: d.now})
+		d.unusedEntries[entry.Dest] = lines
+	}
+	unused := &lines[i]
+	unused.zone, unused.kind, unused.health, unused.weight = int32(entry.Zone), int32(entry.DestinationKind), entry.Health, entry.Weight
+}
+
+// demoteToUnused reduces a quiet destination to its list entries.
+func (d *Dispatcher) demoteToUnused(dest *destination) {
+	delete(d.destByNumber, dest.number)
+	for _, ep := range dest.endpoints {
+		delete(d.endpointByID, ep.id)
+		delete(d.endpointByHint, hintID(ep.id))
+		weight := dest.listedWeight
+		if ep.limiter != dest.limiter {
+			weight = ep.limiter.knownRate / d.weightFactor
 		}
-		kind := slices.Index(d.kinds, t.kind)
-		d.remember(&Entry{Endpoint: ep.id, Dest: t.no, Zone: ep.zone, Kind: kind, Health: ep.health, Weight: weight})
+		kind := slices.Index(d.kinds, dest.kind)
+		d.storeUnused(&Entry{Endpoint: ep.id, Dest: dest.number, Zone: ep.zone, DestinationKind: kind, Health: ep.health, Weight: weight})
 	}
 }
 
-// list takes a new endpoint list; what a whole list leaves out is gone.
-func (d *Dispatcher) list(e *Event) {
+// applyList applies a new endpoint list. Endpoints that a whole list does not contain are gone.
+func (d *Dispatcher) applyList(e *Event) {
 	if e.ListKind == ListFailed {
 		return
 	}
 	if e.ListKind != ListDelta {
-		for _, t := range d.dests {
-			for _, ep := range t.eps {
+		for _, dest := range d.dests {
+			for _, ep := range dest.endpoints {
 				ep.health = Gone
 			}
 		}
-		for _, lines := range d.idle {
+		for _, lines := range d.unusedEntries {
 			for i := range lines {
 				lines[i].health = Gone
 			}
 		}
 	}
 	for i := range e.Entries {
-		d.entry(&e.Entries[i])
+		d.applyEntry(&e.Entries[i])
 	}
-	d.lists++
-	d.fair = max(1, d.set.Slots/max(1, len(d.dests)+len(d.idle)))
+	d.listCount++
+	d.initialWindow = max(1, d.settings.Slots/max(1, len(d.dests)+len(d.unusedEntries)))
 }
 
-// entry takes one line of the list. Peers may speak of any destination, so all are held in full where there are some.
-func (d *Dispatcher) entry(n *Entry) {
-	if t := d.byNo[n.Dest]; t != nil || d.set.Peers {
-		d.enlist(d.dest(n.Dest), n)
+// applyEntry applies one list entry. With gossip all destinations are held in full, because a hint may concern any of them.
+func (d *Dispatcher) applyEntry(entry *Entry) {
+	if dest := d.destByNumber[entry.Dest]; dest != nil || d.settings.Gossip {
+		d.addEndpoint(d.destination(entry.Dest), entry)
 		return
 	}
-	d.remember(n)
+	d.storeUnused(entry)
 }
 
-// enlist gives a destination a line of the list.
-func (d *Dispatcher) enlist(t *dest, n *Entry) {
-	apart := false
-	if n.Kind >= 0 && n.Kind < len(d.set.Kinds) {
-		t.kind = d.kinds[n.Kind]
-		t.batch, apart = d.set.Kinds[n.Kind].Batch, d.set.Kinds[n.Kind].RoutesApart
+// addEndpoint adds or updates an endpoint of a destination from a list entry.
+func (d *Dispatcher) addEndpoint(dest *destination, entry *Entry) {
+	perEndpoint := false
+	if entry.DestinationKind >= 0 && entry.DestinationKind < len(d.settings.DestinationKinds) {
+		dest.kind = d.kinds[entry.DestinationKind]
+		dest.maxBatch, perEndpoint = d.settings.DestinationKinds[entry.DestinationKind].MaxBatch, d.settings.DestinationKinds[entry.DestinationKind].PerEndpointLimits
 	}
-	ep := d.byID[n.Endpoint]
+	ep := d.endpointByID[entry.Endpoint]
 	if ep == nil {
-		if _, other := d.owner[n.Endpoint]; other {
+		if _, other := d.unusedOwner[entry.Endpoint]; other {
 			return
 		}
-		ep = &endpoint{id: n.Endpoint, dest: t, pace: t.pace}
-		if apart {
-			ep.pace = d.newPace()
+		ep = &endpoint{id: entry.Endpoint, dest: dest, limiter: dest.limiter}
+		if perEndpoint {
+			ep.limiter = d.newLimiter()
 		}
-		d.byID[n.Endpoint] = ep
-		d.byHint[hintName(n.Endpoint)] = ep
+		d.endpointByID[entry.Endpoint] = ep
+		d.endpointByHint[hintID(entry.Endpoint)] = ep
 	}
-	if ep.dest != t {
+	if ep.dest != dest {
 		return // an endpoint does not change its destination
 	}
-	if !slices.Contains(t.eps, ep) {
-		d.joined(t, ep)
-		t.eps = append(t.eps, ep)
+	if !slices.Contains(dest.endpoints, ep) {
+		d.onJoin(dest, ep)
+		dest.endpoints = append(dest.endpoints, ep)
 	}
-	ep.zone, ep.health = n.Zone, n.Health
-	d.awaken(t)
-	if n.Weight > 0 && n.Weight <= math.MaxFloat32 && d.set.Weights != WeightNone {
-		t.share = n.Weight
-		ep.pace.bound = n.Weight * d.slack
+	ep.zone, ep.health = entry.Zone, entry.Health
+	d.wakeUp(dest)
+	if entry.Weight > 0 && entry.Weight <= math.MaxFloat32 && d.settings.Weights != WeightNone {
+		dest.listedWeight = entry.Weight
+		ep.limiter.knownRate = entry.Weight * d.weightFactor
 	}
 }
 
-// end drops a message that is answered; one with an attempt out is kept until its outcome.
-func (d *Dispatcher) end(m *message) {
+// endMessage drops a message that has its final answer. If an attempt is in flight, the message is kept until its outcome.
+func (d *Dispatcher) endMessage(m *message) {
 	if !m.ended {
 		m.ended = true
-		d.open--
-		m.dest.open--
-		m.dest.drop(m)
-		d.place(m.dest)
+		d.openMessages--
+		m.dest.openMessages--
+		m.dest.remove(m)
+		d.reindex(m.dest)
 	}
-	if m.out != nil {
+	if m.call != nil {
 		return
 	}
-	delete(d.msgs, m.id)
+	delete(d.messages, m.id)
 	if m.key != nil {
-		d.turn(m.key)
+		d.advanceKey(m.key)
 	}
 }
 
-// turn puts the message whose turn it is into its hold. One that waits for its turn is in no hold.
-func (d *Dispatcher) turn(k *keyTurn) {
-	for len(k.queue) > 0 && k.queue[0].ended && k.queue[0].out == nil {
-		k.queue = k.queue[1:]
+// advanceKey queues the first message of a key at its destination. The later messages of the key are in no lane.
+func (d *Dispatcher) advanceKey(queue *keyQueue) {
+	for len(queue.messages) > 0 && queue.messages[0].ended && queue.messages[0].call == nil {
+		queue.messages = queue.messages[1:]
 	}
-	if len(k.queue) == 0 {
-		if !k.parked { // its rest binds those to come; it is dropped later
-			k.parked = true
-			d.resting = append(d.resting, k)
+	if len(queue.messages) == 0 {
+		if !queue.resting { // restUntil still applies to later messages, so the queue is dropped only after it
+			queue.resting = true
+			d.restingKeys = append(d.restingKeys, queue)
 		}
 		return
 	}
-	if m := k.queue[0]; !m.ended && !m.held && m.out == nil {
-		d.hold(m)
+	if m := queue.messages[0]; !m.ended && !m.queued && m.call == nil {
+		d.enqueue(m)
 	}
 }
 
-// hintName is the short name of an endpoint in notes, the same at every dispatcher.
-func hintName(e Endpoint) uint32 {
-	h := uint64(e) * 0x9E3779B97F4A7C15
+// hintID is the short ID of an endpoint in hints. It is the same at every dispatcher.
+func hintID(id EndpointID) uint32 {
+	h := uint64(id) * 0x9E3779B97F4A7C15
 	return uint32(h >> 40)
 }
 
-// share sends what this round has to tell the peers.
-func (d *Dispatcher) share() {
-	if len(d.notes) > 0 {
-		d.out = append(d.out, Action{Kind: Share, Text: string(d.notes)})
-		d.notes = d.notes[:0]
+// sendHints sends the hints of this round to the other dispatchers.
+func (d *Dispatcher) sendHints() {
+	if len(d.hints) > 0 {
+		d.actions = append(d.actions, Action{Kind: SendGossip, Text: string(d.hints)})
+		d.hints = d.hints[:0]
 	}
 }
 
-// handle takes an event to where it is dealt with.
+// handle passes an event to the method that handles it.
 func (d *Dispatcher) handle(e *Event) {
 	switch e.Kind {
 	case Arrival:
-		d.arrive(e)
+		d.onArrival(e)
 	case Outcome:
-		d.outcome(e)
+		d.onOutcome(e)
 	case Withdrawn:
-		if m := d.msgs[e.Message]; m != nil {
-			d.end(m)
+		if m := d.messages[e.Message]; m != nil {
+			d.endMessage(m)
 		}
-	case Tick:
-		if m := d.msgs[MessageID(e.Mark-1)]; e.Mark > 0 && m != nil && !m.ended {
-			d.due(m)
+	case TimerFired:
+		if m := d.messages[MessageID(e.TimerToken-1)]; e.TimerToken > 0 && m != nil && !m.ended {
+			d.expire(m)
 		}
-	case NoteFrom:
-		d.hear(e.Content)
-	case List:
-		d.list(e)
-		d.listed(e.ListKind)
+	case GossipReceived:
+		d.receiveHints(e.Payload)
+	case ListUpdate:
+		d.applyList(e)
+		d.planNextPull(e.ListKind)
 	case OutageRestored:
 		d.restoreOutage(e.Outage)
-	case Recording:
-		d.unrecorded = e.Failing
-		for _, t := range d.dests {
-			d.awaken(t)
+	case RecordingStatus:
+		d.recordingFails = e.RecordingFails
+		for _, dest := range d.dests {
+			d.wakeUp(dest)
 		}
-	case Closing:
-		d.closing(e.Grace, e.Kept)
+	case Shutdown:
+		d.shutdown(e.TimeLeft, e.KeepHeld)
 	}
 }
 
-// begin starts the measures that need the first round's time.
-func (d *Dispatcher) begin() {
-	if d.set.Follows {
-		d.keysRest = d.now + d.set.SettleAfterDoubt
+// startMeters starts the rate meters, which need the time of the first round. It also sets how long keys rest after an
+// earlier process.
+func (d *Dispatcher) startMeters() {
+	if d.settings.HasPredecessor {
+		d.keysRestUntil = d.now + d.settings.SettleTime
 	}
-	d.all = meter{tau: demandTau, at: d.now, t0: d.now}
-	for i := range d.tenants {
-		d.tenants[i] = d.all
+	d.totalRate = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
+	for i := range d.tenantRates {
+		d.tenantRates[i] = d.totalRate
 	}
 }
 
-// sample learns the latency of a destination and of its kind.
-func (d *Dispatcher) sample(t *dest, lag float64) {
-	if t.lat.n == 0 {
-		t.lat.mean, t.lat.dev = d.latency(t)
-		t.base = lag
+// recordLatency adds a sample, in microseconds, to the latency of a destination and of its kind.
+func (d *Dispatcher) recordLatency(dest *destination, elapsed float64) {
+	if dest.latency.samples == 0 {
+		dest.latency.mean, dest.latency.deviation = d.latency(dest)
+		dest.baselineLatency = elapsed
 	}
-	t.lat.add(lag, max(latGain, 1/(t.lat.n+priorCount+1)))
-	t.base += baseGain * (lag - t.base)
-	t.kind.lat.add(lag, max(baseGain, 1/(t.kind.lat.n+1)))
+	dest.latency.add(elapsed, max(latencyGain, 1/(dest.latency.samples+latencyPriorSamples+1)))
+	dest.baselineLatency += baselineGain * (elapsed - dest.baselineLatency)
+	dest.kind.latency.add(elapsed, max(baselineGain, 1/(dest.kind.latency.samples+1)))
 }
 
-// stayAwake asks for a next round: soon while calls are out, else when the first sleeper is to be looked at.
-func (d *Dispatcher) stayAwake() {
-	after, n := wakeTicks*d.set.Tick, d.naps.items
+// scheduleNextRound requests a timer for the next round: a few ticks from now while calls are in flight, otherwise when the
+// first sleeping destination is due.
+func (d *Dispatcher) scheduleNextRound() {
+	after, n := wakeTicks*d.settings.Tick, d.sleeping.items
 	switch {
-	case d.busy > 0:
-	case len(n) > 0 && n[0].t.lookAt < never:
-		after = max(n[0].t.lookAt-d.now, after) // what is polled needs no more than that
+	case d.busySlots > 0:
+	case len(n) > 0 && n[0].dest.wakeAt < never:
+		after = max(n[0].dest.wakeAt-d.now, after) // polling more often is not needed
 	default:
 		return
 	}
-	if at := d.now + after; d.wake <= d.now || at < d.wake {
-		d.wake = at
-		d.out = append(d.out, Action{Kind: Timer, After: after})
+	if at := d.now + after; d.wakeAt <= d.now || at < d.wakeAt {
+		d.wakeAt = at
+		d.actions = append(d.actions, Action{Kind: Timer, After: after})
 	}
 }
 
-// take has a call hold a slot, free gives it back.
-func (d *Dispatcher) take(c *call) {
-	c.left = len(c.msgs)
-	d.busy++
-	c.ep.dest.w++
+// acquireSlot makes a call occupy a slot.
+func (d *Dispatcher) acquireSlot(c *call) {
+	c.pending = len(c.messages)
+	d.busySlots++
+	c.ep.dest.inFlight++
 	c.ep.calls = append(c.ep.calls, c)
-	c.ep.open, c.ep.used = true, d.now
-	d.place(c.ep.dest)
+	c.ep.connOpen, c.ep.usedAt = true, d.now
+	d.reindex(c.ep.dest)
 }
 
-func (d *Dispatcher) free(c *call) {
-	d.busy--
-	c.ep.dest.w--
+// releaseSlot frees the slot of a call.
+func (d *Dispatcher) releaseSlot(c *call) {
+	d.busySlots--
+	c.ep.dest.inFlight--
 	c.ep.calls = slices.DeleteFunc(c.ep.calls, func(o *call) bool { return o == c })
-	c.ep.used = d.now
-	d.left = append(d.left, c.ep)
-	d.awaken(c.ep.dest)
+	c.ep.usedAt = d.now
+	d.freedEndpoints = append(d.freedEndpoints, c.ep)
+	d.wakeUp(c.ep.dest)
 }
 
-// holds tells whether a message of a class with that effect is held.
-func (t *dest) holds(e Effect) bool {
+// hasQueuedEffect tells whether a message of a class with the effect is queued.
+func (t *destination) hasQueuedEffect(e RepeatEffect) bool {
 	return slices.ContainsFunc(t.lanes, func(l []*message) bool { return len(l) > 0 && l[0].class.Effect == e })
 }
 
-// each calls f for every message held.
-func (t *dest) each(f func(*message)) {
+// eachQueued calls f for every queued message.
+func (t *destination) eachQueued(f func(*message)) {
 	for i := range t.lanes {
 		for _, m := range slices.Clone(t.lanes[i]) {
 			f(m)
@@ -778,27 +915,28 @@
 	}
 }
 
-// made counts the attempts that were sent.
-func (m *message) made() int { return m.tries - m.unsent }
+// attemptsSent counts the attempts that were sent.
+func (m *message) attemptsSent() int { return m.attempts - m.attemptsNotSent }
 
-// lasts is when a message can't be sent any more: at its deadline, or once partners forget the key of one that may have run.
-func (m *message) lasts() Time {
-	if m.doubt && m.class.Effect == Guarded {
-		return min(m.deadline, m.doubtAt+m.class.Window-StallMargin)
+// sendDeadline is when a message can no longer be sent. That is its deadline, or the end of the deduplication window of one
+// that was possibly executed.
+func (m *message) sendDeadline() Time {
+	if m.possiblyExecuted && m.class.Effect == Deduplicated {
+		return min(m.deadline, m.possiblyExecutedAt+m.class.DedupWindow-StallMargin)
 	}
 	return m.deadline
 }
 
-// opens tells when the first endpoint that the message may go to is past its wait, 0 if none is listed.
-func (d *Dispatcher) opens(m *message) Time {
-	at, any := Time(math.MaxInt64), false
-	for _, ep := range m.dest.eps {
-		if ep.health == Ready && !(m.doubt && m.class.ZoneGroup && ep.zone != m.doubtZone) {
-			at, any = min(at, ep.pace.wait), true
+// availableAt is when the first endpoint that may get the message is past its wait. It is 0 if no such endpoint is listed.
+func (d *Dispatcher) availableAt(m *message) Time {
+	earliest, found := Time(math.MaxInt64), false
+	for _, ep := range m.dest.endpoints {
+		if ep.health == Ready && !(m.possiblyExecuted && m.class.DedupPerZone && ep.zone != m.possiblyExecutedZone) {
+			earliest, found = min(earliest, ep.limiter.waitUntil), true
 		}
 	}
-	if !any {
+	if !found {
 		return 0
 	}
-	return at
+	return earliest
 }
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -163,7 +163,7 @@
 	Seq       uint64 // Identifies the attempt towards the transport.
 	Message   *Message
 	Number    int // The first attempt of a message has number zero.
-	Endpoint  control.Endpoint
+	Endpoint  control.EndpointID
 	Placement Placement
 
 	// PerEndpointLimits is set if the endpoint has its own limits and waits, instead of those of its destination.
@@ -205,7 +205,7 @@
 	Cancel(a *Attempt, kind OutcomeKind)
 
 	// CloseIdle closes the idle connections to an endpoint.
-	CloseIdle(ep control.Endpoint)
+	CloseIdle(ep control.EndpointID)
 }
 
 // Discovery provides the endpoint list if the setting AskList is on. Each call is answered by one ListUpdate as an input.
@@ -324,12 +324,12 @@
 	lastSeq      uint64 // The Seq of the last attempt.
 	messages     map[control.MessageID]*messageState
 	inFlight     map[uint64]*Attempt
-	placements   map[control.Endpoint]Placement
+	placements   map[control.EndpointID]Placement
 	unannounced  []*messageState // Messages that this round accepted.
 	pendingCalls [][]*Attempt    // Calls of this round that have not been started.
 
 	// withdrawnEndpoints holds the endpoints that this round withdrew, or that asked to wait in it and have their own limits.
-	withdrawnEndpoints map[control.Endpoint]bool
+	withdrawnEndpoints map[control.EndpointID]bool
 
 	// waitingDests holds the destinations that asked to wait in this round.
 	waitingDests map[int]bool
@@ -344,7 +344,7 @@
 
 // NewCore returns a Core, or the module's error about its settings. discovery may be nil if the setting AskList is off.
 func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
-	options.Settings.KeepOutages, options.Settings.Promises = options.Ledger != nil, options.Ledger != nil
+	options.Settings.TrackOutages, options.Settings.EarlyAck = options.Ledger != nil, options.Ledger != nil
 	module, err := control.New(options.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
@@ -353,7 +353,7 @@
 		options.Guard = safety.NewGuard(options.Settings)
 	}
 	return &Core{options: options, module: module, guard: options.Guard, transport: transport, discovery: discovery, logger: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
-		placements: map[control.Endpoint]Placement{}, withdrawnEndpoints: map[control.Endpoint]bool{}, waitingDests: map[int]bool{}}, nil
+		placements: map[control.EndpointID]Placement{}, withdrawnEndpoints: map[control.EndpointID]bool{}, waitingDests: map[int]bool{}}, nil
 }
 
 // Stats returns the counts so far.
@@ -439,9 +439,9 @@
 	case in.Outage != nil:
 		c.events = append(c.events, control.Event{Kind: control.OutageRestored, Outage: in.Outage})
 	case in.LedgerWritable:
-		c.events = append(c.events, control.Event{Kind: control.Recording})
+		c.events = append(c.events, control.Event{Kind: control.RecordingStatus})
 	case in.StopWithin > 0:
-		c.events = append(c.events, control.Event{Kind: control.Closing, Grace: in.StopWithin, Kept: in.KeepMessages})
+		c.events = append(c.events, control.Event{Kind: control.Shutdown, TimeLeft: in.StopWithin, KeepHeld: in.KeepMessages})
 	default:
 		c.withdraw(in.Withdraw)
 	}
@@ -467,7 +467,7 @@
 		c.options.Trail.Accepted(m)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Arrival, Message: m.ID, Class: m.Class, Tenant: m.Tenant,
-		Dest: m.Dest, Key: m.OrderKey, Grace: lifetime, Restored: recovered.Restored, Attempt: recovered.Attempts, Doubt: recovered.PossiblyExecuted, Lag: c.now - recovered.ExecutedAt, Zone: recovered.ExecutedZone})
+		Dest: m.Dest, Key: m.OrderKey, TimeLeft: lifetime, Restored: recovered.Restored, Attempt: recovered.Attempts, PossiblyExecuted: recovered.PossiblyExecuted, Elapsed: c.now - recovered.ExecutedAt, Zone: recovered.ExecutedZone})
 }
 
 // withdraw ends a message without an answer, because its sender does not want one any more.
@@ -493,7 +493,7 @@
 			c.options.Trail.EndpointChanged(&l.Entries[i])
 		}
 	}
-	c.events = append(c.events, control.Event{Kind: control.List, ListKind: l.Kind, Entries: l.Entries})
+	c.events = append(c.events, control.Event{Kind: control.ListUpdate, ListKind: l.Kind, Entries: l.Entries})
 }
 
 // updateEndpoint applies one entry of the endpoint list.
@@ -502,7 +502,7 @@
 		delete(c.placements, entry.Endpoint)
 		c.transport.CloseIdle(entry.Endpoint)
 	} else {
-		c.placements[entry.Endpoint] = Placement{entry.Dest, entry.Kind, entry.Zone}
+		c.placements[entry.Endpoint] = Placement{entry.Dest, entry.DestinationKind, entry.Zone}
 	}
 	if entry.Health != control.Ready {
 		c.withdrawnEndpoints[entry.Endpoint] = true
@@ -575,10 +575,10 @@
 		c.applyRetryAfter(attempt, outcome.RetryAfter)
 	}
 	if outcome.Kind == NotRecorded {
-		c.events = append(c.events, control.Event{Kind: control.Recording, Failing: true})
+		c.events = append(c.events, control.Event{Kind: control.RecordingStatus, RecordingFails: true})
 	}
 	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: attempt.Message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint,
-		Result: classification.Result, Closed: state.ended, Lag: c.now - attempt.StartedAt, Wait: outcome.RetryAfter, Report: outcome.LoadReport})
+		Result: classification.Result, Closed: state.ended, Elapsed: c.now - attempt.StartedAt, RetryAfter: outcome.RetryAfter, Report: outcome.LoadReport})
 	c.removeIfDone(state)
 }
 
@@ -657,14 +657,14 @@
 			c.transport.Cancel(h.inFlight, Cancelled)
 		}
 	case control.Timer:
-		heap.Push(&c.timers, timer{due: c.now + a.After, mark: a.Mark})
+		heap.Push(&c.timers, timer{due: c.now + a.After, mark: a.TimerToken})
 	case control.Close:
 		c.transport.CloseIdle(a.Endpoint)
 	case control.Watch:
 		c.discovery.Watch()
 	case control.Fetch:
 		c.discovery.Fetch()
-	case control.Note:
+	case control.Log:
 		c.logger.Info(a.Text)
 	default:
 		c.logger.InternalError(fmt.Sprintf("action %d is not supported by the engine", a.Kind))
@@ -683,7 +683,7 @@
 	}
 	c.lastSeq++
 	attempt := &Attempt{Seq: c.lastSeq, Message: h.message, Number: h.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
-		WriteBefore: c.now + action.Within, Worth: c.options.Settings.Classes[h.message.Class].Worth}
+		WriteBefore: c.now + action.SendWithin, Worth: c.options.Settings.Classes[h.message.Class].Value}
 	attempt.PerEndpointLimits = c.hasPerEndpointLimits(attempt.Placement.Kind)
 	if action.After > 0 {
 		attempt.Deadline = min(attempt.Deadline, c.now+action.After)
@@ -691,7 +691,7 @@
 	h.attempts++
 	if err := c.guard.AuthorizeCall(c.now, attempt.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
 		c.logger.InternalError(err.Error())
-		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.Moot})
+		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.NotExecuted})
 		return
 	}
 	h.inFlight = attempt
@@ -709,14 +709,14 @@
 
 // hasPerEndpointLimits reports whether endpoints of a kind have their own limits and waits.
 func (c *Core) hasPerEndpointLimits(kind int) bool {
-	return kind >= 0 && kind < len(c.options.Settings.Kinds) && c.options.Settings.Kinds[kind].RoutesApart
+	return kind >= 0 && kind < len(c.options.Settings.DestinationKinds) && c.options.Settings.DestinationKinds[kind].PerEndpointLimits
 }
 
 // addToCall adds an attempt to a pending call to the same endpoint that has room, or begins a new call.
 func (c *Core) addToCall(a *Attempt) {
 	maxAttempts := 1
-	if k := a.Placement.Kind; k >= 0 && k < len(c.options.Settings.Kinds) {
-		maxAttempts = max(1, c.options.Settings.Kinds[k].Batch)
+	if k := a.Placement.Kind; k >= 0 && k < len(c.options.Settings.DestinationKinds) {
+		maxAttempts = max(1, c.options.Settings.DestinationKinds[k].MaxBatch)
 	}
 	if maxAttempts > 1 { // Otherwise the search would be useless, and slow in a round with very many calls.
 		for i, call := range c.pendingCalls {
@@ -793,7 +793,7 @@
 	for len(c.timers) > 0 && c.timers[0].due <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		if t.seq == 0 {
-			c.events = append(c.events, control.Event{Kind: control.Tick, Mark: t.mark})
+			c.events = append(c.events, control.Event{Kind: control.TimerFired, TimerToken: t.mark})
 		} else if a := c.inFlight[t.seq]; a != nil && t.due < a.Deadline {
 			c.transport.CancelUnsent(a)
 		} else if a != nil {
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -39,7 +39,7 @@
 func (b *spy) Answer(m *Message, a Answer)        { b.add("final %s %v", m.ExternalID, a.Kind) }
 func (b *spy) Cancel(a *Attempt, _ OutcomeKind)   { b.add("abandon %s", a.Message.ExternalID) }
 func (b *spy) CancelUnsent(a *Attempt)            { b.add("unsend %s", a.Message.ExternalID) }
-func (b *spy) CloseIdle(control.Endpoint)         {}
+func (b *spy) CloseIdle(control.EndpointID)       {}
 func (b *spy) Info(string)                        {}
 func (b *spy) InternalError(text string)          { b.add("fault %s", text) }
 func (b *spy) Start(call []*Attempt)              { b.add("start %d", len(call)); b.calls = append(b.calls, call) }
@@ -57,14 +57,14 @@
 	t.Helper()
 	set := settings()
 	set.MayCancel = true
-	set.Kinds = []control.Kind{{Name: "bulk", Batch: 3}, {Name: "single", Batch: 1}}
+	set.DestinationKinds = []control.DestinationKind{{Name: "bulk", MaxBatch: 3}, {Name: "single", MaxBatch: 1}}
 	b := &spy{}
 	c, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false, false}, Ledger: b, MaxCallBytes: 2000}, 1, b, nil, b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Round(control.Second, []Input{{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
-		{Endpoint: 1, Dest: 1, Kind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, Kind: 1, Health: control.Ready}}}}})
+		{Endpoint: 1, Dest: 1, DestinationKind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, DestinationKind: 1, Health: control.Ready}}}}})
 	return b, c
 }
 
@@ -221,7 +221,7 @@
 	b, c := newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.take()
-	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
+	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, DestinationKind: 1, Health: control.Draining}}}}})
 	b.want(t, "unsend m1")
 	b, c = newSpy(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
@@ -253,7 +253,7 @@
 func TestRestoredEndsOnRecord(t *testing.T) {
 	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.options.Settings.MaxTries}
+	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.options.Settings.MaxAttempts}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "over m1 true", "final m1 refused")
 }
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -88,7 +88,7 @@
 
 // unconfirmed reports whether the peer did not report the end of the attempt, which may still be executing.
 func (v Classification) unconfirmed() bool {
-	return v.PossiblyExecuted && v.Result != control.OK && v.Result != control.Errored
+	return v.PossiblyExecuted && v.Result != control.OK && v.Result != control.ErrorResponse
 }
 
 // classifications holds the classifications of outcomes without a status. In case of doubt an attempt counts as possibly
@@ -97,15 +97,15 @@
 	NotConnected:         {control.ConnectFailed, false, false, "no connection: nothing was sent"},
 	Unsent:               {control.NotSent, false, false, "given up before it was written"},
 	NotRecorded:          {control.NotSent, false, false, "it could not be put on record, and was not sent"},
-	NoFreeSlot:           {control.Moot, false, false, "the endpoint has no slot free for this dispatcher: not executed"},
-	StreamRefused:        {control.Full, false, false, "REFUSED_STREAM: the peer has not worked on it (RFC 9113 section 8.7)"},
-	GoAwayUnprocessed:    {control.Moot, false, false, "GOAWAY below its stream: not worked on (RFC 9113 section 6.8)"},
+	NoFreeSlot:           {control.NotExecuted, false, false, "the endpoint has no slot free for this dispatcher: not executed"},
+	StreamRefused:        {control.LimitExceeded, false, false, "REFUSED_STREAM: the peer has not worked on it (RFC 9113 section 8.7)"},
+	GoAwayUnprocessed:    {control.NotExecuted, false, false, "GOAWAY below its stream: not worked on (RFC 9113 section 6.8)"},
 	GoAwayBeforeResponse: {control.ConnectFailed, false, false, "GOAWAY before any answer: not worked on, the endpoint takes no calls"},
-	GoAwayWithError:      {control.Full, false, false, "GOAWAY with an error below its stream: not worked on, too much for the peer"},
+	GoAwayWithError:      {control.LimitExceeded, false, false, "GOAWAY with an error below its stream: not worked on, too much for the peer"},
 	ResetBeforeResponse:  {control.Reset, true, false, "broken off before an answer: it may have run"},
 	ResetDuringResponse:  {control.Reset, true, false, "answer cut: it may have run"},
 	ProtocolError:        {control.Reset, true, false, "protocol broken by the peer: it may have run"},
-	HeadersTooLarge:      {control.Moot, false, true, "header section above the peer's limit: can never be sent"},
+	HeadersTooLarge:      {control.NotExecuted, false, true, "header section above the peer's limit: can never be sent"},
 	TimedOut:             {control.TimedOut, true, false, "no answer in time: it may have run or still do so"},
 	Cancelled:            {control.Cancelled, true, false, "called off: it may have run"},
 }
@@ -129,20 +129,20 @@
 	case status >= 200 && status < 300:
 		return Classification{control.OK, true, true, reason("taken")}
 	case status == 429:
-		return Classification{control.Full, false, false, reason("above the partner's limit, turned away unseen (RFC 6585 section 4)")}
+		return Classification{control.LimitExceeded, false, false, reason("above the partner's limit, turned away unseen (RFC 6585 section 4)")}
 	case status == 503 && wait > 0:
-		return Classification{control.Full, false, false, reason("turned away with a wait (RFC 9110 section 15.6.4)")}
+		return Classification{control.LimitExceeded, false, false, reason("turned away with a wait (RFC 9110 section 15.6.4)")}
 	case status >= 500:
-		return Classification{control.Errored, true, false, reason("error, it may have run")}
+		return Classification{control.ErrorResponse, true, false, reason("error, it may have run")}
 	case status == 408 || status == 425:
-		return Classification{control.Errored, true, false, reason("not taken now; no proof that it has not run")}
+		return Classification{control.ErrorResponse, true, false, reason("not taken now; no proof that it has not run")}
 	case status >= 400 && rejectsMessage(status, pathPerMessage):
 		// The endpoint works, because it gave a definitive answer. To the module this is an answer like any other.
 		return Classification{control.OK, true, true, reason("refused for good, for what the message is")}
 	case status >= 400:
-		return Classification{control.Errored, true, true, reason("refused for good; the endpoint may be set up wrongly")}
+		return Classification{control.ErrorResponse, true, true, reason("refused for good; the endpoint may be set up wrongly")}
 	}
-	return Classification{control.Errored, true, false, reason("not followed, and no proof that it has not run")}
+	return Classification{control.ErrorResponse, true, false, reason("not followed, and no proof that it has not run")}
 }
 
 // rejectsMessage reports whether a permanent refusal is about the message and not about the endpoint. Statuses such as 400 and
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -16,12 +16,12 @@
 // methods are safe for concurrent use.
 type Directory struct {
 	zones []string
-	kinds []control.Kind
+	kinds []control.DestinationKind
 
 	mu           sync.RWMutex
-	lastEndpoint control.Endpoint
+	lastEndpoint control.EndpointID
 	hosts        map[string]*endpointRecord
-	byEndpoint   map[control.Endpoint]*endpointRecord
+	byEndpoint   map[control.EndpointID]*endpointRecord
 	// destinations holds, for each known destination, when it was last seen in the list.
 	destinations map[int]time.Duration
 	lastCleanup  time.Duration
@@ -48,8 +48,8 @@
 
 // NewDirectory returns an empty Directory. zones and kinds are those of the settings; their order determines
 // the numbers that the entries carry.
-func NewDirectory(zones []string, kinds []control.Kind) *Directory {
-	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*endpointRecord{}, byEndpoint: map[control.Endpoint]*endpointRecord{},
+func NewDirectory(zones []string, kinds []control.DestinationKind) *Directory {
+	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*endpointRecord{}, byEndpoint: map[control.EndpointID]*endpointRecord{},
 		destinations: map[int]time.Duration{}}
 }
 
@@ -110,14 +110,14 @@
 	if err != nil {
 		return control.Entry{}, err
 	}
-	kind := slices.IndexFunc(d.kinds, func(k control.Kind) bool { return k.Name == h.Class })
+	kind := slices.IndexFunc(d.kinds, func(k control.DestinationKind) bool { return k.Name == h.Class })
 	if kind < 0 && len(d.kinds) > 0 {
 		return control.Entry{}, fmt.Errorf("unknown class %.20q", h.Class)
 	}
 	if h.Name == "" || h.Block < 0 || h.Block > maxDestination {
 		return control.Entry{}, fmt.Errorf("empty host name or invalid block %d", h.Block)
 	}
-	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
+	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), DestinationKind: max(kind, 0), Health: health, Weight: h.Share}
 	// A host that changes its destination is a new endpoint.
 	if r != nil && r.entry.Dest != e.Dest {
 		delete(d.hosts, h.Name)
@@ -175,7 +175,7 @@
 
 // Address implements outbound.Addresses. It also returns the address of an endpoint that left the list
 // recently.
-func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+func (d *Directory) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	r := d.byEndpoint[ep]
@@ -186,7 +186,7 @@
 }
 
 // IsListed reports whether an endpoint is in the list.
-func (d *Directory) IsListed(ep control.Endpoint) bool {
+func (d *Directory) IsListed(ep control.EndpointID) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	r := d.byEndpoint[ep]
@@ -205,7 +205,7 @@
 }
 
 // HostName returns the host name of an endpoint, or "unknown" if it has been forgotten.
-func (d *Directory) HostName(ep control.Endpoint) string {
+func (d *Directory) HostName(ep control.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if r := d.byEndpoint[ep]; r != nil {
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -60,7 +60,7 @@
 // all endpoints of the destination and not only by those of one zone.
 func (la *ledgerAdapter) safeToRepeat(m *engine.Message) bool {
 	c := &la.settings.Classes[m.Class]
-	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
+	return c.Effect == control.Idempotent || c.Effect == control.Deduplicated && !c.DedupPerZone
 }
 
 // Write implements outbound.Permits. It returns why an attempt must not be written now, or nil.
@@ -87,7 +87,7 @@
 	}
 	var allowed []*engine.Attempt
 	for _, a := range call {
-		if la.settings.Classes[a.Message.Class].Effect == control.Free {
+		if la.settings.Classes[a.Message.Class].Effect == control.Idempotent {
 			allowed = append(allowed, a)
 		}
 	}
@@ -189,7 +189,7 @@
 func (la *ledgerAdapter) RecordOutages(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; la.directory.IsListed(o.Endpoint) || o.Over() {
+		if o := &changed[i]; la.directory.IsListed(o.Endpoint) || o.Ended() {
 			all = append(all, la.toLedgerOutage(o))
 		}
 	}
@@ -204,8 +204,8 @@
 		}
 		return la.clock.ToInstant(t)
 	}
-	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspect, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownAt),
-		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Proven, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.ColdAt), RefusingSince: instant(o.FullAt)}
+	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspected, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownSince),
+		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Unreachable, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.RampStart), RefusingSince: instant(o.RefusingSince)}
 }
 
 // toControlOutage converts an outage of the ledger to the form of the decision library, for the endpoint of
@@ -221,8 +221,8 @@
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.LastFailedAt), DownAt: at(o.FirstFailedAt),
-		Failures: o.ConsecutiveFailures, Proven: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, ColdAt: at(o.RecoveredAt), FullAt: at(o.RefusingSince)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspected: o.Suspect, FailedAt: at(o.LastFailedAt), DownSince: at(o.FirstFailedAt),
+		Failures: o.ConsecutiveFailures, Unreachable: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, RampStart: at(o.RecoveredAt), RefusingSince: at(o.RefusingSince)}
 }
 
 // acknowledge records that the platform has received notices.
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -114,7 +114,7 @@
 // startWith starts a dispatcher on a state directory. system may be nil for the kernel.
 func startWith(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), directory: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), directory: NewDirectory(cfg.Zones, cfg.Settings.DestinationKinds), agent: newAgent(cfg.Discovery),
 		firstListReceived: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
 	n.listCache = newListCache(folder, int(listDiskFraction*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.directory.Snapshot(n.listSeq.Load()) }, n.warnLogger("discovery"))
 	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warnLogger("ledger")); err != nil {
@@ -139,7 +139,7 @@
 	n.notices = newNoticeSender(n.agent, adapter.acknowledge, n.warnLogger("notices"))
 	adapter.notices = n.notices
 	settings := *set
-	settings.Follows = n.ledger.Reopened()
+	settings.HasPredecessor = n.ledger.Reopened()
 	policy := engine.Options{Settings: settings, Ledger: adapter, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = messageTrace{n.log, n.directory}
@@ -186,7 +186,7 @@
 	cfg := outbound.Config{
 		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxResponseBody,
 		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdle, 5*time.Second))),
+		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdleTimeout, 5*time.Second))),
 		Opening:        opener.Budget{PerSecond: float64(10 * budget.endpoints), Opening: budget.connecting, Total: budget.endpoints},
 		Trace:          n.debugLogger(), Permits: permits, System: n.system,
 	}
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -63,7 +63,7 @@
 	h := &ClientHandler{admission: side, trace: func(string, ...any) {}}
 	h.classes, h.tenants = indexByName(&s)
 	for _, c := range s.Classes {
-		h.requiresKey = append(h.requiresKey, c.Effect == control.Guarded)
+		h.requiresKey = append(h.requiresKey, c.Effect == control.Deduplicated)
 	}
 	return h
 }
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -93,7 +93,7 @@
 type Call struct {
 	Message  control.MessageID
 	Attempt  int // The first attempt has number zero.
-	Endpoint control.Endpoint
+	Endpoint control.EndpointID
 	Dest     int
 	Zone     int
 
@@ -123,13 +123,13 @@
 	messages map[control.MessageID]*message
 
 	// withdrawnSince holds when each endpoint that is draining or gone became so.
-	withdrawnSince map[control.Endpoint]control.Time
+	withdrawnSince map[control.EndpointID]control.Time
 
 	// destRetryAfter holds until when each destination asked to wait.
 	destRetryAfter map[int]control.Time
 
 	// endpointRetryAfter holds until when each endpoint that has its own limits asked to wait.
-	endpointRetryAfter map[control.Endpoint]control.Time
+	endpointRetryAfter map[control.EndpointID]control.Time
 
 	// keyQueues holds the unfinished messages of each order key, in the order of their acceptance.
 	keyQueues map[uint64][]*message
@@ -154,8 +154,8 @@
 
 // NewGuard returns a Guard for the module's settings.
 func NewGuard(s control.Settings) *Guard {
-	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.Endpoint]control.Time{},
-		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.Endpoint]control.Time{}, keyQueues: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
+	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.EndpointID]control.Time{},
+		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.EndpointID]control.Time{}, keyQueues: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
 }
 
 // Violations returns the number of violations that were prevented since the guard was created.
@@ -185,7 +185,7 @@
 	if err == nil && m.inFlight != noAttempt {
 		err = ErrAttemptInFlight
 	}
-	if err == nil && m.Attempts >= g.settings.MaxTries {
+	if err == nil && m.Attempts >= g.settings.MaxAttempts {
 		err = ErrAttemptsExhausted
 	}
 	if err != nil {
@@ -248,20 +248,20 @@
 // control.StallMargin before the deduplication window ends, because the caller may be delayed after reading its clock.
 func (m *message) checkRepeat(now control.Time, zone int) error {
 	switch {
-	case !m.PossiblyExecuted || m.class.Effect == control.Free:
+	case !m.PossiblyExecuted || m.class.Effect == control.Idempotent:
 		return nil
-	case m.class.Effect == control.SingleShot:
+	case m.class.Effect == control.AtMostOnce:
 		return ErrPossiblyExecuted
-	case now+control.StallMargin > m.ExecutedAt+m.class.Window:
+	case now+control.StallMargin > m.ExecutedAt+m.class.DedupWindow:
 		return ErrWindowExpired
-	case m.class.ZoneGroup && zone != m.ExecutedZone:
+	case m.class.DedupPerZone && zone != m.ExecutedZone:
 		return ErrOtherZone
 	}
 	return nil
 }
 
 // isWithdrawn reports whether an endpoint is draining or gone.
-func (g *Guard) isWithdrawn(e control.Endpoint) bool {
+func (g *Guard) isWithdrawn(e control.EndpointID) bool {
 	_, ok := g.withdrawnSince[e]
 	return ok
 }
@@ -317,7 +317,7 @@
 		m.PossiblyExecuted, m.ExecutedAt, m.ExecutedZone = true, began, c.Zone
 	}
 	if result.Unconfirmed && m.class.InOrder && m.OrderKey != 0 {
-		g.blockedKeys[m.OrderKey] = now + g.settings.SettleAfterDoubt
+		g.blockedKeys[m.OrderKey] = now + g.settings.SettleTime
 	}
 	g.removeIfDone(m)
 	return err
@@ -357,7 +357,7 @@
 // the message in all zones. It is not harmless if deduplication is limited to the zone of the first execution.
 func (m *message) resubmissionIsHarmless() bool {
 	possiblyExecuted := m.PossiblyExecuted || m.inFlight != noAttempt && m.written
-	return !possiblyExecuted || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
+	return !possiblyExecuted || m.class.Effect == control.Idempotent || m.class.Effect == control.Deduplicated && !m.class.DedupPerZone
 }
 
 // VerifyRecord checks that the record of a message, which a later process would rely on, agrees with the facts kept here.
@@ -407,7 +407,7 @@
 }
 
 // SetHealth records the health of an endpoint as the endpoint list gives it.
-func (g *Guard) SetHealth(now control.Time, e control.Endpoint, h control.Health) {
+func (g *Guard) SetHealth(now control.Time, e control.EndpointID, h control.Health) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h == control.Ready {
@@ -445,8 +445,8 @@
 // removeExpired removes withdrawn endpoints, waits of endpoints and blocked keys that have no effect any more. The caller
 // holds the lock.
 func (g *Guard) removeExpired(now control.Time) {
-	maps.DeleteFunc(g.withdrawnSince, func(_ control.Endpoint, since control.Time) bool { return now-since > withdrawnRetention })
-	maps.DeleteFunc(g.endpointRetryAfter, func(_ control.Endpoint, until control.Time) bool { return until < now })
+	maps.DeleteFunc(g.withdrawnSince, func(_ control.EndpointID, since control.Time) bool { return now-since > withdrawnRetention })
+	maps.DeleteFunc(g.endpointRetryAfter, func(_ control.EndpointID, until control.Time) bool { return until < now })
 	maps.DeleteFunc(g.blockedKeys, func(_ uint64, until control.Time) bool { return until < now })
 }
 
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -21,12 +21,12 @@
 
 // settings returns settings with one class for each kind of rule.
 func settings() control.Settings {
-	return control.Settings{Tick: 5 * control.Millisecond, MaxTries: 3, SettleAfterDoubt: s, Classes: []control.Class{
-		classFree:       {Effect: control.Free},
-		classKeyed:      {Effect: control.Guarded, Window: 5 * s},
-		classSingleShot: {Effect: control.SingleShot},
-		classZoned:      {Effect: control.Guarded, Window: 5 * s, ZoneGroup: true},
-		classOrdered:    {Effect: control.Free, InOrder: true},
+	return control.Settings{Tick: 5 * control.Millisecond, MaxAttempts: 3, SettleTime: s, Classes: []control.Class{
+		classFree:       {Effect: control.Idempotent},
+		classKeyed:      {Effect: control.Deduplicated, DedupWindow: 5 * s},
+		classSingleShot: {Effect: control.AtMostOnce},
+		classZoned:      {Effect: control.Deduplicated, DedupWindow: 5 * s, DedupPerZone: true},
+		classOrdered:    {Effect: control.Idempotent, InOrder: true},
 	}}
 }
 
@@ -231,7 +231,7 @@
 // TestGoneEndpointsAreForgotten checks that the number of endpoints kept after they left the list is bounded.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	g := NewGuard(settings())
-	for e := range control.Endpoint(20000) {
+	for e := range control.EndpointID(20000) {
 		g.SetHealth(control.Time(e)*s, e, control.Gone)
 	}
 	if len(g.withdrawnSince) > cleanupThreshold+1 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -137,33 +137,33 @@
 		}
 	}
 	s := control.Settings{
-		Me: p.count("me", false, 0), Instances: p.count("instances", true, 1), Zone: p.count("zone", false, 0),
-		Tick: p.duration("tick", true), LateHalving: p.values["extra.late"] == "halving",
-		OverShare: p.number("over-share-worth", false, 1),
-		Slots:     p.count("extra.slots", true, 1), MaxOpen: p.count("limits.max-open", true, 1),
-		MaxTries: p.count("limits.most-tries", true, 1), MayCancel: p.boolean("limits.may-cancel"),
+		InstanceIndex: p.count("me", false, 0), Instances: p.count("instances", true, 1), Zone: p.count("zone", false, 0),
+		Tick: p.duration("tick", true), HalveLateValue: p.values["extra.late"] == "halving",
+		OverQuotaFactor: p.number("over-share-worth", false, 1),
+		Slots:           p.count("extra.slots", true, 1), MaxOpen: p.count("limits.max-open", true, 1),
+		MaxAttempts: p.count("limits.most-tries", true, 1), MayCancel: p.boolean("limits.may-cancel"),
 		Probes: p.boolean("limits.probes"), RetryAfter: p.boolean("limits.retry-after"),
-		MaxRetryAfter: p.duration("limits.max-retry-after", false), ConnIdle: p.duration("limits.conn-idle", false),
+		MaxRetryAfter: p.duration("limits.max-retry-after", false), ConnIdleTimeout: p.duration("limits.conn-idle", false),
 		ConnectTimeout: p.duration("limits.connect-timeout", false), StreamsPerConn: p.count("limits.streams-per-conn", false, 1),
-		StopSendingWithin: p.duration("rules.stop-sending-within", false), ColdFrom: p.number("rules.cold-from", false, 1),
-		WarmUp: p.duration("rules.warm-up", false), TipMultiple: p.number("rules.tip-multiple", false, 1),
-		OverloadFor: p.duration("rules.overload-for", false), SettleAfterDoubt: p.duration("rules.settle-after-doubt", false),
-		ReportLeft: -1, ReportLimit: -1,
-		Peers: p.boolean("limits.peer-messages"), PeerPrice: p.number("deductions.peer", false, 0) / maxNoteBytes,
-		AskList: p.values["membership-mode"] == "subscribe", AskEvery: p.duration("rules.ask-every", false),
+		StopSendingWithin: p.duration("rules.stop-sending-within", false), ColdCapacity: p.number("rules.cold-from", false, 1),
+		WarmUp: p.duration("rules.warm-up", false), CollapseMultiple: p.number("rules.tip-multiple", false, 1),
+		MaxOverload: p.duration("rules.overload-for", false), SettleTime: p.duration("rules.settle-after-doubt", false),
+		ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		Gossip: p.boolean("limits.peer-messages"), GossipCost: p.number("deductions.peer", false, 0) / maxNoteBytes,
+		PullList: p.values["membership-mode"] == "subscribe", PullInterval: p.duration("rules.ask-every", false),
 	}
 	switch p.values["weights"] {
 	case "nominal":
 		s.Weights = control.WeightNominal
 	case "rough":
-		s.Weights = control.WeightRough
+		s.Weights = control.WeightApproximate
 	}
 	for i, name := range p.list("report.names") {
 		switch name {
 		case "x0":
-			s.ReportLeft = i
+			s.ReportRemainingIndex = i
 		case "x1":
-			s.ReportLimit = i
+			s.ReportLimitIndex = i
 		}
 	}
 	for _, text := range p.list("extra.carriage") {
@@ -171,7 +171,7 @@
 		if err != nil || !(fee >= 0) || math.IsInf(fee, 0) {
 			p.fail("extra.carriage", fmt.Sprintf("%q is out of range", text))
 		}
-		s.Fees = append(s.Fees, fee)
+		s.ZoneCosts = append(s.ZoneCosts, fee)
 	}
 	p.kinds(&s)
 	p.classes(&s)
@@ -189,16 +189,16 @@
 func (p *settingValues) kinds(s *control.Settings) {
 	batch, apart := p.list("extra.batch-by-kind"), p.list("extra.routes-apart")
 	for i, name := range p.list("host-types") {
-		k := control.Kind{Name: name, Batch: 1}
+		k := control.DestinationKind{Name: name, MaxBatch: 1}
 		if i < len(batch) {
 			n, err := strconv.Atoi(batch[i])
 			if err != nil || n < 1 {
 				p.fail("extra.batch-by-kind", fmt.Sprintf("%q is not a count", batch[i]))
 			}
-			k.Batch = n
+			k.MaxBatch = n
 		}
-		k.RoutesApart = i < len(apart) && apart[i] == "true"
-		s.Kinds = append(s.Kinds, k)
+		k.PerEndpointLimits = i < len(apart) && apart[i] == "true"
+		s.DestinationKinds = append(s.DestinationKinds, k)
 	}
 }
 
@@ -207,17 +207,17 @@
 	for i := range p.count("classes.count", true, 0) {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := control.Class{
-			Name: p.values[at+"name"], ZoneGroup: p.values[at+"group"] == "zone", Window: p.duration(at+"window", false),
-			Aim: p.duration(at+"target", true), Deadline: p.duration(at+"hard-limit", true), Worth: p.number(at+"gain", true, 1),
-			LateWorth: p.number(at+"late-worth", false, 0), InOrder: p.boolean(at + "by-arrival"),
+			Name: p.values[at+"name"], DedupPerZone: p.values[at+"group"] == "zone", DedupWindow: p.duration(at+"window", false),
+			Target: p.duration(at+"target", true), Deadline: p.duration(at+"hard-limit", true), Value: p.number(at+"gain", true, 1),
+			LateValue: p.number(at+"late-worth", false, 0), InOrder: p.boolean(at + "by-arrival"),
 		}
 		switch effect := p.values[at+"effect"]; effect {
 		case "free":
-			c.Effect = control.Free
+			c.Effect = control.Idempotent
 		case "guarded":
-			c.Effect = control.Guarded
+			c.Effect = control.Deduplicated
 		case "single_shot":
-			c.Effect = control.SingleShot
+			c.Effect = control.AtMostOnce
 		default:
 			p.fail(at+"effect", fmt.Sprintf("%q is unknown", effect))
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -163,10 +163,10 @@
 func (c *cursor) micros() control.Time { return control.Time(c.u32()) }
 
 // endpoint reads an IPv4 address and a port.
-func (c *cursor) endpoint() control.Endpoint {
+func (c *cursor) endpoint() control.EndpointID {
 	b := c.take(4)
 	addr := uint64(binary.LittleEndian.Uint32(b))
-	return control.Endpoint(addr<<16 | uint64(c.u16()))
+	return control.EndpointID(addr<<16 | uint64(c.u16()))
 }
 
 // report reads a load report.
@@ -202,7 +202,7 @@
 	case evExit:
 		r.Kind = Exit
 	case evDirectory:
-		e.Kind, e.ListKind = control.List, control.ListKind(c.u8())
+		e.Kind, e.ListKind = control.ListUpdate, control.ListKind(c.u8())
 		c.u64()
 		listID := c.u16()
 		if e.ListKind > control.ListFailed {
@@ -220,27 +220,27 @@
 		c.u8()
 		e.Class = int(c.u8())
 		c.u32()
-		e.Grace, e.Dest, e.Key = c.micros(), int(c.f32()), c.u64()
+		e.TimeLeft, e.Dest, e.Key = c.micros(), int(c.f32()), c.u64()
 	case evFlowing:
 		e.Kind, e.Message, e.Attempt, e.Endpoint = control.Started, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
-		e.Lag = c.micros()
+		e.Elapsed = c.micros()
 	case evResolved:
 		return r, c.decodeOutcome(e)
 	case evWithdrawn:
 		e.Kind, e.Message = control.Withdrawn, control.MessageID(c.u64())
 	case evTickDue:
-		e.Kind, e.Mark = control.Tick, c.u64()
+		e.Kind, e.TimerToken = control.TimerFired, c.u64()
 	case evProbed:
-		e.Kind, e.Lag, e.Endpoint = control.Probed, c.micros(), c.endpoint()
+		e.Kind, e.Elapsed, e.Endpoint = control.ProbeResult, c.micros(), c.endpoint()
 		var err error
 		if e.Result, err = decodeResult(c.u8()); err != nil && !c.truncated {
 			return r, err
 		}
 		e.Report = c.report()
 	case evNoteFrom:
-		e.Kind = control.NoteFrom
+		e.Kind = control.GossipReceived
 		c.u16()
-		e.Content = string(c.take(int(c.u16())))
+		e.Payload = string(c.take(int(c.u16())))
 	default:
 		if c.truncated {
 			return r, io.ErrUnexpectedEOF
@@ -257,10 +257,10 @@
 func (c *cursor) decodeOutcome(e *control.Event) error {
 	e.Kind, e.Message, e.Attempt, e.Endpoint = control.Outcome, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
 	res, err := decodeResult(c.u8())
-	e.Result, e.Lag, e.Closed = res, c.micros(), c.u8() != 0
+	e.Result, e.Elapsed, e.Closed = res, c.micros(), c.u8() != 0
 	note := c.u32()
-	if res == control.Full {
-		e.Wait = control.Time(note) * control.Millisecond
+	if res == control.LimitExceeded {
+		e.RetryAfter = control.Time(note) * control.Millisecond
 	}
 	e.Report = c.report()
 	if c.truncated {
@@ -279,7 +279,7 @@
 	list := make([]control.Entry, n)
 	for i := range list {
 		l := &list[i]
-		l.Endpoint, l.Zone, l.Kind, l.Dest = c.endpoint(), int(c.u8()), int(c.u8()), int(c.u16())
+		l.Endpoint, l.Zone, l.DestinationKind, l.Dest = c.endpoint(), int(c.u8()), int(c.u8()), int(c.u16())
 		l.Health = control.Health(c.u8())
 		l.Weight = float64(c.f32())
 		c.u64()
@@ -300,9 +300,9 @@
 	case 0:
 		return control.OK, nil
 	case 13:
-		return control.Errored, nil
+		return control.ErrorResponse, nil
 	case 8:
-		return control.Full, nil
+		return control.LimitExceeded, nil
 	case 4:
 		return control.TimedOut, nil
 	case 14:
@@ -312,7 +312,7 @@
 	case 1:
 		return control.Cancelled, nil
 	case 9:
-		return control.Moot, nil
+		return control.NotExecuted, nil
 	}
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
@@ -333,7 +333,7 @@
 	r.body = binary.LittleEndian.AppendUint16(r.body, instance)
 }
 
-func (r *Reply) appendEndpoint(e control.Endpoint) {
+func (r *Reply) appendEndpoint(e control.EndpointID) {
 	r.body = binary.LittleEndian.AppendUint32(r.body, uint32(e>>16))
 	r.body = binary.LittleEndian.AppendUint16(r.body, uint16(e))
 }
@@ -377,14 +377,14 @@
 	case control.Timer:
 		r.appendHeader(acTimer, instance)
 		r.appendDuration(a.After)
-		r.body = le.AppendUint64(r.body, a.Mark)
+		r.body = le.AppendUint64(r.body, a.TimerToken)
 	case control.Probe:
 		r.appendHeader(acAskLoad, instance)
 		r.appendEndpoint(a.Endpoint)
 	case control.Close:
 		r.appendHeader(acHangUp, instance)
 		r.appendEndpoint(a.Endpoint)
-	case control.Share:
+	case control.SendGossip:
 		text := a.Text[:min(len(a.Text), maxNoteBytes)]
 		r.appendHeader(acShare, instance)
 		r.body = le.AppendUint32(r.body, math.MaxUint32)
@@ -395,7 +395,7 @@
 		r.body = append(r.body, 1)
 	case control.Fetch:
 		r.appendHeader(acQueryAll, instance)
-	case control.Note:
+	case control.Log:
 		r.appendText(acNoteDown, instance, a.Text)
 	}
 }
