--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,6 +10,7 @@
 	"whinrun/control"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
@@ -17,7 +18,6 @@
 	"whinrun/internal/intake"
 	"whinrun/internal/logstore/plan"
 	"whinrun/internal/mailbox"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
@@ -114,7 +114,7 @@
 	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
 	c.Outbound = outbound.Config{Loops: d.int("loops"), Conns: o.int("connections"), Streams: o.int("streams"),
 		ConnectTimeout: o.span("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
+		Opening:        dialscheduler.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
 	r.list(c)
 	r.classes(c)
 	r.partners(c)
--- a/internal/opener/opener.go
+++ b/internal/dialscheduler/dialscheduler.go
@@ -1,7 +1,7 @@
-// Package opener plans which connections are opened next, within budgets: handshakes a second, handshakes under way,
+// Package dialscheduler plans which connections are opened next, within budgets: handshakes a second, handshakes under way,
 // connections in all. It keeps a wave of partners that all wake at once from taking the machine from those that are
 // busy. It is deterministic and free of I/O: the time is passed in.
-package opener
+package dialscheduler
 
 import (
 	"container/heap"
--- a/internal/opener/opener_test.go
+++ b/internal/dialscheduler/dialscheduler_test.go
@@ -1,4 +1,4 @@
-package opener
+package dialscheduler
 
 import (
 	"testing"
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -10,9 +10,9 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h1"
-	"whinrun/internal/opener"
 )
 
 // plain calls: the path has the names of the messages.
@@ -68,7 +68,7 @@
 		}
 	}()
 	cfg := Config{Loops: 1, Conns: 3, Streams: 1, ConnectTimeout: time.Second, Idle: time.Minute, MaxAnswer: 1000, Permits: permits,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 2, Total: 3}}
+		Opening: dialscheduler.Budget{PerSecond: 1000, Opening: 2, Total: 3}}
 	r.p, err = New(cfg, NewHTTP1(plain{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.End) { r.ends <- e })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -17,9 +17,9 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
 // TestMain is also the partner in a process of its own, so that it does not share this one's descriptors.
@@ -108,7 +108,7 @@
 
 func config() Config {
 	return Config{Loops: 1, Conns: 2, Streams: 10, ConnectTimeout: 20 * time.Second, Idle: time.Minute, MaxAnswer: 100,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 4, Total: 1000}}
+		Opening: dialscheduler.Budget{PerSecond: 1000, Opening: 4, Total: 1000}}
 }
 
 // At the bound of connections the longest idle one is closed for a new one: all are served, and never more are open.
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -16,10 +16,10 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
 // Addresses tells where endpoints are; ok is false for one that was never listed.
@@ -76,7 +76,7 @@
 	Streams        int                           // attempts on one connection at once, where the peer allows more
 	ConnectTimeout time.Duration                 // until a connection and the peer's SETTINGS are there
 	Idle           time.Duration                 // a connection without attempts is closed after this
-	Opening        opener.Budget                 // of new connections to all endpoints
+	Opening        dialscheduler.Budget          // of new connections to all endpoints
 	MaxAnswer      int                           // bytes of an answer's body that are kept
 	Trace          func(format string, a ...any) // told of each connection's end and each call taken back, nil for none
 	H2             h2.Config
@@ -96,7 +96,7 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	planner *opener.Planner
+	planner *dialscheduler.Planner
 	sites   map[control.Endpoint]*site // those with connections or attempts; the others cost nothing
 	tasks   map[uint64]*task           // attempts without an end
 	idle    *list.List                 // connections without attempts, longest idle first
@@ -170,7 +170,7 @@
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.End)) (*Pool, error) {
 	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.Endpoint]*site{},
 		tasks: map[uint64]*task{}, quit: make(chan struct{}), kick: make(chan struct{}, 1),
-		planner: opener.New(cfg.Opening), idle: list.New(), active: map[*conn]struct{}{}}
+		planner: dialscheduler.New(cfg.Opening), idle: list.New(), active: map[*conn]struct{}{}}
 	if p.cfg.Trace == nil {
 		p.cfg.Trace = func(string, ...any) {}
 	}
@@ -282,7 +282,7 @@
 	}
 	s.wished = true
 	first := s.pending[0].tasks[0].a
-	p.planner.Wish(opener.Want{Key: uint64(s.ep), Worth: first.Worth, Due: time.Duration(first.Due) * time.Microsecond,
+	p.planner.Wish(dialscheduler.Want{Key: uint64(s.ep), Worth: first.Worth, Due: time.Duration(first.Due) * time.Microsecond,
 		Busy: s.busyTo > p.clock.Now()})
 	p.nudge()
 }
@@ -305,15 +305,15 @@
 		answer, key, at := p.planner.Next(now)
 		var s *site
 		switch answer {
-		case opener.Open:
+		case dialscheduler.Open:
 			if s = p.sites[control.Endpoint(key)]; s == nil {
-				p.planner.Failed(now, opener.PeerFailed)
+				p.planner.Failed(now, dialscheduler.PeerFailed)
 			} else {
 				s.wished = false
 				s.dialing++
 				p.grow(s) // many may wait: one connection more is wished for at once
 			}
-		case opener.Full: // the longest idle connection makes room; with none idle all wait
+		case dialscheduler.Full: // the longest idle connection makes room; with none idle all wait
 			if e := p.idle.Front(); e != nil {
 				e.Value.(*conn).retire()
 				e.Value.(*conn).unidle()
@@ -323,7 +323,7 @@
 		if s != nil {
 			p.loops.Dial(s.addr, p.cfg.ConnectTimeout, s)
 		}
-		if answer == opener.Open {
+		if answer == dialscheduler.Open {
 			continue
 		}
 		if at > 0 {
@@ -470,7 +470,7 @@
 	why := failure(err)
 	p.mu.Lock()
 	s.dialing--
-	s.lacking = why != opener.PeerFailed
+	s.lacking = why != dialscheduler.PeerFailed
 	p.planner.Failed(p.elapsed(), why)
 	var failed []*call
 	if !s.lacking {
@@ -484,12 +484,12 @@
 }
 
 // failure tells whose lack it was that a connection did not come about.
-func failure(err error) opener.Failure {
+func failure(err error) dialscheduler.Failure {
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return opener.NoDescriptors
+		return dialscheduler.NoDescriptors
 	case eventloop.Local(err):
-		return opener.Shortage
+		return dialscheduler.Shortage
 	}
-	return opener.PeerFailed
+	return dialscheduler.PeerFailed
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -11,6 +11,7 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
 	"whinrun/internal/door"
 	"whinrun/internal/engine"
@@ -18,7 +19,6 @@
 	"whinrun/internal/front"
 	"whinrun/internal/ledger"
 	"whinrun/internal/logs"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/safety"
 )
@@ -159,7 +159,7 @@
 		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
 		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
 		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
+		Opening:        dialscheduler.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
 		Trace:          n.debug(), Permits: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
