--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -112,9 +112,9 @@
 			KeepFor: a.span("keep-for"), KeepBytes: int64(a.num["keep-bytes"]), RetryEvery: time.Second}}
 	c.Push = pushfront.Config{Idle: l.span("client-idle"), H2: bounds}
 	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.int("loops"), Conns: o.int("connections"), Streams: o.int("streams"),
+	c.Outbound = outbound.Config{Loops: d.int("loops"), MaxConnsPerEndpoint: o.int("connections"), MaxStreams: o.int("streams"),
 		ConnectTimeout: o.span("connect-timeout"),
-		Opening:        dialscheduler.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: o.num["handshakes"], MaxHandshakes: o.int("opening"), MaxConns: o.int("total")}, IdleTimeout: o.span("idle"), MaxAnswerBytes: o.int("answer"), H2: bounds}
 	r.list(c)
 	r.classes(c)
 	r.partners(c)
--- a/internal/dialscheduler/dialscheduler.go
+++ b/internal/dialscheduler/dialscheduler.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Budget bounds what is opened. All fields are to be above zero.
-type Budget struct {
-	PerSecond float64 // handshakes begun a second; a tenth of a second's may begin at once
-	Opening   int     // handshakes under way at once
-	Total     int     // connections open or being opened
+// Limits bounds what is opened. All fields are to be above zero.
+type Limits struct {
+	HandshakesPerSecond float64 // handshakes begun a second; a tenth of a second's may begin at once
+	MaxHandshakes       int     // handshakes under way at once
+	MaxConns            int     // connections open or being opened
 }
 
-// Want is a wish for a connection.
-type Want struct {
-	Key   uint64        // names who wants it; a new wish of the same key takes the place of the old
-	Worth float64       // of what waits for it, against others
-	Due   time.Duration // when that is given up
-	Busy  bool          // it had a connection lately: it must not wait behind a wave of strangers
+// Request is a wish for a connection.
+type Request struct {
+	Key            uint64        // names who wants it; a new wish of the same key takes the place of the old
+	Priority       float64       // of what waits for it, against others
+	Deadline       time.Duration // when that is given up
+	RecentlyActive bool          // it had a connection lately: it must not wait behind a wave of strangers
 }
 
-// perWorth is how much sooner than its due time a wish ranks for each unit of worth.
-const perWorth = time.Second
+// priorityUnit is how much sooner than its due time a wish ranks for each unit of worth.
+const priorityUnit = time.Second
 
-// busyPart is how many of three openings the busy take at most while strangers wait, too: neither starves.
-const busyPart, strangerPart = 2, 1
+// activeShare is how many of three openings the busy take at most while strangers wait, too: neither starves.
+const activeShare, inactiveShare = 2, 1
 
 // item is a wish in its queue.
 type item struct {
-	Want
+	Request
 	rank  time.Duration
 	seq   uint64
 	index int
@@ -62,109 +62,109 @@
 	return it
 }
 
-// Planner decides who is opened next.
-type Planner struct {
-	budget  Budget
-	wishes  map[uint64]*item
-	queues  [2]queue // strangers, busy
-	seq     uint64
-	tokens  float64
-	at      time.Duration
-	opening int
-	open    int
-	turn    int // openings since the last round of shares
-
-	ceiling     int           // connections that the machine was found to bear, while holdUntil is not past
-	holdUntil   time.Duration // no more than that are tried until then
-	hold        time.Duration // the last such span
-	descriptors bool          // it was descriptors that were short: closing a connection makes room
+// Scheduler decides who is opened next.
+type Scheduler struct {
+	limits     Limits
+	requests   map[uint64]*item
+	queues     [2]queue // strangers, busy
+	seq        uint64
+	tokens     float64
+	refilledAt time.Duration
+	handshakes int
+	conns      int
+	shareTurn  int // openings since the last round of shares
+
+	ceiling          int           // connections that the machine was found to bear, while holdUntil is not past
+	holdUntil        time.Duration // no more than that are tried until then
+	holdSpan         time.Duration // the last such span
+	outOfDescriptors bool          // it was descriptors that were short: closing a connection makes room
 }
 
 // New returns a Planner.
-func New(b Budget) *Planner {
-	return &Planner{budget: b, wishes: map[uint64]*item{}, tokens: max(1, b.PerSecond/10)}
+func New(b Limits) *Scheduler {
+	return &Scheduler{limits: b, requests: map[uint64]*item{}, tokens: max(1, b.HandshakesPerSecond/10)}
 }
 
-// Wish adds a wish, or changes it.
-func (p *Planner) Wish(w Want) {
-	p.Drop(w.Key)
+// Enqueue adds a wish, or changes it.
+func (p *Scheduler) Enqueue(w Request) {
+	p.Remove(w.Key)
 	p.seq++
-	it := &item{Want: w, rank: w.Due - time.Duration(w.Worth*float64(perWorth)), seq: p.seq}
-	if w.Busy {
+	it := &item{Request: w, rank: w.Deadline - time.Duration(w.Priority*float64(priorityUnit)), seq: p.seq}
+	if w.RecentlyActive {
 		it.queue = 1
 	}
-	p.wishes[w.Key] = it
+	p.requests[w.Key] = it
 	heap.Push(&p.queues[it.queue], it)
 }
 
-// Drop takes a wish back; it tells whether there was one.
-func (p *Planner) Drop(key uint64) bool {
-	it := p.wishes[key]
+// Remove takes a wish back; it tells whether there was one.
+func (p *Scheduler) Remove(key uint64) bool {
+	it := p.requests[key]
 	if it == nil {
 		return false
 	}
-	delete(p.wishes, key)
+	delete(p.requests, key)
 	heap.Remove(&p.queues[it.queue], it.index)
 	return true
 }
 
-// Waiting counts the wishes.
-func (p *Planner) Waiting() int { return len(p.wishes) }
+// Pending counts the wishes.
+func (p *Scheduler) Pending() int { return len(p.requests) }
 
-// Answer is what Next decided.
-type Answer uint8
+// Decision is what Next decided.
+type Decision uint8
 
 // Answers of Next.
 const (
-	Nothing Answer = iota // no wish, or the next end of a handshake is to be waited for
-	Open                  // open a connection for the key; Opened or Failed is to follow
-	Later                 // ask again at the time given: handshakes of this second are spent, or the machine is short of something
-	Full                  // no further connection may be open: an idle one is to be closed; ask again then, or at the time given if it is not 0
+	NoAction   Decision = iota // no wish, or the next end of a handshake is to be waited for
+	Dial                       // open a connection for the key; Opened or Failed is to follow
+	RetryLater                 // ask again at the time given: handshakes of this second are spent, or the machine is short of something
+	CloseIdle                  // no further connection may be open: an idle one is to be closed; ask again then, or at the time given if it is not 0
 )
 
 // Next decides what to do now.
-func (p *Planner) Next(now time.Duration) (a Answer, key uint64, at time.Duration) {
-	p.tokens = min(p.tokens+p.budget.PerSecond*(now-p.at).Seconds(), max(1, p.budget.PerSecond/10))
-	p.at = now
+func (p *Scheduler) Next(now time.Duration) (a Decision, key uint64, at time.Duration) {
+	p.tokens = min(p.tokens+p.limits.HandshakesPerSecond*(now-p.refilledAt).Seconds(), max(1, p.limits.HandshakesPerSecond/10))
+	p.refilledAt = now
 	switch {
-	case len(p.wishes) == 0 || p.opening >= p.budget.Opening:
-		return Nothing, 0, 0
-	case p.open+p.opening >= p.budget.Total:
-		return Full, 0, 0
-	case now < p.holdUntil && p.open+p.opening >= p.ceiling && p.descriptors && p.open > 0:
-		return Full, 0, p.holdUntil
-	case now < p.holdUntil && p.open+p.opening >= p.ceiling:
-		return Later, 0, p.holdUntil
+	case len(p.requests) == 0 || p.handshakes >= p.limits.MaxHandshakes:
+		return NoAction, 0, 0
+	case p.conns+p.handshakes >= p.limits.MaxConns:
+		return CloseIdle, 0, 0
+	case now < p.holdUntil && p.conns+p.handshakes >= p.ceiling && p.outOfDescriptors && p.conns > 0:
+		return CloseIdle, 0, p.holdUntil
+	case now < p.holdUntil && p.conns+p.handshakes >= p.ceiling:
+		return RetryLater, 0, p.holdUntil
 	case p.tokens < 1:
-		return Later, 0, now + time.Duration((1-p.tokens)/p.budget.PerSecond*float64(time.Second)) + 1
+		return RetryLater, 0, now + time.Duration((1-p.tokens)/p.limits.HandshakesPerSecond*float64(time.Second)) + 1
 	}
-	q := p.pick()
+	q := p.pickQueue()
 	it := heap.Pop(&p.queues[q]).(*item)
-	delete(p.wishes, it.Key)
+	delete(p.requests, it.Key)
 	p.tokens--
-	p.opening++
-	return Open, it.Key, 0
+	p.handshakes++
+	return Dial, it.Key, 0
 }
 
-// pick chooses the queue: two of three for the busy, while both wait.
-func (p *Planner) pick() int {
+// pickQueue chooses the queue: two of three for the busy, while both wait.
+func (p *Scheduler) pickQueue() int {
 	switch {
 	case len(p.queues[0]) == 0:
 		return 1
 	case len(p.queues[1]) == 0:
 		return 0
 	}
-	p.turn = (p.turn + 1) % (busyPart + strangerPart)
-	if p.turn < busyPart {
+	p.shareTurn = (p.shareTurn + 1) % (activeShare + inactiveShare)
+	if p.shareTurn < activeShare {
 		return 1
 	}
 	return 0
 }
 
 // Opened tells that a connection stands.
-func (p *Planner) Opened() {
-	p.opening--
-	p.open++
+func (p *Scheduler) Opened() {
+	p.handshakes--
+	p.conns++
 }
 
 // Failure tells why a connection could not be made.
@@ -174,33 +174,33 @@
 const (
 	PeerFailed    Failure = iota // by its peer
 	NoDescriptors                // this machine had no descriptor left for it
-	Shortage                     // this machine lacked something else
+	LocalShortage                // this machine lacked something else
 )
 
 // Spans for which no more connections are tried than there were when the machine fell short. They double while it goes on: a
 // shortage of a moment must not be taken for one that lasts.
 const (
-	holdLeast = 50 * time.Millisecond
-	holdMost  = 2 * time.Second
+	minHold = 50 * time.Millisecond
+	maxHold = 2 * time.Second
 )
 
 // Failed tells that a connection could not be made. Where this machine was short no more than are open now are tried for a
 // while, or until one is closed.
-func (p *Planner) Failed(now time.Duration, why Failure) {
-	p.opening--
+func (p *Scheduler) Failed(now time.Duration, why Failure) {
+	p.handshakes--
 	if why == PeerFailed {
 		return
 	}
-	if now > p.holdUntil+p.hold { // the last shortage is long past
-		p.hold = 0
+	if now > p.holdUntil+p.holdSpan { // the last shortage is long past
+		p.holdSpan = 0
 	}
 	if now >= p.holdUntil {
-		p.hold = min(max(holdLeast, 2*p.hold), holdMost)
+		p.holdSpan = min(max(minHold, 2*p.holdSpan), maxHold)
 	}
-	p.holdUntil = now + p.hold
-	p.ceiling = p.open + p.opening
-	p.descriptors = why == NoDescriptors
+	p.holdUntil = now + p.holdSpan
+	p.ceiling = p.conns + p.handshakes
+	p.outOfDescriptors = why == NoDescriptors
 }
 
 // Closed tells that a connection that stood is gone. While the machine is short another may be tried in its place.
-func (p *Planner) Closed() { p.open-- }
+func (p *Scheduler) Closed() { p.conns-- }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -153,14 +153,14 @@
 }
 
 // openPool opens the connections' side towards endpoints.
-func (n *Node) openPool(shares plan, permits outbound.Permits) error {
+func (n *Node) openPool(shares plan, permits outbound.Admission) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
+		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxAnswer,
 		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
-		Opening:        dialscheduler.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
-		Trace:          n.debug(), Permits: permits, System: n.system,
+		IdleTimeout:    time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * shares.endpoints), MaxHandshakes: shares.opening, MaxConns: shares.endpoints},
+		Trace:          n.debug(), Admission: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
 	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -60,7 +60,7 @@
 	speech := &speech{roster: s.roster, sites: cfg.Sites, dialects: cfg.Dialects, names: names, wall: clock.Wall}
 	guard := safety.NewGuard(cfg.Module)
 	pool := cfg.Outbound
-	pool.Permits = permits{guard}
+	pool.Admission = permits{guard}
 	s.pool, err = outbound.New(pool, outbound.NewHTTP2(speech), s.clock, func(e engine.End) { s.loop.Put(engine.Input{End: &e}) })
 	if err != nil {
 		return nil, err
