--- a/internal/dialscheduler/dialscheduler.go
+++ b/internal/dialscheduler/dialscheduler.go
@@ -29,8 +29,8 @@
 // activeShare is how many of three openings the busy take at most while strangers wait, too: neither starves.
 const activeShare, inactiveShare = 2, 1
 
-// item is a wish in its queue.
-type item struct {
+// entry is a wish in its queue.
+type entry struct {
 	Request
 	rank  time.Duration
 	seq   uint64
@@ -38,23 +38,23 @@
 	queue int
 }
 
-// queue is a heap of wishes, the most pressing first.
-type queue []*item
+// requestQueue is a heap of wishes, the most pressing first.
+type requestQueue []*entry
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q requestQueue) Len() int { return len(q) }
+func (q requestQueue) Less(i, j int) bool {
 	return q[i].rank < q[j].rank || q[i].rank == q[j].rank && q[i].seq < q[j].seq
 }
-func (q queue) Swap(i, j int) {
+func (q requestQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
 }
-func (q *queue) Push(x any) {
-	it := x.(*item)
+func (q *requestQueue) Push(x any) {
+	it := x.(*entry)
 	it.index = len(*q)
 	*q = append(*q, it)
 }
-func (q *queue) Pop() any {
+func (q *requestQueue) Pop() any {
 	n := len(*q) - 1
 	it := (*q)[n]
 	(*q)[n] = nil
@@ -65,8 +65,8 @@
 // Scheduler decides who is opened next.
 type Scheduler struct {
 	limits     Limits
-	requests   map[uint64]*item
-	queues     [2]queue // strangers, busy
+	requests   map[uint64]*entry
+	queues     [2]requestQueue // strangers, busy
 	seq        uint64
 	tokens     float64
 	refilledAt time.Duration
@@ -82,14 +82,14 @@
 
 // New returns a Planner.
 func New(b Limits) *Scheduler {
-	return &Scheduler{limits: b, requests: map[uint64]*item{}, tokens: max(1, b.HandshakesPerSecond/10)}
+	return &Scheduler{limits: b, requests: map[uint64]*entry{}, tokens: max(1, b.HandshakesPerSecond/10)}
 }
 
 // Enqueue adds a wish, or changes it.
 func (p *Scheduler) Enqueue(w Request) {
 	p.Remove(w.Key)
 	p.seq++
-	it := &item{Request: w, rank: w.Deadline - time.Duration(w.Priority*float64(priorityUnit)), seq: p.seq}
+	it := &entry{Request: w, rank: w.Deadline - time.Duration(w.Priority*float64(priorityUnit)), seq: p.seq}
 	if w.RecentlyActive {
 		it.queue = 1
 	}
@@ -123,7 +123,7 @@
 )
 
 // Next decides what to do now.
-func (p *Scheduler) Next(now time.Duration) (a Decision, key uint64, at time.Duration) {
+func (p *Scheduler) Next(now time.Duration) (decision Decision, key uint64, retryAt time.Duration) {
 	p.tokens = min(p.tokens+p.limits.HandshakesPerSecond*(now-p.refilledAt).Seconds(), max(1, p.limits.HandshakesPerSecond/10))
 	p.refilledAt = now
 	switch {
@@ -139,7 +139,7 @@
 		return RetryLater, 0, now + time.Duration((1-p.tokens)/p.limits.HandshakesPerSecond*float64(time.Second)) + 1
 	}
 	q := p.pickQueue()
-	it := heap.Pop(&p.queues[q]).(*item)
+	it := heap.Pop(&p.queues[q]).(*entry)
 	delete(p.requests, it.Key)
 	p.tokens--
 	p.handshakes++
@@ -186,9 +186,9 @@
 
 // Failed tells that a connection could not be made. Where this machine was short no more than are open now are tried for a
 // while, or until one is closed.
-func (p *Scheduler) Failed(now time.Duration, why Failure) {
+func (p *Scheduler) Failed(now time.Duration, cause Failure) {
 	p.handshakes--
-	if why == PeerFailed {
+	if cause == PeerFailed {
 		return
 	}
 	if now > p.holdUntil+p.holdSpan { // the last shortage is long past
@@ -199,7 +199,7 @@
 	}
 	p.holdUntil = now + p.holdSpan
 	p.ceiling = p.conns + p.handshakes
-	p.outOfDescriptors = why == NoDescriptors
+	p.outOfDescriptors = cause == NoDescriptors
 }
 
 // Closed tells that a connection that stood is gone. While the machine is short another may be tried in its place.
--- a/internal/dialscheduler/dialscheduler_test.go
+++ b/internal/dialscheduler/dialscheduler_test.go
@@ -49,7 +49,7 @@
 }
 
 // Ten thousand wishes at once keep to the budgets at every moment.
-func TestWaveKeepsBudgets(t *testing.T) {
+func TestBurstKeepsLimits(t *testing.T) {
 	b := Limits{HandshakesPerSecond: 500, MaxHandshakes: 40, MaxConns: 20000}
 	p := New(b)
 	for k := range uint64(10000) {
@@ -74,7 +74,7 @@
 
 // Where the machine has no descriptors left the planner waits for a connection to close, and tries one more then, or when the
 // shortage may have passed.
-func TestShortOfDescriptors(t *testing.T) {
+func TestOutOfDescriptors(t *testing.T) {
 	p := New(Limits{HandshakesPerSecond: 1000, MaxHandshakes: 10, MaxConns: 100})
 	for k := range uint64(5) {
 		p.Enqueue(Request{Key: k})
@@ -137,7 +137,7 @@
 }
 
 // Whatever happens: never more opening or open than the budgets allow, and no wish is lost or opened twice.
-func TestBudgetsHold(t *testing.T) {
+func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := Limits{HandshakesPerSecond: rapid.Float64Range(1, 1000).Draw(r, "rate"), MaxHandshakes: rapid.IntRange(1, 20).Draw(r, "opening"),
 			MaxConns: rapid.IntRange(1, 50).Draw(r, "total")}
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -17,38 +17,38 @@
 
 	Context any // the handler's own
 
-	inbound  []byte // valid during Handler.Ready
-	out      []byte // written by the handler and not taken by the kernel yet
-	closing  bool   // it is closed once the handler's method has returned ...
-	failure  error  // ... for this error, if there was one
-	retrying bool   // it is in the loop's list of retries
-	holding  bool   // nothing is read
-	opened   bool   // the handler has heard of it
-	woken    atomic.Bool
-}
-
-// open takes a connected socket into the loop. An error tells that it could not be: the socket is closed.
-func (l *Loop) open(fd int, peer netip.AddrPort, context any) error {
+	inbound        []byte // valid during Handler.Ready
+	unsent         []byte // written by the handler and not taken by the kernel yet
+	closeRequested bool   // it is closed once the handler's method has returned ...
+	closeErr       error  // ... for this error, if there was one
+	retryScheduled bool   // it is in the loop's list of retries
+	readPaused     bool   // nothing is read
+	opened         bool   // the handler has heard of it
+	wakeScheduled  atomic.Bool
+}
+
+// openConn takes a connected socket into the loop. An error tells that it could not be: the socket is closed.
+func (l *Loop) openConn(fd int, peer netip.AddrPort, context any) error {
 	c := &Conn{loop: l, fd: fd, peer: peer, Context: context}
 	const events = unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET
-	err := again(func() error { return l.group.system.EpollAdd(l.epoll, fd, events) })
+	err := retryInterrupted(func() error { return l.group.system.EpollAdd(l.epollFD, fd, events) })
 	if err != nil && !errors.Is(err, unix.EEXIST) { // a dialled one is in it already
 		_ = l.group.system.Close(fd)
 		return err
 	}
-	l.adopt(c)
+	l.register(c)
 	return nil
 }
 
-// adopt tells the handler of a connection that epoll knows, and looks at what came before.
-func (l *Loop) adopt(c *Conn) {
-	_ = again(func() error { return l.group.system.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }) // slower without
+// register tells the handler of a connection that epoll knows, and looks at what came before.
+func (l *Loop) register(c *Conn) {
+	_ = retryInterrupted(func() error { return l.group.system.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }) // slower without
 	l.conns[c.fd] = c
 	c.opened = true
 	l.group.handler.Opened(c)
-	c.settle()
+	c.closeIfRequested()
 	if c.fd >= 0 {
-		c.io()
+		c.processIO()
 	}
 }
 
@@ -64,27 +64,27 @@
 
 // PauseReading has nothing more read until it is called with false: what comes waits with its sender.
 func (c *Conn) PauseReading(on bool) {
-	if c.holding && !on {
-		c.later()
+	if c.readPaused && !on {
+		c.scheduleRetry()
 	}
-	c.holding = on
+	c.readPaused = on
 }
 
 // Unsent counts the bytes written that the kernel has not taken yet.
-func (c *Conn) Unsent() int { return len(c.out) }
+func (c *Conn) Unsent() int { return len(c.unsent) }
 
 // Write writes bytes, in order, without waiting: what the kernel doesn't take now goes later. A connection that fails is told
 // by Closed.
 func (c *Conn) Write(b []byte) {
-	if c.fd < 0 || c.closing {
+	if c.fd < 0 || c.closeRequested {
 		return
 	}
-	if len(c.out) > 0 {
-		c.out = append(c.out, b...)
+	if len(c.unsent) > 0 {
+		c.unsent = append(c.unsent, b...)
 		return
 	}
 	n := c.send(b)
-	c.out = append(c.out, b[n:]...)
+	c.unsent = append(c.unsent, b[n:]...)
 }
 
 // send hands bytes to the kernel and tells how many it took. Where the connection has failed it is closed soon.
@@ -95,39 +95,39 @@
 		case err == nil:
 			sent += max(0, n)
 			if n == 0 { // nothing was taken, and no reason given
-				c.later()
+				c.scheduleRetry()
 				return sent
 			}
 		case errors.Is(err, unix.EAGAIN):
 			return sent
-		case passing(err):
-			c.loop.group.trouble.Writes.Add(1)
-			c.later()
+		case isTransient(err):
+			c.loop.group.errorCounts.Writes.Add(1)
+			c.scheduleRetry()
 			return sent
 		default:
-			c.fail(err)
+			c.closeWithError(err)
 			return len(b)
 		}
 	}
 	return sent
 }
 
-// later has the connection looked at again a moment later: no event may tell.
-func (c *Conn) later() {
-	if !c.retrying {
-		c.retrying = true
+// scheduleRetry has the connection looked at again a moment later: no event may tell.
+func (c *Conn) scheduleRetry() {
+	if !c.retryScheduled {
+		c.retryScheduled = true
 		c.loop.retries = append(c.loop.retries, c)
 	}
 }
 
-// fail ends the connection for an error, on the loop, behind what the handler is doing now.
-func (c *Conn) fail(err error) {
-	c.closing, c.failure = true, err
-	c.loop.post(c.settle)
+// closeWithError ends the connection for an error, on the loop, behind what the handler is doing now.
+func (c *Conn) closeWithError(err error) {
+	c.closeRequested, c.closeErr = true, err
+	c.loop.post(c.closeIfRequested)
 }
 
 // Close closes the connection once the handler's method has returned: what the kernel has not taken is lost.
-func (c *Conn) Close() { c.closing = true }
+func (c *Conn) Close() { c.closeRequested = true }
 
 // CloseWrite ends this side: the peer reads an end behind what was written. It is false where the connection has failed.
 func (c *Conn) CloseWrite() bool { return c.shutdown(unix.SHUT_WR) }
@@ -139,97 +139,97 @@
 	if c.fd < 0 {
 		return false
 	}
-	return again(func() error { return c.loop.group.system.Shutdown(c.fd, how) }) == nil
+	return retryInterrupted(func() error { return c.loop.group.system.Shutdown(c.fd, how) }) == nil
 }
 
 // Stale tells whether there is something to read on a connection on which nothing is awaited: an end, an error, or bytes that
 // nobody asked for.
 func (c *Conn) Stale() bool {
-	if c.fd < 0 || c.closing {
+	if c.fd < 0 || c.closeRequested {
 		return true
 	}
 	var b [1]byte
-	err := again(func() error {
+	err := retryInterrupted(func() error {
 		_, err := c.loop.group.system.Peek(c.fd, b[:])
 		return err
 	})
-	return !errors.Is(err, unix.EAGAIN) && !passing(err)
+	return !errors.Is(err, unix.EAGAIN) && !isTransient(err)
 }
 
 // Wake has Ready called soon, from any goroutine.
 func (c *Conn) Wake() {
-	if c.woken.Swap(true) {
+	if c.wakeScheduled.Swap(true) {
 		return
 	}
 	c.loop.post(func() {
-		c.woken.Store(false)
-		c.call()
+		c.wakeScheduled.Store(false)
+		c.notifyReady()
 	})
 }
 
-// call has the handler look at the connection.
-func (c *Conn) call() {
-	if c.fd < 0 || c.closing {
+// notifyReady has the handler look at the connection.
+func (c *Conn) notifyReady() {
+	if c.fd < 0 || c.closeRequested {
 		return
 	}
 	c.loop.group.handler.Ready(c)
 	c.inbound = nil
-	c.settle()
+	c.closeIfRequested()
 }
 
-// settle closes the connection if its handler wants that, or if it has failed.
-func (c *Conn) settle() {
-	if c.closing {
-		c.end(c.failure)
+// closeIfRequested closes the connection if its handler wants that, or if it has failed.
+func (c *Conn) closeIfRequested() {
+	if c.closeRequested {
+		c.finish(c.closeErr)
 	}
 }
 
-// io writes what waits and reads what came.
-func (c *Conn) io() {
-	if c.fd < 0 || c.closing {
+// processIO writes what waits and reads what came.
+func (c *Conn) processIO() {
+	if c.fd < 0 || c.closeRequested {
 		return
 	}
-	if len(c.out) > 0 {
-		n := c.send(c.out)
-		if c.closing {
-			c.settle()
+	if len(c.unsent) > 0 {
+		n := c.send(c.unsent)
+		if c.closeRequested {
+			c.closeIfRequested()
 			return
 		}
-		if c.out = c.out[n:]; len(c.out) == 0 {
-			c.out = nil
-			c.call()
+		if c.unsent = c.unsent[n:]; len(c.unsent) == 0 {
+			c.unsent = nil
+			c.notifyReady()
 		}
 	}
-	for range readsMost {
-		if c.fd < 0 || c.closing || c.holding || !c.receive() {
+	for range maxReads {
+		if c.fd < 0 || c.closeRequested || c.readPaused || !c.readOnce() {
 			return
 		}
 	}
-	c.later() // others have their turn first
+	c.scheduleRetry() // others have their turn first
 }
 
-// receive reads once; it is false where nothing more is to be read now.
-func (c *Conn) receive() bool {
+// readOnce reads once; it is false where nothing more is to be read now.
+func (c *Conn) readOnce() bool {
 	n, err := c.loop.group.system.Read(c.fd, c.loop.buffer)
 	switch {
 	case err == nil && n > 0:
 		c.inbound = c.loop.buffer[:n]
-		c.call()
+		c.notifyReady()
 		return true
 	case err == nil:
-		c.end(io.EOF)
+		c.finish(io.EOF)
 	case errors.Is(err, unix.EAGAIN):
-	case passing(err):
-		c.loop.group.trouble.Reads.Add(1)
-		c.later()
+	case isTransient(err):
+		c.loop.group.errorCounts.Reads.Add(1)
+		c.scheduleRetry()
 	default:
-		c.end(err)
+		c.finish(err)
 	}
 	return false
 }
 
-// end closes the socket and tells the handler, once.
-func (c *Conn) end(err error) {
+// finish closes the socket and tells the handler, once.
+func (c *Conn) finish(err error) {
 	if c.fd < 0 {
 		return
 	}
@@ -237,7 +237,7 @@
 	delete(l.conns, c.fd)
 	_ = l.group.system.Close(c.fd) // the descriptor is free whatever it returns (close(2))
 	c.fd = -1
-	c.out, c.inbound = nil, nil
+	c.unsent, c.inbound = nil, nil
 	if c.opened {
 		l.group.handler.Closed(c, err)
 	}
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -49,16 +49,16 @@
 
 // Group is some event loops with one handler.
 type Group struct {
-	cfg      Config
-	handler  Handler
-	clock    clock.Clock
-	system   System
-	loops    []*Loop
-	next     atomic.Uint32
-	listener *listener // of the first loop, nil for none
-	trouble  ErrorCounts
-	quit     chan struct{}
-	done     sync.WaitGroup
+	cfg         Config
+	handler     Handler
+	clock       clock.Clock
+	system      System
+	loops       []*Loop
+	nextIndex   atomic.Uint32
+	listener    *listener // of the first loop, nil for none
+	errorCounts ErrorCounts
+	quit        chan struct{}
+	done        sync.WaitGroup
 }
 
 // ErrorCounts counts system calls that failed and did not end anything.
@@ -79,7 +79,7 @@
 	for i := range max(1, cfg.Loops) {
 		l, err := newLoop(g, i)
 		if err != nil {
-			g.free()
+			g.release()
 			return nil, fmt.Errorf("event loop: %w", err)
 		}
 		g.loops = append(g.loops, l)
@@ -101,14 +101,14 @@
 		l.wake()
 	}
 	g.done.Wait()
-	g.free()
+	g.release()
 }
 
-// free gives back what loops that do not run hold.
-func (g *Group) free() {
+// release gives back what loops that do not run hold.
+func (g *Group) release() {
 	for _, l := range g.loops {
-		_ = g.system.Close(l.epoll)
-		_ = g.system.Close(l.event)
+		_ = g.system.Close(l.epollFD)
+		_ = g.system.Close(l.wakeFD)
 	}
 	if g.listener != nil {
 		g.listener.close(g.system)
@@ -116,23 +116,23 @@
 }
 
 // ErrorCounts returns the counts of calls that failed and did not end anything.
-func (g *Group) ErrorCounts() *ErrorCounts { return &g.trouble }
+func (g *Group) ErrorCounts() *ErrorCounts { return &g.errorCounts }
 
-// pick chooses a loop for a new connection, in turns.
-func (g *Group) pick() *Loop { return g.loops[int(g.next.Add(1))%len(g.loops)] }
+// nextLoop chooses a loop for a new connection, in turns.
+func (g *Group) nextLoop() *Loop { return g.loops[int(g.nextIndex.Add(1))%len(g.loops)] }
 
 // Loop is one event loop. All fields but those under mu are its goroutine's.
 type Loop struct {
-	group  *Group
-	first  bool // it also ticks and accepts
-	epoll  int
-	event  int // an eventfd that ends a wait
-	conns  map[int]*Conn
-	dials  map[*dial]struct{}
-	buffer []byte
-	events []unix.EpollEvent
-	ticked control.Time
-	swept  control.Time
+	group     *Group
+	first     bool // it also ticks and accepts
+	epollFD   int
+	wakeFD    int // an eventfd that ends a wait
+	conns     map[int]*Conn
+	dials     map[*dial]struct{}
+	buffer    []byte
+	events    []unix.EpollEvent
+	lastTick  control.Time
+	lastSweep control.Time
 
 	retries []*Conn // to be looked at again a moment later: a call failed for now, or there was too much to read at once
 
@@ -142,29 +142,29 @@
 
 // Sizes of a loop.
 const (
-	readSize   = 64 << 10
-	eventsMost = 256
-	readsMost  = 16 // of one connection before others have their turn
+	readBufferSize = 64 << 10
+	maxEvents      = 256
+	maxReads       = 16 // of one connection before others have their turn
 )
 
 // Waits of a loop, in milliseconds.
 const (
-	waitMost  = 250 // a wake that was lost is found after this
-	waitRetry = 2   // while something is to be tried again
+	maxWait   = 250 // a wake that was lost is found after this
+	retryWait = 2   // while something is to be tried again
 )
 
 func newLoop(g *Group, number int) (*Loop, error) {
-	l := &Loop{group: g, first: number == 0, conns: map[int]*Conn{}, dials: map[*dial]struct{}{}, buffer: make([]byte, readSize),
-		events: make([]unix.EpollEvent, eventsMost)}
+	l := &Loop{group: g, first: number == 0, conns: map[int]*Conn{}, dials: map[*dial]struct{}{}, buffer: make([]byte, readBufferSize),
+		events: make([]unix.EpollEvent, maxEvents)}
 	var err error
-	if l.epoll, err = g.system.EpollCreate(); err != nil {
+	if l.epollFD, err = g.system.EpollCreate(); err != nil {
 		return nil, fmt.Errorf("epoll_create: %w", err)
 	}
-	if l.event, err = g.system.Eventfd(); err != nil {
-		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), g.system.Close(l.epoll))
+	if l.wakeFD, err = g.system.Eventfd(); err != nil {
+		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), g.system.Close(l.epollFD))
 	}
-	if err = g.system.EpollAdd(l.epoll, l.event, unix.EPOLLIN|unix.EPOLLET); err != nil {
-		return nil, errors.Join(fmt.Errorf("epoll_ctl: %w", err), g.system.Close(l.epoll), g.system.Close(l.event))
+	if err = g.system.EpollAdd(l.epollFD, l.wakeFD, unix.EPOLLIN|unix.EPOLLET); err != nil {
+		return nil, errors.Join(fmt.Errorf("epoll_ctl: %w", err), g.system.Close(l.epollFD), g.system.Close(l.wakeFD))
 	}
 	return l, nil
 }
@@ -180,20 +180,20 @@
 	}
 }
 
-// one is what is written to an eventfd.
-var one = []byte{1, 0, 0, 0, 0, 0, 0, 0}
+// wakeSignal is what is written to an eventfd.
+var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
 // wake ends the loop's wait. Should it fail, the wait ends by itself after waitMost.
 func (l *Loop) wake() {
-	_ = again(func() error {
-		_, err := l.group.system.Write(l.event, one)
+	_ = retryInterrupted(func() error {
+		_, err := l.group.system.Write(l.wakeFD, wakeSignal)
 		return err
 	})
 }
 
 // run is the loop.
 func (l *Loop) run() {
-	defer l.shut()
+	defer l.shutdown()
 	for {
 		select {
 		case <-l.group.quit:
@@ -201,51 +201,51 @@
 		default:
 		}
 		l.wait()
-		l.work()
-		l.retry()
-		l.tick()
+		l.runPosted()
+		l.runRetries()
+		l.runTimers()
 	}
 }
 
 // wait waits for events and has them dealt with. Where the wait itself fails, all connections are looked at: they don't block.
 func (l *Loop) wait() {
-	n, err := l.group.system.EpollWait(l.epoll, l.events, l.patience())
+	n, err := l.group.system.EpollWait(l.epollFD, l.events, l.waitTimeout())
 	switch {
 	case err == nil:
 		for i := range l.events[:max(0, n)] {
-			l.ready(int(l.events[i].Fd))
+			l.handleEvent(int(l.events[i].Fd))
 		}
 	case errors.Is(err, unix.EINTR):
 	default:
-		if l.group.trouble.Waits.Add(1) == 1 {
+		if l.group.errorCounts.Waits.Add(1) == 1 {
 			l.group.cfg.Log(fmt.Sprintf("epoll_wait fails: %v; connections are looked at in turns", err))
 		}
-		time.Sleep(waitRetry * time.Millisecond)
-		l.lookAtAll()
+		time.Sleep(retryWait * time.Millisecond)
+		l.pollAll()
 	}
 }
 
-// patience is how long a wait may be, in milliseconds.
-func (l *Loop) patience() int {
+// waitTimeout is how long a wait may be, in milliseconds.
+func (l *Loop) waitTimeout() int {
 	l.mu.Lock()
 	posted := len(l.posted)
 	l.mu.Unlock()
-	wait := waitMost
+	wait := maxWait
 	if l.first {
-		wait = min(wait, l.millisecondsTo(l.ticked+control.Time(l.group.cfg.TickInterval/time.Microsecond)))
+		wait = min(wait, l.millisecondsTo(l.lastTick+control.Time(l.group.cfg.TickInterval/time.Microsecond)))
 	}
 	for d := range l.dials {
 		if d.retry {
-			wait = min(wait, waitRetry)
+			wait = min(wait, retryWait)
 		}
-		wait = min(wait, l.millisecondsTo(d.until))
+		wait = min(wait, l.millisecondsTo(d.deadline))
 	}
 	switch {
 	case posted > 0:
 		return 0
 	case len(l.retries) > 0:
-		return min(wait, waitRetry)
-	case l.listens() && l.group.listener.pausedUntil > 0:
+		return min(wait, retryWait)
+	case l.hasListener() && l.group.listener.pausedUntil > 0:
 		return min(wait, l.millisecondsTo(l.group.listener.pausedUntil))
 	}
 	return wait
@@ -260,42 +260,42 @@
 	return int(left/control.Millisecond) + 1
 }
 
-func (l *Loop) listens() bool { return l.first && l.group.listener != nil }
+func (l *Loop) hasListener() bool { return l.first && l.group.listener != nil }
 
-// ready deals with an event of a descriptor.
-func (l *Loop) ready(fd int) {
+// handleEvent deals with an event of a descriptor.
+func (l *Loop) handleEvent(fd int) {
 	switch c := l.conns[fd]; {
-	case fd == l.event:
-		l.drain()
-	case l.listens() && fd == l.group.listener.fd:
+	case fd == l.wakeFD:
+		l.drainWakeFD()
+	case l.hasListener() && fd == l.group.listener.fd:
 		l.accept()
 	case c != nil:
-		c.io()
+		c.processIO()
 	default:
-		l.dialled(fd)
+		l.handleDialEvent(fd)
 	}
 }
 
-// drain empties the eventfd, so that the next write to it is an event again.
-func (l *Loop) drain() {
+// drainWakeFD empties the eventfd, so that the next write to it is an event again.
+func (l *Loop) drainWakeFD() {
 	var b [8]byte
-	_ = again(func() error {
-		_, err := l.group.system.Read(l.event, b[:])
+	_ = retryInterrupted(func() error {
+		_, err := l.group.system.Read(l.wakeFD, b[:])
 		return err
 	})
 }
 
-// lookAtAll does what events would have asked for.
-func (l *Loop) lookAtAll() {
-	l.drain()
-	if l.listens() {
+// pollAll does what events would have asked for.
+func (l *Loop) pollAll() {
+	l.drainWakeFD()
+	if l.hasListener() {
 		l.accept()
 	}
 	for _, c := range l.connections() {
-		c.io()
+		c.processIO()
 	}
 	for d := range l.dials {
-		l.dialled(d.fd)
+		l.handleDialEvent(d.fd)
 	}
 }
 
@@ -308,8 +308,8 @@
 	return all
 }
 
-// work does what was posted.
-func (l *Loop) work() {
+// runPosted does what was posted.
+func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
 	l.posted = nil
@@ -319,32 +319,32 @@
 	}
 }
 
-// retry looks again at connections whose calls failed for now.
-func (l *Loop) retry() {
-	again := l.retries
+// runRetries looks again at connections whose calls failed for now.
+func (l *Loop) runRetries() {
+	retries := l.retries
 	l.retries = nil
-	for _, c := range again {
-		c.retrying = false
-		c.io()
+	for _, c := range retries {
+		c.retryScheduled = false
+		c.processIO()
 	}
 }
 
-// tick has what is due by time done.
-func (l *Loop) tick() {
+// runTimers has what is due by time done.
+func (l *Loop) runTimers() {
 	now := l.group.clock.Now()
-	l.overdue(now)
-	if now >= l.swept+sweepEvery {
-		l.swept = now
+	l.expireDials(now)
+	if now >= l.lastSweep+sweepInterval {
+		l.lastSweep = now
 		l.sweep()
 	}
 	if !l.first {
 		return
 	}
-	if l.listens() {
-		l.resume(now)
+	if l.hasListener() {
+		l.resumeAccepting(now)
 	}
-	if now >= l.ticked+control.Time(l.group.cfg.TickInterval/time.Microsecond) {
-		l.ticked = now
+	if now >= l.lastTick+control.Time(l.group.cfg.TickInterval/time.Microsecond) {
+		l.lastTick = now
 		l.group.handler.Tick()
 	}
 }
@@ -352,40 +352,40 @@
 // Connections are looked at now and then without an event: a call that wrongly said that there is nothing to do now has none
 // behind it.
 const (
-	sweepEvery = 500 * control.Millisecond
-	sweepMost  = 512 // at once, of very many others than the last time
+	sweepInterval = 500 * control.Millisecond
+	maxSweep      = 512 // at once, of very many others than the last time
 )
 
 // sweep looks at connections.
 func (l *Loop) sweep() {
-	looked := make([]*Conn, 0, min(len(l.conns), sweepMost))
+	batch := make([]*Conn, 0, min(len(l.conns), maxSweep))
 	for _, c := range l.conns {
-		if len(looked) == sweepMost {
+		if len(batch) == maxSweep {
 			break
 		}
-		looked = append(looked, c)
+		batch = append(batch, c)
 	}
-	for _, c := range looked {
-		c.io()
+	for _, c := range batch {
+		c.processIO()
 	}
 	for d := range l.dials {
-		l.established(d)
+		l.completeDial(d)
 	}
-	if l.listens() {
+	if l.hasListener() {
 		l.accept()
 	}
 }
 
-// shut ends the loop's connections.
-func (l *Loop) shut() {
-	l.work() // dials that were posted hear that they failed
+// shutdown ends the loop's connections.
+func (l *Loop) shutdown() {
+	l.runPosted() // dials that were posted hear that they failed
 	for d := range l.dials {
-		l.giveUp(d, errStopped)
+		l.failDial(d, errStopped)
 	}
 	for _, c := range l.connections() {
-		c.end(nil)
+		c.finish(nil)
 	}
-	if l.listens() {
+	if l.hasListener() {
 		l.group.listener.close(l.group.system)
 	}
 }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -88,15 +88,15 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			g, e, f := serve(t, 1+int(seed%2))
 			f.SetFault(eventlooptest.RandomFaults(seed, 0.3, eventlooptest.TransientErrors))
-			var all sync.WaitGroup
+			var clients sync.WaitGroup
 			for n := range 20 {
-				all.Go(func() {
+				clients.Go(func() {
 					if err := talk(g, bytes.Repeat([]byte{byte(n), 7}, 1000*(n+1))); err != nil {
 						t.Errorf("client %d: %v", n, err)
 					}
 				})
 			}
-			all.Wait()
+			clients.Wait()
 			if len(e.failures) > 0 {
 				t.Errorf("a connection ended: %v", <-e.failures)
 			}
--- a/internal/eventloop/eventlooptest/faulty.go
+++ b/internal/eventloop/eventlooptest/faulty.go
@@ -14,8 +14,8 @@
 // FaultySystem is the kernel with calls that fail on command. The zero value fails none.
 type FaultySystem struct {
 	eventloop.Kernel
-	mu   sync.Mutex
-	fail func(call string) error // nil: none; ErrShort: a part is read or written
+	mu    sync.Mutex
+	fault func(call string) error // nil: none; ErrShort: a part is read or written
 }
 
 // ErrShort has a read or a write take a part of what it could.
@@ -24,22 +24,22 @@
 // SetFault has each call asked for: an error is what it fails with, nil has it made. Calls are named as their manual pages are.
 func (f *FaultySystem) SetFault(fail func(call string) error) {
 	f.mu.Lock()
-	f.fail = fail
+	f.fault = fail
 	f.mu.Unlock()
 }
 
-func (f *FaultySystem) check(call string) error {
+func (f *FaultySystem) faultOf(call string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fail == nil {
+	if f.fault == nil {
 		return nil
 	}
-	return f.fail(call)
+	return f.fault(call)
 }
 
 // Socket is eventloop.System.
 func (f *FaultySystem) Socket(domain, kind, protocol int) (int, error) {
-	if err := f.check("socket"); err != nil {
+	if err := f.faultOf("socket"); err != nil {
 		return -1, err
 	}
 	return f.Kernel.Socket(domain, kind, protocol)
@@ -47,7 +47,7 @@
 
 // Bind is eventloop.System.
 func (f *FaultySystem) Bind(fd int, to unix.Sockaddr) error {
-	if err := f.check("bind"); err != nil {
+	if err := f.faultOf("bind"); err != nil {
 		return err
 	}
 	return f.Kernel.Bind(fd, to)
@@ -55,7 +55,7 @@
 
 // Listen is eventloop.System.
 func (f *FaultySystem) Listen(fd, n int) error {
-	if err := f.check("listen"); err != nil {
+	if err := f.faultOf("listen"); err != nil {
 		return err
 	}
 	return f.Kernel.Listen(fd, n)
@@ -63,7 +63,7 @@
 
 // Accept is eventloop.System.
 func (f *FaultySystem) Accept(fd int) (int, unix.Sockaddr, error) {
-	if err := f.check("accept"); err != nil {
+	if err := f.faultOf("accept"); err != nil {
 		return -1, nil, err
 	}
 	return f.Kernel.Accept(fd)
@@ -71,10 +71,10 @@
 
 // Connect is eventloop.System.
 func (f *FaultySystem) Connect(fd int, to unix.Sockaddr) error {
-	err := f.check("connect")
+	err := f.faultOf("connect")
 	if err == nil || errors.Is(err, unix.EINTR) { // an interrupted one goes on
-		if real := f.Kernel.Connect(fd, to); err == nil {
-			return real
+		if kernelErr := f.Kernel.Connect(fd, to); err == nil {
+			return kernelErr
 		}
 	}
 	return err
@@ -82,7 +82,7 @@
 
 // SocketError is eventloop.System.
 func (f *FaultySystem) SocketError(fd int) (error, error) {
-	if err := f.check("getsockopt"); err != nil {
+	if err := f.faultOf("getsockopt"); err != nil {
 		return nil, err
 	}
 	return f.Kernel.SocketError(fd)
@@ -90,7 +90,7 @@
 
 // Getpeername is eventloop.System.
 func (f *FaultySystem) Getpeername(fd int) (unix.Sockaddr, error) {
-	if err := f.check("getpeername"); err != nil {
+	if err := f.faultOf("getpeername"); err != nil {
 		return nil, err
 	}
 	return f.Kernel.Getpeername(fd)
@@ -98,7 +98,7 @@
 
 // SetOption is eventloop.System.
 func (f *FaultySystem) SetOption(fd, level, option, value int) error {
-	if err := f.check("setsockopt"); err != nil {
+	if err := f.faultOf("setsockopt"); err != nil {
 		return err
 	}
 	return f.Kernel.SetOption(fd, level, option, value)
@@ -106,7 +106,7 @@
 
 // Read is eventloop.System.
 func (f *FaultySystem) Read(fd int, b []byte) (int, error) {
-	switch err := f.check("read"); {
+	switch err := f.faultOf("read"); {
 	case errors.Is(err, ErrShort):
 		b = b[:min(len(b), 8)]
 	case err != nil:
@@ -117,7 +117,7 @@
 
 // Write is eventloop.System.
 func (f *FaultySystem) Write(fd int, b []byte) (int, error) {
-	switch err := f.check("write"); {
+	switch err := f.faultOf("write"); {
 	case errors.Is(err, ErrShort):
 		b = b[:min(len(b), 8)]
 	case err != nil:
@@ -129,7 +129,7 @@
 // Close is eventloop.System.
 func (f *FaultySystem) Close(fd int) error {
 	err := f.Kernel.Close(fd) // the descriptor is gone in any case (close(2))
-	if fault := f.check("close"); fault != nil {
+	if fault := f.faultOf("close"); fault != nil {
 		return fault
 	}
 	return err
@@ -137,7 +137,7 @@
 
 // EpollAdd is eventloop.System.
 func (f *FaultySystem) EpollAdd(epoll, fd int, events uint32) error {
-	if err := f.check("epoll_ctl"); err != nil {
+	if err := f.faultOf("epoll_ctl"); err != nil {
 		return err
 	}
 	return f.Kernel.EpollAdd(epoll, fd, events)
@@ -145,18 +145,18 @@
 
 // EpollWait is eventloop.System.
 func (f *FaultySystem) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
-	if err := f.check("epoll_wait"); err != nil {
+	if err := f.faultOf("epoll_wait"); err != nil {
 		return -1, err
 	}
 	return f.Kernel.EpollWait(epoll, events, ms)
 }
 
 // RandomFaults fails calls at random, with one of the errors given for each.
-func RandomFaults(seed uint64, share float64, errs map[string][]error) func(string) error {
+func RandomFaults(seed uint64, probability float64, errs map[string][]error) func(string) error {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func(call string) error {
-		if all := errs[call]; len(all) > 0 && rng.Float64() < share {
-			return all[rng.IntN(len(all))]
+		if candidates := errs[call]; len(candidates) > 0 && rng.Float64() < probability {
+			return candidates[rng.IntN(len(candidates))]
 		}
 		return nil
 	}
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -18,7 +18,7 @@
 	fd          int
 	addr        netip.AddrPort
 	pausedUntil control.Time // 0 while it accepts
-	pause       time.Duration
+	nextPause   time.Duration
 	stopped     bool         // nothing more is accepted
 	brokenSince control.Time // since when accept says that the socket is none, 0 while it does not
 }
@@ -28,8 +28,8 @@
 
 // Pauses of accepting.
 const (
-	pauseLeast = 5 * time.Millisecond
-	pauseMost  = 500 * time.Millisecond
+	minPause = 5 * time.Millisecond
+	maxPause = 500 * time.Millisecond
 )
 
 // Listen opens a listening socket; port 0 takes a free one. It is to be called once at most, before Start.
@@ -46,14 +46,14 @@
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
 	}
-	name, err := g.system.Getsockname(fd)
+	localAddr, err := g.system.Getsockname(fd)
 	if err == nil {
-		err = again(func() error { return g.system.EpollAdd(g.loops[0].epoll, fd, unix.EPOLLIN|unix.EPOLLET) })
+		err = retryInterrupted(func() error { return g.system.EpollAdd(g.loops[0].epollFD, fd, unix.EPOLLIN|unix.EPOLLET) })
 	}
 	if err != nil {
 		return errors.Join(fmt.Errorf("listen on %s: %w", address, err), g.system.Close(fd))
 	}
-	g.listener = &listener{fd: fd, addr: addrPort(name), pause: pauseLeast}
+	g.listener = &listener{fd: fd, addr: addrPort(localAddr), nextPause: minPause}
 	return nil
 }
 
@@ -108,8 +108,8 @@
 	}
 }
 
-// acceptsMost is how many connections are accepted before others have their turn.
-const acceptsMost = 64
+// maxAccepts is how many connections are accepted before others have their turn.
+const maxAccepts = 64
 
 // accept takes new connections.
 func (l *Loop) accept() {
@@ -117,17 +117,17 @@
 	if n.stopped || n.pausedUntil > 0 {
 		return
 	}
-	for range acceptsMost {
+	for range maxAccepts {
 		fd, from, err := l.group.system.Accept(n.fd)
 		if err == nil {
-			n.pause, n.brokenSince = pauseLeast, 0
-			l.group.place(fd, addrPort(from))
+			n.nextPause, n.brokenSince = minPause, 0
+			l.group.handOff(fd, addrPort(from))
 			continue
 		}
 		if errors.Is(err, unix.EAGAIN) {
 			return
 		}
-		if !gone(err) {
+		if !isSingleConnError(err) {
 			l.pauseAccepting(err)
 			return
 		}
@@ -135,38 +135,38 @@
 	n.pausedUntil = 1 // more may wait: the next round goes on
 }
 
-// gone tells whether accept failed for what became of the one connection (accept(2)): the next one may be well.
-func gone(err error) bool {
-	return is(err, unix.EINTR, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
+// isSingleConnError tells whether accept failed for what became of the one connection (accept(2)): the next one may be well.
+func isSingleConnError(err error) bool {
+	return isAnyOf(err, unix.EINTR, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
 		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
 }
 
 // pauseAccepting has nothing accepted for a while, longer each time.
 func (l *Loop) pauseAccepting(err error) {
 	n := l.group.listener
-	if n.pause == pauseLeast {
+	if n.nextPause == minPause {
 		l.group.cfg.Log(fmt.Sprintf("accept fails: %v; clients wait", err))
 	}
-	l.group.trouble.Accepts.Add(1)
-	if !is(err, unix.EBADF, unix.EINVAL, unix.ENOTSOCK) {
+	l.group.errorCounts.Accepts.Add(1)
+	if !isAnyOf(err, unix.EBADF, unix.EINVAL, unix.ENOTSOCK) {
 		n.brokenSince = 0
 	} else if n.brokenSince == 0 {
 		n.brokenSince = l.group.clock.Now()
 	}
-	n.pausedUntil = l.group.clock.Now() + control.Time(n.pause/time.Microsecond)
-	n.pause = min(2*n.pause, pauseMost)
+	n.pausedUntil = l.group.clock.Now() + control.Time(n.nextPause/time.Microsecond)
+	n.nextPause = min(2*n.nextPause, maxPause)
 }
 
 // reopenAfter is how long accept may say that the listening socket is none before another is opened in its place.
 const reopenAfter = 2 * control.Second
 
-// reopen opens the listening socket anew where it has been lost.
-func (l *Loop) reopen(now control.Time) {
+// reopenListener opens the listening socket anew where it has been lost.
+func (l *Loop) reopenListener(now control.Time) {
 	n, system := l.group.listener, l.group.system
 	_ = system.Close(n.fd)
 	fd, err := l.group.listenOn(n.addr)
 	if err == nil {
-		if err = again(func() error { return system.EpollAdd(l.epoll, fd, unix.EPOLLIN|unix.EPOLLET) }); err != nil {
+		if err = retryInterrupted(func() error { return system.EpollAdd(l.epollFD, fd, unix.EPOLLIN|unix.EPOLLET) }); err != nil {
 			_ = system.Close(fd)
 		}
 	}
@@ -179,25 +179,25 @@
 	l.group.cfg.Log("the listening socket was lost and is opened anew")
 }
 
-// resume goes on accepting once a pause is over.
-func (l *Loop) resume(now control.Time) {
+// resumeAccepting goes on accepting once a pause is over.
+func (l *Loop) resumeAccepting(now control.Time) {
 	n := l.group.listener
 	if n.pausedUntil == 0 || now < n.pausedUntil {
 		return
 	}
 	n.pausedUntil = 0
 	if n.brokenSince > 0 && now-n.brokenSince > reopenAfter {
-		l.reopen(now)
+		l.reopenListener(now)
 	}
 	l.accept()
 }
 
-// place gives a new connection to a loop.
-func (g *Group) place(fd int, peer netip.AddrPort) {
-	l := g.pick()
+// handOff gives a new connection to a loop.
+func (g *Group) handOff(fd int, peer netip.AddrPort) {
+	l := g.nextLoop()
 	l.post(func() {
-		if err := l.open(fd, peer, nil); err != nil { // it is closed unread
-			g.trouble.Accepts.Add(1)
+		if err := l.openConn(fd, peer, nil); err != nil { // it is closed unread
+			g.errorCounts.Accepts.Add(1)
 			g.cfg.Log(fmt.Sprintf("client %v: not taken: %v", peer, err))
 		}
 	})
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -105,13 +105,13 @@
 // Eventfd is eventfd(2), not blocking.
 func (Kernel) Eventfd() (int, error) { return unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC) }
 
-// interruptions is how often a call is made again at once that a signal interrupted.
-const interruptions = 16
+// maxInterruptedCalls is how often a call is made again at once that a signal interrupted.
+const maxInterruptedCalls = 16
 
-// again makes a call until no signal interrupts it.
-func again(call func() error) error {
+// retryInterrupted makes a call until no signal interrupts it.
+func retryInterrupted(call func() error) error {
 	var err error
-	for range interruptions {
+	for range maxInterruptedCalls {
 		if err = call(); !errors.Is(err, unix.EINTR) {
 			return err
 		}
@@ -119,9 +119,9 @@
 	return err
 }
 
-// is tells whether an error is one of those named.
-func is(err error, names ...unix.Errno) bool {
-	for _, n := range names {
+// isAnyOf tells whether an error is one of those named.
+func isAnyOf(err error, codes ...unix.Errno) bool {
+	for _, n := range codes {
 		if errors.Is(err, n) {
 			return true
 		}
@@ -129,14 +129,14 @@
 	return false
 }
 
-// passing tells whether a read or a write failed for want of something that may be there a moment later, with the connection as
+// isTransient tells whether a read or a write failed for want of something that may be there a moment later, with the connection as
 // good as before.
-func passing(err error) bool { return is(err, unix.EINTR, unix.ENOMEM, unix.ENOBUFS) }
+func isTransient(err error) bool { return isAnyOf(err, unix.EINTR, unix.ENOMEM, unix.ENOBUFS) }
 
 // IsLocal tells whether a connection could not be made for want of something on this machine: descriptors, memory, ports, a
 // route. It says nothing of the peer.
 func IsLocal(err error) bool {
-	return is(err, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS, unix.ENOSPC, unix.EAGAIN, unix.EINTR, unix.EADDRNOTAVAIL,
+	return isAnyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS, unix.ENOSPC, unix.EAGAIN, unix.EINTR, unix.EADDRNOTAVAIL,
 		unix.EADDRINUSE, unix.ENETUNREACH, unix.ENETDOWN, unix.EACCES, unix.EPERM, unix.EAFNOSUPPORT, unix.EPROTONOSUPPORT, unix.EINVAL,
 		unix.EBADF, unix.ENOTSOCK, unix.EFAULT, unix.EIO)
 }
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -18,19 +18,19 @@
 
 // Opened is eventloop.Handler: it starts the protocol on a connection.
 func (p *Pool) Opened(gc *eventloop.Conn) {
-	c := &conn{pool: p, site: gc.Context.(*site), gc: gc}
+	c := &conn{pool: p, endpoint: gc.Context.(*endpointPool), netConn: gc}
 	gc.Context = c
-	c.l = p.proto.line(c, p.elapsed())
-	p.opened.Add(1)
+	c.session = p.proto.newSession(c, p.elapsed())
+	p.openConns.Add(1)
 	p.mu.Lock()
-	p.active[c] = struct{}{}
-	c.site.conns = append(c.site.conns, c)
-	c.site.lacking = false
+	p.monitored[c] = struct{}{}
+	c.endpoint.conns = append(c.endpoint.conns, c)
+	c.endpoint.localFailure = false
 	p.mu.Unlock()
-	if st := c.l.state(); st.settled {
-		c.ready(st.limit)
+	if st := c.session.state(); st.ready {
+		c.markUsable(st.capacity)
 	}
-	gc.Write(c.l.output())
+	gc.Write(c.session.takeOutput())
 }
 
 // Ready is eventloop.Handler: it takes bytes of the peer, and what was put into the inbox.
@@ -38,290 +38,290 @@
 	c := gc.Context.(*conn)
 	now := p.elapsed()
 	if in := gc.Inbound(); len(in) > 0 {
-		if err := c.l.receive(now, in); err != nil {
-			c.broken(err)
+		if err := c.session.receive(now, in); err != nil {
+			c.protocolFailed(err)
 			return
 		}
 	}
-	c.work(now)
-	if err := c.l.check(now); err != nil {
-		c.broken(err)
+	c.runCommands(now)
+	if err := c.session.checkDeadlines(now); err != nil {
+		c.protocolFailed(err)
 		return
 	}
 	c.flush()
 }
 
 func (c *conn) flush() {
-	c.gc.Write(c.l.output())
-	st := c.l.state()
+	c.netConn.Write(c.session.takeOutput())
+	st := c.session.state()
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !st.settled || st.busy {
-		p.active[c] = struct{}{}
+	if !st.ready || st.hasDeadlines {
+		p.monitored[c] = struct{}{}
 	} else {
-		delete(p.active, c)
+		delete(p.monitored, c)
 	}
-	if st.settled {
-		c.limit = st.limit
+	if st.ready {
+		c.capacity = st.capacity
 		c.usable = c.usable && !st.done
-		p.refill(c.site)
+		p.assignPending(c.endpoint)
 	}
-	if c.shut && c.load == 0 || st.done {
+	if c.closeWhenIdle && c.inFlight == 0 || st.done {
 		c.usable = false
-		c.gc.Close()
+		c.netConn.Close()
 	}
 }
 
-// broken ends a connection on which the peer broke the protocol or a time limit.
-func (c *conn) broken(err error) {
-	c.gc.Write(c.l.output())
+// protocolFailed ends a connection on which the peer broke the protocol or a time limit.
+func (c *conn) protocolFailed(err error) {
+	c.netConn.Write(c.session.takeOutput())
 	kind := engine.Malformed
 	var ce *h2.ConnError
 	if errors.As(err, &ce) && ce.Code == h2.SettingsTimeout {
 		kind = engine.ResetUnanswered
 	}
-	c.lose(kind, err.Error())
-	c.gc.Close()
+	c.remove(kind, err.Error())
+	c.netConn.Close()
 }
 
 // Closed is eventloop.Handler: it ends what was out on the connection.
 func (p *Pool) Closed(gc *eventloop.Conn, err error) {
-	p.opened.Add(-1)
-	why := "connection closed by the peer"
+	p.openConns.Add(-1)
+	reason := "connection closed by the peer"
 	if err != nil && !errors.Is(err, io.EOF) {
-		why = err.Error()
+		reason = err.Error()
 	}
-	gc.Context.(*conn).lose(engine.ResetUnanswered, why)
+	gc.Context.(*conn).remove(engine.ResetUnanswered, reason)
 }
 
 // lose takes a connection out of its pool, and ends all that was on it. What was never written has not run: it waits
 // for another connection, once.
-func (c *conn) lose(kind engine.EndKind, why string) {
+func (c *conn) remove(kind engine.EndKind, reason string) {
 	p := c.pool
 	p.mu.Lock()
-	held := c.site.conns[:0]
+	remaining := c.endpoint.conns[:0]
 	found := false
-	for _, o := range c.site.conns {
+	for _, o := range c.endpoint.conns {
 		if o != c {
-			held = append(held, o)
+			remaining = append(remaining, o)
 		} else {
 			found = true
 		}
 	}
-	clear(c.site.conns[len(held):])
-	c.site.conns = held
+	clear(c.endpoint.conns[len(remaining):])
+	c.endpoint.conns = remaining
 	c.usable = false
-	c.unidle()
-	delete(p.active, c)
-	inbox := c.inbox
-	c.inbox = nil
-	stood := c.stood
-	if c.stood {
-		c.stood = false
-		p.planner.Closed()
-		p.nudge()
+	c.unmarkIdle()
+	delete(p.monitored, c)
+	commands := c.commands
+	c.commands = nil
+	wasEstablished := c.established
+	if c.established {
+		c.established = false
+		p.scheduler.Closed()
+		p.wakeScheduler()
 	}
 	p.mu.Unlock()
 	if !found {
 		return
 	}
-	p.cfg.Trace("endpoint %d: connection lost: %s; %d calls not written", c.site.ep, why, len(inbox))
+	p.cfg.Trace("endpoint %d: connection lost: %s; %d calls not written", c.endpoint.id, reason, len(commands))
 	// The peer learns that nothing is waited for before the attempts are reported: another may follow at once.
-	c.gc.CloseBoth()
-	if !stood {
-		p.noConnection(c.site, errors.New("no HTTP/2 on the connection: "+why))
+	c.netConn.CloseBoth()
+	if !wasEstablished {
+		p.connectFailed(c.endpoint, errors.New("no HTTP/2 on the connection: "+reason))
 	}
-	c.l.lose(kind, why)
-	for _, it := range inbox {
+	c.session.connLost(kind, reason)
+	for _, it := range commands {
 		if it.start != nil {
-			c.again(it.start, why)
+			c.requeue(it.start, reason)
 		}
 	}
 	p.mu.Lock()
-	p.grow(c.site)
+	p.requestConn(c.endpoint)
 	p.mu.Unlock()
 }
 
-// work does what is in the inbox: calls to start, attempts to give up.
-func (c *conn) work(now time.Duration) {
+// runCommands does what is in the inbox: calls to start, attempts to give up.
+func (c *conn) runCommands(now time.Duration) {
 	p := c.pool
 	p.mu.Lock()
-	inbox := c.inbox
-	c.inbox = nil
-	shut := c.shut && c.load == 0
+	commands := c.commands
+	c.commands = nil
+	shutdown := c.closeWhenIdle && c.inFlight == 0
 	p.mu.Unlock()
-	for _, it := range inbox {
+	for _, it := range commands {
 		if it.start != nil {
-			c.start(it.start, now)
-		} else if p.waits(it.give) {
-			c.l.giveUp(now, it.give)
+			c.startCall(it.start, now)
+		} else if p.isOutstanding(it.abandon) {
+			c.session.abandon(now, it.abandon)
 		}
 	}
-	if shut {
-		c.l.shut(now)
+	if shutdown {
+		c.session.shutdown(now)
 	}
 }
 
-// waits tells whether an attempt has no end yet.
-func (p *Pool) waits(t *task) bool {
+// isOutstanding tells whether an attempt has no end yet.
+func (p *Pool) isOutstanding(t *attemptState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !t.ended
 }
 
-// start writes a call, without the attempts that were given up or ran out of time meanwhile. Guards against a connection
+// startCall writes a call, without the attempts that were given up or ran out of time meanwhile. Guards against a connection
 // that comes up late: by then partners may have forgotten the keys of repeats.
-func (c *conn) start(k *call, now time.Duration) {
-	if !c.l.hasRoom() { // the limit fell, or the peer is closing, since it was put here
-		c.again(k, errNoRoom.Error())
+func (c *conn) startCall(k *call, now time.Duration) {
+	if !c.session.hasCapacity() { // the limit fell, or the peer is closing, since it was put here
+		c.requeue(k, errNoCapacity.Error())
 		return
 	}
-	alive := c.permitted(c.waiting(k, now))
-	if len(alive) == 0 {
+	admitted := c.admit(c.startable(k, now))
+	if len(admitted) == 0 {
 		return
 	}
-	err := c.l.start(now, k, alive)
+	err := c.session.start(now, k, admitted)
 	if err == nil {
 		return
 	}
-	for _, t := range alive {
-		c.pool.takenBack(t)
+	for _, t := range admitted {
+		c.pool.reportTakenBack(t)
 	}
-	if errors.Is(err, errNoRoom) {
-		c.again(k, err.Error())
+	if errors.Is(err, errNoCapacity) {
+		c.requeue(k, err.Error())
 		return
 	}
-	for _, t := range alive {
-		c.pool.end(t, engine.End{Kind: engine.TooLargeForPeer, Detail: err.Error()})
+	for _, t := range admitted {
+		c.pool.reportEnd(t, engine.End{Kind: engine.TooLargeForPeer, Detail: err.Error()})
 	}
 }
 
-// waiting are the attempts of a call that are still to be made; the others end.
-func (c *conn) waiting(k *call, now time.Duration) (alive []*task) {
+// startable are the attempts of a call that are still to be made; the others end.
+func (c *conn) startable(k *call, now time.Duration) (startable []*attemptState) {
 	p := c.pool
-	for _, t := range k.tasks {
+	for _, t := range k.attempts {
 		p.mu.Lock()
-		given, ended := t.given, t.ended
+		abandoned, ended := t.abandoned, t.ended
 		p.mu.Unlock()
 		switch {
 		case ended:
-		case given:
-			p.end(t, engine.End{Kind: engine.Unsent})
-		case time.Duration(cmp.Or(t.a.Begin, t.a.Due))*time.Microsecond <= now:
-			p.end(t, engine.End{Kind: engine.Unsent, Detail: "its time, or that for repeats, is over"})
+		case abandoned:
+			p.reportEnd(t, engine.End{Kind: engine.Unsent})
+		case time.Duration(cmp.Or(t.attempt.Begin, t.attempt.Due))*time.Microsecond <= now:
+			p.reportEnd(t, engine.End{Kind: engine.Unsent, Detail: "its time, or that for repeats, is over"})
 		default:
-			alive = append(alive, t)
+			startable = append(startable, t)
 		}
 	}
-	return alive
+	return startable
 }
 
-// permitted are the attempts that may be written now, and are on record where they need to be; the others end.
-func (c *conn) permitted(tasks []*task) []*task {
+// admit are the attempts that may be written now, and are on record where they need to be; the others end.
+func (c *conn) admit(attempts []*attemptState) []*attemptState {
 	p := c.pool
-	if p.cfg.Admission == nil || len(tasks) == 0 {
-		return tasks
+	if p.cfg.Admission == nil || len(attempts) == 0 {
+		return attempts
 	}
 	now := p.clock.Now()
-	var alive []*task
-	var call []*engine.Attempt
-	for _, t := range tasks {
-		if err := p.cfg.Admission.Write(now, t.a); err != nil {
-			p.end(t, engine.End{Kind: engine.Unsent, Detail: err.Error()})
+	var admitted []*attemptState
+	var engineAttempts []*engine.Attempt
+	for _, t := range attempts {
+		if err := p.cfg.Admission.Write(now, t.attempt); err != nil {
+			p.reportEnd(t, engine.End{Kind: engine.Unsent, Detail: err.Error()})
 			continue
 		}
-		alive, call = append(alive, t), append(call, t.a)
+		admitted, engineAttempts = append(admitted, t), append(engineAttempts, t.attempt)
 	}
-	if len(call) == 0 {
+	if len(engineAttempts) == 0 {
 		return nil
 	}
-	may, err := p.cfg.Admission.Record(call)
+	writable, err := p.cfg.Admission.Record(engineAttempts)
 	if err == nil {
-		return alive
+		return admitted
 	}
-	return slices.DeleteFunc(alive, func(t *task) bool {
-		if slices.Contains(may, t.a) {
+	return slices.DeleteFunc(admitted, func(t *attemptState) bool {
+		if slices.Contains(writable, t.attempt) {
 			return false
 		}
-		p.takenBack(t)
-		p.end(t, engine.End{Kind: engine.NotRecorded, Detail: err.Error()})
+		p.reportTakenBack(t)
+		p.reportEnd(t, engine.End{Kind: engine.NotRecorded, Detail: err.Error()})
 		return true
 	})
 }
 
-// takenBack tells that an attempt that was permitted was not written.
-func (p *Pool) takenBack(t *task) {
+// reportTakenBack tells that an attempt that was permitted was not written.
+func (p *Pool) reportTakenBack(t *attemptState) {
 	if p.cfg.Admission != nil {
-		p.cfg.Admission.TakenBack(t.a)
+		p.cfg.Admission.TakenBack(t.attempt)
 	}
 }
 
-// again puts a call that was not written back among those that wait, once. Guards against a peer that takes
+// requeue puts a call that was not written back among those that wait, once. Guards against a peer that takes
 // connections and drops them: a call must not go round for ever.
-func (c *conn) again(k *call, why string) {
+func (c *conn) requeue(k *call, reason string) {
 	p := c.pool
-	st := c.l.state()
+	st := c.session.state()
 	p.mu.Lock()
-	c.limit = min(c.limit, st.limit)
-	c.usable = c.usable && st.limit > 0 && !st.done
-	if k.left == 0 { // its attempts have their ends, and took it off the connection
+	c.capacity = min(c.capacity, st.capacity)
+	c.usable = c.usable && st.capacity > 0 && !st.done
+	if k.remaining == 0 { // its attempts have their ends, and took it off the connection
 		p.mu.Unlock()
 		return
 	}
-	if c.load--; c.load == 0 {
-		c.idles()
+	if c.inFlight--; c.inFlight == 0 {
+		c.markIdle()
 	}
 	k.conn = nil
-	var given []*task
-	for _, t := range k.tasks {
-		if t.given && !t.ended {
-			given = append(given, t)
+	var abandoned []*attemptState
+	for _, t := range k.attempts {
+		if t.abandoned && !t.ended {
+			abandoned = append(abandoned, t)
 		}
 	}
-	moved := k.moved
-	k.moved = true
-	if !moved && len(given) < k.left && !p.place(k) {
-		k.site.pending = append(k.site.pending, k)
-		p.grow(k.site)
+	requeuedBefore := k.requeued
+	k.requeued = true
+	if !requeuedBefore && len(abandoned) < k.remaining && !p.assign(k) {
+		k.endpoint.pending = append(k.endpoint.pending, k)
+		p.requestConn(k.endpoint)
 	}
 	p.mu.Unlock()
-	if moved {
-		p.fail([]*call{k}, why)
+	if requeuedBefore {
+		p.failCalls([]*call{k}, reason)
 		return
 	}
-	for _, t := range given {
-		p.end(t, engine.End{Kind: engine.Unsent})
+	for _, t := range abandoned {
+		p.reportEnd(t, engine.End{Kind: engine.Unsent})
 	}
 }
 
-// ready opens a connection for calls; limit is how many it carries.
-func (c *conn) ready(limit int) {
+// markUsable opens a connection for calls; limit is how many it carries.
+func (c *conn) markUsable(limit int) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.site.dialing--
-	c.usable, c.stood = true, true
-	p.planner.Opened()
-	p.nudge()
-	c.site.busyTo = p.clock.Now() + busyFor
-	c.limit = limit
-	c.idles()
-	p.refill(c.site)
-	p.grow(c.site)
+	c.endpoint.dialing--
+	c.usable, c.established = true, true
+	p.scheduler.Opened()
+	p.wakeScheduler()
+	c.endpoint.activeUntil = p.clock.Now() + activePeriod
+	c.capacity = limit
+	c.markIdle()
+	p.assignPending(c.endpoint)
+	p.requestConn(c.endpoint)
 }
 
 // Tick is eventloop.Handler: it looks after time limits, of handshakes, windows held shut and idle connections.
 func (p *Pool) Tick() {
-	long := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
+	idleBefore := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.active {
-		c.gc.Wake()
+	for c := range p.monitored {
+		c.netConn.Wake()
 	}
-	for e := p.idle.Front(); e != nil && e.Value.(*conn).since < long; e = p.idle.Front() {
+	for e := p.idle.Front(); e != nil && e.Value.(*conn).idleSince < idleBefore; e = p.idle.Front() {
 		c := e.Value.(*conn)
-		c.retire()
-		c.unidle() // also where it drains already: the list must move on
+		c.closeIdle()
+		c.unmarkIdle() // also where it drains already: the list must move on
 	}
 }
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -14,12 +14,12 @@
 type HTTP1Codec interface {
 	Resolver
 	// Request appends the request of a call to b; left is the time that each of its attempts has.
-	Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte
+	Request(b []byte, attempts []*engine.Attempt, left []time.Duration) []byte
 	// Answer makes a whole response into one end for each attempt of the call. The head is valid only until it returns.
-	Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End
+	Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End
 	// Assured is the end of a call that is sure from the first line of an answer, though the rest of it was spoilt or
 	// has not come; ok is false where the first line promises nothing.
-	Assured(as []*engine.Attempt, status int) (end engine.End, ok bool)
+	Assured(attempts []*engine.Attempt, status int) (end engine.End, ok bool)
 }
 
 // NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
@@ -27,172 +27,172 @@
 
 type http1 struct{ HTTP1Codec }
 
-func (http1) bulk() bool { return true }
-
-func (s http1) line(c *conn, _ time.Duration) line { return &h1Line{c: c, calls: s} }
-
-// bodyWithin is how long the rest of an answer may take once its head is here and promises enough.
-const bodyWithin = 300 * time.Millisecond
-
-// h1Line is one HTTP/1.1 connection.
-type h1Line struct {
-	c     *conn
-	calls HTTP1Codec
-	out   []byte
-	in    []byte // of the answer, while it is not whole
-	used  bool   // something was written on it before
-	over  bool   // it is to be closed
-
-	call   *call
-	as     []*engine.Attempt // those written, and ...
-	tasks  []*task           // ... their tasks
-	status int               // of the first line that counts, 0 before
-	head   *h1.Response
-	headAt time.Duration
-	chunks h1.Chunks
+func (http1) batches() bool { return true }
+
+func (s http1) newSession(c *conn, _ time.Duration) session { return &h1Session{conn: c, codec: s} }
+
+// bodyTimeout is how long the rest of an answer may take once its head is here and promises enough.
+const bodyTimeout = 300 * time.Millisecond
+
+// h1Session is one HTTP/1.1 connection.
+type h1Session struct {
+	conn      *conn
+	codec     HTTP1Codec
+	outBuffer []byte
+	inBuffer  []byte // of the answer, while it is not whole
+	used      bool   // something was written on it before
+	closing   bool   // it is to be closed
+
+	call           *call
+	engineAttempts []*engine.Attempt // those written, and ...
+	attempts       []*attemptState   // ... their tasks
+	status         int               // of the first line that counts, 0 before
+	head           *h1.Response
+	headAt         time.Duration
+	chunks         h1.Chunks
 }
 
-func (l *h1Line) output() []byte {
-	out := l.out
-	l.out = nil
+func (l *h1Session) takeOutput() []byte {
+	out := l.outBuffer
+	l.outBuffer = nil
 	return out
 }
 
-func (l *h1Line) shut(time.Duration) { l.over = true }
+func (l *h1Session) shutdown(time.Duration) { l.closing = true }
 
-func (l *h1Line) state() lineState {
-	return lineState{settled: true, busy: l.call != nil, done: l.over, limit: 1}
+func (l *h1Session) state() sessionState {
+	return sessionState{ready: true, hasDeadlines: l.call != nil, done: l.closing, capacity: 1}
 }
 
-// hasRoom tells whether a call can be started. A connection that was idle is looked at first: the peer may have closed it, or
+// hasCapacity tells whether a call can be started. A connection that was idle is looked at first: the peer may have closed it, or
 // sent what belongs to no call.
-func (l *h1Line) hasRoom() bool {
-	if l.call != nil || l.over {
+func (l *h1Session) hasCapacity() bool {
+	if l.call != nil || l.closing {
 		return false
 	}
-	l.over = l.used && l.c.gc.Stale()
-	return !l.over
+	l.closing = l.used && l.conn.netConn.Stale()
+	return !l.closing
 }
 
 // start writes a call.
-func (l *h1Line) start(now time.Duration, k *call, tasks []*task) error {
-	if l.call != nil || l.over {
-		return errNoRoom
+func (l *h1Session) start(now time.Duration, k *call, attempts []*attemptState) error {
+	if l.call != nil || l.closing {
+		return errNoCapacity
 	}
 	// The message with the most time goes first. Guards against peers that reckon a call by its first message: its end
 	// before that of the others would leave these without theirs.
-	slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.a.Due, x.a.Due) })
-	l.used, l.call, l.tasks = true, k, tasks
-	l.as = make([]*engine.Attempt, len(tasks))
-	left := make([]time.Duration, len(tasks))
-	for i, t := range tasks {
-		l.as[i] = t.a
-		left[i] = time.Duration(t.a.Due)*time.Microsecond - now
-	}
-	l.status, l.head, l.in = 0, nil, nil
-	l.out = l.calls.Request(l.out, l.as, left)
+	slices.SortStableFunc(attempts, func(x, y *attemptState) int { return cmp.Compare(y.attempt.Due, x.attempt.Due) })
+	l.used, l.call, l.attempts = true, k, attempts
+	l.engineAttempts = make([]*engine.Attempt, len(attempts))
+	left := make([]time.Duration, len(attempts))
+	for i, t := range attempts {
+		l.engineAttempts[i] = t.attempt
+		left[i] = time.Duration(t.attempt.Due)*time.Microsecond - now
+	}
+	l.status, l.head, l.inBuffer = 0, nil, nil
+	l.outBuffer = l.codec.Request(l.outBuffer, l.engineAttempts, left)
 	return nil
 }
 
-// giveUp ends a call by closing its connection. Where only one message of several has ended with its time the others wait on,
+// abandon ends a call by closing its connection. Where only one message of several has ended with its time the others wait on,
 // and its attempt is out with theirs: it ends with the call. One that is sent again must not be out on an open connection, too.
-func (l *h1Line) giveUp(_ time.Duration, t *task) {
+func (l *h1Session) abandon(_ time.Duration, t *attemptState) {
 	if l.call != t.call {
 		return
 	}
-	if t.kind == engine.OutOfTime && t.a.Due >= t.a.Ends && !l.assured() && l.waitsForOthers() {
+	if t.endKind == engine.OutOfTime && t.attempt.Due >= t.attempt.Ends && !l.finishFromStatus() && l.hasLiveAttempts() {
 		return
 	}
-	l.over = true // lose reports it, once nothing can come any more
+	l.closing = true // lose reports it, once nothing can come any more
 }
 
-// waitsForOthers tells whether a message of the call is still waited for.
-func (l *h1Line) waitsForOthers() bool {
-	l.c.pool.mu.Lock()
-	defer l.c.pool.mu.Unlock()
-	return slices.ContainsFunc(l.tasks, func(t *task) bool { return !t.given && !t.ended })
+// hasLiveAttempts tells whether a message of the call is still waited for.
+func (l *h1Session) hasLiveAttempts() bool {
+	l.conn.pool.mu.Lock()
+	defer l.conn.pool.mu.Unlock()
+	return slices.ContainsFunc(l.attempts, func(t *attemptState) bool { return !t.abandoned && !t.ended })
 }
 
-// assured ends the call by the first line of its answer, where that is enough.
-func (l *h1Line) assured() bool {
+// finishFromStatus ends the call by the first line of its answer, where that is enough.
+func (l *h1Session) finishFromStatus() bool {
 	if l.call == nil || l.status == 0 {
 		return false
 	}
-	end, ok := l.calls.Assured(l.as, l.status)
+	end, ok := l.codec.Assured(l.engineAttempts, l.status)
 	if !ok {
 		return false
 	}
-	l.over = true
+	l.closing = true
 	l.finish([]engine.End{end})
 	return true
 }
 
-func (l *h1Line) finish(ends []engine.End) {
-	if l.over { // before the ends make room for others
-		l.c.pool.mu.Lock()
-		l.c.usable = false
-		l.c.pool.mu.Unlock()
+func (l *h1Session) finish(ends []engine.End) {
+	if l.closing { // before the ends make room for others
+		l.conn.pool.mu.Lock()
+		l.conn.usable = false
+		l.conn.pool.mu.Unlock()
 	}
-	tasks := l.tasks
-	l.call, l.as, l.tasks, l.head, l.in = nil, nil, nil, nil, nil
-	for i, t := range tasks {
-		l.c.pool.end(t, ends[i])
+	attempts := l.attempts
+	l.call, l.engineAttempts, l.attempts, l.head, l.inBuffer = nil, nil, nil, nil, nil
+	for i, t := range attempts {
+		l.conn.pool.reportEnd(t, ends[i])
 	}
 }
 
-func (l *h1Line) lose(kind engine.EndKind, why string) {
-	l.over = true
-	if l.call == nil || l.assured() {
+func (l *h1Session) connLost(kind engine.EndKind, reason string) {
+	l.closing = true
+	if l.call == nil || l.finishFromStatus() {
 		return
 	}
-	ends := make([]engine.End, len(l.tasks))
-	for i, t := range l.tasks {
-		ends[i] = engine.End{Kind: kind, Detail: why}
-		l.c.pool.mu.Lock()
-		if t.given {
-			ends[i] = engine.End{Kind: t.kind}
+	ends := make([]engine.End, len(l.attempts))
+	for i, t := range l.attempts {
+		ends[i] = engine.End{Kind: kind, Detail: reason}
+		l.conn.pool.mu.Lock()
+		if t.abandoned {
+			ends[i] = engine.End{Kind: t.endKind}
 		} else if l.head != nil && kind == engine.ResetUnanswered {
 			ends[i].Kind = engine.ResetMidAnswer
 		}
-		l.c.pool.mu.Unlock()
+		l.conn.pool.mu.Unlock()
 	}
 	l.finish(ends)
 }
 
-// check gives the rest of an answer up whose first line says enough.
-func (l *h1Line) check(now time.Duration) error {
-	if l.head != nil && now-l.headAt > bodyWithin {
-		l.assured()
+// checkDeadlines gives the rest of an answer up whose first line says enough.
+func (l *h1Session) checkDeadlines(now time.Duration) error {
+	if l.head != nil && now-l.headAt > bodyTimeout {
+		l.finishFromStatus()
 	}
 	return nil
 }
 
-func (l *h1Line) receive(now time.Duration, b []byte) error {
+func (l *h1Session) receive(now time.Duration, b []byte) error {
 	if l.call == nil { // bytes that belong to no call spoil the connection
-		l.over = true
+		l.closing = true
 		return nil
 	}
 	if l.head == nil {
-		l.in = append(l.in, b...)
+		l.inBuffer = append(l.inBuffer, b...)
 		if err := l.readHead(now); err != nil || l.head == nil {
 			return err
 		}
-		b, l.in = l.in, nil
+		b, l.inBuffer = l.inBuffer, nil
 	}
-	return l.body(b)
+	return l.readBody(b)
 }
 
 // readHead reads the head of the answer; those of interim answers (1xx) are passed over.
-func (l *h1Line) readHead(now time.Duration) error {
+func (l *h1Session) readHead(now time.Duration) error {
 	for {
-		if s, ok := h1.Status(l.in); ok && s >= 200 {
+		if s, ok := h1.Status(l.inBuffer); ok && s >= 200 {
 			l.status = s
 		}
-		head, n, err := h1.ParseResponse(l.in)
+		head, n, err := h1.ParseResponse(l.inBuffer)
 		if err != nil || n == 0 {
 			return err
 		}
-		l.in = l.in[n:]
+		l.inBuffer = l.inBuffer[n:]
 		if head.Status >= 200 {
 			l.head, l.headAt, l.chunks = head, now, h1.Chunks{}
 			return nil
@@ -203,40 +203,40 @@
 	}
 }
 
-// body takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
-func (l *h1Line) body(b []byte) error {
-	most := int64(l.c.pool.cfg.MaxAnswerBytes)
-	if l.head.Length > most {
+// readBody takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
+func (l *h1Session) readBody(b []byte) error {
+	maxBytes := int64(l.conn.pool.cfg.MaxAnswerBytes)
+	if l.head.Length > maxBytes {
 		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, l.head.Length)
 	}
 	switch {
 	case l.head.Chunked:
-		body, rest, err := l.chunks.Read(l.in, b)
-		if l.in = body; err != nil {
+		body, rest, err := l.chunks.Read(l.inBuffer, b)
+		if l.inBuffer = body; err != nil {
 			return err
 		}
-		if int64(len(l.in)) > most {
+		if int64(len(l.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
 		}
 		if !l.chunks.Done() {
 			return nil
 		}
-		l.over = l.over || len(rest) > 0
+		l.closing = l.closing || len(rest) > 0
 	case l.head.Length < 0: // until the connection ends: what it says so far is all that is waited for
-		l.in = append(l.in, b...)
-		if int64(len(l.in)) > most {
+		l.inBuffer = append(l.inBuffer, b...)
+		if int64(len(l.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
 		}
 		return nil
 	default:
-		l.in = append(l.in, b...)
-		if int64(len(l.in)) < l.head.Length {
+		l.inBuffer = append(l.inBuffer, b...)
+		if int64(len(l.inBuffer)) < l.head.Length {
 			return nil
 		}
-		l.over = l.over || int64(len(l.in)) > l.head.Length
-		l.in = l.in[:l.head.Length]
+		l.closing = l.closing || int64(len(l.inBuffer)) > l.head.Length
+		l.inBuffer = l.inBuffer[:l.head.Length]
 	}
-	l.over = l.over || l.head.Close
-	l.finish(l.calls.Answer(l.as, l.head, l.in))
+	l.closing = l.closing || l.head.Close
+	l.finish(l.codec.Answer(l.engineAttempts, l.head, l.inBuffer))
 	return nil
 }
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -15,30 +15,30 @@
 	"whinrun/internal/h1"
 )
 
-// plain calls: the path has the names of the messages.
-type plain struct{ addr netip.AddrPort }
+// plainCodec calls: the path has the names of the messages.
+type plainCodec struct{ addr netip.AddrPort }
 
-func (p plain) Address(control.Endpoint) (netip.AddrPort, bool) { return p.addr, true }
-func (p plain) Request(b []byte, as []*engine.Attempt, _ []time.Duration) []byte {
-	names := make([]string, len(as))
-	for i, a := range as {
+func (p plainCodec) Address(control.Endpoint) (netip.AddrPort, bool) { return p.addr, true }
+func (p plainCodec) Request(b []byte, attempts []*engine.Attempt, _ []time.Duration) []byte {
+	names := make([]string, len(attempts))
+	for i, a := range attempts {
 		names[i] = a.Msg.Name
 	}
 	return h1.AppendHead(b, "POST /"+strings.Join(names, ",")+" HTTP/1.1", "Content-Length", "0")
 }
-func (p plain) Answer(as []*engine.Attempt, head *h1.Response, _ []byte) []engine.End {
-	ends := make([]engine.End, len(as))
+func (p plainCodec) Answer(attempts []*engine.Attempt, head *h1.Response, _ []byte) []engine.End {
+	ends := make([]engine.End, len(attempts))
 	for i := range ends {
 		ends[i] = engine.End{Kind: engine.Answered, Status: head.Status}
 	}
 	return ends
 }
-func (p plain) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status}, status == 200 && len(as) == 1
+func (p plainCodec) Assured(attempts []*engine.Attempt, status int) (engine.End, bool) {
+	return engine.End{Kind: engine.Answered, Status: status}, status == 200 && len(attempts) == 1
 }
 
-// rig is a Pool and a peer whose connections the test has in its hand.
-type rig struct {
+// testPool is a Pool and a peer whose connections the test has in its hand.
+type testPool struct {
 	t     *testing.T
 	p     *Pool
 	clock clock.Clock
@@ -48,16 +48,16 @@
 	once  sync.Once
 }
 
-func newRig(t *testing.T) *rig { return newRigWith(t, nil) }
+func newTestPool(t *testing.T) *testPool { return newTestPoolWith(t, nil) }
 
-// newRigWith makes a rig whose calls need permits.
-func newRigWith(t *testing.T, permits Admission) *rig {
+// newTestPoolWith makes a rig whose calls need permits.
+func newTestPoolWith(t *testing.T, permits Admission) *testPool {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.End, 64)}
+	r := &testPool{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.End, 64)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -69,7 +69,7 @@
 	}()
 	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: permits,
 		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 2, MaxConns: 3}}
-	r.p, err = New(cfg, NewHTTP1(plain{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.End) { r.ends <- e })
+	r.p, err = New(cfg, NewHTTP1(plainCodec{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.End) { r.ends <- e })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	return r
 }
 
-func (r *rig) start(names ...string) (call []*engine.Attempt) {
+func (r *testPool) start(names ...string) (call []*engine.Attempt) {
 	for _, n := range names {
 		r.seq++
 		call = append(call, &engine.Attempt{Seq: r.seq, Msg: &engine.Message{Name: n}, Endpoint: 1, Due: r.clock.Now() + 20*control.Second})
@@ -89,7 +89,7 @@
 	return call
 }
 
-func (r *rig) conn() net.Conn {
+func (r *testPool) conn() net.Conn {
 	r.t.Helper()
 	select {
 	case c := <-r.conns:
@@ -101,7 +101,7 @@
 }
 
 // read reads what is written next.
-func (r *rig) read(c net.Conn) string {
+func (r *testPool) read(c net.Conn) string {
 	r.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 4096)
@@ -112,7 +112,7 @@
 	return string(b[:n])
 }
 
-func (r *rig) want(kind engine.EndKind, status int) {
+func (r *testPool) wantEnd(kind engine.EndKind, status int) {
 	r.t.Helper()
 	select {
 	case e := <-r.ends:
@@ -128,34 +128,34 @@
 
 // A used connection is used again; one that its peer has closed meanwhile is not written on, and nothing fails.
 func TestConnectionUsedAgain(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	r.start("a")
 	c := r.conn()
 	r.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 	r.start("b")
 	if got := r.read(c); !strings.Contains(got, "/b") {
 		t.Errorf("%q on the connection used before", got)
 	}
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 	_ = c.Close()
 	r.start("c")
 	d := r.conn()
 	r.read(d)
 	_, _ = d.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 }
 
 // Giving up closes the connection, and only then the end is told; what is left of an answer harms nobody.
 func TestGivingUpCloses(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	call := r.start("a")
 	c := r.conn()
 	r.read(c)
 	r.p.Abandon(call[0], engine.CalledOff)
-	r.want(engine.CalledOff, 0)
+	r.wantEnd(engine.CalledOff, 0)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the connection is open: %v", err)
@@ -165,7 +165,7 @@
 // Of several messages in a call one may run out of time: the others wait on, on the same connection. Its attempt is out with
 // theirs until then, and ends with the call; with the time of the last one the call is given up.
 func TestOneOfSeveralOutOfTime(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	call := r.start("a", "b")
 	c := r.conn()
 	r.read(c)
@@ -176,19 +176,19 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	_, _ = c.Write([]byte("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"))
-	r.want(engine.Answered, 500)
-	r.want(engine.Answered, 500)
+	r.wantEnd(engine.Answered, 500)
+	r.wantEnd(engine.Answered, 500)
 	call = r.start("c", "d")
 	r.read(c)
 	r.p.Abandon(call[0], engine.OutOfTime)
 	r.p.Abandon(call[1], engine.OutOfTime)
-	r.want(engine.OutOfTime, 0)
-	r.want(engine.OutOfTime, 0)
+	r.wantEnd(engine.OutOfTime, 0)
+	r.wantEnd(engine.OutOfTime, 0)
 }
 
 // A time-out ahead of the message's end gives up the whole call: the message goes again, and must not be out twice.
 func TestTimeOutOfOneThatGoesAgain(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	now := r.clock.Now()
 	call := []*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "a"}, Endpoint: 1, Due: now + 2*control.Second, Ends: now + 9*control.Second},
 		{Seq: 2, Msg: &engine.Message{Name: "b"}, Endpoint: 1, Due: now + 9*control.Second, Ends: now + 9*control.Second}}
@@ -216,7 +216,7 @@
 
 // The message with the most time leads a call, so that the first of a call is never over before the others.
 func TestLongestLeadsACall(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	var call []*engine.Attempt
 	now := r.clock.Now() // one moment for all: two of them have the same time
 	for i, n := range []string{"short", "long", "middle", "long2"} {
@@ -231,14 +231,14 @@
 	r.p.Abandon(call[0], engine.OutOfTime)
 	_, _ = c.Write([]byte(okAnswer))
 	for range call {
-		r.want(engine.Answered, 200)
+		r.wantEnd(engine.Answered, 200)
 	}
 }
 
 // An attempt whose last moment has come when its connection is there is not written: the key of a repeat may be forgotten
 // by then. One beside it in the call goes.
 func TestTooLateToBegin(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	now := r.clock.Now()
 	due := now + 20*control.Second
 	r.p.Start([]*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "late"}, Endpoint: 1, Due: due, Begin: now},
@@ -247,29 +247,29 @@
 	if got := r.read(c); !strings.HasPrefix(got, "POST /early ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.want(engine.Unsent, 0)
+	r.wantEnd(engine.Unsent, 0)
 }
 
 // An attempt that is given up before its connection is there is never written; the connection serves the next one.
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	call := r.start("gone")
 	r.p.Abandon(call[0], engine.CalledOff)
-	r.want(engine.Unsent, 0)
+	r.wantEnd(engine.Unsent, 0)
 	r.start("next")
 	c := r.conn()
 	if got := r.read(c); !strings.HasPrefix(got, "POST /next ") {
 		t.Errorf("%.40q is written", got)
 	}
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 }
 
 // An answer that is there before the give-up counts; one that crosses it is dropped with its connection. Either way the attempt
 // has one end.
 func TestAnswerCrossesTheGiveUp(t *testing.T) {
 	for range 40 {
-		r := newRig(t)
+		r := newTestPool(t)
 		call := r.start("a")
 		c := r.conn()
 		r.read(c)
@@ -306,7 +306,7 @@
 			t.Fatal("no end of the second came")
 		}
 		r.p.mu.Lock()
-		if n := len(r.p.tasks); n != 0 {
+		if n := len(r.p.attempts); n != 0 {
 			t.Errorf("%d tasks are kept", n)
 		}
 		r.p.mu.Unlock()
@@ -315,7 +315,7 @@
 
 // An attempt that waits for a connection can be taken back: it has not run.
 func TestUnsendWhileWaiting(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	var calls [][]*engine.Attempt
 	for range 4 { // one more than connections are allowed
 		calls = append(calls, r.start("x"))
@@ -327,7 +327,7 @@
 	waiting := calls[3][0]
 	r.p.mu.Lock()
 	for _, k := range calls {
-		if x := r.p.tasks[k[0].Seq]; x != nil && x.call.conn == nil {
+		if x := r.p.attempts[k[0].Seq]; x != nil && x.call.conn == nil {
 			waiting = k[0]
 		}
 	}
@@ -345,13 +345,13 @@
 
 // Ends of a site that was dropped leave the one made since alone: its wish for a connection would be lost with it.
 func TestDroppedSiteLeavesTheNewOne(t *testing.T) {
-	r := newRig(t)
-	old := &site{ep: 1}
+	r := newTestPool(t)
+	old := &endpointPool{id: 1}
 	r.start("a")
 	r.p.mu.Lock()
-	made := r.p.sites[1]
-	r.p.grow(old)
-	kept := r.p.sites[1] == made && made != nil
+	made := r.p.endpoints[1]
+	r.p.requestConn(old)
+	kept := r.p.endpoints[1] == made && made != nil
 	r.p.mu.Unlock()
 	if !kept {
 		t.Error("the new site is gone")
@@ -359,7 +359,7 @@
 	c := r.conn()
 	r.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 }
 
 // The first line that says 200 is enough, whatever becomes of the rest; without it a broken answer may have run.
@@ -373,7 +373,7 @@
 		"noise": engine.Malformed,
 		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.Malformed,
 	} {
-		r := newRig(t)
+		r := newTestPool(t)
 		r.start("a")
 		c := r.conn()
 		r.read(c)
@@ -383,19 +383,19 @@
 		if want == engine.Answered {
 			status = 200
 		}
-		r.want(want, status)
+		r.wantEnd(want, status)
 	}
 }
 
 // A head that promises enough and a body that never ends: the message is not kept waiting.
 func TestBodyThatStalls(t *testing.T) {
-	r := newRig(t)
+	r := newTestPool(t)
 	r.start("a")
 	c := r.conn()
 	r.read(c)
 	start := time.Now()
 	_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nabc"))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("it took %v", took)
 	}
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -21,120 +21,122 @@
 
 type http2 struct{ HTTP2Codec }
 
-func (http2) bulk() bool { return false }
+func (http2) batches() bool { return false }
 
-func (s http2) line(c *conn, now time.Duration) line {
+func (s http2) newSession(c *conn, now time.Duration) session {
 	cfg := c.pool.cfg.H2
 	cfg.Handshake = c.pool.cfg.ConnectTimeout
-	return &h2Line{c: c, speech: s, h: h2.NewClient(cfg, now), tasks: map[uint32]*task{}}
+	return &h2Session{conn: c, codec: s, h2conn: h2.NewClient(cfg, now), attempts: map[uint32]*attemptState{}}
 }
 
-// h2Line is one HTTP/2 connection. It carries attempts only when the peer's SETTINGS are here: an endpoint that takes
+// h2Session is one HTTP/2 connection. It carries attempts only when the peer's SETTINGS are here: an endpoint that takes
 // connections and says nothing then costs no doubt.
-type h2Line struct {
-	c      *conn
-	speech HTTP2Codec
-	h      *h2.Conn
-	tasks  map[uint32]*task
-	proved bool // it has answered something
+type h2Session struct {
+	conn     *conn
+	codec    HTTP2Codec
+	h2conn   *h2.Conn
+	attempts map[uint32]*attemptState
+	answered bool // it has answered something
 }
 
-func (l *h2Line) receive(now time.Duration, b []byte) error {
-	events, err := l.h.Receive(now, b)
+func (l *h2Session) receive(now time.Duration, b []byte) error {
+	events, err := l.h2conn.Receive(now, b)
 	for i := range events {
-		l.event(&events[i])
+		l.handleEvent(&events[i])
 	}
 	return err
 }
 
-func (l *h2Line) check(now time.Duration) error { return l.h.Check(now) }
-func (l *h2Line) output() []byte                { return l.h.Output() }
-func (l *h2Line) shut(now time.Duration)        { l.h.GoAway(now, h2.NoError) }
+func (l *h2Session) checkDeadlines(now time.Duration) error { return l.h2conn.Check(now) }
+func (l *h2Session) takeOutput() []byte                     { return l.h2conn.Output() }
+func (l *h2Session) shutdown(now time.Duration)             { l.h2conn.GoAway(now, h2.NoError) }
 
-func (l *h2Line) room() int { return min(l.c.pool.cfg.MaxStreams, l.h.Room()+l.h.Open()) }
+func (l *h2Session) capacity() int {
+	return min(l.conn.pool.cfg.MaxStreams, l.h2conn.Room()+l.h2conn.Open())
+}
 
-func (l *h2Line) state() lineState {
-	return lineState{settled: l.h.Settled(), busy: l.h.Open() > 0, done: l.h.Done(), limit: l.room()}
+func (l *h2Session) state() sessionState {
+	return sessionState{ready: l.h2conn.Settled(), hasDeadlines: l.h2conn.Open() > 0, done: l.h2conn.Done(), capacity: l.capacity()}
 }
 
-func (l *h2Line) hasRoom() bool { return l.h.Room() > 0 }
+func (l *h2Session) hasCapacity() bool { return l.h2conn.Room() > 0 }
 
-func (l *h2Line) start(now time.Duration, _ *call, tasks []*task) error {
-	t := tasks[0] // HTTP/2 has no bulk calls
-	left := time.Duration(t.a.Due)*time.Microsecond - now
-	id, err := l.h.Request(now, l.speech.Request(t.a, left), t.a.Msg.Body)
+func (l *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
+	t := attempts[0] // HTTP/2 has no bulk calls
+	left := time.Duration(t.attempt.Due)*time.Microsecond - now
+	id, err := l.h2conn.Request(now, l.codec.Request(t.attempt, left), t.attempt.Msg.Body)
 	switch {
 	case err == nil:
-		t.stream = id
-		l.tasks[id] = t
+		t.streamID = id
+		l.attempts[id] = t
 		return nil
 	case errors.Is(err, h2.ErrTooLarge):
 		return err
 	}
-	return errNoRoom
+	return errNoCapacity
 }
 
-func (l *h2Line) giveUp(now time.Duration, t *task) {
-	l.h.Reset(now, t.stream, h2.Cancel)
-	delete(l.tasks, t.stream)
-	l.c.pool.end(t, engine.End{Kind: t.kind})
+func (l *h2Session) abandon(now time.Duration, t *attemptState) {
+	l.h2conn.Reset(now, t.streamID, h2.Cancel)
+	delete(l.attempts, t.streamID)
+	l.conn.pool.reportEnd(t, engine.End{Kind: t.endKind})
 }
 
-func (l *h2Line) lose(kind engine.EndKind, why string) {
-	for id, t := range l.tasks {
-		delete(l.tasks, id)
+func (l *h2Session) connLost(kind engine.EndKind, reason string) {
+	for id, t := range l.attempts {
+		delete(l.attempts, id)
 		k := kind
-		if t.headers && kind == engine.ResetUnanswered {
+		if t.hasHeaders && kind == engine.ResetUnanswered {
 			k = engine.ResetMidAnswer
 		}
-		l.c.pool.end(t, engine.End{Kind: k, Detail: why})
+		l.conn.pool.reportEnd(t, engine.End{Kind: k, Detail: reason})
 	}
 }
 
-// event takes one event of the connection.
-func (l *h2Line) event(e *h2.Event) {
+// handleEvent takes one event of the connection.
+func (l *h2Session) handleEvent(e *h2.Event) {
 	switch e.Kind {
 	case h2.Ready:
-		l.c.ready(l.room())
+		l.conn.markUsable(l.capacity())
 		return
 	case h2.PeerGoAway:
-		l.away(e)
+		l.handleGoAway(e)
 		return
 	}
-	t := l.tasks[e.Stream]
+	t := l.attempts[e.Stream]
 	if t == nil {
 		return
 	}
-	p := l.c.pool
+	p := l.conn.pool
 	switch e.Kind {
 	case h2.Headers:
-		t.fields, t.headers = e.Fields, true
+		t.responseFields, t.hasHeaders = e.Fields, true
 	case h2.Data:
-		if room := p.cfg.MaxAnswerBytes - len(t.body); room > 0 {
-			t.body = append(t.body, e.Data[:min(room, len(e.Data))]...)
+		if room := p.cfg.MaxAnswerBytes - len(t.responseBody); room > 0 {
+			t.responseBody = append(t.responseBody, e.Data[:min(room, len(e.Data))]...)
 		}
 	case h2.StreamReset:
-		delete(l.tasks, e.Stream)
-		p.end(t, resetEnd(t, e))
+		delete(l.attempts, e.Stream)
+		p.reportEnd(t, resetEnd(t, e))
 		return
 	}
 	if e.End {
-		delete(l.tasks, e.Stream)
-		l.proved = true
-		p.end(t, l.speech.Answer(t.a, t.fields, t.body))
-		if l.h.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
-			l.h.Reset(p.elapsed(), e.Stream, h2.NoError)
+		delete(l.attempts, e.Stream)
+		l.answered = true
+		p.reportEnd(t, l.codec.Answer(t.attempt, t.responseFields, t.responseBody))
+		if l.h2conn.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
+			l.h2conn.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
 }
 
 // resetEnd tells what a reset of a stream proves.
-func resetEnd(t *task, e *h2.Event) engine.End {
+func resetEnd(t *attemptState, e *h2.Event) engine.End {
 	end := engine.End{Kind: engine.ResetUnanswered, Detail: "RST_STREAM " + e.Code.String()}
 	switch {
 	case e.Local:
 		end.Kind, end.Detail = engine.Malformed, e.Reason
-	case t.headers:
+	case t.hasHeaders:
 		end.Kind = engine.ResetMidAnswer
 	case e.Code == h2.RefusedStream:
 		end.Kind = engine.RefusedByStream
@@ -142,23 +144,23 @@
 	return end
 }
 
-// away takes a GOAWAY: streams above the last one named have not run and never will; those below run on.
-func (l *h2Line) away(e *h2.Event) {
-	p := l.c.pool
+// handleGoAway takes a GOAWAY: streams above the last one named have not run and never will; those below run on.
+func (l *h2Session) handleGoAway(e *h2.Event) {
+	p := l.conn.pool
 	p.mu.Lock()
-	l.c.usable = false
+	l.conn.usable = false
 	p.mu.Unlock()
 	kind := engine.AwayUnseen
 	switch {
 	case e.Code != h2.NoError:
 		kind = engine.AwayAngry
-	case !l.proved:
+	case !l.answered:
 		kind = engine.AwayAtOnce
 	}
-	for id, t := range l.tasks {
+	for id, t := range l.attempts {
 		if id > e.Last {
-			delete(l.tasks, id)
-			p.end(t, engine.End{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
+			delete(l.attempts, id)
+			p.reportEnd(t, engine.End{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
 	}
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -39,8 +39,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// peer starts the partner and returns its address.
-func peer(t *testing.T) netip.AddrPort {
+// startPeer starts the partner and returns its address.
+func startPeer(t *testing.T) netip.AddrPort {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "OUTBOUND_TEST_PEER=1")
@@ -66,29 +66,29 @@
 	return netip.MustParseAddrPort(strings.TrimSpace(line))
 }
 
-// speech is the plainest: every endpoint is the peer.
-type speech struct{ addr netip.AddrPort }
+// testCodec is the plainest: every endpoint is the peer.
+type testCodec struct{ addr netip.AddrPort }
 
-func (s speech) Address(control.Endpoint) (netip.AddrPort, bool) { return s.addr, true }
-func (s speech) Request(*engine.Attempt, time.Duration) []h2.Field {
+func (s testCodec) Address(control.Endpoint) (netip.AddrPort, bool) { return s.addr, true }
+func (s testCodec) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
-func (s speech) Answer(*engine.Attempt, []h2.Field, []byte) engine.End {
+func (s testCodec) Answer(*engine.Attempt, []h2.Field, []byte) engine.End {
 	return engine.End{Kind: engine.Answered, Status: 201}
 }
 
-// gather collects the ends of n attempts, each to an endpoint of its own.
-func gather(t *testing.T, cfg Config, n int) (ends map[engine.EndKind]int, most int) {
+// runAttempts collects the ends of n attempts, each to an endpoint of its own.
+func runAttempts(t *testing.T, cfg Config, n int) (ends map[engine.EndKind]int, most int) {
 	t.Helper()
 	var mu sync.Mutex
 	ends = map[engine.EndKind]int{}
-	all := make(chan struct{}, n)
+	reported := make(chan struct{}, n)
 	clock := clock.New()
-	p, err := New(cfg, NewHTTP2(speech{peer(t)}), clock, func(e engine.End) {
+	p, err := New(cfg, NewHTTP2(testCodec{startPeer(t)}), clock, func(e engine.End) {
 		mu.Lock()
 		ends[e.Kind]++
 		mu.Unlock()
-		all <- struct{}{}
+		reported <- struct{}{}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Msg: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Due: clock.Now() + 60*control.Second}})
 	}
 	for range n {
-		<-all
+		<-reported
 		most = max(most, p.Connections())
 	}
 	mu.Lock()
@@ -106,16 +106,16 @@
 	return ends, most
 }
 
-func config() Config {
+func testConfig() Config {
 	return Config{Loops: 1, MaxConnsPerEndpoint: 2, MaxStreams: 10, ConnectTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 100,
 		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 4, MaxConns: 1000}}
 }
 
 // At the bound of connections the longest idle one is closed for a new one: all are served, and never more are open.
 func TestTotalMakesRoom(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.DialLimits.MaxConns = 5
-	ends, most := gather(t, cfg, 60)
+	ends, most := runAttempts(t, cfg, 60)
 	if ends[engine.Answered] != 60 || most > 5 {
 		t.Errorf("ends %v, %d connections at once", ends, most)
 	}
@@ -132,14 +132,14 @@
 		t.Skip("no list of open descriptors on this system")
 	}
 	defer func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old) }()
-	cfg := config()
+	cfg := testConfig()
 	// The peer is started, and the pool's own descriptors are taken, within gather: leave room for those and a few more.
 	low := old
 	low.Cur = uint64(len(open) + 40)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
 		t.Fatal(err)
 	}
-	ends, most := gather(t, cfg, 100)
+	ends, most := runAttempts(t, cfg, 100)
 	if ends[engine.Answered] != 100 || most >= 60 {
 		t.Errorf("ends %v, %d connections at once", ends, most)
 	}
--- a/internal/outbound/permits_test.go
+++ b/internal/outbound/permits_test.go
@@ -13,90 +13,90 @@
 	"whinrun/internal/engine"
 )
 
-// office gives permits, and writes down what it is asked.
-type office struct {
-	mu      sync.Mutex
-	lines   []string
-	forbid  map[string]bool // messages that must not be written
-	broken  bool            // nothing can be recorded, but for ...
-	without string          // ... this message, which needs no record
+// fakeAdmission gives permits, and writes down what it is asked.
+type fakeAdmission struct {
+	mu             sync.Mutex
+	events         []string
+	denied         map[string]bool // messages that must not be written
+	recordFails    bool            // nothing can be recorded, but for ...
+	noRecordNeeded string          // ... this message, which needs no record
 }
 
-func (o *office) put(f string, a ...any) {
+func (o *fakeAdmission) logf(f string, a ...any) {
 	o.mu.Lock()
-	o.lines = append(o.lines, fmt.Sprintf(f, a...))
+	o.events = append(o.events, fmt.Sprintf(f, a...))
 	o.mu.Unlock()
 }
 
-func (o *office) take() (lines []string) {
+func (o *fakeAdmission) takeEvents() (lines []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	lines, o.lines = o.lines, nil
+	lines, o.events = o.events, nil
 	return lines
 }
 
-func (o *office) Write(_ control.Time, a *engine.Attempt) error {
-	o.put("write %s", a.Msg.Name)
+func (o *fakeAdmission) Write(_ control.Time, a *engine.Attempt) error {
+	o.logf("write %s", a.Msg.Name)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.forbid[a.Msg.Name] {
+	if o.denied[a.Msg.Name] {
 		return errors.New("forbidden")
 	}
 	return nil
 }
 
-func (o *office) Record(call []*engine.Attempt) (may []*engine.Attempt, err error) {
+func (o *fakeAdmission) Record(call []*engine.Attempt) (writable []*engine.Attempt, err error) {
 	var names []string
 	for _, a := range call {
 		names = append(names, a.Msg.Name)
-		if a.Msg.Name == o.without {
-			may = append(may, a)
+		if a.Msg.Name == o.noRecordNeeded {
+			writable = append(writable, a)
 		}
 	}
-	o.put("record %s", strings.Join(names, " "))
+	o.logf("record %s", strings.Join(names, " "))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.broken {
-		return may, errors.New("no room")
+	if o.recordFails {
+		return writable, errors.New("no room")
 	}
 	return call, nil
 }
 
-func (o *office) TakenBack(a *engine.Attempt) { o.put("taken back %s", a.Msg.Name) }
+func (o *fakeAdmission) TakenBack(a *engine.Attempt) { o.logf("taken back %s", a.Msg.Name) }
 
-func (o *office) want(t *testing.T, lines ...string) {
+func (o *fakeAdmission) wantEvents(t *testing.T, lines ...string) {
 	t.Helper()
-	if got := o.take(); !slices.Equal(got, lines) {
+	if got := o.takeEvents(); !slices.Equal(got, lines) {
 		t.Errorf("%q, want %q", got, lines)
 	}
 }
 
 // A call is permitted and recorded in the moment in which it is written, and not while it waits for a connection.
 func TestPermittedAsItIsWritten(t *testing.T) {
-	o := &office{}
-	r := newRigWith(t, o)
+	o := &fakeAdmission{}
+	r := newTestPoolWith(t, o)
 	r.start("a")
 	c := r.conn()
 	r.read(c)
-	o.want(t, "write a", "record a")
+	o.wantEvents(t, "write a", "record a")
 	for range 2 {
-		r.conn2("b")
+		r.startOnNewConn("b")
 	}
-	o.take()
+	o.takeEvents()
 	waiting := r.start("c")
 	select {
 	case e := <-r.ends:
 		t.Fatalf("end %+v", e)
 	case <-time.After(50 * time.Millisecond): // all connections that there may be are taken
 	}
-	o.want(t)
+	o.wantEvents(t)
 	r.p.Abandon(waiting[0], engine.CalledOff)
-	r.want(engine.Unsent, 0)
-	o.want(t)
+	r.wantEnd(engine.Unsent, 0)
+	o.wantEvents(t)
 }
 
-// conn2 has a call written on a connection of its own.
-func (r *rig) conn2(name string) {
+// startOnNewConn has a call written on a connection of its own.
+func (r *testPool) startOnNewConn(name string) {
 	r.t.Helper()
 	r.start(name)
 	r.read(r.conn())
@@ -106,16 +106,16 @@
 func TestForbiddenAndUnrecorded(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		o       *office
+		o       *fakeAdmission
 		written string
 		ends    map[string]engine.EndKind
 	}{
-		{"one is forbidden", &office{forbid: map[string]bool{"a": true}}, "/b", map[string]engine.EndKind{"a": engine.Unsent}},
-		{"one needs no record", &office{broken: true, without: "b"}, "/b", map[string]engine.EndKind{"a": engine.NotRecorded}},
-		{"none can be recorded", &office{broken: true}, "", map[string]engine.EndKind{"a": engine.NotRecorded, "b": engine.NotRecorded}},
+		{"one is forbidden", &fakeAdmission{denied: map[string]bool{"a": true}}, "/b", map[string]engine.EndKind{"a": engine.Unsent}},
+		{"one needs no record", &fakeAdmission{recordFails: true, noRecordNeeded: "b"}, "/b", map[string]engine.EndKind{"a": engine.NotRecorded}},
+		{"none can be recorded", &fakeAdmission{recordFails: true}, "", map[string]engine.EndKind{"a": engine.NotRecorded, "b": engine.NotRecorded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRigWith(t, c.o)
+			r := newTestPoolWith(t, c.o)
 			call := r.start("a", "b")
 			conn := r.conn()
 			ends := map[string]engine.EndKind{}
@@ -148,15 +148,15 @@
 
 // A connection that its peer has closed is not recorded on: the call goes elsewhere with one record.
 func TestNothingIsRecordedOnAStaleConnection(t *testing.T) {
-	o := &office{}
-	r := newRigWith(t, o)
+	o := &fakeAdmission{}
+	r := newTestPoolWith(t, o)
 	r.start("a")
 	c := r.conn()
 	r.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	r.wantEnd(engine.Answered, 200)
 	_ = c.Close()
-	o.take()
-	r.conn2("b")
-	o.want(t, "write b", "record b")
+	o.takeEvents()
+	r.startOnNewConn("b")
+	o.wantEvents(t, "write b", "record b")
 }
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -30,8 +30,8 @@
 // Protocol is what is spoken on the connections of a Pool.
 type Protocol interface {
 	Resolver
-	line(c *conn, now time.Duration) line
-	bulk() bool // the attempts of one Start go as one call; else each is a call
+	newSession(c *conn, now time.Duration) session
+	batches() bool // the attempts of one Start go as one call; else each is a call
 }
 
 // Admission has the last word on calls. Its methods are called on event loops, and must not wait for the engine.
@@ -46,28 +46,28 @@
 }
 
 // line speaks the protocol of one connection, on its event loop only. It reports ends by pool.end.
-type line interface {
+type session interface {
 	receive(now time.Duration, b []byte) error
-	check(now time.Duration) error
-	output() []byte
-	hasRoom() bool                                         // a call can be started now
-	start(now time.Duration, k *call, tasks []*task) error // errNoRoom: the call waits for room again
-	giveUp(now time.Duration, t *task)
-	shut(now time.Duration) // it is closed next, idle
-	state() lineState
-	lose(kind engine.EndKind, why string) // the connection is gone: all that is out ends
+	checkDeadlines(now time.Duration) error
+	takeOutput() []byte
+	hasCapacity() bool                                                // a call can be started now
+	start(now time.Duration, k *call, attempts []*attemptState) error // errNoRoom: the call waits for room again
+	abandon(now time.Duration, t *attemptState)
+	shutdown(now time.Duration) // it is closed next, idle
+	state() sessionState
+	connLost(kind engine.EndKind, reason string) // the connection is gone: all that is out ends
 }
 
-// lineState is how a line stands.
-type lineState struct {
-	settled bool // it can carry calls
-	busy    bool // its time limits are to be looked at
-	done    bool // it is to be closed
-	limit   int  // calls that it can carry in all
+// sessionState is how a line stands.
+type sessionState struct {
+	ready        bool // it can carry calls
+	hasDeadlines bool // its time limits are to be looked at
+	done         bool // it is to be closed
+	capacity     int  // calls that it can carry in all
 }
 
-// errNoRoom tells that a connection can't carry a call that was put on it.
-var errNoRoom = errors.New("no room on the connection")
+// errNoCapacity tells that a connection can't carry a call that was put on it.
+var errNoCapacity = errors.New("no room on the connection")
 
 // Config bounds a Pool.
 type Config struct {
@@ -86,106 +86,106 @@
 
 // Pool holds the connections to all endpoints.
 type Pool struct {
-	cfg    Config
-	proto  Protocol
-	clock  clock.Clock
-	report func(engine.End)
-	loops  *eventloop.Group
-	kick   chan struct{} // something changed for the planner
-	quit   chan struct{}
-	wg     sync.WaitGroup
+	cfg           Config
+	proto         Protocol
+	clock         clock.Clock
+	report        func(engine.End)
+	loops         *eventloop.Group
+	schedulerWake chan struct{} // something changed for the planner
+	quit          chan struct{}
+	wg            sync.WaitGroup
 
-	mu      sync.Mutex
-	planner *dialscheduler.Scheduler
-	sites   map[control.Endpoint]*site // those with connections or attempts; the others cost nothing
-	tasks   map[uint64]*task           // attempts without an end
-	idle    *list.List                 // connections without attempts, longest idle first
-	active  map[*conn]struct{}         // connections whose time limits are looked at
+	mu        sync.Mutex
+	scheduler *dialscheduler.Scheduler
+	endpoints map[control.Endpoint]*endpointPool // those with connections or attempts; the others cost nothing
+	attempts  map[uint64]*attemptState           // attempts without an end
+	idle      *list.List                         // connections without attempts, longest idle first
+	monitored map[*conn]struct{}                 // connections whose time limits are looked at
 
-	opened atomic.Int64
+	openConns atomic.Int64
 }
 
 // site is the pool of one endpoint. All fields are guarded by Pool.mu.
-type site struct {
-	ep      control.Endpoint
-	addr    netip.AddrPort
-	conns   []*conn
-	pending []*call // calls for which no connection has room
-	dialing int
-	wished  bool         // a connection more is wished for
-	lacking bool         // the last connection did not come about for want of something on this machine
-	busyTo  control.Time // counts as busy until then
+type endpointPool struct {
+	id           control.Endpoint
+	addr         netip.AddrPort
+	conns        []*conn
+	pending      []*call // calls for which no connection has room
+	dialing      int
+	requested    bool         // a connection more is wished for
+	localFailure bool         // the last connection did not come about for want of something on this machine
+	activeUntil  control.Time // counts as busy until then
 }
 
-// busyFor is how long after its last connection an endpoint counts as busy to the planner.
-const busyFor = 60 * control.Second
+// activePeriod is how long after its last connection an endpoint counts as busy to the planner.
+const activePeriod = 60 * control.Second
 
 // call is what goes out together: one attempt, or several where the protocol has bulk calls. Guarded by Pool.mu.
 type call struct {
-	site  *site
-	conn  *conn // where it was put, nil while it is pending
-	tasks []*task
-	left  int  // tasks without an end
-	moved bool // it lost the connection that it was put on before it was written
+	endpoint  *endpointPool
+	conn      *conn // where it was put, nil while it is pending
+	attempts  []*attemptState
+	remaining int  // tasks without an end
+	requeued  bool // it lost the connection that it was put on before it was written
 }
 
-// task is one attempt. ended, given and kind are guarded by Pool.mu; the rest belongs to the event loop of its conn.
-type task struct {
-	a       *engine.Attempt
-	call    *call
-	ended   bool // reported
-	given   bool // it is to be given up ...
-	kind    engine.EndKind
-	stream  uint32
-	fields  []h2.Field
-	body    []byte
-	headers bool
+// attemptState is one attempt. ended, given and kind are guarded by Pool.mu; the rest belongs to the event loop of its conn.
+type attemptState struct {
+	attempt        *engine.Attempt
+	call           *call
+	ended          bool // reported
+	abandoned      bool // it is to be given up ...
+	endKind        engine.EndKind
+	streamID       uint32
+	responseFields []h2.Field
+	responseBody   []byte
+	hasHeaders     bool
 }
 
-// item is something for a connection's event loop: a call to start, or an attempt to give up.
-type item struct {
-	start *call
-	give  *task
+// command is something for a connection's event loop: a call to start, or an attempt to give up.
+type command struct {
+	start   *call
+	abandon *attemptState
 }
 
 // conn is one connection.
 type conn struct {
-	pool *Pool
-	site *site
-	gc   *eventloop.Conn
-	l    line // used on its event loop only
+	pool     *Pool
+	endpoint *endpointPool
+	netConn  *eventloop.Conn
+	session  session // used on its event loop only
 
 	// Guarded by Pool.mu.
-	inbox  []item
-	shut   bool // to be closed if idle
-	load   int  // calls put on it and not ended
-	limit  int  // calls that it can carry
-	usable bool
-	since  control.Time  // idle since
-	place  *list.Element // in Pool.idle
-	stood  bool          // the planner counts it as open
+	commands      []command
+	closeWhenIdle bool // to be closed if idle
+	inFlight      int  // calls put on it and not ended
+	capacity      int  // calls that it can carry
+	usable        bool
+	idleSince     control.Time  // idle since
+	idleElement   *list.Element // in Pool.idle
+	established   bool          // the planner counts it as open
 }
 
 // New makes a Pool that reports ends to report, which must not block.
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.End)) (*Pool, error) {
-	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.Endpoint]*site{},
-		tasks: map[uint64]*task{}, quit: make(chan struct{}), kick: make(chan struct{}, 1),
-		planner: dialscheduler.New(cfg.DialLimits), idle: list.New(), active: map[*conn]struct{}{}}
+	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, endpoints: map[control.Endpoint]*endpointPool{},
+		attempts: map[uint64]*attemptState{}, quit: make(chan struct{}), schedulerWake: make(chan struct{}, 1),
+		scheduler: dialscheduler.New(cfg.DialLimits), idle: list.New(), monitored: map[*conn]struct{}{}}
 	if p.cfg.Trace == nil {
 		p.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	p.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: p.tick(), System: cfg.System, Log: func(text string) { p.cfg.Trace("%s", text) }}, p, clock)
+	p.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: p.tickInterval(), System: cfg.System, Log: func(text string) { p.cfg.Trace("%s", text) }}, p, clock)
 	if err != nil {
 		return nil, fmt.Errorf("outbound: %w", err)
 	}
 	p.loops.Start()
-	p.wg.Go(p.openings)
+	p.wg.Go(p.runScheduler)
 	return p, nil
 }
 
-// tick is how often time limits are looked at.
-func (p *Pool) tick() time.Duration {
+// tickInterval is how often time limits are looked at.
+func (p *Pool) tickInterval() time.Duration {
 	return min(250*time.Millisecond, max(10*time.Millisecond, p.cfg.ConnectTimeout/8))
 }
 
@@ -197,24 +197,24 @@
 }
 
 // Connections counts the open connections.
-func (p *Pool) Connections() int { return int(p.opened.Load()) }
+func (p *Pool) Connections() int { return int(p.openConns.Load()) }
 
 // Start is engine.Back.
-func (p *Pool) Start(as []*engine.Attempt) {
-	if p.proto.bulk() {
-		p.begin(as)
+func (p *Pool) Start(attempts []*engine.Attempt) {
+	if p.proto.batches() {
+		p.startCall(attempts)
 		return
 	}
-	for i := range as {
-		p.begin(as[i : i+1])
+	for i := range attempts {
+		p.startCall(attempts[i : i+1])
 	}
 }
 
-// begin starts one call.
-func (p *Pool) begin(as []*engine.Attempt) {
+// startCall starts one call.
+func (p *Pool) startCall(as []*engine.Attempt) {
 	p.mu.Lock()
 	ep := as[0].Endpoint
-	s := p.sites[ep]
+	s := p.endpoints[ep]
 	if s == nil {
 		addr, ok := p.proto.Address(ep)
 		if !ok {
@@ -224,116 +224,116 @@
 			}
 			return
 		}
-		s = &site{ep: ep, addr: addr}
-		p.sites[ep] = s
+		s = &endpointPool{id: ep, addr: addr}
+		p.endpoints[ep] = s
 	}
-	k := &call{site: s, left: len(as)}
+	k := &call{endpoint: s, remaining: len(as)}
 	for _, a := range as {
-		t := &task{a: a, call: k}
-		k.tasks = append(k.tasks, t)
-		p.tasks[a.Seq] = t
+		t := &attemptState{attempt: a, call: k}
+		k.attempts = append(k.attempts, t)
+		p.attempts[a.Seq] = t
 	}
-	if !p.place(k) {
+	if !p.assign(k) {
 		s.pending = append(s.pending, k)
 	}
-	p.grow(s)
+	p.requestConn(s)
 	p.mu.Unlock()
 }
 
 // place puts a call on the first connection with room: calls of one round to one endpoint share one where they can, so
 // that a batch leaves in one write. One idle for too long is passed over: its peer may be closing it.
-func (p *Pool) place(k *call) bool {
-	long := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
-	for _, c := range k.site.conns {
-		if c.usable && c.load < c.limit && (c.load > 0 || c.since >= long) {
+func (p *Pool) assign(k *call) bool {
+	idleBefore := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
+	for _, c := range k.endpoint.conns {
+		if c.usable && c.inFlight < c.capacity && (c.inFlight > 0 || c.idleSince >= idleBefore) {
 			k.conn = c
-			c.load++
-			c.unidle()
-			c.send(item{start: k})
+			c.inFlight++
+			c.unmarkIdle()
+			c.enqueue(command{start: k})
 			return true
 		}
 	}
 	return false
 }
 
-// send puts something into the inbox of a connection; guarded by Pool.mu.
-func (c *conn) send(it item) {
-	c.inbox = append(c.inbox, it)
-	if len(c.inbox) == 1 {
-		c.gc.Wake()
+// enqueue puts something into the inbox of a connection; guarded by Pool.mu.
+func (c *conn) enqueue(it command) {
+	c.commands = append(c.commands, it)
+	if len(c.commands) == 1 {
+		c.netConn.Wake()
 	}
 }
 
-// grow wishes for a further connection where attempts wait for room; guarded by Pool.mu.
-func (p *Pool) grow(s *site) {
+// requestConn wishes for a further connection where attempts wait for room; guarded by Pool.mu.
+func (p *Pool) requestConn(s *endpointPool) {
 	switch {
 	case len(s.pending) <= s.dialing*p.cfg.MaxStreams || len(s.conns)+s.dialing >= p.cfg.MaxConnsPerEndpoint:
-		if s.wished {
-			s.wished = false
-			p.planner.Remove(uint64(s.ep))
+		if s.requested {
+			s.requested = false
+			p.scheduler.Remove(uint64(s.id))
 		}
 		// Ends that are still reported for a site dropped before must not drop the one made since.
-		if len(s.conns) == 0 && s.dialing == 0 && len(s.pending) == 0 && p.sites[s.ep] == s {
-			delete(p.sites, s.ep)
+		if len(s.conns) == 0 && s.dialing == 0 && len(s.pending) == 0 && p.endpoints[s.id] == s {
+			delete(p.endpoints, s.id)
 		}
 		return
-	case s.wished:
+	case s.requested:
 		return
 	}
-	s.wished = true
-	first := s.pending[0].tasks[0].a
-	p.planner.Enqueue(dialscheduler.Request{Key: uint64(s.ep), Priority: first.Worth, Deadline: time.Duration(first.Due) * time.Microsecond,
-		RecentlyActive: s.busyTo > p.clock.Now()})
-	p.nudge()
+	s.requested = true
+	first := s.pending[0].attempts[0].attempt
+	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Worth, Deadline: time.Duration(first.Due) * time.Microsecond,
+		RecentlyActive: s.activeUntil > p.clock.Now()})
+	p.wakeScheduler()
 }
 
-// nudge has the planner asked again.
-func (p *Pool) nudge() {
+// wakeScheduler has the planner asked again.
+func (p *Pool) wakeScheduler() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.schedulerWake <- struct{}{}:
 	default:
 	}
 }
 
-// openings asks the planner what to open next, and hands it to the dialers.
-func (p *Pool) openings() {
-	later := time.NewTimer(time.Hour)
-	defer later.Stop()
+// runScheduler asks the planner what to open next, and hands it to the dialers.
+func (p *Pool) runScheduler() {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		p.mu.Lock()
 		now := p.elapsed()
-		answer, key, at := p.planner.Next(now)
-		var s *site
-		switch answer {
+		decision, key, retryAt := p.scheduler.Next(now)
+		var s *endpointPool
+		switch decision {
 		case dialscheduler.Dial:
-			if s = p.sites[control.Endpoint(key)]; s == nil {
-				p.planner.Failed(now, dialscheduler.PeerFailed)
+			if s = p.endpoints[control.Endpoint(key)]; s == nil {
+				p.scheduler.Failed(now, dialscheduler.PeerFailed)
 			} else {
-				s.wished = false
+				s.requested = false
 				s.dialing++
-				p.grow(s) // many may wait: one connection more is wished for at once
+				p.requestConn(s) // many may wait: one connection more is wished for at once
 			}
 		case dialscheduler.CloseIdle: // the longest idle connection makes room; with none idle all wait
 			if e := p.idle.Front(); e != nil {
-				e.Value.(*conn).retire()
-				e.Value.(*conn).unidle()
+				e.Value.(*conn).closeIdle()
+				e.Value.(*conn).unmarkIdle()
 			}
 		}
 		p.mu.Unlock()
 		if s != nil {
 			p.loops.Dial(s.addr, p.cfg.ConnectTimeout, s)
 		}
-		if answer == dialscheduler.Dial {
+		if decision == dialscheduler.Dial {
 			continue
 		}
-		if at > 0 {
-			later.Reset(max(at-now, time.Millisecond))
+		if retryAt > 0 {
+			timer.Reset(max(retryAt-now, time.Millisecond))
 		} else {
-			later.Reset(time.Second)
+			timer.Reset(time.Second)
 		}
 		select {
-		case <-p.kick:
-		case <-later.C:
+		case <-p.schedulerWake:
+		case <-timer.C:
 		case <-p.quit:
 			return
 		}
@@ -343,39 +343,39 @@
 // Abandon is engine.Back.
 func (p *Pool) Abandon(a *engine.Attempt, kind engine.EndKind) {
 	p.mu.Lock()
-	t := p.tasks[a.Seq]
-	if t == nil || t.given { // its end is on its way
+	t := p.attempts[a.Seq]
+	if t == nil || t.abandoned { // its end is on its way
 		p.mu.Unlock()
 		return
 	}
-	t.given, t.kind = true, kind
+	t.abandoned, t.endKind = true, kind
 	if c := t.call.conn; c != nil {
-		c.send(item{give: t})
+		c.enqueue(command{abandon: t})
 		p.mu.Unlock()
 		return
 	}
 	end := engine.End{Kind: engine.Unsent}
 	switch {
-	case kind == engine.OutOfTime && t.call.site.lacking:
+	case kind == engine.OutOfTime && t.call.endpoint.localFailure:
 		end.Detail = "this machine could make no connection"
 	case kind == engine.OutOfTime: // no connection had room for all its time
 		end.Kind = engine.NotConnected
 	}
 	p.mu.Unlock()
-	p.end(t, end)
+	p.reportEnd(t, end)
 }
 
 // Unsend is engine.Back.
 func (p *Pool) Unsend(a *engine.Attempt) {
 	p.mu.Lock()
-	t := p.tasks[a.Seq]
-	waits := t != nil && !t.given && t.call.conn == nil
-	if waits {
-		t.given, t.kind = true, engine.Unsent
+	t := p.attempts[a.Seq]
+	waiting := t != nil && !t.abandoned && t.call.conn == nil
+	if waiting {
+		t.abandoned, t.endKind = true, engine.Unsent
 	}
 	p.mu.Unlock()
-	if waits {
-		p.end(t, engine.End{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
+	if waiting {
+		p.reportEnd(t, engine.End{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
 	}
 }
 
@@ -383,108 +383,108 @@
 func (p *Pool) CloseIdle(ep control.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.sites[ep]; s != nil {
+	if s := p.endpoints[ep]; s != nil {
 		for _, c := range s.conns {
-			c.retire()
+			c.closeIdle()
 		}
 	}
 }
 
-// retire closes a connection if nothing is on it; guarded by Pool.mu.
-func (c *conn) retire() {
-	if c.load == 0 && !c.shut && c.usable {
-		c.pool.cfg.Trace("endpoint %d: an idle connection is closed", c.site.ep)
-		c.usable, c.shut = false, true
-		c.unidle()
-		c.gc.Wake()
+// closeIdle closes a connection if nothing is on it; guarded by Pool.mu.
+func (c *conn) closeIdle() {
+	if c.inFlight == 0 && !c.closeWhenIdle && c.usable {
+		c.pool.cfg.Trace("endpoint %d: an idle connection is closed", c.endpoint.id)
+		c.usable, c.closeWhenIdle = false, true
+		c.unmarkIdle()
+		c.netConn.Wake()
 	}
 }
 
-// idles puts a connection without attempts at the end of those that are idle; guarded by Pool.mu.
-func (c *conn) idles() {
-	c.since = c.pool.clock.Now()
-	if c.place == nil && c.usable {
-		c.place = c.pool.idle.PushBack(c)
+// markIdle puts a connection without attempts at the end of those that are idle; guarded by Pool.mu.
+func (c *conn) markIdle() {
+	c.idleSince = c.pool.clock.Now()
+	if c.idleElement == nil && c.usable {
+		c.idleElement = c.pool.idle.PushBack(c)
 	}
 }
 
-// unidle takes a connection off those that are idle; guarded by Pool.mu.
-func (c *conn) unidle() {
-	if c.place != nil {
-		c.pool.idle.Remove(c.place)
-		c.place = nil
+// unmarkIdle takes a connection off those that are idle; guarded by Pool.mu.
+func (c *conn) unmarkIdle() {
+	if c.idleElement != nil {
+		c.pool.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// end reports the end of an attempt, once.
-func (p *Pool) end(t *task, e engine.End) {
+// reportEnd reports the end of an attempt, once.
+func (p *Pool) reportEnd(t *attemptState, e engine.End) {
 	p.mu.Lock()
 	if t.ended {
 		p.mu.Unlock()
 		return
 	}
 	t.ended = true
-	delete(p.tasks, t.a.Seq)
+	delete(p.attempts, t.attempt.Seq)
 	k := t.call
-	k.left--
+	k.remaining--
 	switch c := k.conn; {
-	case c != nil && k.left == 0:
-		if c.load--; c.load == 0 {
-			c.idles()
+	case c != nil && k.remaining == 0:
+		if c.inFlight--; c.inFlight == 0 {
+			c.markIdle()
 		}
-		p.refill(c.site)
-	case c == nil && k.left == 0:
-		k.site.pending = slices.DeleteFunc(k.site.pending, func(o *call) bool { return o == k })
-		p.grow(k.site)
+		p.assignPending(c.endpoint)
+	case c == nil && k.remaining == 0:
+		k.endpoint.pending = slices.DeleteFunc(k.endpoint.pending, func(o *call) bool { return o == k })
+		p.requestConn(k.endpoint)
 	}
 	p.mu.Unlock()
-	e.Seq = t.a.Seq
+	e.Seq = t.attempt.Seq
 	p.report(e)
 }
 
-// refill puts pending calls on connections that have room again; guarded by Pool.mu.
-func (p *Pool) refill(s *site) {
+// assignPending puts pending calls on connections that have room again; guarded by Pool.mu.
+func (p *Pool) assignPending(s *endpointPool) {
 	n := 0
-	for n < len(s.pending) && p.place(s.pending[n]) {
+	for n < len(s.pending) && p.assign(s.pending[n]) {
 		n++
 	}
 	s.pending = append(s.pending[:0], s.pending[n:]...)
 }
 
-// fail ends calls that were never written.
-func (p *Pool) fail(calls []*call, why string) {
+// failCalls ends calls that were never written.
+func (p *Pool) failCalls(calls []*call, reason string) {
 	for _, k := range calls {
-		for _, t := range k.tasks {
-			p.end(t, engine.End{Kind: engine.NotConnected, Detail: why})
+		for _, t := range k.attempts {
+			p.reportEnd(t, engine.End{Kind: engine.NotConnected, Detail: reason})
 		}
 	}
 }
 
 // DialFailed is eventloop.Handler.
-func (p *Pool) DialFailed(context any, err error) { p.noConnection(context.(*site), err) }
+func (p *Pool) DialFailed(context any, err error) { p.connectFailed(context.(*endpointPool), err) }
 
-// noConnection tells all attempts that wait for a connection that there is none. That others of the endpoint may still be open
+// connectFailed tells all attempts that wait for a connection that there is none. That others of the endpoint may still be open
 // is for the module to weigh. Where it is this machine that lacks something they go on waiting: that says nothing of the
 // endpoint.
-func (p *Pool) noConnection(s *site, err error) {
-	why := failure(err)
+func (p *Pool) connectFailed(s *endpointPool, err error) {
+	reason := classifyDialError(err)
 	p.mu.Lock()
 	s.dialing--
-	s.lacking = why != dialscheduler.PeerFailed
-	p.planner.Failed(p.elapsed(), why)
+	s.localFailure = reason != dialscheduler.PeerFailed
+	p.scheduler.Failed(p.elapsed(), reason)
 	var failed []*call
-	if !s.lacking {
+	if !s.localFailure {
 		failed, s.pending = s.pending, nil
 	}
-	p.grow(s)
-	p.nudge()
+	p.requestConn(s)
+	p.wakeScheduler()
 	p.mu.Unlock()
-	p.cfg.Trace("endpoint %d: no connection: %v; %d calls waited for it", s.ep, err, len(failed))
-	p.fail(failed, err.Error())
+	p.cfg.Trace("endpoint %d: no connection: %v; %d calls waited for it", s.id, err, len(failed))
+	p.failCalls(failed, err.Error())
 }
 
-// failure tells whose lack it was that a connection did not come about.
-func failure(err error) dialscheduler.Failure {
+// classifyDialError tells whose lack it was that a connection did not come about.
+func classifyDialError(err error) dialscheduler.Failure {
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
 		return dialscheduler.NoDescriptors
