--- a/internal/dialscheduler/dialscheduler.go
+++ b/internal/dialscheduler/dialscheduler.go
@@ -50,16 +50,16 @@
 	q[i].index, q[j].index = i, j
 }
 func (q *requestQueue) Push(x any) {
-	it := x.(*entry)
-	it.index = len(*q)
-	*q = append(*q, it)
+	e := x.(*entry)
+	e.index = len(*q)
+	*q = append(*q, e)
 }
 func (q *requestQueue) Pop() any {
 	n := len(*q) - 1
-	it := (*q)[n]
+	e := (*q)[n]
 	(*q)[n] = nil
 	*q = (*q)[:n]
-	return it
+	return e
 }
 
 // Scheduler decides who is opened next.
@@ -81,35 +81,35 @@
 }
 
 // New returns a Planner.
-func New(b Limits) *Scheduler {
-	return &Scheduler{limits: b, requests: map[uint64]*entry{}, tokens: max(1, b.HandshakesPerSecond/10)}
+func New(limits Limits) *Scheduler {
+	return &Scheduler{limits: limits, requests: map[uint64]*entry{}, tokens: max(1, limits.HandshakesPerSecond/10)}
 }
 
 // Enqueue adds a wish, or changes it.
-func (p *Scheduler) Enqueue(w Request) {
-	p.Remove(w.Key)
-	p.seq++
-	it := &entry{Request: w, rank: w.Deadline - time.Duration(w.Priority*float64(priorityUnit)), seq: p.seq}
-	if w.RecentlyActive {
-		it.queue = 1
+func (s *Scheduler) Enqueue(request Request) {
+	s.Remove(request.Key)
+	s.seq++
+	e := &entry{Request: request, rank: request.Deadline - time.Duration(request.Priority*float64(priorityUnit)), seq: s.seq}
+	if request.RecentlyActive {
+		e.queue = 1
 	}
-	p.requests[w.Key] = it
-	heap.Push(&p.queues[it.queue], it)
+	s.requests[request.Key] = e
+	heap.Push(&s.queues[e.queue], e)
 }
 
 // Remove takes a wish back; it tells whether there was one.
-func (p *Scheduler) Remove(key uint64) bool {
-	it := p.requests[key]
-	if it == nil {
+func (s *Scheduler) Remove(key uint64) bool {
+	e := s.requests[key]
+	if e == nil {
 		return false
 	}
-	delete(p.requests, key)
-	heap.Remove(&p.queues[it.queue], it.index)
+	delete(s.requests, key)
+	heap.Remove(&s.queues[e.queue], e.index)
 	return true
 }
 
 // Pending counts the wishes.
-func (p *Scheduler) Pending() int { return len(p.requests) }
+func (s *Scheduler) Pending() int { return len(s.requests) }
 
 // Decision is what Next decided.
 type Decision uint8
@@ -123,48 +123,48 @@
 )
 
 // Next decides what to do now.
-func (p *Scheduler) Next(now time.Duration) (decision Decision, key uint64, retryAt time.Duration) {
-	p.tokens = min(p.tokens+p.limits.HandshakesPerSecond*(now-p.refilledAt).Seconds(), max(1, p.limits.HandshakesPerSecond/10))
-	p.refilledAt = now
+func (s *Scheduler) Next(now time.Duration) (decision Decision, key uint64, retryAt time.Duration) {
+	s.tokens = min(s.tokens+s.limits.HandshakesPerSecond*(now-s.refilledAt).Seconds(), max(1, s.limits.HandshakesPerSecond/10))
+	s.refilledAt = now
 	switch {
-	case len(p.requests) == 0 || p.handshakes >= p.limits.MaxHandshakes:
+	case len(s.requests) == 0 || s.handshakes >= s.limits.MaxHandshakes:
 		return NoAction, 0, 0
-	case p.conns+p.handshakes >= p.limits.MaxConns:
+	case s.conns+s.handshakes >= s.limits.MaxConns:
 		return CloseIdle, 0, 0
-	case now < p.holdUntil && p.conns+p.handshakes >= p.ceiling && p.outOfDescriptors && p.conns > 0:
-		return CloseIdle, 0, p.holdUntil
-	case now < p.holdUntil && p.conns+p.handshakes >= p.ceiling:
-		return RetryLater, 0, p.holdUntil
-	case p.tokens < 1:
-		return RetryLater, 0, now + time.Duration((1-p.tokens)/p.limits.HandshakesPerSecond*float64(time.Second)) + 1
+	case now < s.holdUntil && s.conns+s.handshakes >= s.ceiling && s.outOfDescriptors && s.conns > 0:
+		return CloseIdle, 0, s.holdUntil
+	case now < s.holdUntil && s.conns+s.handshakes >= s.ceiling:
+		return RetryLater, 0, s.holdUntil
+	case s.tokens < 1:
+		return RetryLater, 0, now + time.Duration((1-s.tokens)/s.limits.HandshakesPerSecond*float64(time.Second)) + 1
 	}
-	q := p.pickQueue()
-	it := heap.Pop(&p.queues[q]).(*entry)
-	delete(p.requests, it.Key)
-	p.tokens--
-	p.handshakes++
-	return Dial, it.Key, 0
+	q := s.pickQueue()
+	e := heap.Pop(&s.queues[q]).(*entry)
+	delete(s.requests, e.Key)
+	s.tokens--
+	s.handshakes++
+	return Dial, e.Key, 0
 }
 
 // pickQueue chooses the queue: two of three for the busy, while both wait.
-func (p *Scheduler) pickQueue() int {
+func (s *Scheduler) pickQueue() int {
 	switch {
-	case len(p.queues[0]) == 0:
+	case len(s.queues[0]) == 0:
 		return 1
-	case len(p.queues[1]) == 0:
+	case len(s.queues[1]) == 0:
 		return 0
 	}
-	p.shareTurn = (p.shareTurn + 1) % (activeShare + inactiveShare)
-	if p.shareTurn < activeShare {
+	s.shareTurn = (s.shareTurn + 1) % (activeShare + inactiveShare)
+	if s.shareTurn < activeShare {
 		return 1
 	}
 	return 0
 }
 
 // Opened tells that a connection stands.
-func (p *Scheduler) Opened() {
-	p.handshakes--
-	p.conns++
+func (s *Scheduler) Opened() {
+	s.handshakes--
+	s.conns++
 }
 
 // Failure tells why a connection could not be made.
@@ -186,21 +186,21 @@
 
 // Failed tells that a connection could not be made. Where this machine was short no more than are open now are tried for a
 // while, or until one is closed.
-func (p *Scheduler) Failed(now time.Duration, cause Failure) {
-	p.handshakes--
+func (s *Scheduler) Failed(now time.Duration, cause Failure) {
+	s.handshakes--
 	if cause == PeerFailed {
 		return
 	}
-	if now > p.holdUntil+p.holdSpan { // the last shortage is long past
-		p.holdSpan = 0
+	if now > s.holdUntil+s.holdSpan { // the last shortage is long past
+		s.holdSpan = 0
 	}
-	if now >= p.holdUntil {
-		p.holdSpan = min(max(minHold, 2*p.holdSpan), maxHold)
+	if now >= s.holdUntil {
+		s.holdSpan = min(max(minHold, 2*s.holdSpan), maxHold)
 	}
-	p.holdUntil = now + p.holdSpan
-	p.ceiling = p.conns + p.handshakes
-	p.outOfDescriptors = cause == NoDescriptors
+	s.holdUntil = now + s.holdSpan
+	s.ceiling = s.conns + s.handshakes
+	s.outOfDescriptors = cause == NoDescriptors
 }
 
 // Closed tells that a connection that stood is gone. While the machine is short another may be tried in its place.
-func (p *Scheduler) Closed() { p.conns-- }
+func (s *Scheduler) Closed() { s.conns-- }
--- a/internal/outbound/admission_test.go
+++ b/internal/outbound/admission_test.go
@@ -22,17 +22,17 @@
 	noRecordNeeded string          // ... this message, which needs no record
 }
 
-func (o *fakeAdmission) logf(f string, a ...any) {
+func (o *fakeAdmission) logf(format string, a ...any) {
 	o.mu.Lock()
-	o.events = append(o.events, fmt.Sprintf(f, a...))
+	o.events = append(o.events, fmt.Sprintf(format, a...))
 	o.mu.Unlock()
 }
 
-func (o *fakeAdmission) takeEvents() (lines []string) {
+func (o *fakeAdmission) takeEvents() (events []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	lines, o.events = o.events, nil
-	return lines
+	events, o.events = o.events, nil
+	return events
 }
 
 func (o *fakeAdmission) Write(_ control.Time, a *engine.Attempt) error {
@@ -64,10 +64,10 @@
 
 func (o *fakeAdmission) TakenBack(a *engine.Attempt) { o.logf("taken back %s", a.Msg.Name) }
 
-func (o *fakeAdmission) wantEvents(t *testing.T, lines ...string) {
+func (o *fakeAdmission) wantEvents(t *testing.T, events ...string) {
 	t.Helper()
-	if got := o.takeEvents(); !slices.Equal(got, lines) {
-		t.Errorf("%q, want %q", got, lines)
+	if got := o.takeEvents(); !slices.Equal(got, events) {
+		t.Errorf("%q, want %q", got, events)
 	}
 }
 
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -133,9 +133,9 @@
 		p.connectFailed(c.endpoint, errors.New("no HTTP/2 on the connection: "+reason))
 	}
 	c.session.connLost(kind, reason)
-	for _, it := range commands {
-		if it.start != nil {
-			c.requeue(it.start, reason)
+	for _, cmd := range commands {
+		if cmd.start != nil {
+			c.requeue(cmd.start, reason)
 		}
 	}
 	p.mu.Lock()
@@ -151,11 +151,11 @@
 	c.commands = nil
 	shutdown := c.closeWhenIdle && c.inFlight == 0
 	p.mu.Unlock()
-	for _, it := range commands {
-		if it.start != nil {
-			c.startCall(it.start, now)
-		} else if p.isOutstanding(it.abandon) {
-			c.session.abandon(now, it.abandon)
+	for _, cmd := range commands {
+		if cmd.start != nil {
+			c.startCall(cmd.start, now)
+		} else if p.isOutstanding(cmd.abandon) {
+			c.session.abandon(now, cmd.abandon)
 		}
 	}
 	if shutdown {
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -23,7 +23,7 @@
 }
 
 // NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
-func NewHTTP1(c HTTP1Codec) Protocol { return http1{c} }
+func NewHTTP1(codec HTTP1Codec) Protocol { return http1{codec} }
 
 type http1 struct{ HTTP1Codec }
 
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -17,7 +17,7 @@
 }
 
 // NewHTTP2 is HTTP/2 with a speech; each attempt is a stream.
-func NewHTTP2(s HTTP2Codec) Protocol { return http2{s} }
+func NewHTTP2(codec HTTP2Codec) Protocol { return http2{codec} }
 
 type http2 struct{ HTTP2Codec }
 
@@ -112,8 +112,8 @@
 	case h2.Headers:
 		t.responseFields, t.hasHeaders = e.Fields, true
 	case h2.Data:
-		if room := p.cfg.MaxAnswerBytes - len(t.responseBody); room > 0 {
-			t.responseBody = append(t.responseBody, e.Data[:min(room, len(e.Data))]...)
+		if space := p.cfg.MaxAnswerBytes - len(t.responseBody); space > 0 {
+			t.responseBody = append(t.responseBody, e.Data[:min(space, len(e.Data))]...)
 		}
 	case h2.StreamReset:
 		delete(l.attempts, e.Stream)
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -211,15 +211,15 @@
 }
 
 // startCall starts one call.
-func (p *Pool) startCall(as []*engine.Attempt) {
+func (p *Pool) startCall(attempts []*engine.Attempt) {
 	p.mu.Lock()
-	ep := as[0].Endpoint
+	ep := attempts[0].Endpoint
 	s := p.endpoints[ep]
 	if s == nil {
 		addr, ok := p.proto.Address(ep)
 		if !ok {
 			p.mu.Unlock()
-			for _, a := range as {
+			for _, a := range attempts {
 				p.report(engine.End{Seq: a.Seq, Kind: engine.NotConnected, Detail: "endpoint without an address"})
 			}
 			return
@@ -227,8 +227,8 @@
 		s = &endpointPool{id: ep, addr: addr}
 		p.endpoints[ep] = s
 	}
-	k := &call{endpoint: s, remaining: len(as)}
-	for _, a := range as {
+	k := &call{endpoint: s, remaining: len(attempts)}
+	for _, a := range attempts {
 		t := &attemptState{attempt: a, call: k}
 		k.attempts = append(k.attempts, t)
 		p.attempts[a.Seq] = t
@@ -257,8 +257,8 @@
 }
 
 // enqueue puts something into the inbox of a connection; guarded by Pool.mu.
-func (c *conn) enqueue(it command) {
-	c.commands = append(c.commands, it)
+func (c *conn) enqueue(cmd command) {
+	c.commands = append(c.commands, cmd)
 	if len(c.commands) == 1 {
 		c.netConn.Wake()
 	}
