--- a/internal/dialscheduler/dialscheduler.go
+++ b/internal/dialscheduler/dialscheduler.go
@@ -1,6 +1,7 @@
-// Package dialscheduler plans which connections are opened next, within budgets: handshakes a second, handshakes under way,
-// connections in all. It keeps a wave of partners that all wake at once from taking the machine from those that are
-// busy. It is deterministic and free of I/O: the time is passed in.
+// Package dialscheduler decides which endpoint gets the next new connection, within limits on the rate of
+// handshakes, on concurrent handshakes and on all connections. When many partners become active at once, their
+// dials must not exhaust the machine for those that are already active. The package is deterministic and does no
+// I/O: callers pass the time in.
 package dialscheduler
 
 import (
@@ -8,37 +9,51 @@
 	"time"
 )
 
-// Limits bounds what is opened. All fields are to be above zero.
+// Limits bounds the connections that a Scheduler opens. All fields must be above zero.
 type Limits struct {
-	HandshakesPerSecond float64 // handshakes begun a second; a tenth of a second's may begin at once
-	MaxHandshakes       int     // handshakes under way at once
-	MaxConns            int     // connections open or being opened
+	// HandshakesPerSecond is the rate at which handshakes begin. A burst may have as many as a tenth of a second
+	// allows, and at least one.
+	HandshakesPerSecond float64
+	// MaxHandshakes is the largest number of concurrent handshakes.
+	MaxHandshakes int
+	// MaxConns is the largest number of connections that are open or being opened.
+	MaxConns int
 }
 
-// Request is a wish for a connection.
+// Request asks for one new connection.
 type Request struct {
-	Key            uint64        // names who wants it; a new wish of the same key takes the place of the old
-	Priority       float64       // of what waits for it, against others
-	Deadline       time.Duration // when that is given up
-	RecentlyActive bool          // it had a connection lately: it must not wait behind a wave of strangers
+	// Key identifies the requester. A new request replaces an earlier one with the same key.
+	Key uint64
+	// Priority is the value of the work that waits for the connection, relative to that of other requests.
+	Priority float64
+	// Deadline is the time at which the waiting work is given up, on the clock that Next is called with.
+	Deadline time.Duration
+	// RecentlyActive is true if the requester had a connection recently. Such a request does not queue behind a
+	// burst of requesters without one.
+	RecentlyActive bool
 }
 
-// priorityUnit is how much sooner than its due time a wish ranks for each unit of worth.
+// priorityUnit is how much earlier than its deadline a request ranks for each unit of priority.
 const priorityUnit = time.Second
 
-// activeShare is how many of three openings the busy take at most while strangers wait, too: neither starves.
+// activeShare and inactiveShare are the weights by which the two queues share dials while both have requests. Of
+// three dials, two go to recently active requesters and one to the others, so neither group starves.
 const activeShare, inactiveShare = 2, 1
 
-// entry is a wish in its queue.
+// entry is a request in its queue.
 type entry struct {
 	Request
-	rank  time.Duration
-	seq   uint64
+	// rank is the deadline less priorityUnit for each unit of priority. The lowest rank is dialled first.
+	rank time.Duration
+	// seq is the order of arrival and breaks ties of rank.
+	seq uint64
+	// index is the position in the heap.
 	index int
+	// queue is the index in Scheduler.queues.
 	queue int
 }
 
-// requestQueue is a heap of wishes, the most pressing first.
+// requestQueue is a heap of requests, the lowest rank first. It implements heap.Interface.
 type requestQueue []*entry
 
 func (q requestQueue) Len() int { return len(q) }
@@ -62,30 +77,42 @@
 	return e
 }
 
-// Scheduler decides who is opened next.
+// Scheduler decides which request is dialled next. It is not safe for concurrent use.
 type Scheduler struct {
-	limits     Limits
-	requests   map[uint64]*entry
-	queues     [2]requestQueue // strangers, busy
-	seq        uint64
+	limits   Limits
+	requests map[uint64]*entry
+	// queues holds the requests of requesters that were not recently active at index 0, and those of the recently
+	// active at index 1.
+	queues [2]requestQueue
+	seq    uint64
+	// tokens is the content of the token bucket for handshakes. It was refilled at refilledAt.
 	tokens     float64
 	refilledAt time.Duration
+	// handshakes counts the dials that have begun and not ended.
 	handshakes int
-	conns      int
-	shareTurn  int // openings since the last round of shares
-
-	ceiling          int           // connections that the machine was found to bear, while holdUntil is not past
-	holdUntil        time.Duration // no more than that are tried until then
-	holdSpan         time.Duration // the last such span
-	outOfDescriptors bool          // it was descriptors that were short: closing a connection makes room
+	// conns counts the open connections.
+	conns int
+	// shareTurn is the position in a round of activeShare+inactiveShare dials.
+	shareTurn int
+
+	// ceiling bounds open and opening connections until holdUntil. It is the number that the machine had when it
+	// last ran short of a resource.
+	ceiling int
+	// holdUntil is the time until which ceiling applies.
+	holdUntil time.Duration
+	// holdSpan is the length of the latest hold.
+	holdSpan time.Duration
+	// outOfDescriptors is true if the latest shortage was one of file descriptors. Closing a connection then frees
+	// one.
+	outOfDescriptors bool
 }
 
-// New returns a Planner.
+// New returns a Scheduler without requests and without connections.
 func New(limits Limits) *Scheduler {
 	return &Scheduler{limits: limits, requests: map[uint64]*entry{}, tokens: max(1, limits.HandshakesPerSecond/10)}
 }
 
-// Enqueue adds a wish, or changes it.
+// Enqueue adds a request, or replaces the one with the same key.
 func (s *Scheduler) Enqueue(request Request) {
 	s.Remove(request.Key)
 	s.seq++
@@ -97,7 +124,7 @@
 	heap.Push(&s.queues[e.queue], e)
 }
 
-// Remove takes a wish back; it tells whether there was one.
+// Remove withdraws a request. It reports whether there was one.
 func (s *Scheduler) Remove(key uint64) bool {
 	e := s.requests[key]
 	if e == nil {
@@ -108,21 +135,28 @@
 	return true
 }
 
-// Pending counts the wishes.
+// Pending returns the number of requests in the queues.
 func (s *Scheduler) Pending() int { return len(s.requests) }
 
-// Decision is what Next decided.
+// Decision tells the caller of Next what to do.
 type Decision uint8
 
-// Answers of Next.
 const (
-	NoAction   Decision = iota // no wish, or the next end of a handshake is to be waited for
-	Dial                       // open a connection for the key; Opened or Failed is to follow
-	RetryLater                 // ask again at the time given: handshakes of this second are spent, or the machine is short of something
-	CloseIdle                  // no further connection may be open: an idle one is to be closed; ask again then, or at the time given if it is not 0
+	// NoAction means that there is no request, or that as many handshakes are under way as are allowed. In the
+	// latter case the caller asks again when one has ended.
+	NoAction Decision = iota
+	// Dial means that the caller dials for the returned key. It reports the outcome by Opened or Failed.
+	Dial
+	// RetryLater means that the caller asks again at the returned time. The handshake rate is used up, or the
+	// machine is short of a resource.
+	RetryLater
+	// CloseIdle means that no further connection may be open. The caller closes an idle one and asks again once it
+	// is closed, or at the returned time if that is not 0.
+	CloseIdle
 )
 
-// Next decides what to do now.
+// Next decides what to do at the given time. The key is set for Dial only. The times are on one clock that does
+// not go back.
 func (s *Scheduler) Next(now time.Duration) (decision Decision, key uint64, retryAt time.Duration) {
 	s.tokens = min(s.tokens+s.limits.HandshakesPerSecond*(now-s.refilledAt).Seconds(), max(1, s.limits.HandshakesPerSecond/10))
 	s.refilledAt = now
@@ -146,7 +180,8 @@
 	return Dial, e.Key, 0
 }
 
-// pickQueue chooses the queue: two of three for the busy, while both wait.
+// pickQueue returns the index of the queue that the next dial is taken from. At least one queue must have a
+// request.
 func (s *Scheduler) pickQueue() int {
 	switch {
 	case len(s.queues[0]) == 0:
@@ -161,37 +196,43 @@
 	return 0
 }
 
-// Opened tells that a connection stands.
+// Opened records that a dial has led to an open connection.
 func (s *Scheduler) Opened() {
 	s.handshakes--
 	s.conns++
 }
 
-// Failure tells why a connection could not be made.
+// Failure is the cause for which a dial failed.
 type Failure uint8
 
-// Failures.
 const (
-	PeerFailed    Failure = iota // by its peer
-	NoDescriptors                // this machine had no descriptor left for it
-	LocalShortage                // this machine lacked something else
+	// PeerFailed means that the peer did not accept the connection.
+	PeerFailed Failure = iota
+	// NoDescriptors means that this machine had no file descriptor left.
+	NoDescriptors
+	// LocalShortage means that this machine lacked another resource.
+	LocalShortage
 )
 
-// Spans for which no more connections are tried than there were when the machine fell short. They double while it goes on: a
-// shortage of a moment must not be taken for one that lasts.
+// A hold is a span during which no more connections are opened than there were when the machine ran short of a
+// resource. Its length doubles from minHold to maxHold while the shortage lasts. The first hold is short because a
+// shortage may be over in a moment.
 const (
+	// minHold is the length of the first hold.
 	minHold = 50 * time.Millisecond
+	// maxHold is the upper bound of a hold.
 	maxHold = 2 * time.Second
 )
 
-// Failed tells that a connection could not be made. Where this machine was short no more than are open now are tried for a
-// while, or until one is closed.
+// Failed records that a dial has failed. If this machine was short of a resource, no more connections than there
+// are now are opened during a hold, or until one is closed.
 func (s *Scheduler) Failed(now time.Duration, cause Failure) {
 	s.handshakes--
 	if cause == PeerFailed {
 		return
 	}
-	if now > s.holdUntil+s.holdSpan { // the last shortage is long past
+	// The latest shortage is long past.
+	if now > s.holdUntil+s.holdSpan {
 		s.holdSpan = 0
 	}
 	if now >= s.holdUntil {
@@ -202,5 +243,5 @@
 	s.outOfDescriptors = cause == NoDescriptors
 }
 
-// Closed tells that a connection that stood is gone. While the machine is short another may be tried in its place.
+// Closed records that an open connection has ended. During a hold, another may be opened in its place.
 func (s *Scheduler) Closed() { s.conns-- }
--- a/internal/dialscheduler/dialscheduler_test.go
+++ b/internal/dialscheduler/dialscheduler_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// dialAll asks until nothing can be opened at that time, and returns the keys opened.
+// dialAll calls Next until it has no further dial for that time, and returns the keys dialled.
 func dialAll(p *Scheduler, now time.Duration) (keys []uint64) {
 	for {
 		a, key, _ := p.Next(now)
@@ -18,7 +18,8 @@
 	}
 }
 
-// Worth and time left decide; a busy one does not wait behind a wave of strangers, and they do not starve either.
+// Priority and deadline decide the order. Recently active requesters must not wait behind a burst of others, and
+// the others must not starve.
 func TestOrder(t *testing.T) {
 	p := New(Limits{HandshakesPerSecond: 1000, MaxHandshakes: 100, MaxConns: 100})
 	p.Enqueue(Request{Key: 1, Priority: 1, Deadline: 10 * time.Second})
@@ -37,10 +38,10 @@
 	for i, key := range dialAll(p, time.Second) {
 		if key < 100 {
 			if busy++; i >= 16 {
-				t.Errorf("busy one opened as number %d", i)
+				t.Errorf("recently active requester dialled as number %d", i)
 			}
 		} else if strangers++; i == 11 && strangers < 3 {
-			t.Error("strangers starve")
+			t.Error("requesters that were not recently active starve")
 		}
 	}
 	if busy != 10 || strangers != 50 {
@@ -48,7 +49,7 @@
 	}
 }
 
-// Ten thousand wishes at once keep to the budgets at every moment.
+// Ten thousand requests that arrive at once must stay within all limits at every moment.
 func TestBurstKeepsLimits(t *testing.T) {
 	b := Limits{HandshakesPerSecond: 500, MaxHandshakes: 40, MaxConns: 20000}
 	p := New(b)
@@ -68,12 +69,12 @@
 		}
 	}
 	if p.Pending() > 0 || now < 19*time.Second || now > 22*time.Second {
-		t.Errorf("%d wait after %v", p.Pending(), now)
+		t.Errorf("%d pending after %v", p.Pending(), now)
 	}
 }
 
-// Where the machine has no descriptors left the planner waits for a connection to close, and tries one more then, or when the
-// shortage may have passed.
+// If the machine has no file descriptors left, the scheduler waits for a connection to close. It dials once more
+// then, or when the hold has ended.
 func TestOutOfDescriptors(t *testing.T) {
 	p := New(Limits{HandshakesPerSecond: 1000, MaxHandshakes: 10, MaxConns: 100})
 	for k := range uint64(5) {
@@ -85,16 +86,16 @@
 	p.Failed(0, NoDescriptors)
 	p.Enqueue(Request{Key: 9})
 	if a, _, at := p.Next(minHold - 1); a != CloseIdle || at != minHold {
-		t.Error("answer", a, at, "while no descriptor is left")
+		t.Error("decision", a, at, "while no descriptor is left")
 	}
 	p.Closed()
 	if a, key, _ := p.Next(minHold - 1); a != Dial || key != 9 {
-		t.Error("answer", a, key, "after one was closed")
+		t.Error("decision", a, key, "after one was closed")
 	}
 }
 
-// A shortage is taken for one of a moment first, and tried less and less often while it lasts. It never bounds the connections
-// for longer than that, also where there were none.
+// A first shortage must cause a short hold only, and a lasting one ever longer holds up to the bound. No hold may
+// outlast the shortage by more than that, even where no connection is open.
 func TestShortagesPass(t *testing.T) {
 	for _, why := range []Failure{NoDescriptors, LocalShortage} {
 		p := New(Limits{HandshakesPerSecond: 1000, MaxHandshakes: 10, MaxConns: 100})
@@ -105,11 +106,11 @@
 				tries++
 				p.Failed(now, why)
 			} else if a != RetryLater || at <= now || at > now+maxHold {
-				t.Fatalf("answer %v at %v, %v", a, at, now)
+				t.Fatalf("decision %v at %v, %v", a, at, now)
 			}
 		}
 		if tries < 30 || tries > 40 {
-			t.Errorf("%d tries in a minute", tries)
+			t.Errorf("%d dials in a minute", tries)
 		}
 		for k := range uint64(50) {
 			p.Enqueue(Request{Key: k})
@@ -131,12 +132,13 @@
 		}
 		p.Enqueue(Request{Key: 60})
 		if a, _, _ := p.Next(now + minHold); a != Dial {
-			t.Errorf("answer %v behind a shortage of a moment, long after the last", a)
+			t.Errorf("decision %v after a first short hold, long after the latest shortage", a)
 		}
 	}
 }
 
-// Whatever happens: never more opening or open than the budgets allow, and no wish is lost or opened twice.
+// In any sequence of calls, no more connections may be opening or open than the limits allow, and no request may
+// be lost or dialled twice.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := Limits{HandshakesPerSecond: rapid.Float64Range(1, 1000).Draw(r, "rate"), MaxHandshakes: rapid.IntRange(1, 20).Draw(r, "opening"),
@@ -154,7 +156,7 @@
 			case 2:
 				for _, key := range dialAll(p, now) {
 					if done[key] {
-						t.Fatal("opened twice")
+						t.Fatal("dialled twice")
 					}
 					done[key] = true
 					opening++
@@ -175,7 +177,7 @@
 				t.Fatalf("%d opening, %d open", opening, open)
 			}
 			if int(wished)-len(done) != p.Pending() {
-				t.Fatalf("%d wishes, %d opened, %d wait", wished, len(done), p.Pending())
+				t.Fatalf("%d requests, %d dialled, %d pending", wished, len(done), p.Pending())
 			}
 		}
 	})
