--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -9,30 +9,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// Conn is one connection. Its methods are for the loop's goroutine, but for Wake and Peer.
+// Conn is one TCP connection on a Loop. Its methods must be called on the loop's goroutine, except for Wake and
+// Peer, which any goroutine may call.
 type Conn struct {
 	loop *Loop
-	fd   int // -1 once it is closed
+	// fd is -1 once the connection is closed.
+	fd   int
 	peer netip.AddrPort
 
-	Context any // the handler's own
+	// Context is for the handler's own use.
+	Context any
 
-	inbound        []byte // valid during Handler.Ready
-	unsent         []byte // written by the handler and not taken by the kernel yet
-	closeRequested bool   // it is closed once the handler's method has returned ...
-	closeErr       error  // ... for this error, if there was one
-	retryScheduled bool   // it is in the loop's list of retries
-	readPaused     bool   // nothing is read
-	opened         bool   // the handler has heard of it
-	wakeScheduled  atomic.Bool
+	// inbound is the bytes just read. It is valid during Handler.Ready only.
+	inbound []byte
+	// unsent is the bytes that the handler wrote and the kernel has not taken yet.
+	unsent []byte
+	// closeRequested is true if the connection is to be closed once the handler's method has returned.
+	closeRequested bool
+	// closeErr is the error that the connection is closed for. It is nil if the handler closed it.
+	closeErr error
+	// retryScheduled is true while the connection is in the loop's retries.
+	retryScheduled bool
+	// readPaused is true while nothing is read.
+	readPaused bool
+	// opened is true once Handler.Opened has been called.
+	opened bool
+	// wakeScheduled is true while a call of Handler.Ready is posted.
+	wakeScheduled atomic.Bool
 }
 
-// openConn takes a connected socket into the loop. An error tells that it could not be: the socket is closed.
+// openConn adds a connected socket to the loop. On an error the socket is closed and the handler is not called.
 func (l *Loop) openConn(fd int, peer netip.AddrPort, context any) error {
 	c := &Conn{loop: l, fd: fd, peer: peer, Context: context}
 	const events = unix.EPOLLIN | unix.EPOLLOUT | unix.EPOLLRDHUP | unix.EPOLLET
 	err := retryInterrupted(func() error { return l.group.system.EpollAdd(l.epollFD, fd, events) })
-	if err != nil && !errors.Is(err, unix.EEXIST) { // a dialled one is in it already
+	// EEXIST means that epoll watches the descriptor already, as it does for a dialled one.
+	if err != nil && !errors.Is(err, unix.EEXIST) {
 		_ = l.group.system.Close(fd)
 		return err
 	}
@@ -40,9 +52,10 @@
 	return nil
 }
 
-// register tells the handler of a connection that epoll knows, and looks at what came before.
+// register reports a connection that epoll watches to the handler, and processes what arrived before.
 func (l *Loop) register(c *Conn) {
-	_ = retryInterrupted(func() error { return l.group.system.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) }) // slower without
+	// Without TCP_NODELAY the connection is slower but works, so that the error is ignored.
+	_ = retryInterrupted(func() error { return l.group.system.SetOption(c.fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) })
 	l.conns[c.fd] = c
 	c.opened = true
 	l.group.handler.Opened(c)
@@ -52,17 +65,19 @@
 	}
 }
 
-// Peer is the address of the other side.
+// Peer returns the address of the other side.
 func (c *Conn) Peer() netip.AddrPort { return c.peer }
 
-// Inbound is what came and was not returned yet. It is not valid after Ready returns.
+// Inbound returns the bytes that have arrived and were not returned before. They are not valid after Handler.Ready
+// returns.
 func (c *Conn) Inbound() []byte {
 	b := c.inbound
 	c.inbound = nil
 	return b
 }
 
-// PauseReading has nothing more read until it is called with false: what comes waits with its sender.
+// PauseReading stops reading, or resumes it if on is false. While reading is paused, TCP flow control holds the
+// sender back.
 func (c *Conn) PauseReading(on bool) {
 	if c.readPaused && !on {
 		c.scheduleRetry()
@@ -70,11 +85,11 @@
 	c.readPaused = on
 }
 
-// Unsent counts the bytes written that the kernel has not taken yet.
+// Unsent returns the number of bytes that were written and that the kernel has not taken yet.
 func (c *Conn) Unsent() int { return len(c.unsent) }
 
-// Write writes bytes, in order, without waiting: what the kernel doesn't take now goes later. A connection that fails is told
-// by Closed.
+// Write queues bytes in order, without blocking. What the kernel does not take now is sent later. A failure of the
+// connection is reported by Handler.Closed.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.closeRequested {
 		return
@@ -87,14 +102,16 @@
 	c.unsent = append(c.unsent, b[n:]...)
 }
 
-// send hands bytes to the kernel and tells how many it took. Where the connection has failed it is closed soon.
+// send passes bytes to the kernel and returns how many are done with. If the connection has failed, send schedules
+// its closing and returns the length of b.
 func (c *Conn) send(b []byte) (sent int) {
 	for sent < len(b) {
 		n, err := c.loop.group.system.Write(c.fd, b[sent:])
 		switch {
 		case err == nil:
 			sent += max(0, n)
-			if n == 0 { // nothing was taken, and no reason given
+			// The kernel took nothing and returned no error.
+			if n == 0 {
 				c.scheduleRetry()
 				return sent
 			}
@@ -112,7 +129,8 @@
 	return sent
 }
 
-// scheduleRetry has the connection looked at again a moment later: no event may tell.
+// scheduleRetry has the connection processed again a moment later. It is for cases in which epoll may report no
+// event.
 func (c *Conn) scheduleRetry() {
 	if !c.retryScheduled {
 		c.retryScheduled = true
@@ -120,19 +138,21 @@
 	}
 }
 
-// closeWithError ends the connection for an error, on the loop, behind what the handler is doing now.
+// closeWithError closes the connection for an error, after the handler's current method has returned.
 func (c *Conn) closeWithError(err error) {
 	c.closeRequested, c.closeErr = true, err
 	c.loop.post(c.closeIfRequested)
 }
 
-// Close closes the connection once the handler's method has returned: what the kernel has not taken is lost.
+// Close closes the connection once the handler's method has returned. Bytes that the kernel has not taken are
+// lost.
 func (c *Conn) Close() { c.closeRequested = true }
 
-// CloseWrite ends this side: the peer reads an end behind what was written. It is false where the connection has failed.
+// CloseWrite shuts down the sending side: the peer reads an end of file after the bytes that the kernel has taken.
+// It returns false if the connection is closed or has failed.
 func (c *Conn) CloseWrite() bool { return c.shutdown(unix.SHUT_WR) }
 
-// CloseBoth ends both sides: nothing more comes or goes, and the peer sees that. The socket stays until Close.
+// CloseBoth shuts down both directions, which the peer sees. The socket stays open until Close.
 func (c *Conn) CloseBoth() { c.shutdown(unix.SHUT_RDWR) }
 
 func (c *Conn) shutdown(how int) bool {
@@ -142,8 +162,8 @@
 	return retryInterrupted(func() error { return c.loop.group.system.Shutdown(c.fd, how) }) == nil
 }
 
-// Stale tells whether there is something to read on a connection on which nothing is awaited: an end, an error, or bytes that
-// nobody asked for.
+// Stale reports whether there is something to read on a connection on which nothing is expected: an end of file,
+// an error, or unsolicited bytes. A closed connection is stale.
 func (c *Conn) Stale() bool {
 	if c.fd < 0 || c.closeRequested {
 		return true
@@ -156,7 +176,7 @@
 	return !errors.Is(err, unix.EAGAIN) && !isTransient(err)
 }
 
-// Wake has Ready called soon, from any goroutine.
+// Wake has Handler.Ready called soon. Any goroutine may call it.
 func (c *Conn) Wake() {
 	if c.wakeScheduled.Swap(true) {
 		return
@@ -167,7 +187,7 @@
 	})
 }
 
-// notifyReady has the handler look at the connection.
+// notifyReady calls Handler.Ready.
 func (c *Conn) notifyReady() {
 	if c.fd < 0 || c.closeRequested {
 		return
@@ -177,14 +197,14 @@
 	c.closeIfRequested()
 }
 
-// closeIfRequested closes the connection if its handler wants that, or if it has failed.
+// closeIfRequested closes the connection if its handler has asked for that, or if the connection has failed.
 func (c *Conn) closeIfRequested() {
 	if c.closeRequested {
 		c.finish(c.closeErr)
 	}
 }
 
-// processIO writes what waits and reads what came.
+// processIO sends what is unsent and reads what has arrived.
 func (c *Conn) processIO() {
 	if c.fd < 0 || c.closeRequested {
 		return
@@ -205,10 +225,11 @@
 			return
 		}
 	}
-	c.scheduleRetry() // others have their turn first
+	// There may be more to read. Other connections have their turn first.
+	c.scheduleRetry()
 }
 
-// readOnce reads once; it is false where nothing more is to be read now.
+// readOnce reads once and calls the handler with the bytes. It returns false if nothing more is to be read now.
 func (c *Conn) readOnce() bool {
 	n, err := c.loop.group.system.Read(c.fd, c.loop.buffer)
 	switch {
@@ -228,14 +249,15 @@
 	return false
 }
 
-// finish closes the socket and tells the handler, once.
+// finish closes the socket and reports that to the handler. Further calls do nothing.
 func (c *Conn) finish(err error) {
 	if c.fd < 0 {
 		return
 	}
 	l := c.loop
 	delete(l.conns, c.fd)
-	_ = l.group.system.Close(c.fd) // the descriptor is free whatever it returns (close(2))
+	// The descriptor is released whatever close returns (close(2)).
+	_ = l.group.system.Close(c.fd)
 	c.fd = -1
 	c.unsent, c.inbound = nil, nil
 	if c.opened {
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -11,26 +11,29 @@
 	"whinrun/control"
 )
 
-// ErrDialTimeout tells that a peer did not take a connection in time.
+// ErrDialTimeout means that a peer did not accept a connection within the time given to Group.Dial.
 var ErrDialTimeout = errors.New("no connection in time")
 
-// dial is a connection that is being made.
+// dial is a connection that is being established.
 type dial struct {
 	fd       int
 	peer     netip.AddrPort
 	context  any
 	deadline control.Time
-	retry    bool // a call failed for now: it is looked at again a moment later
+	// retry is true if a system call failed with a transient error. The dial is then checked again a moment later.
+	retry bool
 }
 
-// Dial makes a connection. The handler hears Opened with the context value in Conn.Context, or DialFailed.
+// Dial opens a connection to an address and returns at once. The handler gets Opened with the context value in
+// Conn.Context, or DialFailed with it. ErrDialTimeout is the error if the connection is not open after the time
+// given by within.
 func (g *Group) Dial(to netip.AddrPort, within time.Duration, context any) {
 	l := g.nextLoop()
 	d := &dial{fd: -1, peer: to, context: context, deadline: g.clock.Now() + control.Time(within/time.Microsecond)}
 	l.post(func() { l.startDial(d) })
 }
 
-// startDial begins a connection.
+// startDial begins to connect.
 func (l *Loop) startDial(d *dial) {
 	system := l.group.system
 	to, family := sockaddr(d.peer)
@@ -41,7 +44,7 @@
 		return
 	}
 	err = system.Connect(d.fd, to)
-	// An interrupted connect goes on by itself (connect(2)).
+	// An interrupted connect continues in the background (connect(2)).
 	if err != nil && !isAnyOf(err, unix.EINPROGRESS, unix.EINTR, unix.EALREADY, unix.EISCONN) {
 		l.failDial(d, fmt.Errorf("connect: %w", err))
 		return
@@ -54,7 +57,7 @@
 	l.dials[d] = struct{}{}
 }
 
-// handleDialEvent looks at what became of a connection that is being made, after an event of its descriptor.
+// handleDialEvent handles an event of a descriptor that may be a dialled one.
 func (l *Loop) handleDialEvent(fd int) {
 	for d := range l.dials {
 		if d.fd == fd {
@@ -64,7 +67,8 @@
 	}
 }
 
-// completeDial takes a dialled connection over if it stands, or ends it if it failed.
+// completeDial registers the connection of a dial if it is established, and fails the dial if connecting has
+// failed. Otherwise the dial goes on.
 func (l *Loop) completeDial(d *dial) {
 	pending, err := l.group.system.SocketError(d.fd)
 	switch {
@@ -81,13 +85,14 @@
 	}
 }
 
-// isConnected tells whether a socket without an error has its peer: an event alone does not say so.
+// isConnected reports whether a socket without a pending error has a peer. An event alone does not prove that.
 func (l *Loop) isConnected(d *dial) bool {
 	_, err := l.group.system.Getpeername(d.fd)
 	switch {
 	case err == nil:
 		return true
-	case errors.Is(err, unix.ENOTCONN): // not yet
+	// The socket is not connected yet.
+	case errors.Is(err, unix.ENOTCONN):
 	case isTransient(err):
 		d.retry = true
 	default:
@@ -96,7 +101,8 @@
 	return false
 }
 
-// expireDials gives up what has taken too long, and looks again at what could not be looked at.
+// expireDials fails the dials that are past their deadline, and checks those again whose last check hit a
+// transient error.
 func (l *Loop) expireDials(now control.Time) {
 	for d := range l.dials {
 		switch {
@@ -109,7 +115,7 @@
 	}
 }
 
-// failDial ends a connection that does not come about.
+// failDial ends a dial with an error: it closes the socket and calls Handler.DialFailed.
 func (l *Loop) failDial(d *dial, err error) {
 	delete(l.dials, d)
 	if d.fd >= 0 {
@@ -122,10 +128,10 @@
 	l.group.handler.DialFailed(d.context, err)
 }
 
-// localError marks an error of a call that says nothing of the peer, whatever its number.
+// localError marks an error of a system call that says nothing about the peer, whatever its number.
 type localError struct{ err error }
 
 func (e *localError) Error() string { return e.err.Error() }
 
-// Unwrap returns an error that counts as this machine's lack, and the cause.
+// Unwrap returns the cause and ENOBUFS. The latter makes IsLocal true.
 func (e *localError) Unwrap() []error { return []error{unix.ENOBUFS, e.err} }
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,13 +1,13 @@
-// Package eventloop carries TCP connections on event loops over epoll (epoll(7)). A loop owns its connections: their
-// handler's methods are called on its goroutine, one at a time, and must not block.
+// Package eventloop runs TCP connections on event loops over epoll (epoll(7)). Each connection belongs to one
+// loop. Methods of the handler are called on the goroutine of that loop, one at a time, and must not block.
 //
-// It is made to outlive whatever the system calls return. What is interrupted or lacks something for a moment is done again;
-// accepting pauses where a resource is short, and goes on; a loop whose epoll_wait fails looks at all its connections
-// instead. A connection ends only by its peer, by an error that means so, or by its handler. docs/syscalls.md lists each call
-// with its errors and what is done.
+// The package keeps running whatever the system calls return. It repeats calls that are interrupted or fail with a
+// transient error. It pauses accepting while a resource is short, and resumes. A loop whose epoll_wait fails polls
+// all of its connections instead. A connection ends only if its peer or its handler ends it, or on an error that
+// means that it has failed. docs/syscalls.md lists each system call with its errors and how they are handled.
 //
-// Connections are watched edge-triggered for reading and writing from their start, so that nothing has to be changed in epoll
-// while they live.
+// Connections are registered edge-triggered for reading and writing when they open, so that the registration never
+// changes while they live.
 package eventloop
 
 import (
@@ -24,49 +24,59 @@
 	"whinrun/internal/clock"
 )
 
-// Handler is told what happens to connections. Its methods are called on the loop of the connection, but for Tick.
+// Handler receives the events of connections and dials. Each method is called on the loop of its connection or
+// dial. Tick is called on the first loop.
 type Handler interface {
-	// Opened tells of a new connection: one accepted, or dialled.
+	// Opened reports a new connection, accepted or dialled.
 	Opened(c *Conn)
-	// Ready tells that bytes came (see Conn.Inbound), that Wake was called, or that all that was written has left.
+	// Ready is called when bytes have arrived (see Conn.Inbound), after Wake, and when the kernel has taken all
+	// that was written.
 	Ready(c *Conn)
-	// Closed tells that a connection has ended: err is nil where this side closed it, io.EOF where its peer ended it.
+	// Closed reports that a connection has ended. The error is nil if this side closed it, and io.EOF if the peer
+	// ended it.
 	Closed(c *Conn, err error)
-	// DialFailed tells that a connection that was dialled with a context value did not come about; see Local.
+	// DialFailed reports that a dial with this context value has failed. IsLocal tells whether this machine is the
+	// cause.
 	DialFailed(context any, err error)
-	// Tick is called about as often as Config.Tick says, on the first loop.
+	// Tick is called about once each Config.TickInterval.
 	Tick()
 }
 
-// Config is of a group of loops.
+// Config configures a Group.
 type Config struct {
-	Loops        int           // at least one
-	TickInterval time.Duration // how often the handler's Tick is called; at least a millisecond
-	System       System        // nil for the kernel
-	// Log is told of what operators should know, nil for nothing.
+	// Loops is the number of event loops. Values below 1 count as 1.
+	Loops int
+	// TickInterval is the time between calls of Handler.Tick. Values below a millisecond count as a millisecond.
+	TickInterval time.Duration
+	// System makes the system calls. If it is nil, Kernel is used.
+	System System
+	// Log is called with texts for operators. It may be nil.
 	Log func(text string)
 }
 
-// Group is some event loops with one handler.
+// Group is a set of event loops with one handler, and at most one listening socket.
 type Group struct {
-	cfg         Config
-	handler     Handler
-	clock       clock.Clock
-	system      System
-	loops       []*Loop
-	nextIndex   atomic.Uint32
-	listener    *listener // of the first loop, nil for none
+	cfg       Config
+	handler   Handler
+	clock     clock.Clock
+	system    System
+	loops     []*Loop
+	nextIndex atomic.Uint32
+	// listener belongs to the first loop. It is nil if the group does not listen.
+	listener    *listener
 	errorCounts ErrorCounts
 	quit        chan struct{}
 	done        sync.WaitGroup
 }
 
-// ErrorCounts counts system calls that failed and did not end anything.
+// ErrorCounts counts system calls that failed without ending the group: accepts, waits for events, reads, writes
+// and dials. Accepts includes accepted connections that epoll did not take. Dials includes only those dials that
+// failed for a cause on this machine (see IsLocal).
 type ErrorCounts struct {
 	Accepts, Waits, Reads, Writes, Dials atomic.Int64
 }
 
-// New makes loops; Start has them run. An error tells that the machine lacks what they need.
+// New creates the loops, which Start runs. It fails if the machine lacks a resource that the loops need.
 func New(cfg Config, handler Handler, c clock.Clock) (*Group, error) {
 	if cfg.System == nil {
 		cfg.System = Kernel{}
@@ -87,14 +97,15 @@
 	return g, nil
 }
 
-// Start has the loops run.
+// Start runs the loops, each on a goroutine of its own.
 func (g *Group) Start() {
 	for _, l := range g.loops {
 		g.done.Go(l.run)
 	}
 }
 
-// Stop ends all loops and their connections, and waits for it. Handlers hear Closed for each connection.
+// Stop ends all loops and their connections, and waits until they have ended. The handler gets Closed for each
+// connection. Stop must be called once at most.
 func (g *Group) Stop() {
 	close(g.quit)
 	for _, l := range g.loops {
@@ -104,7 +115,7 @@
 	g.release()
 }
 
-// release gives back what loops that do not run hold.
+// release closes the descriptors of loops that do not run.
 func (g *Group) release() {
 	for _, l := range g.loops {
 		_ = g.system.Close(l.epollFD)
@@ -115,18 +126,20 @@
 	}
 }
 
-// ErrorCounts returns the counts of calls that failed and did not end anything.
+// ErrorCounts returns the counts of failed system calls. They change while the group runs.
 func (g *Group) ErrorCounts() *ErrorCounts { return &g.errorCounts }
 
-// nextLoop chooses a loop for a new connection, in turns.
+// nextLoop returns the loop for a new connection, in round-robin order.
 func (g *Group) nextLoop() *Loop { return g.loops[int(g.nextIndex.Add(1))%len(g.loops)] }
 
-// Loop is one event loop. All fields but those under mu are its goroutine's.
+// Loop is one event loop. Only its goroutine uses the fields, except for those guarded by mu.
 type Loop struct {
-	group     *Group
-	first     bool // it also ticks and accepts
-	epollFD   int
-	wakeFD    int // an eventfd that ends a wait
+	group *Group
+	// first is true for the loop that also calls Handler.Tick and accepts connections.
+	first   bool
+	epollFD int
+	// wakeFD is an eventfd. Writing to it ends a wait for events.
+	wakeFD    int
 	conns     map[int]*Conn
 	dials     map[*dial]struct{}
 	buffer    []byte
@@ -134,25 +147,34 @@
 	lastTick  control.Time
 	lastSweep control.Time
 
-	retries []*Conn // to be looked at again a moment later: a call failed for now, or there was too much to read at once
+	// retries lists connections to be processed again a moment later, because a call failed with a transient error
+	// or there was more to read than one turn allows.
+	retries []*Conn
 
-	mu     sync.Mutex
+	// mu guards posted.
+	mu sync.Mutex
+	// posted lists functions to be run on the loop's goroutine.
 	posted []func()
 }
 
-// Sizes of a loop.
 const (
+	// readBufferSize is the size of a loop's read buffer in bytes.
 	readBufferSize = 64 << 10
-	maxEvents      = 256
-	maxReads       = 16 // of one connection before others have their turn
+	// maxEvents is the largest number of events that one wait returns.
+	maxEvents = 256
+	// maxReads is how often one connection is read from before the others have their turn.
+	maxReads = 16
 )
 
-// Waits of a loop, in milliseconds.
 const (
-	maxWait   = 250 // a wake that was lost is found after this
-	retryWait = 2   // while something is to be tried again
+	// maxWait is the longest wait for events in milliseconds. If a wake-up is lost, the loop continues after this
+	// time.
+	maxWait = 250
+	// retryWait is the wait in milliseconds while something is to be tried again.
+	retryWait = 2
 )
 
+// newLoop opens the descriptors of a loop. The loop with number 0 is the first one.
 func newLoop(g *Group, number int) (*Loop, error) {
 	l := &Loop{group: g, first: number == 0, conns: map[int]*Conn{}, dials: map[*dial]struct{}{}, buffer: make([]byte, readBufferSize),
 		events: make([]unix.EpollEvent, maxEvents)}
@@ -169,7 +191,7 @@
 	return l, nil
 }
 
-// post has f run on the loop's goroutine, in the order of the calls.
+// post has f run on the loop's goroutine. Functions run in the order of the calls.
 func (l *Loop) post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -180,10 +202,10 @@
 	}
 }
 
-// wakeSignal is what is written to an eventfd.
+// wakeSignal is the number 1 as eight bytes in little-endian order. It is written to an eventfd.
 var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
-// wake ends the loop's wait. Should it fail, the wait ends by itself after waitMost.
+// wake ends the loop's wait. If that fails, the wait ends by itself after maxWait.
 func (l *Loop) wake() {
 	_ = retryInterrupted(func() error {
 		_, err := l.group.system.Write(l.wakeFD, wakeSignal)
@@ -191,7 +213,7 @@
 	})
 }
 
-// run is the loop.
+// run is the body of the loop's goroutine. It returns after Group.Stop.
 func (l *Loop) run() {
 	defer l.shutdown()
 	for {
@@ -207,7 +229,8 @@
 	}
 }
 
-// wait waits for events and has them dealt with. Where the wait itself fails, all connections are looked at: they don't block.
+// wait waits for events and handles them. If the wait itself fails, wait polls everything instead; the descriptors
+// do not block.
 func (l *Loop) wait() {
 	n, err := l.group.system.EpollWait(l.epollFD, l.events, l.waitTimeout())
 	switch {
@@ -225,7 +248,7 @@
 	}
 }
 
-// waitTimeout is how long a wait may be, in milliseconds.
+// waitTimeout returns how long the next wait may last, in milliseconds.
 func (l *Loop) waitTimeout() int {
 	l.mu.Lock()
 	posted := len(l.posted)
@@ -251,7 +274,7 @@
 	return wait
 }
 
-// millisecondsTo is how long to wait until a moment, never too short by a fraction.
+// millisecondsTo returns the milliseconds until a time, rounded up so that a wait does not end before it.
 func (l *Loop) millisecondsTo(at control.Time) int {
 	left := at - l.group.clock.Now()
 	if left <= 0 {
@@ -260,9 +283,10 @@
 	return int(left/control.Millisecond) + 1
 }
 
+// hasListener reports whether this loop accepts connections.
 func (l *Loop) hasListener() bool { return l.first && l.group.listener != nil }
 
-// handleEvent deals with an event of a descriptor.
+// handleEvent handles an event of a descriptor.
 func (l *Loop) handleEvent(fd int) {
 	switch c := l.conns[fd]; {
 	case fd == l.wakeFD:
@@ -276,7 +300,7 @@
 	}
 }
 
-// drainWakeFD empties the eventfd, so that the next write to it is an event again.
+// drainWakeFD empties the eventfd. With edge triggering, the next write to it is an event again.
 func (l *Loop) drainWakeFD() {
 	var b [8]byte
 	_ = retryInterrupted(func() error {
@@ -285,7 +309,7 @@
 	})
 }
 
-// pollAll does what events would have asked for.
+// pollAll does what events would have caused, for every descriptor of the loop.
 func (l *Loop) pollAll() {
 	l.drainWakeFD()
 	if l.hasListener() {
@@ -299,7 +323,7 @@
 	}
 }
 
-// connections returns all connections; they may end while it is walked.
+// connections returns a copy of the list of connections. They may end while a caller iterates over it.
 func (l *Loop) connections() []*Conn {
 	all := make([]*Conn, 0, len(l.conns))
 	for _, c := range l.conns {
@@ -308,7 +332,7 @@
 	return all
 }
 
-// runPosted does what was posted.
+// runPosted runs the functions that were posted.
 func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
@@ -319,7 +343,7 @@
 	}
 }
 
-// runRetries looks again at connections whose calls failed for now.
+// runRetries processes the connections again that are listed in retries.
 func (l *Loop) runRetries() {
 	retries := l.retries
 	l.retries = nil
@@ -329,7 +353,7 @@
 	}
 }
 
-// runTimers has what is due by time done.
+// runTimers does what is due by time: expired dials, sweeps, the end of an accept pause, and Handler.Tick.
 func (l *Loop) runTimers() {
 	now := l.group.clock.Now()
 	l.expireDials(now)
@@ -349,14 +373,17 @@
 	}
 }
 
-// Connections are looked at now and then without an event: a call that wrongly said that there is nothing to do now has none
-// behind it.
+// A loop sweeps over its connections at times, without an event. A system call that wrongly returned EAGAIN is not
+// followed by an event.
 const (
+	// sweepInterval is the time between two sweeps.
 	sweepInterval = 500 * control.Millisecond
-	maxSweep      = 512 // at once, of very many others than the last time
+	// maxSweep is the largest number of connections processed in one sweep. Map iteration order makes it a
+	// different selection each time.
+	maxSweep = 512
 )
 
-// sweep looks at connections.
+// sweep processes up to maxSweep connections, all dials and the listening socket.
 func (l *Loop) sweep() {
 	batch := make([]*Conn, 0, min(len(l.conns), maxSweep))
 	for _, c := range l.conns {
@@ -376,9 +403,10 @@
 	}
 }
 
-// shutdown ends the loop's connections.
+// shutdown ends the loop's dials and connections and closes its listening socket.
 func (l *Loop) shutdown() {
-	l.runPosted() // dials that were posted hear that they failed
+	// Posted dials are started here, and fail below with the others.
+	l.runPosted()
 	for d := range l.dials {
 		l.failDial(d, errStopped)
 	}
@@ -390,9 +418,10 @@
 	}
 }
 
+// errStopped is the error of dials that are under way when the group stops.
 var errStopped = errors.New("the event loops have stopped")
 
-// sockaddr is an address in the kernel's form, with the family of its sockets.
+// sockaddr converts an address to the kernel's form. It also returns the address family for the socket.
 func sockaddr(a netip.AddrPort) (to unix.Sockaddr, family int) {
 	if a.Addr().Is4() || a.Addr().Is4In6() {
 		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().Unmap().As4()}, unix.AF_INET
@@ -400,7 +429,8 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}, unix.AF_INET6
 }
 
-// addrPort is an address of the kernel; it is not valid for one that is not of TCP.
+// addrPort converts an address from the kernel's form. The result is not valid if the address is not one of IPv4
+// or IPv6.
 func addrPort(s unix.Sockaddr) netip.AddrPort {
 	switch a := s.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -19,11 +19,12 @@
 	"whinrun/internal/eventloop/eventlooptest"
 )
 
-// echo writes back what comes, and counts what happens.
+// echo is a handler that writes back what it reads, and counts connections.
 type echo struct {
 	opened, closed atomic.Int64
-	failures       chan error // of dials, and why connections ended
-	dialled        chan *eventloop.Conn
+	// failures receives the errors of dials and of connections that did not end in order.
+	failures chan error
+	dialled  chan *eventloop.Conn
 }
 
 func (e *echo) Opened(c *eventloop.Conn) {
@@ -42,6 +43,8 @@
 func (e *echo) DialFailed(_ any, err error) { e.failures <- err }
 func (e *echo) Tick()                       {}
 
+// serve starts a listening group with an echo handler and injectable faults. When the test ends, every connection
+// that was opened must have been closed.
 func serve(t *testing.T, loops int) (*eventloop.Group, *echo, *eventlooptest.FaultySystem) {
 	t.Helper()
 	f, e := &eventlooptest.FaultySystem{}, &echo{failures: make(chan error, 1000), dialled: make(chan *eventloop.Conn, 100)}
@@ -63,7 +66,7 @@
 	return g, e, f
 }
 
-// talk sends a text and reads it back.
+// talk sends bytes over a new connection and expects the same bytes back.
 func talk(g *eventloop.Group, text []byte) error {
 	c, err := net.DialTimeout("tcp", g.Addr().String(), 5*time.Second)
 	if err != nil {
@@ -82,7 +85,8 @@
 	return nil
 }
 
-// Calls that fail for a moment, all together: every byte comes back, in order, and no connection ends.
+// System calls fail at random with transient errors, all kinds together. Every byte must come back in order, and
+// no connection may end.
 func TestCallsThatFailForAMoment(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -107,7 +111,7 @@
 	}
 }
 
-// Each error of accept, for a while: clients wait, and are served afterwards.
+// Accept fails for a while, with each of its errors. Clients must wait in the backlog and be served afterwards.
 func TestAcceptGoesOn(t *testing.T) {
 	for _, fault := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPROTO, unix.EPERM, unix.ECONNABORTED, unix.EINTR,
 		unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ENOSR, unix.ESOCKTNOSUPPORT,
@@ -135,7 +139,7 @@
 	}
 }
 
-// A listening socket that is lost for good is opened anew.
+// A listening socket that is lost for good must be replaced by a new one.
 func TestListeningSocketIsLost(t *testing.T) {
 	g, _, f := serve(t, 1)
 	var reopened atomic.Bool
@@ -149,19 +153,22 @@
 		return nil
 	})
 	watch := clock.Start()
-	for talk(g, []byte("hello")) != nil { // those that waited at the old socket are gone with it
+	// Clients in the backlog of the old socket are lost with it.
+	for talk(g, []byte("hello")) != nil {
 		if watch.Elapsed() > 20*time.Second {
 			t.Fatal("nobody is served")
 		}
 	}
 }
 
-// A dial that fails says whose lack it was; one that is interrupted goes on.
+// The error of a failed dial must tell whether this machine or the peer is the cause. An interrupted dial must go
+// on.
 func TestDials(t *testing.T) {
 	for _, c := range []struct {
 		call  string
 		fault unix.Errno
-		want  string // "connected", "local" or "peer"
+		// want is "connected", "local" or "peer", or "none" for a dial that times out.
+		want string
 	}{
 		{"socket", unix.EMFILE, "local"}, {"socket", unix.ENFILE, "local"}, {"socket", unix.ENOBUFS, "local"}, {"socket", unix.ENOMEM, "local"},
 		{"socket", unix.EACCES, "local"},
@@ -205,7 +212,8 @@
 	}
 }
 
-// A call that says once that there is nothing to do, where there is, holds nobody up for long.
+// A system call returns EAGAIN once although there is something to do, so that no event follows. The sweep must
+// find it.
 func TestWrongWordThatThereIsNothingToDo(t *testing.T) {
 	for _, call := range []string{"read", "write", "accept"} {
 		t.Run(call, func(t *testing.T) {
@@ -225,7 +233,7 @@
 	}
 }
 
-// A peer that takes no connection is given up in time; nobody listens at the other.
+// A dial to a port on which nobody listens must fail with ECONNREFUSED, which is not a local error.
 func TestDialsThatMeetNobody(t *testing.T) {
 	g, e, _ := serve(t, 1)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -240,7 +248,7 @@
 	}
 }
 
-// An error that ends a connection, in each way that it can end, is told with it.
+// An error that ends a connection must reach Handler.Closed, whether a read or a write hits it.
 func TestConnectionsEnd(t *testing.T) {
 	for _, call := range []string{"read", "write"} {
 		for _, fault := range []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE, unix.EIO} {
@@ -269,7 +277,7 @@
 	}
 }
 
-// A peer that reads nothing holds nothing up, and has all of it when it reads.
+// A peer that does not read must not hold up another client. It must get all bytes once it reads.
 func TestSlowReader(t *testing.T) {
 	g, _, _ := serve(t, 1)
 	c, err := net.Dial("tcp", g.Addr().String())
@@ -277,7 +285,8 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	text := bytes.Repeat([]byte("0123456789abcdef"), 1<<19) // 8 MiB, past all buffers
+	// 8 MiB is more than all socket buffers hold.
+	text := bytes.Repeat([]byte("0123456789abcdef"), 1<<19)
 	go func() { _, _ = c.Write(text) }()
 	if err := talk(g, []byte("another client")); err != nil {
 		t.Error(err)
@@ -288,7 +297,7 @@
 	}
 }
 
-// A start that lacks something says so, and leaves nothing open.
+// If a resource is short at the start, New and Listen must return the error.
 func TestStartLacksSomething(t *testing.T) {
 	f := &eventlooptest.FaultySystem{}
 	f.SetFault(func(call string) error {
--- a/internal/eventloop/eventlooptest/faulty.go
+++ b/internal/eventloop/eventlooptest/faulty.go
@@ -1,4 +1,5 @@
-// Package eventlooptest has what tests of event loops and of what runs on them need: system calls that fail.
+// Package eventlooptest provides system calls that fail, for tests of event loops and of programs that run on
+// them.
 package eventlooptest
 
 import (
@@ -11,23 +12,27 @@
 	"whinrun/internal/eventloop"
 )
 
-// FaultySystem is the kernel with calls that fail on command. The zero value fails none.
+// FaultySystem is eventloop.Kernel with injected faults. The zero value injects none. It is safe for concurrent
+// use.
 type FaultySystem struct {
 	eventloop.Kernel
-	mu    sync.Mutex
-	fault func(call string) error // nil: none; ErrShort: a part is read or written
+	mu sync.Mutex
+	// fault returns the error to inject into a call. It is nil if no faults are injected.
+	fault func(call string) error
 }
 
-// ErrShort has a read or a write take a part of what it could.
+// ErrShort makes a read or a write transfer at most 8 bytes instead of failing.
 var ErrShort = errors.New("a short read or write")
 
-// SetFault has each call asked for: an error is what it fails with, nil has it made. Calls are named as their manual pages are.
+// SetFault sets the function that decides on each call. The call fails with the returned error, and is made if
+// that is nil. The argument is the call's name as in its manual page.
 func (f *FaultySystem) SetFault(fail func(call string) error) {
 	f.mu.Lock()
 	f.fault = fail
 	f.mu.Unlock()
 }
 
+// faultOf returns the error to inject into a call.
 func (f *FaultySystem) faultOf(call string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -37,7 +42,7 @@
 	return f.fault(call)
 }
 
-// Socket is eventloop.System.
+// Socket implements eventloop.System.
 func (f *FaultySystem) Socket(domain, kind, protocol int) (int, error) {
 	if err := f.faultOf("socket"); err != nil {
 		return -1, err
@@ -45,7 +50,7 @@
 	return f.Kernel.Socket(domain, kind, protocol)
 }
 
-// Bind is eventloop.System.
+// Bind implements eventloop.System.
 func (f *FaultySystem) Bind(fd int, to unix.Sockaddr) error {
 	if err := f.faultOf("bind"); err != nil {
 		return err
@@ -53,7 +58,7 @@
 	return f.Kernel.Bind(fd, to)
 }
 
-// Listen is eventloop.System.
+// Listen implements eventloop.System.
 func (f *FaultySystem) Listen(fd, n int) error {
 	if err := f.faultOf("listen"); err != nil {
 		return err
@@ -61,7 +66,7 @@
 	return f.Kernel.Listen(fd, n)
 }
 
-// Accept is eventloop.System.
+// Accept implements eventloop.System.
 func (f *FaultySystem) Accept(fd int) (int, unix.Sockaddr, error) {
 	if err := f.faultOf("accept"); err != nil {
 		return -1, nil, err
@@ -69,10 +74,11 @@
 	return f.Kernel.Accept(fd)
 }
 
-// Connect is eventloop.System.
+// Connect implements eventloop.System.
 func (f *FaultySystem) Connect(fd int, to unix.Sockaddr) error {
 	err := f.faultOf("connect")
-	if err == nil || errors.Is(err, unix.EINTR) { // an interrupted one goes on
+	// The kernel goes on to connect after an interrupted call.
+	if err == nil || errors.Is(err, unix.EINTR) {
 		if kernelErr := f.Kernel.Connect(fd, to); err == nil {
 			return kernelErr
 		}
@@ -80,7 +86,7 @@
 	return err
 }
 
-// SocketError is eventloop.System.
+// SocketError implements eventloop.System.
 func (f *FaultySystem) SocketError(fd int) (error, error) {
 	if err := f.faultOf("getsockopt"); err != nil {
 		return nil, err
@@ -88,7 +94,7 @@
 	return f.Kernel.SocketError(fd)
 }
 
-// Getpeername is eventloop.System.
+// Getpeername implements eventloop.System.
 func (f *FaultySystem) Getpeername(fd int) (unix.Sockaddr, error) {
 	if err := f.faultOf("getpeername"); err != nil {
 		return nil, err
@@ -96,7 +102,7 @@
 	return f.Kernel.Getpeername(fd)
 }
 
-// SetOption is eventloop.System.
+// SetOption implements eventloop.System.
 func (f *FaultySystem) SetOption(fd, level, option, value int) error {
 	if err := f.faultOf("setsockopt"); err != nil {
 		return err
@@ -104,7 +110,7 @@
 	return f.Kernel.SetOption(fd, level, option, value)
 }
 
-// Read is eventloop.System.
+// Read implements eventloop.System.
 func (f *FaultySystem) Read(fd int, b []byte) (int, error) {
 	switch err := f.faultOf("read"); {
 	case errors.Is(err, ErrShort):
@@ -115,7 +121,7 @@
 	return f.Kernel.Read(fd, b)
 }
 
-// Write is eventloop.System.
+// Write implements eventloop.System.
 func (f *FaultySystem) Write(fd int, b []byte) (int, error) {
 	switch err := f.faultOf("write"); {
 	case errors.Is(err, ErrShort):
@@ -126,16 +132,17 @@
 	return f.Kernel.Write(fd, b)
 }
 
-// Close is eventloop.System.
+// Close implements eventloop.System.
 func (f *FaultySystem) Close(fd int) error {
-	err := f.Kernel.Close(fd) // the descriptor is gone in any case (close(2))
+	// The descriptor is released in any case (close(2)).
+	err := f.Kernel.Close(fd)
 	if fault := f.faultOf("close"); fault != nil {
 		return fault
 	}
 	return err
 }
 
-// EpollAdd is eventloop.System.
+// EpollAdd implements eventloop.System.
 func (f *FaultySystem) EpollAdd(epoll, fd int, events uint32) error {
 	if err := f.faultOf("epoll_ctl"); err != nil {
 		return err
@@ -143,7 +150,7 @@
 	return f.Kernel.EpollAdd(epoll, fd, events)
 }
 
-// EpollWait is eventloop.System.
+// EpollWait implements eventloop.System.
 func (f *FaultySystem) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
 	if err := f.faultOf("epoll_wait"); err != nil {
 		return -1, err
@@ -151,7 +158,9 @@
 	return f.Kernel.EpollWait(epoll, events, ms)
 }
 
-// RandomFaults fails calls at random, with one of the errors given for each.
+// RandomFaults returns a function for FaultySystem.SetFault. It injects faults with the given probability into the
+// calls that errs names, each one of the errors listed for the call. The function is not safe for concurrent use
+// by itself; SetFault makes it so.
 func RandomFaults(seed uint64, probability float64, errs map[string][]error) func(string) error {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func(call string) error {
@@ -162,7 +171,8 @@
 	}
 }
 
-// TransientErrors are errors and shortfalls after which the call is to be made again, the connection as good as before.
+// TransientErrors lists, for each call, errors and short transfers after which the loop repeats the call or goes
+// on without it. They must not end a connection.
 var TransientErrors = map[string][]error{
 	"read":       {unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS, ErrShort},
 	"write":      {unix.EINTR, unix.ENOMEM, unix.ENOBUFS, ErrShort},
--- a/internal/eventloop/listen.go
+++ b/internal/eventloop/listen.go
@@ -12,34 +12,42 @@
 	"whinrun/control"
 )
 
-// listener is a listening socket, on the first loop. Accepting pauses where a call fails for want of something; the kernel keeps
-// the clients meanwhile.
+// listener is the listening socket of the first loop. Accepting pauses while a resource is short. The kernel
+// queues clients meanwhile.
 type listener struct {
-	fd          int
-	addr        netip.AddrPort
-	pausedUntil control.Time // 0 while it accepts
-	nextPause   time.Duration
-	stopped     bool         // nothing more is accepted
-	brokenSince control.Time // since when accept says that the socket is none, 0 while it does not
+	fd   int
+	addr netip.AddrPort
+	// pausedUntil is the end of the current pause. It is 0 while the loop accepts.
+	pausedUntil control.Time
+	// nextPause is the length of the next pause.
+	nextPause time.Duration
+	// stopped is true once nothing more is to be accepted.
+	stopped bool
+	// brokenSince is the time since which accept fails because the descriptor is no listening socket. It is 0
+	// while accept does not.
+	brokenSince control.Time
 }
 
-// backlog is how many connections may wait to be accepted; the kernel has its own bound.
+// backlog is the largest number of connections that wait to be accepted. The kernel may apply a lower bound.
 const backlog = 4096
 
-// Pauses of accepting.
 const (
+	// minPause is the first pause after accept has failed. Each further pause is twice as long.
 	minPause = 5 * time.Millisecond
+	// maxPause is the longest pause of accepting.
 	maxPause = 500 * time.Millisecond
 )
 
-// Listen opens a listening socket; port 0 takes a free one. It is to be called once at most, before Start.
+// Listen opens the listening socket on a host and port. Port 0 takes a free one, and without a host it listens on
+// all addresses. Listen must be called once at most, before Start.
 func (g *Group) Listen(address string) error {
 	to, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return err
 	}
 	at := to.AddrPort()
-	if !at.Addr().IsValid() { // no host: all addresses
+	// There is no host in the address.
+	if !at.Addr().IsValid() {
 		at = netip.AddrPortFrom(netip.IPv6Unspecified(), uint16(to.Port))
 	}
 	fd, err := g.listenOn(at)
@@ -57,12 +65,14 @@
 	return nil
 }
 
+// listenOn opens a listening socket. On an error no descriptor is left open.
 func (g *Group) listenOn(at netip.AddrPort) (fd int, err error) {
 	to, family := sockaddr(at)
 	if fd, err = g.system.Socket(family, unix.SOCK_STREAM, 0); err != nil {
 		return 0, fmt.Errorf("socket: %w", err)
 	}
-	_ = g.system.SetOption(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1) // bind tells where it was needed
+	// If the option was needed and could not be set, bind fails.
+	_ = g.system.SetOption(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err = g.system.Bind(fd, to); err != nil {
 		err = fmt.Errorf("bind: %w", err)
 	} else if err = g.system.Listen(fd, backlog); err != nil {
@@ -74,7 +84,7 @@
 	return fd, nil
 }
 
-// Addr is the address that the group listens on; it is not valid where it does not.
+// Addr returns the address of the listening socket. It is not valid if the group does not listen.
 func (g *Group) Addr() netip.AddrPort {
 	if g.listener == nil {
 		return netip.AddrPort{}
@@ -82,8 +92,8 @@
 	return g.listener.addr
 }
 
-// StopAccepting closes the listening socket, and waits until nothing more is accepted. Clients that connect are turned away by
-// the kernel; connections there are go on.
+// StopAccepting closes the listening socket and returns once nothing more is accepted. The kernel then refuses new
+// clients. Open connections are not affected.
 func (g *Group) StopAccepting() {
 	done := make(chan struct{})
 	g.loops[0].post(func() {
@@ -98,6 +108,7 @@
 	}
 }
 
+// close closes the listening socket. Further calls do nothing.
 func (n *listener) close(system System) {
 	if !n.stopped {
 		n.stopped = true
@@ -108,10 +119,10 @@
 	}
 }
 
-// maxAccepts is how many connections are accepted before others have their turn.
+// maxAccepts is how many connections are accepted before other work has its turn.
 const maxAccepts = 64
 
-// accept takes new connections.
+// accept accepts the connections that wait, up to maxAccepts.
 func (l *Loop) accept() {
 	n := l.group.listener
 	if n.stopped || n.pausedUntil > 0 {
@@ -132,16 +143,18 @@
 			return
 		}
 	}
-	n.pausedUntil = 1 // more may wait: the next round goes on
+	// More connections may wait. The time 1 lies in the past, so that the next round accepts again.
+	n.pausedUntil = 1
 }
 
-// isSingleConnError tells whether accept failed for what became of the one connection (accept(2)): the next one may be well.
+// isSingleConnError reports whether accept failed because of the one connection that it took from the queue
+// (accept(2)). The next connection may be sound.
 func isSingleConnError(err error) bool {
 	return isAnyOf(err, unix.EINTR, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET, unix.EHOSTUNREACH,
 		unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT)
 }
 
-// pauseAccepting has nothing accepted for a while, longer each time.
+// pauseAccepting stops accepting for a while, and doubles the next pause up to maxPause.
 func (l *Loop) pauseAccepting(err error) {
 	n := l.group.listener
 	if n.nextPause == minPause {
@@ -157,10 +170,12 @@
 	n.nextPause = min(2*n.nextPause, maxPause)
 }
 
-// reopenAfter is how long accept may say that the listening socket is none before another is opened in its place.
+// reopenAfter is how long accept may fail because of the listening socket itself before another is opened in its
+// place.
 const reopenAfter = 2 * control.Second
 
-// reopenListener opens the listening socket anew where it has been lost.
+// reopenListener opens the listening socket again after it has been lost. If that fails, it is tried again after
+// reopenAfter.
 func (l *Loop) reopenListener(now control.Time) {
 	n, system := l.group.listener, l.group.system
 	_ = system.Close(n.fd)
@@ -179,7 +194,7 @@
 	l.group.cfg.Log("the listening socket was lost and is opened anew")
 }
 
-// resumeAccepting goes on accepting once a pause is over.
+// resumeAccepting ends a pause of accepting that is over.
 func (l *Loop) resumeAccepting(now control.Time) {
 	n := l.group.listener
 	if n.pausedUntil == 0 || now < n.pausedUntil {
@@ -192,11 +207,12 @@
 	l.accept()
 }
 
-// handOff gives a new connection to a loop.
+// handOff gives an accepted connection to the next loop.
 func (g *Group) handOff(fd int, peer netip.AddrPort) {
 	l := g.nextLoop()
 	l.post(func() {
-		if err := l.openConn(fd, peer, nil); err != nil { // it is closed unread
+		// The connection is closed without having been read from.
+		if err := l.openConn(fd, peer, nil); err != nil {
 			g.errorCounts.Accepts.Add(1)
 			g.cfg.Log(fmt.Sprintf("client %v: not taken: %v", peer, err))
 		}
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is the system calls that event loops make on sockets. There is one implementation in service, Kernel; tests put others
-// before it that fail as the manual pages say they may.
+// System is the set of system calls that event loops make on sockets. Kernel is the implementation for production.
+// Tests use others whose calls fail in the ways that the manual pages describe.
 type System interface {
 	Socket(domain, kind, protocol int) (fd int, err error)
 	Bind(fd int, to unix.Sockaddr) error
@@ -15,7 +15,8 @@
 	Getsockname(fd int) (unix.Sockaddr, error)
 	Accept(fd int) (conn int, from unix.Sockaddr, err error)
 	Connect(fd int, to unix.Sockaddr) error
-	SocketError(fd int) (pending, err error) // SO_ERROR
+	// SocketError returns the pending error of a socket (SO_ERROR), or the error of the call itself.
+	SocketError(fd int) (pending, err error)
 	Getpeername(fd int) (unix.Sockaddr, error)
 	SetOption(fd, level, option, value int) error
 	Read(fd int, b []byte) (int, error)
@@ -29,32 +30,32 @@
 	Eventfd() (fd int, err error)
 }
 
-// Kernel makes the system calls.
+// Kernel makes the system calls. Its descriptors are non-blocking and are closed on exec.
 type Kernel struct{}
 
-// Socket is socket(2), not blocking.
+// Socket calls socket(2) for a non-blocking socket.
 func (Kernel) Socket(domain, kind, protocol int) (int, error) {
 	return unix.Socket(domain, kind|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, protocol)
 }
 
-// Bind is bind(2).
+// Bind calls bind(2).
 func (Kernel) Bind(fd int, to unix.Sockaddr) error { return unix.Bind(fd, to) }
 
-// Listen is listen(2).
+// Listen calls listen(2).
 func (Kernel) Listen(fd, backlog int) error { return unix.Listen(fd, backlog) }
 
-// Getsockname is getsockname(2).
+// Getsockname calls getsockname(2).
 func (Kernel) Getsockname(fd int) (unix.Sockaddr, error) { return unix.Getsockname(fd) }
 
-// Accept is accept4(2), not blocking.
+// Accept calls accept4(2) for a non-blocking socket.
 func (Kernel) Accept(fd int) (int, unix.Sockaddr, error) {
 	return unix.Accept4(fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 }
 
-// Connect is connect(2).
+// Connect calls connect(2).
 func (Kernel) Connect(fd int, to unix.Sockaddr) error { return unix.Connect(fd, to) }
 
-// SocketError is getsockopt(2) for SO_ERROR.
+// SocketError calls getsockopt(2) for SO_ERROR.
 func (Kernel) SocketError(fd int) (pending, err error) {
 	n, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err != nil || n == 0 {
@@ -63,52 +64,53 @@
 	return unix.Errno(n), nil
 }
 
-// Getpeername is getpeername(2).
+// Getpeername calls getpeername(2).
 func (Kernel) Getpeername(fd int) (unix.Sockaddr, error) { return unix.Getpeername(fd) }
 
-// SetOption is setsockopt(2) for a number.
+// SetOption calls setsockopt(2) for an integer option.
 func (Kernel) SetOption(fd, level, option, value int) error {
 	return unix.SetsockoptInt(fd, level, option, value)
 }
 
-// Read is read(2).
+// Read calls read(2).
 func (Kernel) Read(fd int, b []byte) (int, error) { return unix.Read(fd, b) }
 
-// Peek is recvfrom(2) that takes nothing and does not wait.
+// Peek calls recvfrom(2) without blocking and without consuming bytes.
 func (Kernel) Peek(fd int, b []byte) (int, error) {
 	n, _, err := unix.Recvfrom(fd, b, unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n, err
 }
 
-// Write is write(2).
+// Write calls write(2).
 func (Kernel) Write(fd int, b []byte) (int, error) { return unix.Write(fd, b) }
 
-// Shutdown is shutdown(2).
+// Shutdown calls shutdown(2).
 func (Kernel) Shutdown(fd, how int) error { return unix.Shutdown(fd, how) }
 
-// Close is close(2).
+// Close calls close(2).
 func (Kernel) Close(fd int) error { return unix.Close(fd) }
 
-// EpollCreate is epoll_create1(2).
+// EpollCreate calls epoll_create1(2).
 func (Kernel) EpollCreate() (int, error) { return unix.EpollCreate1(unix.EPOLL_CLOEXEC) }
 
-// EpollAdd is epoll_ctl(2) with EPOLL_CTL_ADD.
+// EpollAdd calls epoll_ctl(2) with EPOLL_CTL_ADD.
 func (Kernel) EpollAdd(epoll, fd int, events uint32) error {
 	return unix.EpollCtl(epoll, unix.EPOLL_CTL_ADD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
-// EpollWait is epoll_wait(2).
+// EpollWait calls epoll_wait(2).
 func (Kernel) EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (int, error) {
 	return unix.EpollWait(epoll, events, milliseconds)
 }
 
-// Eventfd is eventfd(2), not blocking.
+// Eventfd calls eventfd(2) for a non-blocking descriptor with the count 0.
 func (Kernel) Eventfd() (int, error) { return unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC) }
 
-// maxInterruptedCalls is how often a call is made again at once that a signal interrupted.
+// maxInterruptedCalls is how many calls in a row a signal may interrupt before the error is returned.
 const maxInterruptedCalls = 16
 
-// retryInterrupted makes a call until no signal interrupts it.
+// retryInterrupted repeats a call while a signal interrupts it, up to maxInterruptedCalls times. It returns the
+// last error.
 func retryInterrupted(call func() error) error {
 	var err error
 	for range maxInterruptedCalls {
@@ -119,7 +121,7 @@
 	return err
 }
 
-// isAnyOf tells whether an error is one of those named.
+// isAnyOf reports whether an error is one of the given error numbers.
 func isAnyOf(err error, codes ...unix.Errno) bool {
 	for _, n := range codes {
 		if errors.Is(err, n) {
@@ -129,12 +131,12 @@
 	return false
 }
 
-// isTransient tells whether a read or a write failed for want of something that may be there a moment later, with the connection as
-// good as before.
+// isTransient reports whether a call failed for a cause that may be gone a moment later: a signal or a shortage of
+// memory. The connection is as good as before.
 func isTransient(err error) bool { return isAnyOf(err, unix.EINTR, unix.ENOMEM, unix.ENOBUFS) }
 
-// IsLocal tells whether a connection could not be made for want of something on this machine: descriptors, memory, ports, a
-// route. It says nothing of the peer.
+// IsLocal reports whether a connection could not be made because of this machine: it lacked descriptors, memory,
+// ports or a route, or refused the call. Such an error says nothing about the peer.
 func IsLocal(err error) bool {
 	return isAnyOf(err, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS, unix.ENOSPC, unix.EAGAIN, unix.EINTR, unix.EADDRNOTAVAIL,
 		unix.EADDRINUSE, unix.ENETUNREACH, unix.ENETDOWN, unix.EACCES, unix.EPERM, unix.EAFNOSUPPORT, unix.EPROTONOSUPPORT, unix.EINVAL,
