--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -17,9 +17,9 @@
 func (p *Pool) elapsed() time.Duration { return clock.Elapsed(p.clock) }
 
 // Opened is eventloop.Handler: it starts the protocol on a connection.
-func (p *Pool) Opened(gc *eventloop.Conn) {
-	c := &conn{pool: p, endpoint: gc.Context.(*endpointPool), netConn: gc}
-	gc.Context = c
+func (p *Pool) Opened(netConn *eventloop.Conn) {
+	c := &conn{pool: p, endpoint: netConn.Context.(*endpointPool), netConn: netConn}
+	netConn.Context = c
 	c.session = p.proto.newSession(c, p.elapsed())
 	p.openConns.Add(1)
 	p.mu.Lock()
@@ -30,14 +30,14 @@
 	if st := c.session.state(); st.ready {
 		c.markUsable(st.capacity)
 	}
-	gc.Write(c.session.takeOutput())
+	netConn.Write(c.session.takeOutput())
 }
 
 // Ready is eventloop.Handler: it takes bytes of the peer, and what was put into the inbox.
-func (p *Pool) Ready(gc *eventloop.Conn) {
-	c := gc.Context.(*conn)
+func (p *Pool) Ready(netConn *eventloop.Conn) {
+	c := netConn.Context.(*conn)
 	now := p.elapsed()
-	if in := gc.Inbound(); len(in) > 0 {
+	if in := netConn.Inbound(); len(in) > 0 {
 		if err := c.session.receive(now, in); err != nil {
 			c.protocolFailed(err)
 			return
@@ -86,13 +86,13 @@
 }
 
 // Closed is eventloop.Handler: it ends what was out on the connection.
-func (p *Pool) Closed(gc *eventloop.Conn, err error) {
+func (p *Pool) Closed(netConn *eventloop.Conn, err error) {
 	p.openConns.Add(-1)
 	reason := "connection closed by the peer"
 	if err != nil && !errors.Is(err, io.EOF) {
 		reason = err.Error()
 	}
-	gc.Context.(*conn).remove(engine.ResetUnanswered, reason)
+	netConn.Context.(*conn).remove(engine.ResetUnanswered, reason)
 }
 
 // lose takes a connection out of its pool, and ends all that was on it. What was never written has not run: it waits
@@ -296,7 +296,7 @@
 }
 
 // markUsable opens a connection for calls; limit is how many it carries.
-func (c *conn) markUsable(limit int) {
+func (c *conn) markUsable(capacity int) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -305,7 +305,7 @@
 	p.scheduler.Opened()
 	p.wakeScheduler()
 	c.endpoint.activeUntil = p.clock.Now() + activePeriod
-	c.capacity = limit
+	c.capacity = capacity
 	c.markIdle()
 	p.assignPending(c.endpoint)
 	p.requestConn(c.endpoint)
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -52,149 +52,149 @@
 	chunks         h1.Chunks
 }
 
-func (l *h1Session) takeOutput() []byte {
-	out := l.outBuffer
-	l.outBuffer = nil
+func (s *h1Session) takeOutput() []byte {
+	out := s.outBuffer
+	s.outBuffer = nil
 	return out
 }
 
-func (l *h1Session) shutdown(time.Duration) { l.closing = true }
+func (s *h1Session) shutdown(time.Duration) { s.closing = true }
 
-func (l *h1Session) state() sessionState {
-	return sessionState{ready: true, hasDeadlines: l.call != nil, done: l.closing, capacity: 1}
+func (s *h1Session) state() sessionState {
+	return sessionState{ready: true, hasDeadlines: s.call != nil, done: s.closing, capacity: 1}
 }
 
 // hasCapacity tells whether a call can be started. A connection that was idle is looked at first: the peer may have closed it, or
 // sent what belongs to no call.
-func (l *h1Session) hasCapacity() bool {
-	if l.call != nil || l.closing {
+func (s *h1Session) hasCapacity() bool {
+	if s.call != nil || s.closing {
 		return false
 	}
-	l.closing = l.used && l.conn.netConn.Stale()
-	return !l.closing
+	s.closing = s.used && s.conn.netConn.Stale()
+	return !s.closing
 }
 
 // start writes a call.
-func (l *h1Session) start(now time.Duration, k *call, attempts []*attemptState) error {
-	if l.call != nil || l.closing {
+func (s *h1Session) start(now time.Duration, k *call, attempts []*attemptState) error {
+	if s.call != nil || s.closing {
 		return errNoCapacity
 	}
 	// The message with the most time goes first. Guards against peers that reckon a call by its first message: its end
 	// before that of the others would leave these without theirs.
 	slices.SortStableFunc(attempts, func(x, y *attemptState) int { return cmp.Compare(y.attempt.Due, x.attempt.Due) })
-	l.used, l.call, l.attempts = true, k, attempts
-	l.engineAttempts = make([]*engine.Attempt, len(attempts))
+	s.used, s.call, s.attempts = true, k, attempts
+	s.engineAttempts = make([]*engine.Attempt, len(attempts))
 	left := make([]time.Duration, len(attempts))
 	for i, t := range attempts {
-		l.engineAttempts[i] = t.attempt
+		s.engineAttempts[i] = t.attempt
 		left[i] = time.Duration(t.attempt.Due)*time.Microsecond - now
 	}
-	l.status, l.head, l.inBuffer = 0, nil, nil
-	l.outBuffer = l.codec.Request(l.outBuffer, l.engineAttempts, left)
+	s.status, s.head, s.inBuffer = 0, nil, nil
+	s.outBuffer = s.codec.Request(s.outBuffer, s.engineAttempts, left)
 	return nil
 }
 
 // abandon ends a call by closing its connection. Where only one message of several has ended with its time the others wait on,
 // and its attempt is out with theirs: it ends with the call. One that is sent again must not be out on an open connection, too.
-func (l *h1Session) abandon(_ time.Duration, t *attemptState) {
-	if l.call != t.call {
+func (s *h1Session) abandon(_ time.Duration, t *attemptState) {
+	if s.call != t.call {
 		return
 	}
-	if t.endKind == engine.OutOfTime && t.attempt.Due >= t.attempt.Ends && !l.finishFromStatus() && l.hasLiveAttempts() {
+	if t.endKind == engine.OutOfTime && t.attempt.Due >= t.attempt.Ends && !s.finishFromStatus() && s.hasLiveAttempts() {
 		return
 	}
-	l.closing = true // lose reports it, once nothing can come any more
+	s.closing = true // lose reports it, once nothing can come any more
 }
 
 // hasLiveAttempts tells whether a message of the call is still waited for.
-func (l *h1Session) hasLiveAttempts() bool {
-	l.conn.pool.mu.Lock()
-	defer l.conn.pool.mu.Unlock()
-	return slices.ContainsFunc(l.attempts, func(t *attemptState) bool { return !t.abandoned && !t.ended })
+func (s *h1Session) hasLiveAttempts() bool {
+	s.conn.pool.mu.Lock()
+	defer s.conn.pool.mu.Unlock()
+	return slices.ContainsFunc(s.attempts, func(t *attemptState) bool { return !t.abandoned && !t.ended })
 }
 
 // finishFromStatus ends the call by the first line of its answer, where that is enough.
-func (l *h1Session) finishFromStatus() bool {
-	if l.call == nil || l.status == 0 {
+func (s *h1Session) finishFromStatus() bool {
+	if s.call == nil || s.status == 0 {
 		return false
 	}
-	end, ok := l.codec.Assured(l.engineAttempts, l.status)
+	end, ok := s.codec.Assured(s.engineAttempts, s.status)
 	if !ok {
 		return false
 	}
-	l.closing = true
-	l.finish([]engine.End{end})
+	s.closing = true
+	s.finish([]engine.End{end})
 	return true
 }
 
-func (l *h1Session) finish(ends []engine.End) {
-	if l.closing { // before the ends make room for others
-		l.conn.pool.mu.Lock()
-		l.conn.usable = false
-		l.conn.pool.mu.Unlock()
+func (s *h1Session) finish(ends []engine.End) {
+	if s.closing { // before the ends make room for others
+		s.conn.pool.mu.Lock()
+		s.conn.usable = false
+		s.conn.pool.mu.Unlock()
 	}
-	attempts := l.attempts
-	l.call, l.engineAttempts, l.attempts, l.head, l.inBuffer = nil, nil, nil, nil, nil
+	attempts := s.attempts
+	s.call, s.engineAttempts, s.attempts, s.head, s.inBuffer = nil, nil, nil, nil, nil
 	for i, t := range attempts {
-		l.conn.pool.reportEnd(t, ends[i])
+		s.conn.pool.reportEnd(t, ends[i])
 	}
 }
 
-func (l *h1Session) connLost(kind engine.EndKind, reason string) {
-	l.closing = true
-	if l.call == nil || l.finishFromStatus() {
+func (s *h1Session) connLost(kind engine.EndKind, reason string) {
+	s.closing = true
+	if s.call == nil || s.finishFromStatus() {
 		return
 	}
-	ends := make([]engine.End, len(l.attempts))
-	for i, t := range l.attempts {
+	ends := make([]engine.End, len(s.attempts))
+	for i, t := range s.attempts {
 		ends[i] = engine.End{Kind: kind, Detail: reason}
-		l.conn.pool.mu.Lock()
+		s.conn.pool.mu.Lock()
 		if t.abandoned {
 			ends[i] = engine.End{Kind: t.endKind}
-		} else if l.head != nil && kind == engine.ResetUnanswered {
+		} else if s.head != nil && kind == engine.ResetUnanswered {
 			ends[i].Kind = engine.ResetMidAnswer
 		}
-		l.conn.pool.mu.Unlock()
+		s.conn.pool.mu.Unlock()
 	}
-	l.finish(ends)
+	s.finish(ends)
 }
 
 // checkDeadlines gives the rest of an answer up whose first line says enough.
-func (l *h1Session) checkDeadlines(now time.Duration) error {
-	if l.head != nil && now-l.headAt > bodyTimeout {
-		l.finishFromStatus()
+func (s *h1Session) checkDeadlines(now time.Duration) error {
+	if s.head != nil && now-s.headAt > bodyTimeout {
+		s.finishFromStatus()
 	}
 	return nil
 }
 
-func (l *h1Session) receive(now time.Duration, b []byte) error {
-	if l.call == nil { // bytes that belong to no call spoil the connection
-		l.closing = true
+func (s *h1Session) receive(now time.Duration, b []byte) error {
+	if s.call == nil { // bytes that belong to no call spoil the connection
+		s.closing = true
 		return nil
 	}
-	if l.head == nil {
-		l.inBuffer = append(l.inBuffer, b...)
-		if err := l.readHead(now); err != nil || l.head == nil {
+	if s.head == nil {
+		s.inBuffer = append(s.inBuffer, b...)
+		if err := s.readHead(now); err != nil || s.head == nil {
 			return err
 		}
-		b, l.inBuffer = l.inBuffer, nil
+		b, s.inBuffer = s.inBuffer, nil
 	}
-	return l.readBody(b)
+	return s.readBody(b)
 }
 
 // readHead reads the head of the answer; those of interim answers (1xx) are passed over.
-func (l *h1Session) readHead(now time.Duration) error {
+func (s *h1Session) readHead(now time.Duration) error {
 	for {
-		if s, ok := h1.Status(l.inBuffer); ok && s >= 200 {
-			l.status = s
+		if status, ok := h1.Status(s.inBuffer); ok && status >= 200 {
+			s.status = status
 		}
-		head, n, err := h1.ParseResponse(l.inBuffer)
+		head, n, err := h1.ParseResponse(s.inBuffer)
 		if err != nil || n == 0 {
 			return err
 		}
-		l.inBuffer = l.inBuffer[n:]
+		s.inBuffer = s.inBuffer[n:]
 		if head.Status >= 200 {
-			l.head, l.headAt, l.chunks = head, now, h1.Chunks{}
+			s.head, s.headAt, s.chunks = head, now, h1.Chunks{}
 			return nil
 		}
 		if head.Status == 101 {
@@ -204,39 +204,39 @@
 }
 
 // readBody takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
-func (l *h1Session) readBody(b []byte) error {
-	maxBytes := int64(l.conn.pool.cfg.MaxAnswerBytes)
-	if l.head.Length > maxBytes {
-		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, l.head.Length)
+func (s *h1Session) readBody(b []byte) error {
+	maxBytes := int64(s.conn.pool.cfg.MaxAnswerBytes)
+	if s.head.Length > maxBytes {
+		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, s.head.Length)
 	}
 	switch {
-	case l.head.Chunked:
-		body, rest, err := l.chunks.Read(l.inBuffer, b)
-		if l.inBuffer = body; err != nil {
+	case s.head.Chunked:
+		body, rest, err := s.chunks.Read(s.inBuffer, b)
+		if s.inBuffer = body; err != nil {
 			return err
 		}
-		if int64(len(l.inBuffer)) > maxBytes {
+		if int64(len(s.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
 		}
-		if !l.chunks.Done() {
+		if !s.chunks.Done() {
 			return nil
 		}
-		l.closing = l.closing || len(rest) > 0
-	case l.head.Length < 0: // until the connection ends: what it says so far is all that is waited for
-		l.inBuffer = append(l.inBuffer, b...)
-		if int64(len(l.inBuffer)) > maxBytes {
+		s.closing = s.closing || len(rest) > 0
+	case s.head.Length < 0: // until the connection ends: what it says so far is all that is waited for
+		s.inBuffer = append(s.inBuffer, b...)
+		if int64(len(s.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
 		}
 		return nil
 	default:
-		l.inBuffer = append(l.inBuffer, b...)
-		if int64(len(l.inBuffer)) < l.head.Length {
+		s.inBuffer = append(s.inBuffer, b...)
+		if int64(len(s.inBuffer)) < s.head.Length {
 			return nil
 		}
-		l.closing = l.closing || int64(len(l.inBuffer)) > l.head.Length
-		l.inBuffer = l.inBuffer[:l.head.Length]
+		s.closing = s.closing || int64(len(s.inBuffer)) > s.head.Length
+		s.inBuffer = s.inBuffer[:s.head.Length]
 	}
-	l.closing = l.closing || l.head.Close
-	l.finish(l.codec.Answer(l.engineAttempts, l.head, l.inBuffer))
+	s.closing = s.closing || s.head.Close
+	s.finish(s.codec.Answer(s.engineAttempts, s.head, s.inBuffer))
 	return nil
 }
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -51,76 +51,76 @@
 func newTestPool(t *testing.T) *testPool { return newTestPoolWith(t, nil) }
 
 // newTestPoolWith makes a rig whose calls need permits.
-func newTestPoolWith(t *testing.T, permits Admission) *testPool {
+func newTestPoolWith(t *testing.T, admission Admission) *testPool {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testPool{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.End, 64)}
+	tp := &testPool{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.End, 64)}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			r.conns <- c
+			tp.conns <- c
 		}
 	}()
-	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: permits,
+	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: admission,
 		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 2, MaxConns: 3}}
-	r.p, err = New(cfg, NewHTTP1(plainCodec{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.End) { r.ends <- e })
+	tp.p, err = New(cfg, NewHTTP1(plainCodec{netip.MustParseAddrPort(ln.Addr().String())}), tp.clock, func(e engine.End) { tp.ends <- e })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		r.p.Close()
+		tp.p.Close()
 		_ = ln.Close()
 	})
-	return r
+	return tp
 }
 
-func (r *testPool) start(names ...string) (call []*engine.Attempt) {
+func (tp *testPool) start(names ...string) (call []*engine.Attempt) {
 	for _, n := range names {
-		r.seq++
-		call = append(call, &engine.Attempt{Seq: r.seq, Msg: &engine.Message{Name: n}, Endpoint: 1, Due: r.clock.Now() + 20*control.Second})
+		tp.seq++
+		call = append(call, &engine.Attempt{Seq: tp.seq, Msg: &engine.Message{Name: n}, Endpoint: 1, Due: tp.clock.Now() + 20*control.Second})
 	}
-	r.p.Start(call)
+	tp.p.Start(call)
 	return call
 }
 
-func (r *testPool) conn() net.Conn {
-	r.t.Helper()
+func (tp *testPool) conn() net.Conn {
+	tp.t.Helper()
 	select {
-	case c := <-r.conns:
+	case c := <-tp.conns:
 		return c
 	case <-time.After(5 * time.Second):
-		r.t.Fatal("no connection came")
+		tp.t.Fatal("no connection came")
 		return nil
 	}
 }
 
 // read reads what is written next.
-func (r *testPool) read(c net.Conn) string {
-	r.t.Helper()
+func (tp *testPool) read(c net.Conn) string {
+	tp.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 4096)
 	n, err := c.Read(b)
 	if err != nil {
-		r.t.Fatal(err)
+		tp.t.Fatal(err)
 	}
 	return string(b[:n])
 }
 
-func (r *testPool) wantEnd(kind engine.EndKind, status int) {
-	r.t.Helper()
+func (tp *testPool) wantEnd(kind engine.EndKind, status int) {
+	tp.t.Helper()
 	select {
-	case e := <-r.ends:
+	case e := <-tp.ends:
 		if e.Kind != kind || e.Status != status {
-			r.t.Errorf("end %+v, want kind %d, status %d", e, kind, status)
+			tp.t.Errorf("end %+v, want kind %d, status %d", e, kind, status)
 		}
 	case <-time.After(5 * time.Second):
-		r.t.Fatal("no end came")
+		tp.t.Fatal("no end came")
 	}
 }
 
@@ -128,34 +128,34 @@
 
 // A used connection is used again; one that its peer has closed meanwhile is not written on, and nothing fails.
 func TestConnectionUsedAgain(t *testing.T) {
-	r := newTestPool(t)
-	r.start("a")
-	c := r.conn()
-	r.read(c)
+	tp := newTestPool(t)
+	tp.start("a")
+	c := tp.conn()
+	tp.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.wantEnd(engine.Answered, 200)
-	r.start("b")
-	if got := r.read(c); !strings.Contains(got, "/b") {
+	tp.wantEnd(engine.Answered, 200)
+	tp.start("b")
+	if got := tp.read(c); !strings.Contains(got, "/b") {
 		t.Errorf("%q on the connection used before", got)
 	}
 	_, _ = c.Write([]byte(okAnswer))
-	r.wantEnd(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 	_ = c.Close()
-	r.start("c")
-	d := r.conn()
-	r.read(d)
+	tp.start("c")
+	d := tp.conn()
+	tp.read(d)
 	_, _ = d.Write([]byte(okAnswer))
-	r.wantEnd(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 }
 
 // Giving up closes the connection, and only then the end is told; what is left of an answer harms nobody.
 func TestGivingUpCloses(t *testing.T) {
-	r := newTestPool(t)
-	call := r.start("a")
-	c := r.conn()
-	r.read(c)
-	r.p.Abandon(call[0], engine.CalledOff)
-	r.wantEnd(engine.CalledOff, 0)
+	tp := newTestPool(t)
+	call := tp.start("a")
+	c := tp.conn()
+	tp.read(c)
+	tp.p.Abandon(call[0], engine.CalledOff)
+	tp.wantEnd(engine.CalledOff, 0)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the connection is open: %v", err)
@@ -165,41 +165,41 @@
 // Of several messages in a call one may run out of time: the others wait on, on the same connection. Its attempt is out with
 // theirs until then, and ends with the call; with the time of the last one the call is given up.
 func TestOneOfSeveralOutOfTime(t *testing.T) {
-	r := newTestPool(t)
-	call := r.start("a", "b")
-	c := r.conn()
-	r.read(c)
-	r.p.Abandon(call[0], engine.OutOfTime)
+	tp := newTestPool(t)
+	call := tp.start("a", "b")
+	c := tp.conn()
+	tp.read(c)
+	tp.p.Abandon(call[0], engine.OutOfTime)
 	select {
-	case e := <-r.ends:
+	case e := <-tp.ends:
 		t.Errorf("end %+v, and the call is out", e)
 	case <-time.After(50 * time.Millisecond):
 	}
 	_, _ = c.Write([]byte("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"))
-	r.wantEnd(engine.Answered, 500)
-	r.wantEnd(engine.Answered, 500)
-	call = r.start("c", "d")
-	r.read(c)
-	r.p.Abandon(call[0], engine.OutOfTime)
-	r.p.Abandon(call[1], engine.OutOfTime)
-	r.wantEnd(engine.OutOfTime, 0)
-	r.wantEnd(engine.OutOfTime, 0)
+	tp.wantEnd(engine.Answered, 500)
+	tp.wantEnd(engine.Answered, 500)
+	call = tp.start("c", "d")
+	tp.read(c)
+	tp.p.Abandon(call[0], engine.OutOfTime)
+	tp.p.Abandon(call[1], engine.OutOfTime)
+	tp.wantEnd(engine.OutOfTime, 0)
+	tp.wantEnd(engine.OutOfTime, 0)
 }
 
 // A time-out ahead of the message's end gives up the whole call: the message goes again, and must not be out twice.
 func TestTimeOutOfOneThatGoesAgain(t *testing.T) {
-	r := newTestPool(t)
-	now := r.clock.Now()
+	tp := newTestPool(t)
+	now := tp.clock.Now()
 	call := []*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "a"}, Endpoint: 1, Due: now + 2*control.Second, Ends: now + 9*control.Second},
 		{Seq: 2, Msg: &engine.Message{Name: "b"}, Endpoint: 1, Due: now + 9*control.Second, Ends: now + 9*control.Second}}
-	r.p.Start(call)
-	c := r.conn()
-	r.read(c)
-	r.p.Abandon(call[0], engine.OutOfTime)
+	tp.p.Start(call)
+	c := tp.conn()
+	tp.read(c)
+	tp.p.Abandon(call[0], engine.OutOfTime)
 	got := map[uint64]engine.EndKind{}
 	for range call {
 		select {
-		case e := <-r.ends:
+		case e := <-tp.ends:
 			got[e.Seq] = e.Kind
 		case <-time.After(5 * time.Second):
 			t.Fatalf("ends: %v", got)
@@ -216,74 +216,74 @@
 
 // The message with the most time leads a call, so that the first of a call is never over before the others.
 func TestLongestLeadsACall(t *testing.T) {
-	r := newTestPool(t)
+	tp := newTestPool(t)
 	var call []*engine.Attempt
-	now := r.clock.Now() // one moment for all: two of them have the same time
+	now := tp.clock.Now() // one moment for all: two of them have the same time
 	for i, n := range []string{"short", "long", "middle", "long2"} {
 		due := []control.Time{4, 12, 8, 12}[i]
 		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Msg: &engine.Message{Name: n}, Endpoint: 1, Due: now + due*control.Second})
 	}
-	r.p.Start(call)
-	c := r.conn()
-	if got := r.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
+	tp.p.Start(call)
+	c := tp.conn()
+	if got := tp.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.p.Abandon(call[0], engine.OutOfTime)
+	tp.p.Abandon(call[0], engine.OutOfTime)
 	_, _ = c.Write([]byte(okAnswer))
 	for range call {
-		r.wantEnd(engine.Answered, 200)
+		tp.wantEnd(engine.Answered, 200)
 	}
 }
 
 // An attempt whose last moment has come when its connection is there is not written: the key of a repeat may be forgotten
 // by then. One beside it in the call goes.
 func TestTooLateToBegin(t *testing.T) {
-	r := newTestPool(t)
-	now := r.clock.Now()
+	tp := newTestPool(t)
+	now := tp.clock.Now()
 	due := now + 20*control.Second
-	r.p.Start([]*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "late"}, Endpoint: 1, Due: due, Begin: now},
+	tp.p.Start([]*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "late"}, Endpoint: 1, Due: due, Begin: now},
 		{Seq: 2, Msg: &engine.Message{Name: "early"}, Endpoint: 1, Due: due, Begin: due}})
-	c := r.conn()
-	if got := r.read(c); !strings.HasPrefix(got, "POST /early ") {
+	c := tp.conn()
+	if got := tp.read(c); !strings.HasPrefix(got, "POST /early ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.wantEnd(engine.Unsent, 0)
+	tp.wantEnd(engine.Unsent, 0)
 }
 
 // An attempt that is given up before its connection is there is never written; the connection serves the next one.
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
-	r := newTestPool(t)
-	call := r.start("gone")
-	r.p.Abandon(call[0], engine.CalledOff)
-	r.wantEnd(engine.Unsent, 0)
-	r.start("next")
-	c := r.conn()
-	if got := r.read(c); !strings.HasPrefix(got, "POST /next ") {
+	tp := newTestPool(t)
+	call := tp.start("gone")
+	tp.p.Abandon(call[0], engine.CalledOff)
+	tp.wantEnd(engine.Unsent, 0)
+	tp.start("next")
+	c := tp.conn()
+	if got := tp.read(c); !strings.HasPrefix(got, "POST /next ") {
 		t.Errorf("%.40q is written", got)
 	}
 	_, _ = c.Write([]byte(okAnswer))
-	r.wantEnd(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 }
 
 // An answer that is there before the give-up counts; one that crosses it is dropped with its connection. Either way the attempt
 // has one end.
 func TestAnswerCrossesTheGiveUp(t *testing.T) {
 	for range 40 {
-		r := newTestPool(t)
-		call := r.start("a")
-		c := r.conn()
-		r.read(c)
+		tp := newTestPool(t)
+		call := tp.start("a")
+		c := tp.conn()
+		tp.read(c)
 		go func() { _, _ = c.Write([]byte(okAnswer)) }()
-		r.p.Abandon(call[0], engine.CalledOff)
+		tp.p.Abandon(call[0], engine.CalledOff)
 		select {
-		case e := <-r.ends:
+		case e := <-tp.ends:
 			if e.Kind != engine.CalledOff && (e.Kind != engine.Answered || e.Status != 200) {
 				t.Fatalf("end %+v", e)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("no end came")
 		}
-		r.start("b") // all that the pool still does for the first is done before this one ends
+		tp.start("b") // all that the pool still does for the first is done before this one ends
 		answer := func(d net.Conn) {
 			if _, err := d.Read(make([]byte, 4096)); err == nil {
 				_, _ = d.Write([]byte(okAnswer))
@@ -292,49 +292,49 @@
 		go answer(c) // used again, or closed
 		go func() {
 			select {
-			case d := <-r.conns:
+			case d := <-tp.conns:
 				answer(d)
 			case <-time.After(5 * time.Second):
 			}
 		}()
 		select {
-		case e := <-r.ends:
+		case e := <-tp.ends:
 			if e.Seq != 2 {
 				t.Fatalf("a second end of the first: %+v", e)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("no end of the second came")
 		}
-		r.p.mu.Lock()
-		if n := len(r.p.attempts); n != 0 {
+		tp.p.mu.Lock()
+		if n := len(tp.p.attempts); n != 0 {
 			t.Errorf("%d tasks are kept", n)
 		}
-		r.p.mu.Unlock()
+		tp.p.mu.Unlock()
 	}
 }
 
 // An attempt that waits for a connection can be taken back: it has not run.
 func TestUnsendWhileWaiting(t *testing.T) {
-	r := newTestPool(t)
+	tp := newTestPool(t)
 	var calls [][]*engine.Attempt
 	for range 4 { // one more than connections are allowed
-		calls = append(calls, r.start("x"))
+		calls = append(calls, tp.start("x"))
 	}
 	for range 3 {
-		r.read(r.conn())
+		tp.read(tp.conn())
 	}
-	r.p.Unsend(calls[0][0]) // written: it stays out
+	tp.p.Unsend(calls[0][0]) // written: it stays out
 	waiting := calls[3][0]
-	r.p.mu.Lock()
+	tp.p.mu.Lock()
 	for _, k := range calls {
-		if x := r.p.attempts[k[0].Seq]; x != nil && x.call.conn == nil {
+		if x := tp.p.attempts[k[0].Seq]; x != nil && x.call.conn == nil {
 			waiting = k[0]
 		}
 	}
-	r.p.mu.Unlock()
-	r.p.Unsend(waiting)
+	tp.p.mu.Unlock()
+	tp.p.Unsend(waiting)
 	select {
-	case e := <-r.ends:
+	case e := <-tp.ends:
 		if e.Seq != waiting.Seq || e.Kind != engine.Unsent {
 			t.Errorf("end %+v", e)
 		}
@@ -345,21 +345,21 @@
 
 // Ends of a site that was dropped leave the one made since alone: its wish for a connection would be lost with it.
 func TestDroppedSiteLeavesTheNewOne(t *testing.T) {
-	r := newTestPool(t)
+	tp := newTestPool(t)
 	old := &endpointPool{id: 1}
-	r.start("a")
-	r.p.mu.Lock()
-	made := r.p.endpoints[1]
-	r.p.requestConn(old)
-	kept := r.p.endpoints[1] == made && made != nil
-	r.p.mu.Unlock()
+	tp.start("a")
+	tp.p.mu.Lock()
+	made := tp.p.endpoints[1]
+	tp.p.requestConn(old)
+	kept := tp.p.endpoints[1] == made && made != nil
+	tp.p.mu.Unlock()
 	if !kept {
 		t.Error("the new site is gone")
 	}
-	c := r.conn()
-	r.read(c)
+	c := tp.conn()
+	tp.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.wantEnd(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 }
 
 // The first line that says 200 is enough, whatever becomes of the rest; without it a broken answer may have run.
@@ -373,29 +373,29 @@
 		"noise": engine.Malformed,
 		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.Malformed,
 	} {
-		r := newTestPool(t)
-		r.start("a")
-		c := r.conn()
-		r.read(c)
+		tp := newTestPool(t)
+		tp.start("a")
+		c := tp.conn()
+		tp.read(c)
 		_, _ = c.Write([]byte(text))
 		_ = c.Close()
 		status := 0
 		if want == engine.Answered {
 			status = 200
 		}
-		r.wantEnd(want, status)
+		tp.wantEnd(want, status)
 	}
 }
 
 // A head that promises enough and a body that never ends: the message is not kept waiting.
 func TestBodyThatStalls(t *testing.T) {
-	r := newTestPool(t)
-	r.start("a")
-	c := r.conn()
-	r.read(c)
+	tp := newTestPool(t)
+	tp.start("a")
+	c := tp.conn()
+	tp.read(c)
 	start := time.Now()
 	_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nabc"))
-	r.wantEnd(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("it took %v", took)
 	}
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -39,36 +39,36 @@
 	answered bool // it has answered something
 }
 
-func (l *h2Session) receive(now time.Duration, b []byte) error {
-	events, err := l.h2conn.Receive(now, b)
+func (s *h2Session) receive(now time.Duration, b []byte) error {
+	events, err := s.h2conn.Receive(now, b)
 	for i := range events {
-		l.handleEvent(&events[i])
+		s.handleEvent(&events[i])
 	}
 	return err
 }
 
-func (l *h2Session) checkDeadlines(now time.Duration) error { return l.h2conn.Check(now) }
-func (l *h2Session) takeOutput() []byte                     { return l.h2conn.Output() }
-func (l *h2Session) shutdown(now time.Duration)             { l.h2conn.GoAway(now, h2.NoError) }
+func (s *h2Session) checkDeadlines(now time.Duration) error { return s.h2conn.Check(now) }
+func (s *h2Session) takeOutput() []byte                     { return s.h2conn.Output() }
+func (s *h2Session) shutdown(now time.Duration)             { s.h2conn.GoAway(now, h2.NoError) }
 
-func (l *h2Session) capacity() int {
-	return min(l.conn.pool.cfg.MaxStreams, l.h2conn.Room()+l.h2conn.Open())
+func (s *h2Session) capacity() int {
+	return min(s.conn.pool.cfg.MaxStreams, s.h2conn.Room()+s.h2conn.Open())
 }
 
-func (l *h2Session) state() sessionState {
-	return sessionState{ready: l.h2conn.Settled(), hasDeadlines: l.h2conn.Open() > 0, done: l.h2conn.Done(), capacity: l.capacity()}
+func (s *h2Session) state() sessionState {
+	return sessionState{ready: s.h2conn.Settled(), hasDeadlines: s.h2conn.Open() > 0, done: s.h2conn.Done(), capacity: s.capacity()}
 }
 
-func (l *h2Session) hasCapacity() bool { return l.h2conn.Room() > 0 }
+func (s *h2Session) hasCapacity() bool { return s.h2conn.Room() > 0 }
 
-func (l *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
+func (s *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
 	t := attempts[0] // HTTP/2 has no bulk calls
 	left := time.Duration(t.attempt.Due)*time.Microsecond - now
-	id, err := l.h2conn.Request(now, l.codec.Request(t.attempt, left), t.attempt.Msg.Body)
+	id, err := s.h2conn.Request(now, s.codec.Request(t.attempt, left), t.attempt.Msg.Body)
 	switch {
 	case err == nil:
 		t.streamID = id
-		l.attempts[id] = t
+		s.attempts[id] = t
 		return nil
 	case errors.Is(err, h2.ErrTooLarge):
 		return err
@@ -76,38 +76,38 @@
 	return errNoCapacity
 }
 
-func (l *h2Session) abandon(now time.Duration, t *attemptState) {
-	l.h2conn.Reset(now, t.streamID, h2.Cancel)
-	delete(l.attempts, t.streamID)
-	l.conn.pool.reportEnd(t, engine.End{Kind: t.endKind})
+func (s *h2Session) abandon(now time.Duration, t *attemptState) {
+	s.h2conn.Reset(now, t.streamID, h2.Cancel)
+	delete(s.attempts, t.streamID)
+	s.conn.pool.reportEnd(t, engine.End{Kind: t.endKind})
 }
 
-func (l *h2Session) connLost(kind engine.EndKind, reason string) {
-	for id, t := range l.attempts {
-		delete(l.attempts, id)
-		k := kind
+func (s *h2Session) connLost(kind engine.EndKind, reason string) {
+	for id, t := range s.attempts {
+		delete(s.attempts, id)
+		endKind := kind
 		if t.hasHeaders && kind == engine.ResetUnanswered {
-			k = engine.ResetMidAnswer
+			endKind = engine.ResetMidAnswer
 		}
-		l.conn.pool.reportEnd(t, engine.End{Kind: k, Detail: reason})
+		s.conn.pool.reportEnd(t, engine.End{Kind: endKind, Detail: reason})
 	}
 }
 
 // handleEvent takes one event of the connection.
-func (l *h2Session) handleEvent(e *h2.Event) {
+func (s *h2Session) handleEvent(e *h2.Event) {
 	switch e.Kind {
 	case h2.Ready:
-		l.conn.markUsable(l.capacity())
+		s.conn.markUsable(s.capacity())
 		return
 	case h2.PeerGoAway:
-		l.handleGoAway(e)
+		s.handleGoAway(e)
 		return
 	}
-	t := l.attempts[e.Stream]
+	t := s.attempts[e.Stream]
 	if t == nil {
 		return
 	}
-	p := l.conn.pool
+	p := s.conn.pool
 	switch e.Kind {
 	case h2.Headers:
 		t.responseFields, t.hasHeaders = e.Fields, true
@@ -116,16 +116,16 @@
 			t.responseBody = append(t.responseBody, e.Data[:min(space, len(e.Data))]...)
 		}
 	case h2.StreamReset:
-		delete(l.attempts, e.Stream)
+		delete(s.attempts, e.Stream)
 		p.reportEnd(t, resetEnd(t, e))
 		return
 	}
 	if e.End {
-		delete(l.attempts, e.Stream)
-		l.answered = true
-		p.reportEnd(t, l.codec.Answer(t.attempt, t.responseFields, t.responseBody))
-		if l.h2conn.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
-			l.h2conn.Reset(p.elapsed(), e.Stream, h2.NoError)
+		delete(s.attempts, e.Stream)
+		s.answered = true
+		p.reportEnd(t, s.codec.Answer(t.attempt, t.responseFields, t.responseBody))
+		if s.h2conn.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
+			s.h2conn.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
 }
@@ -145,21 +145,21 @@
 }
 
 // handleGoAway takes a GOAWAY: streams above the last one named have not run and never will; those below run on.
-func (l *h2Session) handleGoAway(e *h2.Event) {
-	p := l.conn.pool
+func (s *h2Session) handleGoAway(e *h2.Event) {
+	p := s.conn.pool
 	p.mu.Lock()
-	l.conn.usable = false
+	s.conn.usable = false
 	p.mu.Unlock()
 	kind := engine.AwayUnseen
 	switch {
 	case e.Code != h2.NoError:
 		kind = engine.AwayAngry
-	case !l.answered:
+	case !s.answered:
 		kind = engine.AwayAtOnce
 	}
-	for id, t := range l.attempts {
+	for id, t := range s.attempts {
 		if id > e.Last {
-			delete(l.attempts, id)
+			delete(s.attempts, id)
 			p.reportEnd(t, engine.End{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
 	}
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -467,11 +467,11 @@
 // is for the module to weigh. Where it is this machine that lacks something they go on waiting: that says nothing of the
 // endpoint.
 func (p *Pool) connectFailed(s *endpointPool, err error) {
-	reason := classifyDialError(err)
+	failure := classifyDialError(err)
 	p.mu.Lock()
 	s.dialing--
-	s.localFailure = reason != dialscheduler.PeerFailed
-	p.scheduler.Failed(p.elapsed(), reason)
+	s.localFailure = failure != dialscheduler.PeerFailed
+	p.scheduler.Failed(p.elapsed(), failure)
 	var failed []*call
 	if !s.localFailure {
 		failed, s.pending = s.pending, nil
