--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -14,9 +14,10 @@
 	"whinrun/internal/h2"
 )
 
+// elapsed returns the time on the clock that sessions and the scheduler use.
 func (p *Pool) elapsed() time.Duration { return clock.Elapsed(p.clock) }
 
-// Opened is eventloop.Handler: it starts the protocol on a connection.
+// Opened implements eventloop.Handler. It starts the protocol on a new connection.
 func (p *Pool) Opened(netConn *eventloop.Conn) {
 	c := &conn{pool: p, endpoint: netConn.Context.(*endpointPool), netConn: netConn}
 	netConn.Context = c
@@ -33,7 +34,7 @@
 	netConn.Write(c.session.takeOutput())
 }
 
-// Ready is eventloop.Handler: it takes bytes of the peer, and what was put into the inbox.
+// Ready implements eventloop.Handler. It passes received bytes to the session and runs the connection's commands.
 func (p *Pool) Ready(netConn *eventloop.Conn) {
 	c := netConn.Context.(*conn)
 	now := p.elapsed()
@@ -51,6 +52,8 @@
 	c.flush()
 }
 
+// flush writes the session's output and updates the connection from the session's state. It closes the connection
+// if that is due.
 func (c *conn) flush() {
 	c.netConn.Write(c.session.takeOutput())
 	st := c.session.state()
@@ -73,7 +76,7 @@
 	}
 }
 
-// protocolFailed ends a connection on which the peer broke the protocol or a time limit.
+// protocolFailed ends a connection on which the peer has broken the protocol or exceeded a time limit.
 func (c *conn) protocolFailed(err error) {
 	c.netConn.Write(c.session.takeOutput())
 	kind := engine.Malformed
@@ -85,7 +88,7 @@
 	c.netConn.Close()
 }
 
-// Closed is eventloop.Handler: it ends what was out on the connection.
+// Closed implements eventloop.Handler. It ends the attempts that are in flight on the connection.
 func (p *Pool) Closed(netConn *eventloop.Conn, err error) {
 	p.openConns.Add(-1)
 	reason := "connection closed by the peer"
@@ -95,8 +98,9 @@
 	netConn.Context.(*conn).remove(engine.ResetUnanswered, reason)
 }
 
-// lose takes a connection out of its pool, and ends all that was on it. What was never written has not run: it waits
-// for another connection, once.
+// remove takes a connection out of its pool and ends all attempts that are in flight on it. Calls that were never
+// written have not been executed. They are assigned to another connection, once. Further calls of remove do
+// nothing.
 func (c *conn) remove(kind engine.EndKind, reason string) {
 	p := c.pool
 	p.mu.Lock()
@@ -127,7 +131,8 @@
 		return
 	}
 	p.cfg.Trace("endpoint %d: connection lost: %s; %d calls not written", c.endpoint.id, reason, len(commands))
-	// The peer learns that nothing is waited for before the attempts are reported: another may follow at once.
+	// The connection is shut down before the ends are reported, because a next attempt may follow at once. The
+	// peer then knows that no answer is awaited here.
 	c.netConn.CloseBoth()
 	if !wasEstablished {
 		p.connectFailed(c.endpoint, errors.New("no HTTP/2 on the connection: "+reason))
@@ -143,7 +148,7 @@
 	p.mu.Unlock()
 }
 
-// runCommands does what is in the inbox: calls to start, attempts to give up.
+// runCommands executes the connection's commands: calls to write and attempts to give up.
 func (c *conn) runCommands(now time.Duration) {
 	p := c.pool
 	p.mu.Lock()
@@ -163,17 +168,19 @@
 	}
 }
 
-// isOutstanding tells whether an attempt has no end yet.
+// isOutstanding reports whether an attempt has no end yet.
 func (p *Pool) isOutstanding(t *attemptState) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !t.ended
 }
 
-// startCall writes a call, without the attempts that were given up or ran out of time meanwhile. Guards against a connection
-// that comes up late: by then partners may have forgotten the keys of repeats.
+// startCall writes a call, without those of its attempts that were abandoned, have run out of time or are not
+// admitted. The time matters for a connection that is established late: by then, partners may have forgotten the
+// idempotency keys of repeated attempts.
 func (c *conn) startCall(k *call, now time.Duration) {
-	if !c.session.hasCapacity() { // the limit fell, or the peer is closing, since it was put here
+	// The capacity has fallen, or the peer has begun to close the connection, since the call was assigned.
+	if !c.session.hasCapacity() {
 		c.requeue(k, errNoCapacity.Error())
 		return
 	}
@@ -197,7 +204,7 @@
 	}
 }
 
-// startable are the attempts of a call that are still to be made; the others end.
+// startable returns the attempts of a call that may still begin. The others end as Unsent.
 func (c *conn) startable(k *call, now time.Duration) (startable []*attemptState) {
 	p := c.pool
 	for _, t := range k.attempts {
@@ -217,7 +224,8 @@
 	return startable
 }
 
-// admit are the attempts that may be written now, and are on record where they need to be; the others end.
+// admit returns the attempts that may be written now and are recorded if they need to be. The others end as Unsent
+// or NotRecorded.
 func (c *conn) admit(attempts []*attemptState) []*attemptState {
 	p := c.pool
 	if p.cfg.Admission == nil || len(attempts) == 0 {
@@ -250,22 +258,24 @@
 	})
 }
 
-// reportTakenBack tells that an attempt that was permitted was not written.
+// reportTakenBack tells Admission that an attempt that it admitted was not written.
 func (p *Pool) reportTakenBack(t *attemptState) {
 	if p.cfg.Admission != nil {
 		p.cfg.Admission.TakenBack(t.attempt)
 	}
 }
 
-// requeue puts a call that was not written back among those that wait, once. Guards against a peer that takes
-// connections and drops them: a call must not go round for ever.
+// requeue assigns a call that was not written to another connection, or returns it to the pending calls. It does
+// so once for each call, and then ends it as NotConnected. Otherwise a peer that accepts connections and drops
+// them would keep a call going round for ever.
 func (c *conn) requeue(k *call, reason string) {
 	p := c.pool
 	st := c.session.state()
 	p.mu.Lock()
 	c.capacity = min(c.capacity, st.capacity)
 	c.usable = c.usable && st.capacity > 0 && !st.done
-	if k.remaining == 0 { // its attempts have their ends, and took it off the connection
+	// All attempts of the call have ended, and reportEnd has taken the call off the connection.
+	if k.remaining == 0 {
 		p.mu.Unlock()
 		return
 	}
@@ -295,7 +305,8 @@
 	}
 }
 
-// markUsable opens a connection for calls; limit is how many it carries.
+// markUsable makes a connection available for calls. The capacity is the number of calls that it can carry at
+// once.
 func (c *conn) markUsable(capacity int) {
 	p := c.pool
 	p.mu.Lock()
@@ -311,7 +322,9 @@
 	p.requestConn(c.endpoint)
 }
 
-// Tick is eventloop.Handler: it looks after time limits, of handshakes, windows held shut and idle connections.
+// Tick implements eventloop.Handler. It wakes the connections whose time limits have to be checked: those of
+// handshakes, and of calls in flight, such as the time that a flow-control window may stay closed. It also closes
+// connections that have been idle for longer than IdleTimeout.
 func (p *Pool) Tick() {
 	idleBefore := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
 	p.mu.Lock()
@@ -322,6 +335,8 @@
 	for e := p.idle.Front(); e != nil && e.Value.(*conn).idleSince < idleBefore; e = p.idle.Front() {
 		c := e.Value.(*conn)
 		c.closeIdle()
-		c.unmarkIdle() // also where it drains already: the list must move on
+		// The connection leaves the list even if closeIdle does nothing, as for one that is being closed already.
+		// Otherwise the loop would not end.
+		c.unmarkIdle()
 	}
 }
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -10,46 +10,59 @@
 	"whinrun/internal/h1"
 )
 
-// HTTP1Codec turns calls into HTTP/1.1 requests and answers into ends.
+// HTTP1Codec translates calls into HTTP/1.1 requests, and responses into the ends of attempts.
 type HTTP1Codec interface {
 	Resolver
-	// Request appends the request of a call to b; left is the time that each of its attempts has.
+	// Request appends the request of a call to b. The slice left has the remaining time of each attempt.
 	Request(b []byte, attempts []*engine.Attempt, left []time.Duration) []byte
-	// Answer makes a whole response into one end for each attempt of the call. The head is valid only until it returns.
+	// Answer returns one end for each attempt of a call whose response is complete. The head is valid only until
+	// Answer returns.
 	Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End
-	// Assured is the end of a call that is sure from the first line of an answer, though the rest of it was spoilt or
-	// has not come; ok is false where the first line promises nothing.
+	// Assured returns the end of a call if the status code alone decides it, although the rest of the response is
+	// missing or malformed. The result ok is false if the status code does not decide. It must be false for a call
+	// of several attempts.
 	Assured(attempts []*engine.Attempt, status int) (end engine.End, ok bool)
 }
 
-// NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
+// NewHTTP1 returns HTTP/1.1 with one call at a time on a connection. The attempts of one Pool.Start form one call.
 func NewHTTP1(codec HTTP1Codec) Protocol { return http1{codec} }
 
+// http1 implements Protocol.
 type http1 struct{ HTTP1Codec }
 
 func (http1) batches() bool { return true }
 
 func (s http1) newSession(c *conn, _ time.Duration) session { return &h1Session{conn: c, codec: s} }
 
-// bodyTimeout is how long the rest of an answer may take once its head is here and promises enough.
+// bodyTimeout is how long the body of a response may take after its head, if the status code decides the call (see
+// HTTP1Codec.Assured). The attempt then does not wait for a body that stalls.
 const bodyTimeout = 300 * time.Millisecond
 
-// h1Session is one HTTP/1.1 connection.
+// h1Session is the state of one HTTP/1.1 connection.
 type h1Session struct {
 	conn      *conn
 	codec     HTTP1Codec
 	outBuffer []byte
-	inBuffer  []byte // of the answer, while it is not whole
-	used      bool   // something was written on it before
-	closing   bool   // it is to be closed
-
-	call           *call
-	engineAttempts []*engine.Attempt // those written, and ...
-	attempts       []*attemptState   // ... their tasks
-	status         int               // of the first line that counts, 0 before
-	head           *h1.Response
-	headAt         time.Duration
-	chunks         h1.Chunks
+	// inBuffer is what has arrived of an incomplete response: its head at first, and then its body without
+	// transfer coding.
+	inBuffer []byte
+	// used is true once a request was written on the connection.
+	used bool
+	// closing is true if the connection is to be closed.
+	closing bool
+
+	// call is the call in flight. It is nil while there is none.
+	call *call
+	// engineAttempts are the attempts of the call that were written, in the order of the request.
+	engineAttempts []*engine.Attempt
+	// attempts are the states of engineAttempts, in the same order.
+	attempts []*attemptState
+	// status is the status code of the final response. It is 0 until its status line has arrived.
+	status int
+	head   *h1.Response
+	// headAt is the time at which the head of the response was complete.
+	headAt time.Duration
+	chunks h1.Chunks
 }
 
 func (s *h1Session) takeOutput() []byte {
@@ -64,8 +77,8 @@
 	return sessionState{ready: true, hasDeadlines: s.call != nil, done: s.closing, capacity: 1}
 }
 
-// hasCapacity tells whether a call can be started. A connection that was idle is looked at first: the peer may have closed it, or
-// sent what belongs to no call.
+// hasCapacity reports whether a call can be started. It checks a connection that was used before: the peer may
+// have closed it, or sent bytes that belong to no call.
 func (s *h1Session) hasCapacity() bool {
 	if s.call != nil || s.closing {
 		return false
@@ -79,8 +92,8 @@
 	if s.call != nil || s.closing {
 		return errNoCapacity
 	}
-	// The message with the most time goes first. Guards against peers that reckon a call by its first message: its end
-	// before that of the others would leave these without theirs.
+	// The message with the most time goes first. Some peers take the deadline of a call from its first message. If
+	// that one were to end early, the other messages would lose their remaining time.
 	slices.SortStableFunc(attempts, func(x, y *attemptState) int { return cmp.Compare(y.attempt.Due, x.attempt.Due) })
 	s.used, s.call, s.attempts = true, k, attempts
 	s.engineAttempts = make([]*engine.Attempt, len(attempts))
@@ -94,8 +107,9 @@
 	return nil
 }
 
-// abandon ends a call by closing its connection. Where only one message of several has ended with its time the others wait on,
-// and its attempt is out with theirs: it ends with the call. One that is sent again must not be out on an open connection, too.
+// abandon ends a call by closing its connection. There is one exception: if a message has run out of time for good
+// while others of the call have not, the call goes on and the attempt ends with it. An attempt whose message is
+// sent again must not stay in flight on an open connection.
 func (s *h1Session) abandon(_ time.Duration, t *attemptState) {
 	if s.call != t.call {
 		return
@@ -103,17 +117,19 @@
 	if t.endKind == engine.OutOfTime && t.attempt.Due >= t.attempt.Ends && !s.finishFromStatus() && s.hasLiveAttempts() {
 		return
 	}
-	s.closing = true // lose reports it, once nothing can come any more
+	// connLost reports the end, once the connection is closed and nothing more can arrive.
+	s.closing = true
 }
 
-// hasLiveAttempts tells whether a message of the call is still waited for.
+// hasLiveAttempts reports whether an attempt of the call is still waited for.
 func (s *h1Session) hasLiveAttempts() bool {
 	s.conn.pool.mu.Lock()
 	defer s.conn.pool.mu.Unlock()
 	return slices.ContainsFunc(s.attempts, func(t *attemptState) bool { return !t.abandoned && !t.ended })
 }
 
-// finishFromStatus ends the call by the first line of its answer, where that is enough.
+// finishFromStatus ends the call by the status code of its response, and reports whether that decides it. The
+// connection is closed then, because the rest of the response is not read.
 func (s *h1Session) finishFromStatus() bool {
 	if s.call == nil || s.status == 0 {
 		return false
@@ -127,8 +143,10 @@
 	return true
 }
 
+// finish reports the ends of the call in flight. The slice ends has one for each of its attempts.
 func (s *h1Session) finish(ends []engine.End) {
-	if s.closing { // before the ends make room for others
+	// The reported ends free capacity. A connection that is closing must not be assigned a call then.
+	if s.closing {
 		s.conn.pool.mu.Lock()
 		s.conn.usable = false
 		s.conn.pool.mu.Unlock()
@@ -159,7 +177,7 @@
 	s.finish(ends)
 }
 
-// checkDeadlines gives the rest of an answer up whose first line says enough.
+// checkDeadlines ends a call whose status code decides it and whose body has not arrived within bodyTimeout.
 func (s *h1Session) checkDeadlines(now time.Duration) error {
 	if s.head != nil && now-s.headAt > bodyTimeout {
 		s.finishFromStatus()
@@ -168,7 +186,8 @@
 }
 
 func (s *h1Session) receive(now time.Duration, b []byte) error {
-	if s.call == nil { // bytes that belong to no call spoil the connection
+	// Bytes that belong to no call make the connection unusable.
+	if s.call == nil {
 		s.closing = true
 		return nil
 	}
@@ -182,7 +201,7 @@
 	return s.readBody(b)
 }
 
-// readHead reads the head of the answer; those of interim answers (1xx) are passed over.
+// readHead parses the head of the response. It skips interim responses (1xx).
 func (s *h1Session) readHead(now time.Duration) error {
 	for {
 		if status, ok := h1.Status(s.inBuffer); ok && status >= 200 {
@@ -203,7 +222,8 @@
 	}
 }
 
-// readBody takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
+// readBody handles bytes of the response body, and ends the call once the body is complete. A body of more than
+// Config.MaxAnswerBytes is an error, and is not read to its end.
 func (s *h1Session) readBody(b []byte) error {
 	maxBytes := int64(s.conn.pool.cfg.MaxAnswerBytes)
 	if s.head.Length > maxBytes {
@@ -222,7 +242,8 @@
 			return nil
 		}
 		s.closing = s.closing || len(rest) > 0
-	case s.head.Length < 0: // until the connection ends: what it says so far is all that is waited for
+	// The body ends with the connection. The call ends in connLost.
+	case s.head.Length < 0:
 		s.inBuffer = append(s.inBuffer, b...)
 		if int64(len(s.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -8,17 +8,21 @@
 	"whinrun/internal/h2"
 )
 
-// HTTP2Codec turns attempts into HTTP/2 requests and answers into ends, for the endpoint's kind of partner.
+// HTTP2Codec translates attempts into HTTP/2 requests, and responses into the ends of attempts, in the manner of
+// the endpoint's partner.
 type HTTP2Codec interface {
 	Resolver
+	// Request returns the header fields of the request. The time left is what remains of the attempt's time.
 	Request(a *engine.Attempt, left time.Duration) []h2.Field
-	// Answer makes a whole response into an end.
+	// Answer returns the end of an attempt whose response is complete. The body may be cut off at
+	// Config.MaxAnswerBytes.
 	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End
 }
 
-// NewHTTP2 is HTTP/2 with a speech; each attempt is a stream.
+// NewHTTP2 returns HTTP/2 with one stream for each attempt.
 func NewHTTP2(codec HTTP2Codec) Protocol { return http2{codec} }
 
+// http2 implements Protocol.
 type http2 struct{ HTTP2Codec }
 
 func (http2) batches() bool { return false }
@@ -29,14 +33,16 @@
 	return &h2Session{conn: c, codec: s, h2conn: h2.NewClient(cfg, now), attempts: map[uint32]*attemptState{}}
 }
 
-// h2Session is one HTTP/2 connection. It carries attempts only when the peer's SETTINGS are here: an endpoint that takes
-// connections and says nothing then costs no doubt.
+// h2Session is the state of one HTTP/2 connection. It carries attempts only once the peer's SETTINGS have arrived.
+// If an endpoint accepts connections and sends nothing, its attempts are then certain not to have been executed.
 type h2Session struct {
-	conn     *conn
-	codec    HTTP2Codec
-	h2conn   *h2.Conn
+	conn   *conn
+	codec  HTTP2Codec
+	h2conn *h2.Conn
+	// attempts holds the attempts in flight by their stream.
 	attempts map[uint32]*attemptState
-	answered bool // it has answered something
+	// answered is true once a response was complete on the connection.
+	answered bool
 }
 
 func (s *h2Session) receive(now time.Duration, b []byte) error {
@@ -51,6 +57,7 @@
 func (s *h2Session) takeOutput() []byte                     { return s.h2conn.Output() }
 func (s *h2Session) shutdown(now time.Duration)             { s.h2conn.GoAway(now, h2.NoError) }
 
+// capacity returns the number of streams that the connection can carry at once, including the open ones.
 func (s *h2Session) capacity() int {
 	return min(s.conn.pool.cfg.MaxStreams, s.h2conn.Room()+s.h2conn.Open())
 }
@@ -62,7 +69,8 @@
 func (s *h2Session) hasCapacity() bool { return s.h2conn.Room() > 0 }
 
 func (s *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
-	t := attempts[0] // HTTP/2 has no bulk calls
+	// HTTP/2 does not batch attempts: a call has one.
+	t := attempts[0]
 	left := time.Duration(t.attempt.Due)*time.Microsecond - now
 	id, err := s.h2conn.Request(now, s.codec.Request(t.attempt, left), t.attempt.Msg.Body)
 	switch {
@@ -93,7 +101,7 @@
 	}
 }
 
-// handleEvent takes one event of the connection.
+// handleEvent handles one event of the connection.
 func (s *h2Session) handleEvent(e *h2.Event) {
 	switch e.Kind {
 	case h2.Ready:
@@ -124,13 +132,15 @@
 		delete(s.attempts, e.Stream)
 		s.answered = true
 		p.reportEnd(t, s.codec.Answer(t.attempt, t.responseFields, t.responseBody))
-		if s.h2conn.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
+		// The response was complete before the request body was sent. The peer does not want the rest of it.
+		if s.h2conn.Wants(e.Stream) {
 			s.h2conn.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
 }
 
-// resetEnd tells what a reset of a stream proves.
+// resetEnd returns the end of an attempt whose stream was reset. The error code tells whether the request may have
+// been executed.
 func resetEnd(t *attemptState, e *h2.Event) engine.End {
 	end := engine.End{Kind: engine.ResetUnanswered, Detail: "RST_STREAM " + e.Code.String()}
 	switch {
@@ -144,7 +154,8 @@
 	return end
 }
 
-// handleGoAway takes a GOAWAY: streams above the last one named have not run and never will; those below run on.
+// handleGoAway handles a GOAWAY frame. Streams above the last one that it names have not been processed and never
+// will be (RFC 9113 section 6.8), so that their attempts end. The others continue.
 func (s *h2Session) handleGoAway(e *h2.Event) {
 	p := s.conn.pool
 	p.mu.Lock()
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -1,6 +1,7 @@
-// Package outbound carries attempts out: a pool of connections for each endpoint, on event loops. What is spoken
-// on them is a Protocol's: HTTP/2 (NewHTTP2), or HTTP/1.1 with one call at a time (NewHTTP1). It decides nothing:
-// whether, when and where to send is told; each attempt's end is reported once.
+// Package outbound carries attempts to endpoints. It keeps a connection pool for each endpoint, on event loops. A
+// Protocol speaks on the connections: HTTP/2 (NewHTTP2) with one stream for each attempt, or HTTP/1.1 (NewHTTP1)
+// with one call at a time. The package does not decide whether, when and where to send; its caller does. It
+// reports the end of each attempt once.
 package outbound
 
 import (
@@ -22,129 +23,191 @@
 	"whinrun/internal/h2"
 )
 
-// Resolver tells where endpoints are; ok is false for one that was never listed.
+// Resolver maps endpoints to addresses.
 type Resolver interface {
+	// Address returns the address of an endpoint. The result ok is false if the endpoint was never listed.
 	Address(ep control.Endpoint) (addr netip.AddrPort, ok bool)
 }
 
-// Protocol is what is spoken on the connections of a Pool.
+// Protocol creates the protocol state for the connections of a Pool. NewHTTP1 and NewHTTP2 implement it.
 type Protocol interface {
 	Resolver
+	// newSession returns the session of a connection that has just opened.
 	newSession(c *conn, now time.Duration) session
-	batches() bool // the attempts of one Start go as one call; else each is a call
+	// batches reports whether the attempts of one Pool.Start form one call. Otherwise each attempt is a call of
+	// its own.
+	batches() bool
 }
 
-// Admission has the last word on calls. Its methods are called on event loops, and must not wait for the engine.
+// Admission decides, just before a call is written, which of its attempts may be written. Its methods are called
+// on event loops and must not wait for the engine.
 type Admission interface {
-	// Write tells why an attempt must not be written now; nil permits it.
+	// Write returns nil if an attempt may be written now, and otherwise the reason why not.
 	Write(now control.Time, a *engine.Attempt) error
-	// Record puts attempts on record that are written next, as one call. It returns those that may be: all, or with an error
-	// those that need no record.
+	// Record records attempts that are written next, as one call, before any byte is sent. It returns those that
+	// may be written: all of them, or, with an error, those that need no record.
 	Record(call []*engine.Attempt) (may []*engine.Attempt, err error)
-	// TakenBack tells that an attempt that was permitted and recorded was not written after all.
+	// TakenBack reports that an attempt for which Write returned nil was not written after all.
 	TakenBack(a *engine.Attempt)
 }
 
-// line speaks the protocol of one connection, on its event loop only. It reports ends by pool.end.
+// session is the protocol state of one connection. Only the connection's event loop uses it. It reports the ends
+// of attempts by Pool.reportEnd.
 type session interface {
+	// receive handles bytes from the peer. An error ends the connection.
 	receive(now time.Duration, b []byte) error
+	// checkDeadlines applies the time limits of the protocol. An error ends the connection.
 	checkDeadlines(now time.Duration) error
+	// takeOutput returns the bytes to be written, once.
 	takeOutput() []byte
-	hasCapacity() bool                                                // a call can be started now
-	start(now time.Duration, k *call, attempts []*attemptState) error // errNoRoom: the call waits for room again
+	// hasCapacity reports whether a call can be started now.
+	hasCapacity() bool
+	// start writes a call. If it returns errNoCapacity, the call is queued again. Any other error means that the
+	// peer cannot take a call of this size.
+	start(now time.Duration, k *call, attempts []*attemptState) error
+	// abandon gives up an attempt that has been started.
 	abandon(now time.Duration, t *attemptState)
-	shutdown(now time.Duration) // it is closed next, idle
+	// shutdown prepares an idle connection for being closed.
+	shutdown(now time.Duration)
+	// state returns the state as it is now.
 	state() sessionState
-	connLost(kind engine.EndKind, reason string) // the connection is gone: all that is out ends
+	// connLost ends all attempts in flight with the given kind and reason, because the connection is gone.
+	connLost(kind engine.EndKind, reason string)
 }
 
-// sessionState is how a line stands.
+// sessionState is what the pool has to know of a session.
 type sessionState struct {
-	ready        bool // it can carry calls
-	hasDeadlines bool // its time limits are to be looked at
-	done         bool // it is to be closed
-	capacity     int  // calls that it can carry in all
+	// ready is true once the connection can carry calls.
+	ready bool
+	// hasDeadlines is true while checkDeadlines has to be called regularly.
+	hasDeadlines bool
+	// done is true if the connection is to be closed.
+	done bool
+	// capacity is the number of concurrent calls that the connection can carry, including those in flight.
+	capacity int
 }
 
-// errNoCapacity tells that a connection can't carry a call that was put on it.
+// errNoCapacity means that a connection cannot carry a call that was assigned to it.
 var errNoCapacity = errors.New("no room on the connection")
 
-// Config bounds a Pool.
+// Config configures a Pool.
 type Config struct {
-	Loops               int                           // event loops
-	MaxConnsPerEndpoint int                           // connections to one endpoint
-	MaxStreams          int                           // attempts on one connection at once, where the peer allows more
-	ConnectTimeout      time.Duration                 // until a connection and the peer's SETTINGS are there
-	IdleTimeout         time.Duration                 // a connection without attempts is closed after this
-	DialLimits          dialscheduler.Limits          // of new connections to all endpoints
-	MaxAnswerBytes      int                           // bytes of an answer's body that are kept
-	Trace               func(format string, a ...any) // told of each connection's end and each call taken back, nil for none
-	H2                  h2.Config
-	Admission           Admission        // asked in the moment in which a call is written; nil permits all
-	System              eventloop.System // nil for the kernel
-}
-
-// Pool holds the connections to all endpoints.
+	// Loops is the number of event loops.
+	Loops int
+	// MaxConnsPerEndpoint is the largest number of connections to one endpoint, open or being opened.
+	MaxConnsPerEndpoint int
+	// MaxStreams is the largest number of concurrent attempts on one HTTP/2 connection. The peer may allow fewer.
+	// Each
+	// dial under way counts as enough for this many pending calls.
+	MaxStreams int
+	// ConnectTimeout is the time for a connection to be established. With HTTP/2 the peer's SETTINGS have as long
+	// again to arrive.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which a connection without attempts is closed.
+	IdleTimeout time.Duration
+	// DialLimits bounds the dials to all endpoints together, and the number of connections.
+	DialLimits dialscheduler.Limits
+	// MaxAnswerBytes is the number of bytes kept of a response body. HTTP/2 discards the rest of a longer one.
+	// HTTP/1.1 treats a longer one as malformed and closes the connection.
+	MaxAnswerBytes int
+	// Trace receives a text for each lost connection, each failed dial, each idle connection that is closed, and
+	// each log text of the event loops. It may be nil.
+	Trace func(format string, a ...any)
+	// H2 configures HTTP/2 connections. ConnectTimeout replaces its Handshake.
+	H2 h2.Config
+	// Admission is asked when a call is about to be written. If it is nil, every attempt may be written.
+	Admission Admission
+	// System makes the system calls. If it is nil, eventloop.Kernel is used.
+	System eventloop.System
+}
+
+// Pool holds the connections to all endpoints. Its methods are safe for concurrent use.
 type Pool struct {
-	cfg           Config
-	proto         Protocol
-	clock         clock.Clock
-	report        func(engine.End)
-	loops         *eventloop.Group
-	schedulerWake chan struct{} // something changed for the planner
+	cfg    Config
+	proto  Protocol
+	clock  clock.Clock
+	report func(engine.End)
+	loops  *eventloop.Group
+	// schedulerWake has runScheduler ask the scheduler again.
+	schedulerWake chan struct{}
 	quit          chan struct{}
 	wg            sync.WaitGroup
 
+	// mu guards the fields below down to monitored.
 	mu        sync.Mutex
 	scheduler *dialscheduler.Scheduler
-	endpoints map[control.Endpoint]*endpointPool // those with connections or attempts; the others cost nothing
-	attempts  map[uint64]*attemptState           // attempts without an end
-	idle      *list.List                         // connections without attempts, longest idle first
-	monitored map[*conn]struct{}                 // connections whose time limits are looked at
-
+	// endpoints holds the endpoints that have connections or calls. Others use no memory.
+	endpoints map[control.Endpoint]*endpointPool
+	// attempts holds the attempts without an end, by their sequence number.
+	attempts map[uint64]*attemptState
+	// idle lists the connections without calls, the longest idle first.
+	idle *list.List
+	// monitored holds the connections whose time limits are checked at each tick.
+	monitored map[*conn]struct{}
+
+	// openConns counts the connections that are open on the event loops.
 	openConns atomic.Int64
 }
 
-// site is the pool of one endpoint. All fields are guarded by Pool.mu.
+// endpointPool is the connection pool of one endpoint. All fields are guarded by Pool.mu.
 type endpointPool struct {
-	id           control.Endpoint
-	addr         netip.AddrPort
-	conns        []*conn
-	pending      []*call // calls for which no connection has room
-	dialing      int
-	requested    bool         // a connection more is wished for
-	localFailure bool         // the last connection did not come about for want of something on this machine
-	activeUntil  control.Time // counts as busy until then
-}
-
-// activePeriod is how long after its last connection an endpoint counts as busy to the planner.
+	id    control.Endpoint
+	addr  netip.AddrPort
+	conns []*conn
+	// pending is the queue of calls for which no connection has capacity.
+	pending []*call
+	// dialing counts the connections that are being opened and those that cannot carry calls yet.
+	dialing int
+	// requested is true while the scheduler holds a request of this endpoint.
+	requested bool
+	// localFailure is true if the latest dial failed because of this machine.
+	localFailure bool
+	// activeUntil is the time until which the endpoint counts as recently active.
+	activeUntil control.Time
+}
+
+// activePeriod is how long after its latest new connection an endpoint counts as recently active, so that its
+// requests do not queue behind a burst of other endpoints.
 const activePeriod = 60 * control.Second
 
-// call is what goes out together: one attempt, or several where the protocol has bulk calls. Guarded by Pool.mu.
+// call is a request on a connection. It carries one attempt, or several if the protocol batches attempts. All
+// fields are guarded by Pool.mu.
 type call struct {
-	endpoint  *endpointPool
-	conn      *conn // where it was put, nil while it is pending
-	attempts  []*attemptState
-	remaining int  // tasks without an end
-	requeued  bool // it lost the connection that it was put on before it was written
+	endpoint *endpointPool
+	// conn is the connection that the call is assigned to. It is nil while the call is pending.
+	conn     *conn
+	attempts []*attemptState
+	// remaining counts the attempts without an end.
+	remaining int
+	// requeued is true if the call was assigned to a connection before and returned from it without being written.
+	requeued bool
 }
 
-// attemptState is one attempt. ended, given and kind are guarded by Pool.mu; the rest belongs to the event loop of its conn.
+// attemptState is the state of one attempt. The fields ended, abandoned and endKind are guarded by Pool.mu. The
+// fields after them belong to the event loop of the attempt's connection.
 type attemptState struct {
-	attempt        *engine.Attempt
-	call           *call
-	ended          bool // reported
-	abandoned      bool // it is to be given up ...
-	endKind        engine.EndKind
-	streamID       uint32
+	attempt *engine.Attempt
+	call    *call
+	// ended is true once the end has been reported.
+	ended bool
+	// abandoned is true if the attempt is to be given up, with endKind as the kind of its end.
+	abandoned bool
+	endKind   engine.EndKind
+	// streamID is the HTTP/2 stream of the attempt.
+	streamID uint32
+	// responseFields are the header fields of the response.
 	responseFields []h2.Field
-	responseBody   []byte
-	hasHeaders     bool
+	// responseBody is what has arrived of the response body, up to Config.MaxAnswerBytes.
+	responseBody []byte
+	// hasHeaders is true once headers of the response have arrived.
+	hasHeaders bool
 }
 
-// command is something for a connection's event loop: a call to start, or an attempt to give up.
+// command is an order to a connection's event loop. Exactly one of its fields is set.
 type command struct {
-	start   *call
+	// start is a call to be written.
+	start *call
+	// abandon is an attempt to be given up.
 	abandon *attemptState
 }
 
@@ -153,20 +216,31 @@
 	pool     *Pool
 	endpoint *endpointPool
 	netConn  *eventloop.Conn
-	session  session // used on its event loop only
-
-	// Guarded by Pool.mu.
-	commands      []command
-	closeWhenIdle bool // to be closed if idle
-	inFlight      int  // calls put on it and not ended
-	capacity      int  // calls that it can carry
-	usable        bool
-	idleSince     control.Time  // idle since
-	idleElement   *list.Element // in Pool.idle
-	established   bool          // the planner counts it as open
-}
-
-// New makes a Pool that reports ends to report, which must not block.
+	// session is used on the connection's event loop only.
+	session session
+
+	// commands are the orders that the event loop has not executed yet. This field and those below are guarded by
+	// Pool.mu.
+	commands []command
+	// closeWhenIdle is true if the connection is to be closed and takes no further calls.
+	closeWhenIdle bool
+	// inFlight counts the calls that are assigned to the connection and have not ended.
+	inFlight int
+	// capacity is the number of calls that the connection can carry at once.
+	capacity int
+	// usable is true while calls may be assigned to the connection.
+	usable bool
+	// idleSince is the time at which the connection was last left without calls.
+	idleSince control.Time
+	// idleElement is the connection's element in Pool.idle. It is nil while the connection is not listed there.
+	idleElement *list.Element
+	// established is true while the scheduler counts the connection as open.
+	established bool
+}
+
+// New creates a Pool and starts its event loops. The function report receives the end of each attempt. It is
+// called from any goroutine and must not block. New fails if the machine lacks a resource that the event loops
+// need.
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.End)) (*Pool, error) {
 	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, endpoints: map[control.Endpoint]*endpointPool{},
 		attempts: map[uint64]*attemptState{}, quit: make(chan struct{}), schedulerWake: make(chan struct{}, 1),
@@ -184,22 +258,24 @@
 	return p, nil
 }
 
-// tickInterval is how often time limits are looked at.
+// tickInterval returns the time between two checks of the time limits.
 func (p *Pool) tickInterval() time.Duration {
 	return min(250*time.Millisecond, max(10*time.Millisecond, p.cfg.ConnectTimeout/8))
 }
 
-// Close ends all connections; attempts that are out have no end any more.
+// Close ends all connections and stops the event loops. Attempts that have no end yet may be reported until Close
+// returns, or not at all.
 func (p *Pool) Close() {
 	close(p.quit)
 	p.wg.Wait()
 	p.loops.Stop()
 }
 
-// Connections counts the open connections.
+// Connections returns the number of open connections.
 func (p *Pool) Connections() int { return int(p.openConns.Load()) }
 
-// Start is engine.Back.
+// Start sends attempts, which must all be to one endpoint if the protocol batches them. It does not block. An
+// attempt to an endpoint without an address ends as NotConnected.
 func (p *Pool) Start(attempts []*engine.Attempt) {
 	if p.proto.batches() {
 		p.startCall(attempts)
@@ -210,7 +286,7 @@
 	}
 }
 
-// startCall starts one call.
+// startCall starts one call. All its attempts are to the same endpoint.
 func (p *Pool) startCall(attempts []*engine.Attempt) {
 	p.mu.Lock()
 	ep := attempts[0].Endpoint
@@ -240,8 +316,9 @@
 	p.mu.Unlock()
 }
 
-// place puts a call on the first connection with room: calls of one round to one endpoint share one where they can, so
-// that a batch leaves in one write. One idle for too long is passed over: its peer may be closing it.
+// assign puts a call on the first connection that has capacity, and reports whether there is one. Calls that start
+// together then share a connection where they can and leave in one write. A connection that has been idle for
+// longer than IdleTimeout is skipped, because its peer may be closing it. Pool.mu must be held.
 func (p *Pool) assign(k *call) bool {
 	idleBefore := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
 	for _, c := range k.endpoint.conns {
@@ -256,7 +333,7 @@
 	return false
 }
 
-// enqueue puts something into the inbox of a connection; guarded by Pool.mu.
+// enqueue adds a command for the connection's event loop. Pool.mu must be held.
 func (c *conn) enqueue(cmd command) {
 	c.commands = append(c.commands, cmd)
 	if len(c.commands) == 1 {
@@ -264,7 +341,8 @@
 	}
 }
 
-// requestConn wishes for a further connection where attempts wait for room; guarded by Pool.mu.
+// requestConn asks the scheduler for another connection if calls wait for capacity, and withdraws the request if
+// they no longer do. It also deletes an endpoint that has no connections and no calls. Pool.mu must be held.
 func (p *Pool) requestConn(s *endpointPool) {
 	switch {
 	case len(s.pending) <= s.dialing*p.cfg.MaxStreams || len(s.conns)+s.dialing >= p.cfg.MaxConnsPerEndpoint:
@@ -272,7 +350,8 @@
 			s.requested = false
 			p.scheduler.Remove(uint64(s.id))
 		}
-		// Ends that are still reported for a site dropped before must not drop the one made since.
+		// An end that is reported late for an endpointPool that was deleted must not delete the one that replaced
+		// it.
 		if len(s.conns) == 0 && s.dialing == 0 && len(s.pending) == 0 && p.endpoints[s.id] == s {
 			delete(p.endpoints, s.id)
 		}
@@ -287,7 +366,7 @@
 	p.wakeScheduler()
 }
 
-// wakeScheduler has the planner asked again.
+// wakeScheduler has runScheduler ask the scheduler again. It does not block.
 func (p *Pool) wakeScheduler() {
 	select {
 	case p.schedulerWake <- struct{}{}:
@@ -295,7 +374,7 @@
 	}
 }
 
-// runScheduler asks the planner what to open next, and hands it to the dialers.
+// runScheduler asks the scheduler what to dial next and starts the dials. It returns after Close.
 func (p *Pool) runScheduler() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -311,9 +390,11 @@
 			} else {
 				s.requested = false
 				s.dialing++
-				p.requestConn(s) // many may wait: one connection more is wished for at once
+				// More calls may wait than this connection can carry. The next one is requested at once.
+				p.requestConn(s)
 			}
-		case dialscheduler.CloseIdle: // the longest idle connection makes room; with none idle all wait
+		// The connection that has been idle longest is closed for a new one. If none is idle, all requests wait.
+		case dialscheduler.CloseIdle:
 			if e := p.idle.Front(); e != nil {
 				e.Value.(*conn).closeIdle()
 				e.Value.(*conn).unmarkIdle()
@@ -340,11 +421,15 @@
 	}
 }
 
-// Abandon is engine.Back.
+// Abandon gives up an attempt that the engine no longer waits for. An attempt that was written ends with the given
+// kind, unless its real end comes first. One that was assigned to a connection and not written ends as Unsent. One
+// that waits for a connection ends as Unsent, too, or as NotConnected if its time has run out and the latest dial
+// did not fail because of this machine.
 func (p *Pool) Abandon(a *engine.Attempt, kind engine.EndKind) {
 	p.mu.Lock()
 	t := p.attempts[a.Seq]
-	if t == nil || t.abandoned { // its end is on its way
+	// The attempt has ended, or its end is already on the way.
+	if t == nil || t.abandoned {
 		p.mu.Unlock()
 		return
 	}
@@ -358,14 +443,16 @@
 	switch {
 	case kind == engine.OutOfTime && t.call.endpoint.localFailure:
 		end.Detail = "this machine could make no connection"
-	case kind == engine.OutOfTime: // no connection had room for all its time
+	// No connection had capacity for the attempt in all its time.
+	case kind == engine.OutOfTime:
 		end.Kind = engine.NotConnected
 	}
 	p.mu.Unlock()
 	p.reportEnd(t, end)
 }
 
-// Unsend is engine.Back.
+// Unsend withdraws an attempt that waits for a connection. It ends as Unsent. An attempt that is assigned to a
+// connection is not affected.
 func (p *Pool) Unsend(a *engine.Attempt) {
 	p.mu.Lock()
 	t := p.attempts[a.Seq]
@@ -379,7 +466,7 @@
 	}
 }
 
-// CloseIdle is engine.Back.
+// CloseIdle closes the connections of an endpoint that carry no calls.
 func (p *Pool) CloseIdle(ep control.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -390,7 +477,7 @@
 	}
 }
 
-// closeIdle closes a connection if nothing is on it; guarded by Pool.mu.
+// closeIdle starts to close a connection if it carries no calls. Pool.mu must be held.
 func (c *conn) closeIdle() {
 	if c.inFlight == 0 && !c.closeWhenIdle && c.usable {
 		c.pool.cfg.Trace("endpoint %d: an idle connection is closed", c.endpoint.id)
@@ -400,7 +487,7 @@
 	}
 }
 
-// markIdle puts a connection without attempts at the end of those that are idle; guarded by Pool.mu.
+// markIdle appends a connection without calls to Pool.idle. Pool.mu must be held.
 func (c *conn) markIdle() {
 	c.idleSince = c.pool.clock.Now()
 	if c.idleElement == nil && c.usable {
@@ -408,7 +495,7 @@
 	}
 }
 
-// unmarkIdle takes a connection off those that are idle; guarded by Pool.mu.
+// unmarkIdle removes a connection from Pool.idle. Pool.mu must be held.
 func (c *conn) unmarkIdle() {
 	if c.idleElement != nil {
 		c.pool.idle.Remove(c.idleElement)
@@ -416,7 +503,8 @@
 	}
 }
 
-// reportEnd reports the end of an attempt, once.
+// reportEnd reports the end of an attempt, and does nothing if it was reported before. A call without further
+// attempts leaves its connection or the queue.
 func (p *Pool) reportEnd(t *attemptState, e engine.End) {
 	p.mu.Lock()
 	if t.ended {
@@ -442,7 +530,7 @@
 	p.report(e)
 }
 
-// assignPending puts pending calls on connections that have room again; guarded by Pool.mu.
+// assignPending assigns pending calls to connections, in order, until one finds no capacity. Pool.mu must be held.
 func (p *Pool) assignPending(s *endpointPool) {
 	n := 0
 	for n < len(s.pending) && p.assign(s.pending[n]) {
@@ -451,7 +539,7 @@
 	s.pending = append(s.pending[:0], s.pending[n:]...)
 }
 
-// failCalls ends calls that were never written.
+// failCalls ends calls that were never written as NotConnected.
 func (p *Pool) failCalls(calls []*call, reason string) {
 	for _, k := range calls {
 		for _, t := range k.attempts {
@@ -460,12 +548,12 @@
 	}
 }
 
-// DialFailed is eventloop.Handler.
+// DialFailed implements eventloop.Handler.
 func (p *Pool) DialFailed(context any, err error) { p.connectFailed(context.(*endpointPool), err) }
 
-// connectFailed tells all attempts that wait for a connection that there is none. That others of the endpoint may still be open
-// is for the module to weigh. Where it is this machine that lacks something they go on waiting: that says nothing of the
-// endpoint.
+// connectFailed handles a connection that was not established. If the peer is the cause, all calls that wait for a
+// connection to the endpoint end as NotConnected, even if other connections to it are open; the engine weighs
+// that. If this machine is the cause, the calls go on waiting, because that says nothing about the endpoint.
 func (p *Pool) connectFailed(s *endpointPool, err error) {
 	failure := classifyDialError(err)
 	p.mu.Lock()
@@ -483,7 +571,7 @@
 	p.failCalls(failed, err.Error())
 }
 
-// classifyDialError tells whose lack it was that a connection did not come about.
+// classifyDialError returns the cause of a failed dial in the scheduler's terms.
 func classifyDialError(err error) dialscheduler.Failure {
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
