--- a/internal/outbound/admission_test.go
+++ b/internal/outbound/admission_test.go
@@ -13,13 +13,17 @@
 	"whinrun/internal/engine"
 )
 
-// fakeAdmission gives permits, and writes down what it is asked.
+// fakeAdmission is an Admission that records its calls.
 type fakeAdmission struct {
-	mu             sync.Mutex
-	events         []string
-	denied         map[string]bool // messages that must not be written
-	recordFails    bool            // nothing can be recorded, but for ...
-	noRecordNeeded string          // ... this message, which needs no record
+	mu sync.Mutex
+	// events are the calls since takeEvents was last called.
+	events []string
+	// denied holds the names of messages that must not be written.
+	denied map[string]bool
+	// recordFails makes Record fail.
+	recordFails bool
+	// noRecordNeeded is the name of a message that may be written even if Record fails.
+	noRecordNeeded string
 }
 
 func (f *fakeAdmission) logf(format string, a ...any) {
@@ -71,7 +75,7 @@
 	}
 }
 
-// A call is permitted and recorded in the moment in which it is written, and not while it waits for a connection.
+// A call must be admitted and recorded when it is written, not while it waits for a connection.
 func TestPermittedAsItIsWritten(t *testing.T) {
 	admission := &fakeAdmission{}
 	tp := newTestPoolWith(t, admission)
@@ -87,7 +91,8 @@
 	select {
 	case e := <-tp.ends:
 		t.Fatalf("end %+v", e)
-	case <-time.After(50 * time.Millisecond): // all connections that there may be are taken
+	// All connections that are allowed carry calls, so that this one waits.
+	case <-time.After(50 * time.Millisecond):
 	}
 	admission.wantEvents(t)
 	tp.p.Abandon(waiting[0], engine.CalledOff)
@@ -95,14 +100,15 @@
 	admission.wantEvents(t)
 }
 
-// startOnNewConn has a call written on a connection of its own.
+// startOnNewConn starts a call and has it written on a connection of its own.
 func (tp *testPool) startOnNewConn(name string) {
 	tp.t.Helper()
 	tp.start(name)
 	tp.read(tp.conn())
 }
 
-// What is not permitted, or can't be recorded and has to be, is not written; the others of the call are.
+// An attempt that is denied, or that needs a record and cannot be recorded, must not be written. The other
+// attempts of its call must be.
 func TestForbiddenAndUnrecorded(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -146,7 +152,8 @@
 	}
 }
 
-// A connection that its peer has closed is not recorded on: the call goes elsewhere with one record.
+// A call must not be recorded for a connection that its peer has closed. It goes to another connection, with one
+// record.
 func TestNothingIsRecordedOnAStaleConnection(t *testing.T) {
 	admission := &fakeAdmission{}
 	tp := newTestPoolWith(t, admission)
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -15,7 +15,7 @@
 	"whinrun/internal/h1"
 )
 
-// plainCodec calls: the path has the names of the messages.
+// plainCodec is an HTTP1Codec for tests. The path of a request lists the names of its messages.
 type plainCodec struct{ addr netip.AddrPort }
 
 func (p plainCodec) Address(control.Endpoint) (netip.AddrPort, bool) { return p.addr, true }
@@ -37,7 +37,7 @@
 	return engine.End{Kind: engine.Answered, Status: status}, status == 200 && len(attempts) == 1
 }
 
-// testPool is a Pool and a peer whose connections the test has in its hand.
+// testPool is a Pool with an HTTP/1.1 peer whose connections the test controls.
 type testPool struct {
 	t     *testing.T
 	p     *Pool
@@ -50,7 +50,7 @@
 
 func newTestPool(t *testing.T) *testPool { return newTestPoolWith(t, nil) }
 
-// newTestPoolWith makes a rig whose calls need permits.
+// newTestPoolWith creates a testPool whose calls need admission.
 func newTestPoolWith(t *testing.T, admission Admission) *testPool {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,6 +80,7 @@
 	return tp
 }
 
+// start starts a call with one attempt for each name, all to endpoint 1.
 func (tp *testPool) start(names ...string) (call []*engine.Attempt) {
 	for _, n := range names {
 		tp.seq++
@@ -89,6 +90,7 @@
 	return call
 }
 
+// conn returns the next connection that the peer accepts.
 func (tp *testPool) conn() net.Conn {
 	tp.t.Helper()
 	select {
@@ -100,7 +102,7 @@
 	}
 }
 
-// read reads what is written next.
+// read returns what is written next on a connection.
 func (tp *testPool) read(c net.Conn) string {
 	tp.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -112,6 +114,7 @@
 	return string(b[:n])
 }
 
+// wantEnd expects an end of an attempt with this kind and status.
 func (tp *testPool) wantEnd(kind engine.EndKind, status int) {
 	tp.t.Helper()
 	select {
@@ -126,7 +129,8 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// A used connection is used again; one that its peer has closed meanwhile is not written on, and nothing fails.
+// An idle connection must be used again. If its peer has closed it meanwhile, the call must go to a new
+// connection, and nothing fails.
 func TestConnectionUsedAgain(t *testing.T) {
 	tp := newTestPool(t)
 	tp.start("a")
@@ -148,7 +152,7 @@
 	tp.wantEnd(engine.Answered, 200)
 }
 
-// Giving up closes the connection, and only then the end is told; what is left of an answer harms nobody.
+// Abandoning a call must close its connection, so that a late answer cannot be taken for that of another call.
 func TestGivingUpCloses(t *testing.T) {
 	tp := newTestPool(t)
 	call := tp.start("a")
@@ -162,8 +166,8 @@
 	}
 }
 
-// Of several messages in a call one may run out of time: the others wait on, on the same connection. Its attempt is out with
-// theirs until then, and ends with the call; with the time of the last one the call is given up.
+// One message of a call runs out of time. The call must go on for the others on the same connection, and the
+// attempt must end with it. If the last message runs out of time, the call is given up.
 func TestOneOfSeveralOutOfTime(t *testing.T) {
 	tp := newTestPool(t)
 	call := tp.start("a", "b")
@@ -172,7 +176,7 @@
 	tp.p.Abandon(call[0], engine.OutOfTime)
 	select {
 	case e := <-tp.ends:
-		t.Errorf("end %+v, and the call is out", e)
+		t.Errorf("end %+v while the call is in flight", e)
 	case <-time.After(50 * time.Millisecond):
 	}
 	_, _ = c.Write([]byte("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"))
@@ -186,7 +190,8 @@
 	tp.wantEnd(engine.OutOfTime, 0)
 }
 
-// A time-out ahead of the message's end gives up the whole call: the message goes again, and must not be out twice.
+// An attempt times out before its message's end. The whole call must be given up, because the message is sent
+// again and must not be in flight twice.
 func TestTimeOutOfOneThatGoesAgain(t *testing.T) {
 	tp := newTestPool(t)
 	now := tp.clock.Now()
@@ -214,11 +219,13 @@
 	}
 }
 
-// The message with the most time leads a call, so that the first of a call is never over before the others.
+// The message with the most time must come first in a call, so that the first message never ends before the
+// others.
 func TestLongestLeadsACall(t *testing.T) {
 	tp := newTestPool(t)
 	var call []*engine.Attempt
-	now := tp.clock.Now() // one moment for all: two of them have the same time
+	// All messages share one start, so that two of them have the same deadline.
+	now := tp.clock.Now()
 	for i, n := range []string{"short", "long", "middle", "long2"} {
 		due := []control.Time{4, 12, 8, 12}[i]
 		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Msg: &engine.Message{Name: n}, Endpoint: 1, Due: now + due*control.Second})
@@ -235,8 +242,8 @@
 	}
 }
 
-// An attempt whose last moment has come when its connection is there is not written: the key of a repeat may be forgotten
-// by then. One beside it in the call goes.
+// An attempt must not be written if the latest time to begin it has come when its connection is established. By
+// then its partner may have forgotten the idempotency key. Another attempt of the call must be written.
 func TestTooLateToBegin(t *testing.T) {
 	tp := newTestPool(t)
 	now := tp.clock.Now()
@@ -250,7 +257,8 @@
 	tp.wantEnd(engine.Unsent, 0)
 }
 
-// An attempt that is given up before its connection is there is never written; the connection serves the next one.
+// An attempt that is abandoned before its connection is established must not be written. The connection must carry
+// the next call.
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
 	tp := newTestPool(t)
 	call := tp.start("gone")
@@ -265,8 +273,8 @@
 	tp.wantEnd(engine.Answered, 200)
 }
 
-// An answer that is there before the give-up counts; one that crosses it is dropped with its connection. Either way the attempt
-// has one end.
+// An answer that arrives before the attempt is abandoned counts. A later one is discarded with its connection.
+// Either way the attempt must have exactly one end.
 func TestAnswerCrossesTheGiveUp(t *testing.T) {
 	for range 40 {
 		tp := newTestPool(t)
@@ -283,13 +291,15 @@
 		case <-time.After(5 * time.Second):
 			t.Fatal("no end came")
 		}
-		tp.start("b") // all that the pool still does for the first is done before this one ends
+		// The pool finishes its work for the first attempt before this one ends.
+		tp.start("b")
 		answer := func(d net.Conn) {
 			if _, err := d.Read(make([]byte, 4096)); err == nil {
 				_, _ = d.Write([]byte(okAnswer))
 			}
 		}
-		go answer(c) // used again, or closed
+		// The first connection is either used again or closed.
+		go answer(c)
 		go func() {
 			select {
 			case d := <-tp.conns:
@@ -307,23 +317,25 @@
 		}
 		tp.p.mu.Lock()
 		if n := len(tp.p.attempts); n != 0 {
-			t.Errorf("%d tasks are kept", n)
+			t.Errorf("%d attempts are kept", n)
 		}
 		tp.p.mu.Unlock()
 	}
 }
 
-// An attempt that waits for a connection can be taken back: it has not run.
+// An attempt that waits for a connection can be withdrawn, and must end as Unsent.
 func TestUnsendWhileWaiting(t *testing.T) {
 	tp := newTestPool(t)
 	var calls [][]*engine.Attempt
-	for range 4 { // one more than connections are allowed
+	// Only three connections are allowed, so that one call waits.
+	for range 4 {
 		calls = append(calls, tp.start("x"))
 	}
 	for range 3 {
 		tp.read(tp.conn())
 	}
-	tp.p.Unsend(calls[0][0]) // written: it stays out
+	// This one has been written, so that Unsend must not affect it.
+	tp.p.Unsend(calls[0][0])
 	waiting := calls[3][0]
 	tp.p.mu.Lock()
 	for _, k := range calls {
@@ -343,7 +355,8 @@
 	}
 }
 
-// Ends of a site that was dropped leave the one made since alone: its wish for a connection would be lost with it.
+// Ends that are reported late for a deleted endpointPool must not delete the one that replaced it. That would lose
+// its request for a connection.
 func TestDroppedSiteLeavesTheNewOne(t *testing.T) {
 	tp := newTestPool(t)
 	old := &endpointPool{id: 1}
@@ -354,7 +367,7 @@
 	kept := tp.p.endpoints[1] == made && made != nil
 	tp.p.mu.Unlock()
 	if !kept {
-		t.Error("the new site is gone")
+		t.Error("the new endpointPool is gone")
 	}
 	c := tp.conn()
 	tp.read(c)
@@ -362,7 +375,8 @@
 	tp.wantEnd(engine.Answered, 200)
 }
 
-// The first line that says 200 is enough, whatever becomes of the rest; without it a broken answer may have run.
+// A status line with 200 must decide the call, whatever becomes of the rest of the response. Without it, a broken
+// response leaves open whether the call was executed.
 func TestFirstLineDecides(t *testing.T) {
 	for text, want := range map[string]engine.EndKind{
 		"HTTP/1.1 200 OK\r\n":                              engine.Answered,
@@ -387,7 +401,7 @@
 	}
 }
 
-// A head that promises enough and a body that never ends: the message is not kept waiting.
+// If the status code decides the call and the body never ends, the attempt must end soon.
 func TestBodyThatStalls(t *testing.T) {
 	tp := newTestPool(t)
 	tp.start("a")
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -22,7 +22,8 @@
 	"whinrun/internal/h2"
 )
 
-// TestMain is also the partner in a process of its own, so that it does not share this one's descriptors.
+// TestMain runs the tests, or a partner if OUTBOUND_TEST_PEER is set. The partner runs in a process of its own so
+// that it does not use this one's descriptors.
 func TestMain(m *testing.M) {
 	if os.Getenv("OUTBOUND_TEST_PEER") == "" {
 		os.Exit(m.Run())
@@ -39,7 +40,7 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// startPeer starts the partner and returns its address.
+// startPeer starts the partner process and returns its address.
 func startPeer(t *testing.T) netip.AddrPort {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -66,7 +67,8 @@
 	return netip.MustParseAddrPort(strings.TrimSpace(line))
 }
 
-// testCodec is the plainest: every endpoint is the peer.
+// testCodec is an HTTP2Codec for tests. Every endpoint has the same address, and every response counts as status
+// 201.
 type testCodec struct{ addr netip.AddrPort }
 
 func (s testCodec) Address(control.Endpoint) (netip.AddrPort, bool) { return s.addr, true }
@@ -77,7 +79,8 @@
 	return engine.End{Kind: engine.Answered, Status: 201}
 }
 
-// runAttempts collects the ends of n attempts, each to an endpoint of its own.
+// runAttempts sends n attempts, each to an endpoint of its own. It returns how many ended with each kind, and the
+// largest number of open connections seen.
 func runAttempts(t *testing.T, cfg Config, n int) (ends map[engine.EndKind]int, most int) {
 	t.Helper()
 	var mu sync.Mutex
@@ -106,12 +109,14 @@
 	return ends, most
 }
 
+// testConfig returns limits that these tests change in part.
 func testConfig() Config {
 	return Config{Loops: 1, MaxConnsPerEndpoint: 2, MaxStreams: 10, ConnectTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 100,
 		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 4, MaxConns: 1000}}
 }
 
-// At the bound of connections the longest idle one is closed for a new one: all are served, and never more are open.
+// At the limit of connections, the longest idle one must be closed for a new one. All attempts must be answered,
+// and no more connections may be open than allowed.
 func TestTotalMakesRoom(t *testing.T) {
 	cfg := testConfig()
 	cfg.DialLimits.MaxConns = 5
@@ -121,7 +126,8 @@
 	}
 }
 
-// Out of descriptors attempts wait and are served as connections close; no endpoint is said to be down for it.
+// While the machine has no file descriptors left, attempts must wait and be sent as connections close. None may
+// end as if its endpoint were down.
 func TestDescriptorsRunOut(t *testing.T) {
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
@@ -133,7 +139,7 @@
 	}
 	defer func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old) }()
 	cfg := testConfig()
-	// The peer is started, and the pool's own descriptors are taken, within gather: leave room for those and a few more.
+	// The limit leaves descriptors for the peer's pipes, for the pool itself and for a few connections.
 	low := old
 	low.Cur = uint64(len(open) + 40)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -97,8 +97,7 @@
 	// MaxConnsPerEndpoint is the largest number of connections to one endpoint, open or being opened.
 	MaxConnsPerEndpoint int
 	// MaxStreams is the largest number of concurrent attempts on one HTTP/2 connection. The peer may allow fewer.
-	// Each
-	// dial under way counts as enough for this many pending calls.
+	// Each dial under way counts as enough for this many pending calls.
 	MaxStreams int
 	// ConnectTimeout is the time for a connection to be established. With HTTP/2 the peer's SETTINGS have as long
 	// again to arrive.
