--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -46,7 +46,7 @@
 	Write(now control.Time, a *engine.Attempt) error
 	// Record records attempts that are written next, as one call, before any byte is sent. It returns those that
 	// may be written: all of them, or, with an error, those that need no record.
-	Record(call []*engine.Attempt) (may []*engine.Attempt, err error)
+	Record(call []*engine.Attempt) (writable []*engine.Attempt, err error)
 	// TakenBack reports that an attempt for which Write returned nil was not written after all.
 	TakenBack(a *engine.Attempt)
 }
