--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -152,7 +152,7 @@
 		}
 		return nil
 	})
-	watch := clock.Start()
+	watch := clock.StartStopwatch()
 	// Clients in the backlog of the old socket are lost with it.
 	for talk(g, []byte("hello")) != nil {
 		if watch.Elapsed() > 20*time.Second {
--- a/internal/outbound/admission_test.go
+++ b/internal/outbound/admission_test.go
@@ -40,10 +40,10 @@
 }
 
 func (f *fakeAdmission) Write(_ control.Time, a *engine.Attempt) error {
-	f.logf("write %s", a.Msg.Name)
+	f.logf("write %s", a.Message.ExternalID)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.denied[a.Msg.Name] {
+	if f.denied[a.Message.ExternalID] {
 		return errors.New("forbidden")
 	}
 	return nil
@@ -52,8 +52,8 @@
 func (f *fakeAdmission) Record(call []*engine.Attempt) (writable []*engine.Attempt, err error) {
 	var names []string
 	for _, a := range call {
-		names = append(names, a.Msg.Name)
-		if a.Msg.Name == f.noRecordNeeded {
+		names = append(names, a.Message.ExternalID)
+		if a.Message.ExternalID == f.noRecordNeeded {
 			writable = append(writable, a)
 		}
 	}
@@ -66,7 +66,7 @@
 	return call, nil
 }
 
-func (f *fakeAdmission) TakenBack(a *engine.Attempt) { f.logf("taken back %s", a.Msg.Name) }
+func (f *fakeAdmission) TakenBack(a *engine.Attempt) { f.logf("taken back %s", a.Message.ExternalID) }
 
 func (f *fakeAdmission) wantEvents(t *testing.T, events ...string) {
 	t.Helper()
@@ -95,7 +95,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	admission.wantEvents(t)
-	tp.p.Abandon(waiting[0], engine.CalledOff)
+	tp.p.Cancel(waiting[0], engine.Cancelled)
 	tp.wantEnd(engine.Unsent, 0)
 	admission.wantEvents(t)
 }
@@ -114,21 +114,21 @@
 		name      string
 		admission *fakeAdmission
 		written   string
-		ends      map[string]engine.EndKind
+		ends      map[string]engine.OutcomeKind
 	}{
-		{"one is forbidden", &fakeAdmission{denied: map[string]bool{"a": true}}, "/b", map[string]engine.EndKind{"a": engine.Unsent}},
-		{"one needs no record", &fakeAdmission{recordFails: true, noRecordNeeded: "b"}, "/b", map[string]engine.EndKind{"a": engine.NotRecorded}},
-		{"none can be recorded", &fakeAdmission{recordFails: true}, "", map[string]engine.EndKind{"a": engine.NotRecorded, "b": engine.NotRecorded}},
+		{"one is forbidden", &fakeAdmission{denied: map[string]bool{"a": true}}, "/b", map[string]engine.OutcomeKind{"a": engine.Unsent}},
+		{"one needs no record", &fakeAdmission{recordFails: true, noRecordNeeded: "b"}, "/b", map[string]engine.OutcomeKind{"a": engine.NotRecorded}},
+		{"none can be recorded", &fakeAdmission{recordFails: true}, "", map[string]engine.OutcomeKind{"a": engine.NotRecorded, "b": engine.NotRecorded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			tp := newTestPoolWith(t, c.admission)
 			call := tp.start("a", "b")
 			conn := tp.conn()
-			ends := map[string]engine.EndKind{}
+			ends := map[string]engine.OutcomeKind{}
 			for range c.ends {
 				select {
 				case e := <-tp.ends:
-					ends[call[e.Seq-1].Msg.Name] = e.Kind
+					ends[call[e.Seq-1].Message.ExternalID] = e.Kind
 				case <-time.After(5 * time.Second):
 					t.Fatal("no end came")
 				}
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -79,10 +79,10 @@
 // protocolFailed ends a connection on which the peer has broken the protocol or exceeded a time limit.
 func (c *conn) protocolFailed(err error) {
 	c.netConn.Write(c.session.takeOutput())
-	kind := engine.Malformed
+	kind := engine.ProtocolError
 	var ce *h2.ConnError
 	if errors.As(err, &ce) && ce.Code == h2.SettingsTimeout {
-		kind = engine.ResetUnanswered
+		kind = engine.ResetBeforeResponse
 	}
 	c.remove(kind, err.Error())
 	c.netConn.Close()
@@ -95,13 +95,13 @@
 	if err != nil && !errors.Is(err, io.EOF) {
 		reason = err.Error()
 	}
-	netConn.Context.(*conn).remove(engine.ResetUnanswered, reason)
+	netConn.Context.(*conn).remove(engine.ResetBeforeResponse, reason)
 }
 
 // remove takes a connection out of its pool and ends all attempts that are in flight on it. Calls that were never
 // written have not been executed. They are assigned to another connection, once. Further calls of remove do
 // nothing.
-func (c *conn) remove(kind engine.EndKind, reason string) {
+func (c *conn) remove(kind engine.OutcomeKind, reason string) {
 	p := c.pool
 	p.mu.Lock()
 	remaining := c.endpoint.conns[:0]
@@ -200,7 +200,7 @@
 		return
 	}
 	for _, t := range admitted {
-		c.pool.reportEnd(t, engine.End{Kind: engine.TooLargeForPeer, Detail: err.Error()})
+		c.pool.reportEnd(t, engine.Outcome{Kind: engine.HeadersTooLarge, Detail: err.Error()})
 	}
 }
 
@@ -214,9 +214,9 @@
 		switch {
 		case ended:
 		case abandoned:
-			p.reportEnd(t, engine.End{Kind: engine.Unsent})
-		case time.Duration(cmp.Or(t.attempt.Begin, t.attempt.Due))*time.Microsecond <= now:
-			p.reportEnd(t, engine.End{Kind: engine.Unsent, Detail: "its time, or that for repeats, is over"})
+			p.reportEnd(t, engine.Outcome{Kind: engine.Unsent})
+		case time.Duration(cmp.Or(t.attempt.WriteBefore, t.attempt.Deadline))*time.Microsecond <= now:
+			p.reportEnd(t, engine.Outcome{Kind: engine.Unsent, Detail: "its time, or that for repeats, is over"})
 		default:
 			startable = append(startable, t)
 		}
@@ -236,7 +236,7 @@
 	var engineAttempts []*engine.Attempt
 	for _, t := range attempts {
 		if err := p.cfg.Admission.Write(now, t.attempt); err != nil {
-			p.reportEnd(t, engine.End{Kind: engine.Unsent, Detail: err.Error()})
+			p.reportEnd(t, engine.Outcome{Kind: engine.Unsent, Detail: err.Error()})
 			continue
 		}
 		admitted, engineAttempts = append(admitted, t), append(engineAttempts, t.attempt)
@@ -253,7 +253,7 @@
 			return false
 		}
 		p.reportTakenBack(t)
-		p.reportEnd(t, engine.End{Kind: engine.NotRecorded, Detail: err.Error()})
+		p.reportEnd(t, engine.Outcome{Kind: engine.NotRecorded, Detail: err.Error()})
 		return true
 	})
 }
@@ -301,7 +301,7 @@
 		return
 	}
 	for _, t := range abandoned {
-		p.reportEnd(t, engine.End{Kind: engine.Unsent})
+		p.reportEnd(t, engine.Outcome{Kind: engine.Unsent})
 	}
 }
 
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -17,11 +17,11 @@
 	Request(b []byte, attempts []*engine.Attempt, left []time.Duration) []byte
 	// Answer returns one end for each attempt of a call whose response is complete. The head is valid only until
 	// Answer returns.
-	Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.End
+	Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome
 	// Assured returns the end of a call if the status code alone decides it, although the rest of the response is
 	// missing or malformed. The result ok is false if the status code does not decide. It must be false for a call
 	// of several attempts.
-	Assured(attempts []*engine.Attempt, status int) (end engine.End, ok bool)
+	Assured(attempts []*engine.Attempt, status int) (end engine.Outcome, ok bool)
 }
 
 // NewHTTP1 returns HTTP/1.1 with one call at a time on a connection. The attempts of one Pool.Start form one call.
@@ -94,13 +94,13 @@
 	}
 	// The message with the most time goes first. Some peers take the deadline of a call from its first message. If
 	// that one were to end early, the other messages would lose their remaining time.
-	slices.SortStableFunc(attempts, func(x, y *attemptState) int { return cmp.Compare(y.attempt.Due, x.attempt.Due) })
+	slices.SortStableFunc(attempts, func(x, y *attemptState) int { return cmp.Compare(y.attempt.Deadline, x.attempt.Deadline) })
 	s.used, s.call, s.attempts = true, k, attempts
 	s.engineAttempts = make([]*engine.Attempt, len(attempts))
 	left := make([]time.Duration, len(attempts))
 	for i, t := range attempts {
 		s.engineAttempts[i] = t.attempt
-		left[i] = time.Duration(t.attempt.Due)*time.Microsecond - now
+		left[i] = time.Duration(t.attempt.Deadline)*time.Microsecond - now
 	}
 	s.status, s.head, s.inBuffer = 0, nil, nil
 	s.outBuffer = s.codec.Request(s.outBuffer, s.engineAttempts, left)
@@ -114,7 +114,7 @@
 	if s.call != t.call {
 		return
 	}
-	if t.endKind == engine.OutOfTime && t.attempt.Due >= t.attempt.Ends && !s.finishFromStatus() && s.hasLiveAttempts() {
+	if t.endKind == engine.TimedOut && t.attempt.Deadline >= t.attempt.MessageDeadline && !s.finishFromStatus() && s.hasLiveAttempts() {
 		return
 	}
 	// connLost reports the end, once the connection is closed and nothing more can arrive.
@@ -139,12 +139,12 @@
 		return false
 	}
 	s.closing = true
-	s.finish([]engine.End{end})
+	s.finish([]engine.Outcome{end})
 	return true
 }
 
 // finish reports the ends of the call in flight. The slice ends has one for each of its attempts.
-func (s *h1Session) finish(ends []engine.End) {
+func (s *h1Session) finish(ends []engine.Outcome) {
 	// The reported ends free capacity. A connection that is closing must not be assigned a call then.
 	if s.closing {
 		s.conn.pool.mu.Lock()
@@ -158,19 +158,19 @@
 	}
 }
 
-func (s *h1Session) connLost(kind engine.EndKind, reason string) {
+func (s *h1Session) connLost(kind engine.OutcomeKind, reason string) {
 	s.closing = true
 	if s.call == nil || s.finishFromStatus() {
 		return
 	}
-	ends := make([]engine.End, len(s.attempts))
+	ends := make([]engine.Outcome, len(s.attempts))
 	for i, t := range s.attempts {
-		ends[i] = engine.End{Kind: kind, Detail: reason}
+		ends[i] = engine.Outcome{Kind: kind, Detail: reason}
 		s.conn.pool.mu.Lock()
 		if t.abandoned {
-			ends[i] = engine.End{Kind: t.endKind}
-		} else if s.head != nil && kind == engine.ResetUnanswered {
-			ends[i].Kind = engine.ResetMidAnswer
+			ends[i] = engine.Outcome{Kind: t.endKind}
+		} else if s.head != nil && kind == engine.ResetBeforeResponse {
+			ends[i].Kind = engine.ResetDuringResponse
 		}
 		s.conn.pool.mu.Unlock()
 	}
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -22,19 +22,19 @@
 func (p plainCodec) Request(b []byte, attempts []*engine.Attempt, _ []time.Duration) []byte {
 	names := make([]string, len(attempts))
 	for i, a := range attempts {
-		names[i] = a.Msg.Name
+		names[i] = a.Message.ExternalID
 	}
 	return h1.AppendHead(b, "POST /"+strings.Join(names, ",")+" HTTP/1.1", "Content-Length", "0")
 }
-func (p plainCodec) Answer(attempts []*engine.Attempt, head *h1.Response, _ []byte) []engine.End {
-	ends := make([]engine.End, len(attempts))
+func (p plainCodec) Answer(attempts []*engine.Attempt, head *h1.Response, _ []byte) []engine.Outcome {
+	ends := make([]engine.Outcome, len(attempts))
 	for i := range ends {
-		ends[i] = engine.End{Kind: engine.Answered, Status: head.Status}
+		ends[i] = engine.Outcome{Kind: engine.Answered, Status: head.Status}
 	}
 	return ends
 }
-func (p plainCodec) Assured(attempts []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status}, status == 200 && len(attempts) == 1
+func (p plainCodec) Assured(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
+	return engine.Outcome{Kind: engine.Answered, Status: status}, status == 200 && len(attempts) == 1
 }
 
 // testPool is a Pool with an HTTP/1.1 peer whose connections the test controls.
@@ -43,7 +43,7 @@
 	p     *Pool
 	clock clock.Clock
 	conns chan net.Conn
-	ends  chan engine.End
+	ends  chan engine.Outcome
 	seq   uint64
 	once  sync.Once
 }
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tp := &testPool{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.End, 64)}
+	tp := &testPool{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.Outcome, 64)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -69,7 +69,7 @@
 	}()
 	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: admission,
 		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 2, MaxConns: 3}}
-	tp.p, err = New(cfg, NewHTTP1(plainCodec{netip.MustParseAddrPort(ln.Addr().String())}), tp.clock, func(e engine.End) { tp.ends <- e })
+	tp.p, err = New(cfg, NewHTTP1(plainCodec{netip.MustParseAddrPort(ln.Addr().String())}), tp.clock, func(e engine.Outcome) { tp.ends <- e })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 func (tp *testPool) start(names ...string) (call []*engine.Attempt) {
 	for _, n := range names {
 		tp.seq++
-		call = append(call, &engine.Attempt{Seq: tp.seq, Msg: &engine.Message{Name: n}, Endpoint: 1, Due: tp.clock.Now() + 20*control.Second})
+		call = append(call, &engine.Attempt{Seq: tp.seq, Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: tp.clock.Now() + 20*control.Second})
 	}
 	tp.p.Start(call)
 	return call
@@ -115,7 +115,7 @@
 }
 
 // wantEnd expects an end of an attempt with this kind and status.
-func (tp *testPool) wantEnd(kind engine.EndKind, status int) {
+func (tp *testPool) wantEnd(kind engine.OutcomeKind, status int) {
 	tp.t.Helper()
 	select {
 	case e := <-tp.ends:
@@ -158,8 +158,8 @@
 	call := tp.start("a")
 	c := tp.conn()
 	tp.read(c)
-	tp.p.Abandon(call[0], engine.CalledOff)
-	tp.wantEnd(engine.CalledOff, 0)
+	tp.p.Cancel(call[0], engine.Cancelled)
+	tp.wantEnd(engine.Cancelled, 0)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the connection is open: %v", err)
@@ -173,7 +173,7 @@
 	call := tp.start("a", "b")
 	c := tp.conn()
 	tp.read(c)
-	tp.p.Abandon(call[0], engine.OutOfTime)
+	tp.p.Cancel(call[0], engine.TimedOut)
 	select {
 	case e := <-tp.ends:
 		t.Errorf("end %+v while the call is in flight", e)
@@ -184,10 +184,10 @@
 	tp.wantEnd(engine.Answered, 500)
 	call = tp.start("c", "d")
 	tp.read(c)
-	tp.p.Abandon(call[0], engine.OutOfTime)
-	tp.p.Abandon(call[1], engine.OutOfTime)
-	tp.wantEnd(engine.OutOfTime, 0)
-	tp.wantEnd(engine.OutOfTime, 0)
+	tp.p.Cancel(call[0], engine.TimedOut)
+	tp.p.Cancel(call[1], engine.TimedOut)
+	tp.wantEnd(engine.TimedOut, 0)
+	tp.wantEnd(engine.TimedOut, 0)
 }
 
 // An attempt times out before its message's end. The whole call must be given up, because the message is sent
@@ -195,13 +195,13 @@
 func TestTimeOutOfOneThatGoesAgain(t *testing.T) {
 	tp := newTestPool(t)
 	now := tp.clock.Now()
-	call := []*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "a"}, Endpoint: 1, Due: now + 2*control.Second, Ends: now + 9*control.Second},
-		{Seq: 2, Msg: &engine.Message{Name: "b"}, Endpoint: 1, Due: now + 9*control.Second, Ends: now + 9*control.Second}}
+	call := []*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "a"}, Endpoint: 1, Deadline: now + 2*control.Second, MessageDeadline: now + 9*control.Second},
+		{Seq: 2, Message: &engine.Message{ExternalID: "b"}, Endpoint: 1, Deadline: now + 9*control.Second, MessageDeadline: now + 9*control.Second}}
 	tp.p.Start(call)
 	c := tp.conn()
 	tp.read(c)
-	tp.p.Abandon(call[0], engine.OutOfTime)
-	got := map[uint64]engine.EndKind{}
+	tp.p.Cancel(call[0], engine.TimedOut)
+	got := map[uint64]engine.OutcomeKind{}
 	for range call {
 		select {
 		case e := <-tp.ends:
@@ -210,7 +210,7 @@
 			t.Fatalf("ends: %v", got)
 		}
 	}
-	if got[1] != engine.OutOfTime || got[2] != engine.ResetUnanswered {
+	if got[1] != engine.TimedOut || got[2] != engine.ResetBeforeResponse {
 		t.Errorf("ends: %v", got)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -228,14 +228,14 @@
 	now := tp.clock.Now()
 	for i, n := range []string{"short", "long", "middle", "long2"} {
 		due := []control.Time{4, 12, 8, 12}[i]
-		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Msg: &engine.Message{Name: n}, Endpoint: 1, Due: now + due*control.Second})
+		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: now + due*control.Second})
 	}
 	tp.p.Start(call)
 	c := tp.conn()
 	if got := tp.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	tp.p.Abandon(call[0], engine.OutOfTime)
+	tp.p.Cancel(call[0], engine.TimedOut)
 	_, _ = c.Write([]byte(okAnswer))
 	for range call {
 		tp.wantEnd(engine.Answered, 200)
@@ -248,8 +248,8 @@
 	tp := newTestPool(t)
 	now := tp.clock.Now()
 	due := now + 20*control.Second
-	tp.p.Start([]*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "late"}, Endpoint: 1, Due: due, Begin: now},
-		{Seq: 2, Msg: &engine.Message{Name: "early"}, Endpoint: 1, Due: due, Begin: due}})
+	tp.p.Start([]*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "late"}, Endpoint: 1, Deadline: due, WriteBefore: now},
+		{Seq: 2, Message: &engine.Message{ExternalID: "early"}, Endpoint: 1, Deadline: due, WriteBefore: due}})
 	c := tp.conn()
 	if got := tp.read(c); !strings.HasPrefix(got, "POST /early ") {
 		t.Errorf("the call is %.40q", got)
@@ -262,7 +262,7 @@
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
 	tp := newTestPool(t)
 	call := tp.start("gone")
-	tp.p.Abandon(call[0], engine.CalledOff)
+	tp.p.Cancel(call[0], engine.Cancelled)
 	tp.wantEnd(engine.Unsent, 0)
 	tp.start("next")
 	c := tp.conn()
@@ -282,10 +282,10 @@
 		c := tp.conn()
 		tp.read(c)
 		go func() { _, _ = c.Write([]byte(okAnswer)) }()
-		tp.p.Abandon(call[0], engine.CalledOff)
+		tp.p.Cancel(call[0], engine.Cancelled)
 		select {
 		case e := <-tp.ends:
-			if e.Kind != engine.CalledOff && (e.Kind != engine.Answered || e.Status != 200) {
+			if e.Kind != engine.Cancelled && (e.Kind != engine.Answered || e.Status != 200) {
 				t.Fatalf("end %+v", e)
 			}
 		case <-time.After(5 * time.Second):
@@ -335,7 +335,7 @@
 		tp.read(tp.conn())
 	}
 	// This one has been written, so that Unsend must not affect it.
-	tp.p.Unsend(calls[0][0])
+	tp.p.CancelUnsent(calls[0][0])
 	waiting := calls[3][0]
 	tp.p.mu.Lock()
 	for _, k := range calls {
@@ -344,7 +344,7 @@
 		}
 	}
 	tp.p.mu.Unlock()
-	tp.p.Unsend(waiting)
+	tp.p.CancelUnsent(waiting)
 	select {
 	case e := <-tp.ends:
 		if e.Seq != waiting.Seq || e.Kind != engine.Unsent {
@@ -378,14 +378,14 @@
 // A status line with 200 must decide the call, whatever becomes of the rest of the response. Without it, a broken
 // response leaves open whether the call was executed.
 func TestFirstLineDecides(t *testing.T) {
-	for text, want := range map[string]engine.EndKind{
+	for text, want := range map[string]engine.OutcomeKind{
 		"HTTP/1.1 200 OK\r\n":                              engine.Answered,
 		"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nabc": engine.Answered,
 		"HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n":        engine.Answered,
-		"HTTP/1.1 200": engine.ResetUnanswered,
-		"HTTP/1.1 500 x\r\nContent-Length: 50\r\n\r\nabc": engine.ResetMidAnswer,
-		"noise": engine.Malformed,
-		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.Malformed,
+		"HTTP/1.1 200": engine.ResetBeforeResponse,
+		"HTTP/1.1 500 x\r\nContent-Length: 50\r\n\r\nabc": engine.ResetDuringResponse,
+		"noise": engine.ProtocolError,
+		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.ProtocolError,
 	} {
 		tp := newTestPool(t)
 		tp.start("a")
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -16,7 +16,7 @@
 	Request(a *engine.Attempt, left time.Duration) []h2.Field
 	// Answer returns the end of an attempt whose response is complete. The body may be cut off at
 	// Config.MaxAnswerBytes.
-	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End
+	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome
 }
 
 // NewHTTP2 returns HTTP/2 with one stream for each attempt.
@@ -71,8 +71,8 @@
 func (s *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
 	// HTTP/2 does not batch attempts: a call has one.
 	t := attempts[0]
-	left := time.Duration(t.attempt.Due)*time.Microsecond - now
-	id, err := s.h2conn.Request(now, s.codec.Request(t.attempt, left), t.attempt.Msg.Body)
+	left := time.Duration(t.attempt.Deadline)*time.Microsecond - now
+	id, err := s.h2conn.Request(now, s.codec.Request(t.attempt, left), t.attempt.Message.Body)
 	switch {
 	case err == nil:
 		t.streamID = id
@@ -87,17 +87,17 @@
 func (s *h2Session) abandon(now time.Duration, t *attemptState) {
 	s.h2conn.Reset(now, t.streamID, h2.Cancel)
 	delete(s.attempts, t.streamID)
-	s.conn.pool.reportEnd(t, engine.End{Kind: t.endKind})
+	s.conn.pool.reportEnd(t, engine.Outcome{Kind: t.endKind})
 }
 
-func (s *h2Session) connLost(kind engine.EndKind, reason string) {
+func (s *h2Session) connLost(kind engine.OutcomeKind, reason string) {
 	for id, t := range s.attempts {
 		delete(s.attempts, id)
 		endKind := kind
-		if t.hasHeaders && kind == engine.ResetUnanswered {
-			endKind = engine.ResetMidAnswer
+		if t.hasHeaders && kind == engine.ResetBeforeResponse {
+			endKind = engine.ResetDuringResponse
 		}
-		s.conn.pool.reportEnd(t, engine.End{Kind: endKind, Detail: reason})
+		s.conn.pool.reportEnd(t, engine.Outcome{Kind: endKind, Detail: reason})
 	}
 }
 
@@ -141,15 +141,15 @@
 
 // resetEnd returns the end of an attempt whose stream was reset. The error code tells whether the request may have
 // been executed.
-func resetEnd(t *attemptState, e *h2.Event) engine.End {
-	end := engine.End{Kind: engine.ResetUnanswered, Detail: "RST_STREAM " + e.Code.String()}
+func resetEnd(t *attemptState, e *h2.Event) engine.Outcome {
+	end := engine.Outcome{Kind: engine.ResetBeforeResponse, Detail: "RST_STREAM " + e.Code.String()}
 	switch {
 	case e.Local:
-		end.Kind, end.Detail = engine.Malformed, e.Reason
+		end.Kind, end.Detail = engine.ProtocolError, e.Reason
 	case t.hasHeaders:
-		end.Kind = engine.ResetMidAnswer
+		end.Kind = engine.ResetDuringResponse
 	case e.Code == h2.RefusedStream:
-		end.Kind = engine.RefusedByStream
+		end.Kind = engine.StreamRefused
 	}
 	return end
 }
@@ -161,17 +161,17 @@
 	p.mu.Lock()
 	s.conn.usable = false
 	p.mu.Unlock()
-	kind := engine.AwayUnseen
+	kind := engine.GoAwayUnprocessed
 	switch {
 	case e.Code != h2.NoError:
-		kind = engine.AwayAngry
+		kind = engine.GoAwayWithError
 	case !s.answered:
-		kind = engine.AwayAtOnce
+		kind = engine.GoAwayBeforeResponse
 	}
 	for id, t := range s.attempts {
 		if id > e.Last {
 			delete(s.attempts, id)
-			p.reportEnd(t, engine.End{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
+			p.reportEnd(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
 	}
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -75,19 +75,19 @@
 func (s testCodec) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
-func (s testCodec) Answer(*engine.Attempt, []h2.Field, []byte) engine.End {
-	return engine.End{Kind: engine.Answered, Status: 201}
+func (s testCodec) Answer(*engine.Attempt, []h2.Field, []byte) engine.Outcome {
+	return engine.Outcome{Kind: engine.Answered, Status: 201}
 }
 
 // runAttempts sends n attempts, each to an endpoint of its own. It returns how many ended with each kind, and the
 // largest number of open connections seen.
-func runAttempts(t *testing.T, cfg Config, n int) (ends map[engine.EndKind]int, most int) {
+func runAttempts(t *testing.T, cfg Config, n int) (ends map[engine.OutcomeKind]int, most int) {
 	t.Helper()
 	var mu sync.Mutex
-	ends = map[engine.EndKind]int{}
+	ends = map[engine.OutcomeKind]int{}
 	reported := make(chan struct{}, n)
 	clock := clock.New()
-	p, err := New(cfg, NewHTTP2(testCodec{startPeer(t)}), clock, func(e engine.End) {
+	p, err := New(cfg, NewHTTP2(testCodec{startPeer(t)}), clock, func(e engine.Outcome) {
 		mu.Lock()
 		ends[e.Kind]++
 		mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 	defer p.Close()
 	for i := range n {
-		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Msg: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Due: clock.Now() + 60*control.Second}})
+		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Message: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Deadline: clock.Now() + 60*control.Second}})
 	}
 	for range n {
 		<-reported
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -72,7 +72,7 @@
 	// state returns the state as it is now.
 	state() sessionState
 	// connLost ends all attempts in flight with the given kind and reason, because the connection is gone.
-	connLost(kind engine.EndKind, reason string)
+	connLost(kind engine.OutcomeKind, reason string)
 }
 
 // sessionState is what the pool has to know of a session.
@@ -125,7 +125,7 @@
 	cfg    Config
 	proto  Protocol
 	clock  clock.Clock
-	report func(engine.End)
+	report func(engine.Outcome)
 	loops  *eventloop.Group
 	// schedulerWake has runScheduler ask the scheduler again.
 	schedulerWake chan struct{}
@@ -191,7 +191,7 @@
 	ended bool
 	// abandoned is true if the attempt is to be given up, with endKind as the kind of its end.
 	abandoned bool
-	endKind   engine.EndKind
+	endKind   engine.OutcomeKind
 	// streamID is the HTTP/2 stream of the attempt.
 	streamID uint32
 	// responseFields are the header fields of the response.
@@ -240,7 +240,7 @@
 // New creates a Pool and starts its event loops. The function report receives the end of each attempt. It is
 // called from any goroutine and must not block. New fails if the machine lacks a resource that the event loops
 // need.
-func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.End)) (*Pool, error) {
+func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.Outcome)) (*Pool, error) {
 	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, endpoints: map[control.Endpoint]*endpointPool{},
 		attempts: map[uint64]*attemptState{}, quit: make(chan struct{}), schedulerWake: make(chan struct{}, 1),
 		scheduler: dialscheduler.New(cfg.DialLimits), idle: list.New(), monitored: map[*conn]struct{}{}}
@@ -295,7 +295,7 @@
 		if !ok {
 			p.mu.Unlock()
 			for _, a := range attempts {
-				p.report(engine.End{Seq: a.Seq, Kind: engine.NotConnected, Detail: "endpoint without an address"})
+				p.report(engine.Outcome{Seq: a.Seq, Kind: engine.NotConnected, Detail: "endpoint without an address"})
 			}
 			return
 		}
@@ -360,7 +360,7 @@
 	}
 	s.requested = true
 	first := s.pending[0].attempts[0].attempt
-	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Worth, Deadline: time.Duration(first.Due) * time.Microsecond,
+	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Worth, Deadline: time.Duration(first.Deadline) * time.Microsecond,
 		RecentlyActive: s.activeUntil > p.clock.Now()})
 	p.wakeScheduler()
 }
@@ -420,11 +420,11 @@
 	}
 }
 
-// Abandon gives up an attempt that the engine no longer waits for. An attempt that was written ends with the given
+// Cancel gives up an attempt that the engine no longer waits for. An attempt that was written ends with the given
 // kind, unless its real end comes first. One that was assigned to a connection and not written ends as Unsent. One
 // that waits for a connection ends as Unsent, too, or as NotConnected if its time has run out and the latest dial
 // did not fail because of this machine.
-func (p *Pool) Abandon(a *engine.Attempt, kind engine.EndKind) {
+func (p *Pool) Cancel(a *engine.Attempt, kind engine.OutcomeKind) {
 	p.mu.Lock()
 	t := p.attempts[a.Seq]
 	// The attempt has ended, or its end is already on the way.
@@ -438,21 +438,21 @@
 		p.mu.Unlock()
 		return
 	}
-	end := engine.End{Kind: engine.Unsent}
+	end := engine.Outcome{Kind: engine.Unsent}
 	switch {
-	case kind == engine.OutOfTime && t.call.endpoint.localFailure:
+	case kind == engine.TimedOut && t.call.endpoint.localFailure:
 		end.Detail = "this machine could make no connection"
 	// No connection had capacity for the attempt in all its time.
-	case kind == engine.OutOfTime:
+	case kind == engine.TimedOut:
 		end.Kind = engine.NotConnected
 	}
 	p.mu.Unlock()
 	p.reportEnd(t, end)
 }
 
-// Unsend withdraws an attempt that waits for a connection. It ends as Unsent. An attempt that is assigned to a
+// CancelUnsent withdraws an attempt that waits for a connection. It ends as Unsent. An attempt that is assigned to a
 // connection is not affected.
-func (p *Pool) Unsend(a *engine.Attempt) {
+func (p *Pool) CancelUnsent(a *engine.Attempt) {
 	p.mu.Lock()
 	t := p.attempts[a.Seq]
 	waiting := t != nil && !t.abandoned && t.call.conn == nil
@@ -461,7 +461,7 @@
 	}
 	p.mu.Unlock()
 	if waiting {
-		p.reportEnd(t, engine.End{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
+		p.reportEnd(t, engine.Outcome{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
 	}
 }
 
@@ -504,7 +504,7 @@
 
 // reportEnd reports the end of an attempt, and does nothing if it was reported before. A call without further
 // attempts leaves its connection or the queue.
-func (p *Pool) reportEnd(t *attemptState, e engine.End) {
+func (p *Pool) reportEnd(t *attemptState, e engine.Outcome) {
 	p.mu.Lock()
 	if t.ended {
 		p.mu.Unlock()
@@ -542,7 +542,7 @@
 func (p *Pool) failCalls(calls []*call, reason string) {
 	for _, k := range calls {
 		for _, t := range k.attempts {
-			p.reportEnd(t, engine.End{Kind: engine.NotConnected, Detail: reason})
+			p.reportEnd(t, engine.Outcome{Kind: engine.NotConnected, Detail: reason})
 		}
 	}
 }
