--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -18,7 +18,7 @@
 // plainCodec is an HTTP1Codec for tests. The path of a request lists the names of its messages.
 type plainCodec struct{ addr netip.AddrPort }
 
-func (p plainCodec) Address(control.Endpoint) (netip.AddrPort, bool) { return p.addr, true }
+func (p plainCodec) Address(control.EndpointID) (netip.AddrPort, bool) { return p.addr, true }
 func (p plainCodec) Request(b []byte, attempts []*engine.Attempt, _ []time.Duration) []byte {
 	names := make([]string, len(attempts))
 	for i, a := range attempts {
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -71,7 +71,7 @@
 // 201.
 type testCodec struct{ addr netip.AddrPort }
 
-func (s testCodec) Address(control.Endpoint) (netip.AddrPort, bool) { return s.addr, true }
+func (s testCodec) Address(control.EndpointID) (netip.AddrPort, bool) { return s.addr, true }
 func (s testCodec) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
@@ -98,7 +98,7 @@
 	}
 	defer p.Close()
 	for i := range n {
-		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Message: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Deadline: clock.Now() + 60*control.Second}})
+		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Message: &engine.Message{}, Endpoint: control.EndpointID(i + 1), Deadline: clock.Now() + 60*control.Second}})
 	}
 	for range n {
 		<-reported
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -26,7 +26,7 @@
 // Resolver maps endpoints to addresses.
 type Resolver interface {
 	// Address returns the address of an endpoint. The result ok is false if the endpoint was never listed.
-	Address(ep control.Endpoint) (addr netip.AddrPort, ok bool)
+	Address(ep control.EndpointID) (addr netip.AddrPort, ok bool)
 }
 
 // Protocol creates the protocol state for the connections of a Pool. NewHTTP1 and NewHTTP2 implement it.
@@ -136,7 +136,7 @@
 	mu        sync.Mutex
 	scheduler *dialscheduler.Scheduler
 	// endpoints holds the endpoints that have connections or calls. Others use no memory.
-	endpoints map[control.Endpoint]*endpointPool
+	endpoints map[control.EndpointID]*endpointPool
 	// attempts holds the attempts without an end, by their sequence number.
 	attempts map[uint64]*attemptState
 	// idle lists the connections without calls, the longest idle first.
@@ -150,7 +150,7 @@
 
 // endpointPool is the connection pool of one endpoint. All fields are guarded by Pool.mu.
 type endpointPool struct {
-	id    control.Endpoint
+	id    control.EndpointID
 	addr  netip.AddrPort
 	conns []*conn
 	// pending is the queue of calls for which no connection has capacity.
@@ -241,7 +241,7 @@
 // called from any goroutine and must not block. New fails if the machine lacks a resource that the event loops
 // need.
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.Outcome)) (*Pool, error) {
-	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, endpoints: map[control.Endpoint]*endpointPool{},
+	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, endpoints: map[control.EndpointID]*endpointPool{},
 		attempts: map[uint64]*attemptState{}, quit: make(chan struct{}), schedulerWake: make(chan struct{}, 1),
 		scheduler: dialscheduler.New(cfg.DialLimits), idle: list.New(), monitored: map[*conn]struct{}{}}
 	if p.cfg.Trace == nil {
@@ -384,7 +384,7 @@
 		var s *endpointPool
 		switch decision {
 		case dialscheduler.Dial:
-			if s = p.endpoints[control.Endpoint(key)]; s == nil {
+			if s = p.endpoints[control.EndpointID(key)]; s == nil {
 				p.scheduler.Failed(now, dialscheduler.PeerFailed)
 			} else {
 				s.requested = false
@@ -466,7 +466,7 @@
 }
 
 // CloseIdle closes the connections of an endpoint that carry no calls.
-func (p *Pool) CloseIdle(ep control.Endpoint) {
+func (p *Pool) CloseIdle(ep control.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.endpoints[ep]; s != nil {
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -86,7 +86,7 @@
 // startOn starts a dispatcher on a folder; system may be nil for the kernel.
 func startOn(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.DestinationKinds), agent: newAgent(cfg.Discovery),
 		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
 	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.dir.Snapshot(n.listSeq.Load()) }, n.warn("discovery"))
 	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
@@ -111,7 +111,7 @@
 	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
 	keep.notes = n.notes
 	settings := *set
-	settings.Follows = n.ledger.Reopened()
+	settings.HasPredecessor = n.ledger.Reopened()
 	policy := engine.Options{Settings: settings, Ledger: keep, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
@@ -158,7 +158,7 @@
 	cfg := outbound.Config{
 		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxAnswer,
 		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		IdleTimeout:    time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
+		IdleTimeout:    time.Duration(idlePart * float64(span(set.ConnIdleTimeout, 5*time.Second))),
 		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * shares.endpoints), MaxHandshakes: shares.opening, MaxConns: shares.endpoints},
 		Trace:          n.debug(), Admission: permits, System: n.system,
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -256,7 +256,7 @@
 	wall     func() time.Time
 }
 
-func (s *speech) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+func (s *speech) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	p, ok := s.roster.Place(ep)
 	return p.Addr, ok
 }
