--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,13 +1,13 @@
-// Package eventloop carries TCP connections on event loops over epoll (epoll(7)). A loop owns its connections: their
-// handler's methods are called on its goroutine, one at a time, and must not block.
+// Package eventloop runs TCP connections on event loops over epoll (epoll(7)). Each connection belongs to one
+// loop. Methods of the handler are called on the goroutine of that loop, one at a time, and must not block.
 //
-// It is made to outlive whatever the system calls return. What is interrupted or lacks something for a moment is done again;
-// accepting pauses where a resource is short, and goes on; a loop whose epoll_wait fails looks at all its connections
-// instead. A connection ends only by its peer, by an error that means so, or by its handler. docs/syscalls.md lists each call
-// with its errors and what is done.
+// The package keeps running whatever the system calls return. It repeats calls that are interrupted or fail with a
+// transient error. It pauses accepting while a resource is short, and resumes. A loop whose epoll_wait fails polls
+// all of its connections instead. A connection ends only if its peer or its handler ends it, or on an error that
+// means that it has failed. docs/syscalls.md lists each system call with its errors and how they are handled.
 //
-// Connections are watched edge-triggered for reading and writing from their start, so that nothing has to be changed in epoll
-// while they live.
+// Connections are registered edge-triggered for reading and writing when they open, so that the registration never
+// changes while they live.
 package eventloop
 
 import (
@@ -24,49 +24,59 @@
 	"whinrun/internal/clock"
 )
 
-// Handler is told what happens to connections. Its methods are called on the loop of the connection, but for Tick.
+// Handler receives the events of connections and dials. Each method is called on the loop of its connection or
+// dial. Tick is called on the first loop.
 type Handler interface {
-	// Opened tells of a new connection: one accepted, or dialled.
+	// Opened reports a new connection, accepted or dialled.
 	Opened(c *Conn)
-	// Ready tells that bytes came (see Conn.Inbound), that Wake was called, or that all that was written has left.
+	// Ready is called when bytes have arrived (see Conn.Inbound), after Wake, and when the kernel has taken all
+	// that was written.
 	Ready(c *Conn)
-	// Closed tells that a connection has ended: err is nil where this side closed it, io.EOF where its peer ended it.
+	// Closed reports that a connection has ended. The error is nil if this side closed it, and io.EOF if the peer
+	// ended it.
 	Closed(c *Conn, err error)
-	// DialFailed tells that a connection that was dialled with a context value did not come about; see Local.
+	// DialFailed reports that a dial with this context value has failed. IsLocal tells whether this machine is the
+	// cause.
 	DialFailed(context any, err error)
-	// Tick is called about as often as Config.Tick says, on the first loop.
+	// Tick is called about once each Config.TickInterval.
 	Tick()
 }
 
-// Config is of a group of loops.
+// Config configures a Group.
 type Config struct {
-	Loops  int           // at least one
-	Tick   time.Duration // how often the handler's Tick is called; at least a millisecond
-	System System        // nil for the kernel
-	// Log is told of what operators should know, nil for nothing.
+	// Loops is the number of event loops. Values below 1 count as 1.
+	Loops int
+	// TickInterval is the time between calls of Handler.Tick. Values below a millisecond count as a millisecond.
+	TickInterval time.Duration
+	// System makes the system calls. If it is nil, Kernel is used.
+	System System
+	// Log is called with texts for operators. It may be nil.
 	Log func(text string)
 }
 
-// Group is some event loops with one handler.
+// Group is a set of event loops with one handler, and at most one listening socket.
 type Group struct {
-	cfg      Config
-	handler  Handler
-	clock    clock.Clock
-	system   System
-	loops    []*Loop
-	next     atomic.Uint32
-	listener *listener // of the first loop, nil for none
-	trouble  Trouble
-	quit     chan struct{}
-	done     sync.WaitGroup
+	cfg       Config
+	handler   Handler
+	clock     clock.Clock
+	system    System
+	loops     []*Loop
+	nextIndex atomic.Uint32
+	// listener belongs to the first loop. It is nil if the group does not listen.
+	listener    *listener
+	errorCounts ErrorCounts
+	quit        chan struct{}
+	done        sync.WaitGroup
 }
 
-// Trouble counts system calls that failed and did not end anything.
-type Trouble struct {
+// ErrorCounts counts system calls that failed without ending the group: accepts, waits for events, reads, writes
+// and dials. Accepts includes accepted connections that epoll did not take. Dials includes only those dials that
+// failed for a cause on this machine (see IsLocal).
+type ErrorCounts struct {
 	Accepts, Waits, Reads, Writes, Dials atomic.Int64
 }
 
-// New makes loops; Start has them run. An error tells that the machine lacks what they need.
+// New creates the loops, which Start runs. It fails if the machine lacks a resource that the loops need.
 func New(cfg Config, handler Handler, c clock.Clock) (*Group, error) {
 	if cfg.System == nil {
 		cfg.System = Kernel{}
@@ -74,12 +84,12 @@
 	if cfg.Log == nil {
 		cfg.Log = func(string) {}
 	}
-	cfg.Tick = max(cfg.Tick, time.Millisecond)
+	cfg.TickInterval = max(cfg.TickInterval, time.Millisecond)
 	g := &Group{cfg: cfg, handler: handler, clock: c, system: cfg.System, quit: make(chan struct{})}
 	for i := range max(1, cfg.Loops) {
 		l, err := newLoop(g, i)
 		if err != nil {
-			g.free()
+			g.release()
 			return nil, fmt.Errorf("event loop: %w", err)
 		}
 		g.loops = append(g.loops, l)
@@ -87,89 +97,101 @@
 	return g, nil
 }
 
-// Start has the loops run.
+// Start runs the loops, each on a goroutine of its own.
 func (g *Group) Start() {
 	for _, l := range g.loops {
 		g.done.Go(l.run)
 	}
 }
 
-// Stop ends all loops and their connections, and waits for it. Handlers hear Closed for each connection.
+// Stop ends all loops and their connections, and waits until they have ended. The handler gets Closed for each
+// connection. Stop must be called once at most.
 func (g *Group) Stop() {
 	close(g.quit)
 	for _, l := range g.loops {
 		l.wake()
 	}
 	g.done.Wait()
-	g.free()
+	g.release()
 }
 
-// free gives back what loops that do not run hold.
-func (g *Group) free() {
+// release closes the descriptors of loops that do not run.
+func (g *Group) release() {
 	for _, l := range g.loops {
-		_ = g.system.Close(l.epoll)
-		_ = g.system.Close(l.event)
+		_ = g.system.Close(l.epollFD)
+		_ = g.system.Close(l.wakeFD)
 	}
 	if g.listener != nil {
 		g.listener.close(g.system)
 	}
 }
 
-// Trouble returns the counts of calls that failed and did not end anything.
-func (g *Group) Trouble() *Trouble { return &g.trouble }
+// ErrorCounts returns the counts of failed system calls. They change while the group runs.
+func (g *Group) ErrorCounts() *ErrorCounts { return &g.errorCounts }
 
-// pick chooses a loop for a new connection, in turns.
-func (g *Group) pick() *Loop { return g.loops[int(g.next.Add(1))%len(g.loops)] }
+// nextLoop returns the loop for a new connection, in round-robin order.
+func (g *Group) nextLoop() *Loop { return g.loops[int(g.nextIndex.Add(1))%len(g.loops)] }
 
-// Loop is one event loop. All fields but those under mu are its goroutine's.
+// Loop is one event loop. Only its goroutine uses the fields, except for those guarded by mu.
 type Loop struct {
-	group  *Group
-	first  bool // it also ticks and accepts
-	epoll  int
-	event  int // an eventfd that ends a wait
-	conns  map[int]*Conn
-	dials  map[*dial]struct{}
-	buffer []byte
-	events []unix.EpollEvent
-	ticked control.Time
-	swept  control.Time
-
-	retries []*Conn // to be looked at again a moment later: a call failed for now, or there was too much to read at once
-
-	mu     sync.Mutex
+	group *Group
+	// first is true for the loop that also calls Handler.Tick and accepts connections.
+	first   bool
+	epollFD int
+	// wakeFD is an eventfd. Writing to it ends a wait for events.
+	wakeFD    int
+	conns     map[int]*Conn
+	dials     map[*dial]struct{}
+	buffer    []byte
+	events    []unix.EpollEvent
+	lastTick  control.Time
+	lastSweep control.Time
+
+	// retries lists connections to be processed again a moment later, because a call failed with a transient error
+	// or there was more to read than one turn allows.
+	retries []*Conn
+
+	// mu guards posted.
+	mu sync.Mutex
+	// posted lists functions to be run on the loop's goroutine.
 	posted []func()
 }
 
-// Sizes of a loop.
 const (
-	readSize   = 64 << 10
-	eventsMost = 256
-	readsMost  = 16 // of one connection before others have their turn
+	// readBufferSize is the size of a loop's read buffer in bytes.
+	readBufferSize = 64 << 10
+	// maxEvents is the largest number of events that one wait returns.
+	maxEvents = 256
+	// maxReads is how often one connection is read from before the others have their turn.
+	maxReads = 16
 )
 
-// Waits of a loop, in milliseconds.
 const (
-	waitMost  = 250 // a wake that was lost is found after this
-	waitRetry = 2   // while something is to be tried again
+	// maxWait is the longest wait for events in milliseconds. If a wake-up is lost, the loop continues after this
+	// time.
+	maxWait = 250
+	// retryWait is the wait in milliseconds while something is to be tried again.
+	retryWait = 2
 )
 
+// newLoop opens the descriptors of a loop. The loop with number 0 is the first one.
 func newLoop(g *Group, number int) (*Loop, error) {
-	l := &Loop{group: g, first: number == 0, conns: map[int]*Conn{}, dials: map[*dial]struct{}{}, buffer: make([]byte, readSize),
-		events: make([]unix.EpollEvent, eventsMost)}
+	l := &Loop{group: g, first: number == 0, conns: map[int]*Conn{}, dials: map[*dial]struct{}{}, buffer: make([]byte, readBufferSize),
+		events: make([]unix.EpollEvent, maxEvents)}
 	var err error
-	if l.epoll, err = g.system.EpollCreate(); err != nil {
+	if l.epollFD, err = g.system.EpollCreate(); err != nil {
 		return nil, fmt.Errorf("epoll_create: %w", err)
 	}
-	if l.event, err = g.system.Eventfd(); err != nil {
-		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), g.system.Close(l.epoll))
+	if l.wakeFD, err = g.system.Eventfd(); err != nil {
+		return nil, errors.Join(fmt.Errorf("eventfd: %w", err), g.system.Close(l.epollFD))
 	}
-	if err = g.system.EpollAdd(l.epoll, l.event, unix.EPOLLIN|unix.EPOLLET); err != nil {
-		return nil, errors.Join(fmt.Errorf("epoll_ctl: %w", err), g.system.Close(l.epoll), g.system.Close(l.event))
+	if err = g.system.EpollAdd(l.epollFD, l.wakeFD, unix.EPOLLIN|unix.EPOLLET); err != nil {
+		return nil, errors.Join(fmt.Errorf("epoll_ctl: %w", err), g.system.Close(l.epollFD), g.system.Close(l.wakeFD))
 	}
 	return l, nil
 }
 
-// post has f run on the loop's goroutine, in the order of the calls.
+// post has f run on the loop's goroutine. Functions run in the order of the calls.
 func (l *Loop) post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -180,20 +202,20 @@
 	}
 }
 
-// one is what is written to an eventfd.
-var one = []byte{1, 0, 0, 0, 0, 0, 0, 0}
+// wakeSignal is the number 1 as eight bytes in little-endian order. It is written to an eventfd.
+var wakeSignal = []byte{1, 0, 0, 0, 0, 0, 0, 0}
 
-// wake ends the loop's wait. Should it fail, the wait ends by itself after waitMost.
+// wake ends the loop's wait. If that fails, the wait ends by itself after maxWait.
 func (l *Loop) wake() {
-	_ = again(func() error {
-		_, err := l.group.system.Write(l.event, one)
+	_ = retryInterrupted(func() error {
+		_, err := l.group.system.Write(l.wakeFD, wakeSignal)
 		return err
 	})
 }
 
-// run is the loop.
+// run is the body of the loop's goroutine. It returns after Group.Stop.
 func (l *Loop) run() {
-	defer l.shut()
+	defer l.shutdown()
 	for {
 		select {
 		case <-l.group.quit:
@@ -201,57 +223,58 @@
 		default:
 		}
 		l.wait()
-		l.work()
-		l.retry()
-		l.tick()
+		l.runPosted()
+		l.runRetries()
+		l.runTimers()
 	}
 }
 
-// wait waits for events and has them dealt with. Where the wait itself fails, all connections are looked at: they don't block.
+// wait waits for events and handles them. If the wait itself fails, wait polls everything instead; the descriptors
+// do not block.
 func (l *Loop) wait() {
-	n, err := l.group.system.EpollWait(l.epoll, l.events, l.patience())
+	n, err := l.group.system.EpollWait(l.epollFD, l.events, l.waitTimeout())
 	switch {
 	case err == nil:
 		for i := range l.events[:max(0, n)] {
-			l.ready(int(l.events[i].Fd))
+			l.handleEvent(int(l.events[i].Fd))
 		}
 	case errors.Is(err, unix.EINTR):
 	default:
-		if l.group.trouble.Waits.Add(1) == 1 {
+		if l.group.errorCounts.Waits.Add(1) == 1 {
 			l.group.cfg.Log(fmt.Sprintf("epoll_wait fails: %v; connections are looked at in turns", err))
 		}
-		time.Sleep(waitRetry * time.Millisecond)
-		l.lookAtAll()
+		time.Sleep(retryWait * time.Millisecond)
+		l.pollAll()
 	}
 }
 
-// patience is how long a wait may be, in milliseconds.
-func (l *Loop) patience() int {
+// waitTimeout returns how long the next wait may last, in milliseconds.
+func (l *Loop) waitTimeout() int {
 	l.mu.Lock()
 	posted := len(l.posted)
 	l.mu.Unlock()
-	wait := waitMost
+	wait := maxWait
 	if l.first {
-		wait = min(wait, l.millisecondsTo(l.ticked+control.Time(l.group.cfg.Tick/time.Microsecond)))
+		wait = min(wait, l.millisecondsTo(l.lastTick+control.Time(l.group.cfg.TickInterval/time.Microsecond)))
 	}
 	for d := range l.dials {
 		if d.retry {
-			wait = min(wait, waitRetry)
+			wait = min(wait, retryWait)
 		}
-		wait = min(wait, l.millisecondsTo(d.until))
+		wait = min(wait, l.millisecondsTo(d.deadline))
 	}
 	switch {
 	case posted > 0:
 		return 0
 	case len(l.retries) > 0:
-		return min(wait, waitRetry)
-	case l.listens() && l.group.listener.pausedUntil > 0:
+		return min(wait, retryWait)
+	case l.hasListener() && l.group.listener.pausedUntil > 0:
 		return min(wait, l.millisecondsTo(l.group.listener.pausedUntil))
 	}
 	return wait
 }
 
-// millisecondsTo is how long to wait until a moment, never too short by a fraction.
+// millisecondsTo returns the milliseconds until a time, rounded up so that a wait does not end before it.
 func (l *Loop) millisecondsTo(at control.Time) int {
 	left := at - l.group.clock.Now()
 	if left <= 0 {
@@ -260,46 +283,47 @@
 	return int(left/control.Millisecond) + 1
 }
 
-func (l *Loop) listens() bool { return l.first && l.group.listener != nil }
+// hasListener reports whether this loop accepts connections.
+func (l *Loop) hasListener() bool { return l.first && l.group.listener != nil }
 
-// ready deals with an event of a descriptor.
-func (l *Loop) ready(fd int) {
+// handleEvent handles an event of a descriptor.
+func (l *Loop) handleEvent(fd int) {
 	switch c := l.conns[fd]; {
-	case fd == l.event:
-		l.drain()
-	case l.listens() && fd == l.group.listener.fd:
+	case fd == l.wakeFD:
+		l.drainWakeFD()
+	case l.hasListener() && fd == l.group.listener.fd:
 		l.accept()
 	case c != nil:
-		c.io()
+		c.processIO()
 	default:
-		l.dialled(fd)
+		l.handleDialEvent(fd)
 	}
 }
 
-// drain empties the eventfd, so that the next write to it is an event again.
-func (l *Loop) drain() {
+// drainWakeFD empties the eventfd. With edge triggering, the next write to it is an event again.
+func (l *Loop) drainWakeFD() {
 	var b [8]byte
-	_ = again(func() error {
-		_, err := l.group.system.Read(l.event, b[:])
+	_ = retryInterrupted(func() error {
+		_, err := l.group.system.Read(l.wakeFD, b[:])
 		return err
 	})
 }
 
-// lookAtAll does what events would have asked for.
-func (l *Loop) lookAtAll() {
-	l.drain()
-	if l.listens() {
+// pollAll does what events would have caused, for every descriptor of the loop.
+func (l *Loop) pollAll() {
+	l.drainWakeFD()
+	if l.hasListener() {
 		l.accept()
 	}
 	for _, c := range l.connections() {
-		c.io()
+		c.processIO()
 	}
 	for d := range l.dials {
-		l.dialled(d.fd)
+		l.handleDialEvent(d.fd)
 	}
 }
 
-// connections returns all connections; they may end while it is walked.
+// connections returns a copy of the list of connections. They may end while a caller iterates over it.
 func (l *Loop) connections() []*Conn {
 	all := make([]*Conn, 0, len(l.conns))
 	for _, c := range l.conns {
@@ -308,8 +332,8 @@
 	return all
 }
 
-// work does what was posted.
-func (l *Loop) work() {
+// runPosted runs the functions that were posted.
+func (l *Loop) runPosted() {
 	l.mu.Lock()
 	posted := l.posted
 	l.posted = nil
@@ -319,80 +343,85 @@
 	}
 }
 
-// retry looks again at connections whose calls failed for now.
-func (l *Loop) retry() {
-	again := l.retries
+// runRetries processes the connections again that are listed in retries.
+func (l *Loop) runRetries() {
+	retries := l.retries
 	l.retries = nil
-	for _, c := range again {
-		c.retrying = false
-		c.io()
+	for _, c := range retries {
+		c.retryScheduled = false
+		c.processIO()
 	}
 }
 
-// tick has what is due by time done.
-func (l *Loop) tick() {
+// runTimers does what is due by time: expired dials, sweeps, the end of an accept pause, and Handler.Tick.
+func (l *Loop) runTimers() {
 	now := l.group.clock.Now()
-	l.overdue(now)
-	if now >= l.swept+sweepEvery {
-		l.swept = now
+	l.expireDials(now)
+	if now >= l.lastSweep+sweepInterval {
+		l.lastSweep = now
 		l.sweep()
 	}
 	if !l.first {
 		return
 	}
-	if l.listens() {
-		l.resume(now)
+	if l.hasListener() {
+		l.resumeAccepting(now)
 	}
-	if now >= l.ticked+control.Time(l.group.cfg.Tick/time.Microsecond) {
-		l.ticked = now
+	if now >= l.lastTick+control.Time(l.group.cfg.TickInterval/time.Microsecond) {
+		l.lastTick = now
 		l.group.handler.Tick()
 	}
 }
 
-// Connections are looked at now and then without an event: a call that wrongly said that there is nothing to do now has none
-// behind it.
+// A loop sweeps over its connections at times, without an event. A system call that wrongly returned EAGAIN is not
+// followed by an event.
 const (
-	sweepEvery = 500 * control.Millisecond
-	sweepMost  = 512 // at once, of very many others than the last time
+	// sweepInterval is the time between two sweeps.
+	sweepInterval = 500 * control.Millisecond
+	// maxSweep is the largest number of connections processed in one sweep. Map iteration order makes it a
+	// different selection each time.
+	maxSweep = 512
 )
 
-// sweep looks at connections.
+// sweep processes up to maxSweep connections, all dials and the listening socket.
 func (l *Loop) sweep() {
-	looked := make([]*Conn, 0, min(len(l.conns), sweepMost))
+	batch := make([]*Conn, 0, min(len(l.conns), maxSweep))
 	for _, c := range l.conns {
-		if len(looked) == sweepMost {
+		if len(batch) == maxSweep {
 			break
 		}
-		looked = append(looked, c)
+		batch = append(batch, c)
 	}
-	for _, c := range looked {
-		c.io()
+	for _, c := range batch {
+		c.processIO()
 	}
 	for d := range l.dials {
-		l.established(d)
+		l.completeDial(d)
 	}
-	if l.listens() {
+	if l.hasListener() {
 		l.accept()
 	}
 }
 
-// shut ends the loop's connections.
-func (l *Loop) shut() {
-	l.work() // dials that were posted hear that they failed
+// shutdown ends the loop's dials and connections and closes its listening socket.
+func (l *Loop) shutdown() {
+	// Posted dials are started here, and fail below with the others.
+	l.runPosted()
 	for d := range l.dials {
-		l.giveUp(d, errStopped)
+		l.failDial(d, errStopped)
 	}
 	for _, c := range l.connections() {
-		c.end(nil)
+		c.finish(nil)
 	}
-	if l.listens() {
+	if l.hasListener() {
 		l.group.listener.close(l.group.system)
 	}
 }
 
+// errStopped is the error of dials that are under way when the group stops.
 var errStopped = errors.New("the event loops have stopped")
 
-// sockaddr is an address in the kernel's form, with the family of its sockets.
+// sockaddr converts an address to the kernel's form. It also returns the address family for the socket.
 func sockaddr(a netip.AddrPort) (to unix.Sockaddr, family int) {
 	if a.Addr().Is4() || a.Addr().Is4In6() {
 		return &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().Unmap().As4()}, unix.AF_INET
@@ -400,7 +429,8 @@
 	return &unix.SockaddrInet6{Port: int(a.Port()), Addr: a.Addr().As16()}, unix.AF_INET6
 }
 
-// addrPort is an address of the kernel; it is not valid for one that is not of TCP.
+// addrPort converts an address from the kernel's form. The result is not valid if the address is not one of IPv4
+// or IPv6.
 func addrPort(s unix.Sockaddr) netip.AddrPort {
 	switch a := s.(type) {
 	case *unix.SockaddrInet4:
--- a/internal/eventloop/eventlooptest/faulty.go
+++ b/internal/eventloop/eventlooptest/faulty.go
@@ -1,4 +1,5 @@
-// Package eventlooptest has what tests of event loops and of what runs on them need: system calls that fail.
+// Package eventlooptest provides system calls that fail, for tests of event loops and of programs that run on
+// them.
 package eventlooptest
 
 import (
@@ -11,102 +12,107 @@
 	"whinrun/internal/eventloop"
 )
 
-// Faulty is the kernel with calls that fail on command. The zero value fails none.
-type Faulty struct {
+// FaultySystem is eventloop.Kernel with injected faults. The zero value injects none. It is safe for concurrent
+// use.
+type FaultySystem struct {
 	eventloop.Kernel
-	mu   sync.Mutex
-	fail func(call string) error // nil: none; ErrShort: a part is read or written
+	mu sync.Mutex
+	// fault returns the error to inject into a call. It is nil if no faults are injected.
+	fault func(call string) error
 }
 
-// ErrShort has a read or a write take a part of what it could.
+// ErrShort makes a read or a write transfer at most 8 bytes instead of failing.
 var ErrShort = errors.New("a short read or write")
 
-// Set has each call asked for: an error is what it fails with, nil has it made. Calls are named as their manual pages are.
-func (f *Faulty) Set(fail func(call string) error) {
+// SetFault sets the function that decides on each call. The call fails with the returned error, and is made if
+// that is nil. The argument is the call's name as in its manual page.
+func (f *FaultySystem) SetFault(fail func(call string) error) {
 	f.mu.Lock()
-	f.fail = fail
+	f.fault = fail
 	f.mu.Unlock()
 }
 
-func (f *Faulty) check(call string) error {
+// faultOf returns the error to inject into a call.
+func (f *FaultySystem) faultOf(call string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.fail == nil {
+	if f.fault == nil {
 		return nil
 	}
-	return f.fail(call)
+	return f.fault(call)
 }
 
-// Socket is eventloop.System.
-func (f *Faulty) Socket(domain, kind, protocol int) (int, error) {
-	if err := f.check("socket"); err != nil {
+// Socket implements eventloop.System.
+func (f *FaultySystem) Socket(domain, kind, protocol int) (int, error) {
+	if err := f.faultOf("socket"); err != nil {
 		return -1, err
 	}
 	return f.Kernel.Socket(domain, kind, protocol)
 }
 
-// Bind is eventloop.System.
-func (f *Faulty) Bind(fd int, to unix.Sockaddr) error {
-	if err := f.check("bind"); err != nil {
+// Bind implements eventloop.System.
+func (f *FaultySystem) Bind(fd int, to unix.Sockaddr) error {
+	if err := f.faultOf("bind"); err != nil {
 		return err
 	}
 	return f.Kernel.Bind(fd, to)
 }
 
-// Listen is eventloop.System.
-func (f *Faulty) Listen(fd, n int) error {
-	if err := f.check("listen"); err != nil {
+// Listen implements eventloop.System.
+func (f *FaultySystem) Listen(fd, n int) error {
+	if err := f.faultOf("listen"); err != nil {
 		return err
 	}
 	return f.Kernel.Listen(fd, n)
 }
 
-// Accept is eventloop.System.
-func (f *Faulty) Accept(fd int) (int, unix.Sockaddr, error) {
-	if err := f.check("accept"); err != nil {
+// Accept implements eventloop.System.
+func (f *FaultySystem) Accept(fd int) (int, unix.Sockaddr, error) {
+	if err := f.faultOf("accept"); err != nil {
 		return -1, nil, err
 	}
 	return f.Kernel.Accept(fd)
 }
 
-// Connect is eventloop.System.
-func (f *Faulty) Connect(fd int, to unix.Sockaddr) error {
-	err := f.check("connect")
-	if err == nil || errors.Is(err, unix.EINTR) { // an interrupted one goes on
-		if real := f.Kernel.Connect(fd, to); err == nil {
-			return real
+// Connect implements eventloop.System.
+func (f *FaultySystem) Connect(fd int, to unix.Sockaddr) error {
+	err := f.faultOf("connect")
+	// The kernel goes on to connect after an interrupted call.
+	if err == nil || errors.Is(err, unix.EINTR) {
+		if kernelErr := f.Kernel.Connect(fd, to); err == nil {
+			return kernelErr
 		}
 	}
 	return err
 }
 
-// SocketError is eventloop.System.
-func (f *Faulty) SocketError(fd int) (error, error) {
-	if err := f.check("getsockopt"); err != nil {
+// SocketError implements eventloop.System.
+func (f *FaultySystem) SocketError(fd int) (error, error) {
+	if err := f.faultOf("getsockopt"); err != nil {
 		return nil, err
 	}
 	return f.Kernel.SocketError(fd)
 }
 
-// Getpeername is eventloop.System.
-func (f *Faulty) Getpeername(fd int) (unix.Sockaddr, error) {
-	if err := f.check("getpeername"); err != nil {
+// Getpeername implements eventloop.System.
+func (f *FaultySystem) Getpeername(fd int) (unix.Sockaddr, error) {
+	if err := f.faultOf("getpeername"); err != nil {
 		return nil, err
 	}
 	return f.Kernel.Getpeername(fd)
 }
 
-// SetOption is eventloop.System.
-func (f *Faulty) SetOption(fd, level, option, value int) error {
-	if err := f.check("setsockopt"); err != nil {
+// SetOption implements eventloop.System.
+func (f *FaultySystem) SetOption(fd, level, option, value int) error {
+	if err := f.faultOf("setsockopt"); err != nil {
 		return err
 	}
 	return f.Kernel.SetOption(fd, level, option, value)
 }
 
-// Read is eventloop.System.
-func (f *Faulty) Read(fd int, b []byte) (int, error) {
-	switch err := f.check("read"); {
+// Read implements eventloop.System.
+func (f *FaultySystem) Read(fd int, b []byte) (int, error) {
+	switch err := f.faultOf("read"); {
 	case errors.Is(err, ErrShort):
 		b = b[:min(len(b), 8)]
 	case err != nil:
@@ -115,9 +121,9 @@
 	return f.Kernel.Read(fd, b)
 }
 
-// Write is eventloop.System.
-func (f *Faulty) Write(fd int, b []byte) (int, error) {
-	switch err := f.check("write"); {
+// Write implements eventloop.System.
+func (f *FaultySystem) Write(fd int, b []byte) (int, error) {
+	switch err := f.faultOf("write"); {
 	case errors.Is(err, ErrShort):
 		b = b[:min(len(b), 8)]
 	case err != nil:
@@ -126,44 +132,48 @@
 	return f.Kernel.Write(fd, b)
 }
 
-// Close is eventloop.System.
-func (f *Faulty) Close(fd int) error {
-	err := f.Kernel.Close(fd) // the descriptor is gone in any case (close(2))
-	if fault := f.check("close"); fault != nil {
+// Close implements eventloop.System.
+func (f *FaultySystem) Close(fd int) error {
+	// The descriptor is released in any case (close(2)).
+	err := f.Kernel.Close(fd)
+	if fault := f.faultOf("close"); fault != nil {
 		return fault
 	}
 	return err
 }
 
-// EpollAdd is eventloop.System.
-func (f *Faulty) EpollAdd(epoll, fd int, events uint32) error {
-	if err := f.check("epoll_ctl"); err != nil {
+// EpollAdd implements eventloop.System.
+func (f *FaultySystem) EpollAdd(epoll, fd int, events uint32) error {
+	if err := f.faultOf("epoll_ctl"); err != nil {
 		return err
 	}
 	return f.Kernel.EpollAdd(epoll, fd, events)
 }
 
-// EpollWait is eventloop.System.
-func (f *Faulty) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
-	if err := f.check("epoll_wait"); err != nil {
+// EpollWait implements eventloop.System.
+func (f *FaultySystem) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
+	if err := f.faultOf("epoll_wait"); err != nil {
 		return -1, err
 	}
 	return f.Kernel.EpollWait(epoll, events, ms)
 }
 
-// Sometimes fails calls at random, with one of the errors given for each.
-func Sometimes(seed uint64, share float64, errs map[string][]error) func(string) error {
+// RandomFaults returns a function for FaultySystem.SetFault. It injects faults with the given probability into the
+// calls that errs names, each one of the errors listed for the call. The function is not safe for concurrent use
+// by itself; SetFault makes it so.
+func RandomFaults(seed uint64, probability float64, errs map[string][]error) func(string) error {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func(call string) error {
-		if all := errs[call]; len(all) > 0 && rng.Float64() < share {
-			return all[rng.IntN(len(all))]
+		if candidates := errs[call]; len(candidates) > 0 && rng.Float64() < probability {
+			return candidates[rng.IntN(len(candidates))]
 		}
 		return nil
 	}
 }
 
-// PassingErrors are errors and shortfalls after which the call is to be made again, the connection as good as before.
-var PassingErrors = map[string][]error{
+// TransientErrors lists, for each call, errors and short transfers after which the loop repeats the call or goes
+// on without it. They must not end a connection.
+var TransientErrors = map[string][]error{
 	"read":       {unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS, ErrShort},
 	"write":      {unix.EINTR, unix.ENOMEM, unix.ENOBUFS, ErrShort},
 	"accept":     {unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO, unix.ECONNABORTED, unix.ENETDOWN},
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -10,191 +10,210 @@
 	"whinrun/internal/h1"
 )
 
-// Calls turns calls into HTTP/1.1 requests and answers into ends.
-type Calls interface {
-	Addresses
-	// Request appends the request of a call to b; left is the time that each of its attempts has.
-	Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte
-	// Answer makes a whole response into one end for each attempt of the call. The head is valid only until it returns.
-	Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome
-	// Assured is the end of a call that is sure from the first line of an answer, though the rest of it was spoilt or
-	// has not come; ok is false where the first line promises nothing.
-	Assured(as []*engine.Attempt, status int) (end engine.Outcome, ok bool)
+// HTTP1Codec translates calls into HTTP/1.1 requests, and responses into the ends of attempts.
+type HTTP1Codec interface {
+	Resolver
+	// Request appends the request of a call to b. The slice left has the remaining time of each attempt.
+	Request(b []byte, attempts []*engine.Attempt, left []time.Duration) []byte
+	// Answer returns one end for each attempt of a call whose response is complete. The head is valid only until
+	// Answer returns.
+	Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome
+	// Assured returns the end of a call if the status code alone decides it, although the rest of the response is
+	// missing or malformed. The result ok is false if the status code does not decide. It must be false for a call
+	// of several attempts.
+	Assured(attempts []*engine.Attempt, status int) (end engine.Outcome, ok bool)
 }
 
-// NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
-func NewHTTP1(c Calls) Protocol { return http1{c} }
+// NewHTTP1 returns HTTP/1.1 with one call at a time on a connection. The attempts of one Pool.Start form one call.
+func NewHTTP1(codec HTTP1Codec) Protocol { return http1{codec} }
 
-type http1 struct{ Calls }
+// http1 implements Protocol.
+type http1 struct{ HTTP1Codec }
 
-func (http1) bulk() bool { return true }
+func (http1) batches() bool { return true }
 
-func (s http1) line(c *conn, _ time.Duration) line { return &h1Line{c: c, calls: s} }
+func (s http1) newSession(c *conn, _ time.Duration) session { return &h1Session{conn: c, codec: s} }
 
-// bodyWithin is how long the rest of an answer may take once its head is here and promises enough.
-const bodyWithin = 300 * time.Millisecond
+// bodyTimeout is how long the body of a response may take after its head, if the status code decides the call (see
+// HTTP1Codec.Assured). The attempt then does not wait for a body that stalls.
+const bodyTimeout = 300 * time.Millisecond
 
-// h1Line is one HTTP/1.1 connection.
-type h1Line struct {
-	c     *conn
-	calls Calls
-	out   []byte
-	in    []byte // of the answer, while it is not whole
-	used  bool   // something was written on it before
-	over  bool   // it is to be closed
+// h1Session is the state of one HTTP/1.1 connection.
+type h1Session struct {
+	conn      *conn
+	codec     HTTP1Codec
+	outBuffer []byte
+	// inBuffer is what has arrived of an incomplete response: its head at first, and then its body without
+	// transfer coding.
+	inBuffer []byte
+	// used is true once a request was written on the connection.
+	used bool
+	// closing is true if the connection is to be closed.
+	closing bool
 
-	call   *call
-	as     []*engine.Attempt // those written, and ...
-	tasks  []*task           // ... their tasks
-	status int               // of the first line that counts, 0 before
+	// call is the call in flight. It is nil while there is none.
+	call *call
+	// engineAttempts are the attempts of the call that were written, in the order of the request.
+	engineAttempts []*engine.Attempt
+	// attempts are the states of engineAttempts, in the same order.
+	attempts []*attemptState
+	// status is the status code of the final response. It is 0 until its status line has arrived.
+	status int
 	head   *h1.Response
+	// headAt is the time at which the head of the response was complete.
 	headAt time.Duration
 	chunks h1.Chunks
 }
 
-func (l *h1Line) output() []byte {
-	out := l.out
-	l.out = nil
+func (s *h1Session) takeOutput() []byte {
+	out := s.outBuffer
+	s.outBuffer = nil
 	return out
 }
 
-func (l *h1Line) shut(time.Duration) { l.over = true }
+func (s *h1Session) shutdown(time.Duration) { s.closing = true }
 
-func (l *h1Line) state() lineState {
-	return lineState{settled: true, busy: l.call != nil, done: l.over, limit: 1}
+func (s *h1Session) state() sessionState {
+	return sessionState{ready: true, hasDeadlines: s.call != nil, done: s.closing, capacity: 1}
 }
 
-// hasRoom tells whether a call can be started. A connection that was idle is looked at first: the peer may have closed it, or
-// sent what belongs to no call.
-func (l *h1Line) hasRoom() bool {
-	if l.call != nil || l.over {
+// hasCapacity reports whether a call can be started. It checks a connection that was used before: the peer may
+// have closed it, or sent bytes that belong to no call.
+func (s *h1Session) hasCapacity() bool {
+	if s.call != nil || s.closing {
 		return false
 	}
-	l.over = l.used && l.c.gc.Stale()
-	return !l.over
+	s.closing = s.used && s.conn.netConn.Stale()
+	return !s.closing
 }
 
 // start writes a call.
-func (l *h1Line) start(now time.Duration, k *call, tasks []*task) error {
-	if l.call != nil || l.over {
-		return errNoRoom
-	}
-	// The message with the most time goes first. Guards against peers that reckon a call by its first message: its end
-	// before that of the others would leave these without theirs.
-	slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.a.Deadline, x.a.Deadline) })
-	l.used, l.call, l.tasks = true, k, tasks
-	l.as = make([]*engine.Attempt, len(tasks))
-	left := make([]time.Duration, len(tasks))
-	for i, t := range tasks {
-		l.as[i] = t.a
-		left[i] = time.Duration(t.a.Deadline)*time.Microsecond - now
-	}
-	l.status, l.head, l.in = 0, nil, nil
-	l.out = l.calls.Request(l.out, l.as, left)
+func (s *h1Session) start(now time.Duration, k *call, attempts []*attemptState) error {
+	if s.call != nil || s.closing {
+		return errNoCapacity
+	}
+	// The message with the most time goes first. Some peers take the deadline of a call from its first message. If
+	// that one were to end early, the other messages would lose their remaining time.
+	slices.SortStableFunc(attempts, func(x, y *attemptState) int { return cmp.Compare(y.attempt.Deadline, x.attempt.Deadline) })
+	s.used, s.call, s.attempts = true, k, attempts
+	s.engineAttempts = make([]*engine.Attempt, len(attempts))
+	left := make([]time.Duration, len(attempts))
+	for i, t := range attempts {
+		s.engineAttempts[i] = t.attempt
+		left[i] = time.Duration(t.attempt.Deadline)*time.Microsecond - now
+	}
+	s.status, s.head, s.inBuffer = 0, nil, nil
+	s.outBuffer = s.codec.Request(s.outBuffer, s.engineAttempts, left)
 	return nil
 }
 
-// giveUp ends a call by closing its connection. Where only one message of several has ended with its time the others wait on,
-// and its attempt is out with theirs: it ends with the call. One that is sent again must not be out on an open connection, too.
-func (l *h1Line) giveUp(_ time.Duration, t *task) {
-	if l.call != t.call {
+// abandon ends a call by closing its connection. There is one exception: if a message has run out of time for good
+// while others of the call have not, the call goes on and the attempt ends with it. An attempt whose message is
+// sent again must not stay in flight on an open connection.
+func (s *h1Session) abandon(_ time.Duration, t *attemptState) {
+	if s.call != t.call {
 		return
 	}
-	if t.kind == engine.TimedOut && t.a.Deadline >= t.a.MessageDeadline && !l.assured() && l.waitsForOthers() {
+	if t.endKind == engine.TimedOut && t.attempt.Deadline >= t.attempt.MessageDeadline && !s.finishFromStatus() && s.hasLiveAttempts() {
 		return
 	}
-	l.over = true // lose reports it, once nothing can come any more
+	// connLost reports the end, once the connection is closed and nothing more can arrive.
+	s.closing = true
 }
 
-// waitsForOthers tells whether a message of the call is still waited for.
-func (l *h1Line) waitsForOthers() bool {
-	l.c.pool.mu.Lock()
-	defer l.c.pool.mu.Unlock()
-	return slices.ContainsFunc(l.tasks, func(t *task) bool { return !t.given && !t.ended })
+// hasLiveAttempts reports whether an attempt of the call is still waited for.
+func (s *h1Session) hasLiveAttempts() bool {
+	s.conn.pool.mu.Lock()
+	defer s.conn.pool.mu.Unlock()
+	return slices.ContainsFunc(s.attempts, func(t *attemptState) bool { return !t.abandoned && !t.ended })
 }
 
-// assured ends the call by the first line of its answer, where that is enough.
-func (l *h1Line) assured() bool {
-	if l.call == nil || l.status == 0 {
+// finishFromStatus ends the call by the status code of its response, and reports whether that decides it. The
+// connection is closed then, because the rest of the response is not read.
+func (s *h1Session) finishFromStatus() bool {
+	if s.call == nil || s.status == 0 {
 		return false
 	}
-	end, ok := l.calls.Assured(l.as, l.status)
+	end, ok := s.codec.Assured(s.engineAttempts, s.status)
 	if !ok {
 		return false
 	}
-	l.over = true
-	l.finish([]engine.Outcome{end})
+	s.closing = true
+	s.finish([]engine.Outcome{end})
 	return true
 }
 
-func (l *h1Line) finish(ends []engine.Outcome) {
-	if l.over { // before the ends make room for others
-		l.c.pool.mu.Lock()
-		l.c.usable = false
-		l.c.pool.mu.Unlock()
+// finish reports the ends of the call in flight. The slice ends has one for each of its attempts.
+func (s *h1Session) finish(ends []engine.Outcome) {
+	// The reported ends free capacity. A connection that is closing must not be assigned a call then.
+	if s.closing {
+		s.conn.pool.mu.Lock()
+		s.conn.usable = false
+		s.conn.pool.mu.Unlock()
 	}
-	tasks := l.tasks
-	l.call, l.as, l.tasks, l.head, l.in = nil, nil, nil, nil, nil
-	for i, t := range tasks {
-		l.c.pool.end(t, ends[i])
+	attempts := s.attempts
+	s.call, s.engineAttempts, s.attempts, s.head, s.inBuffer = nil, nil, nil, nil, nil
+	for i, t := range attempts {
+		s.conn.pool.reportEnd(t, ends[i])
 	}
 }
 
-func (l *h1Line) lose(kind engine.OutcomeKind, why string) {
-	l.over = true
-	if l.call == nil || l.assured() {
+func (s *h1Session) connLost(kind engine.OutcomeKind, reason string) {
+	s.closing = true
+	if s.call == nil || s.finishFromStatus() {
 		return
 	}
-	ends := make([]engine.Outcome, len(l.tasks))
-	for i, t := range l.tasks {
-		ends[i] = engine.Outcome{Kind: kind, Detail: why}
-		l.c.pool.mu.Lock()
-		if t.given {
-			ends[i] = engine.Outcome{Kind: t.kind}
-		} else if l.head != nil && kind == engine.ResetBeforeResponse {
+	ends := make([]engine.Outcome, len(s.attempts))
+	for i, t := range s.attempts {
+		ends[i] = engine.Outcome{Kind: kind, Detail: reason}
+		s.conn.pool.mu.Lock()
+		if t.abandoned {
+			ends[i] = engine.Outcome{Kind: t.endKind}
+		} else if s.head != nil && kind == engine.ResetBeforeResponse {
 			ends[i].Kind = engine.ResetDuringResponse
 		}
-		l.c.pool.mu.Unlock()
+		s.conn.pool.mu.Unlock()
 	}
-	l.finish(ends)
+	s.finish(ends)
 }
 
-// check gives the rest of an answer up whose first line says enough.
-func (l *h1Line) check(now time.Duration) error {
-	if l.head != nil && now-l.headAt > bodyWithin {
-		l.assured()
+// checkDeadlines ends a call whose status code decides it and whose body has not arrived within bodyTimeout.
+func (s *h1Session) checkDeadlines(now time.Duration) error {
+	if s.head != nil && now-s.headAt > bodyTimeout {
+		s.finishFromStatus()
 	}
 	return nil
 }
 
-func (l *h1Line) receive(now time.Duration, b []byte) error {
-	if l.call == nil { // bytes that belong to no call spoil the connection
-		l.over = true
+func (s *h1Session) receive(now time.Duration, b []byte) error {
+	// Bytes that belong to no call make the connection unusable.
+	if s.call == nil {
+		s.closing = true
 		return nil
 	}
-	if l.head == nil {
-		l.in = append(l.in, b...)
-		if err := l.readHead(now); err != nil || l.head == nil {
+	if s.head == nil {
+		s.inBuffer = append(s.inBuffer, b...)
+		if err := s.readHead(now); err != nil || s.head == nil {
 			return err
 		}
-		b, l.in = l.in, nil
+		b, s.inBuffer = s.inBuffer, nil
 	}
-	return l.body(b)
+	return s.readBody(b)
 }
 
-// readHead reads the head of the answer; those of interim answers (1xx) are passed over.
-func (l *h1Line) readHead(now time.Duration) error {
+// readHead parses the head of the response. It skips interim responses (1xx).
+func (s *h1Session) readHead(now time.Duration) error {
 	for {
-		if s, ok := h1.Status(l.in); ok && s >= 200 {
-			l.status = s
+		if status, ok := h1.Status(s.inBuffer); ok && status >= 200 {
+			s.status = status
 		}
-		head, n, err := h1.ParseResponse(l.in)
+		head, n, err := h1.ParseResponse(s.inBuffer)
 		if err != nil || n == 0 {
 			return err
 		}
-		l.in = l.in[n:]
+		s.inBuffer = s.inBuffer[n:]
 		if head.Status >= 200 {
-			l.head, l.headAt, l.chunks = head, now, h1.Chunks{}
+			s.head, s.headAt, s.chunks = head, now, h1.Chunks{}
 			return nil
 		}
 		if head.Status == 101 {
@@ -203,40 +222,42 @@
 	}
 }
 
-// body takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
-func (l *h1Line) body(b []byte) error {
-	most := int64(l.c.pool.cfg.MaxAnswer)
-	if l.head.Length > most {
-		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, l.head.Length)
+// readBody handles bytes of the response body, and ends the call once the body is complete. A body of more than
+// Config.MaxAnswerBytes is an error, and is not read to its end.
+func (s *h1Session) readBody(b []byte) error {
+	maxBytes := int64(s.conn.pool.cfg.MaxAnswerBytes)
+	if s.head.Length > maxBytes {
+		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, s.head.Length)
 	}
 	switch {
-	case l.head.Chunked:
-		body, rest, err := l.chunks.Read(l.in, b)
-		if l.in = body; err != nil {
+	case s.head.Chunked:
+		body, rest, err := s.chunks.Read(s.inBuffer, b)
+		if s.inBuffer = body; err != nil {
 			return err
 		}
-		if int64(len(l.in)) > most {
+		if int64(len(s.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
 		}
-		if !l.chunks.Done() {
+		if !s.chunks.Done() {
 			return nil
 		}
-		l.over = l.over || len(rest) > 0
-	case l.head.Length < 0: // until the connection ends: what it says so far is all that is waited for
-		l.in = append(l.in, b...)
-		if int64(len(l.in)) > most {
+		s.closing = s.closing || len(rest) > 0
+	// The body ends with the connection. The call ends in connLost.
+	case s.head.Length < 0:
+		s.inBuffer = append(s.inBuffer, b...)
+		if int64(len(s.inBuffer)) > maxBytes {
 			return fmt.Errorf("%w: an endless body", h1.ErrLength)
 		}
 		return nil
 	default:
-		l.in = append(l.in, b...)
-		if int64(len(l.in)) < l.head.Length {
+		s.inBuffer = append(s.inBuffer, b...)
+		if int64(len(s.inBuffer)) < s.head.Length {
 			return nil
 		}
-		l.over = l.over || int64(len(l.in)) > l.head.Length
-		l.in = l.in[:l.head.Length]
+		s.closing = s.closing || int64(len(s.inBuffer)) > s.head.Length
+		s.inBuffer = s.inBuffer[:s.head.Length]
 	}
-	l.over = l.over || l.head.Close
-	l.finish(l.calls.Answer(l.as, l.head, l.in))
+	s.closing = s.closing || s.head.Close
+	s.finish(s.codec.Answer(s.engineAttempts, s.head, s.inBuffer))
 	return nil
 }
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -10,35 +10,35 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h1"
-	"whinrun/internal/opener"
 )
 
-// plain calls: the path has the names of the messages.
-type plain struct{ addr netip.AddrPort }
+// plainCodec is an HTTP1Codec for tests. The path of a request lists the names of its messages.
+type plainCodec struct{ addr netip.AddrPort }
 
-func (p plain) Address(control.EndpointID) (netip.AddrPort, bool) { return p.addr, true }
-func (p plain) Request(b []byte, as []*engine.Attempt, _ []time.Duration) []byte {
-	names := make([]string, len(as))
-	for i, a := range as {
+func (p plainCodec) Address(control.EndpointID) (netip.AddrPort, bool) { return p.addr, true }
+func (p plainCodec) Request(b []byte, attempts []*engine.Attempt, _ []time.Duration) []byte {
+	names := make([]string, len(attempts))
+	for i, a := range attempts {
 		names[i] = a.Message.ExternalID
 	}
 	return h1.AppendHead(b, "POST /"+strings.Join(names, ",")+" HTTP/1.1", "Content-Length", "0")
 }
-func (p plain) Answer(as []*engine.Attempt, head *h1.Response, _ []byte) []engine.Outcome {
-	ends := make([]engine.Outcome, len(as))
+func (p plainCodec) Answer(attempts []*engine.Attempt, head *h1.Response, _ []byte) []engine.Outcome {
+	ends := make([]engine.Outcome, len(attempts))
 	for i := range ends {
 		ends[i] = engine.Outcome{Kind: engine.Answered, Status: head.Status}
 	}
 	return ends
 }
-func (p plain) Assured(as []*engine.Attempt, status int) (engine.Outcome, bool) {
-	return engine.Outcome{Kind: engine.Answered, Status: status}, status == 200 && len(as) == 1
+func (p plainCodec) Assured(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
+	return engine.Outcome{Kind: engine.Answered, Status: status}, status == 200 && len(attempts) == 1
 }
 
-// rig is a Pool and a peer whose connections the test has in its hand.
-type rig struct {
+// testPool is a Pool with an HTTP/1.1 peer whose connections the test controls.
+type testPool struct {
 	t     *testing.T
 	p     *Pool
 	clock clock.Clock
@@ -48,158 +48,163 @@
 	once  sync.Once
 }
 
-func newRig(t *testing.T) *rig { return newRigWith(t, nil) }
+func newTestPool(t *testing.T) *testPool { return newTestPoolWith(t, nil) }
 
-// newRigWith makes a rig whose calls need permits.
-func newRigWith(t *testing.T, permits Permits) *rig {
+// newTestPoolWith creates a testPool whose calls need admission.
+func newTestPoolWith(t *testing.T, admission Admission) *testPool {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.Outcome, 64)}
+	tp := &testPool{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.Outcome, 64)}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			r.conns <- c
+			tp.conns <- c
 		}
 	}()
-	cfg := Config{Loops: 1, Conns: 3, Streams: 1, ConnectTimeout: time.Second, Idle: time.Minute, MaxAnswer: 1000, Permits: permits,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 2, Total: 3}}
-	r.p, err = New(cfg, NewHTTP1(plain{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.Outcome) { r.ends <- e })
+	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: admission,
+		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 2, MaxConns: 3}}
+	tp.p, err = New(cfg, NewHTTP1(plainCodec{netip.MustParseAddrPort(ln.Addr().String())}), tp.clock, func(e engine.Outcome) { tp.ends <- e })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		r.p.Close()
+		tp.p.Close()
 		_ = ln.Close()
 	})
-	return r
+	return tp
 }
 
-func (r *rig) start(names ...string) (call []*engine.Attempt) {
+// start starts a call with one attempt for each name, all to endpoint 1.
+func (tp *testPool) start(names ...string) (call []*engine.Attempt) {
 	for _, n := range names {
-		r.seq++
-		call = append(call, &engine.Attempt{Seq: r.seq, Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: r.clock.Now() + 20*control.Second})
+		tp.seq++
+		call = append(call, &engine.Attempt{Seq: tp.seq, Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: tp.clock.Now() + 20*control.Second})
 	}
-	r.p.Start(call)
+	tp.p.Start(call)
 	return call
 }
 
-func (r *rig) conn() net.Conn {
-	r.t.Helper()
+// conn returns the next connection that the peer accepts.
+func (tp *testPool) conn() net.Conn {
+	tp.t.Helper()
 	select {
-	case c := <-r.conns:
+	case c := <-tp.conns:
 		return c
 	case <-time.After(5 * time.Second):
-		r.t.Fatal("no connection came")
+		tp.t.Fatal("no connection came")
 		return nil
 	}
 }
 
-// read reads what is written next.
-func (r *rig) read(c net.Conn) string {
-	r.t.Helper()
+// read returns what is written next on a connection.
+func (tp *testPool) read(c net.Conn) string {
+	tp.t.Helper()
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 4096)
 	n, err := c.Read(b)
 	if err != nil {
-		r.t.Fatal(err)
+		tp.t.Fatal(err)
 	}
 	return string(b[:n])
 }
 
-func (r *rig) want(kind engine.OutcomeKind, status int) {
-	r.t.Helper()
+// wantEnd expects an end of an attempt with this kind and status.
+func (tp *testPool) wantEnd(kind engine.OutcomeKind, status int) {
+	tp.t.Helper()
 	select {
-	case e := <-r.ends:
+	case e := <-tp.ends:
 		if e.Kind != kind || e.Status != status {
-			r.t.Errorf("end %+v, want kind %d, status %d", e, kind, status)
+			tp.t.Errorf("end %+v, want kind %d, status %d", e, kind, status)
 		}
 	case <-time.After(5 * time.Second):
-		r.t.Fatal("no end came")
+		tp.t.Fatal("no end came")
 	}
 }
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// A used connection is used again; one that its peer has closed meanwhile is not written on, and nothing fails.
+// An idle connection must be used again. If its peer has closed it meanwhile, the call must go to a new
+// connection, and nothing fails.
 func TestConnectionUsedAgain(t *testing.T) {
-	r := newRig(t)
-	r.start("a")
-	c := r.conn()
-	r.read(c)
+	tp := newTestPool(t)
+	tp.start("a")
+	c := tp.conn()
+	tp.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
-	r.start("b")
-	if got := r.read(c); !strings.Contains(got, "/b") {
+	tp.wantEnd(engine.Answered, 200)
+	tp.start("b")
+	if got := tp.read(c); !strings.Contains(got, "/b") {
 		t.Errorf("%q on the connection used before", got)
 	}
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 	_ = c.Close()
-	r.start("c")
-	d := r.conn()
-	r.read(d)
+	tp.start("c")
+	d := tp.conn()
+	tp.read(d)
 	_, _ = d.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 }
 
-// Giving up closes the connection, and only then the end is told; what is left of an answer harms nobody.
+// Abandoning a call must close its connection, so that a late answer cannot be taken for that of another call.
 func TestGivingUpCloses(t *testing.T) {
-	r := newRig(t)
-	call := r.start("a")
-	c := r.conn()
-	r.read(c)
-	r.p.Cancel(call[0], engine.Cancelled)
-	r.want(engine.Cancelled, 0)
+	tp := newTestPool(t)
+	call := tp.start("a")
+	c := tp.conn()
+	tp.read(c)
+	tp.p.Cancel(call[0], engine.Cancelled)
+	tp.wantEnd(engine.Cancelled, 0)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the connection is open: %v", err)
 	}
 }
 
-// Of several messages in a call one may run out of time: the others wait on, on the same connection. Its attempt is out with
-// theirs until then, and ends with the call; with the time of the last one the call is given up.
+// One message of a call runs out of time. The call must go on for the others on the same connection, and the
+// attempt must end with it. If the last message runs out of time, the call is given up.
 func TestOneOfSeveralOutOfTime(t *testing.T) {
-	r := newRig(t)
-	call := r.start("a", "b")
-	c := r.conn()
-	r.read(c)
-	r.p.Cancel(call[0], engine.TimedOut)
+	tp := newTestPool(t)
+	call := tp.start("a", "b")
+	c := tp.conn()
+	tp.read(c)
+	tp.p.Cancel(call[0], engine.TimedOut)
 	select {
-	case e := <-r.ends:
-		t.Errorf("end %+v, and the call is out", e)
+	case e := <-tp.ends:
+		t.Errorf("end %+v while the call is in flight", e)
 	case <-time.After(50 * time.Millisecond):
 	}
 	_, _ = c.Write([]byte("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"))
-	r.want(engine.Answered, 500)
-	r.want(engine.Answered, 500)
-	call = r.start("c", "d")
-	r.read(c)
-	r.p.Cancel(call[0], engine.TimedOut)
-	r.p.Cancel(call[1], engine.TimedOut)
-	r.want(engine.TimedOut, 0)
-	r.want(engine.TimedOut, 0)
+	tp.wantEnd(engine.Answered, 500)
+	tp.wantEnd(engine.Answered, 500)
+	call = tp.start("c", "d")
+	tp.read(c)
+	tp.p.Cancel(call[0], engine.TimedOut)
+	tp.p.Cancel(call[1], engine.TimedOut)
+	tp.wantEnd(engine.TimedOut, 0)
+	tp.wantEnd(engine.TimedOut, 0)
 }
 
-// A time-out ahead of the message's end gives up the whole call: the message goes again, and must not be out twice.
+// An attempt times out before its message's end. The whole call must be given up, because the message is sent
+// again and must not be in flight twice.
 func TestTimeOutOfOneThatGoesAgain(t *testing.T) {
-	r := newRig(t)
-	now := r.clock.Now()
+	tp := newTestPool(t)
+	now := tp.clock.Now()
 	call := []*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "a"}, Endpoint: 1, Deadline: now + 2*control.Second, MessageDeadline: now + 9*control.Second},
 		{Seq: 2, Message: &engine.Message{ExternalID: "b"}, Endpoint: 1, Deadline: now + 9*control.Second, MessageDeadline: now + 9*control.Second}}
-	r.p.Start(call)
-	c := r.conn()
-	r.read(c)
-	r.p.Cancel(call[0], engine.TimedOut)
+	tp.p.Start(call)
+	c := tp.conn()
+	tp.read(c)
+	tp.p.Cancel(call[0], engine.TimedOut)
 	got := map[uint64]engine.OutcomeKind{}
 	for range call {
 		select {
-		case e := <-r.ends:
+		case e := <-tp.ends:
 			got[e.Seq] = e.Kind
 		case <-time.After(5 * time.Second):
 			t.Fatalf("ends: %v", got)
@@ -214,127 +219,134 @@
 	}
 }
 
-// The message with the most time leads a call, so that the first of a call is never over before the others.
+// The message with the most time must come first in a call, so that the first message never ends before the
+// others.
 func TestLongestLeadsACall(t *testing.T) {
-	r := newRig(t)
+	tp := newTestPool(t)
 	var call []*engine.Attempt
-	now := r.clock.Now() // one moment for all: two of them have the same time
+	// All messages share one start, so that two of them have the same deadline.
+	now := tp.clock.Now()
 	for i, n := range []string{"short", "long", "middle", "long2"} {
 		due := []control.Time{4, 12, 8, 12}[i]
 		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: now + due*control.Second})
 	}
-	r.p.Start(call)
-	c := r.conn()
-	if got := r.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
+	tp.p.Start(call)
+	c := tp.conn()
+	if got := tp.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.p.Cancel(call[0], engine.TimedOut)
+	tp.p.Cancel(call[0], engine.TimedOut)
 	_, _ = c.Write([]byte(okAnswer))
 	for range call {
-		r.want(engine.Answered, 200)
+		tp.wantEnd(engine.Answered, 200)
 	}
 }
 
-// An attempt whose last moment has come when its connection is there is not written: the key of a repeat may be forgotten
-// by then. One beside it in the call goes.
+// An attempt must not be written if the latest time to begin it has come when its connection is established. By
+// then its partner may have forgotten the idempotency key. Another attempt of the call must be written.
 func TestTooLateToBegin(t *testing.T) {
-	r := newRig(t)
-	now := r.clock.Now()
+	tp := newTestPool(t)
+	now := tp.clock.Now()
 	due := now + 20*control.Second
-	r.p.Start([]*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "late"}, Endpoint: 1, Deadline: due, WriteBefore: now},
+	tp.p.Start([]*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "late"}, Endpoint: 1, Deadline: due, WriteBefore: now},
 		{Seq: 2, Message: &engine.Message{ExternalID: "early"}, Endpoint: 1, Deadline: due, WriteBefore: due}})
-	c := r.conn()
-	if got := r.read(c); !strings.HasPrefix(got, "POST /early ") {
+	c := tp.conn()
+	if got := tp.read(c); !strings.HasPrefix(got, "POST /early ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.want(engine.Unsent, 0)
+	tp.wantEnd(engine.Unsent, 0)
 }
 
-// An attempt that is given up before its connection is there is never written; the connection serves the next one.
+// An attempt that is abandoned before its connection is established must not be written. The connection must carry
+// the next call.
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
-	r := newRig(t)
-	call := r.start("gone")
-	r.p.Cancel(call[0], engine.Cancelled)
-	r.want(engine.Unsent, 0)
-	r.start("next")
-	c := r.conn()
-	if got := r.read(c); !strings.HasPrefix(got, "POST /next ") {
+	tp := newTestPool(t)
+	call := tp.start("gone")
+	tp.p.Cancel(call[0], engine.Cancelled)
+	tp.wantEnd(engine.Unsent, 0)
+	tp.start("next")
+	c := tp.conn()
+	if got := tp.read(c); !strings.HasPrefix(got, "POST /next ") {
 		t.Errorf("%.40q is written", got)
 	}
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 }
 
-// An answer that is there before the give-up counts; one that crosses it is dropped with its connection. Either way the attempt
-// has one end.
+// An answer that arrives before the attempt is abandoned counts. A later one is discarded with its connection.
+// Either way the attempt must have exactly one end.
 func TestAnswerCrossesTheGiveUp(t *testing.T) {
 	for range 40 {
-		r := newRig(t)
-		call := r.start("a")
-		c := r.conn()
-		r.read(c)
+		tp := newTestPool(t)
+		call := tp.start("a")
+		c := tp.conn()
+		tp.read(c)
 		go func() { _, _ = c.Write([]byte(okAnswer)) }()
-		r.p.Cancel(call[0], engine.Cancelled)
+		tp.p.Cancel(call[0], engine.Cancelled)
 		select {
-		case e := <-r.ends:
+		case e := <-tp.ends:
 			if e.Kind != engine.Cancelled && (e.Kind != engine.Answered || e.Status != 200) {
 				t.Fatalf("end %+v", e)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("no end came")
 		}
-		r.start("b") // all that the pool still does for the first is done before this one ends
+		// The pool finishes its work for the first attempt before this one ends.
+		tp.start("b")
 		answer := func(d net.Conn) {
 			if _, err := d.Read(make([]byte, 4096)); err == nil {
 				_, _ = d.Write([]byte(okAnswer))
 			}
 		}
-		go answer(c) // used again, or closed
+		// The first connection is either used again or closed.
+		go answer(c)
 		go func() {
 			select {
-			case d := <-r.conns:
+			case d := <-tp.conns:
 				answer(d)
 			case <-time.After(5 * time.Second):
 			}
 		}()
 		select {
-		case e := <-r.ends:
+		case e := <-tp.ends:
 			if e.Seq != 2 {
 				t.Fatalf("a second end of the first: %+v", e)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatal("no end of the second came")
 		}
-		r.p.mu.Lock()
-		if n := len(r.p.tasks); n != 0 {
-			t.Errorf("%d tasks are kept", n)
+		tp.p.mu.Lock()
+		if n := len(tp.p.attempts); n != 0 {
+			t.Errorf("%d attempts are kept", n)
 		}
-		r.p.mu.Unlock()
+		tp.p.mu.Unlock()
 	}
 }
 
-// An attempt that waits for a connection can be taken back: it has not run.
+// An attempt that waits for a connection can be withdrawn, and must end as Unsent.
 func TestUnsendWhileWaiting(t *testing.T) {
-	r := newRig(t)
+	tp := newTestPool(t)
 	var calls [][]*engine.Attempt
-	for range 4 { // one more than connections are allowed
-		calls = append(calls, r.start("x"))
+	// Only three connections are allowed, so that one call waits.
+	for range 4 {
+		calls = append(calls, tp.start("x"))
 	}
 	for range 3 {
-		r.read(r.conn())
+		tp.read(tp.conn())
 	}
-	r.p.CancelUnsent(calls[0][0]) // written: it stays out
+	// This one has been written, so that Unsend must not affect it.
+	tp.p.CancelUnsent(calls[0][0])
 	waiting := calls[3][0]
-	r.p.mu.Lock()
+	tp.p.mu.Lock()
 	for _, k := range calls {
-		if x := r.p.tasks[k[0].Seq]; x != nil && x.call.conn == nil {
+		if x := tp.p.attempts[k[0].Seq]; x != nil && x.call.conn == nil {
 			waiting = k[0]
 		}
 	}
-	r.p.mu.Unlock()
-	r.p.CancelUnsent(waiting)
+	tp.p.mu.Unlock()
+	tp.p.CancelUnsent(waiting)
 	select {
-	case e := <-r.ends:
+	case e := <-tp.ends:
 		if e.Seq != waiting.Seq || e.Kind != engine.Unsent {
 			t.Errorf("end %+v", e)
 		}
@@ -343,26 +355,28 @@
 	}
 }
 
-// Ends of a site that was dropped leave the one made since alone: its wish for a connection would be lost with it.
+// Ends that are reported late for a deleted endpointPool must not delete the one that replaced it. That would lose
+// its request for a connection.
 func TestDroppedSiteLeavesTheNewOne(t *testing.T) {
-	r := newRig(t)
-	old := &site{ep: 1}
-	r.start("a")
-	r.p.mu.Lock()
-	made := r.p.sites[1]
-	r.p.grow(old)
-	kept := r.p.sites[1] == made && made != nil
-	r.p.mu.Unlock()
+	tp := newTestPool(t)
+	old := &endpointPool{id: 1}
+	tp.start("a")
+	tp.p.mu.Lock()
+	made := tp.p.endpoints[1]
+	tp.p.requestConn(old)
+	kept := tp.p.endpoints[1] == made && made != nil
+	tp.p.mu.Unlock()
 	if !kept {
-		t.Error("the new site is gone")
+		t.Error("the new endpointPool is gone")
 	}
-	c := r.conn()
-	r.read(c)
+	c := tp.conn()
+	tp.read(c)
 	_, _ = c.Write([]byte(okAnswer))
-	r.want(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 }
 
-// The first line that says 200 is enough, whatever becomes of the rest; without it a broken answer may have run.
+// A status line with 200 must decide the call, whatever becomes of the rest of the response. Without it, a broken
+// response leaves open whether the call was executed.
 func TestFirstLineDecides(t *testing.T) {
 	for text, want := range map[string]engine.OutcomeKind{
 		"HTTP/1.1 200 OK\r\n":                              engine.Answered,
@@ -373,29 +387,29 @@
 		"noise": engine.ProtocolError,
 		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.ProtocolError,
 	} {
-		r := newRig(t)
-		r.start("a")
-		c := r.conn()
-		r.read(c)
+		tp := newTestPool(t)
+		tp.start("a")
+		c := tp.conn()
+		tp.read(c)
 		_, _ = c.Write([]byte(text))
 		_ = c.Close()
 		status := 0
 		if want == engine.Answered {
 			status = 200
 		}
-		r.want(want, status)
+		tp.wantEnd(want, status)
 	}
 }
 
-// A head that promises enough and a body that never ends: the message is not kept waiting.
+// If the status code decides the call and the body never ends, the attempt must end soon.
 func TestBodyThatStalls(t *testing.T) {
-	r := newRig(t)
-	r.start("a")
-	c := r.conn()
-	r.read(c)
+	tp := newTestPool(t)
+	tp.start("a")
+	c := tp.conn()
+	tp.read(c)
 	start := time.Now()
 	_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nabc"))
-	r.want(engine.Answered, 200)
+	tp.wantEnd(engine.Answered, 200)
 	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("it took %v", took)
 	}
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -8,133 +8,145 @@
 	"whinrun/internal/h2"
 )
 
-// Speech turns attempts into HTTP/2 requests and answers into ends, for the endpoint's kind of partner.
-type Speech interface {
-	Addresses
+// HTTP2Codec translates attempts into HTTP/2 requests, and responses into the ends of attempts, in the manner of
+// the endpoint's partner.
+type HTTP2Codec interface {
+	Resolver
+	// Request returns the header fields of the request. The time left is what remains of the attempt's time.
 	Request(a *engine.Attempt, left time.Duration) []h2.Field
-	// Answer makes a whole response into an end.
+	// Answer returns the end of an attempt whose response is complete. The body may be cut off at
+	// Config.MaxAnswerBytes.
 	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome
 }
 
-// NewHTTP2 is HTTP/2 with a speech; each attempt is a stream.
-func NewHTTP2(s Speech) Protocol { return http2{s} }
+// NewHTTP2 returns HTTP/2 with one stream for each attempt.
+func NewHTTP2(codec HTTP2Codec) Protocol { return http2{codec} }
 
-type http2 struct{ Speech }
+// http2 implements Protocol.
+type http2 struct{ HTTP2Codec }
 
-func (http2) bulk() bool { return false }
+func (http2) batches() bool { return false }
 
-func (s http2) line(c *conn, now time.Duration) line {
+func (s http2) newSession(c *conn, now time.Duration) session {
 	cfg := c.pool.cfg.H2
 	cfg.Handshake = c.pool.cfg.ConnectTimeout
-	return &h2Line{c: c, speech: s, h: h2.NewClient(cfg, now), tasks: map[uint32]*task{}}
+	return &h2Session{conn: c, codec: s, h2conn: h2.NewClient(cfg, now), attempts: map[uint32]*attemptState{}}
 }
 
-// h2Line is one HTTP/2 connection. It carries attempts only when the peer's SETTINGS are here: an endpoint that takes
-// connections and says nothing then costs no doubt.
-type h2Line struct {
-	c      *conn
-	speech Speech
-	h      *h2.Conn
-	tasks  map[uint32]*task
-	proved bool // it has answered something
+// h2Session is the state of one HTTP/2 connection. It carries attempts only once the peer's SETTINGS have arrived.
+// If an endpoint accepts connections and sends nothing, its attempts are then certain not to have been executed.
+type h2Session struct {
+	conn   *conn
+	codec  HTTP2Codec
+	h2conn *h2.Conn
+	// attempts holds the attempts in flight by their stream.
+	attempts map[uint32]*attemptState
+	// answered is true once a response was complete on the connection.
+	answered bool
 }
 
-func (l *h2Line) receive(now time.Duration, b []byte) error {
-	events, err := l.h.Receive(now, b)
+func (s *h2Session) receive(now time.Duration, b []byte) error {
+	events, err := s.h2conn.Receive(now, b)
 	for i := range events {
-		l.event(&events[i])
+		s.handleEvent(&events[i])
 	}
 	return err
 }
 
-func (l *h2Line) check(now time.Duration) error { return l.h.Check(now) }
-func (l *h2Line) output() []byte                { return l.h.Output() }
-func (l *h2Line) shut(now time.Duration)        { l.h.GoAway(now, h2.NoError) }
+func (s *h2Session) checkDeadlines(now time.Duration) error { return s.h2conn.Check(now) }
+func (s *h2Session) takeOutput() []byte                     { return s.h2conn.Output() }
+func (s *h2Session) shutdown(now time.Duration)             { s.h2conn.GoAway(now, h2.NoError) }
 
-func (l *h2Line) room() int { return min(l.c.pool.cfg.Streams, l.h.Room()+l.h.Open()) }
+// capacity returns the number of streams that the connection can carry at once, including the open ones.
+func (s *h2Session) capacity() int {
+	return min(s.conn.pool.cfg.MaxStreams, s.h2conn.Room()+s.h2conn.Open())
+}
 
-func (l *h2Line) state() lineState {
-	return lineState{settled: l.h.Settled(), busy: l.h.Open() > 0, done: l.h.Done(), limit: l.room()}
+func (s *h2Session) state() sessionState {
+	return sessionState{ready: s.h2conn.Settled(), hasDeadlines: s.h2conn.Open() > 0, done: s.h2conn.Done(), capacity: s.capacity()}
 }
 
-func (l *h2Line) hasRoom() bool { return l.h.Room() > 0 }
+func (s *h2Session) hasCapacity() bool { return s.h2conn.Room() > 0 }
 
-func (l *h2Line) start(now time.Duration, _ *call, tasks []*task) error {
-	t := tasks[0] // HTTP/2 has no bulk calls
-	left := time.Duration(t.a.Deadline)*time.Microsecond - now
-	id, err := l.h.Request(now, l.speech.Request(t.a, left), t.a.Message.Body)
+func (s *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
+	// HTTP/2 does not batch attempts: a call has one.
+	t := attempts[0]
+	left := time.Duration(t.attempt.Deadline)*time.Microsecond - now
+	id, err := s.h2conn.Request(now, s.codec.Request(t.attempt, left), t.attempt.Message.Body)
 	switch {
 	case err == nil:
-		t.stream = id
-		l.tasks[id] = t
+		t.streamID = id
+		s.attempts[id] = t
 		return nil
 	case errors.Is(err, h2.ErrTooLarge):
 		return err
 	}
-	return errNoRoom
+	return errNoCapacity
 }
 
-func (l *h2Line) giveUp(now time.Duration, t *task) {
-	l.h.Reset(now, t.stream, h2.Cancel)
-	delete(l.tasks, t.stream)
-	l.c.pool.end(t, engine.Outcome{Kind: t.kind})
+func (s *h2Session) abandon(now time.Duration, t *attemptState) {
+	s.h2conn.Reset(now, t.streamID, h2.Cancel)
+	delete(s.attempts, t.streamID)
+	s.conn.pool.reportEnd(t, engine.Outcome{Kind: t.endKind})
 }
 
-func (l *h2Line) lose(kind engine.OutcomeKind, why string) {
-	for id, t := range l.tasks {
-		delete(l.tasks, id)
-		k := kind
-		if t.headers && kind == engine.ResetBeforeResponse {
-			k = engine.ResetDuringResponse
+func (s *h2Session) connLost(kind engine.OutcomeKind, reason string) {
+	for id, t := range s.attempts {
+		delete(s.attempts, id)
+		endKind := kind
+		if t.hasHeaders && kind == engine.ResetBeforeResponse {
+			endKind = engine.ResetDuringResponse
 		}
-		l.c.pool.end(t, engine.Outcome{Kind: k, Detail: why})
+		s.conn.pool.reportEnd(t, engine.Outcome{Kind: endKind, Detail: reason})
 	}
 }
 
-// event takes one event of the connection.
-func (l *h2Line) event(e *h2.Event) {
+// handleEvent handles one event of the connection.
+func (s *h2Session) handleEvent(e *h2.Event) {
 	switch e.Kind {
 	case h2.Ready:
-		l.c.ready(l.room())
+		s.conn.markUsable(s.capacity())
 		return
 	case h2.PeerGoAway:
-		l.away(e)
+		s.handleGoAway(e)
 		return
 	}
-	t := l.tasks[e.Stream]
+	t := s.attempts[e.Stream]
 	if t == nil {
 		return
 	}
-	p := l.c.pool
+	p := s.conn.pool
 	switch e.Kind {
 	case h2.Headers:
-		t.fields, t.headers = e.Fields, true
+		t.responseFields, t.hasHeaders = e.Fields, true
 	case h2.Data:
-		if room := p.cfg.MaxAnswer - len(t.body); room > 0 {
-			t.body = append(t.body, e.Data[:min(room, len(e.Data))]...)
+		if space := p.cfg.MaxAnswerBytes - len(t.responseBody); space > 0 {
+			t.responseBody = append(t.responseBody, e.Data[:min(space, len(e.Data))]...)
 		}
 	case h2.StreamReset:
-		delete(l.tasks, e.Stream)
-		p.end(t, resetEnd(t, e))
+		delete(s.attempts, e.Stream)
+		p.reportEnd(t, resetEnd(t, e))
 		return
 	}
 	if e.End {
-		delete(l.tasks, e.Stream)
-		l.proved = true
-		p.end(t, l.speech.Answer(t.a, t.fields, t.body))
-		if l.h.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
-			l.h.Reset(p.elapsed(), e.Stream, h2.NoError)
+		delete(s.attempts, e.Stream)
+		s.answered = true
+		p.reportEnd(t, s.codec.Answer(t.attempt, t.responseFields, t.responseBody))
+		// The response was complete before the request body was sent. The peer does not want the rest of it.
+		if s.h2conn.Wants(e.Stream) {
+			s.h2conn.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
 }
 
-// resetEnd tells what a reset of a stream proves.
-func resetEnd(t *task, e *h2.Event) engine.Outcome {
+// resetEnd returns the end of an attempt whose stream was reset. The error code tells whether the request may have
+// been executed.
+func resetEnd(t *attemptState, e *h2.Event) engine.Outcome {
 	end := engine.Outcome{Kind: engine.ResetBeforeResponse, Detail: "RST_STREAM " + e.Code.String()}
 	switch {
 	case e.Local:
 		end.Kind, end.Detail = engine.ProtocolError, e.Reason
-	case t.headers:
+	case t.hasHeaders:
 		end.Kind = engine.ResetDuringResponse
 	case e.Code == h2.RefusedStream:
 		end.Kind = engine.StreamRefused
@@ -142,23 +154,24 @@
 	return end
 }
 
-// away takes a GOAWAY: streams above the last one named have not run and never will; those below run on.
-func (l *h2Line) away(e *h2.Event) {
-	p := l.c.pool
+// handleGoAway handles a GOAWAY frame. Streams above the last one that it names have not been processed and never
+// will be (RFC 9113 section 6.8), so that their attempts end. The others continue.
+func (s *h2Session) handleGoAway(e *h2.Event) {
+	p := s.conn.pool
 	p.mu.Lock()
-	l.c.usable = false
+	s.conn.usable = false
 	p.mu.Unlock()
 	kind := engine.GoAwayUnprocessed
 	switch {
 	case e.Code != h2.NoError:
 		kind = engine.GoAwayWithError
-	case !l.proved:
+	case !s.answered:
 		kind = engine.GoAwayBeforeResponse
 	}
-	for id, t := range l.tasks {
+	for id, t := range s.attempts {
 		if id > e.Last {
-			delete(l.tasks, id)
-			p.end(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
+			delete(s.attempts, id)
+			p.reportEnd(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
 	}
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -17,12 +17,13 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
-// TestMain is also the partner in a process of its own, so that it does not share this one's descriptors.
+// TestMain runs the tests, or a partner if OUTBOUND_TEST_PEER is set. The partner runs in a process of its own so
+// that it does not use this one's descriptors.
 func TestMain(m *testing.M) {
 	if os.Getenv("OUTBOUND_TEST_PEER") == "" {
 		os.Exit(m.Run())
@@ -39,8 +40,8 @@
 	_, _ = io.Copy(io.Discard, os.Stdin)
 }
 
-// peer starts the partner and returns its address.
-func peer(t *testing.T) netip.AddrPort {
+// startPeer starts the partner process and returns its address.
+func startPeer(t *testing.T) netip.AddrPort {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "OUTBOUND_TEST_PEER=1")
@@ -66,29 +67,31 @@
 	return netip.MustParseAddrPort(strings.TrimSpace(line))
 }
 
-// speech is the plainest: every endpoint is the peer.
-type speech struct{ addr netip.AddrPort }
+// testCodec is an HTTP2Codec for tests. Every endpoint has the same address, and every response counts as status
+// 201.
+type testCodec struct{ addr netip.AddrPort }
 
-func (s speech) Address(control.EndpointID) (netip.AddrPort, bool) { return s.addr, true }
-func (s speech) Request(*engine.Attempt, time.Duration) []h2.Field {
+func (s testCodec) Address(control.EndpointID) (netip.AddrPort, bool) { return s.addr, true }
+func (s testCodec) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
-func (s speech) Answer(*engine.Attempt, []h2.Field, []byte) engine.Outcome {
+func (s testCodec) Answer(*engine.Attempt, []h2.Field, []byte) engine.Outcome {
 	return engine.Outcome{Kind: engine.Answered, Status: 201}
 }
 
-// gather collects the ends of n attempts, each to an endpoint of its own.
-func gather(t *testing.T, cfg Config, n int) (ends map[engine.OutcomeKind]int, most int) {
+// runAttempts sends n attempts, each to an endpoint of its own. It returns how many ended with each kind, and the
+// largest number of open connections seen.
+func runAttempts(t *testing.T, cfg Config, n int) (ends map[engine.OutcomeKind]int, most int) {
 	t.Helper()
 	var mu sync.Mutex
 	ends = map[engine.OutcomeKind]int{}
-	all := make(chan struct{}, n)
+	reported := make(chan struct{}, n)
 	clock := clock.New()
-	p, err := New(cfg, NewHTTP2(speech{peer(t)}), clock, func(e engine.Outcome) {
+	p, err := New(cfg, NewHTTP2(testCodec{startPeer(t)}), clock, func(e engine.Outcome) {
 		mu.Lock()
 		ends[e.Kind]++
 		mu.Unlock()
-		all <- struct{}{}
+		reported <- struct{}{}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +101,7 @@
 		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Message: &engine.Message{}, Endpoint: control.EndpointID(i + 1), Deadline: clock.Now() + 60*control.Second}})
 	}
 	for range n {
-		<-all
+		<-reported
 		most = max(most, p.Connections())
 	}
 	mu.Lock()
@@ -106,22 +109,25 @@
 	return ends, most
 }
 
-func config() Config {
-	return Config{Loops: 1, Conns: 2, Streams: 10, ConnectTimeout: 20 * time.Second, Idle: time.Minute, MaxAnswer: 100,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 4, Total: 1000}}
+// testConfig returns limits that these tests change in part.
+func testConfig() Config {
+	return Config{Loops: 1, MaxConnsPerEndpoint: 2, MaxStreams: 10, ConnectTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 100,
+		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 4, MaxConns: 1000}}
 }
 
-// At the bound of connections the longest idle one is closed for a new one: all are served, and never more are open.
+// At the limit of connections, the longest idle one must be closed for a new one. All attempts must be answered,
+// and no more connections may be open than allowed.
 func TestTotalMakesRoom(t *testing.T) {
-	cfg := config()
-	cfg.Opening.Total = 5
-	ends, most := gather(t, cfg, 60)
+	cfg := testConfig()
+	cfg.DialLimits.MaxConns = 5
+	ends, most := runAttempts(t, cfg, 60)
 	if ends[engine.Answered] != 60 || most > 5 {
 		t.Errorf("ends %v, %d connections at once", ends, most)
 	}
 }
 
-// Out of descriptors attempts wait and are served as connections close; no endpoint is said to be down for it.
+// While the machine has no file descriptors left, attempts must wait and be sent as connections close. None may
+// end as if its endpoint were down.
 func TestDescriptorsRunOut(t *testing.T) {
 	var old syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &old); err != nil {
@@ -132,14 +138,14 @@
 		t.Skip("no list of open descriptors on this system")
 	}
 	defer func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old) }()
-	cfg := config()
-	// The peer is started, and the pool's own descriptors are taken, within gather: leave room for those and a few more.
+	cfg := testConfig()
+	// The limit leaves descriptors for the peer's pipes, for the pool itself and for a few connections.
 	low := old
 	low.Cur = uint64(len(open) + 40)
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &low); err != nil {
 		t.Fatal(err)
 	}
-	ends, most := gather(t, cfg, 100)
+	ends, most := runAttempts(t, cfg, 100)
 	if ends[engine.Answered] != 100 || most >= 60 {
 		t.Errorf("ends %v, %d connections at once", ends, most)
 	}
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -1,6 +1,7 @@
-// Package outbound carries attempts out: a pool of connections for each endpoint, on event loops. What is spoken
-// on them is a Protocol's: HTTP/2 (NewHTTP2), or HTTP/1.1 with one call at a time (NewHTTP1). It decides nothing:
-// whether, when and where to send is told; each attempt's end is reported once.
+// Package outbound carries attempts to endpoints. It keeps a connection pool for each endpoint, on event loops. A
+// Protocol speaks on the connections: HTTP/2 (NewHTTP2) with one stream for each attempt, or HTTP/1.1 (NewHTTP1)
+// with one call at a time. The package does not decide whether, when and where to send; its caller does. It
+// reports the end of each attempt once.
 package outbound
 
 import (
@@ -16,480 +17,566 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
-// Addresses tells where endpoints are; ok is false for one that was never listed.
-type Addresses interface {
+// Resolver maps endpoints to addresses.
+type Resolver interface {
+	// Address returns the address of an endpoint. The result ok is false if the endpoint was never listed.
 	Address(ep control.EndpointID) (addr netip.AddrPort, ok bool)
 }
 
-// Protocol is what is spoken on the connections of a Pool.
+// Protocol creates the protocol state for the connections of a Pool. NewHTTP1 and NewHTTP2 implement it.
 type Protocol interface {
-	Addresses
-	line(c *conn, now time.Duration) line
-	bulk() bool // the attempts of one Start go as one call; else each is a call
-}
-
-// Permits has the last word on calls. Its methods are called on event loops, and must not wait for the engine.
-type Permits interface {
-	// Write tells why an attempt must not be written now; nil permits it.
+	Resolver
+	// newSession returns the session of a connection that has just opened.
+	newSession(c *conn, now time.Duration) session
+	// batches reports whether the attempts of one Pool.Start form one call. Otherwise each attempt is a call of
+	// its own.
+	batches() bool
+}
+
+// Admission decides, just before a call is written, which of its attempts may be written. Its methods are called
+// on event loops and must not wait for the engine.
+type Admission interface {
+	// Write returns nil if an attempt may be written now, and otherwise the reason why not.
 	Write(now control.Time, a *engine.Attempt) error
-	// Record puts attempts on record that are written next, as one call. It returns those that may be: all, or with an error
-	// those that need no record.
-	Record(call []*engine.Attempt) (may []*engine.Attempt, err error)
-	// TakenBack tells that an attempt that was permitted and recorded was not written after all.
+	// Record records attempts that are written next, as one call, before any byte is sent. It returns those that
+	// may be written: all of them, or, with an error, those that need no record.
+	Record(call []*engine.Attempt) (writable []*engine.Attempt, err error)
+	// TakenBack reports that an attempt for which Write returned nil was not written after all.
 	TakenBack(a *engine.Attempt)
 }
 
-// line speaks the protocol of one connection, on its event loop only. It reports ends by pool.end.
-type line interface {
+// session is the protocol state of one connection. Only the connection's event loop uses it. It reports the ends
+// of attempts by Pool.reportEnd.
+type session interface {
+	// receive handles bytes from the peer. An error ends the connection.
 	receive(now time.Duration, b []byte) error
-	check(now time.Duration) error
-	output() []byte
-	hasRoom() bool                                         // a call can be started now
-	start(now time.Duration, k *call, tasks []*task) error // errNoRoom: the call waits for room again
-	giveUp(now time.Duration, t *task)
-	shut(now time.Duration) // it is closed next, idle
-	state() lineState
-	lose(kind engine.OutcomeKind, why string) // the connection is gone: all that is out ends
-}
-
-// lineState is how a line stands.
-type lineState struct {
-	settled bool // it can carry calls
-	busy    bool // its time limits are to be looked at
-	done    bool // it is to be closed
-	limit   int  // calls that it can carry in all
-}
-
-// errNoRoom tells that a connection can't carry a call that was put on it.
-var errNoRoom = errors.New("no room on the connection")
-
-// Config bounds a Pool.
+	// checkDeadlines applies the time limits of the protocol. An error ends the connection.
+	checkDeadlines(now time.Duration) error
+	// takeOutput returns the bytes to be written, once.
+	takeOutput() []byte
+	// hasCapacity reports whether a call can be started now.
+	hasCapacity() bool
+	// start writes a call. If it returns errNoCapacity, the call is queued again. Any other error means that the
+	// peer cannot take a call of this size.
+	start(now time.Duration, k *call, attempts []*attemptState) error
+	// abandon gives up an attempt that has been started.
+	abandon(now time.Duration, t *attemptState)
+	// shutdown prepares an idle connection for being closed.
+	shutdown(now time.Duration)
+	// state returns the state as it is now.
+	state() sessionState
+	// connLost ends all attempts in flight with the given kind and reason, because the connection is gone.
+	connLost(kind engine.OutcomeKind, reason string)
+}
+
+// sessionState is what the pool has to know of a session.
+type sessionState struct {
+	// ready is true once the connection can carry calls.
+	ready bool
+	// hasDeadlines is true while checkDeadlines has to be called regularly.
+	hasDeadlines bool
+	// done is true if the connection is to be closed.
+	done bool
+	// capacity is the number of concurrent calls that the connection can carry, including those in flight.
+	capacity int
+}
+
+// errNoCapacity means that a connection cannot carry a call that was assigned to it.
+var errNoCapacity = errors.New("no room on the connection")
+
+// Config configures a Pool.
 type Config struct {
-	Loops          int                           // event loops
-	Conns          int                           // connections to one endpoint
-	Streams        int                           // attempts on one connection at once, where the peer allows more
-	ConnectTimeout time.Duration                 // until a connection and the peer's SETTINGS are there
-	Idle           time.Duration                 // a connection without attempts is closed after this
-	Opening        opener.Budget                 // of new connections to all endpoints
-	MaxAnswer      int                           // bytes of an answer's body that are kept
-	Trace          func(format string, a ...any) // told of each connection's end and each call taken back, nil for none
-	H2             h2.Config
-	Permits        Permits          // asked in the moment in which a call is written; nil permits all
-	System         eventloop.System // nil for the kernel
-}
-
-// Pool holds the connections to all endpoints.
+	// Loops is the number of event loops.
+	Loops int
+	// MaxConnsPerEndpoint is the largest number of connections to one endpoint, open or being opened.
+	MaxConnsPerEndpoint int
+	// MaxStreams is the largest number of concurrent attempts on one HTTP/2 connection. The peer may allow fewer.
+	// Each dial under way counts as enough for this many pending calls.
+	MaxStreams int
+	// ConnectTimeout is the time for a connection to be established. With HTTP/2 the peer's SETTINGS have as long
+	// again to arrive.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which a connection without attempts is closed.
+	IdleTimeout time.Duration
+	// DialLimits bounds the dials to all endpoints together, and the number of connections.
+	DialLimits dialscheduler.Limits
+	// MaxAnswerBytes is the number of bytes kept of a response body. HTTP/2 discards the rest of a longer one.
+	// HTTP/1.1 treats a longer one as malformed and closes the connection.
+	MaxAnswerBytes int
+	// Trace receives a text for each lost connection, each failed dial, each idle connection that is closed, and
+	// each log text of the event loops. It may be nil.
+	Trace func(format string, a ...any)
+	// H2 configures HTTP/2 connections. ConnectTimeout replaces its Handshake.
+	H2 h2.Config
+	// Admission is asked when a call is about to be written. If it is nil, every attempt may be written.
+	Admission Admission
+	// System makes the system calls. If it is nil, eventloop.Kernel is used.
+	System eventloop.System
+}
+
+// Pool holds the connections to all endpoints. Its methods are safe for concurrent use.
 type Pool struct {
 	cfg    Config
 	proto  Protocol
 	clock  clock.Clock
 	report func(engine.Outcome)
 	loops  *eventloop.Group
-	kick   chan struct{} // something changed for the planner
-	quit   chan struct{}
-	wg     sync.WaitGroup
-
-	mu      sync.Mutex
-	planner *opener.Planner
-	sites   map[control.EndpointID]*site // those with connections or attempts; the others cost nothing
-	tasks   map[uint64]*task             // attempts without an end
-	idle    *list.List                   // connections without attempts, longest idle first
-	active  map[*conn]struct{}           // connections whose time limits are looked at
-
-	opened atomic.Int64
-}
-
-// site is the pool of one endpoint. All fields are guarded by Pool.mu.
-type site struct {
-	ep      control.EndpointID
-	addr    netip.AddrPort
-	conns   []*conn
-	pending []*call // calls for which no connection has room
+	// schedulerWake has runScheduler ask the scheduler again.
+	schedulerWake chan struct{}
+	quit          chan struct{}
+	wg            sync.WaitGroup
+
+	// mu guards the fields below down to monitored.
+	mu        sync.Mutex
+	scheduler *dialscheduler.Scheduler
+	// endpoints holds the endpoints that have connections or calls. Others use no memory.
+	endpoints map[control.EndpointID]*endpointPool
+	// attempts holds the attempts without an end, by their sequence number.
+	attempts map[uint64]*attemptState
+	// idle lists the connections without calls, the longest idle first.
+	idle *list.List
+	// monitored holds the connections whose time limits are checked at each tick.
+	monitored map[*conn]struct{}
+
+	// openConns counts the connections that are open on the event loops.
+	openConns atomic.Int64
+}
+
+// endpointPool is the connection pool of one endpoint. All fields are guarded by Pool.mu.
+type endpointPool struct {
+	id    control.EndpointID
+	addr  netip.AddrPort
+	conns []*conn
+	// pending is the queue of calls for which no connection has capacity.
+	pending []*call
+	// dialing counts the connections that are being opened and those that cannot carry calls yet.
 	dialing int
-	wished  bool         // a connection more is wished for
-	lacking bool         // the last connection did not come about for want of something on this machine
-	busyTo  control.Time // counts as busy until then
+	// requested is true while the scheduler holds a request of this endpoint.
+	requested bool
+	// localFailure is true if the latest dial failed because of this machine.
+	localFailure bool
+	// activeUntil is the time until which the endpoint counts as recently active.
+	activeUntil control.Time
 }
 
-// busyFor is how long after its last connection an endpoint counts as busy to the planner.
-const busyFor = 60 * control.Second
+// activePeriod is how long after its latest new connection an endpoint counts as recently active, so that its
+// requests do not queue behind a burst of other endpoints.
+const activePeriod = 60 * control.Second
 
-// call is what goes out together: one attempt, or several where the protocol has bulk calls. Guarded by Pool.mu.
+// call is a request on a connection. It carries one attempt, or several if the protocol batches attempts. All
+// fields are guarded by Pool.mu.
 type call struct {
-	site  *site
-	conn  *conn // where it was put, nil while it is pending
-	tasks []*task
-	left  int  // tasks without an end
-	moved bool // it lost the connection that it was put on before it was written
-}
-
-// task is one attempt. ended, given and kind are guarded by Pool.mu; the rest belongs to the event loop of its conn.
-type task struct {
-	a       *engine.Attempt
+	endpoint *endpointPool
+	// conn is the connection that the call is assigned to. It is nil while the call is pending.
+	conn     *conn
+	attempts []*attemptState
+	// remaining counts the attempts without an end.
+	remaining int
+	// requeued is true if the call was assigned to a connection before and returned from it without being written.
+	requeued bool
+}
+
+// attemptState is the state of one attempt. The fields ended, abandoned and endKind are guarded by Pool.mu. The
+// fields after them belong to the event loop of the attempt's connection.
+type attemptState struct {
+	attempt *engine.Attempt
 	call    *call
-	ended   bool // reported
-	given   bool // it is to be given up ...
-	kind    engine.OutcomeKind
-	stream  uint32
-	fields  []h2.Field
-	body    []byte
-	headers bool
-}
-
-// item is something for a connection's event loop: a call to start, or an attempt to give up.
-type item struct {
+	// ended is true once the end has been reported.
+	ended bool
+	// abandoned is true if the attempt is to be given up, with endKind as the kind of its end.
+	abandoned bool
+	endKind   engine.OutcomeKind
+	// streamID is the HTTP/2 stream of the attempt.
+	streamID uint32
+	// responseFields are the header fields of the response.
+	responseFields []h2.Field
+	// responseBody is what has arrived of the response body, up to Config.MaxAnswerBytes.
+	responseBody []byte
+	// hasHeaders is true once headers of the response have arrived.
+	hasHeaders bool
+}
+
+// command is an order to a connection's event loop. Exactly one of its fields is set.
+type command struct {
+	// start is a call to be written.
 	start *call
-	give  *task
+	// abandon is an attempt to be given up.
+	abandon *attemptState
 }
 
 // conn is one connection.
 type conn struct {
-	pool *Pool
-	site *site
-	gc   *eventloop.Conn
-	l    line // used on its event loop only
-
-	// Guarded by Pool.mu.
-	inbox  []item
-	shut   bool // to be closed if idle
-	load   int  // calls put on it and not ended
-	limit  int  // calls that it can carry
+	pool     *Pool
+	endpoint *endpointPool
+	netConn  *eventloop.Conn
+	// session is used on the connection's event loop only.
+	session session
+
+	// commands are the orders that the event loop has not executed yet. This field and those below are guarded by
+	// Pool.mu.
+	commands []command
+	// closeWhenIdle is true if the connection is to be closed and takes no further calls.
+	closeWhenIdle bool
+	// inFlight counts the calls that are assigned to the connection and have not ended.
+	inFlight int
+	// capacity is the number of calls that the connection can carry at once.
+	capacity int
+	// usable is true while calls may be assigned to the connection.
 	usable bool
-	since  control.Time  // idle since
-	place  *list.Element // in Pool.idle
-	stood  bool          // the planner counts it as open
+	// idleSince is the time at which the connection was last left without calls.
+	idleSince control.Time
+	// idleElement is the connection's element in Pool.idle. It is nil while the connection is not listed there.
+	idleElement *list.Element
+	// established is true while the scheduler counts the connection as open.
+	established bool
 }
 
-// New makes a Pool that reports ends to report, which must not block.
+// New creates a Pool and starts its event loops. The function report receives the end of each attempt. It is
+// called from any goroutine and must not block. New fails if the machine lacks a resource that the event loops
+// need.
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.Outcome)) (*Pool, error) {
-	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.EndpointID]*site{},
-		tasks: map[uint64]*task{}, quit: make(chan struct{}), kick: make(chan struct{}, 1),
-		planner: opener.New(cfg.Opening), idle: list.New(), active: map[*conn]struct{}{}}
+	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, endpoints: map[control.EndpointID]*endpointPool{},
+		attempts: map[uint64]*attemptState{}, quit: make(chan struct{}), schedulerWake: make(chan struct{}, 1),
+		scheduler: dialscheduler.New(cfg.DialLimits), idle: list.New(), monitored: map[*conn]struct{}{}}
 	if p.cfg.Trace == nil {
 		p.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	p.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, Tick: p.tick(), System: cfg.System, Log: func(text string) { p.cfg.Trace("%s", text) }}, p, clock)
+	p.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: p.tickInterval(), System: cfg.System, Log: func(text string) { p.cfg.Trace("%s", text) }}, p, clock)
 	if err != nil {
 		return nil, fmt.Errorf("outbound: %w", err)
 	}
 	p.loops.Start()
-	p.wg.Go(p.openings)
+	p.wg.Go(p.runScheduler)
 	return p, nil
 }
 
-// tick is how often time limits are looked at.
-func (p *Pool) tick() time.Duration {
+// tickInterval returns the time between two checks of the time limits.
+func (p *Pool) tickInterval() time.Duration {
 	return min(250*time.Millisecond, max(10*time.Millisecond, p.cfg.ConnectTimeout/8))
 }
 
-// Close ends all connections; attempts that are out have no end any more.
+// Close ends all connections and stops the event loops. Attempts that have no end yet may be reported until Close
+// returns, or not at all.
 func (p *Pool) Close() {
 	close(p.quit)
 	p.wg.Wait()
 	p.loops.Stop()
 }
 
-// Connections counts the open connections.
-func (p *Pool) Connections() int { return int(p.opened.Load()) }
+// Connections returns the number of open connections.
+func (p *Pool) Connections() int { return int(p.openConns.Load()) }
 
-// Start is engine.Back.
-func (p *Pool) Start(as []*engine.Attempt) {
-	if p.proto.bulk() {
-		p.begin(as)
+// Start sends attempts, which must all be to one endpoint if the protocol batches them. It does not block. An
+// attempt to an endpoint without an address ends as NotConnected.
+func (p *Pool) Start(attempts []*engine.Attempt) {
+	if p.proto.batches() {
+		p.startCall(attempts)
 		return
 	}
-	for i := range as {
-		p.begin(as[i : i+1])
+	for i := range attempts {
+		p.startCall(attempts[i : i+1])
 	}
 }
 
-// begin starts one call.
-func (p *Pool) begin(as []*engine.Attempt) {
+// startCall starts one call. All its attempts are to the same endpoint.
+func (p *Pool) startCall(attempts []*engine.Attempt) {
 	p.mu.Lock()
-	ep := as[0].Endpoint
-	s := p.sites[ep]
+	ep := attempts[0].Endpoint
+	s := p.endpoints[ep]
 	if s == nil {
 		addr, ok := p.proto.Address(ep)
 		if !ok {
 			p.mu.Unlock()
-			for _, a := range as {
+			for _, a := range attempts {
 				p.report(engine.Outcome{Seq: a.Seq, Kind: engine.NotConnected, Detail: "endpoint without an address"})
 			}
 			return
 		}
-		s = &site{ep: ep, addr: addr}
-		p.sites[ep] = s
+		s = &endpointPool{id: ep, addr: addr}
+		p.endpoints[ep] = s
 	}
-	k := &call{site: s, left: len(as)}
-	for _, a := range as {
-		t := &task{a: a, call: k}
-		k.tasks = append(k.tasks, t)
-		p.tasks[a.Seq] = t
+	k := &call{endpoint: s, remaining: len(attempts)}
+	for _, a := range attempts {
+		t := &attemptState{attempt: a, call: k}
+		k.attempts = append(k.attempts, t)
+		p.attempts[a.Seq] = t
 	}
-	if !p.place(k) {
+	if !p.assign(k) {
 		s.pending = append(s.pending, k)
 	}
-	p.grow(s)
+	p.requestConn(s)
 	p.mu.Unlock()
 }
 
-// place puts a call on the first connection with room: calls of one round to one endpoint share one where they can, so
-// that a batch leaves in one write. One idle for too long is passed over: its peer may be closing it.
-func (p *Pool) place(k *call) bool {
-	long := p.clock.Now() - control.Time(p.cfg.Idle/time.Microsecond)
-	for _, c := range k.site.conns {
-		if c.usable && c.load < c.limit && (c.load > 0 || c.since >= long) {
+// assign puts a call on the first connection that has capacity, and reports whether there is one. Calls that start
+// together then share a connection where they can and leave in one write. A connection that has been idle for
+// longer than IdleTimeout is skipped, because its peer may be closing it. Pool.mu must be held.
+func (p *Pool) assign(k *call) bool {
+	idleBefore := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
+	for _, c := range k.endpoint.conns {
+		if c.usable && c.inFlight < c.capacity && (c.inFlight > 0 || c.idleSince >= idleBefore) {
 			k.conn = c
-			c.load++
-			c.unidle()
-			c.send(item{start: k})
+			c.inFlight++
+			c.unmarkIdle()
+			c.enqueue(command{start: k})
 			return true
 		}
 	}
 	return false
 }
 
-// send puts something into the inbox of a connection; guarded by Pool.mu.
-func (c *conn) send(it item) {
-	c.inbox = append(c.inbox, it)
-	if len(c.inbox) == 1 {
-		c.gc.Wake()
+// enqueue adds a command for the connection's event loop. Pool.mu must be held.
+func (c *conn) enqueue(cmd command) {
+	c.commands = append(c.commands, cmd)
+	if len(c.commands) == 1 {
+		c.netConn.Wake()
 	}
 }
 
-// grow wishes for a further connection where attempts wait for room; guarded by Pool.mu.
-func (p *Pool) grow(s *site) {
+// requestConn asks the scheduler for another connection if calls wait for capacity, and withdraws the request if
+// they no longer do. It also deletes an endpoint that has no connections and no calls. Pool.mu must be held.
+func (p *Pool) requestConn(s *endpointPool) {
 	switch {
-	case len(s.pending) <= s.dialing*p.cfg.Streams || len(s.conns)+s.dialing >= p.cfg.Conns:
-		if s.wished {
-			s.wished = false
-			p.planner.Drop(uint64(s.ep))
+	case len(s.pending) <= s.dialing*p.cfg.MaxStreams || len(s.conns)+s.dialing >= p.cfg.MaxConnsPerEndpoint:
+		if s.requested {
+			s.requested = false
+			p.scheduler.Remove(uint64(s.id))
 		}
-		// Ends that are still reported for a site dropped before must not drop the one made since.
-		if len(s.conns) == 0 && s.dialing == 0 && len(s.pending) == 0 && p.sites[s.ep] == s {
-			delete(p.sites, s.ep)
+		// An end that is reported late for an endpointPool that was deleted must not delete the one that replaced
+		// it.
+		if len(s.conns) == 0 && s.dialing == 0 && len(s.pending) == 0 && p.endpoints[s.id] == s {
+			delete(p.endpoints, s.id)
 		}
 		return
-	case s.wished:
+	case s.requested:
 		return
 	}
-	s.wished = true
-	first := s.pending[0].tasks[0].a
-	p.planner.Wish(opener.Want{Key: uint64(s.ep), Worth: first.Worth, Due: time.Duration(first.Deadline) * time.Microsecond,
-		Busy: s.busyTo > p.clock.Now()})
-	p.nudge()
+	s.requested = true
+	first := s.pending[0].attempts[0].attempt
+	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Worth, Deadline: time.Duration(first.Deadline) * time.Microsecond,
+		RecentlyActive: s.activeUntil > p.clock.Now()})
+	p.wakeScheduler()
 }
 
-// nudge has the planner asked again.
-func (p *Pool) nudge() {
+// wakeScheduler has runScheduler ask the scheduler again. It does not block.
+func (p *Pool) wakeScheduler() {
 	select {
-	case p.kick <- struct{}{}:
+	case p.schedulerWake <- struct{}{}:
 	default:
 	}
 }
 
-// openings asks the planner what to open next, and hands it to the dialers.
-func (p *Pool) openings() {
-	later := time.NewTimer(time.Hour)
-	defer later.Stop()
+// runScheduler asks the scheduler what to dial next and starts the dials. It returns after Close.
+func (p *Pool) runScheduler() {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		p.mu.Lock()
 		now := p.elapsed()
-		answer, key, at := p.planner.Next(now)
-		var s *site
-		switch answer {
-		case opener.Open:
-			if s = p.sites[control.EndpointID(key)]; s == nil {
-				p.planner.Failed(now, opener.PeerFailed)
+		decision, key, retryAt := p.scheduler.Next(now)
+		var s *endpointPool
+		switch decision {
+		case dialscheduler.Dial:
+			if s = p.endpoints[control.EndpointID(key)]; s == nil {
+				p.scheduler.Failed(now, dialscheduler.PeerFailed)
 			} else {
-				s.wished = false
+				s.requested = false
 				s.dialing++
-				p.grow(s) // many may wait: one connection more is wished for at once
+				// More calls may wait than this connection can carry. The next one is requested at once.
+				p.requestConn(s)
 			}
-		case opener.Full: // the longest idle connection makes room; with none idle all wait
+		// The connection that has been idle longest is closed for a new one. If none is idle, all requests wait.
+		case dialscheduler.CloseIdle:
 			if e := p.idle.Front(); e != nil {
-				e.Value.(*conn).retire()
-				e.Value.(*conn).unidle()
+				e.Value.(*conn).closeIdle()
+				e.Value.(*conn).unmarkIdle()
 			}
 		}
 		p.mu.Unlock()
 		if s != nil {
 			p.loops.Dial(s.addr, p.cfg.ConnectTimeout, s)
 		}
-		if answer == opener.Open {
+		if decision == dialscheduler.Dial {
 			continue
 		}
-		if at > 0 {
-			later.Reset(max(at-now, time.Millisecond))
+		if retryAt > 0 {
+			timer.Reset(max(retryAt-now, time.Millisecond))
 		} else {
-			later.Reset(time.Second)
+			timer.Reset(time.Second)
 		}
 		select {
-		case <-p.kick:
-		case <-later.C:
+		case <-p.schedulerWake:
+		case <-timer.C:
 		case <-p.quit:
 			return
 		}
 	}
 }
 
-// Cancel is engine.Back.
+// Cancel gives up an attempt that the engine no longer waits for. An attempt that was written ends with the given
+// kind, unless its real end comes first. One that was assigned to a connection and not written ends as Unsent. One
+// that waits for a connection ends as Unsent, too, or as NotConnected if its time has run out and the latest dial
+// did not fail because of this machine.
 func (p *Pool) Cancel(a *engine.Attempt, kind engine.OutcomeKind) {
 	p.mu.Lock()
-	t := p.tasks[a.Seq]
-	if t == nil || t.given { // its end is on its way
+	t := p.attempts[a.Seq]
+	// The attempt has ended, or its end is already on the way.
+	if t == nil || t.abandoned {
 		p.mu.Unlock()
 		return
 	}
-	t.given, t.kind = true, kind
+	t.abandoned, t.endKind = true, kind
 	if c := t.call.conn; c != nil {
-		c.send(item{give: t})
+		c.enqueue(command{abandon: t})
 		p.mu.Unlock()
 		return
 	}
 	end := engine.Outcome{Kind: engine.Unsent}
 	switch {
-	case kind == engine.TimedOut && t.call.site.lacking:
+	case kind == engine.TimedOut && t.call.endpoint.localFailure:
 		end.Detail = "this machine could make no connection"
-	case kind == engine.TimedOut: // no connection had room for all its time
+	// No connection had capacity for the attempt in all its time.
+	case kind == engine.TimedOut:
 		end.Kind = engine.NotConnected
 	}
 	p.mu.Unlock()
-	p.end(t, end)
+	p.reportEnd(t, end)
 }
 
-// CancelUnsent is engine.Back.
+// CancelUnsent withdraws an attempt that waits for a connection. It ends as Unsent. An attempt that is assigned to a
+// connection is not affected.
 func (p *Pool) CancelUnsent(a *engine.Attempt) {
 	p.mu.Lock()
-	t := p.tasks[a.Seq]
-	waits := t != nil && !t.given && t.call.conn == nil
-	if waits {
-		t.given, t.kind = true, engine.Unsent
+	t := p.attempts[a.Seq]
+	waiting := t != nil && !t.abandoned && t.call.conn == nil
+	if waiting {
+		t.abandoned, t.endKind = true, engine.Unsent
 	}
 	p.mu.Unlock()
-	if waits {
-		p.end(t, engine.Outcome{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
+	if waiting {
+		p.reportEnd(t, engine.Outcome{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
 	}
 }
 
-// CloseIdle is engine.Back.
+// CloseIdle closes the connections of an endpoint that carry no calls.
 func (p *Pool) CloseIdle(ep control.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.sites[ep]; s != nil {
+	if s := p.endpoints[ep]; s != nil {
 		for _, c := range s.conns {
-			c.retire()
+			c.closeIdle()
 		}
 	}
 }
 
-// retire closes a connection if nothing is on it; guarded by Pool.mu.
-func (c *conn) retire() {
-	if c.load == 0 && !c.shut && c.usable {
-		c.pool.cfg.Trace("endpoint %d: an idle connection is closed", c.site.ep)
-		c.usable, c.shut = false, true
-		c.unidle()
-		c.gc.Wake()
+// closeIdle starts to close a connection if it carries no calls. Pool.mu must be held.
+func (c *conn) closeIdle() {
+	if c.inFlight == 0 && !c.closeWhenIdle && c.usable {
+		c.pool.cfg.Trace("endpoint %d: an idle connection is closed", c.endpoint.id)
+		c.usable, c.closeWhenIdle = false, true
+		c.unmarkIdle()
+		c.netConn.Wake()
 	}
 }
 
-// idles puts a connection without attempts at the end of those that are idle; guarded by Pool.mu.
-func (c *conn) idles() {
-	c.since = c.pool.clock.Now()
-	if c.place == nil && c.usable {
-		c.place = c.pool.idle.PushBack(c)
+// markIdle appends a connection without calls to Pool.idle. Pool.mu must be held.
+func (c *conn) markIdle() {
+	c.idleSince = c.pool.clock.Now()
+	if c.idleElement == nil && c.usable {
+		c.idleElement = c.pool.idle.PushBack(c)
 	}
 }
 
-// unidle takes a connection off those that are idle; guarded by Pool.mu.
-func (c *conn) unidle() {
-	if c.place != nil {
-		c.pool.idle.Remove(c.place)
-		c.place = nil
+// unmarkIdle removes a connection from Pool.idle. Pool.mu must be held.
+func (c *conn) unmarkIdle() {
+	if c.idleElement != nil {
+		c.pool.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// end reports the end of an attempt, once.
-func (p *Pool) end(t *task, e engine.Outcome) {
+// reportEnd reports the end of an attempt, and does nothing if it was reported before. A call without further
+// attempts leaves its connection or the queue.
+func (p *Pool) reportEnd(t *attemptState, e engine.Outcome) {
 	p.mu.Lock()
 	if t.ended {
 		p.mu.Unlock()
 		return
 	}
 	t.ended = true
-	delete(p.tasks, t.a.Seq)
+	delete(p.attempts, t.attempt.Seq)
 	k := t.call
-	k.left--
+	k.remaining--
 	switch c := k.conn; {
-	case c != nil && k.left == 0:
-		if c.load--; c.load == 0 {
-			c.idles()
+	case c != nil && k.remaining == 0:
+		if c.inFlight--; c.inFlight == 0 {
+			c.markIdle()
 		}
-		p.refill(c.site)
-	case c == nil && k.left == 0:
-		k.site.pending = slices.DeleteFunc(k.site.pending, func(o *call) bool { return o == k })
-		p.grow(k.site)
+		p.assignPending(c.endpoint)
+	case c == nil && k.remaining == 0:
+		k.endpoint.pending = slices.DeleteFunc(k.endpoint.pending, func(o *call) bool { return o == k })
+		p.requestConn(k.endpoint)
 	}
 	p.mu.Unlock()
-	e.Seq = t.a.Seq
+	e.Seq = t.attempt.Seq
 	p.report(e)
 }
 
-// refill puts pending calls on connections that have room again; guarded by Pool.mu.
-func (p *Pool) refill(s *site) {
+// assignPending assigns pending calls to connections, in order, until one finds no capacity. Pool.mu must be held.
+func (p *Pool) assignPending(s *endpointPool) {
 	n := 0
-	for n < len(s.pending) && p.place(s.pending[n]) {
+	for n < len(s.pending) && p.assign(s.pending[n]) {
 		n++
 	}
 	s.pending = append(s.pending[:0], s.pending[n:]...)
 }
 
-// fail ends calls that were never written.
-func (p *Pool) fail(calls []*call, why string) {
+// failCalls ends calls that were never written as NotConnected.
+func (p *Pool) failCalls(calls []*call, reason string) {
 	for _, k := range calls {
-		for _, t := range k.tasks {
-			p.end(t, engine.Outcome{Kind: engine.NotConnected, Detail: why})
+		for _, t := range k.attempts {
+			p.reportEnd(t, engine.Outcome{Kind: engine.NotConnected, Detail: reason})
 		}
 	}
 }
 
-// DialFailed is eventloop.Handler.
-func (p *Pool) DialFailed(context any, err error) { p.noConnection(context.(*site), err) }
+// DialFailed implements eventloop.Handler.
+func (p *Pool) DialFailed(context any, err error) { p.connectFailed(context.(*endpointPool), err) }
 
-// noConnection tells all attempts that wait for a connection that there is none. That others of the endpoint may still be open
-// is for the module to weigh. Where it is this machine that lacks something they go on waiting: that says nothing of the
-// endpoint.
-func (p *Pool) noConnection(s *site, err error) {
-	why := failure(err)
+// connectFailed handles a connection that was not established. If the peer is the cause, all calls that wait for a
+// connection to the endpoint end as NotConnected, even if other connections to it are open; the engine weighs
+// that. If this machine is the cause, the calls go on waiting, because that says nothing about the endpoint.
+func (p *Pool) connectFailed(s *endpointPool, err error) {
+	failure := classifyDialError(err)
 	p.mu.Lock()
 	s.dialing--
-	s.lacking = why != opener.PeerFailed
-	p.planner.Failed(p.elapsed(), why)
+	s.localFailure = failure != dialscheduler.PeerFailed
+	p.scheduler.Failed(p.elapsed(), failure)
 	var failed []*call
-	if !s.lacking {
+	if !s.localFailure {
 		failed, s.pending = s.pending, nil
 	}
-	p.grow(s)
-	p.nudge()
+	p.requestConn(s)
+	p.wakeScheduler()
 	p.mu.Unlock()
-	p.cfg.Trace("endpoint %d: no connection: %v; %d calls waited for it", s.ep, err, len(failed))
-	p.fail(failed, err.Error())
+	p.cfg.Trace("endpoint %d: no connection: %v; %d calls waited for it", s.id, err, len(failed))
+	p.failCalls(failed, err.Error())
 }
 
-// failure tells whose lack it was that a connection did not come about.
-func failure(err error) opener.Failure {
+// classifyDialError returns the cause of a failed dial in the scheduler's terms.
+func classifyDialError(err error) dialscheduler.Failure {
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return opener.NoDescriptors
-	case eventloop.Local(err):
-		return opener.Shortage
+		return dialscheduler.NoDescriptors
+	case eventloop.IsLocal(err):
+		return dialscheduler.LocalShortage
 	}
-	return opener.PeerFailed
+	return dialscheduler.PeerFailed
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -11,6 +11,7 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
 	"whinrun/internal/door"
 	"whinrun/internal/engine"
@@ -18,7 +19,6 @@
 	"whinrun/internal/front"
 	"whinrun/internal/ledger"
 	"whinrun/internal/logs"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/safety"
 )
@@ -181,14 +181,14 @@
 }
 
 // openPool opens the pool of connections to endpoints.
-func (n *Node) openPool(budget descriptorBudget, permits outbound.Permits) error {
+func (n *Node) openPool(budget descriptorBudget, permits outbound.Admission) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxResponseBody,
+		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxResponseBody,
 		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdleTimeout, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * budget.endpoints), Opening: budget.connecting, Total: budget.endpoints},
-		Trace:          n.debugLogger(), Permits: permits, System: n.system,
+		IdleTimeout:    time.Duration(idleFraction * float64(durationOr(set.ConnIdleTimeout, 5*time.Second))),
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * budget.endpoints), MaxHandshakes: budget.connecting, MaxConns: budget.endpoints},
+		Trace:          n.debugLogger(), Admission: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
 	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
