--- a/internal/door/door.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"errors"
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/clock"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
@@ -35,7 +35,7 @@
 	how    *amqp.BasicPublish
 	props  *amqp.Properties
 	msg    *engine.Message
-	ticket door.Ticket
+	ticket admission.Ticket
 	place  *mailbox.Place
 	answer engine.Answer
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -35,7 +35,7 @@
 	Bounds   engine.Bounds
 	Audit    audit.Config
 	Mailbox  mailbox.Limits
-	Door     door.Limits
+	Door     admission.Limits
 
 	Background float64 // share of a core
 	Garbage    int     // percent, as of debug.SetGCPercent
@@ -284,7 +284,7 @@
 		}
 	}
 	c.Bounds = engine.Bounds{Queue: l.int("queue"), Hold: m.MaxOpen}
-	c.Door = door.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
+	c.Door = admission.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
 		TenantBytes: int64(l.num["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
 	if c.Door.UnblockAt >= c.Door.BlockAt {
 		r.bad(max(l.at["unblock-at"], l.at["block-at"]), "unblock-at", "is not below block-at")
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
-	"whinrun/internal/door"
 	"whinrun/internal/eventloop"
 )
 
@@ -70,7 +70,7 @@
 // Front is one listening address.
 type Front struct {
 	cfg   Config
-	side  *door.Side
+	side  *admission.Side
 	clock clock.Clock
 	log   func(text string)
 	open  func(c *Conn, now time.Duration) Session
@@ -101,7 +101,7 @@
 }
 
 // New makes a Front and listens. open makes the session of a new connection.
-func New(cfg Config, side *door.Side, clock clock.Clock, log func(string), open func(*Conn, time.Duration) Session) (*Front, error) {
+func New(cfg Config, side *admission.Side, clock clock.Clock, log func(string), open func(*Conn, time.Duration) Session) (*Front, error) {
 	f := &Front{cfg: cfg, side: side, clock: clock, log: log, open: open, conns: map[*Conn]struct{}{}}
 	if f.cfg.Trace == nil {
 		f.cfg.Trace = func(string, ...any) {}
--- a/internal/chores/chores.go
+++ b/internal/maintenance/maintenance.go
@@ -1,7 +1,7 @@
-// Package chores plans background work (sealing, compression, retention, expiry, verification) beside delivery: by
+// Package maintenance plans background work (sealing, compression, retention, expiry, verification) beside delivery: by
 // class, within a share of one core, less where the engine is under pressure, and never past a chore's deadline. It is
 // deterministic and free of I/O: the time, the pressure and what a chore cost are passed in.
-package chores
+package maintenance
 
 import "time"
 
--- a/internal/chores/chores_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -1,4 +1,4 @@
-package chores
+package maintenance
 
 import (
 	"testing"
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
 	"whinrun/internal/disk"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/front"
@@ -174,8 +174,8 @@
 func (n *Node) openFront(shares plan, hold int) error {
 	set := &n.cfg.Settings
 	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
-	n.desk = NewDesk(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	limits := admission.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
+	n.desk = NewDesk(*set, admission.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
 	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Has, n.listed.Load
 	if n.cfg.Trace {
 		n.desk.trace = n.debug()
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"whinrun/control"
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h1"
@@ -35,13 +35,13 @@
 	knows   func(dest int) bool
 	owes    func(name string) bool // a message of that id is owed its end
 	ready   func() bool
-	side    *door.Side
+	side    *admission.Side
 	trace   func(format string, a ...any) // told of each answer and each connection that is given up
 	closing atomic.Bool
 }
 
 // NewDesk returns a Desk for classes and tenants as the settings name them.
-func NewDesk(s control.Settings, side *door.Side) *Desk {
+func NewDesk(s control.Settings, side *admission.Side) *Desk {
 	d := &Desk{side: side, trace: func(string, ...any) {}}
 	d.classes, d.tenants = numbers(&s)
 	for _, c := range s.Classes {
@@ -79,7 +79,7 @@
 	in     []byte        // not taken yet
 	head   *h1.Request   // its body is awaited
 	size   int           // of that head
-	room   *door.Ticket
+	room   *admission.Ticket
 	ask    *ask // a message whose answer is awaited
 	served bool // a request has been answered
 	away   bool
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -6,7 +6,7 @@
 	"errors"
 	"time"
 
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -21,7 +21,7 @@
 }
 
 // Opener makes sessions.
-func Opener(cfg Config, desk *push.Desk, names push.Names, side *door.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+func Opener(cfg Config, desk *push.Desk, names push.Names, side *admission.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, now time.Duration) front.Session {
 		return &session{cfg: &cfg, desk: desk, names: names, side: side, room: room, now: clock, conn: c, h: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
 			idleFrom: now}
@@ -33,7 +33,7 @@
 	cfg      *Config
 	desk     *push.Desk
 	names    push.Names
-	side     *door.Side
+	side     *admission.Side
 	room     *mailbox.Room
 	now      func() time.Duration
 	conn     *front.Conn
@@ -47,7 +47,7 @@
 	s      *session
 	stream uint32
 	msg    *engine.Message
-	ticket door.Ticket
+	ticket admission.Ticket
 	whole  bool
 	answer engine.Answer
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqpfront"
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -39,7 +39,7 @@
 	roster *roster.Roster
 	loop   *engine.Loop
 	pool   *outbound.Pool
-	door   *door.Door
+	door   *admission.Door
 	fronts []*front.Front // push, then AMQP where it is on
 	lists  *lists
 	keeper *audit.Keeper // nil where no trail is kept
@@ -73,7 +73,7 @@
 		source = sourceOf(cfg)
 	}
 	s.lists = &lists{source: source, roster: s.roster, log: log, quit: make(chan struct{})}
-	s.door = door.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
+	s.door = admission.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
 	policy := engine.Policy{Settings: cfg.Module, OwnPath: own, Guard: guard}
 	if cfg.Audit.Folder != "" {
 		if policy.Trail, err = s.keep(names); err != nil {
@@ -143,7 +143,7 @@
 // listen opens the fronts. They are equals: each gets its side of the one door.
 func (s *Service) listen(names push.Names) error {
 	cfg, book := s.cfg, intake.NewBook(s.cfg.Intake)
-	add := func(name string, c front.Config, side *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
+	add := func(name string, c front.Config, side *admission.Side, open func(*front.Conn, time.Duration) front.Session) error {
 		f, err := front.New(c, side, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
 		if err == nil {
 			s.fronts = append(s.fronts, f)
@@ -181,7 +181,7 @@
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
 // Door gives access to what clients have handed in, for measurements and tests.
-func (s *Service) Door() *door.Door { return s.door }
+func (s *Service) Door() *admission.Door { return s.door }
 
 // now is the dispatcher's clock as a duration.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
