--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -20,7 +20,7 @@
 	cfg   amqp.Config
 	book  *intake.Book
 	names push.Names
-	side  *admission.Side
+	side  *admission.Frontend
 	now   func() time.Duration
 	owner atomic.Uint64
 
@@ -28,7 +28,7 @@
 }
 
 // New makes a Desk. now is the clock of the sessions.
-func New(cfg amqp.Config, book *intake.Book, names push.Names, side *admission.Side, room *mailbox.Room, now func() time.Duration) *Desk {
+func New(cfg amqp.Config, book *intake.Book, names push.Names, side *admission.Frontend, room *mailbox.Room, now func() time.Duration) *Desk {
 	return &Desk{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
 }
 
@@ -150,7 +150,7 @@
 	}
 	ch.gone = true
 	delete(s.channels, ch.id)
-	s.desk.side.CloseChannels(1)
+	s.desk.side.ReleaseChannels(1)
 	if ch.in != nil {
 		ch.in.drop()
 		ch.in = nil
@@ -168,7 +168,7 @@
 		s.login(e)
 		return
 	case amqp.ChannelOpened:
-		if !s.desk.side.OpenChannel() {
+		if !s.desk.side.AcquireChannel() {
 			s.c.Fail(&amqp.Error{Code: amqp.ResourceError, Channel: e.Channel, Text: "too many channels are open on all connections"})
 			return
 		}
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -35,7 +35,7 @@
 	how    *amqp.BasicPublish
 	props  *amqp.Properties
 	msg    *engine.Message
-	ticket admission.Ticket
+	ticket admission.Reservation
 	place  *mailbox.Place
 	answer engine.Answer
 }
@@ -84,7 +84,7 @@
 	} else if err != nil {
 		return &refusal{amqp.NoConsumers, err.Error()}
 	}
-	p.msg, p.ticket = m, s.desk.side.Ticket(m.Tenant)
+	p.msg, p.ticket = m, s.desk.side.NewReservation(m.Tenant)
 	return nil
 }
 
@@ -170,7 +170,7 @@
 	if p == nil {
 		return
 	}
-	err := p.ticket.Grow(len(data))
+	err := p.ticket.Reserve(len(data))
 	if err == nil {
 		p.msg.Body = append(p.msg.Body, data...)
 		if !end {
@@ -191,7 +191,7 @@
 
 // drop ends a message that was not taken.
 func (p *publish) drop() {
-	p.ticket.Turn()
+	p.ticket.Reject()
 	p.unpromise()
 }
 
@@ -273,7 +273,7 @@
 }
 
 // Lost counts an answer for which the connection is not there any more.
-func (p *publish) Lost() { p.ticket.Answered(p.answer.Final, p.place != nil) }
+func (p *publish) Lost() { p.ticket.Complete(p.answer.Final, p.place != nil) }
 
 // Open tells the publisher.
 func (p *publish) Open(time.Duration) {
@@ -285,7 +285,7 @@
 		told = !p.ch.gone
 	}
 	s.settle(p.ch, p.tag, p.answer.Final == engine.Served)
-	p.ticket.Answered(p.answer.Final, told || p.place != nil)
+	p.ticket.Complete(p.answer.Final, told || p.place != nil)
 }
 
 // receipt is the full final answer, for the queue of answers.
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -10,7 +10,7 @@
 
 // background runs the chores that internal/chores plans, one at a time, on one goroutine beside delivery.
 type background struct {
-	planner *maintenance.Planner
+	planner *maintenance.Scheduler
 	run     []func() (more bool, err error)
 	quit    chan struct{}
 	done    sync.WaitGroup
@@ -19,7 +19,7 @@
 // startChores plans sealing, upkeep of the trail, expiry of answers and a look at old records.
 func (s *Service) startChores(room *mailbox.Room) {
 	b := &background{quit: make(chan struct{})}
-	all := []maintenance.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
+	all := []maintenance.Task{{Name: "expire answers", Priority: 1, Interval: 5 * time.Second, MaxDelay: time.Minute}}
 	b.run = append(b.run, func() (bool, error) {
 		room.Lock()
 		defer room.Unlock()
@@ -27,9 +27,9 @@
 		return false, nil
 	})
 	if k := s.keeper; k != nil {
-		all = append(all, maintenance.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
-			maintenance.Chore{Name: "compress and drop", Class: 2, Every: 500 * time.Millisecond, Deadline: time.Minute},
-			maintenance.Chore{Name: "verify", Class: 3, Every: 30 * time.Second})
+		all = append(all, maintenance.Task{Name: "seal", Priority: 0, Interval: s.cfg.Audit.SealEvery, MaxDelay: s.cfg.Audit.SealEvery},
+			maintenance.Task{Name: "compress and drop", Priority: 2, Interval: 500 * time.Millisecond, MaxDelay: time.Minute},
+			maintenance.Task{Name: "verify", Priority: 3, Interval: 30 * time.Second})
 		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Tend, k.VerifyNext)
 	}
 	b.planner = maintenance.New(maintenance.Budget{Share: s.cfg.Background, Burst: 200 * time.Millisecond}, all, s.now())
