--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -42,56 +42,56 @@
 
 // Controller is the one way in.
 type Controller struct {
-	limits  Limits
-	core    Engine
-	blocked atomic.Bool
-	shut    atomic.Pointer[error]
-
-	mu       sync.Mutex
-	valve    Watermarks
-	conns    int
-	channels int
-	held     int
-	bytes    int64
-	tenants  []int64
-	sides    []*Frontend
+	limits    Limits
+	engine    Engine
+	blocked   atomic.Bool
+	suspended atomic.Pointer[error]
+
+	mu         sync.Mutex
+	watermarks Watermarks
+	conns      int
+	channels   int
+	messages   int
+	bytes      int64
+	tenants    []int64
+	frontends  []*Frontend
 }
 
 // New makes a Door for so many tenants.
-func New(l Limits, tenants int, core Engine) *Controller {
-	return &Controller{limits: l, core: core, tenants: make([]int64, tenants), valve: Watermarks{High: l.BlockAt, Low: l.UnblockAt}}
+func New(l Limits, tenants int, e Engine) *Controller {
+	return &Controller{limits: l, engine: e, tenants: make([]int64, tenants), watermarks: Watermarks{High: l.BlockAt, Low: l.UnblockAt}}
 }
 
 // Suspend has no more messages taken, for the reason given, until it is called with nil. Those taken are not touched.
-func (d *Controller) Suspend(reason error) {
+func (c *Controller) Suspend(reason error) {
 	if reason == nil {
-		d.shut.Store(nil)
+		c.suspended.Store(nil)
 		return
 	}
-	d.shut.Store(&reason)
+	c.suspended.Store(&reason)
 }
 
 // Side is one front's way through the door.
 type Frontend struct {
 	Name string
 	Counters
-	d *Controller
+	controller *Controller
 }
 
 // Side adds a front.
-func (d *Controller) AddFrontend(name string) *Frontend {
-	s := &Frontend{Name: name, d: d}
-	d.mu.Lock()
-	d.sides = append(d.sides, s)
-	d.mu.Unlock()
-	return s
+func (c *Controller) AddFrontend(name string) *Frontend {
+	f := &Frontend{Name: name, controller: c}
+	c.mu.Lock()
+	c.frontends = append(c.frontends, f)
+	c.mu.Unlock()
+	return f
 }
 
 // Frontends returns all fronts, for their counts.
-func (d *Controller) Frontends() []*Frontend {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.sides[:len(d.sides):len(d.sides)]
+func (c *Controller) Frontends() []*Frontend {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.frontends[:len(c.frontends):len(c.frontends)]
 }
 
 // Usage is what is held now.
@@ -102,190 +102,190 @@
 }
 
 // Usage returns what is held now.
-func (d *Controller) Usage() Usage {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return Usage{d.conns, d.channels, d.held, d.bytes, d.Blocked()}
+func (c *Controller) Usage() Usage {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return Usage{c.conns, c.channels, c.messages, c.bytes, c.Blocked()}
 }
 
 // Blocked tells whether publishers are to stop for a while: too much is held, or the door is shut.
-func (d *Controller) Blocked() bool { return d.blocked.Load() || d.shut.Load() != nil }
+func (c *Controller) Blocked() bool { return c.blocked.Load() || c.suspended.Load() != nil }
 
-// level is called with the lock held after every change.
-func (d *Controller) level() {
-	l := float64(d.bytes) / float64(max(1, d.limits.Bytes))
-	if d.limits.Messages > 0 {
-		l = max(l, float64(d.held)/float64(d.limits.Messages))
+// updateBlocked is called with the lock held after every change.
+func (c *Controller) updateBlocked() {
+	level := float64(c.bytes) / float64(max(1, c.limits.Bytes))
+	if c.limits.Messages > 0 {
+		level = max(level, float64(c.messages)/float64(c.limits.Messages))
 	}
-	d.blocked.Store(d.valve.Update(l))
+	c.blocked.Store(c.watermarks.Update(level))
 }
 
 // AcquireConn asks for room for a connection.
-func (s *Frontend) AcquireConn() bool {
-	s.d.mu.Lock()
-	defer s.d.mu.Unlock()
-	if s.d.conns >= s.d.limits.Conns {
-		s.ConnsRefused.Add(1)
+func (f *Frontend) AcquireConn() bool {
+	f.controller.mu.Lock()
+	defer f.controller.mu.Unlock()
+	if f.controller.conns >= f.controller.limits.Conns {
+		f.ConnsRefused.Add(1)
 		return false
 	}
-	s.d.conns++
-	s.Conns.Add(1)
+	f.controller.conns++
+	f.Conns.Add(1)
 	return true
 }
 
-// crowdedAt is the part of the room for connections from which on idle ones are to go: the rest bears a burst until
+// idleEvictionShare is the part of the room for connections from which on idle ones are to go: the rest bears a burst until
 // they have gone.
-const crowdedAt = 0.75
+const idleEvictionShare = 0.75
 
 // NearConnLimit tells whether so many connections are open that idle ones are to make room.
-func (s *Frontend) NearConnLimit() bool {
-	s.d.mu.Lock()
-	defer s.d.mu.Unlock()
-	return float64(s.d.conns) > crowdedAt*float64(s.d.limits.Conns)
+func (f *Frontend) NearConnLimit() bool {
+	f.controller.mu.Lock()
+	defer f.controller.mu.Unlock()
+	return float64(f.controller.conns) > idleEvictionShare*float64(f.controller.limits.Conns)
 }
 
 // ReleaseConn gives a connection's room back.
-func (s *Frontend) ReleaseConn() {
-	s.d.mu.Lock()
-	s.d.conns--
-	s.d.mu.Unlock()
+func (f *Frontend) ReleaseConn() {
+	f.controller.mu.Lock()
+	f.controller.conns--
+	f.controller.mu.Unlock()
 }
 
 // AcquireChannel asks for room for a channel.
-func (s *Frontend) AcquireChannel() bool {
-	s.d.mu.Lock()
-	defer s.d.mu.Unlock()
-	if s.d.channels >= s.d.limits.Channels {
+func (f *Frontend) AcquireChannel() bool {
+	f.controller.mu.Lock()
+	defer f.controller.mu.Unlock()
+	if f.controller.channels >= f.controller.limits.Channels {
 		return false
 	}
-	s.d.channels++
+	f.controller.channels++
 	return true
 }
 
 // ReleaseChannels gives the room of n channels back.
-func (s *Frontend) ReleaseChannels(n int) {
-	s.d.mu.Lock()
-	s.d.channels -= n
-	s.d.mu.Unlock()
+func (f *Frontend) ReleaseChannels(n int) {
+	f.controller.mu.Lock()
+	f.controller.channels -= n
+	f.controller.mu.Unlock()
 }
 
 // Blocked tells whether publishers are to stop for a while.
-func (s *Frontend) Blocked() bool { return s.d.Blocked() }
+func (f *Frontend) Blocked() bool { return f.controller.Blocked() }
 
 // Ticket is one message's way through the door, from its first byte to its answer. It is used by one goroutine at a
 // time. Each Ticket ends once, by Answered, Withdraw or Turn; ends after the first do nothing.
 type Reservation struct {
-	side   *Frontend
-	tenant int
-	bytes  int64
-	id     control.MessageID
-	taken  bool
-	over   bool
+	frontend  *Frontend
+	tenant    int
+	bytes     int64
+	id        control.MessageID
+	submitted bool
+	ended     bool
 }
 
 // Ticket begins a message of a tenant.
-func (s *Frontend) NewReservation(tenant int) Reservation {
-	return Reservation{side: s, tenant: tenant}
+func (f *Frontend) NewReservation(tenant int) Reservation {
+	return Reservation{frontend: f, tenant: tenant}
 }
 
 // Reserve asks for room for n more bytes of its body.
-func (t *Reservation) Reserve(n int) error {
-	d := t.side.d
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (r *Reservation) Reserve(n int) error {
+	c := r.frontend.controller
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch more := int64(n); {
-	case d.bytes+more > d.limits.Bytes:
+	case c.bytes+more > c.limits.Bytes:
 		return ErrBytesFull
-	case d.limits.TenantBytes > 0 && d.tenants[t.tenant]+more > d.limits.TenantBytes:
+	case c.limits.TenantBytes > 0 && c.tenants[r.tenant]+more > c.limits.TenantBytes:
 		return ErrTenantFull
 	default:
-		d.bytes += more
-		d.tenants[t.tenant] += more
-		t.bytes += more
-		d.level()
+		c.bytes += more
+		c.tenants[r.tenant] += more
+		r.bytes += more
+		c.updateBlocked()
 		return nil
 	}
 }
 
 // Submit hands the whole message over. An error tells why it is not taken; the ticket is then still to be ended.
-func (t *Reservation) Submit(m *engine.Message) error {
-	d := t.side.d
-	if reason := d.shut.Load(); reason != nil {
+func (r *Reservation) Submit(m *engine.Message) error {
+	c := r.frontend.controller
+	if reason := c.suspended.Load(); reason != nil {
 		return *reason
 	}
-	d.mu.Lock()
-	d.held++ // before the engine can answer
-	d.level()
-	d.mu.Unlock()
-	t.taken = true
-	if err := d.core.Submit(m); err != nil {
-		t.taken = false
-		d.mu.Lock()
-		d.held--
-		d.level()
-		d.mu.Unlock()
+	c.mu.Lock()
+	c.messages++ // before the engine can answer
+	c.updateBlocked()
+	c.mu.Unlock()
+	r.submitted = true
+	if err := c.engine.Submit(m); err != nil {
+		r.submitted = false
+		c.mu.Lock()
+		c.messages--
+		c.updateBlocked()
+		c.mu.Unlock()
 		return err
 	}
-	t.id = m.ID
-	t.side.Accepted.Add(1)
+	r.id = m.ID
+	r.frontend.Accepted.Add(1)
 	return nil
 }
 
 // Taken tells whether the message was handed over.
-func (t *Reservation) Submitted() bool { return t.taken }
+func (r *Reservation) Submitted() bool { return r.submitted }
 
 // Ended tells whether the ticket has ended.
-func (t *Reservation) Ended() bool { return t.over }
+func (r *Reservation) Ended() bool { return r.ended }
 
 // Complete ends the ticket of a message that has its final answer; heard tells whether its sender was there.
-func (t *Reservation) Complete(f engine.Final, heard bool) {
-	if !t.end() {
+func (r *Reservation) Complete(outcome engine.Final, delivered bool) {
+	if !r.release() {
 		return
 	}
-	switch f {
+	switch outcome {
 	case engine.Served:
-		t.side.Served.Add(1)
+		r.frontend.Served.Add(1)
 	case engine.Refused:
-		t.side.Refused.Add(1)
+		r.frontend.Refused.Add(1)
 	default:
-		t.side.Failed.Add(1)
+		r.frontend.Failed.Add(1)
 	}
-	if !heard {
-		t.side.Undelivered.Add(1)
+	if !delivered {
+		r.frontend.Undelivered.Add(1)
 	}
 }
 
 // Withdraw ends the ticket of a message that nobody waits for: nothing new is sent for it.
-func (t *Reservation) Withdraw() {
-	if !t.end() {
+func (r *Reservation) Withdraw() {
+	if !r.release() {
 		return
 	}
-	if t.taken {
-		t.side.Withdrawn.Add(1)
-		t.side.d.core.Withdraw(t.id)
+	if r.submitted {
+		r.frontend.Withdrawn.Add(1)
+		r.frontend.controller.engine.Withdraw(r.id)
 	}
 }
 
 // Reject ends the ticket of a message that was not taken.
-func (t *Reservation) Reject() {
-	if t.end() {
-		t.side.Rejected.Add(1)
+func (r *Reservation) Reject() {
+	if r.release() {
+		r.frontend.Rejected.Add(1)
 	}
 }
 
-func (t *Reservation) end() bool {
-	if t.over {
+func (r *Reservation) release() bool {
+	if r.ended {
 		return false
 	}
-	t.over = true
-	d := t.side.d
-	d.mu.Lock()
-	d.bytes -= t.bytes
-	d.tenants[t.tenant] -= t.bytes
-	if t.taken {
-		d.held--
+	r.ended = true
+	c := r.frontend.controller
+	c.mu.Lock()
+	c.bytes -= r.bytes
+	c.tenants[r.tenant] -= r.bytes
+	if r.submitted {
+		c.messages--
 	}
-	d.level()
-	d.mu.Unlock()
+	c.updateBlocked()
+	c.mu.Unlock()
 	return true
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,30 +10,30 @@
 	"whinrun/internal/engine"
 )
 
-// core takes a set number of messages.
-type core struct {
-	room      int
+// fakeEngine takes a set number of messages.
+type fakeEngine struct {
+	capacity  int
 	withdrawn []control.MessageID
 	next      control.MessageID
 }
 
-func (c *core) Submit(m *engine.Message) error {
-	if c.room == 0 {
+func (c *fakeEngine) Submit(m *engine.Message) error {
+	if c.capacity == 0 {
 		return engine.ErrHoldFull
 	}
-	c.room--
+	c.capacity--
 	c.next++
 	m.ID = c.next
 	return nil
 }
-func (c *core) Withdraw(id control.MessageID) { c.withdrawn = append(c.withdrawn, id) }
+func (c *fakeEngine) Withdraw(id control.MessageID) { c.withdrawn = append(c.withdrawn, id) }
 
 func limits() Limits {
 	return Limits{Conns: 2, Channels: 3, Bytes: 100, TenantBytes: 60, Messages: 10, BlockAt: 0.9, UnblockAt: 0.5}
 }
 
-func TestLimitsAreOfAllFrontsTogether(t *testing.T) {
-	d := New(limits(), 2, &core{room: 1})
+func TestLimitsAreSharedByFrontends(t *testing.T) {
+	d := New(limits(), 2, &fakeEngine{capacity: 1})
 	a, b := d.AddFrontend("a"), d.AddFrontend("b")
 	if !a.AcquireConn() || !b.AcquireConn() || a.AcquireConn() || b.ConnsRefused.Load() != 0 || a.ConnsRefused.Load() != 1 {
 		t.Error("connections are not bounded over fronts")
@@ -59,8 +59,8 @@
 }
 
 // A ticket ends once: its bytes and its place are given back once, whatever comes after.
-func TestTicketEndsOnce(t *testing.T) {
-	c := &core{room: 1}
+func TestReservationEndsOnce(t *testing.T) {
+	c := &fakeEngine{capacity: 1}
 	d := New(limits(), 1, c)
 	s := d.AddFrontend("a")
 	x, y := s.NewReservation(0), s.NewReservation(0)
@@ -82,8 +82,8 @@
 }
 
 // A shut door takes nothing new and says so to publishers; what it took before is not touched.
-func TestShut(t *testing.T) {
-	c := &core{room: 5}
+func TestSuspend(t *testing.T) {
+	c := &fakeEngine{capacity: 5}
 	d := New(limits(), 1, c)
 	s := d.AddFrontend("a")
 	x, y := s.NewReservation(0), s.NewReservation(0)
@@ -103,7 +103,7 @@
 }
 
 // The valve changes its mind only across the gap: at levels within it, it stays as it was.
-func TestValveHasHysteresis(t *testing.T) {
+func TestWatermarksHaveHysteresis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := Watermarks{High: 0.9, Low: 0.7}
 		was := false
--- a/internal/admission/valve.go
+++ b/internal/admission/valve.go
@@ -7,16 +7,16 @@
 // fluttering: a hold that frees one place at a time would else say stop and go with each message.
 type Watermarks struct {
 	High, Low float64 // shares of a bound, Low below High
-	shut      bool
+	blocked   bool
 }
 
 // Update takes the level, as a share of what is bounded, and tells whether senders are to stop now.
-func (v *Watermarks) Update(level float64) (shut bool) {
+func (w *Watermarks) Update(level float64) (blocked bool) {
 	switch {
-	case level >= v.High:
-		v.shut = true
-	case level <= v.Low:
-		v.shut = false
+	case level >= w.High:
+		w.blocked = true
+	case level <= w.Low:
+		w.blocked = false
 	}
-	return v.shut
+	return w.blocked
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -69,40 +69,40 @@
 
 // Front is one listening address.
 type Front struct {
-	cfg   Config
-	side  *admission.Frontend
-	clock clock.Clock
-	log   func(text string)
-	open  func(c *Conn, now time.Duration) Session
+	cfg        Config
+	frontend   *admission.Frontend
+	clock      clock.Clock
+	log        func(text string)
+	newSession func(c *Conn, now time.Duration) Session
 
 	loops *eventloop.Group
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 
-	away, finish atomic.Bool
-	blocked      bool // as of the last tick
+	goingAway, finishing atomic.Bool
+	wasBlocked           bool // as of the last tick
 }
 
 // Conn is one client connection.
 type Conn struct {
-	f       *Front
-	gc      *eventloop.Conn
-	session Session
-	life    life // once it has ended the session is not called any more
-
-	mu    sync.Mutex
-	inbox []Task
-	gone  bool
-	owes  atomic.Bool
-	due   atomic.Int64
-	idle  atomic.Int64 // since when, 0 while it is not
-	evict atomic.Bool  // it is to be closed if it is idle
+	front    *Front
+	loopConn *eventloop.Conn
+	session  Session
+	closing  lingeringClose // once it has ended the session is not called any more
+
+	mu             sync.Mutex
+	inbox          []Task
+	closed         bool
+	pending        atomic.Bool
+	nextCheck      atomic.Int64
+	idleSince      atomic.Int64 // since when, 0 while it is not
+	evictRequested atomic.Bool  // it is to be closed if it is idle
 }
 
 // New makes a Front and listens. open makes the session of a new connection.
-func New(cfg Config, side *admission.Frontend, clock clock.Clock, log func(string), open func(*Conn, time.Duration) Session) (*Front, error) {
-	f := &Front{cfg: cfg, side: side, clock: clock, log: log, open: open, conns: map[*Conn]struct{}{}}
+func New(cfg Config, frontend *admission.Frontend, clock clock.Clock, log func(string), newSession func(*Conn, time.Duration) Session) (*Front, error) {
+	f := &Front{cfg: cfg, frontend: frontend, clock: clock, log: log, newSession: newSession, conns: map[*Conn]struct{}{}}
 	if f.cfg.Trace == nil {
 		f.cfg.Trace = func(string, ...any) {}
 	}
@@ -123,11 +123,11 @@
 
 // GoAway tells all clients to hand in nothing more; answers still go out.
 func (f *Front) GoAway() {
-	f.away.Store(true)
-	f.each(func(c *Conn) { c.wake() })
+	f.goingAway.Store(true)
+	f.forEachConn(func(c *Conn) { c.wake() })
 }
 
-func (f *Front) each(do func(*Conn)) {
+func (f *Front) forEachConn(do func(*Conn)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -137,34 +137,34 @@
 
 // Flush ends all sessions in order, now that all answers have been given, and waits until everything is written or ctx ends. It
 // tells how many connections still have something to be written or heard then.
-func (f *Front) Flush(ctx context.Context) (left int) {
-	f.finish.Store(true)
-	f.each(func(c *Conn) { c.wake() })
+func (f *Front) Flush(ctx context.Context) (remaining int) {
+	f.finishing.Store(true)
+	f.forEachConn(func(c *Conn) { c.wake() })
 	for {
-		left = 0
-		f.each(func(c *Conn) {
-			if c.waits() {
-				left++
+		remaining = 0
+		f.forEachConn(func(c *Conn) {
+			if c.hasPending() {
+				remaining++
 				c.wake()
 			}
 		})
-		if left == 0 {
+		if remaining == 0 {
 			return 0
 		}
 		select {
 		case <-ctx.Done():
-			return left
+			return remaining
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
 }
 
-// waits tells whether something is not written yet, or not read by a peer that was told the end. A message answered is off
+// hasPending tells whether something is not written yet, or not read by a peer that was told the end. A message answered is off
 // the connection's books only once its answer is in the socket, so owes covers the answers that its event loop has not seen.
-func (c *Conn) waits() bool {
+func (c *Conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.inbox) > 0 || c.owes.Load()
+	return len(c.inbox) > 0 || c.pending.Load()
 }
 
 // StopAccepting has no more connections taken; those there are go on.
@@ -179,103 +179,103 @@
 func (f *Front) elapsed() time.Duration { return clock.Elapsed(f.clock) }
 
 // Opened is eventloop.Handler: it starts a session, where there is room.
-func (f *Front) Opened(gc *eventloop.Conn) {
-	if !f.side.AcquireConn() {
-		f.cfg.Trace("client %v: turned away, too many connections", gc.Peer())
-		gc.Close()
+func (f *Front) Opened(loopConn *eventloop.Conn) {
+	if !f.frontend.AcquireConn() {
+		f.cfg.Trace("client %v: turned away, too many connections", loopConn.Peer())
+		loopConn.Close()
 		return
 	}
-	c := &Conn{f: f, gc: gc}
+	c := &Conn{front: f, loopConn: loopConn}
 	now := f.elapsed()
-	c.session = f.open(c, now)
-	c.owes.Store(true)
+	c.session = f.newSession(c, now)
+	c.pending.Store(true)
 	f.mu.Lock()
 	f.conns[c] = struct{}{}
 	f.mu.Unlock()
-	gc.Context = c
-	c.due.Store(int64(c.session.Due(now)))
-	c.rests()
-	if f.side.NearConnLimit() {
-		f.makeRoom(c)
+	loopConn.Context = c
+	c.nextCheck.Store(int64(c.session.Due(now)))
+	c.updateIdle()
+	if f.frontend.NearConnLimit() {
+		f.evictLongestIdle(c)
 	}
-	gc.Write(c.session.Output())
+	loopConn.Write(c.session.Output())
 }
 
 // DialFailed is eventloop.Handler; a front dials nobody.
 func (f *Front) DialFailed(any, error) {}
 
-// makeRoom has the connection closed that has been idle longest. Guards against clients that connect in numbers and say
+// evictLongestIdle has the connection closed that has been idle longest. Guards against clients that connect in numbers and say
 // nothing: they must not keep the others out.
-func (f *Front) makeRoom(not *Conn) {
+func (f *Front) evictLongestIdle(except *Conn) {
 	var longest *Conn
-	f.each(func(c *Conn) {
-		since := c.idle.Load()
-		if c != not && since > 0 && !c.evict.Load() && (longest == nil || since < longest.idle.Load()) {
+	f.forEachConn(func(c *Conn) {
+		since := c.idleSince.Load()
+		if c != except && since > 0 && !c.evictRequested.Load() && (longest == nil || since < longest.idleSince.Load()) {
 			longest = c
 		}
 	})
 	if longest != nil {
-		longest.evict.Store(true)
+		longest.evictRequested.Store(true)
 		longest.wake()
 	}
 }
 
-// rests keeps since when a connection is idle.
-func (c *Conn) rests() {
+// updateIdle keeps since when a connection is idle.
+func (c *Conn) updateIdle() {
 	since := time.Duration(0)
 	if s, ok := c.session.(Idler); ok {
 		if at, idle := s.Idle(); idle {
 			since = max(at, 1)
 		}
 	}
-	c.idle.Store(int64(since))
+	c.idleSince.Store(int64(since))
 }
 
 // Closed is eventloop.Handler: it tells the session, and all that is on its way to it.
-func (f *Front) Closed(gc *eventloop.Conn, err error) {
-	c, ok := gc.Context.(*Conn)
+func (f *Front) Closed(loopConn *eventloop.Conn, err error) {
+	c, ok := loopConn.Context.(*Conn)
 	if !ok { // it was turned away
 		return
 	}
-	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", gc.Peer(), c.life.ended, c.session.Owes(), err)
+	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", loopConn.Peer(), c.closing.ended, c.session.Owes(), err)
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
-	f.side.ReleaseConn()
-	c.end(f.elapsed())
+	f.frontend.ReleaseConn()
+	c.endSession(f.elapsed())
 }
 
-// end is the end of the session, once: of its protocol, or of its connection. The socket is closed by OnTraffic's owner, the
+// endSession is the end of the session, once: of its protocol, or of its connection. The socket is closed by OnTraffic's owner, the
 // event loop, as life says.
-func (c *Conn) end(now time.Duration) {
-	if c.life.ended {
+func (c *Conn) endSession(now time.Duration) {
+	if c.closing.ended {
 		return
 	}
-	c.life.end(now)
-	c.gc.Hold(false)
+	c.closing.end(now)
+	c.loopConn.Hold(false)
 	c.mu.Lock()
-	late := c.inbox
-	c.inbox, c.gone = nil, true
+	dropped := c.inbox
+	c.inbox, c.closed = nil, true
 	c.mu.Unlock()
-	for _, p := range late {
-		p.Lost()
+	for _, task := range dropped {
+		task.Lost()
 	}
 	c.session.Lost()
-	c.owes.Store(true) // until it is closed
-	if c.idle.Load() == 0 {
-		c.idle.Store(int64(now))
+	c.pending.Store(true) // until it is closed
+	if c.idleSince.Load() == 0 {
+		c.idleSince.Store(int64(now))
 	}
 }
 
 // Post has a parcel opened on the connection's event loop, from any goroutine, without blocking. It is false where the
 // connection is gone: then the parcel is the caller's.
-func (c *Conn) Post(p Task) bool {
+func (c *Conn) Post(task Task) bool {
 	c.mu.Lock()
-	if c.gone {
+	if c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	c.inbox = append(c.inbox, p)
+	c.inbox = append(c.inbox, task)
 	first := len(c.inbox) == 1
 	c.mu.Unlock()
 	if first {
@@ -284,32 +284,32 @@
 	return true
 }
 
-func (c *Conn) wake() { c.gc.Wake() }
+func (c *Conn) wake() { c.loopConn.Wake() }
 
 // Peer names the client, for logs.
-func (c *Conn) Peer() string { return c.gc.Peer().String() }
+func (c *Conn) Peer() string { return c.loopConn.Peer().String() }
 
 // Log writes a line about the client.
 func (c *Conn) Log(format string, a ...any) {
-	c.f.log(fmt.Sprintf("client %s: %s", c.Peer(), fmt.Sprintf(format, a...)))
+	c.front.log(fmt.Sprintf("client %s: %s", c.Peer(), fmt.Sprintf(format, a...)))
 }
 
 // Ready is eventloop.Handler: it takes bytes of the client, and parcels out of the inbox.
-func (f *Front) Ready(gc *eventloop.Conn) {
-	c, ok := gc.Context.(*Conn)
+func (f *Front) Ready(loopConn *eventloop.Conn) {
+	c, ok := loopConn.Context.(*Conn)
 	if !ok {
 		return
 	}
 	now := f.elapsed()
-	in := gc.Inbound()
-	if c.life.ended {
-		c.life.threw(len(in)) // nothing is taken from it any more
-		c.finish(now)
+	in := loopConn.Inbound()
+	if c.closing.ended {
+		c.closing.addDiscarded(len(in)) // nothing is taken from it any more
+		c.advanceClose(now)
 		return
 	}
 	if len(in) > 0 {
 		if err := c.session.Receive(now, in); err != nil {
-			c.broken(now, err)
+			c.fail(now, err)
 			return
 		}
 	}
@@ -317,79 +317,79 @@
 	inbox := c.inbox
 	c.inbox = nil
 	c.mu.Unlock()
-	for _, p := range inbox {
-		p.Open(now)
+	for _, task := range inbox {
+		task.Open(now)
 	}
-	if f.away.Load() {
+	if f.goingAway.Load() {
 		c.session.GoAway(now)
 	}
-	if f.finish.Load() {
+	if f.finishing.Load() {
 		c.session.Finish(now)
 	}
 	if err := c.session.Check(now); err != nil {
-		c.broken(now, err)
+		c.fail(now, err)
 		return
 	}
 	c.flush(now)
 }
 
 func (c *Conn) flush(now time.Duration) {
-	c.gc.Write(c.session.Output()) // a failed write shows as Closed
+	c.loopConn.Write(c.session.Output()) // a failed write shows as Closed
 	if s, ok := c.session.(ReadPauser); ok {
-		c.gc.Hold(s.Full())
+		c.loopConn.Hold(s.Full())
 	}
-	unread := c.gc.Unsent()
-	c.owes.Store(unread > 0 || c.session.Owes())
-	c.due.Store(int64(c.session.Due(now)))
-	c.rests()
+	unsent := c.loopConn.Unsent()
+	c.pending.Store(unsent > 0 || c.session.Owes())
+	c.nextCheck.Store(int64(c.session.Due(now)))
+	c.updateIdle()
 	switch {
-	case unread > c.f.cfg.MaxUnread: // a client that stops reading must not hold memory
-		c.Log("reads no answers: closed with %d bytes unread", unread)
-		c.gc.Close()
-	case c.evict.Swap(false) && c.idle.Load() > 0 && unread == 0: // idle for longest: its last answer was read long ago
-		c.gc.Close()
+	case unsent > c.front.cfg.MaxUnread: // a client that stops reading must not hold memory
+		c.Log("reads no answers: closed with %d bytes unread", unsent)
+		c.loopConn.Close()
+	case c.evictRequested.Swap(false) && c.idleSince.Load() > 0 && unsent == 0: // idle for longest: its last answer was read long ago
+		c.loopConn.Close()
 	case c.session.Done():
-		c.end(now)
-		c.finish(now)
+		c.endSession(now)
+		c.advanceClose(now)
 	}
 }
 
 // finish goes on with the end of the connection. One that has to make room for others is not waited for.
-func (c *Conn) finish(now time.Duration) {
-	switch c.life.next(now, c.gc.Unsent()) {
-	case closeAll:
-		c.gc.Close()
+func (c *Conn) advanceClose(now time.Duration) {
+	switch c.closing.next(now, c.loopConn.Unsent()) {
+	case actionClose:
+		c.loopConn.Close()
 		return
-	case shutWrite:
-		if !c.gc.CloseWrite() {
-			c.gc.Close()
+	case actionCloseWrite:
+		if !c.loopConn.CloseWrite() {
+			c.loopConn.Close()
 			return
 		}
 	}
-	if c.evict.Swap(false) {
-		c.gc.Close()
+	if c.evictRequested.Swap(false) {
+		c.loopConn.Close()
 		return
 	}
-	c.due.Store(int64(now + tickInterval))
+	c.nextCheck.Store(int64(now + tickInterval))
 }
 
-func (c *Conn) broken(now time.Duration, err error) {
-	c.f.side.Malformed.Add(1)
+func (c *Conn) fail(now time.Duration, err error) {
+	c.front.frontend.Malformed.Add(1)
 	c.Log("%v", err)
-	c.gc.Write(c.session.Output())
-	c.end(now)
-	c.finish(now)
+	c.loopConn.Write(c.session.Output())
+	c.endSession(now)
+	c.advanceClose(now)
 }
 
 // Tick is eventloop.Handler: it wakes the connections whose deadlines have come, and all when publishers are to stop or may go
 // on.
 func (f *Front) Tick() {
 	now := int64(f.elapsed())
-	blocked := f.side.Blocked()
-	turned := blocked != f.blocked
-	f.blocked = blocked
-	f.each(func(c *Conn) {
-		if due := c.due.Load(); turned || due > 0 && due <= now {
+	blocked := f.frontend.Blocked()
+	blockedChanged := blocked != f.wasBlocked
+	f.wasBlocked = blocked
+	f.forEachConn(func(c *Conn) {
+		if due := c.nextCheck.Load(); blockedChanged || due > 0 && due <= now {
 			c.wake()
 		}
 	})
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -72,24 +72,24 @@
 	Close   bool
 }
 
-// head finds the end of a head, and cuts its first line off. n is 0 while it is not all there.
-func head(b []byte) (first, rest []byte, n int, err error) {
-	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end < 0 && len(b) > MaxHeadBytes || end+4 > MaxHeadBytes {
+// splitHead finds the end of a head, and cuts its first line off. n is 0 while it is not all there.
+func splitHead(buf []byte) (first, rest []byte, n int, err error) {
+	end := bytes.Index(buf, []byte("\r\n\r\n"))
+	if end < 0 && len(buf) > MaxHeadBytes || end+4 > MaxHeadBytes {
 		return nil, nil, 0, ErrTooLarge
 	}
 	if end < 0 {
-		return nil, nil, 0, early(b)
+		return nil, nil, 0, validateHeadBytes(buf)
 	}
-	if err := early(b[:end+2]); err != nil {
+	if err := validateHeadBytes(buf[:end+2]); err != nil {
 		return nil, nil, 0, err
 	}
-	first, rest = line(b[:end+2])
+	first, rest = cutLine(buf[:end+2])
 	return first, rest, end + 4, nil
 }
 
-// early tells what can be no head whatever follows. Guards against noise that would else be waited on to its end.
-func early(b []byte) error {
+// validateHeadBytes tells what can be no head whatever follows. Guards against noise that would else be waited on to its end.
+func validateHeadBytes(b []byte) error {
 	for i, c := range b {
 		switch {
 		case c == '\n' && (i == 0 || b[i-1] != '\r'):
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// line cuts the first line off.
-func line(b []byte) (first, rest []byte) {
+// cutLine cuts the first line off.
+func cutLine(b []byte) (first, rest []byte) {
 	at := bytes.Index(b, []byte("\r\n"))
 	return b[:at], b[at+2:]
 }
@@ -131,25 +131,25 @@
 	return t
 }()
 
-func fields(b []byte) (Fields, error) {
+func parseFields(lines []byte) (Fields, error) {
 	var all Fields
-	for len(b) > 0 {
-		var l []byte
-		l, b = line(b)
-		at := bytes.IndexByte(l, ':')
-		if at < 0 || !isToken(l[:at]) {
+	for len(lines) > 0 {
+		var line []byte
+		line, lines = cutLine(lines)
+		at := bytes.IndexByte(line, ':')
+		if at < 0 || !isToken(line[:at]) {
 			return nil, fmt.Errorf("%w: a head line without a name", ErrSyntax)
 		}
 		if len(all) == MaxFields {
 			return nil, ErrTooLarge
 		}
-		all = append(all, Field{string(bytes.ToLower(l[:at])), string(bytes.Trim(l[at+1:], " \t"))})
+		all = append(all, Field{string(bytes.ToLower(line[:at])), string(bytes.Trim(line[at+1:], " \t"))})
 	}
 	return all, nil
 }
 
-// length reads the one length of a body; ok is false where none is stated.
-func (f Fields) length() (n int64, ok bool, err error) {
+// contentLength reads the one length of a body; ok is false where none is stated.
+func (f Fields) contentLength() (n int64, ok bool, err error) {
 	switch f.count("content-length") {
 	case 0:
 		return 0, false, nil
@@ -170,7 +170,7 @@
 	return n, true, nil
 }
 
-func (f Fields) closes() bool {
+func (f Fields) hasConnectionClose() bool {
 	for i := range f {
 		if f[i].Name == "connection" {
 			for _, t := range bytes.Split([]byte(f[i].Value), []byte(",")) {
@@ -185,8 +185,8 @@
 
 // ParseRequest reads the head of a request from the front of b; n is its size, 0 while it is not all there. No
 // transfer coding is taken: a body's length is stated.
-func ParseRequest(b []byte) (r *Request, n int, err error) {
-	first, rest, n, err := head(b)
+func ParseRequest(buf []byte) (r *Request, n int, err error) {
+	first, rest, n, err := splitHead(buf)
 	if n == 0 || err != nil {
 		return nil, 0, err
 	}
@@ -198,16 +198,16 @@
 		return nil, 0, fmt.Errorf("%w: version %.12q", ErrSyntax, parts[2])
 	}
 	r = &Request{Method: string(parts[0]), Target: string(parts[1])}
-	if r.Fields, err = fields(rest); err != nil {
+	if r.Fields, err = parseFields(rest); err != nil {
 		return nil, 0, err
 	}
 	if r.Fields.count("transfer-encoding") > 0 {
 		return nil, 0, ErrCoding
 	}
-	if r.Length, _, err = r.Fields.length(); err != nil {
+	if r.Length, _, err = r.Fields.contentLength(); err != nil {
 		return nil, 0, err
 	}
-	r.Close = r.Fields.closes() || string(parts[2]) == "HTTP/1.0"
+	r.Close = r.Fields.hasConnectionClose() || string(parts[2]) == "HTTP/1.0"
 	return r, n, nil
 }
 
@@ -217,17 +217,17 @@
 	if end < 0 {
 		return 0, false
 	}
-	status, err := statusLine(b[:end])
+	status, err := parseStatusLine(b[:end])
 	return status, err == nil
 }
 
-func statusLine(l []byte) (int, error) {
+func parseStatusLine(line []byte) (int, error) {
 	bad := fmt.Errorf("%w: no status line", ErrSyntax)
-	if len(l) < 12 || string(l[:7]) != "HTTP/1." || l[7] != '1' && l[7] != '0' || l[8] != ' ' || len(l) > 12 && l[12] != ' ' {
+	if len(line) < 12 || string(line[:7]) != "HTTP/1." || line[7] != '1' && line[7] != '0' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return 0, bad
 	}
 	status := 0
-	for _, c := range l[9:12] {
+	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
 			return 0, bad
 		}
@@ -240,33 +240,33 @@
 }
 
 // ParseResponse reads the head of a response to a request that was no HEAD; n is its size, 0 while it is not all there.
-func ParseResponse(b []byte) (r *Response, n int, err error) {
+func ParseResponse(buf []byte) (r *Response, n int, err error) {
 	const start = "HTTP/1."
-	if m := min(len(b), len(start)); string(b[:m]) != start[:m] {
+	if m := min(len(buf), len(start)); string(buf[:m]) != start[:m] {
 		return nil, 0, fmt.Errorf("%w: no status line", ErrSyntax)
 	}
-	first, rest, n, err := head(b)
+	first, rest, n, err := splitHead(buf)
 	if n == 0 || err != nil {
 		return nil, 0, err
 	}
 	r = &Response{}
-	if r.Status, err = statusLine(first); err != nil {
+	if r.Status, err = parseStatusLine(first); err != nil {
 		return nil, 0, err
 	}
-	if r.Fields, err = fields(rest); err != nil {
+	if r.Fields, err = parseFields(rest); err != nil {
 		return nil, 0, err
 	}
-	return r, n, r.frame(string(first[:8]) == "HTTP/1.0")
+	return r, n, r.setBodyFraming(string(first[:8]) == "HTTP/1.0")
 }
 
-// frame tells how long the body is (RFC 9112 section 6.3).
-func (r *Response) frame(old bool) error {
-	size, stated, err := r.Fields.length()
+// setBodyFraming tells how long the body is (RFC 9112 section 6.3).
+func (r *Response) setBodyFraming(http10 bool) error {
+	size, stated, err := r.Fields.contentLength()
 	if err != nil {
 		return err
 	}
 	coding := r.Fields.count("transfer-encoding")
-	r.Close = old || r.Fields.closes()
+	r.Close = http10 || r.Fields.hasConnectionClose()
 	switch {
 	case coding > 0 && stated:
 		return fmt.Errorf("%w: beside a transfer coding", ErrLength)
@@ -285,10 +285,10 @@
 
 // ChunkDecoder reads a chunked body (RFC 9112 section 7.1).
 type ChunkDecoder struct {
-	left  int64 // of the chunk, with its line end
-	done  bool
-	lines []byte // a line that is not all there
-	last  bool   // in the trailer
+	remaining   int64 // of the chunk, with its line end
+	done        bool
+	partialLine []byte // a line that is not all there
+	inTrailer   bool   // in the trailer
 }
 
 // Done tells that the body has ended.
@@ -296,79 +296,79 @@
 
 // maxChunkLine bounds the line ahead of a chunk and each of the trailer; maxChunk one chunk.
 const (
-	maxChunkLine = 256
-	maxChunk     = 16 << 20
+	maxChunkLineBytes = 256
+	maxChunkBytes     = 16 << 20
 )
 
 // Read takes bytes and appends the body's to out; rest is what follows the body.
-func (c *ChunkDecoder) Read(out, b []byte) (body, rest []byte, err error) {
-	for len(b) > 0 && !c.done {
-		if c.left > 2 {
-			n := min(c.left-2, int64(len(b)))
-			out = append(out, b[:n]...)
-			b = b[n:]
-			c.left -= n
+func (c *ChunkDecoder) Read(dst, src []byte) (body, rest []byte, err error) {
+	for len(src) > 0 && !c.done {
+		if c.remaining > 2 {
+			n := min(c.remaining-2, int64(len(src)))
+			dst = append(dst, src[:n]...)
+			src = src[n:]
+			c.remaining -= n
 			continue
 		}
-		if c.left > 0 { // the line end behind a chunk
-			if want := "\r\n"[2-c.left]; b[0] != want {
-				return out, nil, fmt.Errorf("%w: no line end behind a chunk", ErrSyntax)
+		if c.remaining > 0 { // the line end behind a chunk
+			if want := "\r\n"[2-c.remaining]; src[0] != want {
+				return dst, nil, fmt.Errorf("%w: no line end behind a chunk", ErrSyntax)
 			}
-			c.left--
-			b = b[1:]
+			c.remaining--
+			src = src[1:]
 			continue
 		}
-		at := bytes.IndexByte(b, '\n')
+		at := bytes.IndexByte(src, '\n')
 		if at < 0 {
-			c.lines = append(c.lines, b...)
-			b = nil
+			c.partialLine = append(c.partialLine, src...)
+			src = nil
 		} else {
-			c.lines = append(c.lines, b[:at+1]...)
-			b = b[at+1:]
+			c.partialLine = append(c.partialLine, src[:at+1]...)
+			src = src[at+1:]
 		}
-		if len(c.lines) > maxChunkLine {
-			return out, nil, ErrTooLarge
+		if len(c.partialLine) > maxChunkLineBytes {
+			return dst, nil, ErrTooLarge
 		}
 		if at < 0 {
 			break
 		}
-		if err := c.size(); err != nil {
-			return out, nil, err
+		if err := c.parseLine(); err != nil {
+			return dst, nil, err
 		}
-		c.lines = c.lines[:0]
+		c.partialLine = c.partialLine[:0]
 	}
-	return out, b, nil
+	return dst, src, nil
 }
 
-// size takes the line ahead of a chunk, or one of the trailer.
-func (c *ChunkDecoder) size() error {
-	l, ok := bytes.CutSuffix(c.lines, []byte("\r\n"))
+// parseLine takes the line ahead of a chunk, or one of the trailer.
+func (c *ChunkDecoder) parseLine() error {
+	line, ok := bytes.CutSuffix(c.partialLine, []byte("\r\n"))
 	if !ok {
 		return fmt.Errorf("%w: a bare line feed", ErrSyntax)
 	}
-	if c.last {
-		c.done = len(l) == 0
+	if c.inTrailer {
+		c.done = len(line) == 0
 		return nil
 	}
-	if at := bytes.IndexByte(l, ';'); at >= 0 {
-		l = bytes.TrimRight(l[:at], " \t")
+	if at := bytes.IndexByte(line, ';'); at >= 0 {
+		line = bytes.TrimRight(line[:at], " \t")
 	}
-	n, err := strconv.ParseUint(string(l), 16, 63)
-	if err != nil || n > maxChunk || l[0] == '+' {
-		return fmt.Errorf("%w: chunk size %.20q", ErrLength, l)
+	n, err := strconv.ParseUint(string(line), 16, 63)
+	if err != nil || n > maxChunkBytes || line[0] == '+' {
+		return fmt.Errorf("%w: chunk size %.20q", ErrLength, line)
 	}
-	if c.last = n == 0; !c.last {
-		c.left = int64(n) + 2
+	if c.inTrailer = n == 0; !c.inTrailer {
+		c.remaining = int64(n) + 2
 	}
 	return nil
 }
 
 // AppendHead appends a start line, fields as pairs of name and value, and the empty line.
-func AppendHead(b []byte, start string, pairs ...string) []byte {
-	b = append(append(b, start...), "\r\n"...)
+func AppendHead(dst []byte, start string, pairs ...string) []byte {
+	dst = append(append(dst, start...), "\r\n"...)
 	for i := 0; i+1 < len(pairs); i += 2 {
-		b = append(append(b, pairs[i]...), ": "...)
-		b = append(append(b, pairs[i+1]...), "\r\n"...)
+		dst = append(append(dst, pairs[i]...), ": "...)
+		dst = append(append(dst, pairs[i+1]...), "\r\n"...)
 	}
-	return append(b, "\r\n"...)
+	return append(dst, "\r\n"...)
 }
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -86,64 +86,64 @@
 
 // stream is one stream that is not closed yet.
 type stream struct {
-	id                   uint32
-	sendWin, recvWin     int64
-	recvDue              int64 // taken bytes not yet credited back
-	sentEnd, gotEnd      bool
-	gotHeaders, body     bool // their header section is here; a part of their body
-	length, got          int64
-	pending              []byte // our body beyond the window
-	pendingEnd           bool
-	trailers             []Field
-	hasTrailers, tooBig  bool
-	stalledSince, opened time.Duration
+	id                           uint32
+	sendWindow, recvWindow       int64
+	uncredited                   int64 // taken bytes not yet credited back
+	endSent, endReceived         bool
+	headersReceived, body        bool // their header section is here; a part of their body
+	contentLength, bodyReceived  int64
+	pendingBody                  []byte // our body beyond the window
+	pendingEnd                   bool
+	trailers                     []Field
+	hasTrailers, headersTooLarge bool
+	stalledSince, opened         time.Duration
 }
 
 // Conn is one connection, client's or server's side.
 type Conn struct {
-	cfg    Config
-	client bool
-	now    time.Duration
-	start  time.Duration
-
-	in       []byte // an unfinished frame
-	out      []byte
-	events   []Event
-	preface  bool // the peer's preface is here
-	settled  bool // ... and its first SETTINGS
-	acked    bool // our SETTINGS are acknowledged
-	failed   error
-	closing  bool // we sent GOAWAY
-	peerAway bool
-	peerLast uint32
-
-	streams     map[uint32]*stream
-	order       []uint32 // ids with a body waiting, in order
-	nextID      uint32
-	lastPeerID  uint32
-	opened      int // streams of ours open
-	peerOpen    int
-	sendWin     int64
-	recvWin     int64
-	recvDue     int64
-	peerFrame   int
-	peerWindow  int64
-	peerStreams uint32
-	peerList    int
-
-	dec        *hpack.Decoder
-	enc        *hpack.Encoder
-	encBuf     bytes.Buffer
-	block      []byte // a header block in parts
-	blockFrom  Frame
-	blockParts int
-	blockSince time.Duration
-	inBlock    bool
-	fields     []Field
-	listSize   int
-
-	abuse   float64
-	abuseAt time.Duration
+	cfg     Config
+	client  bool
+	now     time.Duration
+	created time.Duration
+
+	readBuf          []byte // an unfinished frame
+	writeBuf         []byte
+	events           []Event
+	prefaceReceived  bool // the peer's preface is here
+	settingsReceived bool // ... and its first SETTINGS
+	settingsAcked    bool // our SETTINGS are acknowledged
+	err              error
+	goAwaySent       bool // we sent GOAWAY
+	goAwayReceived   bool
+	peerLastStream   uint32
+
+	streams           map[uint32]*stream
+	sendQueue         []uint32 // ids with a body waiting, in order
+	nextID            uint32
+	lastPeerID        uint32
+	localOpen         int // streams of ours open
+	peerOpen          int
+	sendWindow        int64
+	recvWindow        int64
+	uncredited        int64
+	peerMaxFrameSize  int
+	peerInitialWindow int64
+	peerMaxStreams    uint32
+	peerMaxHeaderList int
+
+	decoder         *hpack.Decoder
+	encoder         *hpack.Encoder
+	encoderBuf      bytes.Buffer
+	headerBlock     []byte // a header block in parts
+	blockFrame      Frame
+	blockFrameCount int
+	blockStart      time.Duration
+	inBlock         bool
+	fields          []Field
+	headerListSize  int
+
+	abuseTokens  float64
+	abuseUpdated time.Duration
 }
 
 // NewServer returns the server's side of a connection made at now.
@@ -154,72 +154,72 @@
 
 func newConn(cfg Config, now time.Duration, client bool) *Conn {
 	cfg = cfg.withDefaults()
-	c := &Conn{cfg: cfg, client: client, now: now, start: now, abuseAt: now, abuse: cfg.AbuseBurst,
-		streams: map[uint32]*stream{}, nextID: 2, sendWin: defaultWindow, recvWin: int64(cfg.ConnWindow),
-		peerFrame: defaultFrameSize, peerWindow: defaultWindow, peerStreams: 100, peerList: 1 << 30}
-	c.dec = hpack.NewDecoder(4096, c.emit)
-	c.dec.SetMaxStringLength(2*cfg.MaxHeaderList + defaultFrameSize) // what a block may hold: too large is no decoding error
-	c.enc = hpack.NewEncoder(&c.encBuf)
+	c := &Conn{cfg: cfg, client: client, now: now, created: now, abuseUpdated: now, abuseTokens: cfg.AbuseBurst,
+		streams: map[uint32]*stream{}, nextID: 2, sendWindow: defaultWindow, recvWindow: int64(cfg.ConnWindow),
+		peerMaxFrameSize: defaultFrameSize, peerInitialWindow: defaultWindow, peerMaxStreams: 100, peerMaxHeaderList: 1 << 30}
+	c.decoder = hpack.NewDecoder(4096, c.addField)
+	c.decoder.SetMaxStringLength(2*cfg.MaxHeaderList + defaultFrameSize) // what a block may hold: too large is no decoding error
+	c.encoder = hpack.NewEncoder(&c.encoderBuf)
 	var set []byte
 	if client {
 		c.nextID = 1
-		c.preface = true
-		c.out = append(c.out, Preface...)
+		c.prefaceReceived = true
+		c.writeBuf = append(c.writeBuf, Preface...)
 		set = appendSetting(set, SettingEnablePush, 0)
 	} else {
 		set = appendSetting(set, SettingMaxConcurrentStreams, cfg.MaxStreams)
 	}
 	set = appendSetting(set, SettingInitialWindowSize, cfg.StreamWindow)
 	set = appendSetting(set, SettingMaxHeaderListSize, uint32(cfg.MaxHeaderList))
-	c.out = AppendFrame(c.out, FrameSettings, 0, 0, set)
+	c.writeBuf = AppendFrame(c.writeBuf, FrameSettings, 0, 0, set)
 	if extra := cfg.ConnWindow - defaultWindow; extra > 0 {
-		c.out = c.windowUpdate(c.out, 0, extra)
+		c.writeBuf = c.appendWindowUpdate(c.writeBuf, 0, extra)
 	}
 	return c
 }
 
-func (c *Conn) windowUpdate(p []byte, stream, n uint32) []byte {
+func (c *Conn) appendWindowUpdate(p []byte, stream, n uint32) []byte {
 	return binary.BigEndian.AppendUint32(appendHeader(p, 4, FrameWindowUpdate, 0, stream), n)
 }
 
 // Output returns the bytes to be written to the peer and forgets them. They are valid until the Conn is next used.
 func (c *Conn) Output() []byte {
-	p := c.out
-	c.out = c.out[:0]
+	p := c.writeBuf
+	c.writeBuf = c.writeBuf[:0]
 	if cap(p) > 1<<16 { // a burst must not keep its buffer
-		c.out = nil
+		c.writeBuf = nil
 	}
 	return p
 }
 
 // Err returns the error that ended the connection, if one did; the GOAWAY for it is in the output.
-func (c *Conn) Err() error { return c.failed }
+func (c *Conn) Err() error { return c.err }
 
 // OpenStreams tells how many streams are not closed.
 func (c *Conn) OpenStreams() int { return len(c.streams) }
 
 // SettingsReceived tells whether the peer's first SETTINGS are here.
-func (c *Conn) SettingsReceived() bool { return c.settled }
+func (c *Conn) SettingsReceived() bool { return c.settingsReceived }
 
 // AvailableStreams tells how many more streams we may open now.
 func (c *Conn) AvailableStreams() int {
-	if !c.settled || c.peerAway || c.closing || c.failed != nil || c.nextID > largestWindow-2 {
+	if !c.settingsReceived || c.goAwayReceived || c.goAwaySent || c.err != nil || c.nextID > maxWindow-2 {
 		return 0
 	}
-	return max(0, int(min(c.peerStreams, 1<<20))-c.opened)
+	return max(0, int(min(c.peerMaxStreams, 1<<20))-c.localOpen)
 }
 
 // Done tells that the connection drains and has nothing more to do.
 func (c *Conn) Done() bool {
-	return c.failed != nil || (c.closing || c.peerAway) && len(c.streams) == 0
+	return c.err != nil || (c.goAwaySent || c.goAwayReceived) && len(c.streams) == 0
 }
 
 func (c *Conn) fail(e *ConnError) error {
-	if c.failed == nil {
-		c.failed = e
-		c.goAway(e.Code, e.Reason)
+	if c.err == nil {
+		c.err = e
+		c.writeGoAway(e.Code, e.Reason)
 	}
-	return c.failed
+	return c.err
 }
 
 // Receive takes bytes of the peer. The events are valid until the next call. After an error, which is a ConnError,
@@ -228,29 +228,29 @@
 	c.now = now
 	clear(c.events)
 	c.events = c.events[:0]
-	if c.failed != nil {
-		return nil, c.failed
+	if c.err != nil {
+		return nil, c.err
 	}
 	buf := p
-	if len(c.in) > 0 {
-		c.in = append(c.in, p...)
-		buf = c.in
+	if len(c.readBuf) > 0 {
+		c.readBuf = append(c.readBuf, p...)
+		buf = c.readBuf
 	}
-	n, err := c.consume(buf)
+	n, err := c.processFrames(buf)
 	if err == nil && n < len(buf) {
-		c.in = append(c.in[:0], buf[n:]...)
+		c.readBuf = append(c.readBuf[:0], buf[n:]...)
 	} else {
-		c.in = c.in[:0]
-		if cap(c.in) > 4*defaultFrameSize {
-			c.in = nil
+		c.readBuf = c.readBuf[:0]
+		if cap(c.readBuf) > 4*defaultFrameSize {
+			c.readBuf = nil
 		}
 	}
 	return c.events, err
 }
 
-func (c *Conn) consume(p []byte) (int, error) {
-	at := 0
-	if !c.preface {
+func (c *Conn) processFrames(p []byte) (int, error) {
+	offset := 0
+	if !c.prefaceReceived {
 		n := min(len(p), len(Preface))
 		if string(p[:n]) != Preface[:n] {
 			return 0, c.fail(&ConnError{ProtocolError, 0, "no HTTP/2 preface"})
@@ -258,44 +258,44 @@
 		if n < len(Preface) {
 			return 0, nil
 		}
-		c.preface = true
-		at = n
+		c.prefaceReceived = true
+		offset = n
 	}
 	for {
-		f, n, err := ParseFrame(p[at:], defaultFrameSize)
+		f, n, err := ParseFrame(p[offset:], defaultFrameSize)
 		if err == nil && n == 0 {
-			return at, nil
+			return offset, nil
 		}
 		if err == nil {
-			at += n
-			err = c.frame(f)
+			offset += n
+			err = c.handleFrame(f)
 		}
 		if err != nil {
 			var ce *ConnError
 			if !errors.As(err, &ce) {
 				ce = &ConnError{InternalError, f.Stream, err.Error()}
 			}
-			return at, c.fail(ce)
+			return offset, c.fail(ce)
 		}
 	}
 }
 
-// spend counts a frame that does no work for us: floods of them end the connection. It guards against floods of
+// chargeAbuse counts a frame that does no work for us: floods of them end the connection. It guards against floods of
 // PING, SETTINGS, empty DATA, PRIORITY, and of streams opened and reset at once.
-func (c *Conn) spend(cost float64, what string, stream uint32) error {
-	c.abuse = min(c.cfg.AbuseBurst, c.abuse+c.cfg.AbuseRate*(c.now-c.abuseAt).Seconds())
-	c.abuseAt = c.now
-	if c.abuse -= cost; c.abuse < 0 {
+func (c *Conn) chargeAbuse(cost float64, what string, stream uint32) error {
+	c.abuseTokens = min(c.cfg.AbuseBurst, c.abuseTokens+c.cfg.AbuseRate*(c.now-c.abuseUpdated).Seconds())
+	c.abuseUpdated = c.now
+	if c.abuseTokens -= cost; c.abuseTokens < 0 {
 		return &ConnError{EnhanceYourCalm, stream, "flood of " + what}
 	}
 	return nil
 }
 
-func (c *Conn) frame(f Frame) error {
-	if c.inBlock && (f.Type != FrameContinuation || f.Stream != c.blockFrom.Stream) {
+func (c *Conn) handleFrame(f Frame) error {
+	if c.inBlock && (f.Type != FrameContinuation || f.Stream != c.blockFrame.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "frame inside a header block"}
 	}
-	if !c.settled && (f.Type != FrameSettings || f.Flags&FlagAck != 0) {
+	if !c.settingsReceived && (f.Type != FrameSettings || f.Flags&FlagAck != 0) {
 		return &ConnError{ProtocolError, f.Stream, "first frame is not SETTINGS"}
 	}
 	switch f.Type {
@@ -320,11 +320,11 @@
 	case FrameWindowUpdate:
 		return c.onWindowUpdate(f)
 	}
-	return c.spend(1, "unknown frames", f.Stream) // ignored (RFC 9113 section 4.1)
+	return c.chargeAbuse(1, "unknown frames", f.Stream) // ignored (RFC 9113 section 4.1)
 }
 
-// idle tells whether a stream was never opened.
-func (c *Conn) idle(id uint32) bool {
+// isIdle tells whether a stream was never opened.
+func (c *Conn) isIdle(id uint32) bool {
 	if (id%2 == 1) == c.client {
 		return id >= c.nextID
 	}
@@ -332,81 +332,81 @@
 }
 
 func (c *Conn) onData(f Frame) error {
-	if f.Stream == 0 || c.idle(f.Stream) {
+	if f.Stream == 0 || c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "DATA on a stream that is not open"}
 	}
 	size := int64(len(f.Payload))
-	if c.recvWin -= size; c.recvWin < 0 {
+	if c.recvWindow -= size; c.recvWindow < 0 {
 		return &ConnError{FlowControlError, f.Stream, "DATA beyond the window of the connection"}
 	}
-	c.credit(nil, size)
+	c.creditWindow(nil, size)
 	p, err := unpad(f)
 	if err != nil {
 		return err
 	}
 	if len(p) == 0 && f.Flags&FlagEndStream == 0 {
-		if err := c.spend(1, "empty DATA", f.Stream); err != nil {
+		if err := c.chargeAbuse(1, "empty DATA", f.Stream); err != nil {
 			return err
 		}
 	}
 	s := c.streams[f.Stream]
 	if s == nil { // closed a moment ago
-		return c.spend(0.25, "DATA on closed streams", f.Stream)
+		return c.chargeAbuse(0.25, "DATA on closed streams", f.Stream)
 	}
-	if s.gotEnd {
+	if s.endReceived {
 		return c.streamError(s, StreamClosed, "DATA after END_STREAM")
 	}
-	if !s.gotHeaders {
+	if !s.headersReceived {
 		return c.streamError(s, ProtocolError, "DATA before HEADERS")
 	}
-	if s.recvWin -= size; s.recvWin < 0 {
+	if s.recvWindow -= size; s.recvWindow < 0 {
 		return c.streamError(s, FlowControlError, "DATA beyond the window of the stream")
 	}
-	s.got += int64(len(p))
+	s.bodyReceived += int64(len(p))
 	end := f.Flags&FlagEndStream != 0
-	if s.length >= 0 && (s.got > s.length || end && s.got != s.length) {
+	if s.contentLength >= 0 && (s.bodyReceived > s.contentLength || end && s.bodyReceived != s.contentLength) {
 		return c.streamError(s, ProtocolError, "body does not match content-length")
 	}
 	c.events = append(c.events, Event{Kind: Data, Stream: s.id, Data: p, End: end})
 	if end {
-		c.ended(s)
+		c.handleEndStream(s)
 	} else {
-		c.credit(s, size)
+		c.creditWindow(s, size)
 	}
 	return nil
 }
 
-// credit gives windows back once half is used: callers bound bodies by resetting streams, not by holding windows.
-func (c *Conn) credit(s *stream, n int64) {
-	due, win, whole, id := &c.recvDue, &c.recvWin, int64(c.cfg.ConnWindow), uint32(0)
+// creditWindow gives windows back once half is used: callers bound bodies by resetting streams, not by holding windows.
+func (c *Conn) creditWindow(s *stream, n int64) {
+	uncredited, window, full, id := &c.uncredited, &c.recvWindow, int64(c.cfg.ConnWindow), uint32(0)
 	if s != nil {
-		due, win, whole, id = &s.recvDue, &s.recvWin, int64(c.cfg.StreamWindow), s.id
+		uncredited, window, full, id = &s.uncredited, &s.recvWindow, int64(c.cfg.StreamWindow), s.id
 	}
-	if *due += n; *due >= whole/2 && *due > 0 {
-		c.out = c.windowUpdate(c.out, id, uint32(*due))
-		*win += *due
-		*due = 0
+	if *uncredited += n; *uncredited >= full/2 && *uncredited > 0 {
+		c.writeBuf = c.appendWindowUpdate(c.writeBuf, id, uint32(*uncredited))
+		*window += *uncredited
+		*uncredited = 0
 	}
 }
 
-func (c *Conn) ended(s *stream) {
-	s.gotEnd = true
-	c.maybeClose(s)
+func (c *Conn) handleEndStream(s *stream) {
+	s.endReceived = true
+	c.removeIfClosed(s)
 }
 
-func (c *Conn) maybeClose(s *stream) {
-	if s.gotEnd && s.sentEnd {
-		c.drop(s)
+func (c *Conn) removeIfClosed(s *stream) {
+	if s.endReceived && s.endSent {
+		c.removeStream(s)
 	}
 }
 
-func (c *Conn) drop(s *stream) {
+func (c *Conn) removeStream(s *stream) {
 	if c.streams[s.id] != s {
 		return
 	}
 	delete(c.streams, s.id)
 	if (s.id%2 == 1) == c.client {
-		c.opened--
+		c.localOpen--
 	} else {
 		c.peerOpen--
 	}
@@ -414,14 +414,14 @@
 
 // streamError resets a stream that the peer used against the rules (RFC 9113 section 5.4.2).
 func (c *Conn) streamError(s *stream, code ErrCode, reason string) error {
-	c.rst(s.id, code)
-	c.drop(s)
+	c.writeReset(s.id, code)
+	c.removeStream(s)
 	c.events = append(c.events, Event{Kind: StreamReset, Stream: s.id, Code: code, Local: true, Reason: reason})
-	return c.spend(1, "malformed streams", s.id)
+	return c.chargeAbuse(1, "malformed streams", s.id)
 }
 
-func (c *Conn) rst(id uint32, code ErrCode) {
-	c.out = binary.BigEndian.AppendUint32(appendHeader(c.out, 4, FrameRSTStream, 0, id), uint32(code))
+func (c *Conn) writeReset(id uint32, code ErrCode) {
+	c.writeBuf = binary.BigEndian.AppendUint32(appendHeader(c.writeBuf, 4, FrameRSTStream, 0, id), uint32(code))
 }
 
 func (c *Conn) onHeaders(f Frame) error {
@@ -436,118 +436,118 @@
 		if len(p) < 5 {
 			return &ConnError{FrameSizeError, f.Stream, "HEADERS shorter than its priority"}
 		}
-		if binary.BigEndian.Uint32(p)&largestWindow == f.Stream {
+		if binary.BigEndian.Uint32(p)&maxWindow == f.Stream {
 			return &ConnError{ProtocolError, f.Stream, "stream depends on itself"}
 		}
 		p = p[5:]
 	}
-	mine := (f.Stream%2 == 1) == c.client
+	ownStream := (f.Stream%2 == 1) == c.client
 	switch {
-	case mine && c.idle(f.Stream):
+	case ownStream && c.isIdle(f.Stream):
 		return &ConnError{ProtocolError, f.Stream, "HEADERS on an idle stream"}
-	case !mine && c.client:
+	case !ownStream && c.client:
 		return &ConnError{ProtocolError, f.Stream, "a server may open no stream"}
-	case !mine && c.streams[f.Stream] == nil && f.Stream <= c.lastPeerID:
+	case !ownStream && c.streams[f.Stream] == nil && f.Stream <= c.lastPeerID:
 		return &ConnError{StreamClosed, f.Stream, "HEADERS on a closed stream"}
 	}
-	c.block = append(c.block[:0], p...)
-	c.blockFrom, c.blockParts, c.blockSince = f, 1, c.now
+	c.headerBlock = append(c.headerBlock[:0], p...)
+	c.blockFrame, c.blockFrameCount, c.blockStart = f, 1, c.now
 	if f.Flags&FlagEndHeaders == 0 {
 		c.inBlock = true
 		return nil
 	}
-	return c.section()
+	return c.handleHeaderBlock()
 }
 
 func (c *Conn) onContinuation(f Frame) error {
 	if !c.inBlock {
 		return &ConnError{ProtocolError, f.Stream, "CONTINUATION without HEADERS"}
 	}
-	c.blockParts++
+	c.blockFrameCount++
 	// Guards against CONTINUATION floods: empty ones, and blocks far above any header section that is allowed.
-	if len(c.block)+len(f.Payload) > 2*c.cfg.MaxHeaderList+defaultFrameSize || c.blockParts > 64 {
+	if len(c.headerBlock)+len(f.Payload) > 2*c.cfg.MaxHeaderList+defaultFrameSize || c.blockFrameCount > 64 {
 		return &ConnError{EnhanceYourCalm, f.Stream, "header block without end"}
 	}
-	c.block = append(c.block, f.Payload...)
+	c.headerBlock = append(c.headerBlock, f.Payload...)
 	if f.Flags&FlagEndHeaders == 0 {
 		return nil
 	}
 	c.inBlock = false
-	return c.section()
+	return c.handleHeaderBlock()
 }
 
-func (c *Conn) emit(f hpack.HeaderField) {
-	if c.listSize += fieldSize(f); c.listSize <= c.cfg.MaxHeaderList {
+func (c *Conn) addField(f hpack.HeaderField) {
+	if c.headerListSize += fieldSize(f); c.headerListSize <= c.cfg.MaxHeaderList {
 		c.fields = append(c.fields, f)
 	}
 }
 
-// section decodes a whole header block and gives it to its stream.
-func (c *Conn) section() error {
-	f := c.blockFrom
-	c.fields, c.listSize = nil, 0
-	if _, err := c.dec.Write(c.block); err != nil {
+// handleHeaderBlock decodes a whole header block and gives it to its stream.
+func (c *Conn) handleHeaderBlock() error {
+	f := c.blockFrame
+	c.fields, c.headerListSize = nil, 0
+	if _, err := c.decoder.Write(c.headerBlock); err != nil {
 		return &ConnError{CompressionError, f.Stream, err.Error()}
 	}
-	if err := c.dec.Close(); err != nil {
+	if err := c.decoder.Close(); err != nil {
 		return &ConnError{CompressionError, f.Stream, err.Error()}
 	}
-	if cap(c.block) > 2*defaultFrameSize {
-		c.block = nil
+	if cap(c.headerBlock) > 2*defaultFrameSize {
+		c.headerBlock = nil
 	}
 	end := f.Flags&FlagEndStream != 0
 	s := c.streams[f.Stream]
 	if s == nil {
 		if c.client { // reset by us a moment ago
-			return c.spend(0.25, "HEADERS on closed streams", f.Stream)
+			return c.chargeAbuse(0.25, "HEADERS on closed streams", f.Stream)
 		}
-		return c.newPeerStream(f.Stream, end)
+		return c.openPeerStream(f.Stream, end)
 	}
-	if s.gotEnd {
+	if s.endReceived {
 		return c.streamError(s, StreamClosed, "HEADERS after END_STREAM")
 	}
-	return c.more(s, end)
+	return c.handleFurtherHeaders(s, end)
 }
 
-func (c *Conn) newPeerStream(id uint32, end bool) error {
+func (c *Conn) openPeerStream(id uint32, end bool) error {
 	c.lastPeerID = id
-	if c.closing { // RFC 9113 section 6.8: streams after our GOAWAY are not worked on
+	if c.goAwaySent { // RFC 9113 section 6.8: streams after our GOAWAY are not worked on
 		return nil
 	}
 	if c.peerOpen >= int(c.cfg.MaxStreams) {
-		c.rst(id, RefusedStream)
-		return c.spend(1, "streams above the limit", id)
+		c.writeReset(id, RefusedStream)
+		return c.chargeAbuse(1, "streams above the limit", id)
 	}
-	s := &stream{id: id, sendWin: c.peerWindow, recvWin: int64(c.cfg.StreamWindow), length: -1, gotHeaders: true, opened: c.now}
+	s := &stream{id: id, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, headersReceived: true, opened: c.now}
 	c.streams[id] = s
 	c.peerOpen++
-	if c.listSize > c.cfg.MaxHeaderList {
-		s.tooBig = true
+	if c.headerListSize > c.cfg.MaxHeaderList {
+		s.headersTooLarge = true
 		c.events = append(c.events, Event{Kind: HeadersTooLarge, Stream: id, End: end})
 	} else {
-		n, err := fieldRules(c.fields, true, false)
+		n, err := validateFields(c.fields, true, false)
 		if err == nil && end && n > 0 {
 			err = errors.New("content-length without a body")
 		}
 		if err != nil {
 			return c.streamError(s, ProtocolError, err.Error())
 		}
-		s.length = n
+		s.contentLength = n
 		c.events = append(c.events, Event{Kind: Headers, Stream: id, Fields: c.fields, End: end})
 	}
 	if end {
-		c.ended(s)
+		c.handleEndStream(s)
 	}
 	return nil
 }
 
-// more takes a further section on an open stream: a response, a 1xx or trailers.
-func (c *Conn) more(s *stream, end bool) error {
-	if c.listSize > c.cfg.MaxHeaderList {
+// handleFurtherHeaders takes a further section on an open stream: a response, a 1xx or trailers.
+func (c *Conn) handleFurtherHeaders(s *stream, end bool) error {
+	if c.headerListSize > c.cfg.MaxHeaderList {
 		return c.streamError(s, EnhanceYourCalm, "header section too large")
 	}
-	trailers := s.gotHeaders
-	n, err := fieldRules(c.fields, false, trailers)
+	trailers := s.headersReceived
+	n, err := validateFields(c.fields, false, trailers)
 	if err != nil {
 		return c.streamError(s, ProtocolError, err.Error())
 	}
@@ -555,11 +555,11 @@
 		if !end {
 			return c.streamError(s, ProtocolError, "trailers without END_STREAM")
 		}
-		if s.length >= 0 && s.got != s.length {
+		if s.contentLength >= 0 && s.bodyReceived != s.contentLength {
 			return c.streamError(s, ProtocolError, "body does not match content-length")
 		}
 		c.events = append(c.events, Event{Kind: Trailers, Stream: s.id, Fields: c.fields, End: true})
-		c.ended(s)
+		c.handleEndStream(s)
 		return nil
 	}
 	if Value(c.fields, ":status")[0] == '1' {
@@ -567,16 +567,16 @@
 			return c.streamError(s, ProtocolError, "1xx with END_STREAM")
 		}
 		c.events = append(c.events, Event{Kind: Informational, Stream: s.id, Fields: c.fields})
-		return c.spend(0.5, "1xx sections", s.id)
+		return c.chargeAbuse(0.5, "1xx sections", s.id)
 	}
-	s.gotHeaders = true
-	s.length = n
+	s.headersReceived = true
+	s.contentLength = n
 	if end && n > 0 {
 		return c.streamError(s, ProtocolError, "content-length without a body")
 	}
 	c.events = append(c.events, Event{Kind: Headers, Stream: s.id, Fields: c.fields, End: end})
 	if end {
-		c.ended(s)
+		c.handleEndStream(s)
 	}
 	return nil
 }
@@ -588,26 +588,26 @@
 	if len(f.Payload) != 5 {
 		return &ConnError{FrameSizeError, f.Stream, "PRIORITY of a wrong size"}
 	}
-	return c.spend(1, "PRIORITY", f.Stream)
+	return c.chargeAbuse(1, "PRIORITY", f.Stream)
 }
 
 func (c *Conn) onReset(f Frame) error {
 	if len(f.Payload) != 4 {
 		return &ConnError{FrameSizeError, f.Stream, "RST_STREAM of a wrong size"}
 	}
-	if f.Stream == 0 || c.idle(f.Stream) {
+	if f.Stream == 0 || c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "RST_STREAM on an idle stream"}
 	}
 	s := c.streams[f.Stream]
 	if s == nil {
-		return c.spend(0.25, "RST_STREAM on closed streams", f.Stream)
+		return c.chargeAbuse(0.25, "RST_STREAM on closed streams", f.Stream)
 	}
-	c.drop(s)
+	c.removeStream(s)
 	c.events = append(c.events, Event{Kind: StreamReset, Stream: s.id, Code: ErrCode(binary.BigEndian.Uint32(f.Payload))})
 	if c.client {
 		return nil
 	}
-	return c.spend(1, "streams reset by the peer (rapid reset)", f.Stream)
+	return c.chargeAbuse(1, "streams reset by the peer (rapid reset)", f.Stream)
 }
 
 func (c *Conn) onSettings(f Frame) error {
@@ -618,25 +618,25 @@
 		if len(f.Payload) != 0 {
 			return &ConnError{FrameSizeError, 0, "SETTINGS ack with a payload"}
 		}
-		c.acked = true
-		return c.spend(1, "SETTINGS acks", 0)
+		c.settingsAcked = true
+		return c.chargeAbuse(1, "SETTINGS acks", 0)
 	}
 	if len(f.Payload)%6 != 0 {
 		return &ConnError{FrameSizeError, 0, "SETTINGS of a wrong size"}
 	}
-	if c.settled {
-		if err := c.spend(2, "SETTINGS", 0); err != nil {
+	if c.settingsReceived {
+		if err := c.chargeAbuse(2, "SETTINGS", 0); err != nil {
 			return err
 		}
 	}
 	for p := f.Payload; len(p) > 0; p = p[6:] {
-		if err := c.setting(SettingID(binary.BigEndian.Uint16(p)), binary.BigEndian.Uint32(p[2:])); err != nil {
+		if err := c.applySetting(SettingID(binary.BigEndian.Uint16(p)), binary.BigEndian.Uint32(p[2:])); err != nil {
 			return err
 		}
 	}
-	c.out = AppendFrame(c.out, FrameSettings, FlagAck, 0, nil)
-	if !c.settled {
-		c.settled = true
+	c.writeBuf = AppendFrame(c.writeBuf, FrameSettings, FlagAck, 0, nil)
+	if !c.settingsReceived {
+		c.settingsReceived = true
 		c.events = append(c.events, Event{Kind: Ready})
 	} else {
 		c.events = append(c.events, Event{Kind: SettingsChanged})
@@ -644,35 +644,35 @@
 	return nil
 }
 
-func (c *Conn) setting(id SettingID, v uint32) error {
+func (c *Conn) applySetting(id SettingID, v uint32) error {
 	switch id {
 	case SettingHeaderTableSize:
-		c.enc.SetMaxDynamicTableSizeLimit(min(v, 4096))
+		c.encoder.SetMaxDynamicTableSizeLimit(min(v, 4096))
 	case SettingEnablePush:
 		if v > 1 || v == 1 && c.client {
 			return &ConnError{ProtocolError, 0, fmt.Sprintf("SETTINGS_ENABLE_PUSH %d", v)}
 		}
 	case SettingMaxConcurrentStreams:
-		c.peerStreams = v
+		c.peerMaxStreams = v
 	case SettingInitialWindowSize:
-		if v > largestWindow {
+		if v > maxWindow {
 			return &ConnError{FlowControlError, 0, fmt.Sprintf("SETTINGS_INITIAL_WINDOW_SIZE %d", v)}
 		}
-		change := int64(v) - c.peerWindow
-		c.peerWindow = int64(v)
+		change := int64(v) - c.peerInitialWindow
+		c.peerInitialWindow = int64(v)
 		for _, s := range c.streams {
-			if s.sendWin += change; s.sendWin > largestWindow {
+			if s.sendWindow += change; s.sendWindow > maxWindow {
 				return &ConnError{FlowControlError, s.id, "window above its largest size"}
 			}
 		}
-		c.flush()
+		c.flushBodies()
 	case SettingMaxFrameSize:
-		if v < defaultFrameSize || v > largestFrameSize {
+		if v < defaultFrameSize || v > maxFrameSize {
 			return &ConnError{ProtocolError, 0, fmt.Sprintf("SETTINGS_MAX_FRAME_SIZE %d", v)}
 		}
-		c.peerFrame = int(min(v, 1<<16))
+		c.peerMaxFrameSize = int(min(v, 1<<16))
 	case SettingMaxHeaderListSize:
-		c.peerList = int(min(v, 1<<30))
+		c.peerMaxHeaderList = int(min(v, 1<<30))
 	}
 	return nil
 }
@@ -685,10 +685,10 @@
 		return &ConnError{FrameSizeError, 0, "PING of a wrong size"}
 	}
 	if f.Flags&FlagAck != 0 {
-		return c.spend(1, "PING acks", 0) // we send no PING
+		return c.chargeAbuse(1, "PING acks", 0) // we send no PING
 	}
-	c.out = AppendFrame(c.out, FramePing, FlagAck, 0, f.Payload)
-	return c.spend(1, "PING", 0)
+	c.writeBuf = AppendFrame(c.writeBuf, FramePing, FlagAck, 0, f.Payload)
+	return c.chargeAbuse(1, "PING", 0)
 }
 
 func (c *Conn) onGoAway(f Frame) error {
@@ -698,50 +698,50 @@
 	if len(f.Payload) < 8 {
 		return &ConnError{FrameSizeError, 0, "GOAWAY of a wrong size"}
 	}
-	last := binary.BigEndian.Uint32(f.Payload) & largestWindow
-	if c.peerAway && last > c.peerLast {
+	last := binary.BigEndian.Uint32(f.Payload) & maxWindow
+	if c.goAwayReceived && last > c.peerLastStream {
 		return &ConnError{ProtocolError, 0, "GOAWAY with a rising last stream"}
 	}
-	c.peerAway, c.peerLast = true, last
+	c.goAwayReceived, c.peerLastStream = true, last
 	c.events = append(c.events, Event{Kind: GoAwayReceived, LastStream: last, Code: ErrCode(binary.BigEndian.Uint32(f.Payload[4:]))})
 	if c.client {
 		for id, s := range c.streams {
 			if id > last {
-				c.drop(s)
+				c.removeStream(s)
 			}
 		}
 	}
-	return c.spend(1, "GOAWAY", 0)
+	return c.chargeAbuse(1, "GOAWAY", 0)
 }
 
 func (c *Conn) onWindowUpdate(f Frame) error {
 	if len(f.Payload) != 4 {
 		return &ConnError{FrameSizeError, f.Stream, "WINDOW_UPDATE of a wrong size"}
 	}
-	n := int64(binary.BigEndian.Uint32(f.Payload) & largestWindow)
+	n := int64(binary.BigEndian.Uint32(f.Payload) & maxWindow)
 	if f.Stream == 0 {
 		if n == 0 {
 			return &ConnError{ProtocolError, 0, "WINDOW_UPDATE of 0"}
 		}
-		if c.sendWin += n; c.sendWin > largestWindow {
+		if c.sendWindow += n; c.sendWindow > maxWindow {
 			return &ConnError{FlowControlError, 0, "window above its largest size"}
 		}
-		c.flush()
-		return c.spend(0.1, "WINDOW_UPDATE", 0)
+		c.flushBodies()
+		return c.chargeAbuse(0.1, "WINDOW_UPDATE", 0)
 	}
-	if c.idle(f.Stream) {
+	if c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "WINDOW_UPDATE on an idle stream"}
 	}
 	s := c.streams[f.Stream]
 	if s == nil {
-		return c.spend(0.1, "WINDOW_UPDATE", f.Stream)
+		return c.chargeAbuse(0.1, "WINDOW_UPDATE", f.Stream)
 	}
 	if n == 0 {
 		return c.streamError(s, ProtocolError, "WINDOW_UPDATE of 0")
 	}
-	if s.sendWin += n; s.sendWin > largestWindow {
+	if s.sendWindow += n; s.sendWindow > maxWindow {
 		return c.streamError(s, FlowControlError, "window above its largest size")
 	}
-	c.flush()
-	return c.spend(0.1, "WINDOW_UPDATE", f.Stream)
+	c.flushBodies()
+	return c.chargeAbuse(0.1, "WINDOW_UPDATE", f.Stream)
 }
--- a/internal/h2/fields.go
+++ b/internal/h2/fields.go
@@ -35,9 +35,9 @@
 // fieldSize is what a field counts for SETTINGS_MAX_HEADER_LIST_SIZE (RFC 9113 section 6.5.2).
 func fieldSize(f Field) int { return len(f.Name) + len(f.Value) + 32 }
 
-// fieldRules checks the rules for a header section (RFC 9113 sections 8.2 and 8.3) and returns the content-length
+// validateFields checks the rules for a header section (RFC 9113 sections 8.2 and 8.3) and returns the content-length
 // it states, or -1.
-func fieldRules(fields []Field, request, trailers bool) (length int64, err error) {
+func validateFields(fields []Field, request, trailers bool) (length int64, err error) {
 	length = -1
 	pseudo := map[string]string{}
 	regular := false
@@ -50,12 +50,12 @@
 				return -1, fmt.Errorf("pseudo-header %s twice", f.Name)
 			}
 			pseudo[f.Name] = f.Value
-			if !knownPseudo(f.Name, request) {
+			if !isKnownPseudo(f.Name, request) {
 				return -1, fmt.Errorf("pseudo-header %q not defined here", f.Name)
 			}
 		} else {
 			regular = true
-			if err := regularField(f); err != nil {
+			if err := validateRegularField(f); err != nil {
 				return -1, err
 			}
 			if f.Name == "content-length" && !trailers {
@@ -66,24 +66,24 @@
 				length = int64(n)
 			}
 		}
-		if !valueOK(f.Value) {
+		if !isValidValue(f.Value) {
 			return -1, fmt.Errorf("field %s: forbidden byte in its value", f.Name)
 		}
 	}
 	if trailers {
 		return length, nil
 	}
-	return length, pseudoRules(pseudo, request)
+	return length, validatePseudoFields(pseudo, request)
 }
 
-func knownPseudo(name string, request bool) bool {
+func isKnownPseudo(name string, request bool) bool {
 	if request {
 		return name == ":method" || name == ":scheme" || name == ":path" || name == ":authority"
 	}
 	return name == ":status"
 }
 
-func pseudoRules(pseudo map[string]string, request bool) error {
+func validatePseudoFields(pseudo map[string]string, request bool) error {
 	if !request {
 		if s := pseudo[":status"]; len(s) != 3 || s[0] < '1' || s[0] > '5' || s[1] < '0' || s[1] > '9' || s[2] < '0' || s[2] > '9' {
 			return fmt.Errorf(":status %q", s)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func regularField(f Field) error {
+func validateRegularField(f Field) error {
 	if f.Name == "" {
 		return errors.New("field without a name")
 	}
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func valueOK(v string) bool {
+func isValidValue(v string) bool {
 	if v == "" {
 		return true
 	}
--- a/internal/h2/frame.go
+++ b/internal/h2/frame.go
@@ -87,9 +87,9 @@
 const (
 	frameHeaderLen   = 9
 	defaultFrameSize = 16384
-	largestFrameSize = 1<<24 - 1
+	maxFrameSize     = 1<<24 - 1
 	defaultWindow    = 65535
-	largestWindow    = 1<<31 - 1
+	maxWindow        = 1<<31 - 1
 )
 
 // Frame is one frame; Payload is not copied.
@@ -113,14 +113,14 @@
 
 // ParseFrame reads one frame from the start of p. It returns the bytes used, or 0 where p holds no whole frame; a
 // frame longer than most is an error.
-func ParseFrame(p []byte, most int) (Frame, int, error) {
+func ParseFrame(p []byte, maxSize int) (Frame, int, error) {
 	if len(p) < frameHeaderLen {
 		return Frame{}, 0, nil
 	}
 	size := int(p[0])<<16 | int(p[1])<<8 | int(p[2])
-	f := Frame{Type: FrameType(p[3]), Flags: p[4], Stream: binary.BigEndian.Uint32(p[5:]) & largestWindow}
-	if size > most {
-		return f, 0, &ConnError{FrameSizeError, f.Stream, fmt.Sprintf("frame of %d bytes, %d are allowed", size, most)}
+	f := Frame{Type: FrameType(p[3]), Flags: p[4], Stream: binary.BigEndian.Uint32(p[5:]) & maxWindow}
+	if size > maxSize {
+		return f, 0, &ConnError{FrameSizeError, f.Stream, fmt.Sprintf("frame of %d bytes, %d are allowed", size, maxSize)}
 	}
 	if len(p) < frameHeaderLen+size {
 		return Frame{}, 0, nil
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 )
 
-var get = []Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/p"}}
+var postRequest = []Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/p"}}
 
-// block encodes fields as a peer without a dynamic table would.
-func block(fields ...Field) []byte {
+// encodeBlock encodes fields as a peer without a dynamic table would.
+func encodeBlock(fields ...Field) []byte {
 	var b bytes.Buffer
 	e := hpack.NewEncoder(&b)
 	e.SetMaxDynamicTableSize(0)
@@ -27,18 +27,18 @@
 	return b.Bytes()
 }
 
-// hello is what a client sends first.
-func hello() []byte { return AppendFrame([]byte(Preface), FrameSettings, 0, 0, nil) }
+// clientPreface is what a client sends first.
+func clientPreface() []byte { return AppendFrame([]byte(Preface), FrameSettings, 0, 0, nil) }
 
 func u32(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 
-// serve feeds a new server connection and returns what came of it.
-func serve(t *testing.T, cfg Config, in ...[]byte) (*Conn, []Event, error) {
+// feedServer feeds a new server connection and returns what came of it.
+func feedServer(t *testing.T, cfg Config, in ...[]byte) (*Conn, []Event, error) {
 	t.Helper()
 	c := NewServer(cfg, 0)
 	c.Output()
 	var all []Event
-	for _, p := range append([][]byte{hello()}, in...) {
+	for _, p := range append([][]byte{clientPreface()}, in...) {
 		events, err := c.Receive(time.Millisecond, p)
 		for _, e := range events {
 			e.Data = bytes.Clone(e.Data)
@@ -56,7 +56,7 @@
 }
 
 func headers(stream uint32, flags uint8, fields ...Field) []byte {
-	return frame(FrameHeaders, FlagEndHeaders|flags, stream, block(fields...))
+	return frame(FrameHeaders, FlagEndHeaders|flags, stream, encodeBlock(fields...))
 }
 
 // What ends a connection, and with which code (RFC 9113).
@@ -70,9 +70,9 @@
 		{"frame too long", FrameSizeError, [][]byte{{0xff, 0xff, 0xff, 0, 0, 0, 0, 0, 1}}},
 		{"DATA on stream 0", ProtocolError, [][]byte{frame(FrameData, 0, 0, nil)}},
 		{"DATA on an idle stream", ProtocolError, [][]byte{frame(FrameData, 0, 1, nil)}},
-		{"HEADERS on stream 0", ProtocolError, [][]byte{headers(0, 0, get...)}},
-		{"even stream from a client", ProtocolError, [][]byte{headers(2, 0, get...)}},
-		{"closed stream again", StreamClosed, [][]byte{headers(3, FlagEndStream, get...), headers(1, 0, get...)}},
+		{"HEADERS on stream 0", ProtocolError, [][]byte{headers(0, 0, postRequest...)}},
+		{"even stream from a client", ProtocolError, [][]byte{headers(2, 0, postRequest...)}},
+		{"closed stream again", StreamClosed, [][]byte{headers(3, FlagEndStream, postRequest...), headers(1, 0, postRequest...)}},
 		{"depends on itself", ProtocolError, [][]byte{frame(FrameHeaders, FlagEndHeaders|FlagPriority, 1, append(u32(1), 0))}},
 		{"padding too long", ProtocolError, [][]byte{frame(FrameHeaders, FlagEndHeaders|FlagPadded, 1, []byte{9, 1})}},
 		{"CONTINUATION alone", ProtocolError, [][]byte{frame(FrameContinuation, 0, 1, nil)}},
@@ -94,13 +94,13 @@
 		{"window above 2^31-1", FlowControlError, [][]byte{frame(FrameWindowUpdate, 0, 0, u32(1<<31-1))}},
 		{"PING flood", EnhanceYourCalm, repeat(300, frame(FramePing, 0, 0, make([]byte, 8)))},
 		{"SETTINGS flood", EnhanceYourCalm, repeat(300, frame(FrameSettings, 0, 0, nil))},
-		{"empty DATA flood", EnhanceYourCalm, append([][]byte{headers(1, 0, get...)}, repeat(300, frame(FrameData, 0, 1, nil))...)},
+		{"empty DATA flood", EnhanceYourCalm, append([][]byte{headers(1, 0, postRequest...)}, repeat(300, frame(FrameData, 0, 1, nil))...)},
 		{"CONTINUATION flood", EnhanceYourCalm, append([][]byte{frame(FrameHeaders, 0, 1, nil)}, repeat(100, frame(FrameContinuation, 0, 1, nil))...)},
 		{"header bomb", EnhanceYourCalm, append([][]byte{frame(FrameHeaders, 0, 1, nil)}, repeat(10, frame(FrameContinuation, 0, 1, []byte(long[:16000])))...)},
 		{"rapid reset", EnhanceYourCalm, rapidReset(300)},
 		{"unknown frame flood", EnhanceYourCalm, repeat(300, frame(77, 0, 0, nil))},
 	} {
-		conn, _, err := serve(t, Config{}, c.in...)
+		conn, _, err := feedServer(t, Config{}, c.in...)
 		var ce *ConnError
 		if !errors.As(err, &ce) || ce.Code != c.code {
 			t.Errorf("%s: got %v, want %v", c.name, err, c.code)
@@ -125,21 +125,21 @@
 func rapidReset(n int) (all [][]byte) {
 	for i := range n {
 		id := uint32(2*i + 1)
-		all = append(all, headers(id, FlagEndStream, get...), frame(FrameRSTStream, 0, id, u32(uint32(Cancel))))
+		all = append(all, headers(id, FlagEndStream, postRequest...), frame(FrameRSTStream, 0, id, u32(uint32(Cancel))))
 	}
 	return all
 }
 
 // What ends a stream and leaves the connection.
 func TestStreamErrors(t *testing.T) {
-	with := func(f ...Field) []Field { return append(append([]Field(nil), get...), f...) }
+	with := func(f ...Field) []Field { return append(append([]Field(nil), postRequest...), f...) }
 	for _, c := range []struct {
 		name string
 		code ErrCode
 		in   [][]byte
 	}{
-		{"no path", ProtocolError, [][]byte{headers(1, 0, get[:2]...)}},
-		{"pseudo after regular", ProtocolError, [][]byte{headers(1, 0, append([]Field{{Name: "a", Value: "b"}}, get...)...)}},
+		{"no path", ProtocolError, [][]byte{headers(1, 0, postRequest[:2]...)}},
+		{"pseudo after regular", ProtocolError, [][]byte{headers(1, 0, append([]Field{{Name: "a", Value: "b"}}, postRequest...)...)}},
 		{"pseudo twice", ProtocolError, [][]byte{headers(1, 0, with(Field{Name: ":path", Value: "/"})...)}},
 		{"status in a request", ProtocolError, [][]byte{headers(1, 0, with(Field{Name: ":status", Value: "200"})...)}},
 		{"connection field", ProtocolError, [][]byte{headers(1, 0, with(Field{Name: "connection", Value: "close"})...)}},
@@ -150,17 +150,17 @@
 		{"body too short", ProtocolError, [][]byte{headers(1, 0, with(Field{Name: "content-length", Value: "3"})...), frame(FrameData, FlagEndStream, 1, []byte("ab"))}},
 		{"body too long", ProtocolError, [][]byte{headers(1, 0, with(Field{Name: "content-length", Value: "1"})...), frame(FrameData, 0, 1, []byte("ab"))}},
 		{"two lengths", ProtocolError, [][]byte{headers(1, 0, with(Field{Name: "content-length", Value: "1"}, Field{Name: "content-length", Value: "2"})...)}},
-		{"DATA after the end", StreamClosed, [][]byte{headers(1, FlagEndStream, get...), frame(FrameData, 0, 1, []byte("a"))}},
-		{"trailers without an end", ProtocolError, [][]byte{headers(1, 0, get...), headers(1, 0, Field{Name: "a", Value: "b"})}},
-		{"pseudo in trailers", ProtocolError, [][]byte{headers(1, 0, get...), headers(1, FlagEndStream, get...)}},
-		{"beyond the window", FlowControlError, [][]byte{headers(1, 0, get...), frame(FrameData, 0, 1, make([]byte, 8000)), frame(FrameData, 0, 1, make([]byte, 8000))}},
-		{"window update 0", ProtocolError, [][]byte{headers(1, 0, get...), frame(FrameWindowUpdate, 0, 1, u32(0))}},
+		{"DATA after the end", StreamClosed, [][]byte{headers(1, FlagEndStream, postRequest...), frame(FrameData, 0, 1, []byte("a"))}},
+		{"trailers without an end", ProtocolError, [][]byte{headers(1, 0, postRequest...), headers(1, 0, Field{Name: "a", Value: "b"})}},
+		{"pseudo in trailers", ProtocolError, [][]byte{headers(1, 0, postRequest...), headers(1, FlagEndStream, postRequest...)}},
+		{"beyond the window", FlowControlError, [][]byte{headers(1, 0, postRequest...), frame(FrameData, 0, 1, make([]byte, 8000)), frame(FrameData, 0, 1, make([]byte, 8000))}},
+		{"window update 0", ProtocolError, [][]byte{headers(1, 0, postRequest...), frame(FrameWindowUpdate, 0, 1, u32(0))}},
 	} {
 		cfg := Config{}
 		if c.name == "beyond the window" {
 			cfg.StreamWindow = 15000
 		}
-		conn, events, err := serve(t, cfg, c.in...)
+		conn, events, err := feedServer(t, cfg, c.in...)
 		last := events[len(events)-1]
 		if cfg.StreamWindow > 0 && err == nil && last.Kind == Data { // half of the window was given back meanwhile
 			continue
@@ -176,7 +176,7 @@
 
 // Streams above the limit are refused, so that their senders know that they have not run.
 func TestStreamLimitRefuses(t *testing.T) {
-	c, _, err := serve(t, Config{MaxStreams: 1}, headers(1, 0, get...), headers(3, 0, get...))
+	c, _, err := feedServer(t, Config{MaxStreams: 1}, headers(1, 0, postRequest...), headers(3, 0, postRequest...))
 	if err != nil || c.OpenStreams() != 1 {
 		t.Fatal(c.OpenStreams(), err)
 	}
@@ -186,7 +186,7 @@
 }
 
 func TestTooLargeHeaderSection(t *testing.T) {
-	c, events, err := serve(t, Config{MaxHeaderList: 1024}, headers(1, FlagEndStream, append(append([]Field(nil), get...),
+	c, events, err := feedServer(t, Config{MaxHeaderList: 1024}, headers(1, FlagEndStream, append(append([]Field(nil), postRequest...),
 		Field{Name: "a", Value: strings.Repeat("b", 900)}, Field{Name: "c", Value: strings.Repeat("d", 900)})...))
 	if last := events[len(events)-1]; err != nil || last.Kind != HeadersTooLarge {
 		t.Fatal(last, err)
@@ -202,12 +202,12 @@
 	if err := c.Check(6 * time.Second); err == nil {
 		t.Error("no preface for 6 s is well")
 	}
-	c, _, _ = serve(t, Config{}, frame(FrameSettings, FlagAck, 0, nil), frame(FrameHeaders, 0, 1, nil))
+	c, _, _ = feedServer(t, Config{}, frame(FrameSettings, FlagAck, 0, nil), frame(FrameHeaders, 0, 1, nil))
 	if err := c.Check(11 * time.Second); err == nil {
 		t.Error("a header section without an end for 11 s is well")
 	}
-	c, _, _ = serve(t, Config{}, frame(FrameSettings, FlagAck, 0, nil),
-		frame(FrameSettings, 0, 0, appendSetting(nil, SettingInitialWindowSize, 0)), headers(1, FlagEndStream, get...))
+	c, _, _ = feedServer(t, Config{}, frame(FrameSettings, FlagAck, 0, nil),
+		frame(FrameSettings, 0, 0, appendSetting(nil, SettingInitialWindowSize, 0)), headers(1, FlagEndStream, postRequest...))
 	_ = c.Respond(time.Second, 1, []Field{{Name: ":status", Value: "200"}}, []byte("held back"))
 	if err := c.Check(5 * time.Second); err != nil {
 		t.Error(err)
@@ -217,8 +217,8 @@
 	}
 }
 
-// pipe carries bytes between a client and a server until nothing moves.
-func pipe(t testing.TB, cl, sv *Conn, chunk int) (toClient, toServer []Event) {
+// exchange carries bytes between a client and a server until nothing moves.
+func exchange(t testing.TB, client, server *Conn, chunk int) (toClient, toServer []Event) {
 	keep := func(into *[]Event, events []Event) {
 		for _, e := range events {
 			e.Data = bytes.Clone(e.Data)
@@ -238,7 +238,7 @@
 		}
 		return len(out) > 0
 	}
-	for send(cl, sv, &toServer) || send(sv, cl, &toClient) {
+	for send(client, server, &toServer) || send(server, client, &toClient) {
 	}
 	return toClient, toServer
 }
@@ -255,27 +255,27 @@
 			chunk = max(chunk, 500) // or it takes forever
 			window = max(window, 500)
 		}
-		cl, sv := NewClient(Config{AbuseBurst: 1e6}, 0), NewServer(Config{StreamWindow: window, AbuseBurst: 1e6}, 0)
-		pipe(t, cl, sv, chunk)
-		id, err := cl.Request(0, append(get[:3:3], Field{Name: "x", Value: value}, Field{Name: "content-length", Value: fmt.Sprint(len(body))}), body)
+		client, server := NewClient(Config{AbuseBurst: 1e6}, 0), NewServer(Config{StreamWindow: window, AbuseBurst: 1e6}, 0)
+		exchange(t, client, server, chunk)
+		id, err := client.Request(0, append(postRequest[:3:3], Field{Name: "x", Value: value}, Field{Name: "content-length", Value: fmt.Sprint(len(body))}), body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, got := pipe(t, cl, sv, chunk)
-		if joined := join(got); !bytes.Equal(joined, body) || Value(got[0].Fields, "x") != value && got[0].Kind == Headers {
+		_, got := exchange(t, client, server, chunk)
+		if joined := joinData(got); !bytes.Equal(joined, body) || Value(got[0].Fields, "x") != value && got[0].Kind == Headers {
 			t.Fatalf("%d bytes arrived of %d", len(joined), len(body))
 		}
-		if err := sv.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, answer); err != nil {
+		if err := server.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, answer); err != nil {
 			t.Fatal(err)
 		}
-		back, _ := pipe(t, cl, sv, chunk)
-		if !bytes.Equal(join(back), answer) || cl.OpenStreams() != 0 || sv.OpenStreams() != 0 {
-			t.Fatalf("answer of %d bytes, %d came; open: %d, %d", len(answer), len(join(back)), cl.OpenStreams(), sv.OpenStreams())
+		back, _ := exchange(t, client, server, chunk)
+		if !bytes.Equal(joinData(back), answer) || client.OpenStreams() != 0 || server.OpenStreams() != 0 {
+			t.Fatalf("answer of %d bytes, %d came; open: %d, %d", len(answer), len(joinData(back)), client.OpenStreams(), server.OpenStreams())
 		}
 	})
 }
 
-func join(events []Event) (b []byte) {
+func joinData(events []Event) (b []byte) {
 	for _, e := range events {
 		if e.Kind == Data {
 			b = append(b, e.Data...)
@@ -286,55 +286,55 @@
 
 // GOAWAY names the last stream worked on; those above it can go elsewhere, those below run on.
 func TestGoAwayKeepsWhatIsOut(t *testing.T) {
-	cl, sv := NewClient(Config{}, 0), NewServer(Config{}, 0)
-	pipe(t, cl, sv, 1000)
-	first, _ := cl.Request(0, get, nil)
-	pipe(t, cl, sv, 1000)
-	second, _ := cl.Request(0, get, nil) // crosses the GOAWAY
-	sv.GoAway(0, NoError)
-	toClient, _ := pipe(t, cl, sv, 1000)
+	client, server := NewClient(Config{}, 0), NewServer(Config{}, 0)
+	exchange(t, client, server, 1000)
+	first, _ := client.Request(0, postRequest, nil)
+	exchange(t, client, server, 1000)
+	second, _ := client.Request(0, postRequest, nil) // crosses the GOAWAY
+	server.GoAway(0, NoError)
+	toClient, _ := exchange(t, client, server, 1000)
 	if e := toClient[0]; e.Kind != GoAwayReceived || e.LastStream != first {
 		t.Fatal(e)
 	}
-	if cl.IsOpen(second) || !cl.IsOpen(first) || cl.AvailableStreams() != 0 {
-		t.Error("streams after GOAWAY:", cl.IsOpen(first), cl.IsOpen(second), cl.AvailableStreams())
+	if client.IsOpen(second) || !client.IsOpen(first) || client.AvailableStreams() != 0 {
+		t.Error("streams after GOAWAY:", client.IsOpen(first), client.IsOpen(second), client.AvailableStreams())
 	}
-	if err := sv.Respond(0, first, []Field{{Name: ":status", Value: "201"}}, nil); err != nil {
+	if err := server.Respond(0, first, []Field{{Name: ":status", Value: "201"}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	pipe(t, cl, sv, 1000)
-	if !cl.Done() || !sv.Done() {
+	exchange(t, client, server, 1000)
+	if !client.Done() || !server.Done() {
 		t.Error("not done after the last answer")
 	}
 }
 
 // A stream limit that falls under what is open leaves no room until enough has ended.
 func TestLimitFalls(t *testing.T) {
-	cl, sv := NewClient(Config{}, 0), NewServer(Config{MaxStreams: 10}, 0)
-	pipe(t, cl, sv, 1000)
+	client, server := NewClient(Config{}, 0), NewServer(Config{MaxStreams: 10}, 0)
+	exchange(t, client, server, 1000)
 	for range 3 {
-		_, _ = cl.Request(0, get, nil)
+		_, _ = client.Request(0, postRequest, nil)
 	}
-	pipe(t, cl, sv, 1000)
-	sv.SetMaxStreams(0, 1)
-	pipe(t, cl, sv, 1000)
-	if cl.AvailableStreams() != 0 || cl.OpenStreams() != 3 {
-		t.Fatal(cl.AvailableStreams(), cl.OpenStreams())
+	exchange(t, client, server, 1000)
+	server.SetMaxStreams(0, 1)
+	exchange(t, client, server, 1000)
+	if client.AvailableStreams() != 0 || client.OpenStreams() != 3 {
+		t.Fatal(client.AvailableStreams(), client.OpenStreams())
 	}
 	for _, id := range []uint32{1, 3, 5} {
-		_ = sv.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, nil)
+		_ = server.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, nil)
 	}
-	pipe(t, cl, sv, 1000)
-	if cl.AvailableStreams() != 1 {
-		t.Error("room:", cl.AvailableStreams())
+	exchange(t, client, server, 1000)
+	if client.AvailableStreams() != 1 {
+		t.Error("room:", client.AvailableStreams())
 	}
 }
 
 func FuzzServer(f *testing.F) {
-	f.Add(append(hello(), headers(1, FlagEndStream, get...)...))
-	f.Add(append(hello(), bytes.Join(rapidReset(3), nil)...))
-	f.Add(append(hello(), frame(FrameHeaders, FlagPadded|FlagPriority, 1, []byte{0, 0, 0, 0, 0, 0, 0x82})...))
-	f.Fuzz(func(t *testing.T, p []byte) { feed(t, NewServer(Config{}, 0), p) })
+	f.Add(append(clientPreface(), headers(1, FlagEndStream, postRequest...)...))
+	f.Add(append(clientPreface(), bytes.Join(rapidReset(3), nil)...))
+	f.Add(append(clientPreface(), frame(FrameHeaders, FlagPadded|FlagPriority, 1, []byte{0, 0, 0, 0, 0, 0, 0x82})...))
+	f.Fuzz(func(t *testing.T, p []byte) { feedInHalves(t, NewServer(Config{}, 0), p) })
 }
 
 func FuzzClient(f *testing.F) {
@@ -345,13 +345,13 @@
 		if _, err := c.Receive(0, frame(FrameSettings, 0, 0, nil)); err != nil {
 			t.Fatal(err)
 		}
-		_, _ = c.Request(0, get, []byte("body"))
-		feed(t, c, p)
+		_, _ = c.Request(0, postRequest, []byte("body"))
+		feedInHalves(t, c, p)
 	})
 }
 
-// feed gives bytes in two parts, answers what comes, and checks that the books stay true.
-func feed(t *testing.T, c *Conn, p []byte) {
+// feedInHalves gives bytes in two parts, answers what comes, and checks that the books stay true.
+func feedInHalves(t *testing.T, c *Conn, p []byte) {
 	for _, part := range [][]byte{p[:len(p)/2], p[len(p)/2:]} {
 		events, err := c.Receive(time.Millisecond, part)
 		for _, e := range events {
@@ -365,8 +365,8 @@
 			}
 			return
 		}
-		if c.peerOpen+c.opened != len(c.streams) || c.peerOpen < 0 || c.opened < 0 {
-			t.Errorf("books: %d + %d of %d streams", c.peerOpen, c.opened, len(c.streams))
+		if c.peerOpen+c.localOpen != len(c.streams) || c.peerOpen < 0 || c.localOpen < 0 {
+			t.Errorf("books: %d + %d of %d streams", c.peerOpen, c.localOpen, len(c.streams))
 		}
 		c.Output()
 	}
@@ -388,20 +388,20 @@
 }
 
 func BenchmarkRequestResponse(b *testing.B) {
-	cl, sv := NewClient(Config{}, 0), NewServer(Config{AbuseBurst: 1e9}, 0)
-	pipe(b, cl, sv, 1<<20)
+	client, server := NewClient(Config{}, 0), NewServer(Config{AbuseBurst: 1e9}, 0)
+	exchange(b, client, server, 1<<20)
 	body := make([]byte, 256)
 	b.ReportAllocs()
 	for b.Loop() {
-		id, err := cl.Request(0, get, body)
+		id, err := client.Request(0, postRequest, body)
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := sv.Receive(0, cl.Output()); err != nil {
+		if _, err := server.Receive(0, client.Output()); err != nil {
 			b.Fatal(err)
 		}
-		_ = sv.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, nil)
-		if _, err := cl.Receive(0, sv.Output()); err != nil {
+		_ = server.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, nil)
+		if _, err := client.Receive(0, server.Output()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -22,16 +22,16 @@
 	if c.AvailableStreams() == 0 {
 		return 0, ErrNoStreamAvailable
 	}
-	if listSize(fields) > c.peerList {
+	if listSize(fields) > c.peerMaxHeaderList {
 		return 0, ErrTooLarge
 	}
-	s := &stream{id: c.nextID, sendWin: c.peerWindow, recvWin: int64(c.cfg.StreamWindow), length: -1, opened: now}
+	s := &stream{id: c.nextID, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, opened: now}
 	c.nextID += 2
-	c.opened++
+	c.localOpen++
 	c.streams[s.id] = s
-	c.headers(s, fields, len(body) == 0)
+	c.writeHeaders(s, fields, len(body) == 0)
 	if len(body) > 0 {
-		c.body(s, body, true)
+		c.queueBody(s, body, true)
 	}
 	return s.id, nil
 }
@@ -40,21 +40,21 @@
 func (c *Conn) Respond(now time.Duration, id uint32, fields []Field, body []byte) error {
 	c.now = now
 	s := c.streams[id]
-	if s == nil || s.sentEnd || c.failed != nil {
+	if s == nil || s.endSent || c.err != nil {
 		return ErrClosed
 	}
 	if status := Value(fields, ":status"); len(status) == 3 && status[0] == '1' {
-		c.headers(s, fields, false)
-		s.sentEnd = false
+		c.writeHeaders(s, fields, false)
+		s.endSent = false
 		return nil
 	}
-	c.headers(s, fields, len(body) == 0)
+	c.writeHeaders(s, fields, len(body) == 0)
 	if len(body) > 0 {
-		c.body(s, body, true)
+		c.queueBody(s, body, true)
 	}
-	if s.sentEnd && !s.gotEnd { // an early answer: the rest of the request is not wanted (RFC 9113 section 8.1)
-		c.rst(id, NoError)
-		c.drop(s)
+	if s.endSent && !s.endReceived { // an early answer: the rest of the request is not wanted (RFC 9113 section 8.1)
+		c.writeReset(id, NoError)
+		c.removeStream(s)
 	}
 	return nil
 }
@@ -64,11 +64,11 @@
 func (c *Conn) BeginResponse(now time.Duration, id uint32, fields []Field, part []byte) error {
 	c.now = now
 	s := c.streams[id]
-	if s == nil || s.sentEnd {
+	if s == nil || s.endSent {
 		return ErrClosed
 	}
-	c.headers(s, fields, false)
-	c.body(s, part, false)
+	c.writeHeaders(s, fields, false)
+	c.queueBody(s, part, false)
 	return nil
 }
 
@@ -79,73 +79,73 @@
 	return n
 }
 
-// headers writes a header section, in as many frames as it needs.
-func (c *Conn) headers(s *stream, fields []Field, end bool) {
-	c.encBuf.Reset()
+// writeHeaders writes a header section, in as many frames as it needs.
+func (c *Conn) writeHeaders(s *stream, fields []Field, end bool) {
+	c.encoderBuf.Reset()
 	for _, f := range fields {
-		_ = c.enc.WriteField(f) // to a bytes.Buffer: does not fail
+		_ = c.encoder.WriteField(f) // to a bytes.Buffer: does not fail
 	}
 	t, flags := FrameHeaders, uint8(0)
 	if end {
 		flags = FlagEndStream
-		s.sentEnd = true
+		s.endSent = true
 	}
-	for p := c.encBuf.Bytes(); ; {
-		n := min(len(p), c.peerFrame)
+	for p := c.encoderBuf.Bytes(); ; {
+		n := min(len(p), c.peerMaxFrameSize)
 		if n == len(p) {
 			flags |= FlagEndHeaders
 		}
-		c.out = AppendFrame(c.out, t, flags, s.id, p[:n])
+		c.writeBuf = AppendFrame(c.writeBuf, t, flags, s.id, p[:n])
 		if p = p[n:]; len(p) == 0 {
 			break
 		}
 		t, flags = FrameContinuation, 0
 	}
 	if end {
-		c.maybeClose(s)
+		c.removeIfClosed(s)
 	}
 }
 
-func (c *Conn) body(s *stream, p []byte, end bool) {
-	s.pending, s.pendingEnd = p, end
+func (c *Conn) queueBody(s *stream, p []byte, end bool) {
+	s.pendingBody, s.pendingEnd = p, end
 	s.stalledSince = c.now
-	c.order = append(c.order, s.id)
-	c.flush()
+	c.sendQueue = append(c.sendQueue, s.id)
+	c.flushBodies()
 }
 
-// flush sends what the windows allow of the bodies that wait, in their order.
-func (c *Conn) flush() {
-	if len(c.order) == 0 {
+// flushBodies sends what the windows allow of the bodies that wait, in their order.
+func (c *Conn) flushBodies() {
+	if len(c.sendQueue) == 0 {
 		return
 	}
-	c.order = slices.DeleteFunc(c.order, func(id uint32) bool {
+	c.sendQueue = slices.DeleteFunc(c.sendQueue, func(id uint32) bool {
 		s := c.streams[id]
-		return s == nil || c.push(s)
+		return s == nil || c.sendBody(s)
 	})
 }
 
-// push sends of one body what its windows allow and tells whether that was all.
-func (c *Conn) push(s *stream) bool {
-	for len(s.pending) > 0 {
-		n := int(min(int64(len(s.pending)), int64(c.peerFrame), s.sendWin, c.sendWin))
+// sendBody sends of one body what its windows allow and tells whether that was all.
+func (c *Conn) sendBody(s *stream) bool {
+	for len(s.pendingBody) > 0 {
+		n := int(min(int64(len(s.pendingBody)), int64(c.peerMaxFrameSize), s.sendWindow, c.sendWindow))
 		if n <= 0 {
 			return false
 		}
-		end := s.pendingEnd && n == len(s.pending)
+		end := s.pendingEnd && n == len(s.pendingBody)
 		var flags uint8
 		if end {
 			flags = FlagEndStream
 		}
-		c.out = AppendFrame(c.out, FrameData, flags, s.id, s.pending[:n])
-		s.pending = s.pending[n:]
-		s.sendWin -= int64(n)
-		c.sendWin -= int64(n)
+		c.writeBuf = AppendFrame(c.writeBuf, FrameData, flags, s.id, s.pendingBody[:n])
+		s.pendingBody = s.pendingBody[n:]
+		s.sendWindow -= int64(n)
+		c.sendWindow -= int64(n)
 		s.stalledSince = c.now
-		s.sentEnd = end
+		s.endSent = end
 	}
-	s.pending = nil
-	if s.sentEnd {
-		c.maybeClose(s)
+	s.pendingBody = nil
+	if s.endSent {
+		c.removeIfClosed(s)
 	}
 	return true
 }
@@ -154,11 +154,11 @@
 func (c *Conn) Reset(now time.Duration, id uint32, code ErrCode) bool {
 	c.now = now
 	s := c.streams[id]
-	if s == nil || c.failed != nil {
+	if s == nil || c.err != nil {
 		return false
 	}
-	c.rst(id, code)
-	c.drop(s)
+	c.writeReset(id, code)
+	c.removeStream(s)
 	return true
 }
 
@@ -166,30 +166,30 @@
 func (c *Conn) IsOpen(id uint32) bool { return c.streams[id] != nil }
 
 // SendBlocked tells that bodies of ours wait for the peer's windows.
-func (c *Conn) SendBlocked() bool { return len(c.order) > 0 }
+func (c *Conn) SendBlocked() bool { return len(c.sendQueue) > 0 }
 
 // GoAway tells the peer to open no further streams; those open run on (RFC 9113 section 6.8).
 func (c *Conn) GoAway(now time.Duration, code ErrCode) {
 	c.now = now
-	if !c.closing {
-		c.goAway(code, "")
+	if !c.goAwaySent {
+		c.writeGoAway(code, "")
 	}
 }
 
-func (c *Conn) goAway(code ErrCode, reason string) {
-	c.closing = true
+func (c *Conn) writeGoAway(code ErrCode, reason string) {
+	c.goAwaySent = true
 	last := c.lastPeerID
-	c.out = appendHeader(c.out, 8+len(reason), FrameGoAway, 0, 0)
-	c.out = binary.BigEndian.AppendUint32(c.out, last)
-	c.out = binary.BigEndian.AppendUint32(c.out, uint32(code))
-	c.out = append(c.out, reason...)
+	c.writeBuf = appendHeader(c.writeBuf, 8+len(reason), FrameGoAway, 0, 0)
+	c.writeBuf = binary.BigEndian.AppendUint32(c.writeBuf, last)
+	c.writeBuf = binary.BigEndian.AppendUint32(c.writeBuf, uint32(code))
+	c.writeBuf = append(c.writeBuf, reason...)
 }
 
 // SetMaxStreams changes how many streams the peer may open, and tells it; server only.
 func (c *Conn) SetMaxStreams(now time.Duration, n uint32) {
 	c.now = now
 	c.cfg.MaxStreams = n
-	c.out = AppendFrame(c.out, FrameSettings, 0, 0, appendSetting(nil, SettingMaxConcurrentStreams, n))
+	c.writeBuf = AppendFrame(c.writeBuf, FrameSettings, 0, 0, appendSetting(nil, SettingMaxConcurrentStreams, n))
 }
 
 // Check looks at what takes too long, and is to be called now and then. After an error the connection is closed.
@@ -197,16 +197,16 @@
 func (c *Conn) Check(now time.Duration) error {
 	c.now = now
 	switch {
-	case c.failed != nil:
-		return c.failed
-	case !c.settled && now-c.start > c.cfg.Handshake:
+	case c.err != nil:
+		return c.err
+	case !c.settingsReceived && now-c.created > c.cfg.Handshake:
 		return c.fail(&ConnError{SettingsTimeout, 0, "no preface or SETTINGS in time"})
-	case c.settled && !c.acked && now-c.start > c.cfg.Handshake+c.cfg.AckTimeout:
+	case c.settingsReceived && !c.settingsAcked && now-c.created > c.cfg.Handshake+c.cfg.AckTimeout:
 		return c.fail(&ConnError{SettingsTimeout, 0, "SETTINGS not acknowledged in time"})
-	case c.inBlock && now-c.blockSince > c.cfg.StallTimeout:
-		return c.fail(&ConnError{EnhanceYourCalm, c.blockFrom.Stream, "header section not ended in time"})
+	case c.inBlock && now-c.blockStart > c.cfg.StallTimeout:
+		return c.fail(&ConnError{EnhanceYourCalm, c.blockFrame.Stream, "header section not ended in time"})
 	}
-	for _, id := range c.order {
+	for _, id := range c.sendQueue {
 		if s := c.streams[id]; s != nil && now-s.stalledSince > c.cfg.StallTimeout {
 			return c.fail(&ConnError{FlowControlError, id, fmt.Sprintf("window held shut for over %v", c.cfg.StallTimeout)})
 		}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -22,84 +22,84 @@
 // Scheduler decides what runs next.
 type Scheduler struct {
 	budget     Budget
-	chores     []Task
+	tasks      []Task
 	due        []time.Duration
 	credit     time.Duration
-	at         time.Duration
+	updated    time.Duration
 	OverBudget int // runs that went over the budget, for their deadline
 }
 
 // New makes a Planner at a time; every chore is due then.
-func New(b Budget, chores []Task, now time.Duration) *Scheduler {
-	p := &Scheduler{budget: b, chores: chores, due: make([]time.Duration, len(chores)), credit: b.Burst, at: now}
-	for i := range p.due {
-		p.due[i] = now
+func New(b Budget, tasks []Task, now time.Duration) *Scheduler {
+	s := &Scheduler{budget: b, tasks: tasks, due: make([]time.Duration, len(tasks)), credit: b.Burst, updated: now}
+	for i := range s.due {
+		s.due[i] = now
 	}
-	return p
+	return s
 }
 
-// least is the part of the share that is left under the worst pressure: chores slow down, they do not stop.
-const least = 0.1
+// minShareFactor is the part of the share that is left under the worst pressure: chores slow down, they do not stop.
+const minShareFactor = 0.1
 
 // Next tells which chore runs now, or -1 and how long to wait. pressure is 0 where the engine is at ease and 1 where its
 // rounds take all the time they may.
-func (p *Scheduler) Next(now time.Duration, pressure float64) (chore int, wait time.Duration) {
-	share := p.budget.Share * max(least, 1-max(0, pressure))
-	p.credit = min(p.budget.Burst, p.credit+time.Duration(share*float64(now-p.at)))
-	p.at = now
+func (s *Scheduler) Next(now time.Duration, pressure float64) (task int, wait time.Duration) {
+	share := s.budget.Share * max(minShareFactor, 1-max(0, pressure))
+	s.credit = min(s.budget.Burst, s.credit+time.Duration(share*float64(now-s.updated)))
+	s.updated = now
 	best, wait := -1, time.Second
-	for i, c := range p.chores {
-		over := now - p.due[i]
+	for i, c := range s.tasks {
+		lateness := now - s.due[i]
 		switch {
-		case over < 0:
-			wait = min(wait, -over)
+		case lateness < 0:
+			wait = min(wait, -lateness)
 			continue
-		case c.MaxDelay > 0 && over >= c.MaxDelay:
-			if best < 0 || !p.overdue(best, now) || p.sooner(i, best) {
+		case c.MaxDelay > 0 && lateness >= c.MaxDelay:
+			if best < 0 || !s.overdue(best, now) || s.deadlineBefore(i, best) {
 				best = i
 			}
 			continue
 		case c.MaxDelay > 0:
-			wait = min(wait, c.MaxDelay-over)
+			wait = min(wait, c.MaxDelay-lateness)
 		}
-		if best < 0 || !p.overdue(best, now) && p.before(i, best) {
+		if best < 0 || !s.overdue(best, now) && s.precedes(i, best) {
 			best = i
 		}
 	}
 	switch {
 	case best < 0:
 		return -1, wait
-	case p.overdue(best, now):
-		if p.credit <= 0 {
-			p.OverBudget++
+	case s.overdue(best, now):
+		if s.credit <= 0 {
+			s.OverBudget++
 		}
 		return best, 0
-	case p.credit > 0:
+	case s.credit > 0:
 		return best, 0
 	}
-	return -1, min(wait, time.Duration(float64(-p.credit)/share)+time.Millisecond)
+	return -1, min(wait, time.Duration(float64(-s.credit)/share)+time.Millisecond)
 }
 
-func (p *Scheduler) overdue(i int, now time.Duration) bool {
-	return p.chores[i].MaxDelay > 0 && now-p.due[i] >= p.chores[i].MaxDelay
+func (s *Scheduler) overdue(i int, now time.Duration) bool {
+	return s.tasks[i].MaxDelay > 0 && now-s.due[i] >= s.tasks[i].MaxDelay
 }
 
-// sooner tells whether one chore's deadline came before another's.
-func (p *Scheduler) sooner(i, j int) bool {
-	return p.due[i]+p.chores[i].MaxDelay < p.due[j]+p.chores[j].MaxDelay
+// deadlineBefore tells whether one chore's deadline came before another's.
+func (s *Scheduler) deadlineBefore(i, j int) bool {
+	return s.due[i]+s.tasks[i].MaxDelay < s.due[j]+s.tasks[j].MaxDelay
 }
 
-// before tells whether one due chore goes before another: by class, then by when they were due.
-func (p *Scheduler) before(i, j int) bool {
-	a, b := p.chores[i].Priority, p.chores[j].Priority
-	return a < b || a == b && p.due[i] < p.due[j]
+// precedes tells whether one due chore goes before another: by class, then by when they were due.
+func (s *Scheduler) precedes(i, j int) bool {
+	a, b := s.tasks[i].Priority, s.tasks[j].Priority
+	return a < b || a == b && s.due[i] < s.due[j]
 }
 
 // Done tells that a run is over, what it cost, and whether there is more of the same to do: then it is due at once.
-func (p *Scheduler) Done(chore int, now, cost time.Duration, more bool) {
-	p.credit -= cost
-	p.due[chore] = now
+func (s *Scheduler) Done(task int, now, cost time.Duration, more bool) {
+	s.credit -= cost
+	s.due[task] = now
 	if !more {
-		p.due[chore] += p.chores[chore].Interval
+		s.due[task] += s.tasks[task].Interval
 	}
 }
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -26,17 +26,17 @@
 	return runs, spent
 }
 
-func TestWithinShare(t *testing.T) {
-	for pressure, most := range map[float64]time.Duration{0: 2100 * ms, 0.5: 1100 * ms, 1: 300 * ms, 7: 300 * ms} {
+func TestWorkStaysWithinShare(t *testing.T) {
+	for pressure, limit := range map[float64]time.Duration{0: 2100 * ms, 0.5: 1100 * ms, 1: 300 * ms, 7: 300 * ms} {
 		p := New(Budget{Share: 0.2, Burst: 50 * ms}, []Task{{Name: "compress", Priority: 1, Interval: time.Second}}, 0)
-		if _, spent := run(p, 0, 10*time.Second, pressure, []time.Duration{20 * ms}, []bool{true}); spent > most || spent < most/2 {
-			t.Errorf("pressure %v: %v of 10 s spent, at most %v", pressure, spent, most)
+		if _, spent := run(p, 0, 10*time.Second, pressure, []time.Duration{20 * ms}, []bool{true}); spent > limit || spent < limit/2 {
+			t.Errorf("pressure %v: %v of 10 s spent, at most %v", pressure, spent, limit)
 		}
 	}
 }
 
 // Work without end in a low class keeps no chore of a higher class waiting, nor one whose deadline has come.
-func TestClassesAndDeadlines(t *testing.T) {
+func TestPrioritiesAndMaxDelays(t *testing.T) {
 	p := New(Budget{Share: 0.05, Burst: 10 * ms}, []Task{{Name: "verify", Priority: 3, Interval: time.Second},
 		{Name: "seal", Priority: 0, Interval: 500 * ms, MaxDelay: 500 * ms}, {Name: "expire", Priority: 2, Interval: time.Second, MaxDelay: 5 * time.Second}}, 0)
 	runs, _ := run(p, 0, 60*time.Second, 1, []time.Duration{50 * ms, ms, ms}, []bool{true, false, false})
@@ -46,7 +46,7 @@
 }
 
 // Whatever happens, no chore with a deadline waits past it by more than one run of another, and time goes on.
-func TestNoDeadlineMissed(t *testing.T) {
+func TestMaxDelayIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "chores")
 		var all []Task
