--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,3 +1,6 @@
+// Package admission limits the load that all frontends of the process take in together: connections, channels, buffered
+// body bytes, bytes per tenant, and messages in flight. It counts outcomes per frontend and decides when publishers are
+// asked to pause (backpressure). It does no I/O and reads no clock.
 package admission
 
 import (
@@ -9,38 +12,56 @@
 	"whinrun/internal/engine"
 )
 
-// Reasons why something is not taken in. Nothing was held: trying again is harmless.
+// Errors of Reservation.Reserve. No bytes are reserved when one is returned, so the client may safely retry.
 var (
-	ErrBytesFull  = errors.New("too many bytes are held")
+	// ErrBytesFull reports that the limit on body bytes of the whole process is reached.
+	ErrBytesFull = errors.New("too many bytes are held")
+	// ErrTenantFull reports that the limit on body bytes of one tenant is reached.
 	ErrTenantFull = errors.New("too many bytes are held for this tenant")
 )
 
-// Limits of all fronts together.
+// Limits holds the limits that all frontends share.
 type Limits struct {
-	Conns       int   // client connections
-	Channels    int   // channels on them, where the protocol has channels that cost memory
-	Bytes       int64 // bytes of bodies, from their first byte until the answer
-	TenantBytes int64 // of them, for one tenant
-	Messages    int   // messages owed an answer, as the engine bounds them
-	BlockAt     float64
-	UnblockAt   float64 // publishers are asked to stop from one share of Bytes or Hold until the other
+	// Conns is the maximum number of client connections.
+	Conns int
+	// Channels is the maximum number of channels on those connections. It applies to protocols whose channels cost memory.
+	Channels int
+	// Bytes is the maximum number of body bytes that are buffered. A body counts from its first byte until its answer.
+	Bytes int64
+	// TenantBytes is the part of Bytes that one tenant may use. 0 means no limit per tenant.
+	TenantBytes int64
+	// Messages is the number of messages in flight that the engine accepts. The controller uses it only to compute the
+	// backpressure level. The engine enforces the limit. 0 leaves messages out of the level.
+	Messages int
+	// BlockAt is the used share of Bytes or Messages, from 0 to 1, at which publishers are asked to pause.
+	BlockAt float64
+	// UnblockAt is the used share at which publishers may resume.
+	UnblockAt float64
 }
 
-// Engine is what messages are handed to: the engine's loop.
+// Engine accepts the admitted messages. The engine's loop implements it.
 type Engine interface {
+	// Submit hands a message over and sets its ID. An error means that the message was not accepted.
 	Submit(m *engine.Message) error
+	// Withdraw cancels a message that was submitted.
 	Withdraw(id control.MessageID)
 }
 
-// Counters is what came of it all at one front.
+// Counters counts the connections, messages and answers of one frontend since its start.
 type Counters struct {
-	Conns, ConnsRefused, Malformed atomic.Int64 // connections taken, turned away, ended for what they sent
-	Accepted, Rejected             atomic.Int64 // messages taken; turned away at the door
-	Served, Refused, Failed        atomic.Int64 // final answers
-	Withdrawn, Undelivered         atomic.Int64 // by their senders; answers that nobody was there to hear
+	// Conns counts accepted connections, ConnsRefused those closed because of the connection limit, and Malformed those
+	// closed because of a protocol error.
+	Conns, ConnsRefused, Malformed atomic.Int64
+	// Accepted counts messages that the engine accepted. Rejected counts messages that were turned away before that.
+	Accepted, Rejected atomic.Int64
+	// Served, Refused and Failed count final answers by their outcome.
+	Served, Refused, Failed atomic.Int64
+	// Withdrawn counts messages that their clients cancelled. Undelivered counts final answers whose client was gone.
+	Withdrawn, Undelivered atomic.Int64
 }
 
-// Controller is the one way in.
+// Controller enforces the limits that all frontends share. All messages enter through it. Its methods may be called
+// from any goroutine.
 type Controller struct {
 	limits    Limits
 	engine    Engine
@@ -57,12 +78,13 @@
 	frontends  []*Frontend
 }
 
-// New makes a Door for so many tenants.
+// New returns a Controller for the given number of tenants. Tenants are numbered from 0.
 func New(l Limits, tenants int, e Engine) *Controller {
 	return &Controller{limits: l, engine: e, tenants: make([]int64, tenants), watermarks: Watermarks{High: l.BlockAt, Low: l.UnblockAt}}
 }
 
-// Suspend has no more messages taken, for the reason given, until it is called with nil. Those taken are not touched.
+// Suspend makes Reservation.Submit fail with reason until Suspend is called with nil. Messages accepted before are not
+// affected.
 func (c *Controller) Suspend(reason error) {
 	if reason == nil {
 		c.suspended.Store(nil)
@@ -71,14 +93,15 @@
 	c.suspended.Store(&reason)
 }
 
-// Side is one front's way through the door.
+// Frontend is the view that one frontend has of the controller, with its own counters.
 type Frontend struct {
+	// Name identifies the frontend in reports.
 	Name string
 	Counters
 	controller *Controller
 }
 
-// Side adds a front.
+// AddFrontend registers a frontend under a name.
 func (c *Controller) AddFrontend(name string) *Frontend {
 	f := &Frontend{Name: name, controller: c}
 	c.mu.Lock()
@@ -87,31 +110,32 @@
 	return f
 }
 
-// Frontends returns all fronts, for their counts.
+// Frontends returns all registered frontends, so that their counters can be read.
 func (c *Controller) Frontends() []*Frontend {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.frontends[:len(c.frontends):len(c.frontends)]
 }
 
-// Usage is what is held now.
+// Usage is a snapshot of the connections, channels, messages and body bytes in use, and of the backpressure state.
 type Usage struct {
 	Conns, Channels, Messages int
 	Bytes                     int64
 	Blocked                   bool
 }
 
-// Usage returns what is held now.
+// Usage returns the current usage of all frontends together.
 func (c *Controller) Usage() Usage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Usage{c.conns, c.channels, c.messages, c.bytes, c.Blocked()}
 }
 
-// Blocked tells whether publishers are to stop for a while: too much is held, or the door is shut.
+// Blocked reports whether publishers are asked to pause. They are from the moment the level reaches BlockAt until it
+// falls to UnblockAt, and while admission is suspended.
 func (c *Controller) Blocked() bool { return c.blocked.Load() || c.suspended.Load() != nil }
 
-// updateBlocked is called with the lock held after every change.
+// updateBlocked recomputes the backpressure state after a change of bytes or messages. The caller holds mu.
 func (c *Controller) updateBlocked() {
 	level := float64(c.bytes) / float64(max(1, c.limits.Bytes))
 	if c.limits.Messages > 0 {
@@ -120,7 +144,7 @@
 	c.blocked.Store(c.watermarks.Update(level))
 }
 
-// AcquireConn asks for room for a connection.
+// AcquireConn counts a new connection. It returns false if the connection limit is reached.
 func (f *Frontend) AcquireConn() bool {
 	f.controller.mu.Lock()
 	defer f.controller.mu.Unlock()
@@ -133,25 +157,25 @@
 	return true
 }
 
-// idleEvictionShare is the part of the room for connections from which on idle ones are to go: the rest bears a burst until
-// they have gone.
+// idleEvictionShare is the share of the connection limit above which idle connections are closed. The remaining quarter
+// absorbs a burst of new connections until the idle ones are closed.
 const idleEvictionShare = 0.75
 
-// NearConnLimit tells whether so many connections are open that idle ones are to make room.
+// NearConnLimit reports whether so many connections are open that idle ones should be closed.
 func (f *Frontend) NearConnLimit() bool {
 	f.controller.mu.Lock()
 	defer f.controller.mu.Unlock()
 	return float64(f.controller.conns) > idleEvictionShare*float64(f.controller.limits.Conns)
 }
 
-// ReleaseConn gives a connection's room back.
+// ReleaseConn undoes a successful AcquireConn when the connection has ended.
 func (f *Frontend) ReleaseConn() {
 	f.controller.mu.Lock()
 	f.controller.conns--
 	f.controller.mu.Unlock()
 }
 
-// AcquireChannel asks for room for a channel.
+// AcquireChannel counts a new channel. It returns false if the channel limit is reached.
 func (f *Frontend) AcquireChannel() bool {
 	f.controller.mu.Lock()
 	defer f.controller.mu.Unlock()
@@ -162,18 +186,19 @@
 	return true
 }
 
-// ReleaseChannels gives the room of n channels back.
+// ReleaseChannels undoes n successful calls of AcquireChannel.
 func (f *Frontend) ReleaseChannels(n int) {
 	f.controller.mu.Lock()
 	f.controller.channels -= n
 	f.controller.mu.Unlock()
 }
 
-// Blocked tells whether publishers are to stop for a while.
+// Blocked reports whether publishers are asked to pause; see Controller.Blocked.
 func (f *Frontend) Blocked() bool { return f.controller.Blocked() }
 
-// Ticket is one message's way through the door, from its first byte to its answer. It is used by one goroutine at a
-// time. Each Ticket ends once, by Answered, Withdraw or Turn; ends after the first do nothing.
+// Reservation accounts for one message from its first body byte to its final answer. It may be used by one goroutine at
+// a time. It ends once, by Complete, Withdraw or Reject, and then releases what it holds. Later calls of these three
+// methods do nothing.
 type Reservation struct {
 	frontend  *Frontend
 	tenant    int
@@ -183,12 +208,12 @@
 	ended     bool
 }
 
-// Ticket begins a message of a tenant.
+// NewReservation starts the accounting of a message of a tenant. It holds no bytes yet.
 func (f *Frontend) NewReservation(tenant int) Reservation {
 	return Reservation{frontend: f, tenant: tenant}
 }
 
-// Reserve asks for room for n more bytes of its body.
+// Reserve reserves n more bytes for the body. It returns ErrBytesFull or ErrTenantFull if a limit does not allow that.
 func (r *Reservation) Reserve(n int) error {
 	c := r.frontend.controller
 	c.mu.Lock()
@@ -207,14 +232,16 @@
 	}
 }
 
-// Submit hands the whole message over. An error tells why it is not taken; the ticket is then still to be ended.
+// Submit hands the complete message to the engine. It fails with the reason given to Suspend or with the engine's error.
+// The message is then not accepted, and the caller still has to end the reservation.
 func (r *Reservation) Submit(m *engine.Message) error {
 	c := r.frontend.controller
 	if reason := c.suspended.Load(); reason != nil {
 		return *reason
 	}
 	c.mu.Lock()
-	c.messages++ // before the engine can answer
+	// The message counts before Submit, because the engine may answer before Submit returns.
+	c.messages++
 	c.updateBlocked()
 	c.mu.Unlock()
 	r.submitted = true
@@ -231,13 +258,14 @@
 	return nil
 }
 
-// Taken tells whether the message was handed over.
+// Submitted reports whether the engine accepted the message.
 func (r *Reservation) Submitted() bool { return r.submitted }
 
-// Ended tells whether the ticket has ended.
+// Ended reports whether the reservation has ended.
 func (r *Reservation) Ended() bool { return r.ended }
 
-// Complete ends the ticket of a message that has its final answer; heard tells whether its sender was there.
+// Complete ends the reservation of a message that has its final answer. delivered tells whether the client was still
+// there to receive the answer.
 func (r *Reservation) Complete(outcome engine.Final, delivered bool) {
 	if !r.release() {
 		return
@@ -255,7 +283,8 @@
 	}
 }
 
-// Withdraw ends the ticket of a message that nobody waits for: nothing new is sent for it.
+// Withdraw ends the reservation of a message whose client no longer waits. If the message was submitted, the engine is
+// told to start no new attempt for it.
 func (r *Reservation) Withdraw() {
 	if !r.release() {
 		return
@@ -266,13 +295,14 @@
 	}
 }
 
-// Reject ends the ticket of a message that was not taken.
+// Reject ends the reservation of a message that was not accepted and counts it as rejected.
 func (r *Reservation) Reject() {
 	if r.release() {
 		r.frontend.Rejected.Add(1)
 	}
 }
 
+// release returns the bytes and the message to the controller. It returns false if the reservation had already ended.
 func (r *Reservation) release() bool {
 	if r.ended {
 		return false
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"whinrun/internal/engine"
 )
 
-// fakeEngine takes a set number of messages.
+// fakeEngine accepts capacity messages and then fails with engine.ErrHoldFull. It records withdrawn messages.
 type fakeEngine struct {
 	capacity  int
 	withdrawn []control.MessageID
@@ -36,29 +36,30 @@
 	d := New(limits(), 2, &fakeEngine{capacity: 1})
 	a, b := d.AddFrontend("a"), d.AddFrontend("b")
 	if !a.AcquireConn() || !b.AcquireConn() || a.AcquireConn() || b.ConnsRefused.Load() != 0 || a.ConnsRefused.Load() != 1 {
-		t.Error("connections are not bounded over fronts")
+		t.Error("the connection limit is not shared by the frontends")
 	}
 	a.ReleaseConn()
 	if !b.AcquireConn() {
-		t.Error("room given back on one side is not there for the other")
+		t.Error("a connection released by one frontend is not available to the other")
 	}
 	if !a.AcquireChannel() || !b.AcquireChannel() || !b.AcquireChannel() || a.AcquireChannel() {
-		t.Error("channels are not bounded over fronts")
+		t.Error("the channel limit is not shared by the frontends")
 	}
 	x, y, z := a.NewReservation(0), b.NewReservation(0), b.NewReservation(1)
 	if x.Reserve(50) != nil || !errors.Is(y.Reserve(20), ErrTenantFull) || z.Reserve(40) != nil || !errors.Is(z.Reserve(20), ErrBytesFull) {
-		t.Error("bytes are not bounded by tenant and in all")
+		t.Error("bytes are not limited per tenant and in total")
 	}
 	if !d.Blocked() {
-		t.Error("90 of 100 bytes held, and nobody is asked to stop")
+		t.Error("90 of 100 bytes reserved, and publishers are not blocked")
 	}
 	x.Withdraw()
 	if d.Blocked() || d.Usage().Bytes != 40 {
-		t.Errorf("at %+v", d.Usage())
+		t.Errorf("after the withdrawal: usage %+v", d.Usage())
 	}
 }
 
-// A ticket ends once: its bytes and its place are given back once, whatever comes after.
+// Guards against releasing the bytes or the message of a reservation twice: Complete, Withdraw and Reject after the
+// first of them must do nothing.
 func TestReservationEndsOnce(t *testing.T) {
 	c := &fakeEngine{capacity: 1}
 	d := New(limits(), 1, c)
@@ -66,7 +67,7 @@
 	x, y := s.NewReservation(0), s.NewReservation(0)
 	m := &engine.Message{}
 	if x.Reserve(10) != nil || x.Submit(m) != nil || !errors.Is(y.Submit(&engine.Message{}), engine.ErrHoldFull) {
-		t.Fatal("submit")
+		t.Fatal("the first message must be accepted, the second rejected by the engine")
 	}
 	y.Reject()
 	x.Withdraw()
@@ -77,11 +78,12 @@
 		t.Errorf("%+v, withdrawn %v", u, c.withdrawn)
 	}
 	if s.Withdrawn.Load() != 1 || s.Rejected.Load() != 1 || s.Served.Load() != 0 || s.Accepted.Load() != 1 {
-		t.Error("counts are wrong")
+		t.Error("wrong counters")
 	}
 }
 
-// A shut door takes nothing new and says so to publishers; what it took before is not touched.
+// While admission is suspended, new messages fail with the given reason and publishers are blocked. Messages accepted
+// before complete as usual.
 func TestSuspend(t *testing.T) {
 	c := &fakeEngine{capacity: 5}
 	d := New(limits(), 1, c)
@@ -93,16 +95,16 @@
 	reason := errors.New("no disk")
 	d.Suspend(reason)
 	if err := y.Submit(&engine.Message{}); !errors.Is(err, reason) || !s.Blocked() {
-		t.Error("taken by a shut door:", err)
+		t.Error("submitted while admission is suspended:", err)
 	}
 	x.Complete(engine.Served, true)
 	d.Suspend(nil)
 	if err := y.Submit(&engine.Message{}); err != nil || s.Blocked() || s.Served.Load() != 1 {
-		t.Error("not open again:", err)
+		t.Error("not accepted after admission was resumed:", err)
 	}
 }
 
-// The valve changes its mind only across the gap: at levels within it, it stays as it was.
+// Between Low and High, the state must not change.
 func TestWatermarksHaveHysteresis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := Watermarks{High: 0.9, Low: 0.7}
--- a/internal/admission/watermarks.go
+++ b/internal/admission/watermarks.go
@@ -1,16 +1,14 @@
-// Package admission bounds what all fronts together take in: connections, channels, bytes held, each tenant's part of
-// them, messages owed an answer. It counts what comes of it, side by side for each front, and decides when publishers
-// are asked to stop for a while. It is free of I/O and asks for no time.
 package admission
 
-// Watermarks decides when senders are asked to stop: at a level of High, until it is down to Low. The gap keeps it from
-// fluttering: a hold that frees one place at a time would else say stop and go with each message.
+// Watermarks is a backpressure switch with hysteresis. Senders are asked to pause when the level reaches High, until it
+// falls to Low. Without the gap, a full buffer that frees one slot at a time would toggle the switch with every message.
 type Watermarks struct {
-	High, Low float64 // shares of a bound, Low below High
+	// High and Low are shares of a limit. Low is at most High.
+	High, Low float64
 	blocked   bool
 }
 
-// Update takes the level, as a share of what is bounded, and tells whether senders are to stop now.
+// Update takes the current level as a share of the limit and reports whether senders are asked to pause.
 func (w *Watermarks) Update(level float64) (blocked bool) {
 	switch {
 	case level >= w.High:
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,7 @@
-// Package front carries client connections on event loops for all protocols that messages come by. A Session
-// speaks the protocol of one connection; what they share is here: listening, limits, final answers that come from the
-// engine's goroutine, deadlines, answers that nobody reads, an orderly end. It decides nothing about messages.
+// Package front is the frontend for client connections. It runs the connections of all client protocols on event loops. A
+// Session implements the protocol of one connection. The package implements what all protocols share: listening,
+// connection limits, tasks that other goroutines post (such as final answers from the engine), time limits, clients that
+// do not read their answers, and the orderly close. It makes no decisions about messages.
 package front
 
 import (
@@ -16,58 +17,67 @@
 	"whinrun/internal/eventloop"
 )
 
-// Session is the protocol of one client connection. Its methods are called on the connection's event loop only, but
-// for Lost, which is the last call and may come while the engine stops.
+// Session is the protocol of one client connection. Its methods are called on the connection's event loop only. Lost is
+// the last call and may come while the engine stops.
 type Session interface {
-	// Receive takes bytes; they are not valid after it. An error ends the connection once Output is written.
+	// Receive processes input. It must not keep b after it returns. An error ends the connection after Output is written.
 	Receive(now time.Duration, b []byte) error
-	// Check looks at time limits and at whether publishers are blocked; it is called when Due has come, and after
-	// Receive. An error ends the connection.
+	// Check enforces time limits and tells the client when publishers are blocked or may resume. It is called after
+	// Receive, after posted tasks, and when the time that Due returned has come. An error ends the connection.
 	Check(now time.Duration) error
-	// Due is when Check is to be called at the latest, 0 for never.
+	// Due returns the time by which Check must be called, or 0 if there is none.
 	Due(now time.Duration) time.Duration
-	// GoAway tells the client that no new messages are taken; answers still come.
+	// GoAway tells the client that no new messages are accepted. Answers are still sent. It may be called repeatedly.
 	GoAway(now time.Duration)
-	// Finish tells that all answers have come: the connection is to end in order.
+	// Finish starts the orderly close, after all answers have been given. It may be called repeatedly.
 	Finish(now time.Duration)
-	// Output returns what is to be written and forgets it.
+	// Output returns the bytes to be written and removes them from the session.
 	Output() []byte
-	// Owes tells that something is still to be written or heard before the connection may be closed at a stop.
+	// Owes reports whether something has to be sent or received before the connection may be closed at shutdown.
 	Owes() bool
-	// Done tells that the connection has ended in order and may be closed.
+	// Done reports whether the orderly close is complete, so that the connection may be closed.
 	Done() bool
-	// Lost tells that the connection is gone.
+	// Lost tells the session that the connection is gone or that the session has ended.
 	Lost()
 }
 
-// Idler is a Session whose connection may be closed while nothing is under way on it, to make room for others.
+// Idler is an optional interface of a Session. Its connection may be closed while it is idle, to make room for others.
 type Idler interface {
-	// Idle tells since when nothing is under way; ok is false while something is.
+	// Idle returns the time since which nothing is in progress. ok is false while something is.
 	Idle() (since time.Duration, ok bool)
 }
 
-// ReadPauser is a Session that can't take more for now: nothing is read for it meanwhile.
+// ReadPauser is an optional interface of a Session that applies backpressure. While Full returns true, nothing is read
+// from its connection.
 type ReadPauser interface{ Full() bool }
 
-// Task is something for a session that came from another goroutine.
+// Task is work for a session that another goroutine posts. For each task that Conn.Post accepts, either Open or Lost is
+// called, once.
 type Task interface {
-	Open(now time.Duration) // on the connection's event loop
-	Lost()                  // instead of Open: the connection is gone
+	// Open runs the task on the connection's event loop.
+	Open(now time.Duration)
+	// Lost tells the task that it will not run because the connection is gone.
+	Lost()
 }
 
-// Config is of one front.
+// Config configures one Front.
 type Config struct {
-	Address   string // host:port; port 0 takes a free one
-	Loops     int
-	MaxUnread int                           // bytes of answers that a client may leave unread
-	Trace     func(format string, a ...any) // told of each connection's end, nil for none
-	System    eventloop.System              // nil for the kernel
+	// Address is the listening address as host:port. Port 0 selects a free port.
+	Address string
+	// Loops is the number of event loops, at least one.
+	Loops int
+	// MaxUnread is the maximum number of output bytes that a client may leave unread. Above it, the connection is closed.
+	MaxUnread int
+	// Trace is called for each connection that is turned away or closed. It may be nil.
+	Trace func(format string, a ...any)
+	// System makes the system calls. nil selects the kernel's.
+	System eventloop.System
 }
 
-// tickInterval is how often deadlines are looked at.
+// tickInterval is how often the time limits of connections are checked.
 const tickInterval = 100 * time.Millisecond
 
-// Front is one listening address.
+// Front serves the connections of one listening address.
 type Front struct {
 	cfg        Config
 	frontend   *admission.Frontend
@@ -80,8 +90,10 @@
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 
+	// goingAway and finishing make every session call GoAway and Finish.
 	goingAway, finishing atomic.Bool
-	wasBlocked           bool // as of the last tick
+	// wasBlocked is the backpressure state at the last tick. Only Tick uses it.
+	wasBlocked bool
 }
 
 // Conn is one client connection.
@@ -89,18 +101,27 @@
 	front    *Front
 	loopConn *eventloop.Conn
 	session  Session
-	closing  lingeringClose // once it has ended the session is not called any more
-
-	mu             sync.Mutex
-	inbox          []Task
-	closed         bool
-	pending        atomic.Bool
-	nextCheck      atomic.Int64
-	idleSince      atomic.Int64 // since when, 0 while it is not
-	evictRequested atomic.Bool  // it is to be closed if it is idle
+	// closing is the state of the close. After its end, the session is not called any more, except for Owes.
+	closing lingeringClose
+
+	// mu guards inbox and closed.
+	mu sync.Mutex
+	// inbox holds posted tasks that have not run yet.
+	inbox []Task
+	// closed is set when no more tasks are accepted.
+	closed bool
+	// pending is set while something has to be sent or received before the connection may be closed at shutdown.
+	pending atomic.Bool
+	// nextCheck is the time in nanoseconds at which Tick wakes the connection, or 0.
+	nextCheck atomic.Int64
+	// idleSince is the time in nanoseconds since which the connection is idle, or 0 while it is not.
+	idleSince atomic.Int64
+	// evictRequested makes the connection close if it is idle.
+	evictRequested atomic.Bool
 }
 
-// New makes a Front and listens. open makes the session of a new connection.
+// New listens on cfg.Address and serves connections. newSession returns the session of a new connection. frontend limits
+// and counts connections. log receives lines for operators. The error is that of starting the event loops or of listening.
 func New(cfg Config, frontend *admission.Frontend, clock clock.Clock, log func(string), newSession func(*Conn, time.Duration) Session) (*Front, error) {
 	f := &Front{cfg: cfg, frontend: frontend, clock: clock, log: log, newSession: newSession, conns: map[*Conn]struct{}{}}
 	if f.cfg.Trace == nil {
@@ -118,15 +139,16 @@
 	return f, nil
 }
 
-// Addr is the address that the Front listens on.
+// Addr returns the address that the Front listens on.
 func (f *Front) Addr() net.Addr { return net.TCPAddrFromAddrPort(f.loops.Addr()) }
 
-// GoAway tells all clients to hand in nothing more; answers still go out.
+// GoAway tells all clients that no new messages are accepted. Answers are still sent.
 func (f *Front) GoAway() {
 	f.goingAway.Store(true)
 	f.forEachConn(func(c *Conn) { c.wake() })
 }
 
+// forEachConn calls do for every open connection while it holds f.mu.
 func (f *Front) forEachConn(do func(*Conn)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,8 +157,8 @@
 	}
 }
 
-// Flush ends all sessions in order, now that all answers have been given, and waits until everything is written or ctx ends. It
-// tells how many connections still have something to be written or heard then.
+// Flush starts the orderly close of all sessions and waits until everything is sent or ctx ends. It is called when all
+// answers have been given. It returns the number of connections that still have something to send or receive.
 func (f *Front) Flush(ctx context.Context) (remaining int) {
 	f.finishing.Store(true)
 	f.forEachConn(func(c *Conn) { c.wake() })
@@ -159,26 +181,28 @@
 	}
 }
 
-// hasPending tells whether something is not written yet, or not read by a peer that was told the end. A message answered is off
-// the connection's books only once its answer is in the socket, so owes covers the answers that its event loop has not seen.
+// hasPending reports whether the connection has tasks that did not run, output that is not sent, or a peer that has not
+// answered the orderly close. A session stops counting a message as pending only after its answer is written, so pending
+// also covers answers that the event loop has not processed yet.
 func (c *Conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.inbox) > 0 || c.pending.Load()
 }
 
-// StopAccepting has no more connections taken; those there are go on.
+// StopAccepting closes the listening socket. Open connections are not affected.
 func (f *Front) StopAccepting() { f.loops.StopAccepting() }
 
-// Close ends all connections. Nothing more is accepted first.
+// Close stops accepting connections, closes those that are open, and stops the event loops.
 func (f *Front) Close() {
 	f.loops.StopAccepting()
 	f.loops.Stop()
 }
 
+// elapsed returns the time on the monotonic clock that sessions are given.
 func (f *Front) elapsed() time.Duration { return clock.Elapsed(f.clock) }
 
-// Opened is eventloop.Handler: it starts a session, where there is room.
+// Opened implements eventloop.Handler. It starts a session, or closes the connection if the connection limit is reached.
 func (f *Front) Opened(loopConn *eventloop.Conn) {
 	if !f.frontend.AcquireConn() {
 		f.cfg.Trace("client %v: turned away, too many connections", loopConn.Peer())
@@ -201,11 +225,11 @@
 	loopConn.Write(c.session.Output())
 }
 
-// DialFailed is eventloop.Handler; a front dials nobody.
+// DialFailed implements eventloop.Handler. It is never called because a Front dials no connections.
 func (f *Front) DialFailed(any, error) {}
 
-// evictLongestIdle has the connection closed that has been idle longest. Guards against clients that connect in numbers and say
-// nothing: they must not keep the others out.
+// evictLongestIdle closes the connection that has been idle longest. It guards against clients that open many connections
+// and send nothing on them: they must not lock out other clients.
 func (f *Front) evictLongestIdle(except *Conn) {
 	var longest *Conn
 	f.forEachConn(func(c *Conn) {
@@ -220,7 +244,7 @@
 	}
 }
 
-// updateIdle keeps since when a connection is idle.
+// updateIdle records whether the session is idle and since when.
 func (c *Conn) updateIdle() {
 	since := time.Duration(0)
 	if s, ok := c.session.(Idler); ok {
@@ -231,10 +255,10 @@
 	c.idleSince.Store(int64(since))
 }
 
-// Closed is eventloop.Handler: it tells the session, and all that is on its way to it.
+// Closed implements eventloop.Handler. It ends the session and drops the tasks that were posted to it.
 func (f *Front) Closed(loopConn *eventloop.Conn, err error) {
 	c, ok := loopConn.Context.(*Conn)
-	if !ok { // it was turned away
+	if !ok { // the connection was turned away by Opened
 		return
 	}
 	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", loopConn.Peer(), c.closing.ended, c.session.Owes(), err)
@@ -245,8 +269,8 @@
 	c.endSession(f.elapsed())
 }
 
-// endSession is the end of the session, once: of its protocol, or of its connection. The socket is closed by OnTraffic's owner, the
-// event loop, as life says.
+// endSession ends the session when its protocol or its connection has ended. Later calls do nothing. It does not close the
+// socket: the event loop does that when lingeringClose tells it to.
 func (c *Conn) endSession(now time.Duration) {
 	if c.closing.ended {
 		return
@@ -261,14 +285,14 @@
 		task.Lost()
 	}
 	c.session.Lost()
-	c.pending.Store(true) // until it is closed
+	c.pending.Store(true) // Flush waits until the connection is closed
 	if c.idleSince.Load() == 0 {
 		c.idleSince.Store(int64(now))
 	}
 }
 
-// Post has a parcel opened on the connection's event loop, from any goroutine, without blocking. It is false where the
-// connection is gone: then the parcel is the caller's.
+// Post queues a task to run on the connection's event loop. It may be called from any goroutine and does not block. It
+// returns false if the connection is gone. The task is then neither run nor dropped, and stays with the caller.
 func (c *Conn) Post(task Task) bool {
 	c.mu.Lock()
 	if c.closed {
@@ -284,17 +308,19 @@
 	return true
 }
 
+// wake makes the event loop call Ready soon.
 func (c *Conn) wake() { c.loopConn.Wake() }
 
-// Peer names the client, for logs.
+// Peer returns the address of the client, for logs.
 func (c *Conn) Peer() string { return c.loopConn.Peer().String() }
 
-// Log writes a line about the client.
+// Log writes a log line that names the client.
 func (c *Conn) Log(format string, a ...any) {
 	c.front.log(fmt.Sprintf("client %s: %s", c.Peer(), fmt.Sprintf(format, a...)))
 }
 
-// Ready is eventloop.Handler: it takes bytes of the client, and parcels out of the inbox.
+// Ready implements eventloop.Handler. It passes input to the session, runs posted tasks, checks time limits and writes
+// output.
 func (f *Front) Ready(loopConn *eventloop.Conn) {
 	c, ok := loopConn.Context.(*Conn)
 	if !ok {
@@ -303,7 +329,7 @@
 	now := f.elapsed()
 	in := loopConn.Inbound()
 	if c.closing.ended {
-		c.closing.addDiscarded(len(in)) // nothing is taken from it any more
+		c.closing.addDiscarded(len(in)) // input after the end is discarded
 		c.advanceClose(now)
 		return
 	}
@@ -333,8 +359,10 @@
 	c.flush(now)
 }
 
+// flush writes the session's output, updates the state that other goroutines read, and closes the connection if the client
+// reads too slowly, if it has to make room for others, or if the session is done.
 func (c *Conn) flush(now time.Duration) {
-	c.loopConn.Write(c.session.Output()) // a failed write shows as Closed
+	c.loopConn.Write(c.session.Output()) // a failed write is reported by Closed
 	if s, ok := c.session.(ReadPauser); ok {
 		c.loopConn.Hold(s.Full())
 	}
@@ -343,10 +371,10 @@
 	c.nextCheck.Store(int64(c.session.Due(now)))
 	c.updateIdle()
 	switch {
-	case unsent > c.front.cfg.MaxUnread: // a client that stops reading must not hold memory
+	case unsent > c.front.cfg.MaxUnread: // a client that does not read must not consume memory
 		c.Log("reads no answers: closed with %d bytes unread", unsent)
 		c.loopConn.Close()
-	case c.evictRequested.Swap(false) && c.idleSince.Load() > 0 && unsent == 0: // idle for longest: its last answer was read long ago
+	case c.evictRequested.Swap(false) && c.idleSince.Load() > 0 && unsent == 0: // evict only when the kernel has taken all output
 		c.loopConn.Close()
 	case c.session.Done():
 		c.endSession(now)
@@ -354,7 +382,8 @@
 	}
 }
 
-// finish goes on with the end of the connection. One that has to make room for others is not waited for.
+// advanceClose carries out the next step of the lingering close. A connection that has to make room for others is closed
+// without waiting.
 func (c *Conn) advanceClose(now time.Duration) {
 	switch c.closing.next(now, c.loopConn.Unsent()) {
 	case actionClose:
@@ -373,6 +402,7 @@
 	c.nextCheck.Store(int64(now + tickInterval))
 }
 
+// fail ends the connection after a protocol error and sends the output that reports the error to the client.
 func (c *Conn) fail(now time.Duration, err error) {
 	c.front.frontend.Malformed.Add(1)
 	c.Log("%v", err)
@@ -381,8 +411,8 @@
 	c.advanceClose(now)
 }
 
-// Tick is eventloop.Handler: it wakes the connections whose deadlines have come, and all when publishers are to stop or may go
-// on.
+// Tick implements eventloop.Handler. It wakes the connections whose next check is due, and all connections when publishers
+// become blocked or unblocked.
 func (f *Front) Tick() {
 	now := int64(f.elapsed())
 	blocked := f.frontend.Blocked()
--- a/internal/front/lingering_close_test.go
+++ b/internal/front/lingering_close_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Each row plays one end: at each time so many bytes came and so many are unsent, and this is to be done.
+// Each entry simulates one close. A step is a time in milliseconds, the bytes that came, the bytes still unsent, and the
+// action expected.
 func TestLife(t *testing.T) {
 	type at struct {
 		ms, came, unsent int
@@ -27,7 +28,7 @@
 		l.end(0)
 		for _, s := range steps {
 			l.addDiscarded(s.came)
-			l.end(time.Duration(s.ms) * time.Millisecond) // ended twice is ended once
+			l.end(time.Duration(s.ms) * time.Millisecond) // repeated calls of end must change nothing
 			if got := l.next(time.Duration(s.ms)*time.Millisecond, s.unsent); got != s.want {
 				t.Errorf("%s at %d ms: %d, want %d", name, s.ms, got, s.want)
 			}
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,35 +1,43 @@
-// Package maintenance plans background work (sealing, compression, retention, expiry, verification) beside delivery: by
-// class, within a share of one core, less where the engine is under pressure, and never past a chore's deadline. It is
-// deterministic and free of I/O: the time, the pressure and what a chore cost are passed in.
+// Package maintenance schedules background tasks (sealing, compression, retention, expiry, verification) beside
+// delivery. Tasks run by priority within a CPU budget, which is a share of one core and shrinks while the engine is under
+// pressure. A task whose maximum delay has passed runs regardless of the budget. The package is deterministic and does no
+// I/O: the caller passes in the time, the pressure and the cost of each run.
 package maintenance
 
 import "time"
 
-// Task is one kind of work.
+// Task is one kind of background work that runs again and again.
 type Task struct {
-	Name     string
-	Priority int           // lower goes first
-	Interval time.Duration // from the end of one run until the next is due
-	MaxDelay time.Duration // a run this long after it was due goes whatever the budget; 0: it can wait for ever
+	// Name identifies the task to the caller.
+	Name string
+	// Priority orders tasks that are due. A lower number runs first.
+	Priority int
+	// Interval is the time from the end of one run until the next run is due.
+	Interval time.Duration
+	// MaxDelay is how long a due run may wait. After that, it runs regardless of the budget. 0 means no limit.
+	MaxDelay time.Duration
 }
 
-// Budget bounds all chores together.
+// Budget limits the CPU time of all tasks together, as a token bucket.
 type Budget struct {
-	Share float64       // of one core
-	Burst time.Duration // of work that may be saved up
+	// Share is the share of one core that the tasks may use, 1 for a whole core.
+	Share float64
+	// Burst is the CPU time that may accumulate while no task runs.
+	Burst time.Duration
 }
 
-// Scheduler decides what runs next.
+// Scheduler decides which task runs next. It is not safe for concurrent use.
 type Scheduler struct {
-	budget     Budget
-	tasks      []Task
-	due        []time.Duration
-	credit     time.Duration
-	updated    time.Duration
-	OverBudget int // runs that went over the budget, for their deadline
+	budget  Budget
+	tasks   []Task
+	due     []time.Duration
+	credit  time.Duration
+	updated time.Duration
+	// OverBudget counts the runs that started without budget because their maximum delay had passed.
+	OverBudget int
 }
 
-// New makes a Planner at a time; every chore is due then.
+// New returns a Scheduler that starts at now with a full budget. Every task is due at now.
 func New(b Budget, tasks []Task, now time.Duration) *Scheduler {
 	s := &Scheduler{budget: b, tasks: tasks, due: make([]time.Duration, len(tasks)), credit: b.Burst, updated: now}
 	for i := range s.due {
@@ -38,11 +46,12 @@
 	return s
 }
 
-// minShareFactor is the part of the share that is left under the worst pressure: chores slow down, they do not stop.
+// minShareFactor is the factor that remains of Budget.Share under full pressure. Tasks slow down but never stop.
 const minShareFactor = 0.1
 
-// Next tells which chore runs now, or -1 and how long to wait. pressure is 0 where the engine is at ease and 1 where its
-// rounds take all the time they may.
+// Next returns the index of the task that runs now, or -1 and the time to wait before the next call. The wait is at most
+// one second. pressure is 0 when the engine is idle and 1 when its rounds take all the time that they may. Values above 1
+// count as 1.
 func (s *Scheduler) Next(now time.Duration, pressure float64) (task int, wait time.Duration) {
 	share := s.budget.Share * max(minShareFactor, 1-max(0, pressure))
 	s.credit = min(s.budget.Burst, s.credit+time.Duration(share*float64(now-s.updated)))
@@ -80,22 +89,24 @@
 	return -1, min(wait, time.Duration(float64(-s.credit)/share)+time.Millisecond)
 }
 
+// overdue reports whether the maximum delay of a task has passed.
 func (s *Scheduler) overdue(i int, now time.Duration) bool {
 	return s.tasks[i].MaxDelay > 0 && now-s.due[i] >= s.tasks[i].MaxDelay
 }
 
-// deadlineBefore tells whether one chore's deadline came before another's.
+// deadlineBefore reports whether the maximum delay of task i ends before that of task j.
 func (s *Scheduler) deadlineBefore(i, j int) bool {
 	return s.due[i]+s.tasks[i].MaxDelay < s.due[j]+s.tasks[j].MaxDelay
 }
 
-// precedes tells whether one due chore goes before another: by class, then by when they were due.
+// precedes reports whether due task i runs before due task j. It compares their priorities, then their due times.
 func (s *Scheduler) precedes(i, j int) bool {
 	a, b := s.tasks[i].Priority, s.tasks[j].Priority
 	return a < b || a == b && s.due[i] < s.due[j]
 }
 
-// Done tells that a run is over, what it cost, and whether there is more of the same to do: then it is due at once.
+// Done records that a run of a task ended at now and charges its CPU time to the budget. more reports that work is left:
+// then the task is due again at once, otherwise after its interval.
 func (s *Scheduler) Done(task int, now, cost time.Duration, more bool) {
 	s.credit -= cost
 	s.due[task] = now
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -9,7 +9,8 @@
 
 const ms = time.Millisecond
 
-// run plays a planner for a time, with the cost of each chore, and counts runs.
+// run simulates a scheduler from one time to another. Each run of a task takes its cost. It returns the runs per task and
+// the time that they took.
 func run(p *Scheduler, from, to time.Duration, pressure float64, cost []time.Duration, more []bool) (runs []int, spent time.Duration) {
 	runs = make([]int, len(cost))
 	for now := from; now < to; {
@@ -30,12 +31,13 @@
 	for pressure, limit := range map[float64]time.Duration{0: 2100 * ms, 0.5: 1100 * ms, 1: 300 * ms, 7: 300 * ms} {
 		p := New(Budget{Share: 0.2, Burst: 50 * ms}, []Task{{Name: "compress", Priority: 1, Interval: time.Second}}, 0)
 		if _, spent := run(p, 0, 10*time.Second, pressure, []time.Duration{20 * ms}, []bool{true}); spent > limit || spent < limit/2 {
-			t.Errorf("pressure %v: %v of 10 s spent, at most %v", pressure, spent, limit)
+			t.Errorf("pressure %v: %v of 10 s spent, want at most %v and at least half of that", pressure, spent, limit)
 		}
 	}
 }
 
-// Work without end in a low class keeps no chore of a higher class waiting, nor one whose deadline has come.
+// A task of the lowest priority that always has more work must starve neither tasks of higher priority nor tasks whose
+// maximum delay has passed.
 func TestPrioritiesAndMaxDelays(t *testing.T) {
 	p := New(Budget{Share: 0.05, Burst: 10 * ms}, []Task{{Name: "verify", Priority: 3, Interval: time.Second},
 		{Name: "seal", Priority: 0, Interval: 500 * ms, MaxDelay: 500 * ms}, {Name: "expire", Priority: 2, Interval: time.Second, MaxDelay: 5 * time.Second}}, 0)
@@ -45,7 +47,8 @@
 	}
 }
 
-// Whatever happens, no chore with a deadline waits past it by more than one run of another, and time goes on.
+// A task may exceed its maximum delay only by the runs of other overdue tasks, 10 ms for each task. When no task runs,
+// Next must return a positive wait.
 func TestMaxDelayIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "chores")
@@ -60,12 +63,12 @@
 			i, wait := p.Next(now, rapid.Float64Range(0, 2).Draw(t, "pressure"))
 			for k, c := range all {
 				if late := now - p.due[k] - c.MaxDelay; late > time.Duration(n)*10*ms {
-					t.Fatalf("chore %d is %v past its deadline", k, late)
+					t.Fatalf("task %d is %v past its maximum delay", k, late)
 				}
 			}
 			if i < 0 {
 				if wait <= 0 {
-					t.Fatal("nothing to do, and no time to wait")
+					t.Fatal("no task to run and no time to wait")
 				}
 				now += wait
 				continue
