--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -66,7 +66,8 @@
 	Address string
 	// Loops is the number of event loops, at least one.
 	Loops int
-	// MaxUnread is the maximum number of output bytes that a client may leave unread. Above it, the connection is closed.
+	// MaxUnread is the maximum number of output bytes that a client may leave unread, beyond those that the kernel buffers.
+	// Above it, the connection is closed.
 	MaxUnread int
 	// Trace is called for each connection that is turned away or closed. It may be nil.
 	Trace func(format string, a ...any)
@@ -90,7 +91,7 @@
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 
-	// goingAway and finishing make every session call GoAway and Finish.
+	// goingAway makes Ready call Session.GoAway, and finishing makes it call Session.Finish.
 	goingAway, finishing atomic.Bool
 	// wasBlocked is the backpressure state at the last tick. Only Tick uses it.
 	wasBlocked bool
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,6 +1,7 @@
-// Package h1 is HTTP/1.1 (RFC 9112) for both sides of a connection, free of I/O: bytes go in, heads and bodies come
-// out. It is strict where leniency lets two readers see two different messages: one form of line ends, one length at
-// most, no folded lines, no length beside a transfer coding. Whatever it keeps is bounded.
+// Package h1 parses and writes HTTP/1.1 messages (RFC 9112) for clients and servers. It does no I/O: callers pass bytes in
+// and get heads and bodies back. The parser is strict where a lenient one would allow request smuggling: lines must end in
+// CRLF, at most one Content-Length is allowed, folded lines are rejected, and Content-Length together with
+// Transfer-Encoding is rejected. All buffered data is bounded.
 package h1
 
 import (
@@ -10,32 +11,39 @@
 	"strconv"
 )
 
-// Bounds on a head, in bytes and lines.
+// Limits of a message head.
 const (
+	// MaxHeadBytes is the maximum size of a head in bytes, with the empty line that ends it.
 	MaxHeadBytes = 8 << 10
-	MaxFields    = 64
+	// MaxFields is the maximum number of field lines of a head.
+	MaxFields = 64
 )
 
-// Faults of a message. Each wraps into an error that names the place.
+// Errors of a malformed or unsupported message. Returned errors are one of these or wrap one with a detail.
 var (
-	ErrSyntax   = errors.New("not HTTP/1.1")
+	// ErrSyntax reports bytes that are not valid HTTP/1.1.
+	ErrSyntax = errors.New("not HTTP/1.1")
+	// ErrTooLarge reports a head, a chunk line or a trailer line above its limit.
 	ErrTooLarge = errors.New("head too large")
-	ErrLength   = errors.New("no one length")
-	ErrCoding   = errors.New("transfer coding not taken")
+	// ErrLength reports an invalid, repeated or contradictory body length.
+	ErrLength = errors.New("no one length")
+	// ErrCoding reports a transfer coding that is not supported.
+	ErrCoding = errors.New("transfer coding not taken")
 )
 
-// Field is one line of a head. Name is in lower case.
+// Field is one header field. Name is in lower case.
 type Field struct{ Name, Value string }
 
-// Fields are the lines of a head, in order.
+// Fields are the header fields of a head, in the order received.
 type Fields []Field
 
-// Single returns the value of a field that must stand once at most; ok is false where it stands more often.
+// Single returns the value of a field that may occur at most once. ok is false if it occurs more often. The value is ""
+// if the field is absent.
 func (f Fields) Single(name string) (value string, ok bool) {
 	return f.Get(name), f.count(name) <= 1
 }
 
-// Get returns the first value of a field, "" if there is none.
+// Get returns the first value of the field with that name, in lower case, or "" if there is none.
 func (f Fields) Get(name string) string {
 	for i := range f {
 		if f[i].Name == name {
@@ -45,7 +53,7 @@
 	return ""
 }
 
-// count tells how often a field stands.
+// count returns how often a field occurs.
 func (f Fields) count(name string) (n int) {
 	for i := range f {
 		if f[i].Name == name {
@@ -57,22 +65,32 @@
 
 // Request is the head of a request.
 type Request struct {
+	// Method and Target come from the request line.
 	Method, Target string
-	Fields         Fields
-	Length         int64 // of the body
-	Close          bool  // the client ends the connection after it
+	// Fields are the header fields.
+	Fields Fields
+	// Length is the size of the body in bytes, 0 if none is stated.
+	Length int64
+	// Close reports that the connection ends after this request.
+	Close bool
 }
 
 // Response is the head of a response.
 type Response struct {
-	Status  int
-	Fields  Fields
-	Length  int64 // of the body; -1: until the connection ends
+	// Status is the status code.
+	Status int
+	// Fields are the header fields.
+	Fields Fields
+	// Length is the size of the body in bytes. It is -1 if the body is chunked or lasts until the connection ends.
+	Length int64
+	// Chunked reports that the body has the chunked transfer coding.
 	Chunked bool
-	Close   bool
+	// Close reports that the connection ends after this response.
+	Close bool
 }
 
-// splitHead finds the end of a head, and cuts its first line off. n is 0 while it is not all there.
+// splitHead splits a complete head at the start of buf into its first line and its field lines. n is the size of the head,
+// or 0 while it is incomplete.
 func splitHead(buf []byte) (first, rest []byte, n int, err error) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	if end < 0 && len(buf) > MaxHeadBytes || end+4 > MaxHeadBytes {
@@ -88,7 +106,8 @@
 	return first, rest, end + 4, nil
 }
 
-// validateHeadBytes tells what can be no head whatever follows. Guards against noise that would else be waited on to its end.
+// validateHeadBytes rejects bytes that cannot occur in a head, even if the head is incomplete. Without this check, the
+// caller would wait for the end of a head that can never become valid.
 func validateHeadBytes(b []byte) error {
 	for i, c := range b {
 		switch {
@@ -103,12 +122,13 @@
 	return nil
 }
 
-// cutLine cuts the first line off.
+// cutLine splits b behind its first line. b must contain a CRLF, which is part of neither result.
 func cutLine(b []byte) (first, rest []byte) {
 	at := bytes.Index(b, []byte("\r\n"))
 	return b[:at], b[at+2:]
 }
 
+// isToken reports whether b is a token (RFC 9110 section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenByte[c] {
@@ -118,6 +138,7 @@
 	return len(b) > 0
 }
 
+// tokenByte marks the bytes that may occur in a token.
 var tokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
@@ -131,6 +152,7 @@
 	return t
 }()
 
+// parseFields parses field lines, each of which ends in CRLF.
 func parseFields(lines []byte) (Fields, error) {
 	var all Fields
 	for len(lines) > 0 {
@@ -148,7 +170,7 @@
 	return all, nil
 }
 
-// contentLength reads the one length of a body; ok is false where none is stated.
+// contentLength parses the Content-Length field. ok is false if there is none.
 func (f Fields) contentLength() (n int64, ok bool, err error) {
 	switch f.count("content-length") {
 	case 0:
@@ -170,6 +192,7 @@
 	return n, true, nil
 }
 
+// hasConnectionClose reports whether a Connection field lists the option close.
 func (f Fields) hasConnectionClose() bool {
 	for i := range f {
 		if f[i].Name == "connection" {
@@ -183,8 +206,9 @@
 	return false
 }
 
-// ParseRequest reads the head of a request from the front of b; n is its size, 0 while it is not all there. No
-// transfer coding is taken: a body's length is stated.
+// ParseRequest parses the head of a request at the start of buf. n is the size of the head, or 0 while it is incomplete.
+// Requests with a Transfer-Encoding are rejected, so the body length is always known. The error wraps ErrSyntax,
+// ErrTooLarge, ErrLength or ErrCoding.
 func ParseRequest(buf []byte) (r *Request, n int, err error) {
 	first, rest, n, err := splitHead(buf)
 	if n == 0 || err != nil {
@@ -211,7 +235,7 @@
 	return r, n, nil
 }
 
-// ParseStatus reads the first line of a response alone; ok is false while it is not all there, or is none.
+// ParseStatus parses only the status line of a response. ok is false if the line is incomplete or invalid.
 func ParseStatus(b []byte) (status int, ok bool) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
@@ -221,6 +245,7 @@
 	return status, err == nil
 }
 
+// parseStatusLine returns the status code of a status line without its CRLF.
 func parseStatusLine(line []byte) (int, error) {
 	bad := fmt.Errorf("%w: no status line", ErrSyntax)
 	if len(line) < 12 || string(line[:7]) != "HTTP/1." || line[7] != '1' && line[7] != '0' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
@@ -239,7 +264,9 @@
 	return status, nil
 }
 
-// ParseResponse reads the head of a response to a request that was no HEAD; n is its size, 0 while it is not all there.
+// ParseResponse parses the head of a response at the start of buf. n is the size of the head, or 0 while it is incomplete.
+// The request must not have been a HEAD request, because the body length is derived without knowing the method. The error
+// wraps ErrSyntax, ErrTooLarge, ErrLength or ErrCoding.
 func ParseResponse(buf []byte) (r *Response, n int, err error) {
 	const start = "HTTP/1."
 	if m := min(len(buf), len(start)); string(buf[:m]) != start[:m] {
@@ -259,7 +286,7 @@
 	return r, n, r.setBodyFraming(string(first[:8]) == "HTTP/1.0")
 }
 
-// setBodyFraming tells how long the body is (RFC 9112 section 6.3).
+// setBodyFraming sets Length, Chunked and Close from the head (RFC 9112 section 6.3). http10 reports an HTTP/1.0 response.
 func (r *Response) setBodyFraming(http10 bool) error {
 	size, stated, err := r.Fields.contentLength()
 	if err != nil {
@@ -283,24 +310,31 @@
 	return nil
 }
 
-// ChunkDecoder reads a chunked body (RFC 9112 section 7.1).
+// ChunkDecoder decodes a body with the chunked transfer coding (RFC 9112 section 7.1). Its zero value is ready to use.
 type ChunkDecoder struct {
-	remaining   int64 // of the chunk, with its line end
-	done        bool
-	partialLine []byte // a line that is not all there
-	inTrailer   bool   // in the trailer
+	// remaining is the number of bytes left of the current chunk, with the CRLF after it.
+	remaining int64
+	// done is set when the trailer section has ended.
+	done bool
+	// partialLine holds the part of a line that has been received so far.
+	partialLine []byte
+	// inTrailer is set when the last chunk has been received.
+	inTrailer bool
 }
 
-// Done tells that the body has ended.
+// Done reports whether the body and its trailer section have ended.
 func (c *ChunkDecoder) Done() bool { return c.done }
 
-// maxChunkLine bounds the line ahead of a chunk and each of the trailer; maxChunk one chunk.
+// Limits of a chunked body, in bytes.
 const (
+	// maxChunkLineBytes is the maximum size of a chunk size line and of a trailer line, with its CRLF.
 	maxChunkLineBytes = 256
-	maxChunkBytes     = 16 << 20
+	// maxChunkBytes is the maximum size of the data of one chunk.
+	maxChunkBytes = 16 << 20
 )
 
-// Read takes bytes and appends the body's to out; rest is what follows the body.
+// Read decodes src, appends body bytes to dst and returns the extended dst as body. rest holds the bytes of src that follow
+// the end of the body. The error wraps ErrSyntax, ErrTooLarge or ErrLength.
 func (c *ChunkDecoder) Read(dst, src []byte) (body, rest []byte, err error) {
 	for len(src) > 0 && !c.done {
 		if c.remaining > 2 {
@@ -310,7 +344,7 @@
 			c.remaining -= n
 			continue
 		}
-		if c.remaining > 0 { // the line end behind a chunk
+		if c.remaining > 0 { // the CRLF after the data of a chunk
 			if want := "\r\n"[2-c.remaining]; src[0] != want {
 				return dst, nil, fmt.Errorf("%w: no line end behind a chunk", ErrSyntax)
 			}
@@ -340,7 +374,7 @@
 	return dst, src, nil
 }
 
-// parseLine takes the line ahead of a chunk, or one of the trailer.
+// parseLine parses the complete line in partialLine: a chunk size line, or a line of the trailer section.
 func (c *ChunkDecoder) parseLine() error {
 	line, ok := bytes.CutSuffix(c.partialLine, []byte("\r\n"))
 	if !ok {
@@ -363,7 +397,8 @@
 	return nil
 }
 
-// AppendHead appends a start line, fields as pairs of name and value, and the empty line.
+// AppendHead appends a head to dst: a start line without its CRLF, fields given as pairs of name and value, and the empty
+// line.
 func AppendHead(dst []byte, start string, pairs ...string) []byte {
 	dst = append(append(dst, start...), "\r\n"...)
 	for i := 0; i+1 < len(pairs); i += 2 {
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// However a head is cut, nothing is said before it is whole.
+// An incomplete head must give neither a request nor an error, wherever it is cut.
 func TestRequestInPieces(t *testing.T) {
 	text := []byte("POST /a HTTP/1.1\r\nHost: b\r\nX-A:  c \r\nConnection: keep-alive, Close\r\nContent-Length: 3\r\n\r\nxyz")
 	whole := len(text) - 3
@@ -116,12 +116,13 @@
 	for _, bad := range []string{"x\r\n", "-1\r\n", "+1\r\na\r\n", "fffffffffff\r\n", "1\r\nabc", "1\nab", strings.Repeat("0", 300)} {
 		var c ChunkDecoder
 		if _, _, err := c.Read(nil, []byte(bad)); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
 
-// Whatever comes, reading in one piece and in two says the same, and nothing crashes.
+// Parsing must not panic, must not accept a prefix of a valid head, and the method and target of an accepted request must
+// parse again after AppendHead.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 3\r\n\r\nxyz"), 7)
 	f.Add([]byte("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 20)
@@ -134,11 +135,11 @@
 			return
 		}
 		if _, m, err := ParseRequest(b[:cut]); m != 0 || err != nil {
-			t.Fatalf("whole at %d, but %d and %v at %d", n, m, err, cut)
+			t.Fatalf("complete at %d bytes, but size %d and error %v at %d bytes", n, m, err, cut)
 		}
 		again := AppendHead(nil, fmt.Sprintf("%s %s HTTP/1.1", r.Method, r.Target))
 		if _, _, err := ParseRequest(again); err != nil {
-			t.Fatalf("%q is not read again: %v", again, err)
+			t.Fatalf("%q does not parse again: %v", again, err)
 		}
 	})
 }
@@ -150,7 +151,7 @@
 		r, n, err := ParseResponse(b)
 		if r != nil && err == nil && n > 0 {
 			if s, ok := ParseStatus(b); !ok || s != r.Status {
-				t.Fatalf("first line says %d, %v, the head %d", s, ok, r.Status)
+				t.Fatalf("status line: %d, %v; head: %d", s, ok, r.Status)
 			}
 		}
 	})
@@ -162,7 +163,7 @@
 		var one, two ChunkDecoder
 		a, rest, err := one.Read(nil, b)
 		if len(a)+len(rest) > len(b) {
-			t.Fatalf("%d bytes from %d", len(a)+len(rest), len(b))
+			t.Fatalf("%d bytes out of %d", len(a)+len(rest), len(b))
 		}
 		if cut < 0 || cut > len(b) {
 			return
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -10,19 +10,32 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Config bounds one connection. Zero values take the defaults named.
+// Config holds the limits of one connection. A zero value selects the default of a field.
 type Config struct {
-	MaxStreams    uint32        // streams that the peer may have open (100)
-	MaxHeaderList int           // bytes of a header section (16 KiB)
-	StreamWindow  uint32        // bytes of a body that may come before we take them (64 KiB)
-	ConnWindow    uint32        // the same for the connection (1 MiB)
-	Handshake     time.Duration // until the peer's preface and SETTINGS are here (5 s)
-	StallTimeout  time.Duration // a header section in parts, or a window held shut, may last (10 s)
-	AbuseBurst    float64       // frames that do no work at once (200) ...
-	AbuseRate     float64       // ... and a second (50)
-	AckTimeout    time.Duration // until our SETTINGS are acknowledged (10 s)
-}
-
+	// MaxStreams is the maximum number of streams that the peer may have open. The default is 100.
+	MaxStreams uint32
+	// MaxHeaderList is the maximum size of a header section in bytes, as counted by SETTINGS_MAX_HEADER_LIST_SIZE. The
+	// default is 16 KiB.
+	MaxHeaderList int
+	// StreamWindow is the receive window of each stream in bytes. The default is 64 KiB.
+	StreamWindow uint32
+	// ConnWindow is the receive window of the connection in bytes. The default is 1 MiB, which also replaces values up to
+	// 65,535.
+	ConnWindow uint32
+	// Handshake is the time limit for the peer's preface and first SETTINGS. The default is 5 s.
+	Handshake time.Duration
+	// StallTimeout is the time limit for a header section that is sent in several frames, and for a peer that does not
+	// open its window while a body waits. The default is 10 s.
+	StallTimeout time.Duration
+	// AbuseBurst is the size of the token bucket for frames that do no useful work, in frames. The default is 200.
+	AbuseBurst float64
+	// AbuseRate is the rate at which the bucket refills, in frames per second. The default is 50.
+	AbuseRate float64
+	// AckTimeout is the time limit for the acknowledgement of our SETTINGS. It starts after Handshake. The default is 10 s.
+	AckTimeout time.Duration
+}
+
+// withDefaults returns the configuration with defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	if c.MaxStreams == 0 {
 		c.MaxStreams = 100
@@ -55,110 +68,178 @@
 	return c
 }
 
-// EventKind tells what an Event is.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Kinds of event; the fields each one uses are in brackets.
+// Kinds of events. Each comment names the fields of Event that are set.
 const (
-	Ready           EventKind = iota + 1 // the peer's first SETTINGS are here []
-	Headers                              // a header section came [Stream Fields End]
-	Informational                        // a 1xx section came, client only [Stream Fields]
-	Trailers                             // a trailer section came; the body is over [Stream Fields End]
-	Data                                 // part of a body came; Data holds until the next Receive [Stream Data End]
-	StreamReset                          // the peer reset the stream, or it was malformed and we did [Stream Code Local Reason]
-	GoAwayReceived                       // the peer will work on no stream of ours above Last [Last Code]
-	HeadersTooLarge                      // a header section over the limit; the stream is open without fields [Stream End]
-	SettingsChanged                      // the peer changed how many streams we may open []
+	// Ready reports the peer's first SETTINGS. It sets no other field.
+	Ready EventKind = iota + 1
+	// Headers reports the header section of a request or of a final response. It sets Stream, Fields and End.
+	Headers
+	// Informational reports a 1xx response, on clients only. It sets Stream and Fields.
+	Informational
+	// Trailers reports a trailer section, which ends the body. It sets Stream, Fields and End.
+	Trailers
+	// Data reports a part of a body. It sets Stream, Data and End.
+	Data
+	// StreamReset reports that the peer reset a stream, or that this side reset it because the peer broke the protocol. It
+	// sets Stream and Code, and in the second case Local and Reason.
+	StreamReset
+	// GoAwayReceived reports that the peer processes no streams of this side above LastStream. It sets LastStream and Code.
+	// On clients, the streams above LastStream are removed without a StreamReset event.
+	GoAwayReceived
+	// HeadersTooLarge reports a request whose header section is above Config.MaxHeaderList, on servers only. The stream is
+	// open and can be answered. It sets Stream and End.
+	HeadersTooLarge
+	// SettingsChanged reports later SETTINGS of the peer. AvailableStreams may have changed. It sets no other field.
+	SettingsChanged
 )
 
-// Event is something the peer did.
+// Event reports something that the peer did.
 type Event struct {
-	Kind       EventKind
-	Stream     uint32
-	Fields     []Field
-	Data       []byte
-	End        bool // the peer sends no more on this stream
-	Code       ErrCode
+	// Kind tells which of the other fields are set.
+	Kind EventKind
+	// Stream is the stream identifier.
+	Stream uint32
+	// Fields are the fields of a header or trailer section.
+	Fields []Field
+	// Data is a part of a body. It is valid until the next call of Receive.
+	Data []byte
+	// End reports that the peer sends nothing more on the stream.
+	End bool
+	// Code is the error code of RST_STREAM or GOAWAY.
+	Code ErrCode
+	// LastStream is the last stream that the peer processes after its GOAWAY.
 	LastStream uint32
-	Local      bool
-	Reason     string
+	// Local reports that this side reset the stream.
+	Local bool
+	// Reason describes why this side reset the stream.
+	Reason string
 }
 
-// stream is one stream that is not closed yet.
+// stream is the state of one stream that is not closed. The fields body, trailers and hasTrailers are not used.
 type stream struct {
-	id                           uint32
-	sendWindow, recvWindow       int64
-	uncredited                   int64 // taken bytes not yet credited back
-	endSent, endReceived         bool
-	headersReceived, body        bool // their header section is here; a part of their body
-	contentLength, bodyReceived  int64
-	pendingBody                  []byte // our body beyond the window
-	pendingEnd                   bool
-	trailers                     []Field
+	id uint32
+	// sendWindow and recvWindow are the flow control windows in bytes. sendWindow may be negative.
+	sendWindow, recvWindow int64
+	// uncredited is the number of received bytes that no WINDOW_UPDATE has given back yet.
+	uncredited int64
+	// endSent and endReceived are set when END_STREAM was sent or received.
+	endSent, endReceived bool
+	// headersReceived is set when the peer's final header section was received.
+	headersReceived, body bool
+	// contentLength is the peer's content-length, or -1. bodyReceived counts the bytes of its body without padding.
+	contentLength, bodyReceived int64
+	// pendingBody is the part of our body that waits for the peer's windows.
+	pendingBody []byte
+	// pendingEnd is set when END_STREAM follows pendingBody.
+	pendingEnd bool
+	trailers   []Field
+	// headersTooLarge is set when the peer's header section was above the limit.
 	hasTrailers, headersTooLarge bool
-	stalledSince, opened         time.Duration
+	// stalledSince is when a part of the body was last queued or sent. opened is when the stream was opened.
+	stalledSince, opened time.Duration
 }
 
-// Conn is one connection, client's or server's side.
+// Conn is one connection, as client or as server. Only one goroutine may use it at a time.
 type Conn struct {
-	cfg     Config
-	client  bool
-	now     time.Duration
+	cfg    Config
+	client bool
+	// now is the time passed to the current call.
+	now time.Duration
+	// created is the time passed to the constructor.
 	created time.Duration
 
-	readBuf          []byte // an unfinished frame
-	writeBuf         []byte
-	events           []Event
-	prefaceReceived  bool // the peer's preface is here
-	settingsReceived bool // ... and its first SETTINGS
-	settingsAcked    bool // our SETTINGS are acknowledged
-	err              error
-	goAwaySent       bool // we sent GOAWAY
-	goAwayReceived   bool
-	peerLastStream   uint32
-
-	streams           map[uint32]*stream
-	sendQueue         []uint32 // ids with a body waiting, in order
-	nextID            uint32
-	lastPeerID        uint32
-	localOpen         int // streams of ours open
-	peerOpen          int
-	sendWindow        int64
-	recvWindow        int64
-	uncredited        int64
-	peerMaxFrameSize  int
+	// readBuf holds an incomplete frame.
+	readBuf []byte
+	// writeBuf holds the bytes that Output returns.
+	writeBuf []byte
+	// events holds the events that Receive returns.
+	events []Event
+	// prefaceReceived is set when the peer's preface was received. On clients, it is always set.
+	prefaceReceived bool
+	// settingsReceived is set when the peer's first SETTINGS were received.
+	settingsReceived bool
+	// settingsAcked is set when the peer has acknowledged our SETTINGS.
+	settingsAcked bool
+	// err is the error that ended the connection.
+	err error
+	// goAwaySent is set when this side has sent GOAWAY.
+	goAwaySent bool
+	// goAwayReceived is set when the peer has sent GOAWAY.
+	goAwayReceived bool
+	// peerLastStream is the last stream in the peer's GOAWAY.
+	peerLastStream uint32
+
+	// streams holds the streams that are not closed.
+	streams map[uint32]*stream
+	// sendQueue holds the identifiers of the streams whose bodies wait for the peer's windows, in the order queued.
+	sendQueue []uint32
+	// nextID is the next stream that this side opens.
+	nextID uint32
+	// lastPeerID is the last stream that the peer opened.
+	lastPeerID uint32
+	// localOpen counts the open streams that this side opened.
+	localOpen int
+	// peerOpen counts the open streams that the peer opened.
+	peerOpen int
+	// sendWindow is the send window of the connection in bytes.
+	sendWindow int64
+	// recvWindow is the receive window of the connection in bytes.
+	recvWindow int64
+	// uncredited is the number of received bytes of the connection that no WINDOW_UPDATE has given back yet.
+	uncredited int64
+	// peerMaxFrameSize is the largest payload that this side sends, at most 64 KiB.
+	peerMaxFrameSize int
+	// peerInitialWindow is the initial send window of new streams in bytes.
 	peerInitialWindow int64
-	peerMaxStreams    uint32
+	// peerMaxStreams is the number of streams that this side may have open.
+	peerMaxStreams uint32
+	// peerMaxHeaderList is the largest header section in bytes that the peer accepts.
 	peerMaxHeaderList int
 
-	decoder         *hpack.Decoder
-	encoder         *hpack.Encoder
-	encoderBuf      bytes.Buffer
-	headerBlock     []byte // a header block in parts
-	blockFrame      Frame
+	decoder *hpack.Decoder
+	encoder *hpack.Encoder
+	// encoderBuf receives the output of encoder.
+	encoderBuf bytes.Buffer
+	// headerBlock collects a header block that is sent in several frames.
+	headerBlock []byte
+	// blockFrame is the HEADERS frame that started the block.
+	blockFrame Frame
+	// blockFrameCount is the number of frames of the block so far.
 	blockFrameCount int
-	blockStart      time.Duration
-	inBlock         bool
-	fields          []Field
-	headerListSize  int
-
-	abuseTokens  float64
+	// blockStart is when the block started.
+	blockStart time.Duration
+	// inBlock is set while more frames of the block are expected.
+	inBlock bool
+	// fields collects the decoded fields of the block, up to Config.MaxHeaderList.
+	fields []Field
+	// headerListSize is the size in bytes of all fields of the block, including those that are not kept.
+	headerListSize int
+
+	// abuseTokens is the level of the token bucket for frames that do no useful work.
+	abuseTokens float64
+	// abuseUpdated is when the token bucket was last refilled.
 	abuseUpdated time.Duration
 }
 
-// NewServer returns the server's side of a connection made at now.
+// NewServer returns the server side of a connection that was accepted at now.
 func NewServer(cfg Config, now time.Duration) *Conn { return newConn(cfg, now, false) }
 
-// NewClient returns the client's side; its preface is in the output at once.
+// NewClient returns the client side of a connection that was opened at now. Output returns its preface at once.
 func NewClient(cfg Config, now time.Duration) *Conn { return newConn(cfg, now, true) }
 
+// newConn returns a connection whose SETTINGS are in the output.
 func newConn(cfg Config, now time.Duration, client bool) *Conn {
 	cfg = cfg.withDefaults()
 	c := &Conn{cfg: cfg, client: client, now: now, created: now, abuseUpdated: now, abuseTokens: cfg.AbuseBurst,
 		streams: map[uint32]*stream{}, nextID: 2, sendWindow: defaultWindow, recvWindow: int64(cfg.ConnWindow),
 		peerMaxFrameSize: defaultFrameSize, peerInitialWindow: defaultWindow, peerMaxStreams: 100, peerMaxHeaderList: 1 << 30}
 	c.decoder = hpack.NewDecoder(4096, c.addField)
-	c.decoder.SetMaxStringLength(2*cfg.MaxHeaderList + defaultFrameSize) // what a block may hold: too large is no decoding error
+	// A string may be as long as a whole header block. A field above MaxHeaderList must not become a decoding error, because
+	// that would end the connection.
+	c.decoder.SetMaxStringLength(2*cfg.MaxHeaderList + defaultFrameSize)
 	c.encoder = hpack.NewEncoder(&c.encoderBuf)
 	var set []byte
 	if client {
@@ -178,30 +259,32 @@
 	return c
 }
 
+// appendWindowUpdate appends a WINDOW_UPDATE frame that adds n bytes to a window. Stream 0 is the connection.
 func (c *Conn) appendWindowUpdate(p []byte, stream, n uint32) []byte {
 	return binary.BigEndian.AppendUint32(appendHeader(p, 4, FrameWindowUpdate, 0, stream), n)
 }
 
-// Output returns the bytes to be written to the peer and forgets them. They are valid until the Conn is next used.
+// Output returns the bytes to be sent to the peer and removes them from the Conn. They are valid until its next use.
 func (c *Conn) Output() []byte {
 	p := c.writeBuf
 	c.writeBuf = c.writeBuf[:0]
-	if cap(p) > 1<<16 { // a burst must not keep its buffer
+	if cap(p) > 1<<16 { // release the buffer after a burst
 		c.writeBuf = nil
 	}
 	return p
 }
 
-// Err returns the error that ended the connection, if one did; the GOAWAY for it is in the output.
+// Err returns the error that ended the connection, or nil. The GOAWAY that reports it is in the output.
 func (c *Conn) Err() error { return c.err }
 
-// OpenStreams tells how many streams are not closed.
+// OpenStreams returns the number of streams that are not closed, on both sides.
 func (c *Conn) OpenStreams() int { return len(c.streams) }
 
-// SettingsReceived tells whether the peer's first SETTINGS are here.
+// SettingsReceived reports whether the peer's first SETTINGS were received.
 func (c *Conn) SettingsReceived() bool { return c.settingsReceived }
 
-// AvailableStreams tells how many more streams we may open now.
+// AvailableStreams returns how many more streams this side may open now. It is 0 before the peer's SETTINGS, after a
+// GOAWAY in either direction, after an error, and when the stream identifiers are used up.
 func (c *Conn) AvailableStreams() int {
 	if !c.settingsReceived || c.goAwayReceived || c.goAwaySent || c.err != nil || c.nextID > maxWindow-2 {
 		return 0
@@ -209,11 +292,12 @@
 	return max(0, int(min(c.peerMaxStreams, 1<<20))-c.localOpen)
 }
 
-// Done tells that the connection drains and has nothing more to do.
+// Done reports whether the connection failed, or a GOAWAY was sent or received and no stream is open.
 func (c *Conn) Done() bool {
 	return c.err != nil || (c.goAwaySent || c.goAwayReceived) && len(c.streams) == 0
 }
 
+// fail records the first connection error, queues GOAWAY for it and returns it.
 func (c *Conn) fail(e *ConnError) error {
 	if c.err == nil {
 		c.err = e
@@ -222,8 +306,8 @@
 	return c.err
 }
 
-// Receive takes bytes of the peer. The events are valid until the next call. After an error, which is a ConnError,
-// the output is to be written and the connection closed.
+// Receive processes bytes from the peer. The events are valid until the next call of Receive. An error is a ConnError. The
+// caller then has to send the output and close the connection.
 func (c *Conn) Receive(now time.Duration, p []byte) ([]Event, error) {
 	c.now = now
 	clear(c.events)
@@ -248,6 +332,7 @@
 	return c.events, err
 }
 
+// processFrames checks the preface, handles all complete frames in p, and returns the number of bytes used.
 func (c *Conn) processFrames(p []byte) (int, error) {
 	offset := 0
 	if !c.prefaceReceived {
@@ -280,8 +365,9 @@
 	}
 }
 
-// chargeAbuse counts a frame that does no work for us: floods of them end the connection. It guards against floods of
-// PING, SETTINGS, empty DATA, PRIORITY, and of streams opened and reset at once.
+// chargeAbuse takes the cost of a frame that does no useful work from the token bucket and returns an error when the bucket
+// is empty. It guards against floods of PING, SETTINGS, empty DATA, PRIORITY and other such frames, and against rapid reset:
+// streams that the peer opens and resets at once. what names the frames in the error.
 func (c *Conn) chargeAbuse(cost float64, what string, stream uint32) error {
 	c.abuseTokens = min(c.cfg.AbuseBurst, c.abuseTokens+c.cfg.AbuseRate*(c.now-c.abuseUpdated).Seconds())
 	c.abuseUpdated = c.now
@@ -291,6 +377,7 @@
 	return nil
 }
 
+// handleFrame handles one complete frame.
 func (c *Conn) handleFrame(f Frame) error {
 	if c.inBlock && (f.Type != FrameContinuation || f.Stream != c.blockFrame.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "frame inside a header block"}
@@ -320,10 +407,10 @@
 	case FrameWindowUpdate:
 		return c.onWindowUpdate(f)
 	}
-	return c.chargeAbuse(1, "unknown frames", f.Stream) // ignored (RFC 9113 section 4.1)
+	return c.chargeAbuse(1, "unknown frames", f.Stream) // unknown frame types are ignored (RFC 9113 section 4.1)
 }
 
-// isIdle tells whether a stream was never opened.
+// isIdle reports whether a stream was never opened.
 func (c *Conn) isIdle(id uint32) bool {
 	if (id%2 == 1) == c.client {
 		return id >= c.nextID
@@ -331,6 +418,7 @@
 	return id > c.lastPeerID
 }
 
+// onData handles DATA. The whole payload counts toward the windows, with its padding.
 func (c *Conn) onData(f Frame) error {
 	if f.Stream == 0 || c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "DATA on a stream that is not open"}
@@ -350,7 +438,7 @@
 		}
 	}
 	s := c.streams[f.Stream]
-	if s == nil { // closed a moment ago
+	if s == nil { // the frame crossed the end of the stream
 		return c.chargeAbuse(0.25, "DATA on closed streams", f.Stream)
 	}
 	if s.endReceived {
@@ -376,7 +464,8 @@
 	return nil
 }
 
-// creditWindow gives windows back once half is used: callers bound bodies by resetting streams, not by holding windows.
+// creditWindow counts n received bytes of a stream, or of the connection if s is nil. It sends WINDOW_UPDATE when half of
+// the window is used. Callers limit bodies by resetting streams, not by withholding window updates.
 func (c *Conn) creditWindow(s *stream, n int64) {
 	uncredited, window, full, id := &c.uncredited, &c.recvWindow, int64(c.cfg.ConnWindow), uint32(0)
 	if s != nil {
@@ -389,17 +478,20 @@
 	}
 }
 
+// handleEndStream records that the peer sends nothing more on a stream.
 func (c *Conn) handleEndStream(s *stream) {
 	s.endReceived = true
 	c.removeIfClosed(s)
 }
 
+// removeIfClosed removes a stream that both sides have ended.
 func (c *Conn) removeIfClosed(s *stream) {
 	if s.endReceived && s.endSent {
 		c.removeStream(s)
 	}
 }
 
+// removeStream removes a stream, if it is still open, and updates the counts.
 func (c *Conn) removeStream(s *stream) {
 	if c.streams[s.id] != s {
 		return
@@ -412,7 +504,8 @@
 	}
 }
 
-// streamError resets a stream that the peer used against the rules (RFC 9113 section 5.4.2).
+// streamError resets a stream after a stream error (RFC 9113 section 5.4.2) and reports it as an event. The returned error
+// is that of chargeAbuse.
 func (c *Conn) streamError(s *stream, code ErrCode, reason string) error {
 	c.writeReset(s.id, code)
 	c.removeStream(s)
@@ -420,10 +513,12 @@
 	return c.chargeAbuse(1, "malformed streams", s.id)
 }
 
+// writeReset queues RST_STREAM.
 func (c *Conn) writeReset(id uint32, code ErrCode) {
 	c.writeBuf = binary.BigEndian.AppendUint32(appendHeader(c.writeBuf, 4, FrameRSTStream, 0, id), uint32(code))
 }
 
+// onHeaders handles HEADERS, which starts a header block.
 func (c *Conn) onHeaders(f Frame) error {
 	if f.Stream == 0 {
 		return &ConnError{ProtocolError, 0, "HEADERS on stream 0"}
@@ -459,12 +554,14 @@
 	return c.handleHeaderBlock()
 }
 
+// onContinuation handles CONTINUATION, which continues a header block.
 func (c *Conn) onContinuation(f Frame) error {
 	if !c.inBlock {
 		return &ConnError{ProtocolError, f.Stream, "CONTINUATION without HEADERS"}
 	}
 	c.blockFrameCount++
-	// Guards against CONTINUATION floods: empty ones, and blocks far above any header section that is allowed.
+	// These limits guard against CONTINUATION floods, both of empty frames and of blocks far above the largest allowed
+	// header section.
 	if len(c.headerBlock)+len(f.Payload) > 2*c.cfg.MaxHeaderList+defaultFrameSize || c.blockFrameCount > 64 {
 		return &ConnError{EnhanceYourCalm, f.Stream, "header block without end"}
 	}
@@ -476,13 +573,15 @@
 	return c.handleHeaderBlock()
 }
 
+// addField is called by the decoder for each field. It counts every field and keeps those within Config.MaxHeaderList.
 func (c *Conn) addField(f hpack.HeaderField) {
 	if c.headerListSize += fieldSize(f); c.headerListSize <= c.cfg.MaxHeaderList {
 		c.fields = append(c.fields, f)
 	}
 }
 
-// handleHeaderBlock decodes a whole header block and gives it to its stream.
+// handleHeaderBlock decodes a complete header block and passes it to its stream. The block is decoded even if the stream
+// is gone, because that keeps the compression state of both sides the same.
 func (c *Conn) handleHeaderBlock() error {
 	f := c.blockFrame
 	c.fields, c.headerListSize = nil, 0
@@ -498,7 +597,7 @@
 	end := f.Flags&FlagEndStream != 0
 	s := c.streams[f.Stream]
 	if s == nil {
-		if c.client { // reset by us a moment ago
+		if c.client { // the block crossed our RST_STREAM
 			return c.chargeAbuse(0.25, "HEADERS on closed streams", f.Stream)
 		}
 		return c.openPeerStream(f.Stream, end)
@@ -509,9 +608,11 @@
 	return c.handleFurtherHeaders(s, end)
 }
 
+// openPeerStream opens the stream of a request on a server. Streams above the limit are refused with REFUSED_STREAM, which
+// tells the client that they were not processed.
 func (c *Conn) openPeerStream(id uint32, end bool) error {
 	c.lastPeerID = id
-	if c.goAwaySent { // RFC 9113 section 6.8: streams after our GOAWAY are not worked on
+	if c.goAwaySent { // streams after our GOAWAY are ignored (RFC 9113 section 6.8)
 		return nil
 	}
 	if c.peerOpen >= int(c.cfg.MaxStreams) {
@@ -541,7 +642,7 @@
 	return nil
 }
 
-// handleFurtherHeaders takes a further section on an open stream: a response, a 1xx or trailers.
+// handleFurtherHeaders handles a section on a stream that is already open: a 1xx response, a final response, or trailers.
 func (c *Conn) handleFurtherHeaders(s *stream, end bool) error {
 	if c.headerListSize > c.cfg.MaxHeaderList {
 		return c.streamError(s, EnhanceYourCalm, "header section too large")
@@ -581,6 +682,7 @@
 	return nil
 }
 
+// onPriority handles PRIORITY, which has no effect.
 func (c *Conn) onPriority(f Frame) error {
 	if f.Stream == 0 {
 		return &ConnError{ProtocolError, 0, "PRIORITY on stream 0"}
@@ -591,6 +693,7 @@
 	return c.chargeAbuse(1, "PRIORITY", f.Stream)
 }
 
+// onReset handles RST_STREAM. On servers, every reset counts as abuse. On clients, only those of closed streams do.
 func (c *Conn) onReset(f Frame) error {
 	if len(f.Payload) != 4 {
 		return &ConnError{FrameSizeError, f.Stream, "RST_STREAM of a wrong size"}
@@ -610,6 +713,7 @@
 	return c.chargeAbuse(1, "streams reset by the peer (rapid reset)", f.Stream)
 }
 
+// onSettings handles SETTINGS and acknowledges them.
 func (c *Conn) onSettings(f Frame) error {
 	if f.Stream != 0 {
 		return &ConnError{ProtocolError, f.Stream, "SETTINGS on a stream"}
@@ -644,6 +748,8 @@
 	return nil
 }
 
+// applySetting applies one setting of the peer. Unknown settings are ignored. A new initial window changes the send window
+// of every open stream by the difference (RFC 9113 section 6.9.2).
 func (c *Conn) applySetting(id SettingID, v uint32) error {
 	switch id {
 	case SettingHeaderTableSize:
@@ -677,6 +783,7 @@
 	return nil
 }
 
+// onPing answers PING.
 func (c *Conn) onPing(f Frame) error {
 	if f.Stream != 0 {
 		return &ConnError{ProtocolError, f.Stream, "PING on a stream"}
@@ -685,12 +792,13 @@
 		return &ConnError{FrameSizeError, 0, "PING of a wrong size"}
 	}
 	if f.Flags&FlagAck != 0 {
-		return c.chargeAbuse(1, "PING acks", 0) // we send no PING
+		return c.chargeAbuse(1, "PING acks", 0) // this side sends no PING
 	}
 	c.writeBuf = AppendFrame(c.writeBuf, FramePing, FlagAck, 0, f.Payload)
 	return c.chargeAbuse(1, "PING", 0)
 }
 
+// onGoAway handles GOAWAY. Clients remove the streams that the peer does not process.
 func (c *Conn) onGoAway(f Frame) error {
 	if f.Stream != 0 {
 		return &ConnError{ProtocolError, f.Stream, "GOAWAY on a stream"}
@@ -714,6 +822,7 @@
 	return c.chargeAbuse(1, "GOAWAY", 0)
 }
 
+// onWindowUpdate handles WINDOW_UPDATE and sends the bodies that it allows.
 func (c *Conn) onWindowUpdate(f Frame) error {
 	if len(f.Payload) != 4 {
 		return &ConnError{FrameSizeError, f.Stream, "WINDOW_UPDATE of a wrong size"}
--- a/internal/h2/fields.go
+++ b/internal/h2/fields.go
@@ -9,10 +9,10 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Field is one header field, its name in lower case.
+// Field is one header field. Its name is in lower case.
 type Field = hpack.HeaderField
 
-// Value returns the value of the first field of that name, or nothing.
+// Value returns the value of the first field with that name, or "" if there is none.
 func Value(fields []Field, name string) string {
 	for _, f := range fields {
 		if f.Name == name {
@@ -22,7 +22,7 @@
 	return ""
 }
 
-// Count tells how many fields have that name.
+// Count returns the number of fields with that name.
 func Count(fields []Field, name string) (n int) {
 	for _, f := range fields {
 		if f.Name == name {
@@ -32,11 +32,12 @@
 	return n
 }
 
-// fieldSize is what a field counts for SETTINGS_MAX_HEADER_LIST_SIZE (RFC 9113 section 6.5.2).
+// fieldSize returns the size in bytes that a field counts toward SETTINGS_MAX_HEADER_LIST_SIZE (RFC 9113 section 6.5.2).
 func fieldSize(f Field) int { return len(f.Name) + len(f.Value) + 32 }
 
-// validateFields checks the rules for a header section (RFC 9113 sections 8.2 and 8.3) and returns the content-length
-// it states, or -1.
+// validateFields checks a header or trailer section against RFC 9113 sections 8.2 and 8.3. It returns the value of
+// content-length, or -1 if there is none. request tells whether the section belongs to a request, and trailers whether it
+// is a trailer section.
 func validateFields(fields []Field, request, trailers bool) (length int64, err error) {
 	length = -1
 	pseudo := map[string]string{}
@@ -76,6 +77,7 @@
 	return length, validatePseudoFields(pseudo, request)
 }
 
+// isKnownPseudo reports whether a pseudo-header is defined for requests or for responses.
 func isKnownPseudo(name string, request bool) bool {
 	if request {
 		return name == ":method" || name == ":scheme" || name == ":path" || name == ":authority"
@@ -83,6 +85,7 @@
 	return name == ":status"
 }
 
+// validatePseudoFields checks that the pseudo-headers are complete and have valid values.
 func validatePseudoFields(pseudo map[string]string, request bool) error {
 	if !request {
 		if s := pseudo[":status"]; len(s) != 3 || s[0] < '1' || s[0] > '5' || s[1] < '0' || s[1] > '9' || s[2] < '0' || s[2] > '9' {
@@ -105,6 +108,7 @@
 	return nil
 }
 
+// validateRegularField checks the name of a field that is not a pseudo-header, and rejects connection-specific fields.
 func validateRegularField(f Field) error {
 	if f.Name == "" {
 		return errors.New("field without a name")
@@ -125,6 +129,7 @@
 	return nil
 }
 
+// isValidValue reports whether a field value has no surrounding whitespace and no forbidden byte (RFC 9113 section 8.2.1).
 func isValidValue(v string) bool {
 	if v == "" {
 		return true
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -15,7 +15,7 @@
 
 var postRequest = []Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/p"}}
 
-// encodeBlock encodes fields as a peer without a dynamic table would.
+// encodeBlock encodes a header block without the dynamic table.
 func encodeBlock(fields ...Field) []byte {
 	var b bytes.Buffer
 	e := hpack.NewEncoder(&b)
@@ -27,12 +27,13 @@
 	return b.Bytes()
 }
 
-// clientPreface is what a client sends first.
+// clientPreface returns the preface and the SETTINGS that a client sends first.
 func clientPreface() []byte { return AppendFrame([]byte(Preface), FrameSettings, 0, 0, nil) }
 
 func u32(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 
-// feedServer feeds a new server connection and returns what came of it.
+// feedServer passes a client preface and then input to a new server connection. It returns the connection, its events and
+// its first error.
 func feedServer(t *testing.T, cfg Config, in ...[]byte) (*Conn, []Event, error) {
 	t.Helper()
 	c := NewServer(cfg, 0)
@@ -59,7 +60,7 @@
 	return frame(FrameHeaders, FlagEndHeaders|flags, stream, encodeBlock(fields...))
 }
 
-// What ends a connection, and with which code (RFC 9113).
+// Each input must end the connection with the given error code and a GOAWAY (RFC 9113).
 func TestConnectionErrors(t *testing.T) {
 	long := strings.Repeat("x", 40000)
 	for _, c := range []struct {
@@ -130,7 +131,7 @@
 	return all
 }
 
-// What ends a stream and leaves the connection.
+// Each input must reset its stream with the given error code and leave the connection open.
 func TestStreamErrors(t *testing.T) {
 	with := func(f ...Field) []Field { return append(append([]Field(nil), postRequest...), f...) }
 	for _, c := range []struct {
@@ -162,7 +163,7 @@
 		}
 		conn, events, err := feedServer(t, cfg, c.in...)
 		last := events[len(events)-1]
-		if cfg.StreamWindow > 0 && err == nil && last.Kind == Data { // half of the window was given back meanwhile
+		if cfg.StreamWindow > 0 && err == nil && last.Kind == Data { // half of the window was credited back before the second frame
 			continue
 		}
 		if err != nil || last.Kind != StreamReset || last.Code != c.code || !last.Local {
@@ -174,7 +175,7 @@
 	}
 }
 
-// Streams above the limit are refused, so that their senders know that they have not run.
+// A stream above the limit must be reset with REFUSED_STREAM, which tells the client that its request was not processed.
 func TestStreamLimitRefuses(t *testing.T) {
 	c, _, err := feedServer(t, Config{MaxStreams: 1}, headers(1, 0, postRequest...), headers(3, 0, postRequest...))
 	if err != nil || c.OpenStreams() != 1 {
@@ -196,15 +197,15 @@
 	}
 }
 
-// Time limits: a slow preface, a header section that never ends, a window held shut.
+// Check must fail for a missing preface, for a header section without end, and for a send window that stays closed.
 func TestCheck(t *testing.T) {
 	c := NewServer(Config{}, 0)
 	if err := c.Check(6 * time.Second); err == nil {
-		t.Error("no preface for 6 s is well")
+		t.Error("no error without a preface for 6 s")
 	}
 	c, _, _ = feedServer(t, Config{}, frame(FrameSettings, FlagAck, 0, nil), frame(FrameHeaders, 0, 1, nil))
 	if err := c.Check(11 * time.Second); err == nil {
-		t.Error("a header section without an end for 11 s is well")
+		t.Error("no error for a header section without end for 11 s")
 	}
 	c, _, _ = feedServer(t, Config{}, frame(FrameSettings, FlagAck, 0, nil),
 		frame(FrameSettings, 0, 0, appendSetting(nil, SettingInitialWindowSize, 0)), headers(1, FlagEndStream, postRequest...))
@@ -213,11 +214,12 @@
 		t.Error(err)
 	}
 	if err := c.Check(12 * time.Second); err == nil {
-		t.Error("a window held shut for 11 s is well")
+		t.Error("no error for a window that stays closed for 11 s")
 	}
 }
 
-// exchange carries bytes between a client and a server until nothing moves.
+// exchange passes output between a client and a server, in pieces of at most chunk bytes, until neither has any. It returns
+// the events of both.
 func exchange(t testing.TB, client, server *Conn, chunk int) (toClient, toServer []Event) {
 	keep := func(into *[]Event, events []Event) {
 		for _, e := range events {
@@ -243,7 +245,7 @@
 	return toClient, toServer
 }
 
-// Whatever the sizes, chunks and windows: what one side sends arrives whole at the other, and no stream is left.
+// A request and its response must arrive unchanged for any body sizes, chunk sizes and windows, and leave no open stream.
 func TestExchange(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 200000).Draw(r, "body")
@@ -252,7 +254,7 @@
 		window := uint32(rapid.IntRange(1, 200000).Draw(r, "window"))
 		value := strings.Repeat("v", rapid.IntRange(0, 3000).Draw(r, "value"))
 		if len(body) > 2000 {
-			chunk = max(chunk, 500) // or it takes forever
+			chunk = max(chunk, 500) // smaller values take too long
 			window = max(window, 500)
 		}
 		client, server := NewClient(Config{AbuseBurst: 1e6}, 0), NewServer(Config{StreamWindow: window, AbuseBurst: 1e6}, 0)
@@ -284,7 +286,8 @@
 	return b
 }
 
-// GOAWAY names the last stream worked on; those above it can go elsewhere, those below run on.
+// GOAWAY names the last stream that the server processes. The client must drop streams above it and finish those up to it.
+// The second request here is on its way when the server sends GOAWAY.
 func TestGoAwayKeepsWhatIsOut(t *testing.T) {
 	client, server := NewClient(Config{}, 0), NewServer(Config{}, 0)
 	exchange(t, client, server, 1000)
@@ -308,7 +311,7 @@
 	}
 }
 
-// A stream limit that falls under what is open leaves no room until enough has ended.
+// When the stream limit falls below the number of open streams, no stream is available until enough of them have ended.
 func TestLimitFalls(t *testing.T) {
 	client, server := NewClient(Config{}, 0), NewServer(Config{MaxStreams: 10}, 0)
 	exchange(t, client, server, 1000)
@@ -326,7 +329,7 @@
 	}
 	exchange(t, client, server, 1000)
 	if client.AvailableStreams() != 1 {
-		t.Error("room:", client.AvailableStreams())
+		t.Error("available streams:", client.AvailableStreams())
 	}
 }
 
@@ -350,7 +353,7 @@
 	})
 }
 
-// feedInHalves gives bytes in two parts, answers what comes, and checks that the books stay true.
+// feedInHalves passes p in two parts, answers requests, and checks that the counts of open streams match the streams.
 func feedInHalves(t *testing.T, c *Conn, p []byte) {
 	for _, part := range [][]byte{p[:len(p)/2], p[len(p)/2:]} {
 		events, err := c.Receive(time.Millisecond, part)
@@ -361,12 +364,12 @@
 		}
 		if err != nil {
 			if c.Err() == nil {
-				t.Error("an error that did not end the connection")
+				t.Error("Receive returned an error and Err is nil")
 			}
 			return
 		}
 		if c.peerOpen+c.localOpen != len(c.streams) || c.peerOpen < 0 || c.localOpen < 0 {
-			t.Errorf("books: %d + %d of %d streams", c.peerOpen, c.localOpen, len(c.streams))
+			t.Errorf("%d + %d streams counted, %d open", c.peerOpen, c.localOpen, len(c.streams))
 		}
 		c.Output()
 	}
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -8,15 +8,19 @@
 	"time"
 )
 
-// Errors of sending.
+// Errors of sending. Nothing has been sent when one is returned.
 var (
+	// ErrNoStreamAvailable reports that no further stream may be opened now; see Conn.AvailableStreams.
 	ErrNoStreamAvailable = errors.New("h2: the peer takes no further stream now")
-	ErrClosed            = errors.New("h2: the stream is closed")
-	ErrTooLarge          = errors.New("h2: header section above the peer's limit")
+	// ErrClosed reports that the stream or the connection is closed, or that the response was already complete.
+	ErrClosed = errors.New("h2: the stream is closed")
+	// ErrTooLarge reports a header section above the peer's SETTINGS_MAX_HEADER_LIST_SIZE.
+	ErrTooLarge = errors.New("h2: header section above the peer's limit")
 )
 
-// Request opens a stream with a header section and a body, client only. Nothing of it has been sent where an error is
-// returned. The body is kept until the peer's windows let it go and must not be changed before.
+// Request opens a stream, sends a complete request and returns the stream identifier, on clients only. It returns
+// ErrNoStreamAvailable or ErrTooLarge, and then nothing has been sent. The Conn keeps body until the peer's windows allow
+// all of it to be sent. The caller must not change body before that.
 func (c *Conn) Request(now time.Duration, fields []Field, body []byte) (uint32, error) {
 	c.now = now
 	if c.AvailableStreams() == 0 {
@@ -36,7 +40,8 @@
 	return s.id, nil
 }
 
-// Respond sends a whole response, or a 1xx section where that is what fields hold; server only.
+// Respond sends a complete response, on servers only. If :status in fields is 1xx, it sends only that section and the stream
+// stays open for the final response. It returns ErrClosed if the stream takes no response. The body is kept as by Request.
 func (c *Conn) Respond(now time.Duration, id uint32, fields []Field, body []byte) error {
 	c.now = now
 	s := c.streams[id]
@@ -52,15 +57,15 @@
 	if len(body) > 0 {
 		c.queueBody(s, body, true)
 	}
-	if s.endSent && !s.endReceived { // an early answer: the rest of the request is not wanted (RFC 9113 section 8.1)
+	if s.endSent && !s.endReceived { // early response: the rest of the request is not needed (RFC 9113 section 8.1)
 		c.writeReset(id, NoError)
 		c.removeStream(s)
 	}
 	return nil
 }
 
-// BeginResponse sends a response's header section and a part of its body and leaves the stream open. Stand-ins use it to
-// break off in mid-answer.
+// BeginResponse sends the header section of a response and a part of its body, and leaves the stream open. Stand-ins use
+// it to simulate a response that breaks off. It returns ErrClosed if the stream takes no response.
 func (c *Conn) BeginResponse(now time.Duration, id uint32, fields []Field, part []byte) error {
 	c.now = now
 	s := c.streams[id]
@@ -72,6 +77,7 @@
 	return nil
 }
 
+// listSize returns the size of a header section as SETTINGS_MAX_HEADER_LIST_SIZE counts it.
 func listSize(fields []Field) (n int) {
 	for _, f := range fields {
 		n += fieldSize(f)
@@ -79,11 +85,11 @@
 	return n
 }
 
-// writeHeaders writes a header section, in as many frames as it needs.
+// writeHeaders queues a header section as HEADERS and as many CONTINUATION frames as it needs. end sets END_STREAM.
 func (c *Conn) writeHeaders(s *stream, fields []Field, end bool) {
 	c.encoderBuf.Reset()
 	for _, f := range fields {
-		_ = c.encoder.WriteField(f) // to a bytes.Buffer: does not fail
+		_ = c.encoder.WriteField(f) // writing to a bytes.Buffer does not fail
 	}
 	t, flags := FrameHeaders, uint8(0)
 	if end {
@@ -106,6 +112,7 @@
 	}
 }
 
+// queueBody queues a body, or the last part of it if end is set, and sends what the windows allow.
 func (c *Conn) queueBody(s *stream, p []byte, end bool) {
 	s.pendingBody, s.pendingEnd = p, end
 	s.stalledSince = c.now
@@ -113,7 +120,7 @@
 	c.flushBodies()
 }
 
-// flushBodies sends what the windows allow of the bodies that wait, in their order.
+// flushBodies sends what the windows allow of the queued bodies, in the order queued.
 func (c *Conn) flushBodies() {
 	if len(c.sendQueue) == 0 {
 		return
@@ -124,7 +131,7 @@
 	})
 }
 
-// sendBody sends of one body what its windows allow and tells whether that was all.
+// sendBody sends what the windows allow of one body and reports whether all of it was sent.
 func (c *Conn) sendBody(s *stream) bool {
 	for len(s.pendingBody) > 0 {
 		n := int(min(int64(len(s.pendingBody)), int64(c.peerMaxFrameSize), s.sendWindow, c.sendWindow))
@@ -150,7 +157,7 @@
 	return true
 }
 
-// Reset gives a stream up. It tells whether the stream was still open.
+// Reset sends RST_STREAM and removes the stream. It reports whether the stream was still open.
 func (c *Conn) Reset(now time.Duration, id uint32, code ErrCode) bool {
 	c.now = now
 	s := c.streams[id]
@@ -162,13 +169,14 @@
 	return true
 }
 
-// IsOpen tells whether the stream is still open.
+// IsOpen reports whether the stream is still open.
 func (c *Conn) IsOpen(id uint32) bool { return c.streams[id] != nil }
 
-// SendBlocked tells that bodies of ours wait for the peer's windows.
+// SendBlocked reports whether bodies wait for the peer's flow control windows.
 func (c *Conn) SendBlocked() bool { return len(c.sendQueue) > 0 }
 
-// GoAway tells the peer to open no further streams; those open run on (RFC 9113 section 6.8).
+// GoAway sends GOAWAY, which tells the peer to open no further streams. Open streams continue (RFC 9113 section 6.8). Later
+// calls do nothing.
 func (c *Conn) GoAway(now time.Duration, code ErrCode) {
 	c.now = now
 	if !c.goAwaySent {
@@ -176,6 +184,7 @@
 	}
 }
 
+// writeGoAway queues GOAWAY with the last stream that the peer opened, and with reason as debug data.
 func (c *Conn) writeGoAway(code ErrCode, reason string) {
 	c.goAwaySent = true
 	last := c.lastPeerID
@@ -185,15 +194,16 @@
 	c.writeBuf = append(c.writeBuf, reason...)
 }
 
-// SetMaxStreams changes how many streams the peer may open, and tells it; server only.
+// SetMaxStreams changes the number of streams that the peer may have open and sends it in SETTINGS, on servers only.
 func (c *Conn) SetMaxStreams(now time.Duration, n uint32) {
 	c.now = now
 	c.cfg.MaxStreams = n
 	c.writeBuf = AppendFrame(c.writeBuf, FrameSettings, 0, 0, appendSetting(nil, SettingMaxConcurrentStreams, n))
 }
 
-// Check looks at what takes too long, and is to be called now and then. After an error the connection is closed.
-// It guards against a preface or a header section that never ends and against windows held shut.
+// Check enforces the time limits of Config and must be called regularly. It guards against a preface or a header section
+// that never ends, against SETTINGS that are never acknowledged, and against a peer that never opens its windows. After an
+// error, which is a ConnError, the caller has to send the output and close the connection.
 func (c *Conn) Check(now time.Duration) error {
 	c.now = now
 	switch {
--- a/internal/maintenance/maintenance_test.go
+++ b/internal/maintenance/maintenance_test.go
@@ -51,7 +51,7 @@
 // Next must return a positive wait.
 func TestMaxDelayIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 5).Draw(t, "chores")
+		n := rapid.IntRange(1, 5).Draw(t, "tasks")
 		var all []Task
 		for range n {
 			all = append(all, Task{Priority: rapid.IntRange(0, 2).Draw(t, "class"), Interval: time.Duration(rapid.IntRange(1, 500).Draw(t, "every")) * ms,
