--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -17,24 +17,24 @@
 	next      control.MessageID
 }
 
-func (c *fakeEngine) Submit(m *engine.Message) error {
-	if c.capacity == 0 {
+func (e *fakeEngine) Submit(m *engine.Message) error {
+	if e.capacity == 0 {
 		return engine.ErrHoldFull
 	}
-	c.capacity--
-	c.next++
-	m.ID = c.next
+	e.capacity--
+	e.next++
+	m.ID = e.next
 	return nil
 }
-func (c *fakeEngine) Withdraw(id control.MessageID) { c.withdrawn = append(c.withdrawn, id) }
+func (e *fakeEngine) Withdraw(id control.MessageID) { e.withdrawn = append(e.withdrawn, id) }
 
 func limits() Limits {
 	return Limits{Conns: 2, Channels: 3, Bytes: 100, TenantBytes: 60, Messages: 10, BlockAt: 0.9, UnblockAt: 0.5}
 }
 
 func TestLimitsAreSharedByFrontends(t *testing.T) {
-	d := New(limits(), 2, &fakeEngine{capacity: 1})
-	a, b := d.AddFrontend("a"), d.AddFrontend("b")
+	controller := New(limits(), 2, &fakeEngine{capacity: 1})
+	a, b := controller.AddFrontend("a"), controller.AddFrontend("b")
 	if !a.AcquireConn() || !b.AcquireConn() || a.AcquireConn() || b.ConnsRefused.Load() != 0 || a.ConnsRefused.Load() != 1 {
 		t.Error("the connection limit is not shared by the frontends")
 	}
@@ -49,22 +49,22 @@
 	if x.Reserve(50) != nil || !errors.Is(y.Reserve(20), ErrTenantFull) || z.Reserve(40) != nil || !errors.Is(z.Reserve(20), ErrBytesFull) {
 		t.Error("bytes are not limited per tenant and in total")
 	}
-	if !d.Blocked() {
+	if !controller.Blocked() {
 		t.Error("90 of 100 bytes reserved, and publishers are not blocked")
 	}
 	x.Withdraw()
-	if d.Blocked() || d.Usage().Bytes != 40 {
-		t.Errorf("after the withdrawal: usage %+v", d.Usage())
+	if controller.Blocked() || controller.Usage().Bytes != 40 {
+		t.Errorf("after the withdrawal: usage %+v", controller.Usage())
 	}
 }
 
 // Guards against releasing the bytes or the message of a reservation twice: Complete, Withdraw and Reject after the
 // first of them must do nothing.
 func TestReservationEndsOnce(t *testing.T) {
-	c := &fakeEngine{capacity: 1}
-	d := New(limits(), 1, c)
-	s := d.AddFrontend("a")
-	x, y := s.NewReservation(0), s.NewReservation(0)
+	e := &fakeEngine{capacity: 1}
+	controller := New(limits(), 1, e)
+	f := controller.AddFrontend("a")
+	x, y := f.NewReservation(0), f.NewReservation(0)
 	m := &engine.Message{}
 	if x.Reserve(10) != nil || x.Submit(m) != nil || !errors.Is(y.Submit(&engine.Message{}), engine.ErrHoldFull) {
 		t.Fatal("the first message must be accepted, the second rejected by the engine")
@@ -74,10 +74,10 @@
 	x.Complete(engine.Served, true)
 	x.Withdraw()
 	x.Reject()
-	if u := d.Usage(); u.Messages != 0 || u.Bytes != 0 || len(c.withdrawn) != 1 || c.withdrawn[0] != m.ID {
-		t.Errorf("%+v, withdrawn %v", u, c.withdrawn)
+	if u := controller.Usage(); u.Messages != 0 || u.Bytes != 0 || len(e.withdrawn) != 1 || e.withdrawn[0] != m.ID {
+		t.Errorf("%+v, withdrawn %v", u, e.withdrawn)
 	}
-	if s.Withdrawn.Load() != 1 || s.Rejected.Load() != 1 || s.Served.Load() != 0 || s.Accepted.Load() != 1 {
+	if f.Withdrawn.Load() != 1 || f.Rejected.Load() != 1 || f.Served.Load() != 0 || f.Accepted.Load() != 1 {
 		t.Error("wrong counters")
 	}
 }
@@ -85,21 +85,21 @@
 // While admission is suspended, new messages fail with the given reason and publishers are blocked. Messages accepted
 // before complete as usual.
 func TestSuspend(t *testing.T) {
-	c := &fakeEngine{capacity: 5}
-	d := New(limits(), 1, c)
-	s := d.AddFrontend("a")
-	x, y := s.NewReservation(0), s.NewReservation(0)
+	e := &fakeEngine{capacity: 5}
+	controller := New(limits(), 1, e)
+	f := controller.AddFrontend("a")
+	x, y := f.NewReservation(0), f.NewReservation(0)
 	if err := x.Submit(&engine.Message{}); err != nil {
 		t.Fatal(err)
 	}
 	reason := errors.New("no disk")
-	d.Suspend(reason)
-	if err := y.Submit(&engine.Message{}); !errors.Is(err, reason) || !s.Blocked() {
+	controller.Suspend(reason)
+	if err := y.Submit(&engine.Message{}); !errors.Is(err, reason) || !f.Blocked() {
 		t.Error("submitted while admission is suspended:", err)
 	}
 	x.Complete(engine.Served, true)
-	d.Suspend(nil)
-	if err := y.Submit(&engine.Message{}); err != nil || s.Blocked() || s.Served.Load() != 1 {
+	controller.Suspend(nil)
+	if err := y.Submit(&engine.Message{}); err != nil || f.Blocked() || f.Served.Load() != 1 {
 		t.Error("not accepted after admission was resumed:", err)
 	}
 }
@@ -107,10 +107,10 @@
 // Between Low and High, the state must not change.
 func TestWatermarksHaveHysteresis(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := Watermarks{High: 0.9, Low: 0.7}
+		w := Watermarks{High: 0.9, Low: 0.7}
 		was := false
 		for _, level := range rapid.SliceOf(rapid.Float64Range(0, 1.2)).Draw(t, "levels") {
-			is := v.Update(level)
+			is := w.Update(level)
 			switch {
 			case level >= 0.9 && !is, level <= 0.7 && is, level > 0.7 && level < 0.9 && is != was:
 				t.Fatalf("level %v: from %v to %v", level, was, is)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -93,8 +93,8 @@
 
 	// goingAway makes Ready call Session.GoAway, and finishing makes it call Session.Finish.
 	goingAway, finishing atomic.Bool
-	// wasBlocked is the backpressure state at the last tick. Only Tick uses it.
-	wasBlocked bool
+	// lastBlocked is the backpressure state at the last tick. Only Tick uses it.
+	lastBlocked bool
 }
 
 // Conn is one client connection.
@@ -417,8 +417,8 @@
 func (f *Front) Tick() {
 	now := int64(f.elapsed())
 	blocked := f.frontend.Blocked()
-	blockedChanged := blocked != f.wasBlocked
-	f.wasBlocked = blocked
+	blockedChanged := blocked != f.lastBlocked
+	f.lastBlocked = blocked
 	f.forEachConn(func(c *Conn) {
 		if due := c.nextCheck.Load(); blockedChanged || due > 0 && due <= now {
 			c.wake()
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -139,7 +139,7 @@
 	// headersTooLarge is set when the peer's header section was above the limit.
 	hasTrailers, headersTooLarge bool
 	// stalledSince is when a part of the body was last queued or sent. opened is when the stream was opened.
-	stalledSince, opened time.Duration
+	stalledSince, openedAt time.Duration
 }
 
 // Conn is one connection, as client or as server. Only one goroutine may use it at a time.
@@ -619,7 +619,7 @@
 		c.writeReset(id, RefusedStream)
 		return c.chargeAbuse(1, "streams above the limit", id)
 	}
-	s := &stream{id: id, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, headersReceived: true, opened: c.now}
+	s := &stream{id: id, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, headersReceived: true, openedAt: c.now}
 	c.streams[id] = s
 	c.peerOpen++
 	if c.headerListSize > c.cfg.MaxHeaderList {
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -29,7 +29,7 @@
 	if listSize(fields) > c.peerMaxHeaderList {
 		return 0, ErrTooLarge
 	}
-	s := &stream{id: c.nextID, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, opened: now}
+	s := &stream{id: c.nextID, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, openedAt: now}
 	c.nextID += 2
 	c.localOpen++
 	c.streams[s.id] = s
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -57,19 +57,19 @@
 	s.credit = min(s.budget.Burst, s.credit+time.Duration(share*float64(now-s.updated)))
 	s.updated = now
 	best, wait := -1, time.Second
-	for i, c := range s.tasks {
+	for i, t := range s.tasks {
 		lateness := now - s.due[i]
 		switch {
 		case lateness < 0:
 			wait = min(wait, -lateness)
 			continue
-		case c.MaxDelay > 0 && lateness >= c.MaxDelay:
+		case t.MaxDelay > 0 && lateness >= t.MaxDelay:
 			if best < 0 || !s.overdue(best, now) || s.deadlineBefore(i, best) {
 				best = i
 			}
 			continue
-		case c.MaxDelay > 0:
-			wait = min(wait, c.MaxDelay-lateness)
+		case t.MaxDelay > 0:
+			wait = min(wait, t.MaxDelay-lateness)
 		}
 		if best < 0 || !s.overdue(best, now) && s.precedes(i, best) {
 			best = i
