--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -56,7 +56,7 @@
 type Task interface {
 	// Open runs the task on the connection's event loop.
 	Open(now time.Duration)
-	// Lost tells the task that it will not run because the connection is gone.
+	// Lost tells the task that it will not run because the connection is gone or its session has ended.
 	Lost()
 }
 
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -138,7 +138,7 @@
 	trailers   []Field
 	// headersTooLarge is set when the peer's header section was above the limit.
 	hasTrailers, headersTooLarge bool
-	// stalledSince is when a part of the body was last queued or sent. opened is when the stream was opened.
+	// stalledSince is when a part of the body was last queued or sent. openedAt is when the stream was opened.
 	stalledSince, openedAt time.Duration
 }
 
