--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -266,7 +266,7 @@
 
 // Complete ends the reservation of a message that has its final answer. delivered tells whether the client was still
 // there to receive the answer.
-func (r *Reservation) Complete(outcome engine.Final, delivered bool) {
+func (r *Reservation) Complete(outcome engine.AnswerKind, delivered bool) {
 	if !r.release() {
 		return
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 
 func (e *fakeEngine) Submit(m *engine.Message) error {
 	if e.capacity == 0 {
-		return engine.ErrHoldFull
+		return engine.ErrTooManyHeld
 	}
 	e.capacity--
 	e.next++
@@ -66,7 +66,7 @@
 	f := controller.AddFrontend("a")
 	x, y := f.NewReservation(0), f.NewReservation(0)
 	m := &engine.Message{}
-	if x.Reserve(10) != nil || x.Submit(m) != nil || !errors.Is(y.Submit(&engine.Message{}), engine.ErrHoldFull) {
+	if x.Reserve(10) != nil || x.Submit(m) != nil || !errors.Is(y.Submit(&engine.Message{}), engine.ErrTooManyHeld) {
 		t.Fatal("the first message must be accepted, the second rejected by the engine")
 	}
 	y.Reject()
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -18,7 +18,7 @@
 // Desk is what the sessions of one front share.
 type Desk struct {
 	cfg   amqp.Config
-	book  *intake.Book
+	book  *intake.Registry
 	names push.Names
 	side  *admission.Frontend
 	now   func() time.Duration
@@ -28,7 +28,7 @@
 }
 
 // New makes a Desk. now is the clock of the sessions.
-func New(cfg amqp.Config, book *intake.Book, names push.Names, side *admission.Frontend, room *mailbox.Room, now func() time.Duration) *Desk {
+func New(cfg amqp.Config, book *intake.Registry, names push.Names, side *admission.Frontend, room *mailbox.Room, now func() time.Duration) *Desk {
 	return &Desk{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
 }
 
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -71,8 +71,8 @@
 	if err != nil {
 		return err
 	}
-	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Target: target, Type: p.props.ContentType,
-		Coding: p.props.ContentEncoding, Origin: p}
+	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, TargetPath: target, ContentType: p.props.ContentType,
+		ContentEncoding: p.props.ContentEncoding, Origin: p}
 	if err := s.properties(m, r, p.props); err != nil {
 		return &amqp.Error{Code: amqp.PreconditionFailed, Text: err.Error()}
 	}
@@ -112,7 +112,7 @@
 	if r == nil {
 		return nil, "", &refusal{amqp.NoRoute, fmt.Sprintf("routing key %q leads to no partner", intake.Printable(how.Key))}
 	}
-	if r.Tenant != s.tenant && !s.desk.book.Open(r.Tenant) {
+	if r.Tenant != s.tenant && !s.desk.book.IsOpen(r.Tenant) {
 		return nil, "", &amqp.Error{Code: amqp.AccessRefused, Text: "that is another tenant's"}
 	}
 	return r, target, nil
@@ -126,22 +126,22 @@
 		if err != nil && !errors.Is(err, strconv.ErrRange) {
 			return fmt.Errorf("expiration %q is no number of milliseconds", intake.Printable(p.Expiration))
 		}
-		if ms < uint64(r.Life/time.Millisecond) {
+		if ms < uint64(r.MaxLifetime/time.Millisecond) {
 			asked = time.Duration(ms) * time.Millisecond
 		}
 	}
-	m.Life = s.desk.book.Life(r.Life, asked)
+	m.Lifetime = s.desk.book.Lifetime(r.MaxLifetime, asked)
 	if p.HasPriority {
 		m.Urgency = urgency(p.Priority)
 	}
 	if p.UserID != "" && p.UserID != s.user {
 		return fmt.Errorf("user-id is not that of the connection")
 	}
-	if err := intake.Order(m, r.InOrder, p.Headers.Text(HeaderOrder)); err != nil {
+	if err := intake.SetTopic(m, r.InOrder, p.Headers.Text(HeaderOrder)); err != nil {
 		return fmt.Errorf("header %s: %w", HeaderOrder, err)
 	}
 	if p.MessageID != "" {
-		if err := intake.Repeat(m, p.MessageID); err != nil {
+		if err := intake.SetIdempotencyKey(m, p.MessageID); err != nil {
 			return fmt.Errorf("message-id: %w", err)
 		}
 	}
@@ -256,9 +256,9 @@
 	s.c.SendContent(p.ch.id, &amqp.BasicReturn{Code: code, Text: text + " - " + reason, Exchange: p.how.Exchange, Key: p.how.Key}, &props, body)
 }
 
-// Final is engine.Origin: it runs on the engine's goroutine. The answer goes into its queue first, whether or not the
+// Answer is engine.Origin: it runs on the engine's goroutine. The answer goes into its queue first, whether or not the
 // connection is still there.
-func (p *publish) Final(_ *engine.Message, a engine.Answer) {
+func (p *publish) Answer(_ *engine.Message, a engine.Answer) {
 	p.answer = a
 	if p.place != nil {
 		d := p.s.desk
@@ -273,32 +273,32 @@
 }
 
 // Lost counts an answer for which the connection is not there any more.
-func (p *publish) Lost() { p.ticket.Complete(p.answer.Final, p.place != nil) }
+func (p *publish) Lost() { p.ticket.Complete(p.answer.Kind, p.place != nil) }
 
 // Open tells the publisher.
 func (p *publish) Open(time.Duration) {
 	s := p.s
 	s.awaiting--
 	told := !p.ch.gone && p.tag > 0
-	if p.answer.Final == engine.Refused && (p.tag > 0 || p.how.Mandatory) {
-		s.giveBack(p, amqp.NoConsumers, p.answer.Why, time.Duration(p.answer.Wait)*time.Microsecond)
+	if p.answer.Kind == engine.Refused && (p.tag > 0 || p.how.Mandatory) {
+		s.giveBack(p, amqp.NoConsumers, p.answer.AttemptDetail, time.Duration(p.answer.RetryAfter)*time.Microsecond)
 		told = !p.ch.gone
 	}
-	s.settle(p.ch, p.tag, p.answer.Final == engine.Served)
-	p.ticket.Complete(p.answer.Final, told || p.place != nil)
+	s.settle(p.ch, p.tag, p.answer.Kind == engine.Served)
+	p.ticket.Complete(p.answer.Kind, told || p.place != nil)
 }
 
 // receipt is the full final answer, for the queue of answers.
 func (p *publish) receipt() *receipt.Receipt {
 	r := receipt.New(p.s.desk.names.Of(p.msg.ID), &p.answer, clock.Wall())
-	r.MessageID, r.Correlation, r.Exchange, r.Key = p.props.MessageID, p.props.CorrelationID, p.how.Exchange, p.how.Key
+	r.MessageID, r.CorrelationID, r.Exchange, r.RoutingKey = p.props.MessageID, p.props.CorrelationID, p.how.Exchange, p.how.Key
 	return r
 }
 
 // message makes a receipt a message: its correlation-id is the publisher's or, without one, the message-id. With a key
 // the signed form goes along.
 func (d *Desk) message(r *receipt.Receipt) (*amqp.Properties, []byte) {
-	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.Correlation, Type: r.Answer,
+	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.CorrelationID, Type: r.Answer,
 		DeliveryMode: 1, Timestamp: uint64(r.At.Unix())}
 	if p.CorrelationID == "" {
 		p.CorrelationID = r.MessageID
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -30,7 +30,7 @@
 		all = append(all, maintenance.Task{Name: "seal", Priority: 0, Interval: s.cfg.Audit.SealEvery, MaxDelay: s.cfg.Audit.SealEvery},
 			maintenance.Task{Name: "compress and drop", Priority: 2, Interval: 500 * time.Millisecond, MaxDelay: time.Minute},
 			maintenance.Task{Name: "verify", Priority: 3, Interval: 30 * time.Second})
-		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Tend, k.VerifyNext)
+		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Maintain, k.VerifyNext)
 	}
 	b.planner = maintenance.New(maintenance.Budget{Share: s.cfg.Background, Burst: 200 * time.Millisecond}, all, s.now())
 	s.background = b
@@ -59,7 +59,7 @@
 
 // pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
 }
 
 func (b *background) stop() {
