--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -129,7 +129,7 @@
 		f.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, Tick: tickInterval, System: cfg.System, Log: log}, f, clock); err != nil {
+	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: tickInterval, System: cfg.System, Log: log}, f, clock); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	if err := f.loops.Listen(cfg.Address); err != nil {
@@ -277,7 +277,7 @@
 		return
 	}
 	c.closing.end(now)
-	c.loopConn.Hold(false)
+	c.loopConn.PauseReading(false)
 	c.mu.Lock()
 	dropped := c.inbox
 	c.inbox, c.closed = nil, true
@@ -365,7 +365,7 @@
 func (c *Conn) flush(now time.Duration) {
 	c.loopConn.Write(c.session.Output()) // a failed write is reported by Closed
 	if s, ok := c.session.(ReadPauser); ok {
-		c.loopConn.Hold(s.Full())
+		c.loopConn.PauseReading(s.Full())
 	}
 	unsent := c.loopConn.Unsent()
 	c.pending.Store(unsent > 0 || c.session.Owes())
