--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,6 +1,7 @@
-// Package front carries client connections on event loops for all protocols that messages come by. A Session
-// speaks the protocol of one connection; what they share is here: listening, limits, final answers that come from the
-// engine's goroutine, deadlines, answers that nobody reads, an orderly end. It decides nothing about messages.
+// Package front is the frontend for client connections. It runs the connections of all client protocols on event loops. A
+// Session implements the protocol of one connection. The package implements what all protocols share: listening,
+// connection limits, tasks that other goroutines post (such as final answers from the engine), time limits, clients that
+// do not read their answers, and the orderly close. It makes no decisions about messages.
 package front
 
 import (
@@ -11,103 +12,124 @@
 	"sync/atomic"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
-	"whinrun/internal/door"
 	"whinrun/internal/eventloop"
 )
 
-// Session is the protocol of one client connection. Its methods are called on the connection's event loop only, but
-// for Lost, which is the last call and may come while the engine stops.
+// Session is the protocol of one client connection. Its methods are called on the connection's event loop only. Lost is
+// the last call and may come while the engine stops.
 type Session interface {
-	// Receive takes bytes; they are not valid after it. An error ends the connection once Output is written.
+	// Receive processes input. It must not keep b after it returns. An error ends the connection after Output is written.
 	Receive(now time.Duration, b []byte) error
-	// Check looks at time limits and at whether publishers are blocked; it is called when Due has come, and after
-	// Receive. An error ends the connection.
+	// Check enforces time limits and tells the client when publishers are blocked or may resume. It is called after
+	// Receive, after posted tasks, and when the time that Due returned has come. An error ends the connection.
 	Check(now time.Duration) error
-	// Due is when Check is to be called at the latest, 0 for never.
+	// Due returns the time by which Check must be called, or 0 if there is none.
 	Due(now time.Duration) time.Duration
-	// GoAway tells the client that no new messages are taken; answers still come.
+	// GoAway tells the client that no new messages are accepted. Answers are still sent. It may be called repeatedly.
 	GoAway(now time.Duration)
-	// Finish tells that all answers have come: the connection is to end in order.
+	// Finish starts the orderly close, after all answers have been given. It may be called repeatedly.
 	Finish(now time.Duration)
-	// Output returns what is to be written and forgets it.
+	// Output returns the bytes to be written and removes them from the session.
 	Output() []byte
-	// Owes tells that something is still to be written or heard before the connection may be closed at a stop.
+	// Owes reports whether something has to be sent or received before the connection may be closed at shutdown.
 	Owes() bool
-	// Done tells that the connection has ended in order and may be closed.
+	// Done reports whether the orderly close is complete, so that the connection may be closed.
 	Done() bool
-	// Lost tells that the connection is gone.
+	// Lost tells the session that the connection is gone or that the session has ended.
 	Lost()
 }
 
-// Idler is a Session whose connection may be closed while nothing is under way on it, to make room for others.
+// Idler is an optional interface of a Session. Its connection may be closed while it is idle, to make room for others.
 type Idler interface {
-	// Idle tells since when nothing is under way; ok is false while something is.
+	// Idle returns the time since which nothing is in progress. ok is false while something is.
 	Idle() (since time.Duration, ok bool)
 }
 
-// Filler is a Session that can't take more for now: nothing is read for it meanwhile.
-type Filler interface{ Full() bool }
+// ReadPauser is an optional interface of a Session that applies backpressure. While Full returns true, nothing is read
+// from its connection.
+type ReadPauser interface{ Full() bool }
 
-// Parcel is something for a session that came from another goroutine.
-type Parcel interface {
-	Open(now time.Duration) // on the connection's event loop
-	Lost()                  // instead of Open: the connection is gone
+// Task is work for a session that another goroutine posts. For each task that Conn.Post accepts, either Open or Lost is
+// called, once.
+type Task interface {
+	// Open runs the task on the connection's event loop.
+	Open(now time.Duration)
+	// Lost tells the task that it will not run because the connection is gone or its session has ended.
+	Lost()
 }
 
-// Config is of one front.
+// Config configures one Front.
 type Config struct {
-	Address string // host:port; port 0 takes a free one
-	Loops   int
-	Unread  int                           // bytes of answers that a client may leave unread
-	Trace   func(format string, a ...any) // told of each connection's end, nil for none
-	System  eventloop.System              // nil for the kernel
+	// Address is the listening address as host:port. Port 0 selects a free port.
+	Address string
+	// Loops is the number of event loops, at least one.
+	Loops int
+	// MaxUnread is the maximum number of output bytes that a client may leave unread, beyond those that the kernel buffers.
+	// Above it, the connection is closed.
+	MaxUnread int
+	// Trace is called for each connection that is turned away or closed. It may be nil.
+	Trace func(format string, a ...any)
+	// System makes the system calls. nil selects the kernel's.
+	System eventloop.System
 }
 
-// tick is how often deadlines are looked at.
-const tick = 100 * time.Millisecond
+// tickInterval is how often the time limits of connections are checked.
+const tickInterval = 100 * time.Millisecond
 
-// Front is one listening address.
+// Front serves the connections of one listening address.
 type Front struct {
-	cfg   Config
-	side  *door.Side
-	clock clock.Clock
-	log   func(text string)
-	open  func(c *Conn, now time.Duration) Session
+	cfg        Config
+	frontend   *admission.Frontend
+	clock      clock.Clock
+	log        func(text string)
+	newSession func(c *Conn, now time.Duration) Session
 
 	loops *eventloop.Group
 
 	mu    sync.Mutex
 	conns map[*Conn]struct{}
 
-	away, finish atomic.Bool
-	blocked      bool // as of the last tick
+	// goingAway makes Ready call Session.GoAway, and finishing makes it call Session.Finish.
+	goingAway, finishing atomic.Bool
+	// lastBlocked is the backpressure state at the last tick. Only Tick uses it.
+	lastBlocked bool
 }
 
 // Conn is one client connection.
 type Conn struct {
-	f       *Front
-	gc      *eventloop.Conn
-	session Session
-	life    life // once it has ended the session is not called any more
-
-	mu    sync.Mutex
-	inbox []Parcel
-	gone  bool
-	owes  atomic.Bool
-	due   atomic.Int64
-	idle  atomic.Int64 // since when, 0 while it is not
-	evict atomic.Bool  // it is to be closed if it is idle
+	front    *Front
+	loopConn *eventloop.Conn
+	session  Session
+	// closing is the state of the close. After its end, the session is not called any more, except for Owes.
+	closing lingeringClose
+
+	// mu guards inbox and closed.
+	mu sync.Mutex
+	// inbox holds posted tasks that have not run yet.
+	inbox []Task
+	// closed is set when no more tasks are accepted.
+	closed bool
+	// pending is set while something has to be sent or received before the connection may be closed at shutdown.
+	pending atomic.Bool
+	// nextCheck is the time in nanoseconds at which Tick wakes the connection, or 0.
+	nextCheck atomic.Int64
+	// idleSince is the time in nanoseconds since which the connection is idle, or 0 while it is not.
+	idleSince atomic.Int64
+	// evictRequested makes the connection close if it is idle.
+	evictRequested atomic.Bool
 }
 
-// New makes a Front and listens. open makes the session of a new connection.
-func New(cfg Config, side *door.Side, clock clock.Clock, log func(string), open func(*Conn, time.Duration) Session) (*Front, error) {
-	f := &Front{cfg: cfg, side: side, clock: clock, log: log, open: open, conns: map[*Conn]struct{}{}}
+// New listens on cfg.Address and serves connections. newSession returns the session of a new connection. frontend limits
+// and counts connections. log receives lines for operators. The error is that of starting the event loops or of listening.
+func New(cfg Config, frontend *admission.Frontend, clock clock.Clock, log func(string), newSession func(*Conn, time.Duration) Session) (*Front, error) {
+	f := &Front{cfg: cfg, frontend: frontend, clock: clock, log: log, newSession: newSession, conns: map[*Conn]struct{}{}}
 	if f.cfg.Trace == nil {
 		f.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: tick, System: cfg.System, Log: log}, f, clock); err != nil {
+	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: tickInterval, System: cfg.System, Log: log}, f, clock); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	if err := f.loops.Listen(cfg.Address); err != nil {
@@ -118,16 +140,17 @@
 	return f, nil
 }
 
-// Addr is the address that the Front listens on.
+// Addr returns the address that the Front listens on.
 func (f *Front) Addr() net.Addr { return net.TCPAddrFromAddrPort(f.loops.Addr()) }
 
-// GoAway tells all clients to hand in nothing more; answers still go out.
+// GoAway tells all clients that no new messages are accepted. Answers are still sent.
 func (f *Front) GoAway() {
-	f.away.Store(true)
-	f.each(func(c *Conn) { c.wake() })
+	f.goingAway.Store(true)
+	f.forEachConn(func(c *Conn) { c.wake() })
 }
 
-func (f *Front) each(do func(*Conn)) {
+// forEachConn calls do for every open connection while it holds f.mu.
+func (f *Front) forEachConn(do func(*Conn)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
@@ -135,147 +158,149 @@
 	}
 }
 
-// Flush ends all sessions in order, now that all answers have been given, and waits until everything is written or ctx ends. It
-// tells how many connections still have something to be written or heard then.
-func (f *Front) Flush(ctx context.Context) (left int) {
-	f.finish.Store(true)
-	f.each(func(c *Conn) { c.wake() })
+// Flush starts the orderly close of all sessions and waits until everything is sent or ctx ends. It is called when all
+// answers have been given. It returns the number of connections that still have something to send or receive.
+func (f *Front) Flush(ctx context.Context) (remaining int) {
+	f.finishing.Store(true)
+	f.forEachConn(func(c *Conn) { c.wake() })
 	for {
-		left = 0
-		f.each(func(c *Conn) {
-			if c.waits() {
-				left++
+		remaining = 0
+		f.forEachConn(func(c *Conn) {
+			if c.hasPending() {
+				remaining++
 				c.wake()
 			}
 		})
-		if left == 0 {
+		if remaining == 0 {
 			return 0
 		}
 		select {
 		case <-ctx.Done():
-			return left
+			return remaining
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
 }
 
-// waits tells whether something is not written yet, or not read by a peer that was told the end. A message answered is off
-// the connection's books only once its answer is in the socket, so owes covers the answers that its event loop has not seen.
-func (c *Conn) waits() bool {
+// hasPending reports whether the connection has tasks that did not run, output that is not sent, or a peer that has not
+// answered the orderly close. A session stops counting a message as pending only after its answer is written, so pending
+// also covers answers that the event loop has not processed yet.
+func (c *Conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.inbox) > 0 || c.owes.Load()
+	return len(c.inbox) > 0 || c.pending.Load()
 }
 
-// StopAccepting has no more connections taken; those there are go on.
+// StopAccepting closes the listening socket. Open connections are not affected.
 func (f *Front) StopAccepting() { f.loops.StopAccepting() }
 
-// Close ends all connections. Nothing more is accepted first.
+// Close stops accepting connections, closes those that are open, and stops the event loops.
 func (f *Front) Close() {
 	f.loops.StopAccepting()
 	f.loops.Stop()
 }
 
+// elapsed returns the time on the monotonic clock that sessions are given.
 func (f *Front) elapsed() time.Duration { return clock.Elapsed(f.clock) }
 
-// Opened is eventloop.Handler: it starts a session, where there is room.
-func (f *Front) Opened(gc *eventloop.Conn) {
-	if !f.side.Enter() {
-		f.cfg.Trace("client %v: turned away, too many connections", gc.Peer())
-		gc.Close()
+// Opened implements eventloop.Handler. It starts a session, or closes the connection if the connection limit is reached.
+func (f *Front) Opened(loopConn *eventloop.Conn) {
+	if !f.frontend.AcquireConn() {
+		f.cfg.Trace("client %v: turned away, too many connections", loopConn.Peer())
+		loopConn.Close()
 		return
 	}
-	c := &Conn{f: f, gc: gc}
+	c := &Conn{front: f, loopConn: loopConn}
 	now := f.elapsed()
-	c.session = f.open(c, now)
-	c.owes.Store(true)
+	c.session = f.newSession(c, now)
+	c.pending.Store(true)
 	f.mu.Lock()
 	f.conns[c] = struct{}{}
 	f.mu.Unlock()
-	gc.Context = c
-	c.due.Store(int64(c.session.Due(now)))
-	c.rests()
-	if f.side.Crowded() {
-		f.makeRoom(c)
+	loopConn.Context = c
+	c.nextCheck.Store(int64(c.session.Due(now)))
+	c.updateIdle()
+	if f.frontend.NearConnLimit() {
+		f.evictLongestIdle(c)
 	}
-	gc.Write(c.session.Output())
+	loopConn.Write(c.session.Output())
 }
 
-// DialFailed is eventloop.Handler; a front dials nobody.
+// DialFailed implements eventloop.Handler. It is never called because a Front dials no connections.
 func (f *Front) DialFailed(any, error) {}
 
-// makeRoom has the connection closed that has been idle longest. Guards against clients that connect in numbers and say
-// nothing: they must not keep the others out.
-func (f *Front) makeRoom(not *Conn) {
+// evictLongestIdle closes the connection that has been idle longest. It guards against clients that open many connections
+// and send nothing on them: they must not lock out other clients.
+func (f *Front) evictLongestIdle(except *Conn) {
 	var longest *Conn
-	f.each(func(c *Conn) {
-		since := c.idle.Load()
-		if c != not && since > 0 && !c.evict.Load() && (longest == nil || since < longest.idle.Load()) {
+	f.forEachConn(func(c *Conn) {
+		since := c.idleSince.Load()
+		if c != except && since > 0 && !c.evictRequested.Load() && (longest == nil || since < longest.idleSince.Load()) {
 			longest = c
 		}
 	})
 	if longest != nil {
-		longest.evict.Store(true)
+		longest.evictRequested.Store(true)
 		longest.wake()
 	}
 }
 
-// rests keeps since when a connection is idle.
-func (c *Conn) rests() {
+// updateIdle records whether the session is idle and since when.
+func (c *Conn) updateIdle() {
 	since := time.Duration(0)
 	if s, ok := c.session.(Idler); ok {
 		if at, idle := s.Idle(); idle {
 			since = max(at, 1)
 		}
 	}
-	c.idle.Store(int64(since))
+	c.idleSince.Store(int64(since))
 }
 
-// Closed is eventloop.Handler: it tells the session, and all that is on its way to it.
-func (f *Front) Closed(gc *eventloop.Conn, err error) {
-	c, ok := gc.Context.(*Conn)
-	if !ok { // it was turned away
+// Closed implements eventloop.Handler. It ends the session and drops the tasks that were posted to it.
+func (f *Front) Closed(loopConn *eventloop.Conn, err error) {
+	c, ok := loopConn.Context.(*Conn)
+	if !ok { // the connection was turned away by Opened
 		return
 	}
-	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", gc.Peer(), c.life.ended, c.session.Owes(), err)
+	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", loopConn.Peer(), c.closing.ended, c.session.Owes(), err)
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
-	f.side.Leave()
-	c.end(f.elapsed())
+	f.frontend.ReleaseConn()
+	c.endSession(f.elapsed())
 }
 
-// end is the end of the session, once: of its protocol, or of its connection. The socket is closed by OnTraffic's owner, the
-// event loop, as life says.
-func (c *Conn) end(now time.Duration) {
-	if c.life.ended {
+// endSession ends the session when its protocol or its connection has ended. Later calls do nothing. It does not close the
+// socket: the event loop does that when lingeringClose tells it to.
+func (c *Conn) endSession(now time.Duration) {
+	if c.closing.ended {
 		return
 	}
-	c.life.end(now)
-	c.gc.PauseReading(false)
+	c.closing.end(now)
+	c.loopConn.PauseReading(false)
 	c.mu.Lock()
-	late := c.inbox
-	c.inbox, c.gone = nil, true
+	dropped := c.inbox
+	c.inbox, c.closed = nil, true
 	c.mu.Unlock()
-	for _, p := range late {
-		p.Lost()
+	for _, task := range dropped {
+		task.Lost()
 	}
 	c.session.Lost()
-	c.owes.Store(true) // until it is closed
-	if c.idle.Load() == 0 {
-		c.idle.Store(int64(now))
+	c.pending.Store(true) // Flush waits until the connection is closed
+	if c.idleSince.Load() == 0 {
+		c.idleSince.Store(int64(now))
 	}
 }
 
-// Post has a parcel opened on the connection's event loop, from any goroutine, without blocking. It is false where the
-// connection is gone: then the parcel is the caller's.
-func (c *Conn) Post(p Parcel) bool {
+// Post queues a task to run on the connection's event loop. It may be called from any goroutine and does not block. It
+// returns false if the connection is gone. The task is then neither run nor dropped, and stays with the caller.
+func (c *Conn) Post(task Task) bool {
 	c.mu.Lock()
-	if c.gone {
+	if c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	c.inbox = append(c.inbox, p)
+	c.inbox = append(c.inbox, task)
 	first := len(c.inbox) == 1
 	c.mu.Unlock()
 	if first {
@@ -284,32 +309,34 @@
 	return true
 }
 
-func (c *Conn) wake() { c.gc.Wake() }
+// wake makes the event loop call Ready soon.
+func (c *Conn) wake() { c.loopConn.Wake() }
 
-// Peer names the client, for logs.
-func (c *Conn) Peer() string { return c.gc.Peer().String() }
+// Peer returns the address of the client, for logs.
+func (c *Conn) Peer() string { return c.loopConn.Peer().String() }
 
-// Log writes a line about the client.
+// Log writes a log line that names the client.
 func (c *Conn) Log(format string, a ...any) {
-	c.f.log(fmt.Sprintf("client %s: %s", c.Peer(), fmt.Sprintf(format, a...)))
+	c.front.log(fmt.Sprintf("client %s: %s", c.Peer(), fmt.Sprintf(format, a...)))
 }
 
-// Ready is eventloop.Handler: it takes bytes of the client, and parcels out of the inbox.
-func (f *Front) Ready(gc *eventloop.Conn) {
-	c, ok := gc.Context.(*Conn)
+// Ready implements eventloop.Handler. It passes input to the session, runs posted tasks, checks time limits and writes
+// output.
+func (f *Front) Ready(loopConn *eventloop.Conn) {
+	c, ok := loopConn.Context.(*Conn)
 	if !ok {
 		return
 	}
 	now := f.elapsed()
-	in := gc.Inbound()
-	if c.life.ended {
-		c.life.threw(len(in)) // nothing is taken from it any more
-		c.finish(now)
+	in := loopConn.Inbound()
+	if c.closing.ended {
+		c.closing.addDiscarded(len(in)) // input after the end is discarded
+		c.advanceClose(now)
 		return
 	}
 	if len(in) > 0 {
 		if err := c.session.Receive(now, in); err != nil {
-			c.broken(now, err)
+			c.fail(now, err)
 			return
 		}
 	}
@@ -317,79 +344,83 @@
 	inbox := c.inbox
 	c.inbox = nil
 	c.mu.Unlock()
-	for _, p := range inbox {
-		p.Open(now)
+	for _, task := range inbox {
+		task.Open(now)
 	}
-	if f.away.Load() {
+	if f.goingAway.Load() {
 		c.session.GoAway(now)
 	}
-	if f.finish.Load() {
+	if f.finishing.Load() {
 		c.session.Finish(now)
 	}
 	if err := c.session.Check(now); err != nil {
-		c.broken(now, err)
+		c.fail(now, err)
 		return
 	}
 	c.flush(now)
 }
 
+// flush writes the session's output, updates the state that other goroutines read, and closes the connection if the client
+// reads too slowly, if it has to make room for others, or if the session is done.
 func (c *Conn) flush(now time.Duration) {
-	c.gc.Write(c.session.Output()) // a failed write shows as Closed
-	if s, ok := c.session.(Filler); ok {
-		c.gc.PauseReading(s.Full())
+	c.loopConn.Write(c.session.Output()) // a failed write is reported by Closed
+	if s, ok := c.session.(ReadPauser); ok {
+		c.loopConn.PauseReading(s.Full())
 	}
-	unread := c.gc.Unsent()
-	c.owes.Store(unread > 0 || c.session.Owes())
-	c.due.Store(int64(c.session.Due(now)))
-	c.rests()
+	unsent := c.loopConn.Unsent()
+	c.pending.Store(unsent > 0 || c.session.Owes())
+	c.nextCheck.Store(int64(c.session.Due(now)))
+	c.updateIdle()
 	switch {
-	case unread > c.f.cfg.Unread: // a client that stops reading must not hold memory
-		c.Log("reads no answers: closed with %d bytes unread", unread)
-		c.gc.Close()
-	case c.evict.Swap(false) && c.idle.Load() > 0 && unread == 0: // idle for longest: its last answer was read long ago
-		c.gc.Close()
+	case unsent > c.front.cfg.MaxUnread: // a client that does not read must not consume memory
+		c.Log("reads no answers: closed with %d bytes unread", unsent)
+		c.loopConn.Close()
+	case c.evictRequested.Swap(false) && c.idleSince.Load() > 0 && unsent == 0: // evict only when the kernel has taken all output
+		c.loopConn.Close()
 	case c.session.Done():
-		c.end(now)
-		c.finish(now)
+		c.endSession(now)
+		c.advanceClose(now)
 	}
 }
 
-// finish goes on with the end of the connection. One that has to make room for others is not waited for.
-func (c *Conn) finish(now time.Duration) {
-	switch c.life.next(now, c.gc.Unsent()) {
-	case closeAll:
-		c.gc.Close()
+// advanceClose carries out the next step of the lingering close. A connection that has to make room for others is closed
+// without waiting.
+func (c *Conn) advanceClose(now time.Duration) {
+	switch c.closing.next(now, c.loopConn.Unsent()) {
+	case actionClose:
+		c.loopConn.Close()
 		return
-	case shutWrite:
-		if !c.gc.CloseWrite() {
-			c.gc.Close()
+	case actionCloseWrite:
+		if !c.loopConn.CloseWrite() {
+			c.loopConn.Close()
 			return
 		}
 	}
-	if c.evict.Swap(false) {
-		c.gc.Close()
+	if c.evictRequested.Swap(false) {
+		c.loopConn.Close()
 		return
 	}
-	c.due.Store(int64(now + tick))
+	c.nextCheck.Store(int64(now + tickInterval))
 }
 
-func (c *Conn) broken(now time.Duration, err error) {
-	c.f.side.Malformed.Add(1)
+// fail ends the connection after a protocol error and sends the output that reports the error to the client.
+func (c *Conn) fail(now time.Duration, err error) {
+	c.front.frontend.Malformed.Add(1)
 	c.Log("%v", err)
-	c.gc.Write(c.session.Output())
-	c.end(now)
-	c.finish(now)
+	c.loopConn.Write(c.session.Output())
+	c.endSession(now)
+	c.advanceClose(now)
 }
 
-// Tick is eventloop.Handler: it wakes the connections whose deadlines have come, and all when publishers are to stop or may go
-// on.
+// Tick implements eventloop.Handler. It wakes the connections whose next check is due, and all connections when publishers
+// become blocked or unblocked.
 func (f *Front) Tick() {
 	now := int64(f.elapsed())
-	blocked := f.side.Blocked()
-	turned := blocked != f.blocked
-	f.blocked = blocked
-	f.each(func(c *Conn) {
-		if due := c.due.Load(); turned || due > 0 && due <= now {
+	blocked := f.frontend.Blocked()
+	blockedChanged := blocked != f.lastBlocked
+	f.lastBlocked = blocked
+	f.forEachConn(func(c *Conn) {
+		if due := c.nextCheck.Load(); blockedChanged || due > 0 && due <= now {
 			c.wake()
 		}
 	})
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,6 +1,7 @@
-// Package h1 is HTTP/1.1 (RFC 9112) for both sides of a connection, free of I/O: bytes go in, heads and bodies come
-// out. It is strict where leniency lets two readers see two different messages: one form of line ends, one length at
-// most, no folded lines, no length beside a transfer coding. Whatever it keeps is bounded.
+// Package h1 parses and writes HTTP/1.1 messages (RFC 9112) for clients and servers. It does no I/O: callers pass bytes in
+// and get heads and bodies back. The parser is strict where a lenient one would allow request smuggling: lines must end in
+// CRLF, at most one Content-Length is allowed, folded lines are rejected, and Content-Length together with
+// Transfer-Encoding is rejected. All buffered data is bounded.
 package h1
 
 import (
@@ -10,32 +11,39 @@
 	"strconv"
 )
 
-// Bounds on a head, in bytes and lines.
+// Limits of a message head.
 const (
-	MaxHead   = 8 << 10
+	// MaxHeadBytes is the maximum size of a head in bytes, with the empty line that ends it.
+	MaxHeadBytes = 8 << 10
+	// MaxFields is the maximum number of field lines of a head.
 	MaxFields = 64
 )
 
-// Faults of a message. Each wraps into an error that names the place.
+// Errors of a malformed or unsupported message. Returned errors are one of these or wrap one with a detail.
 var (
-	ErrSyntax   = errors.New("not HTTP/1.1")
+	// ErrSyntax reports bytes that are not valid HTTP/1.1.
+	ErrSyntax = errors.New("not HTTP/1.1")
+	// ErrTooLarge reports a head, a chunk line or a trailer line above its limit.
 	ErrTooLarge = errors.New("head too large")
-	ErrLength   = errors.New("no one length")
-	ErrCoding   = errors.New("transfer coding not taken")
+	// ErrLength reports an invalid, repeated or contradictory body length.
+	ErrLength = errors.New("no one length")
+	// ErrCoding reports a transfer coding that is not supported.
+	ErrCoding = errors.New("transfer coding not taken")
 )
 
-// Field is one line of a head. Name is in lower case.
+// Field is one header field. Name is in lower case.
 type Field struct{ Name, Value string }
 
-// Fields are the lines of a head, in order.
+// Fields are the header fields of a head, in the order received.
 type Fields []Field
 
-// One returns the value of a field that must stand once at most; ok is false where it stands more often.
-func (f Fields) One(name string) (value string, ok bool) {
+// Single returns the value of a field that may occur at most once. ok is false if it occurs more often. The value is ""
+// if the field is absent.
+func (f Fields) Single(name string) (value string, ok bool) {
 	return f.Get(name), f.count(name) <= 1
 }
 
-// Get returns the first value of a field, "" if there is none.
+// Get returns the first value of the field with that name, in lower case, or "" if there is none.
 func (f Fields) Get(name string) string {
 	for i := range f {
 		if f[i].Name == name {
@@ -45,7 +53,7 @@
 	return ""
 }
 
-// count tells how often a field stands.
+// count returns how often a field occurs.
 func (f Fields) count(name string) (n int) {
 	for i := range f {
 		if f[i].Name == name {
@@ -57,39 +65,50 @@
 
 // Request is the head of a request.
 type Request struct {
+	// Method and Target come from the request line.
 	Method, Target string
-	Fields         Fields
-	Length         int64 // of the body
-	Close          bool  // the client ends the connection after it
+	// Fields are the header fields.
+	Fields Fields
+	// Length is the size of the body in bytes, 0 if none is stated.
+	Length int64
+	// Close reports that the connection ends after this request.
+	Close bool
 }
 
 // Response is the head of a response.
 type Response struct {
-	Status  int
-	Fields  Fields
-	Length  int64 // of the body; -1: until the connection ends
+	// Status is the status code.
+	Status int
+	// Fields are the header fields.
+	Fields Fields
+	// Length is the size of the body in bytes. It is -1 if the body is chunked or lasts until the connection ends.
+	Length int64
+	// Chunked reports that the body has the chunked transfer coding.
 	Chunked bool
-	Close   bool
+	// Close reports that the connection ends after this response.
+	Close bool
 }
 
-// head finds the end of a head, and cuts its first line off. n is 0 while it is not all there.
-func head(b []byte) (first, rest []byte, n int, err error) {
-	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end < 0 && len(b) > MaxHead || end+4 > MaxHead {
+// splitHead splits a complete head at the start of buf into its first line and its field lines. n is the size of the head,
+// or 0 while it is incomplete.
+func splitHead(buf []byte) (first, rest []byte, n int, err error) {
+	end := bytes.Index(buf, []byte("\r\n\r\n"))
+	if end < 0 && len(buf) > MaxHeadBytes || end+4 > MaxHeadBytes {
 		return nil, nil, 0, ErrTooLarge
 	}
 	if end < 0 {
-		return nil, nil, 0, early(b)
+		return nil, nil, 0, validateHeadBytes(buf)
 	}
-	if err := early(b[:end+2]); err != nil {
+	if err := validateHeadBytes(buf[:end+2]); err != nil {
 		return nil, nil, 0, err
 	}
-	first, rest = line(b[:end+2])
+	first, rest = cutLine(buf[:end+2])
 	return first, rest, end + 4, nil
 }
 
-// early tells what can be no head whatever follows. Guards against noise that would else be waited on to its end.
-func early(b []byte) error {
+// validateHeadBytes rejects bytes that cannot occur in a head, even if the head is incomplete. Without this check, the
+// caller would wait for the end of a head that can never become valid.
+func validateHeadBytes(b []byte) error {
 	for i, c := range b {
 		switch {
 		case c == '\n' && (i == 0 || b[i-1] != '\r'):
@@ -103,12 +122,13 @@
 	return nil
 }
 
-// line cuts the first line off.
-func line(b []byte) (first, rest []byte) {
+// cutLine splits b behind its first line. b must contain a CRLF, which is part of neither result.
+func cutLine(b []byte) (first, rest []byte) {
 	at := bytes.Index(b, []byte("\r\n"))
 	return b[:at], b[at+2:]
 }
 
+// isToken reports whether b is a token (RFC 9110 section 5.6.2).
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if !tokenByte[c] {
@@ -118,6 +138,7 @@
 	return len(b) > 0
 }
 
+// tokenByte marks the bytes that may occur in a token.
 var tokenByte = func() (t [256]bool) {
 	for c := '0'; c <= '9'; c++ {
 		t[c] = true
@@ -131,25 +152,26 @@
 	return t
 }()
 
-func fields(b []byte) (Fields, error) {
+// parseFields parses field lines, each of which ends in CRLF.
+func parseFields(lines []byte) (Fields, error) {
 	var all Fields
-	for len(b) > 0 {
-		var l []byte
-		l, b = line(b)
-		at := bytes.IndexByte(l, ':')
-		if at < 0 || !isToken(l[:at]) {
+	for len(lines) > 0 {
+		var line []byte
+		line, lines = cutLine(lines)
+		at := bytes.IndexByte(line, ':')
+		if at < 0 || !isToken(line[:at]) {
 			return nil, fmt.Errorf("%w: a head line without a name", ErrSyntax)
 		}
 		if len(all) == MaxFields {
 			return nil, ErrTooLarge
 		}
-		all = append(all, Field{string(bytes.ToLower(l[:at])), string(bytes.Trim(l[at+1:], " \t"))})
+		all = append(all, Field{string(bytes.ToLower(line[:at])), string(bytes.Trim(line[at+1:], " \t"))})
 	}
 	return all, nil
 }
 
-// length reads the one length of a body; ok is false where none is stated.
-func (f Fields) length() (n int64, ok bool, err error) {
+// contentLength parses the Content-Length field. ok is false if there is none.
+func (f Fields) contentLength() (n int64, ok bool, err error) {
 	switch f.count("content-length") {
 	case 0:
 		return 0, false, nil
@@ -170,7 +192,8 @@
 	return n, true, nil
 }
 
-func (f Fields) closes() bool {
+// hasConnectionClose reports whether a Connection field lists the option close.
+func (f Fields) hasConnectionClose() bool {
 	for i := range f {
 		if f[i].Name == "connection" {
 			for _, t := range bytes.Split([]byte(f[i].Value), []byte(",")) {
@@ -183,10 +206,11 @@
 	return false
 }
 
-// ParseRequest reads the head of a request from the front of b; n is its size, 0 while it is not all there. No
-// transfer coding is taken: a body's length is stated.
-func ParseRequest(b []byte) (r *Request, n int, err error) {
-	first, rest, n, err := head(b)
+// ParseRequest parses the head of a request at the start of buf. n is the size of the head, or 0 while it is incomplete.
+// Requests with a Transfer-Encoding are rejected, so the body length is always known. The error wraps ErrSyntax,
+// ErrTooLarge, ErrLength or ErrCoding.
+func ParseRequest(buf []byte) (r *Request, n int, err error) {
+	first, rest, n, err := splitHead(buf)
 	if n == 0 || err != nil {
 		return nil, 0, err
 	}
@@ -198,36 +222,37 @@
 		return nil, 0, fmt.Errorf("%w: version %.12q", ErrSyntax, parts[2])
 	}
 	r = &Request{Method: string(parts[0]), Target: string(parts[1])}
-	if r.Fields, err = fields(rest); err != nil {
+	if r.Fields, err = parseFields(rest); err != nil {
 		return nil, 0, err
 	}
 	if r.Fields.count("transfer-encoding") > 0 {
 		return nil, 0, ErrCoding
 	}
-	if r.Length, _, err = r.Fields.length(); err != nil {
+	if r.Length, _, err = r.Fields.contentLength(); err != nil {
 		return nil, 0, err
 	}
-	r.Close = r.Fields.closes() || string(parts[2]) == "HTTP/1.0"
+	r.Close = r.Fields.hasConnectionClose() || string(parts[2]) == "HTTP/1.0"
 	return r, n, nil
 }
 
-// Status reads the first line of a response alone; ok is false while it is not all there, or is none.
-func Status(b []byte) (status int, ok bool) {
+// ParseStatus parses only the status line of a response. ok is false if the line is incomplete or invalid.
+func ParseStatus(b []byte) (status int, ok bool) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
 		return 0, false
 	}
-	status, err := statusLine(b[:end])
+	status, err := parseStatusLine(b[:end])
 	return status, err == nil
 }
 
-func statusLine(l []byte) (int, error) {
+// parseStatusLine returns the status code of a status line without its CRLF.
+func parseStatusLine(line []byte) (int, error) {
 	bad := fmt.Errorf("%w: no status line", ErrSyntax)
-	if len(l) < 12 || string(l[:7]) != "HTTP/1." || l[7] != '1' && l[7] != '0' || l[8] != ' ' || len(l) > 12 && l[12] != ' ' {
+	if len(line) < 12 || string(line[:7]) != "HTTP/1." || line[7] != '1' && line[7] != '0' || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return 0, bad
 	}
 	status := 0
-	for _, c := range l[9:12] {
+	for _, c := range line[9:12] {
 		if c < '0' || c > '9' {
 			return 0, bad
 		}
@@ -239,34 +264,36 @@
 	return status, nil
 }
 
-// ParseResponse reads the head of a response to a request that was no HEAD; n is its size, 0 while it is not all there.
-func ParseResponse(b []byte) (r *Response, n int, err error) {
+// ParseResponse parses the head of a response at the start of buf. n is the size of the head, or 0 while it is incomplete.
+// The request must not have been a HEAD request, because the body length is derived without knowing the method. The error
+// wraps ErrSyntax, ErrTooLarge, ErrLength or ErrCoding.
+func ParseResponse(buf []byte) (r *Response, n int, err error) {
 	const start = "HTTP/1."
-	if m := min(len(b), len(start)); string(b[:m]) != start[:m] {
+	if m := min(len(buf), len(start)); string(buf[:m]) != start[:m] {
 		return nil, 0, fmt.Errorf("%w: no status line", ErrSyntax)
 	}
-	first, rest, n, err := head(b)
+	first, rest, n, err := splitHead(buf)
 	if n == 0 || err != nil {
 		return nil, 0, err
 	}
 	r = &Response{}
-	if r.Status, err = statusLine(first); err != nil {
+	if r.Status, err = parseStatusLine(first); err != nil {
 		return nil, 0, err
 	}
-	if r.Fields, err = fields(rest); err != nil {
+	if r.Fields, err = parseFields(rest); err != nil {
 		return nil, 0, err
 	}
-	return r, n, r.frame(string(first[:8]) == "HTTP/1.0")
+	return r, n, r.setBodyFraming(string(first[:8]) == "HTTP/1.0")
 }
 
-// frame tells how long the body is (RFC 9112 section 6.3).
-func (r *Response) frame(old bool) error {
-	size, stated, err := r.Fields.length()
+// setBodyFraming sets Length, Chunked and Close from the head (RFC 9112 section 6.3). http10 reports an HTTP/1.0 response.
+func (r *Response) setBodyFraming(http10 bool) error {
+	size, stated, err := r.Fields.contentLength()
 	if err != nil {
 		return err
 	}
 	coding := r.Fields.count("transfer-encoding")
-	r.Close = old || r.Fields.closes()
+	r.Close = http10 || r.Fields.hasConnectionClose()
 	switch {
 	case coding > 0 && stated:
 		return fmt.Errorf("%w: beside a transfer coding", ErrLength)
@@ -283,92 +310,100 @@
 	return nil
 }
 
-// Chunks reads a chunked body (RFC 9112 section 7.1).
-type Chunks struct {
-	left  int64 // of the chunk, with its line end
-	done  bool
-	lines []byte // a line that is not all there
-	last  bool   // in the trailer
+// ChunkDecoder decodes a body with the chunked transfer coding (RFC 9112 section 7.1). Its zero value is ready to use.
+type ChunkDecoder struct {
+	// remaining is the number of bytes left of the current chunk, with the CRLF after it.
+	remaining int64
+	// done is set when the trailer section has ended.
+	done bool
+	// partialLine holds the part of a line that has been received so far.
+	partialLine []byte
+	// inTrailer is set when the last chunk has been received.
+	inTrailer bool
 }
 
-// Done tells that the body has ended.
-func (c *Chunks) Done() bool { return c.done }
+// Done reports whether the body and its trailer section have ended.
+func (c *ChunkDecoder) Done() bool { return c.done }
 
-// maxChunkLine bounds the line ahead of a chunk and each of the trailer; maxChunk one chunk.
+// Limits of a chunked body, in bytes.
 const (
-	maxChunkLine = 256
-	maxChunk     = 16 << 20
+	// maxChunkLineBytes is the maximum size of a chunk size line and of a trailer line, with its CRLF.
+	maxChunkLineBytes = 256
+	// maxChunkBytes is the maximum size of the data of one chunk.
+	maxChunkBytes = 16 << 20
 )
 
-// Read takes bytes and appends the body's to out; rest is what follows the body.
-func (c *Chunks) Read(out, b []byte) (body, rest []byte, err error) {
-	for len(b) > 0 && !c.done {
-		if c.left > 2 {
-			n := min(c.left-2, int64(len(b)))
-			out = append(out, b[:n]...)
-			b = b[n:]
-			c.left -= n
+// Read decodes src, appends body bytes to dst and returns the extended dst as body. rest holds the bytes of src that follow
+// the end of the body. The error wraps ErrSyntax, ErrTooLarge or ErrLength.
+func (c *ChunkDecoder) Read(dst, src []byte) (body, rest []byte, err error) {
+	for len(src) > 0 && !c.done {
+		if c.remaining > 2 {
+			n := min(c.remaining-2, int64(len(src)))
+			dst = append(dst, src[:n]...)
+			src = src[n:]
+			c.remaining -= n
 			continue
 		}
-		if c.left > 0 { // the line end behind a chunk
-			if want := "\r\n"[2-c.left]; b[0] != want {
-				return out, nil, fmt.Errorf("%w: no line end behind a chunk", ErrSyntax)
+		if c.remaining > 0 { // the CRLF after the data of a chunk
+			if want := "\r\n"[2-c.remaining]; src[0] != want {
+				return dst, nil, fmt.Errorf("%w: no line end behind a chunk", ErrSyntax)
 			}
-			c.left--
-			b = b[1:]
+			c.remaining--
+			src = src[1:]
 			continue
 		}
-		at := bytes.IndexByte(b, '\n')
+		at := bytes.IndexByte(src, '\n')
 		if at < 0 {
-			c.lines = append(c.lines, b...)
-			b = nil
+			c.partialLine = append(c.partialLine, src...)
+			src = nil
 		} else {
-			c.lines = append(c.lines, b[:at+1]...)
-			b = b[at+1:]
+			c.partialLine = append(c.partialLine, src[:at+1]...)
+			src = src[at+1:]
 		}
-		if len(c.lines) > maxChunkLine {
-			return out, nil, ErrTooLarge
+		if len(c.partialLine) > maxChunkLineBytes {
+			return dst, nil, ErrTooLarge
 		}
 		if at < 0 {
 			break
 		}
-		if err := c.size(); err != nil {
-			return out, nil, err
+		if err := c.parseLine(); err != nil {
+			return dst, nil, err
 		}
-		c.lines = c.lines[:0]
+		c.partialLine = c.partialLine[:0]
 	}
-	return out, b, nil
+	return dst, src, nil
 }
 
-// size takes the line ahead of a chunk, or one of the trailer.
-func (c *Chunks) size() error {
-	l, ok := bytes.CutSuffix(c.lines, []byte("\r\n"))
+// parseLine parses the complete line in partialLine: a chunk size line, or a line of the trailer section.
+func (c *ChunkDecoder) parseLine() error {
+	line, ok := bytes.CutSuffix(c.partialLine, []byte("\r\n"))
 	if !ok {
 		return fmt.Errorf("%w: a bare line feed", ErrSyntax)
 	}
-	if c.last {
-		c.done = len(l) == 0
+	if c.inTrailer {
+		c.done = len(line) == 0
 		return nil
 	}
-	if at := bytes.IndexByte(l, ';'); at >= 0 {
-		l = bytes.TrimRight(l[:at], " \t")
+	if at := bytes.IndexByte(line, ';'); at >= 0 {
+		line = bytes.TrimRight(line[:at], " \t")
 	}
-	n, err := strconv.ParseUint(string(l), 16, 63)
-	if err != nil || n > maxChunk || l[0] == '+' {
-		return fmt.Errorf("%w: chunk size %.20q", ErrLength, l)
+	n, err := strconv.ParseUint(string(line), 16, 63)
+	if err != nil || n > maxChunkBytes || line[0] == '+' {
+		return fmt.Errorf("%w: chunk size %.20q", ErrLength, line)
 	}
-	if c.last = n == 0; !c.last {
-		c.left = int64(n) + 2
+	if c.inTrailer = n == 0; !c.inTrailer {
+		c.remaining = int64(n) + 2
 	}
 	return nil
 }
 
-// AppendHead appends a start line, fields as pairs of name and value, and the empty line.
-func AppendHead(b []byte, start string, pairs ...string) []byte {
-	b = append(append(b, start...), "\r\n"...)
+// AppendHead appends a head to dst: a start line without its CRLF, fields given as pairs of name and value, and the empty
+// line.
+func AppendHead(dst []byte, start string, pairs ...string) []byte {
+	dst = append(append(dst, start...), "\r\n"...)
 	for i := 0; i+1 < len(pairs); i += 2 {
-		b = append(append(b, pairs[i]...), ": "...)
-		b = append(append(b, pairs[i+1]...), "\r\n"...)
+		dst = append(append(dst, pairs[i]...), ": "...)
+		dst = append(append(dst, pairs[i+1]...), "\r\n"...)
 	}
-	return append(b, "\r\n"...)
+	return append(dst, "\r\n"...)
 }
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRequestHeads(t *testing.T) {
-	long := "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHead) + "\r\n\r\n"
+	long := "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeadBytes) + "\r\n\r\n"
 	for _, c := range []struct {
 		name, text string
 		err        error
@@ -32,7 +32,7 @@
 		{"length beside a coding", "POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCoding},
 		{"a coding alone", "POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n", ErrCoding},
 		{"too long", long, ErrTooLarge},
-		{"endless", long[:MaxHead+10], ErrTooLarge},
+		{"endless", long[:MaxHeadBytes+10], ErrTooLarge},
 		{"too many lines", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", ErrTooLarge},
 	} {
 		_, n, err := ParseRequest([]byte(c.text))
@@ -42,7 +42,7 @@
 	}
 }
 
-// However a head is cut, nothing is said before it is whole.
+// An incomplete head must give neither a request nor an error, wherever it is cut.
 func TestRequestInPieces(t *testing.T) {
 	text := []byte("POST /a HTTP/1.1\r\nHost: b\r\nX-A:  c \r\nConnection: keep-alive, Close\r\nContent-Length: 3\r\n\r\nxyz")
 	whole := len(text) - 3
@@ -93,7 +93,7 @@
 
 func TestFirstLineAlone(t *testing.T) {
 	for text, want := range map[string]int{"HTTP/1.1 200 OK\r\n\x00\xff": 200, "HTTP/1.1 503 x\r\nA": 503, "HTTP/1.1 200 OK": 0, "noise\r\n": 0} {
-		if got, _ := Status([]byte(text)); got != want {
+		if got, _ := ParseStatus([]byte(text)); got != want {
 			t.Errorf("%q: %d, want %d", text, got, want)
 		}
 	}
@@ -102,7 +102,7 @@
 func TestChunks(t *testing.T) {
 	text := []byte("5\r\nhello\r\n3;x=y\r\n we\r\n0\r\nA: b\r\n\r\nrest")
 	for cut := range text {
-		var c Chunks
+		var c ChunkDecoder
 		out, rest, err := c.Read(nil, text[:cut])
 		if err == nil && len(rest) == 0 {
 			out, rest, err = c.Read(out, text[cut:])
@@ -114,14 +114,15 @@
 		}
 	}
 	for _, bad := range []string{"x\r\n", "-1\r\n", "+1\r\na\r\n", "fffffffffff\r\n", "1\r\nabc", "1\nab", strings.Repeat("0", 300)} {
-		var c Chunks
+		var c ChunkDecoder
 		if _, _, err := c.Read(nil, []byte(bad)); err == nil {
-			t.Errorf("%q is read", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
 
-// Whatever comes, reading in one piece and in two says the same, and nothing crashes.
+// Parsing must not panic, must not accept a prefix of a valid head, and the method and target of an accepted request must
+// parse again after AppendHead.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 3\r\n\r\nxyz"), 7)
 	f.Add([]byte("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), 20)
@@ -134,11 +135,11 @@
 			return
 		}
 		if _, m, err := ParseRequest(b[:cut]); m != 0 || err != nil {
-			t.Fatalf("whole at %d, but %d and %v at %d", n, m, err, cut)
+			t.Fatalf("complete at %d bytes, but size %d and error %v at %d bytes", n, m, err, cut)
 		}
 		again := AppendHead(nil, fmt.Sprintf("%s %s HTTP/1.1", r.Method, r.Target))
 		if _, _, err := ParseRequest(again); err != nil {
-			t.Fatalf("%q is not read again: %v", again, err)
+			t.Fatalf("%q does not parse again: %v", again, err)
 		}
 	})
 }
@@ -149,8 +150,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, n, err := ParseResponse(b)
 		if r != nil && err == nil && n > 0 {
-			if s, ok := Status(b); !ok || s != r.Status {
-				t.Fatalf("first line says %d, %v, the head %d", s, ok, r.Status)
+			if s, ok := ParseStatus(b); !ok || s != r.Status {
+				t.Fatalf("status line: %d, %v; head: %d", s, ok, r.Status)
 			}
 		}
 	})
@@ -159,10 +160,10 @@
 func FuzzChunks(f *testing.F) {
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), 4)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
-		var one, two Chunks
+		var one, two ChunkDecoder
 		a, rest, err := one.Read(nil, b)
 		if len(a)+len(rest) > len(b) {
-			t.Fatalf("%d bytes from %d", len(a)+len(rest), len(b))
+			t.Fatalf("%d bytes out of %d", len(a)+len(rest), len(b))
 		}
 		if cut < 0 || cut > len(b) {
 			return
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -10,19 +10,32 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Config bounds one connection. Zero values take the defaults named.
+// Config holds the limits of one connection. A zero value selects the default of a field.
 type Config struct {
-	MaxStreams    uint32        // streams that the peer may have open (100)
-	MaxHeaderList int           // bytes of a header section (16 KiB)
-	StreamWindow  uint32        // bytes of a body that may come before we take them (64 KiB)
-	ConnWindow    uint32        // the same for the connection (1 MiB)
-	Handshake     time.Duration // until the peer's preface and SETTINGS are here (5 s)
-	Stall         time.Duration // a header section in parts, or a window held shut, may last (10 s)
-	AbuseBurst    float64       // frames that do no work at once (200) ...
-	AbuseRate     float64       // ... and a second (50)
-	AckTimeout    time.Duration // until our SETTINGS are acknowledged (10 s)
-}
-
+	// MaxStreams is the maximum number of streams that the peer may have open. The default is 100.
+	MaxStreams uint32
+	// MaxHeaderList is the maximum size of a header section in bytes, as counted by SETTINGS_MAX_HEADER_LIST_SIZE. The
+	// default is 16 KiB.
+	MaxHeaderList int
+	// StreamWindow is the receive window of each stream in bytes. The default is 64 KiB.
+	StreamWindow uint32
+	// ConnWindow is the receive window of the connection in bytes. The default is 1 MiB, which also replaces values up to
+	// 65,535.
+	ConnWindow uint32
+	// Handshake is the time limit for the peer's preface and first SETTINGS. The default is 5 s.
+	Handshake time.Duration
+	// StallTimeout is the time limit for a header section that is sent in several frames, and for a peer that does not
+	// open its window while a body waits. The default is 10 s.
+	StallTimeout time.Duration
+	// AbuseBurst is the size of the token bucket for frames that do no useful work, in frames. The default is 200.
+	AbuseBurst float64
+	// AbuseRate is the rate at which the bucket refills, in frames per second. The default is 50.
+	AbuseRate float64
+	// AckTimeout is the time limit for the acknowledgement of our SETTINGS. It starts after Handshake. The default is 10 s.
+	AckTimeout time.Duration
+}
+
+// withDefaults returns the configuration with defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	if c.MaxStreams == 0 {
 		c.MaxStreams = 100
@@ -40,8 +53,8 @@
 	if c.Handshake == 0 {
 		c.Handshake = 5 * time.Second
 	}
-	if c.Stall == 0 {
-		c.Stall = 10 * time.Second
+	if c.StallTimeout == 0 {
+		c.StallTimeout = 10 * time.Second
 	}
 	if c.AbuseBurst == 0 {
 		c.AbuseBurst = 200
@@ -55,202 +68,274 @@
 	return c
 }
 
-// EventKind tells what an Event is.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Kinds of event; the fields each one uses are in brackets.
+// Kinds of events. Each comment names the fields of Event that are set.
 const (
-	Ready        EventKind = iota + 1 // the peer's first SETTINGS are here []
-	Headers                           // a header section came [Stream Fields End]
-	Informative                       // a 1xx section came, client only [Stream Fields]
-	Trailers                          // a trailer section came; the body is over [Stream Fields End]
-	Data                              // part of a body came; Data holds until the next Receive [Stream Data End]
-	StreamReset                       // the peer reset the stream, or it was malformed and we did [Stream Code Local Reason]
-	PeerGoAway                        // the peer will work on no stream of ours above Last [Last Code]
-	TooLarge                          // a header section over the limit; the stream is open without fields [Stream End]
-	LimitChanged                      // the peer changed how many streams we may open []
+	// Ready reports the peer's first SETTINGS. It sets no other field.
+	Ready EventKind = iota + 1
+	// Headers reports the header section of a request or of a final response. It sets Stream, Fields and End.
+	Headers
+	// Informational reports a 1xx response, on clients only. It sets Stream and Fields.
+	Informational
+	// Trailers reports a trailer section, which ends the body. It sets Stream, Fields and End.
+	Trailers
+	// Data reports a part of a body. It sets Stream, Data and End.
+	Data
+	// StreamReset reports that the peer reset a stream, or that this side reset it because the peer broke the protocol. It
+	// sets Stream and Code, and in the second case Local and Reason.
+	StreamReset
+	// GoAwayReceived reports that the peer processes no streams of this side above LastStream. It sets LastStream and Code.
+	// On clients, the streams above LastStream are removed without a StreamReset event.
+	GoAwayReceived
+	// HeadersTooLarge reports a request whose header section is above Config.MaxHeaderList, on servers only. The stream is
+	// open and can be answered. It sets Stream and End.
+	HeadersTooLarge
+	// SettingsChanged reports later SETTINGS of the peer. AvailableStreams may have changed. It sets no other field.
+	SettingsChanged
 )
 
-// Event is something the peer did.
+// Event reports something that the peer did.
 type Event struct {
-	Kind   EventKind
+	// Kind tells which of the other fields are set.
+	Kind EventKind
+	// Stream is the stream identifier.
 	Stream uint32
+	// Fields are the fields of a header or trailer section.
 	Fields []Field
-	Data   []byte
-	End    bool // the peer sends no more on this stream
-	Code   ErrCode
-	Last   uint32
-	Local  bool
+	// Data is a part of a body. It is valid until the next call of Receive.
+	Data []byte
+	// End reports that the peer sends nothing more on the stream.
+	End bool
+	// Code is the error code of RST_STREAM or GOAWAY.
+	Code ErrCode
+	// LastStream is the last stream that the peer processes after its GOAWAY.
+	LastStream uint32
+	// Local reports that this side reset the stream.
+	Local bool
+	// Reason describes why this side reset the stream.
 	Reason string
 }
 
-// stream is one stream that is not closed yet.
+// stream is the state of one stream that is not closed. The fields body, trailers and hasTrailers are not used.
 type stream struct {
-	id                   uint32
-	sendWin, recvWin     int64
-	recvDue              int64 // taken bytes not yet credited back
-	sentEnd, gotEnd      bool
-	gotHeaders, body     bool // their header section is here; a part of their body
-	length, got          int64
-	pending              []byte // our body beyond the window
-	pendingEnd           bool
-	trailers             []Field
-	hasTrailers, tooBig  bool
-	stalledSince, opened time.Duration
-}
-
-// Conn is one connection, client's or server's side.
+	id uint32
+	// sendWindow and recvWindow are the flow control windows in bytes. sendWindow may be negative.
+	sendWindow, recvWindow int64
+	// uncredited is the number of received bytes that no WINDOW_UPDATE has given back yet.
+	uncredited int64
+	// endSent and endReceived are set when END_STREAM was sent or received.
+	endSent, endReceived bool
+	// headersReceived is set when the peer's final header section was received.
+	headersReceived, body bool
+	// contentLength is the peer's content-length, or -1. bodyReceived counts the bytes of its body without padding.
+	contentLength, bodyReceived int64
+	// pendingBody is the part of our body that waits for the peer's windows.
+	pendingBody []byte
+	// pendingEnd is set when END_STREAM follows pendingBody.
+	pendingEnd bool
+	trailers   []Field
+	// headersTooLarge is set when the peer's header section was above the limit.
+	hasTrailers, headersTooLarge bool
+	// stalledSince is when a part of the body was last queued or sent. openedAt is when the stream was opened.
+	stalledSince, openedAt time.Duration
+}
+
+// Conn is one connection, as client or as server. Only one goroutine may use it at a time.
 type Conn struct {
 	cfg    Config
 	client bool
-	now    time.Duration
-	start  time.Duration
-
-	in       []byte // an unfinished frame
-	out      []byte
-	events   []Event
-	preface  bool // the peer's preface is here
-	settled  bool // ... and its first SETTINGS
-	acked    bool // our SETTINGS are acknowledged
-	failed   error
-	closing  bool // we sent GOAWAY
-	peerAway bool
-	peerLast uint32
-
-	streams     map[uint32]*stream
-	order       []uint32 // ids with a body waiting, in order
-	nextID      uint32
-	lastPeerID  uint32
-	opened      int // streams of ours open
-	peerOpen    int
-	sendWin     int64
-	recvWin     int64
-	recvDue     int64
-	peerFrame   int
-	peerWindow  int64
-	peerStreams uint32
-	peerList    int
-
-	dec        *hpack.Decoder
-	enc        *hpack.Encoder
-	encBuf     bytes.Buffer
-	block      []byte // a header block in parts
-	blockFrom  Frame
-	blockParts int
-	blockSince time.Duration
-	inBlock    bool
-	fields     []Field
-	listSize   int
-
-	abuse   float64
-	abuseAt time.Duration
-}
-
-// NewServer returns the server's side of a connection made at now.
+	// now is the time passed to the current call.
+	now time.Duration
+	// created is the time passed to the constructor.
+	created time.Duration
+
+	// readBuf holds an incomplete frame.
+	readBuf []byte
+	// writeBuf holds the bytes that Output returns.
+	writeBuf []byte
+	// events holds the events that Receive returns.
+	events []Event
+	// prefaceReceived is set when the peer's preface was received. On clients, it is always set.
+	prefaceReceived bool
+	// settingsReceived is set when the peer's first SETTINGS were received.
+	settingsReceived bool
+	// settingsAcked is set when the peer has acknowledged our SETTINGS.
+	settingsAcked bool
+	// err is the error that ended the connection.
+	err error
+	// goAwaySent is set when this side has sent GOAWAY.
+	goAwaySent bool
+	// goAwayReceived is set when the peer has sent GOAWAY.
+	goAwayReceived bool
+	// peerLastStream is the last stream in the peer's GOAWAY.
+	peerLastStream uint32
+
+	// streams holds the streams that are not closed.
+	streams map[uint32]*stream
+	// sendQueue holds the identifiers of the streams whose bodies wait for the peer's windows, in the order queued.
+	sendQueue []uint32
+	// nextID is the next stream that this side opens.
+	nextID uint32
+	// lastPeerID is the last stream that the peer opened.
+	lastPeerID uint32
+	// localOpen counts the open streams that this side opened.
+	localOpen int
+	// peerOpen counts the open streams that the peer opened.
+	peerOpen int
+	// sendWindow is the send window of the connection in bytes.
+	sendWindow int64
+	// recvWindow is the receive window of the connection in bytes.
+	recvWindow int64
+	// uncredited is the number of received bytes of the connection that no WINDOW_UPDATE has given back yet.
+	uncredited int64
+	// peerMaxFrameSize is the largest payload that this side sends, at most 64 KiB.
+	peerMaxFrameSize int
+	// peerInitialWindow is the initial send window of new streams in bytes.
+	peerInitialWindow int64
+	// peerMaxStreams is the number of streams that this side may have open.
+	peerMaxStreams uint32
+	// peerMaxHeaderList is the largest header section in bytes that the peer accepts.
+	peerMaxHeaderList int
+
+	decoder *hpack.Decoder
+	encoder *hpack.Encoder
+	// encoderBuf receives the output of encoder.
+	encoderBuf bytes.Buffer
+	// headerBlock collects a header block that is sent in several frames.
+	headerBlock []byte
+	// blockFrame is the HEADERS frame that started the block.
+	blockFrame Frame
+	// blockFrameCount is the number of frames of the block so far.
+	blockFrameCount int
+	// blockStart is when the block started.
+	blockStart time.Duration
+	// inBlock is set while more frames of the block are expected.
+	inBlock bool
+	// fields collects the decoded fields of the block, up to Config.MaxHeaderList.
+	fields []Field
+	// headerListSize is the size in bytes of all fields of the block, including those that are not kept.
+	headerListSize int
+
+	// abuseTokens is the level of the token bucket for frames that do no useful work.
+	abuseTokens float64
+	// abuseUpdated is when the token bucket was last refilled.
+	abuseUpdated time.Duration
+}
+
+// NewServer returns the server side of a connection that was accepted at now.
 func NewServer(cfg Config, now time.Duration) *Conn { return newConn(cfg, now, false) }
 
-// NewClient returns the client's side; its preface is in the output at once.
+// NewClient returns the client side of a connection that was opened at now. Output returns its preface at once.
 func NewClient(cfg Config, now time.Duration) *Conn { return newConn(cfg, now, true) }
 
+// newConn returns a connection whose SETTINGS are in the output.
 func newConn(cfg Config, now time.Duration, client bool) *Conn {
 	cfg = cfg.withDefaults()
-	c := &Conn{cfg: cfg, client: client, now: now, start: now, abuseAt: now, abuse: cfg.AbuseBurst,
-		streams: map[uint32]*stream{}, nextID: 2, sendWin: defaultWindow, recvWin: int64(cfg.ConnWindow),
-		peerFrame: defaultFrameSize, peerWindow: defaultWindow, peerStreams: 100, peerList: 1 << 30}
-	c.dec = hpack.NewDecoder(4096, c.emit)
-	c.dec.SetMaxStringLength(2*cfg.MaxHeaderList + defaultFrameSize) // what a block may hold: too large is no decoding error
-	c.enc = hpack.NewEncoder(&c.encBuf)
+	c := &Conn{cfg: cfg, client: client, now: now, created: now, abuseUpdated: now, abuseTokens: cfg.AbuseBurst,
+		streams: map[uint32]*stream{}, nextID: 2, sendWindow: defaultWindow, recvWindow: int64(cfg.ConnWindow),
+		peerMaxFrameSize: defaultFrameSize, peerInitialWindow: defaultWindow, peerMaxStreams: 100, peerMaxHeaderList: 1 << 30}
+	c.decoder = hpack.NewDecoder(4096, c.addField)
+	// A string may be as long as a whole header block. A field above MaxHeaderList must not become a decoding error, because
+	// that would end the connection.
+	c.decoder.SetMaxStringLength(2*cfg.MaxHeaderList + defaultFrameSize)
+	c.encoder = hpack.NewEncoder(&c.encoderBuf)
 	var set []byte
 	if client {
 		c.nextID = 1
-		c.preface = true
-		c.out = append(c.out, Preface...)
+		c.prefaceReceived = true
+		c.writeBuf = append(c.writeBuf, Preface...)
 		set = appendSetting(set, SettingEnablePush, 0)
 	} else {
 		set = appendSetting(set, SettingMaxConcurrentStreams, cfg.MaxStreams)
 	}
 	set = appendSetting(set, SettingInitialWindowSize, cfg.StreamWindow)
 	set = appendSetting(set, SettingMaxHeaderListSize, uint32(cfg.MaxHeaderList))
-	c.out = AppendFrame(c.out, FrameSettings, 0, 0, set)
+	c.writeBuf = AppendFrame(c.writeBuf, FrameSettings, 0, 0, set)
 	if extra := cfg.ConnWindow - defaultWindow; extra > 0 {
-		c.out = c.windowUpdate(c.out, 0, extra)
+		c.writeBuf = c.appendWindowUpdate(c.writeBuf, 0, extra)
 	}
 	return c
 }
 
-func (c *Conn) windowUpdate(p []byte, stream, n uint32) []byte {
+// appendWindowUpdate appends a WINDOW_UPDATE frame that adds n bytes to a window. Stream 0 is the connection.
+func (c *Conn) appendWindowUpdate(p []byte, stream, n uint32) []byte {
 	return binary.BigEndian.AppendUint32(appendHeader(p, 4, FrameWindowUpdate, 0, stream), n)
 }
 
-// Output returns the bytes to be written to the peer and forgets them. They are valid until the Conn is next used.
+// Output returns the bytes to be sent to the peer and removes them from the Conn. They are valid until its next use.
 func (c *Conn) Output() []byte {
-	p := c.out
-	c.out = c.out[:0]
-	if cap(p) > 1<<16 { // a burst must not keep its buffer
-		c.out = nil
+	p := c.writeBuf
+	c.writeBuf = c.writeBuf[:0]
+	if cap(p) > 1<<16 { // release the buffer after a burst
+		c.writeBuf = nil
 	}
 	return p
 }
 
-// Failed returns the error that ended the connection, if one did; the GOAWAY for it is in the output.
-func (c *Conn) Failed() error { return c.failed }
+// Err returns the error that ended the connection, or nil. The GOAWAY that reports it is in the output.
+func (c *Conn) Err() error { return c.err }
 
-// Open tells how many streams are not closed.
-func (c *Conn) Open() int { return len(c.streams) }
+// OpenStreams returns the number of streams that are not closed, on both sides.
+func (c *Conn) OpenStreams() int { return len(c.streams) }
 
-// Settled tells whether the peer's first SETTINGS are here.
-func (c *Conn) Settled() bool { return c.settled }
+// SettingsReceived reports whether the peer's first SETTINGS were received.
+func (c *Conn) SettingsReceived() bool { return c.settingsReceived }
 
-// Room tells how many more streams we may open now.
-func (c *Conn) Room() int {
-	if !c.settled || c.peerAway || c.closing || c.failed != nil || c.nextID > largestWindow-2 {
+// AvailableStreams returns how many more streams this side may open now. It is 0 before the peer's SETTINGS, after a
+// GOAWAY in either direction, after an error, and when the stream identifiers are used up.
+func (c *Conn) AvailableStreams() int {
+	if !c.settingsReceived || c.goAwayReceived || c.goAwaySent || c.err != nil || c.nextID > maxWindow-2 {
 		return 0
 	}
-	return max(0, int(min(c.peerStreams, 1<<20))-c.opened)
+	return max(0, int(min(c.peerMaxStreams, 1<<20))-c.localOpen)
 }
 
-// Done tells that the connection drains and has nothing more to do.
+// Done reports whether the connection failed, or a GOAWAY was sent or received and no stream is open.
 func (c *Conn) Done() bool {
-	return c.failed != nil || (c.closing || c.peerAway) && len(c.streams) == 0
+	return c.err != nil || (c.goAwaySent || c.goAwayReceived) && len(c.streams) == 0
 }
 
+// fail records the first connection error, queues GOAWAY for it and returns it.
 func (c *Conn) fail(e *ConnError) error {
-	if c.failed == nil {
-		c.failed = e
-		c.goAway(e.Code, e.Reason)
+	if c.err == nil {
+		c.err = e
+		c.writeGoAway(e.Code, e.Reason)
 	}
-	return c.failed
+	return c.err
 }
 
-// Receive takes bytes of the peer. The events are valid until the next call. After an error, which is a ConnError,
-// the output is to be written and the connection closed.
+// Receive processes bytes from the peer. The events are valid until the next call of Receive. An error is a ConnError. The
+// caller then has to send the output and close the connection.
 func (c *Conn) Receive(now time.Duration, p []byte) ([]Event, error) {
 	c.now = now
 	clear(c.events)
 	c.events = c.events[:0]
-	if c.failed != nil {
-		return nil, c.failed
+	if c.err != nil {
+		return nil, c.err
 	}
 	buf := p
-	if len(c.in) > 0 {
-		c.in = append(c.in, p...)
-		buf = c.in
+	if len(c.readBuf) > 0 {
+		c.readBuf = append(c.readBuf, p...)
+		buf = c.readBuf
 	}
-	n, err := c.consume(buf)
+	n, err := c.processFrames(buf)
 	if err == nil && n < len(buf) {
-		c.in = append(c.in[:0], buf[n:]...)
+		c.readBuf = append(c.readBuf[:0], buf[n:]...)
 	} else {
-		c.in = c.in[:0]
-		if cap(c.in) > 4*defaultFrameSize {
-			c.in = nil
+		c.readBuf = c.readBuf[:0]
+		if cap(c.readBuf) > 4*defaultFrameSize {
+			c.readBuf = nil
 		}
 	}
 	return c.events, err
 }
 
-func (c *Conn) consume(p []byte) (int, error) {
-	at := 0
-	if !c.preface {
+// processFrames checks the preface, handles all complete frames in p, and returns the number of bytes used.
+func (c *Conn) processFrames(p []byte) (int, error) {
+	offset := 0
+	if !c.prefaceReceived {
 		n := min(len(p), len(Preface))
 		if string(p[:n]) != Preface[:n] {
 			return 0, c.fail(&ConnError{ProtocolError, 0, "no HTTP/2 preface"})
@@ -258,44 +343,46 @@
 		if n < len(Preface) {
 			return 0, nil
 		}
-		c.preface = true
-		at = n
+		c.prefaceReceived = true
+		offset = n
 	}
 	for {
-		f, n, err := ParseFrame(p[at:], defaultFrameSize)
+		f, n, err := ParseFrame(p[offset:], defaultFrameSize)
 		if err == nil && n == 0 {
-			return at, nil
+			return offset, nil
 		}
 		if err == nil {
-			at += n
-			err = c.frame(f)
+			offset += n
+			err = c.handleFrame(f)
 		}
 		if err != nil {
 			var ce *ConnError
 			if !errors.As(err, &ce) {
 				ce = &ConnError{InternalError, f.Stream, err.Error()}
 			}
-			return at, c.fail(ce)
+			return offset, c.fail(ce)
 		}
 	}
 }
 
-// spend counts a frame that does no work for us: floods of them end the connection. It guards against floods of
-// PING, SETTINGS, empty DATA, PRIORITY, and of streams opened and reset at once.
-func (c *Conn) spend(cost float64, what string, stream uint32) error {
-	c.abuse = min(c.cfg.AbuseBurst, c.abuse+c.cfg.AbuseRate*(c.now-c.abuseAt).Seconds())
-	c.abuseAt = c.now
-	if c.abuse -= cost; c.abuse < 0 {
+// chargeAbuse takes the cost of a frame that does no useful work from the token bucket and returns an error when the bucket
+// is empty. It guards against floods of PING, SETTINGS, empty DATA, PRIORITY and other such frames, and against rapid reset:
+// streams that the peer opens and resets at once. what names the frames in the error.
+func (c *Conn) chargeAbuse(cost float64, what string, stream uint32) error {
+	c.abuseTokens = min(c.cfg.AbuseBurst, c.abuseTokens+c.cfg.AbuseRate*(c.now-c.abuseUpdated).Seconds())
+	c.abuseUpdated = c.now
+	if c.abuseTokens -= cost; c.abuseTokens < 0 {
 		return &ConnError{EnhanceYourCalm, stream, "flood of " + what}
 	}
 	return nil
 }
 
-func (c *Conn) frame(f Frame) error {
-	if c.inBlock && (f.Type != FrameContinuation || f.Stream != c.blockFrom.Stream) {
+// handleFrame handles one complete frame.
+func (c *Conn) handleFrame(f Frame) error {
+	if c.inBlock && (f.Type != FrameContinuation || f.Stream != c.blockFrame.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "frame inside a header block"}
 	}
-	if !c.settled && (f.Type != FrameSettings || f.Flags&FlagAck != 0) {
+	if !c.settingsReceived && (f.Type != FrameSettings || f.Flags&FlagAck != 0) {
 		return &ConnError{ProtocolError, f.Stream, "first frame is not SETTINGS"}
 	}
 	switch f.Type {
@@ -320,110 +407,118 @@
 	case FrameWindowUpdate:
 		return c.onWindowUpdate(f)
 	}
-	return c.spend(1, "unknown frames", f.Stream) // ignored (RFC 9113 section 4.1)
+	return c.chargeAbuse(1, "unknown frames", f.Stream) // unknown frame types are ignored (RFC 9113 section 4.1)
 }
 
-// idle tells whether a stream was never opened.
-func (c *Conn) idle(id uint32) bool {
+// isIdle reports whether a stream was never opened.
+func (c *Conn) isIdle(id uint32) bool {
 	if (id%2 == 1) == c.client {
 		return id >= c.nextID
 	}
 	return id > c.lastPeerID
 }
 
+// onData handles DATA. The whole payload counts toward the windows, with its padding.
 func (c *Conn) onData(f Frame) error {
-	if f.Stream == 0 || c.idle(f.Stream) {
+	if f.Stream == 0 || c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "DATA on a stream that is not open"}
 	}
 	size := int64(len(f.Payload))
-	if c.recvWin -= size; c.recvWin < 0 {
+	if c.recvWindow -= size; c.recvWindow < 0 {
 		return &ConnError{FlowControlError, f.Stream, "DATA beyond the window of the connection"}
 	}
-	c.credit(nil, size)
+	c.creditWindow(nil, size)
 	p, err := unpad(f)
 	if err != nil {
 		return err
 	}
 	if len(p) == 0 && f.Flags&FlagEndStream == 0 {
-		if err := c.spend(1, "empty DATA", f.Stream); err != nil {
+		if err := c.chargeAbuse(1, "empty DATA", f.Stream); err != nil {
 			return err
 		}
 	}
 	s := c.streams[f.Stream]
-	if s == nil { // closed a moment ago
-		return c.spend(0.25, "DATA on closed streams", f.Stream)
+	if s == nil { // the frame crossed the end of the stream
+		return c.chargeAbuse(0.25, "DATA on closed streams", f.Stream)
 	}
-	if s.gotEnd {
+	if s.endReceived {
 		return c.streamError(s, StreamClosed, "DATA after END_STREAM")
 	}
-	if !s.gotHeaders {
+	if !s.headersReceived {
 		return c.streamError(s, ProtocolError, "DATA before HEADERS")
 	}
-	if s.recvWin -= size; s.recvWin < 0 {
+	if s.recvWindow -= size; s.recvWindow < 0 {
 		return c.streamError(s, FlowControlError, "DATA beyond the window of the stream")
 	}
-	s.got += int64(len(p))
+	s.bodyReceived += int64(len(p))
 	end := f.Flags&FlagEndStream != 0
-	if s.length >= 0 && (s.got > s.length || end && s.got != s.length) {
+	if s.contentLength >= 0 && (s.bodyReceived > s.contentLength || end && s.bodyReceived != s.contentLength) {
 		return c.streamError(s, ProtocolError, "body does not match content-length")
 	}
 	c.events = append(c.events, Event{Kind: Data, Stream: s.id, Data: p, End: end})
 	if end {
-		c.ended(s)
+		c.handleEndStream(s)
 	} else {
-		c.credit(s, size)
+		c.creditWindow(s, size)
 	}
 	return nil
 }
 
-// credit gives windows back once half is used: callers bound bodies by resetting streams, not by holding windows.
-func (c *Conn) credit(s *stream, n int64) {
-	due, win, whole, id := &c.recvDue, &c.recvWin, int64(c.cfg.ConnWindow), uint32(0)
+// creditWindow counts n received bytes of a stream, or of the connection if s is nil. It sends WINDOW_UPDATE when half of
+// the window is used. Callers limit bodies by resetting streams, not by withholding window updates.
+func (c *Conn) creditWindow(s *stream, n int64) {
+	uncredited, window, full, id := &c.uncredited, &c.recvWindow, int64(c.cfg.ConnWindow), uint32(0)
 	if s != nil {
-		due, win, whole, id = &s.recvDue, &s.recvWin, int64(c.cfg.StreamWindow), s.id
+		uncredited, window, full, id = &s.uncredited, &s.recvWindow, int64(c.cfg.StreamWindow), s.id
 	}
-	if *due += n; *due >= whole/2 && *due > 0 {
-		c.out = c.windowUpdate(c.out, id, uint32(*due))
-		*win += *due
-		*due = 0
+	if *uncredited += n; *uncredited >= full/2 && *uncredited > 0 {
+		c.writeBuf = c.appendWindowUpdate(c.writeBuf, id, uint32(*uncredited))
+		*window += *uncredited
+		*uncredited = 0
 	}
 }
 
-func (c *Conn) ended(s *stream) {
-	s.gotEnd = true
-	c.maybeClose(s)
+// handleEndStream records that the peer sends nothing more on a stream.
+func (c *Conn) handleEndStream(s *stream) {
+	s.endReceived = true
+	c.removeIfClosed(s)
 }
 
-func (c *Conn) maybeClose(s *stream) {
-	if s.gotEnd && s.sentEnd {
-		c.drop(s)
+// removeIfClosed removes a stream that both sides have ended.
+func (c *Conn) removeIfClosed(s *stream) {
+	if s.endReceived && s.endSent {
+		c.removeStream(s)
 	}
 }
 
-func (c *Conn) drop(s *stream) {
+// removeStream removes a stream, if it is still open, and updates the counts.
+func (c *Conn) removeStream(s *stream) {
 	if c.streams[s.id] != s {
 		return
 	}
 	delete(c.streams, s.id)
 	if (s.id%2 == 1) == c.client {
-		c.opened--
+		c.localOpen--
 	} else {
 		c.peerOpen--
 	}
 }
 
-// streamError resets a stream that the peer used against the rules (RFC 9113 section 5.4.2).
+// streamError resets a stream after a stream error (RFC 9113 section 5.4.2) and reports it as an event. The returned error
+// is that of chargeAbuse.
 func (c *Conn) streamError(s *stream, code ErrCode, reason string) error {
-	c.rst(s.id, code)
-	c.drop(s)
+	c.writeReset(s.id, code)
+	c.removeStream(s)
 	c.events = append(c.events, Event{Kind: StreamReset, Stream: s.id, Code: code, Local: true, Reason: reason})
-	return c.spend(1, "malformed streams", s.id)
+	return c.chargeAbuse(1, "malformed streams", s.id)
 }
 
-func (c *Conn) rst(id uint32, code ErrCode) {
-	c.out = binary.BigEndian.AppendUint32(appendHeader(c.out, 4, FrameRSTStream, 0, id), uint32(code))
+// writeReset queues RST_STREAM.
+func (c *Conn) writeReset(id uint32, code ErrCode) {
+	c.writeBuf = binary.BigEndian.AppendUint32(appendHeader(c.writeBuf, 4, FrameRSTStream, 0, id), uint32(code))
 }
 
+// onHeaders handles HEADERS, which starts a header block.
 func (c *Conn) onHeaders(f Frame) error {
 	if f.Stream == 0 {
 		return &ConnError{ProtocolError, 0, "HEADERS on stream 0"}
@@ -436,118 +531,124 @@
 		if len(p) < 5 {
 			return &ConnError{FrameSizeError, f.Stream, "HEADERS shorter than its priority"}
 		}
-		if binary.BigEndian.Uint32(p)&largestWindow == f.Stream {
+		if binary.BigEndian.Uint32(p)&maxWindow == f.Stream {
 			return &ConnError{ProtocolError, f.Stream, "stream depends on itself"}
 		}
 		p = p[5:]
 	}
-	mine := (f.Stream%2 == 1) == c.client
+	ownStream := (f.Stream%2 == 1) == c.client
 	switch {
-	case mine && c.idle(f.Stream):
+	case ownStream && c.isIdle(f.Stream):
 		return &ConnError{ProtocolError, f.Stream, "HEADERS on an idle stream"}
-	case !mine && c.client:
+	case !ownStream && c.client:
 		return &ConnError{ProtocolError, f.Stream, "a server may open no stream"}
-	case !mine && c.streams[f.Stream] == nil && f.Stream <= c.lastPeerID:
+	case !ownStream && c.streams[f.Stream] == nil && f.Stream <= c.lastPeerID:
 		return &ConnError{StreamClosed, f.Stream, "HEADERS on a closed stream"}
 	}
-	c.block = append(c.block[:0], p...)
-	c.blockFrom, c.blockParts, c.blockSince = f, 1, c.now
+	c.headerBlock = append(c.headerBlock[:0], p...)
+	c.blockFrame, c.blockFrameCount, c.blockStart = f, 1, c.now
 	if f.Flags&FlagEndHeaders == 0 {
 		c.inBlock = true
 		return nil
 	}
-	return c.section()
+	return c.handleHeaderBlock()
 }
 
+// onContinuation handles CONTINUATION, which continues a header block.
 func (c *Conn) onContinuation(f Frame) error {
 	if !c.inBlock {
 		return &ConnError{ProtocolError, f.Stream, "CONTINUATION without HEADERS"}
 	}
-	c.blockParts++
-	// Guards against CONTINUATION floods: empty ones, and blocks far above any header section that is allowed.
-	if len(c.block)+len(f.Payload) > 2*c.cfg.MaxHeaderList+defaultFrameSize || c.blockParts > 64 {
+	c.blockFrameCount++
+	// These limits guard against CONTINUATION floods, both of empty frames and of blocks far above the largest allowed
+	// header section.
+	if len(c.headerBlock)+len(f.Payload) > 2*c.cfg.MaxHeaderList+defaultFrameSize || c.blockFrameCount > 64 {
 		return &ConnError{EnhanceYourCalm, f.Stream, "header block without end"}
 	}
-	c.block = append(c.block, f.Payload...)
+	c.headerBlock = append(c.headerBlock, f.Payload...)
 	if f.Flags&FlagEndHeaders == 0 {
 		return nil
 	}
 	c.inBlock = false
-	return c.section()
+	return c.handleHeaderBlock()
 }
 
-func (c *Conn) emit(f hpack.HeaderField) {
-	if c.listSize += fieldSize(f); c.listSize <= c.cfg.MaxHeaderList {
+// addField is called by the decoder for each field. It counts every field and keeps those within Config.MaxHeaderList.
+func (c *Conn) addField(f hpack.HeaderField) {
+	if c.headerListSize += fieldSize(f); c.headerListSize <= c.cfg.MaxHeaderList {
 		c.fields = append(c.fields, f)
 	}
 }
 
-// section decodes a whole header block and gives it to its stream.
-func (c *Conn) section() error {
-	f := c.blockFrom
-	c.fields, c.listSize = nil, 0
-	if _, err := c.dec.Write(c.block); err != nil {
+// handleHeaderBlock decodes a complete header block and passes it to its stream. The block is decoded even if the stream
+// is gone, because that keeps the compression state of both sides the same.
+func (c *Conn) handleHeaderBlock() error {
+	f := c.blockFrame
+	c.fields, c.headerListSize = nil, 0
+	if _, err := c.decoder.Write(c.headerBlock); err != nil {
 		return &ConnError{CompressionError, f.Stream, err.Error()}
 	}
-	if err := c.dec.Close(); err != nil {
+	if err := c.decoder.Close(); err != nil {
 		return &ConnError{CompressionError, f.Stream, err.Error()}
 	}
-	if cap(c.block) > 2*defaultFrameSize {
-		c.block = nil
+	if cap(c.headerBlock) > 2*defaultFrameSize {
+		c.headerBlock = nil
 	}
 	end := f.Flags&FlagEndStream != 0
 	s := c.streams[f.Stream]
 	if s == nil {
-		if c.client { // reset by us a moment ago
-			return c.spend(0.25, "HEADERS on closed streams", f.Stream)
+		if c.client { // the block crossed our RST_STREAM
+			return c.chargeAbuse(0.25, "HEADERS on closed streams", f.Stream)
 		}
-		return c.newPeerStream(f.Stream, end)
+		return c.openPeerStream(f.Stream, end)
 	}
-	if s.gotEnd {
+	if s.endReceived {
 		return c.streamError(s, StreamClosed, "HEADERS after END_STREAM")
 	}
-	return c.more(s, end)
+	return c.handleFurtherHeaders(s, end)
 }
 
-func (c *Conn) newPeerStream(id uint32, end bool) error {
+// openPeerStream opens the stream of a request on a server. Streams above the limit are refused with REFUSED_STREAM, which
+// tells the client that they were not processed.
+func (c *Conn) openPeerStream(id uint32, end bool) error {
 	c.lastPeerID = id
-	if c.closing { // RFC 9113 section 6.8: streams after our GOAWAY are not worked on
+	if c.goAwaySent { // streams after our GOAWAY are ignored (RFC 9113 section 6.8)
 		return nil
 	}
 	if c.peerOpen >= int(c.cfg.MaxStreams) {
-		c.rst(id, RefusedStream)
-		return c.spend(1, "streams above the limit", id)
+		c.writeReset(id, RefusedStream)
+		return c.chargeAbuse(1, "streams above the limit", id)
 	}
-	s := &stream{id: id, sendWin: c.peerWindow, recvWin: int64(c.cfg.StreamWindow), length: -1, gotHeaders: true, opened: c.now}
+	s := &stream{id: id, sendWindow: c.peerInitialWindow, recvWindow: int64(c.cfg.StreamWindow), contentLength: -1, headersReceived: true, openedAt: c.now}
 	c.streams[id] = s
 	c.peerOpen++
-	if c.listSize > c.cfg.MaxHeaderList {
-		s.tooBig = true
-		c.events = append(c.events, Event{Kind: TooLarge, Stream: id, End: end})
+	if c.headerListSize > c.cfg.MaxHeaderList {
+		s.headersTooLarge = true
+		c.events = append(c.events, Event{Kind: HeadersTooLarge, Stream: id, End: end})
 	} else {
-		n, err := fieldRules(c.fields, true, false)
+		n, err := validateFields(c.fields, true, false)
 		if err == nil && end && n > 0 {
 			err = errors.New("content-length without a body")
 		}
 		if err != nil {
 			return c.streamError(s, ProtocolError, err.Error())
 		}
-		s.length = n
+		s.contentLength = n
 		c.events = append(c.events, Event{Kind: Headers, Stream: id, Fields: c.fields, End: end})
 	}
 	if end {
-		c.ended(s)
+		c.handleEndStream(s)
 	}
 	return nil
 }
 
-// more takes a further section on an open stream: a response, a 1xx or trailers.
-func (c *Conn) more(s *stream, end bool) error {
-	if c.listSize > c.cfg.MaxHeaderList {
+// handleFurtherHeaders handles a section on a stream that is already open: a 1xx response, a final response, or trailers.
+func (c *Conn) handleFurtherHeaders(s *stream, end bool) error {
+	if c.headerListSize > c.cfg.MaxHeaderList {
 		return c.streamError(s, EnhanceYourCalm, "header section too large")
 	}
-	trailers := s.gotHeaders
-	n, err := fieldRules(c.fields, false, trailers)
+	trailers := s.headersReceived
+	n, err := validateFields(c.fields, false, trailers)
 	if err != nil {
 		return c.streamError(s, ProtocolError, err.Error())
 	}
@@ -555,32 +656,33 @@
 		if !end {
 			return c.streamError(s, ProtocolError, "trailers without END_STREAM")
 		}
-		if s.length >= 0 && s.got != s.length {
+		if s.contentLength >= 0 && s.bodyReceived != s.contentLength {
 			return c.streamError(s, ProtocolError, "body does not match content-length")
 		}
 		c.events = append(c.events, Event{Kind: Trailers, Stream: s.id, Fields: c.fields, End: true})
-		c.ended(s)
+		c.handleEndStream(s)
 		return nil
 	}
 	if Value(c.fields, ":status")[0] == '1' {
 		if end {
 			return c.streamError(s, ProtocolError, "1xx with END_STREAM")
 		}
-		c.events = append(c.events, Event{Kind: Informative, Stream: s.id, Fields: c.fields})
-		return c.spend(0.5, "1xx sections", s.id)
+		c.events = append(c.events, Event{Kind: Informational, Stream: s.id, Fields: c.fields})
+		return c.chargeAbuse(0.5, "1xx sections", s.id)
 	}
-	s.gotHeaders = true
-	s.length = n
+	s.headersReceived = true
+	s.contentLength = n
 	if end && n > 0 {
 		return c.streamError(s, ProtocolError, "content-length without a body")
 	}
 	c.events = append(c.events, Event{Kind: Headers, Stream: s.id, Fields: c.fields, End: end})
 	if end {
-		c.ended(s)
+		c.handleEndStream(s)
 	}
 	return nil
 }
 
+// onPriority handles PRIORITY, which has no effect.
 func (c *Conn) onPriority(f Frame) error {
 	if f.Stream == 0 {
 		return &ConnError{ProtocolError, 0, "PRIORITY on stream 0"}
@@ -588,28 +690,30 @@
 	if len(f.Payload) != 5 {
 		return &ConnError{FrameSizeError, f.Stream, "PRIORITY of a wrong size"}
 	}
-	return c.spend(1, "PRIORITY", f.Stream)
+	return c.chargeAbuse(1, "PRIORITY", f.Stream)
 }
 
+// onReset handles RST_STREAM. On servers, every reset counts as abuse. On clients, only those of closed streams do.
 func (c *Conn) onReset(f Frame) error {
 	if len(f.Payload) != 4 {
 		return &ConnError{FrameSizeError, f.Stream, "RST_STREAM of a wrong size"}
 	}
-	if f.Stream == 0 || c.idle(f.Stream) {
+	if f.Stream == 0 || c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "RST_STREAM on an idle stream"}
 	}
 	s := c.streams[f.Stream]
 	if s == nil {
-		return c.spend(0.25, "RST_STREAM on closed streams", f.Stream)
+		return c.chargeAbuse(0.25, "RST_STREAM on closed streams", f.Stream)
 	}
-	c.drop(s)
+	c.removeStream(s)
 	c.events = append(c.events, Event{Kind: StreamReset, Stream: s.id, Code: ErrCode(binary.BigEndian.Uint32(f.Payload))})
 	if c.client {
 		return nil
 	}
-	return c.spend(1, "streams reset by the peer (rapid reset)", f.Stream)
+	return c.chargeAbuse(1, "streams reset by the peer (rapid reset)", f.Stream)
 }
 
+// onSettings handles SETTINGS and acknowledges them.
 func (c *Conn) onSettings(f Frame) error {
 	if f.Stream != 0 {
 		return &ConnError{ProtocolError, f.Stream, "SETTINGS on a stream"}
@@ -618,65 +722,68 @@
 		if len(f.Payload) != 0 {
 			return &ConnError{FrameSizeError, 0, "SETTINGS ack with a payload"}
 		}
-		c.acked = true
-		return c.spend(1, "SETTINGS acks", 0)
+		c.settingsAcked = true
+		return c.chargeAbuse(1, "SETTINGS acks", 0)
 	}
 	if len(f.Payload)%6 != 0 {
 		return &ConnError{FrameSizeError, 0, "SETTINGS of a wrong size"}
 	}
-	if c.settled {
-		if err := c.spend(2, "SETTINGS", 0); err != nil {
+	if c.settingsReceived {
+		if err := c.chargeAbuse(2, "SETTINGS", 0); err != nil {
 			return err
 		}
 	}
 	for p := f.Payload; len(p) > 0; p = p[6:] {
-		if err := c.setting(SettingID(binary.BigEndian.Uint16(p)), binary.BigEndian.Uint32(p[2:])); err != nil {
+		if err := c.applySetting(SettingID(binary.BigEndian.Uint16(p)), binary.BigEndian.Uint32(p[2:])); err != nil {
 			return err
 		}
 	}
-	c.out = AppendFrame(c.out, FrameSettings, FlagAck, 0, nil)
-	if !c.settled {
-		c.settled = true
+	c.writeBuf = AppendFrame(c.writeBuf, FrameSettings, FlagAck, 0, nil)
+	if !c.settingsReceived {
+		c.settingsReceived = true
 		c.events = append(c.events, Event{Kind: Ready})
 	} else {
-		c.events = append(c.events, Event{Kind: LimitChanged})
+		c.events = append(c.events, Event{Kind: SettingsChanged})
 	}
 	return nil
 }
 
-func (c *Conn) setting(id SettingID, v uint32) error {
+// applySetting applies one setting of the peer. Unknown settings are ignored. A new initial window changes the send window
+// of every open stream by the difference (RFC 9113 section 6.9.2).
+func (c *Conn) applySetting(id SettingID, v uint32) error {
 	switch id {
 	case SettingHeaderTableSize:
-		c.enc.SetMaxDynamicTableSizeLimit(min(v, 4096))
+		c.encoder.SetMaxDynamicTableSizeLimit(min(v, 4096))
 	case SettingEnablePush:
 		if v > 1 || v == 1 && c.client {
 			return &ConnError{ProtocolError, 0, fmt.Sprintf("SETTINGS_ENABLE_PUSH %d", v)}
 		}
 	case SettingMaxConcurrentStreams:
-		c.peerStreams = v
+		c.peerMaxStreams = v
 	case SettingInitialWindowSize:
-		if v > largestWindow {
+		if v > maxWindow {
 			return &ConnError{FlowControlError, 0, fmt.Sprintf("SETTINGS_INITIAL_WINDOW_SIZE %d", v)}
 		}
-		change := int64(v) - c.peerWindow
-		c.peerWindow = int64(v)
+		change := int64(v) - c.peerInitialWindow
+		c.peerInitialWindow = int64(v)
 		for _, s := range c.streams {
-			if s.sendWin += change; s.sendWin > largestWindow {
+			if s.sendWindow += change; s.sendWindow > maxWindow {
 				return &ConnError{FlowControlError, s.id, "window above its largest size"}
 			}
 		}
-		c.flush()
+		c.flushBodies()
 	case SettingMaxFrameSize:
-		if v < defaultFrameSize || v > largestFrameSize {
+		if v < defaultFrameSize || v > maxFrameSize {
 			return &ConnError{ProtocolError, 0, fmt.Sprintf("SETTINGS_MAX_FRAME_SIZE %d", v)}
 		}
-		c.peerFrame = int(min(v, 1<<16))
+		c.peerMaxFrameSize = int(min(v, 1<<16))
 	case SettingMaxHeaderListSize:
-		c.peerList = int(min(v, 1<<30))
+		c.peerMaxHeaderList = int(min(v, 1<<30))
 	}
 	return nil
 }
 
+// onPing answers PING.
 func (c *Conn) onPing(f Frame) error {
 	if f.Stream != 0 {
 		return &ConnError{ProtocolError, f.Stream, "PING on a stream"}
@@ -685,12 +792,13 @@
 		return &ConnError{FrameSizeError, 0, "PING of a wrong size"}
 	}
 	if f.Flags&FlagAck != 0 {
-		return c.spend(1, "PING acks", 0) // we send no PING
+		return c.chargeAbuse(1, "PING acks", 0) // this side sends no PING
 	}
-	c.out = AppendFrame(c.out, FramePing, FlagAck, 0, f.Payload)
-	return c.spend(1, "PING", 0)
+	c.writeBuf = AppendFrame(c.writeBuf, FramePing, FlagAck, 0, f.Payload)
+	return c.chargeAbuse(1, "PING", 0)
 }
 
+// onGoAway handles GOAWAY. Clients remove the streams that the peer does not process.
 func (c *Conn) onGoAway(f Frame) error {
 	if f.Stream != 0 {
 		return &ConnError{ProtocolError, f.Stream, "GOAWAY on a stream"}
@@ -698,50 +806,51 @@
 	if len(f.Payload) < 8 {
 		return &ConnError{FrameSizeError, 0, "GOAWAY of a wrong size"}
 	}
-	last := binary.BigEndian.Uint32(f.Payload) & largestWindow
-	if c.peerAway && last > c.peerLast {
+	last := binary.BigEndian.Uint32(f.Payload) & maxWindow
+	if c.goAwayReceived && last > c.peerLastStream {
 		return &ConnError{ProtocolError, 0, "GOAWAY with a rising last stream"}
 	}
-	c.peerAway, c.peerLast = true, last
-	c.events = append(c.events, Event{Kind: PeerGoAway, Last: last, Code: ErrCode(binary.BigEndian.Uint32(f.Payload[4:]))})
+	c.goAwayReceived, c.peerLastStream = true, last
+	c.events = append(c.events, Event{Kind: GoAwayReceived, LastStream: last, Code: ErrCode(binary.BigEndian.Uint32(f.Payload[4:]))})
 	if c.client {
 		for id, s := range c.streams {
 			if id > last {
-				c.drop(s)
+				c.removeStream(s)
 			}
 		}
 	}
-	return c.spend(1, "GOAWAY", 0)
+	return c.chargeAbuse(1, "GOAWAY", 0)
 }
 
+// onWindowUpdate handles WINDOW_UPDATE and sends the bodies that it allows.
 func (c *Conn) onWindowUpdate(f Frame) error {
 	if len(f.Payload) != 4 {
 		return &ConnError{FrameSizeError, f.Stream, "WINDOW_UPDATE of a wrong size"}
 	}
-	n := int64(binary.BigEndian.Uint32(f.Payload) & largestWindow)
+	n := int64(binary.BigEndian.Uint32(f.Payload) & maxWindow)
 	if f.Stream == 0 {
 		if n == 0 {
 			return &ConnError{ProtocolError, 0, "WINDOW_UPDATE of 0"}
 		}
-		if c.sendWin += n; c.sendWin > largestWindow {
+		if c.sendWindow += n; c.sendWindow > maxWindow {
 			return &ConnError{FlowControlError, 0, "window above its largest size"}
 		}
-		c.flush()
-		return c.spend(0.1, "WINDOW_UPDATE", 0)
+		c.flushBodies()
+		return c.chargeAbuse(0.1, "WINDOW_UPDATE", 0)
 	}
-	if c.idle(f.Stream) {
+	if c.isIdle(f.Stream) {
 		return &ConnError{ProtocolError, f.Stream, "WINDOW_UPDATE on an idle stream"}
 	}
 	s := c.streams[f.Stream]
 	if s == nil {
-		return c.spend(0.1, "WINDOW_UPDATE", f.Stream)
+		return c.chargeAbuse(0.1, "WINDOW_UPDATE", f.Stream)
 	}
 	if n == 0 {
 		return c.streamError(s, ProtocolError, "WINDOW_UPDATE of 0")
 	}
-	if s.sendWin += n; s.sendWin > largestWindow {
+	if s.sendWindow += n; s.sendWindow > maxWindow {
 		return c.streamError(s, FlowControlError, "window above its largest size")
 	}
-	c.flush()
-	return c.spend(0.1, "WINDOW_UPDATE", f.Stream)
+	c.flushBodies()
+	return c.chargeAbuse(0.1, "WINDOW_UPDATE", f.Stream)
 }
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -62,7 +62,7 @@
 	head   *h1.Response
 	// headAt is the time at which the head of the response was complete.
 	headAt time.Duration
-	chunks h1.Chunks
+	chunks h1.ChunkDecoder
 }
 
 func (s *h1Session) takeOutput() []byte {
@@ -204,7 +204,7 @@
 // readHead parses the head of the response. It skips interim responses (1xx).
 func (s *h1Session) readHead(now time.Duration) error {
 	for {
-		if status, ok := h1.Status(s.inBuffer); ok && status >= 200 {
+		if status, ok := h1.ParseStatus(s.inBuffer); ok && status >= 200 {
 			s.status = status
 		}
 		head, n, err := h1.ParseResponse(s.inBuffer)
@@ -213,7 +213,7 @@
 		}
 		s.inBuffer = s.inBuffer[n:]
 		if head.Status >= 200 {
-			s.head, s.headAt, s.chunks = head, now, h1.Chunks{}
+			s.head, s.headAt, s.chunks = head, now, h1.ChunkDecoder{}
 			return nil
 		}
 		if head.Status == 101 {
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -59,14 +59,14 @@
 
 // capacity returns the number of streams that the connection can carry at once, including the open ones.
 func (s *h2Session) capacity() int {
-	return min(s.conn.pool.cfg.MaxStreams, s.h2conn.Room()+s.h2conn.Open())
+	return min(s.conn.pool.cfg.MaxStreams, s.h2conn.AvailableStreams()+s.h2conn.OpenStreams())
 }
 
 func (s *h2Session) state() sessionState {
-	return sessionState{ready: s.h2conn.Settled(), hasDeadlines: s.h2conn.Open() > 0, done: s.h2conn.Done(), capacity: s.capacity()}
+	return sessionState{ready: s.h2conn.SettingsReceived(), hasDeadlines: s.h2conn.OpenStreams() > 0, done: s.h2conn.Done(), capacity: s.capacity()}
 }
 
-func (s *h2Session) hasCapacity() bool { return s.h2conn.Room() > 0 }
+func (s *h2Session) hasCapacity() bool { return s.h2conn.AvailableStreams() > 0 }
 
 func (s *h2Session) start(now time.Duration, _ *call, attempts []*attemptState) error {
 	// HTTP/2 does not batch attempts: a call has one.
@@ -107,7 +107,7 @@
 	case h2.Ready:
 		s.conn.markUsable(s.capacity())
 		return
-	case h2.PeerGoAway:
+	case h2.GoAwayReceived:
 		s.handleGoAway(e)
 		return
 	}
@@ -133,7 +133,7 @@
 		s.answered = true
 		p.reportEnd(t, s.codec.Answer(t.attempt, t.responseFields, t.responseBody))
 		// The response was complete before the request body was sent. The peer does not want the rest of it.
-		if s.h2conn.Wants(e.Stream) {
+		if s.h2conn.IsOpen(e.Stream) {
 			s.h2conn.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
@@ -169,7 +169,7 @@
 		kind = engine.GoAwayBeforeResponse
 	}
 	for id, t := range s.attempts {
-		if id > e.Last {
+		if id > e.LastStream {
 			delete(s.attempts, id)
 			p.reportEnd(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
 	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/front"
@@ -202,13 +202,13 @@
 func (n *Node) openFront(budget descriptorBudget, maxHeld int) error {
 	set := &n.cfg.Settings
 	maxBytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: budget.clients, Bytes: maxBytes, Hold: maxHeld, BlockAt: 1, UnblockAt: 1}
-	n.clients = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	limits := admission.Limits{Conns: budget.clients, Bytes: maxBytes, Messages: maxHeld, BlockAt: 1, UnblockAt: 1}
+	n.clients = NewClientHandler(*set, admission.New(limits, max(1, len(set.Tenants)), n.loop).AddFrontend("platform"))
 	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Contains, n.hasList.Load
 	if n.cfg.Trace {
 		n.clients.trace = n.debugLogger()
 	}
-	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debugLogger(), System: n.system}
+	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, MaxUnread: 64 << 10, Trace: n.debugLogger(), System: n.system}
 	log := func(t string) { n.log.Warn("clients", "%s", t) }
 	return retryTransient(n.warnLogger("node"), func() (err error) {
 		n.front, err = front.New(cfg, n.clients.admission, n.clock, log, n.clients.Open)
