--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -18,13 +18,13 @@
 
 // Headers that a publisher may send, and those that we set on returned messages.
 const (
-	HeaderOrder   = "x-order-key"
-	HeaderAnswer  = "x-answer"        // refused
-	HeaderReason  = "x-reason"        // in words
-	HeaderWait    = "x-retry-after"   // milliseconds to stay away
-	HeaderName    = "whinrun-message" // our name of the message
-	HeaderReceipt = "x-receipt"       // of an answer: the signed receipt
-	HeaderTag     = "x-delivery-tag"  // of the publish, on channels that confirm
+	HeaderOrderKey    = "x-order-key"
+	HeaderAnswer      = "x-answer"        // refused
+	HeaderReason      = "x-reason"        // in words
+	HeaderRetryAfter  = "x-retry-after"   // milliseconds to stay away
+	HeaderMessageName = "whinrun-message" // our name of the message
+	HeaderReceipt     = "x-receipt"       // of an answer: the signed receipt
+	HeaderDeliveryTag = "x-delivery-tag"  // of the publish, on channels that confirm
 )
 
 // publish is one message from its content header to its answer.
@@ -36,7 +36,7 @@
 	props  *amqp.Properties
 	msg    *engine.Message
 	ticket door.Ticket
-	place  *mailbox.Place
+	place  *mailbox.Reservation
 	answer engine.Answer
 }
 
@@ -49,12 +49,12 @@
 	}
 	if err := s.begin(p, e.Size); err != nil {
 		s.desk.side.Rejected.Add(1)
-		s.c.Skip(ch.id)
+		s.c.DiscardBody(ch.id)
 		s.turnAway(p, err)
 		return
 	}
 	ch.in = p
-	if e.End {
+	if e.Complete {
 		s.body(ch, nil, true)
 	}
 }
@@ -77,7 +77,7 @@
 		return &amqp.Error{Code: amqp.PreconditionFailed, Text: err.Error()}
 	}
 	s.desk.room.Lock()
-	p.place, err = s.desk.room.Promise(s.tenant, p.props.ReplyTo, p.how.Exchange, p.how.Key)
+	p.place, err = s.desk.room.Reserve(s.tenant, p.props.ReplyTo, p.how.Exchange, p.how.Key)
 	s.desk.room.Unlock()
 	if errors.Is(err, mailbox.ErrNotFound) {
 		return &refusal{amqp.NoRoute, fmt.Sprintf("reply-to %q names no queue of answers", intake.Printable(p.props.ReplyTo))}
@@ -137,8 +137,8 @@
 	if p.UserID != "" && p.UserID != s.user {
 		return fmt.Errorf("user-id is not that of the connection")
 	}
-	if err := intake.Order(m, r.InOrder, p.Headers.Text(HeaderOrder)); err != nil {
-		return fmt.Errorf("header %s: %w", HeaderOrder, err)
+	if err := intake.Order(m, r.InOrder, p.Headers.GetString(HeaderOrderKey)); err != nil {
+		return fmt.Errorf("header %s: %w", HeaderOrderKey, err)
 	}
 	if p.MessageID != "" {
 		if err := intake.Repeat(m, p.MessageID); err != nil {
@@ -184,7 +184,7 @@
 		s.awaiting--
 	}
 	ch.in = nil
-	s.c.Skip(ch.id)
+	s.c.DiscardBody(ch.id)
 	p.drop()
 	s.turnAway(p, &refusal{amqp.NoConsumers, "not taken: " + err.Error()})
 }
@@ -201,7 +201,7 @@
 	}
 	d := p.s.desk
 	d.room.Lock()
-	p.place.Drop(p.s.now)
+	p.place.Release(p.s.now)
 	d.room.Unlock()
 	p.place = nil
 }
@@ -217,12 +217,12 @@
 	case errors.As(err, &e):
 		e.Channel = p.ch.id
 		e.Class, e.Method = amqp.ID(p.how)
-		s.c.Fail(e)
+		s.c.CloseWithError(e)
 	case errors.As(err, &r):
 		if p.tag == 0 && !p.how.Mandatory {
 			if r.code != amqp.NoRoute {
 				class, method := amqp.ID(p.how)
-				s.c.Fail(&amqp.Error{Code: amqp.ContentTooLarge, Channel: p.ch.id, Text: r.text, Class: class, Method: method})
+				s.c.CloseWithError(&amqp.Error{Code: amqp.ContentTooLarge, Channel: p.ch.id, Text: r.text, Class: class, Method: method})
 			}
 			return
 		}
@@ -238,16 +238,16 @@
 	}
 	props := *p.props
 	props.Headers = append(amqp.Table(nil), props.Headers...)
-	props.Headers = props.Headers.Set(HeaderAnswer, "refused").Set(HeaderReason, reason).Set(HeaderWait, int64(wait/time.Millisecond))
+	props.Headers = props.Headers.Set(HeaderAnswer, "refused").Set(HeaderReason, reason).Set(HeaderRetryAfter, int64(wait/time.Millisecond))
 	var body []byte
 	if p.msg != nil {
 		body = p.msg.Body
 		if p.msg.ID != 0 {
-			props.Headers = props.Headers.Set(HeaderName, s.desk.names.Of(p.msg.ID))
+			props.Headers = props.Headers.Set(HeaderMessageName, s.desk.names.Of(p.msg.ID))
 		}
 	}
 	if p.tag > 0 {
-		props.Headers = props.Headers.Set(HeaderTag, int64(p.tag))
+		props.Headers = props.Headers.Set(HeaderDeliveryTag, int64(p.tag))
 	}
 	text := map[amqp.Code]string{amqp.NoRoute: "NO_ROUTE"}[code]
 	if text == "" {
@@ -297,7 +297,7 @@
 
 // message makes a receipt a message: its correlation-id is the publisher's or, without one, the message-id. With a key
 // the signed form goes along.
-func (d *Desk) message(r *receipt.Receipt) (*amqp.Properties, []byte) {
+func (d *Server) message(r *receipt.Receipt) (*amqp.Properties, []byte) {
 	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.Correlation, Type: r.Answer,
 		DeliveryMode: 1, Timestamp: uint64(r.At.Unix())}
 	if p.CorrelationID == "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -126,9 +126,9 @@
 	a := r.single("amqp")
 	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), Unread: max(l.int("unread"), 2*c.Intake.MaxBody)}
 	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.int("channels")), FrameMax: a.int("frame"), Heartbeat: a.span("heartbeat"),
-		Handshake: l.span("handshake"), Stall: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
+		Handshake: l.span("handshake"), BodyStallTimeout: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
 	q := r.single("answers")
-	c.Mailbox = mailbox.Limits{Queues: q.int("queues"), Length: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
+	c.Mailbox = mailbox.Limits{QueuesPerTenant: q.int("queues"), QueueLength: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
 	if h := c.AMQPConn.Heartbeat; h%time.Second != 0 {
 		r.bad(a.at["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -21,7 +21,7 @@
 }
 
 // Opener makes sessions.
-func Opener(cfg Config, desk *push.Desk, names push.Names, side *door.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+func Opener(cfg Config, desk *push.Desk, names push.Names, side *door.Side, room *mailbox.SharedBroker, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, now time.Duration) front.Session {
 		return &session{cfg: &cfg, desk: desk, names: names, side: side, room: room, now: clock, conn: c, h: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
 			idleFrom: now}
@@ -34,7 +34,7 @@
 	desk     *push.Desk
 	names    push.Names
 	side     *door.Side
-	room     *mailbox.Room
+	room     *mailbox.SharedBroker
 	now      func() time.Duration
 	conn     *front.Conn
 	h        *h2.Conn
@@ -51,8 +51,8 @@
 	whole  bool
 	answer engine.Answer
 
-	place    *mailbox.Place // of the receipt, where one is wanted
-	receipts string         // the subscription it goes to
+	place    *mailbox.Reservation // of the receipt, where one is wanted
+	receipts string               // the subscription it goes to
 	path     string
 }
 
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -17,7 +17,7 @@
 }
 
 // startChores plans sealing, upkeep of the trail, expiry of answers and a look at old records.
-func (s *Service) startChores(room *mailbox.Room) {
+func (s *Service) startChores(room *mailbox.SharedBroker) {
 	b := &background{quit: make(chan struct{})}
 	all := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
 	b.run = append(b.run, func() (bool, error) {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -150,9 +150,9 @@
 		}
 		return err
 	}
-	room := &mailbox.Room{Box: mailbox.New(cfg.Mailbox)}
+	room := &mailbox.SharedBroker{Broker: mailbox.New(cfg.Mailbox)}
 	if s.keeper != nil {
-		room.Key, room.Changed = s.keeper.Key(), s.trail.changed
+		room.Key, room.OnChange = s.keeper.Key(), s.trail.changed
 		if err := s.restore(room, book); err != nil {
 			return err
 		}
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -87,7 +87,7 @@
 
 // restore puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
 // answer by then gets the one that is true of it: failed, it may have been sent.
-func (s *Service) restore(room *mailbox.Room, book *intake.Book) error {
+func (s *Service) restore(room *mailbox.SharedBroker, book *intake.Book) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
 	subscriptions, owed, err := s.keeper.Unfetched(since)
 	if err != nil {
@@ -96,7 +96,7 @@
 	back := 0
 	for _, r := range subscriptions {
 		if tenant, ok := book.Tenant(r.Tenant); ok {
-			_, _, _, _ = room.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false) // one there is none too many
+			_, _, _, _ = room.Declare(s.now(), tenant, mailbox.QueueSpec{Name: r.Receipt}, false) // one there is none too many
 		}
 	}
 	for _, p := range owed {
@@ -104,7 +104,7 @@
 		if !ok {
 			continue
 		}
-		place, err := room.Promise(tenant, p.Queue, "", "")
+		place, err := room.Reserve(tenant, p.Queue, "", "")
 		if err != nil {
 			s.log.Warn("audit", "the receipt of %s is not put back: %v", p.Accepted.Message, err)
 			continue
