--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -11,20 +11,20 @@
 	"pgregory.net/rapid"
 )
 
-func config() Config {
+func testConfig() Config {
 	return Config{Product: "x", ChannelMax: 2047, FrameMax: 8192, Heartbeat: 10 * time.Second, Handshake: 5 * time.Second, BodyStallTimeout: 3 * time.Second,
 		AbuseBurst: 100, AbuseRate: 10}
 }
 
-// fatal is what rapid's tests share with others.
-type fatal interface {
+// testingT is what rapid's tests share with others.
+type testingT interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// rig is a connection with its client's side written by hand.
-type rig struct {
-	t      fatal
+// testConn is a connection with its client's side written by hand.
+type testConn struct {
+	t      testingT
 	c      *Conn
 	now    time.Duration
 	events []Event
@@ -32,9 +32,9 @@
 	err    error
 }
 
-func newRig(t fatal) *rig {
-	r := &rig{t: t, bodies: map[uint16][]byte{}, now: time.Second}
-	r.c = NewConn(config(), r.now, func(e *Event) {
+func newTestConn(t testingT) *testConn {
+	r := &testConn{t: t, bodies: map[uint16][]byte{}, now: time.Second}
+	r.c = NewConn(testConfig(), r.now, func(e *Event) {
 		v := *e
 		v.Data = nil
 		r.events = append(r.events, v)
@@ -54,22 +54,22 @@
 	return r
 }
 
-func (r *rig) send(b []byte) *rig {
+func (r *testConn) send(b []byte) *testConn {
 	if err := r.c.Receive(r.now, b); err != nil {
 		r.err = err
 	}
 	return r
 }
 
-func (r *rig) methods(channel uint16, all ...Method) *rig {
+func (r *testConn) methods(channel uint16, all ...Method) *testConn {
 	for _, m := range all {
 		r.send(AppendMethod(nil, channel, m))
 	}
 	return r
 }
 
-// out reads what the server has written.
-func (r *rig) out() (all []Method, channels []uint16) {
+// output reads what the server has written.
+func (r *testConn) output() (all []Method, channels []uint16) {
 	b := r.c.Output()
 	for len(b) > 0 {
 		f, n, e := nextFrame(b, 1<<20)
@@ -94,21 +94,21 @@
 		Table{{"connection.blocked", true}, {"authentication_failure_close", true}}}}}
 }
 
-// opened is a rig with an open connection and channel 1.
-func opened(t fatal) *rig {
-	r := newRig(t).send([]byte(ProtocolHeader)).methods(0, startOK("secret"), &ConnectionTuneOK{2047, 8192, 10}, &ConnectionOpen{VHost: "/"})
+// openTestConn is a rig with an open connection and channel 1.
+func openTestConn(t testingT) *testConn {
+	r := newTestConn(t).send([]byte(ProtocolHeader)).methods(0, startOK("secret"), &ConnectionTuneOK{2047, 8192, 10}, &ConnectionOpen{VHost: "/"})
 	r.methods(1, &ChannelOpen{})
 	if r.err != nil || !r.c.IsChannelOpen(1) {
 		t.Fatalf("handshake: %v", r.err)
 	}
-	r.out()
+	r.output()
 	r.events = nil
 	return r
 }
 
 // closeCode is the code of the close that the server has written, 0 for none, and whether it is of the connection.
-func (r *rig) closeCode() (code Code, hard bool) {
-	all, _ := r.out()
+func (r *testConn) closeCode() (code Code, hard bool) {
+	all, _ := r.output()
 	for _, m := range all {
 		switch m := m.(type) {
 		case *ChannelClose:
@@ -120,8 +120,8 @@
 	return code, false
 }
 
-func raw(kind byte, channel uint16, payload ...byte) []byte {
-	return append(append(appendFrameHead(nil, kind, channel, len(payload)), payload...), frameEnd)
+func rawFrame(kind byte, channel uint16, payload ...byte) []byte {
+	return append(append(appendFrameHeader(nil, kind, channel, len(payload)), payload...), frameEnd)
 }
 
 func publishFrames(size uint64) []byte {
@@ -133,13 +133,13 @@
 }
 
 func TestHandshakeRefusals(t *testing.T) {
-	if r := newRig(t).send([]byte("AMQP\x00\x01\x00\x00")); r.err == nil || string(r.c.Output()) != ProtocolHeader || !r.c.Done() {
+	if r := newTestConn(t).send([]byte("AMQP\x00\x01\x00\x00")); r.err == nil || string(r.c.Output()) != ProtocolHeader || !r.c.Done() {
 		t.Errorf("another version: %v", r.err)
 	}
-	if r := newRig(t).send([]byte("PRI * HTTP/2.0\r\n")); r.err == nil || !r.c.Done() {
+	if r := newTestConn(t).send([]byte("PRI * HTTP/2.0\r\n")); r.err == nil || !r.c.Done() {
 		t.Error("HTTP/2 was let in")
 	}
-	hello := func() *rig { r := newRig(t).send([]byte(ProtocolHeader)); r.out(); return r }
+	hello := func() *testConn { r := newTestConn(t).send([]byte(ProtocolHeader)); r.output(); return r }
 	if r := hello().methods(0, &ConnectionStartOK{Mechanism: "EXTERNAL"}); r.err == nil || !r.c.Done() {
 		t.Error("another mechanism was let in")
 	}
@@ -181,14 +181,14 @@
 		code Code
 		hard bool
 	}{
-		"frame above frame-max":          {appendFrameHead(nil, frameBody, 1, 9000), FrameError, true},
-		"no end octet":                   {append(appendFrameHead(nil, frameMethod, 1, 4), 0, 60, 0, 40, 0), FrameError, true},
-		"unknown frame type":             {raw(9, 0), FrameError, true},
-		"heartbeat on a channel":         {raw(frameHeartbeat, 1), FrameError, true},
-		"unknown method":                 {raw(frameMethod, 1, 0, 90, 0, 10), NotImplemented, true},
-		"short method":                   {raw(frameMethod, 1, 0, 60), SyntaxError, true},
-		"arguments cut":                  {raw(frameMethod, 1, 0, 60, 0, 40, 0, 0, 9, 'x'), SyntaxError, true},
-		"arguments too many":             {raw(frameMethod, 1, 0, 85, 0, 10, 0, 0), SyntaxError, true},
+		"frame above frame-max":          {appendFrameHeader(nil, frameBody, 1, 9000), FrameError, true},
+		"no end octet":                   {append(appendFrameHeader(nil, frameMethod, 1, 4), 0, 60, 0, 40, 0), FrameError, true},
+		"unknown frame type":             {rawFrame(9, 0), FrameError, true},
+		"heartbeat on a channel":         {rawFrame(frameHeartbeat, 1), FrameError, true},
+		"unknown method":                 {rawFrame(frameMethod, 1, 0, 90, 0, 10), NotImplemented, true},
+		"short method":                   {rawFrame(frameMethod, 1, 0, 60), SyntaxError, true},
+		"arguments cut":                  {rawFrame(frameMethod, 1, 0, 60, 0, 40, 0, 0, 9, 'x'), SyntaxError, true},
+		"arguments too many":             {rawFrame(frameMethod, 1, 0, 85, 0, 10, 0, 0), SyntaxError, true},
 		"nested tables":                  {AppendMethod(nil, 1, &QueueDeclare{Arguments: deep}), SyntaxError, true},
 		"table with many entries":        {AppendMethod(nil, 1, &QueueDeclare{Arguments: wide}), SyntaxError, true},
 		"method on a closed channel":     {AppendMethod(nil, 7, &BasicQos{}), ChannelError, true},
@@ -197,20 +197,20 @@
 		"channel method on 0":            {AppendMethod(nil, 0, &BasicQos{}), CommandInvalid, true},
 		"connection method on a channel": {AppendMethod(nil, 1, &ConnectionOpen{}), CommandInvalid, true},
 		"open again":                     {AppendMethod(nil, 0, &ConnectionOpen{VHost: "/"}), CommandInvalid, true},
-		"body without a publish":         {raw(frameBody, 1, 'x'), UnexpectedFrame, true},
+		"body without a publish":         {rawFrame(frameBody, 1, 'x'), UnexpectedFrame, true},
 		"header without a publish":       {appendContent(nil, 1, &Properties{}, nil, 8192), UnexpectedFrame, true},
 		"method within a message":        {append(publishFrames(5), AppendMethod(nil, 1, &BasicQos{})...), UnexpectedFrame, true},
-		"body longer than said":          {append(publishFrames(2), raw(frameBody, 1, 'x', 'y', 'z')...), FrameError, true},
-		"body before its header":         {append(AppendMethod(nil, 1, &BasicPublish{}), raw(frameBody, 1, 'x')...), UnexpectedFrame, true},
-		"content on channel 0":           {raw(frameBody, 0, 'x'), UnexpectedFrame, true},
-		"well":                           {append(publishFrames(2), raw(frameBody, 1, 'x', 'y')...), 0, false},
+		"body longer than said":          {append(publishFrames(2), rawFrame(frameBody, 1, 'x', 'y', 'z')...), FrameError, true},
+		"body before its header":         {append(AppendMethod(nil, 1, &BasicPublish{}), rawFrame(frameBody, 1, 'x')...), UnexpectedFrame, true},
+		"content on channel 0":           {rawFrame(frameBody, 0, 'x'), UnexpectedFrame, true},
+		"well":                           {append(publishFrames(2), rawFrame(frameBody, 1, 'x', 'y')...), 0, false},
 	} {
-		r := opened(t).send(c.b)
+		r := openTestConn(t).send(c.b)
 		if code, hard := r.closeCode(); code != c.code || hard != c.hard || r.err != nil {
 			t.Errorf("%s: %d (connection: %v), want %d; %v", name, code, hard, c.code, r.err)
 		}
 		r.send(AppendMethod(nil, 0, &ConnectionCloseOK{}))
-		if r.send(raw(frameHeartbeat, 0)); c.hard && c.code != FrameError && !r.c.Done() {
+		if r.send(rawFrame(frameHeartbeat, 0)); c.hard && c.code != FrameError && !r.c.Done() {
 			t.Errorf("%s: not done after close-ok", name)
 		}
 		if _ = r.c.Check(r.now + 10*time.Second); c.hard && !r.c.Done() {
@@ -222,7 +222,7 @@
 // Messages arrive whole however their bytes are cut, also on channels whose frames mix.
 func TestContentInAnyPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := opened(t)
+		r := openTestConn(t)
 		r.methods(2, &ChannelOpen{})
 		one, two := bytes.Repeat([]byte("a"), rapid.IntRange(0, 20000).Draw(t, "one")), bytes.Repeat([]byte("b"), rapid.IntRange(0, 300).Draw(t, "two"))
 		var b []byte
@@ -243,9 +243,9 @@
 
 // A message that stands still ends the connection, one that moves does not; its channel's close is no error.
 func TestStandingStill(t *testing.T) {
-	r := opened(t).send(publishFrames(200))
+	r := openTestConn(t).send(publishFrames(200))
 	r.now += 2 * time.Second
-	r.send(raw(frameBody, 1, bytes.Repeat([]byte("x"), 100)...))
+	r.send(rawFrame(frameBody, 1, bytes.Repeat([]byte("x"), 100)...))
 	if r.c.Check(r.now + 2*time.Second); r.c.Closing() {
 		t.Error("a message that moves is ended")
 	}
@@ -256,18 +256,18 @@
 
 // Heartbeats: ours go out, any byte of the client's counts, two missed end the connection.
 func TestHeartbeats(t *testing.T) {
-	r := opened(t)
+	r := openTestConn(t)
 	r.c.SetBlocked(r.now, true, "full") // a throttled connection is heard, and hears of us, all the same
-	r.out()
+	r.output()
 	for range 20 {
 		r.now += 5 * time.Second
 		if err := r.c.Check(r.now); err != nil {
 			t.Fatal(err)
 		}
-		if out := r.c.Output(); !bytes.Equal(out, raw(frameHeartbeat, 0)) {
+		if out := r.c.Output(); !bytes.Equal(out, rawFrame(frameHeartbeat, 0)) {
 			t.Fatalf("no heartbeat: %x", out)
 		}
-		r.send(raw(frameHeartbeat, 0))
+		r.send(rawFrame(frameHeartbeat, 0))
 	}
 	if err := r.c.Check(r.now + 19*time.Second); err != nil {
 		t.Error(err)
@@ -279,9 +279,9 @@
 
 // Frames that carry no message draw on a budget; publishes don't.
 func TestFloods(t *testing.T) {
-	r := opened(t)
+	r := openTestConn(t)
 	for range 10000 {
-		r.send(append(publishFrames(1), raw(frameBody, 1, 'x')...))
+		r.send(append(publishFrames(1), rawFrame(frameBody, 1, 'x')...))
 	}
 	if r.c.Closing() {
 		t.Fatal("publishes are taken for abuse")
@@ -293,7 +293,7 @@
 	if code, _ := r.closeCode(); code != ResourceError || n > 3000 {
 		t.Errorf("after %d rounds: %d", n, code)
 	}
-	all := opened(t)
+	all := openTestConn(t)
 	for id := uint16(2); id <= 2047; id++ {
 		all.methods(id, &ChannelOpen{})
 	}
@@ -304,12 +304,12 @@
 
 // Closes cross: what comes on a channel that we have closed is discarded until the client has heard of it.
 func TestCloseCrossesPublish(t *testing.T) {
-	r := opened(t)
+	r := openTestConn(t)
 	r.c.CloseWithError(&Error{Code: PreconditionFailed, Channel: 1, Text: "no"})
-	r.out()
+	r.output()
 	r.events = nil
-	r.send(append(publishFrames(1), raw(frameBody, 1, 'x')...)).methods(1, &BasicQos{}, &ChannelClose{})
-	all, _ := r.out()
+	r.send(append(publishFrames(1), rawFrame(frameBody, 1, 'x')...)).methods(1, &BasicQos{}, &ChannelClose{})
+	all, _ := r.output()
 	if len(r.events) != 0 || len(all) != 1 || r.c.Closing() {
 		t.Errorf("events %v, wrote %v", r.events, all)
 	}
@@ -321,7 +321,7 @@
 		t.Error("the channel can't be opened again")
 	}
 	r.c.Close(r.now, "stop")
-	r.send(append(publishFrames(1), raw(frameBody, 1, 'x')...)).methods(0, &ConnectionCloseOK{})
+	r.send(append(publishFrames(1), rawFrame(frameBody, 1, 'x')...)).methods(0, &ConnectionCloseOK{})
 	if !r.c.Done() {
 		t.Error("not done after close-ok")
 	}
@@ -399,8 +399,8 @@
 	}
 }
 
-// values draws field values of every type.
-func values(depth int) *rapid.Generator[any] {
+// fieldValues draws field values of every type.
+func fieldValues(depth int) *rapid.Generator[any] {
 	text := rapid.StringMatching(`[a-z]{0,9}`)
 	all := []*rapid.Generator[any]{rapid.Bool().AsAny(), rapid.Int8().AsAny(), rapid.Uint8().AsAny(), rapid.Int16().AsAny(), rapid.Uint16().AsAny(),
 		rapid.Int32().AsAny(), rapid.Uint32().AsAny(), rapid.Int64().AsAny(), rapid.Float32().AsAny(), rapid.Float64().AsAny(), text.AsAny(),
@@ -408,8 +408,8 @@
 		rapid.Map(rapid.Int64Range(0, math.MaxInt32), func(s int64) any { return time.Unix(s, 0).UTC() }),
 		rapid.Map(rapid.Uint32(), func(v uint32) any { return Decimal{2, v} })}
 	if depth > 0 {
-		all = append(all, rapid.Map(rapid.SliceOfN(values(depth-1), 1, 3), func(v []any) any { return v }),
-			rapid.Map(rapid.SliceOfN(values(depth-1), 1, 3), func(v []any) any {
+		all = append(all, rapid.Map(rapid.SliceOfN(fieldValues(depth-1), 1, 3), func(v []any) any { return v }),
+			rapid.Map(rapid.SliceOfN(fieldValues(depth-1), 1, 3), func(v []any) any {
 				var t Table
 				for i, x := range v {
 					t = append(t, Entry{strings.Repeat("n", i+1), x})
@@ -423,7 +423,7 @@
 // What is written reads back the same: tables of all types, methods with arguments, properties.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := Table{{"v", values(3).Draw(t, "value")}, {"w", values(1).Draw(t, "other")}}
+		table := Table{{"v", fieldValues(3).Draw(t, "value")}, {"w", fieldValues(1).Draw(t, "other")}}
 		m := &QueueDeclare{Ticket: 3, Queue: rapid.StringMatching(`[a-z]{0,20}`).Draw(t, "queue"), Durable: rapid.Bool().Draw(t, "durable"),
 			NoWait: true, Arguments: table}
 		f, n, e := nextFrame(AppendMethod(nil, 9, m), 1<<20)
@@ -437,7 +437,7 @@
 		p := Properties{ContentType: "a", Headers: table, DeliveryMode: 2, Priority: 0, HasPriority: true, CorrelationID: "c", ReplyTo: "r",
 			Expiration: "5", MessageID: "m", Timestamp: 7, Type: "t", UserID: "u", AppID: "p"}
 		f, _, _ = nextFrame(appendContent(nil, 1, &p, []byte("abc"), 4096), 1<<20)
-		class, size, q, e := parseHeader(f)
+		class, size, q, e := parseContentHeader(f)
 		if e != nil || class != 60 || size != 3 || !reflect.DeepEqual(p, q) {
 			t.Fatalf("%+v, want %+v; %v", q, p, e)
 		}
@@ -446,7 +446,7 @@
 
 // Each method that is known reads back what its zero value writes.
 func TestAllMethods(t *testing.T) {
-	for id, make := range known {
+	for id, make := range methodsByID {
 		m := make()
 		class, method := ID(m)
 		if uint32(class)<<16|uint32(method) != id {
@@ -461,16 +461,16 @@
 
 // FuzzConn feeds bytes after a handshake: no crash, and what the server writes is well formed.
 func FuzzConn(f *testing.F) {
-	f.Add(append(publishFrames(2), raw(frameBody, 1, 'x', 'y')...))
+	f.Add(append(publishFrames(2), rawFrame(frameBody, 1, 'x', 'y')...))
 	f.Add(AppendMethod(nil, 1, &QueueDeclare{Arguments: Table{{"a", Table{{"b", []any{int8(1)}}}}}}))
 	f.Add(AppendMethod(nil, 0, &ConnectionClose{Code: 200}))
-	f.Add(raw(frameMethod, 1, 0, 60, 0, 40, 0, 0, 9, 'x'))
+	f.Add(rawFrame(frameMethod, 1, 0, 60, 0, 40, 0, 0, 9, 'x'))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := opened(t)
+		r := openTestConn(t)
 		r.send(b[:len(b)/2]).send(b[len(b)/2:])
-		r.out()
+		r.output()
 		_ = r.c.Check(r.now + time.Minute)
-		r.out()
+		r.output()
 	})
 }
 
@@ -478,9 +478,9 @@
 func FuzzTable(f *testing.F) {
 	var w writer
 	w.table(&Table{{"a", int32(1)}, {"b", "x"}, {"c", Table{{"d", []any{true, nil}}}}})
-	f.Add(w.b)
+	f.Add(w.buf)
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r := reader{b: b}
+		r := reader{buf: b}
 		var one, two Table
 		r.table(&one)
 		if r.err != nil {
@@ -488,18 +488,18 @@
 		}
 		var w writer
 		w.table(&one)
-		again := reader{b: w.b}
+		again := reader{buf: w.buf}
 		again.table(&two)
 		var w2 writer
 		w2.table(&two)
-		if again.err != nil || !bytes.Equal(w.b, w2.b) { // compared as bytes: a NaN differs from itself
-			t.Fatalf("%v: %x, then %x", again.err, w.b, w2.b)
+		if again.err != nil || !bytes.Equal(w.buf, w2.buf) { // compared as bytes: a NaN differs from itself
+			t.Fatalf("%v: %x, then %x", again.err, w.buf, w2.buf)
 		}
 	})
 }
 
 func BenchmarkPublish(b *testing.B) {
-	r := opened(b)
+	r := openTestConn(b)
 	msg := appendContent(AppendMethod(nil, 1, &BasicPublish{Key: "/p"}), 1, &Properties{MessageID: "m"}, make([]byte, 256), 8192)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/amqp/codec.go
+++ b/internal/amqp/codec.go
@@ -13,16 +13,16 @@
 
 // Errors of the decoder. All are syntax errors to the peer (502).
 var (
-	errShort    = errors.New("arguments end in mid-field")
-	errTrailing = errors.New("bytes after the last argument")
-	errNesting  = errors.New("field table nested too deeply")
-	errEntries  = errors.New("field table with too many entries")
+	errTruncated       = errors.New("arguments end in mid-field")
+	errTrailingBytes   = errors.New("bytes after the last argument")
+	errNestedTooDeeply = errors.New("field table nested too deeply")
+	errTooManyEntries  = errors.New("field table with too many entries")
 )
 
 // Bounds of field tables: what a peer sends must not cost much more than its bytes.
 const (
-	maxNesting = 8
-	maxEntries = 1024 // of a table with all that is in it
+	maxTableDepth   = 8
+	maxTableEntries = 1024 // of a table with all that is in it
 )
 
 // Table is a field table (section 4.2.5.5), its entries in the order in which they stand.
@@ -71,70 +71,70 @@
 	return append(t, Entry{name, v})
 }
 
-// coder goes over the fields of a method in their order, reading or writing them: each layout stands once.
-type coder interface {
+// fieldCoder goes over the fields of a method in their order, reading or writing them: each layout stands once.
+type fieldCoder interface {
 	u8(*uint8)
 	u16(*uint16)
 	u32(*uint32)
 	u64(*uint64)
-	short(*string) // up to 255 bytes
-	long(*string)
+	shortString(*string) // up to 255 bytes
+	longString(*string)
 	table(*Table)
 	bits(...*bool) // packed into one octet
 }
 
 // reader reads fields; the first error stays.
 type reader struct {
-	b       []byte
+	buf     []byte
 	err     error
 	entries int
 	depth   int
 }
 
-func (r *reader) take(n int) []byte {
-	if r.err != nil || n < 0 || n > len(r.b) {
+func (r *reader) next(n int) []byte {
+	if r.err != nil || n < 0 || n > len(r.buf) {
 		if r.err == nil {
-			r.err = errShort
+			r.err = errTruncated
 		}
 		return nil
 	}
-	b := r.b[:n]
-	r.b = r.b[n:]
+	b := r.buf[:n]
+	r.buf = r.buf[n:]
 	return b
 }
 
 func (r *reader) u8(v *uint8) {
-	if b := r.take(1); b != nil {
+	if b := r.next(1); b != nil {
 		*v = b[0]
 	}
 }
 func (r *reader) u16(v *uint16) {
-	if b := r.take(2); b != nil {
+	if b := r.next(2); b != nil {
 		*v = binary.BigEndian.Uint16(b)
 	}
 }
 func (r *reader) u32(v *uint32) {
-	if b := r.take(4); b != nil {
+	if b := r.next(4); b != nil {
 		*v = binary.BigEndian.Uint32(b)
 	}
 }
 func (r *reader) u64(v *uint64) {
-	if b := r.take(8); b != nil {
+	if b := r.next(8); b != nil {
 		*v = binary.BigEndian.Uint64(b)
 	}
 }
-func (r *reader) short(v *string) {
+func (r *reader) shortString(v *string) {
 	var n uint8
 	r.u8(&n)
-	*v = string(r.take(int(n)))
+	*v = string(r.next(int(n)))
 }
-func (r *reader) long(v *string) {
+func (r *reader) longString(v *string) {
 	var n uint32
 	r.u32(&n)
-	if uint64(n) > uint64(len(r.b)) {
+	if uint64(n) > uint64(len(r.buf)) {
 		n = math.MaxUint32 >> 1
 	}
-	*v = string(r.take(int(n)))
+	*v = string(r.next(int(n)))
 }
 func (r *reader) bits(v ...*bool) {
 	var b uint8
@@ -144,44 +144,44 @@
 	}
 }
 
-// part reads a length and returns a reader's bytes of that many.
-func (r *reader) part() []byte {
+// lengthPrefixed reads a length and returns a reader's bytes of that many.
+func (r *reader) lengthPrefixed() []byte {
 	var n uint32
 	r.u32(&n)
-	if uint64(n) > uint64(len(r.b)) {
+	if uint64(n) > uint64(len(r.buf)) {
 		n = math.MaxUint32 >> 1
 	}
-	return r.take(int(n))
+	return r.next(int(n))
 }
 
-// inside runs do on a part of the input, one level deeper.
-func (r *reader) inside(do func()) {
-	in := r.part()
+// nested runs do on a part of the input, one level deeper.
+func (r *reader) nested(do func()) {
+	part := r.lengthPrefixed()
 	if r.err != nil {
 		return
 	}
-	if r.depth++; r.depth > maxNesting {
-		r.err = errNesting
+	if r.depth++; r.depth > maxTableDepth {
+		r.err = errNestedTooDeeply
 		return
 	}
-	rest := r.b
-	r.b = in
-	for len(r.b) > 0 && r.err == nil {
-		if r.entries++; r.entries > maxEntries {
-			r.err = errEntries
+	rest := r.buf
+	r.buf = part
+	for len(r.buf) > 0 && r.err == nil {
+		if r.entries++; r.entries > maxTableEntries {
+			r.err = errTooManyEntries
 			return
 		}
 		do()
 	}
-	r.b = rest
+	r.buf = rest
 	r.depth--
 }
 
 func (r *reader) table(v *Table) {
 	var t Table
-	r.inside(func() {
+	r.nested(func() {
 		var e Entry
-		r.short(&e.Name)
+		r.shortString(&e.Name)
 		e.Value = r.value()
 		t = append(t, e)
 	})
@@ -240,18 +240,18 @@
 		return d
 	case 'S':
 		var s string
-		r.long(&s)
+		r.longString(&s)
 		return s
 	case 'x':
-		return Bytes(append([]byte(nil), r.part()...))
+		return Bytes(append([]byte(nil), r.lengthPrefixed()...))
 	case 'T':
 		var n uint64
 		r.u64(&n)
 		return time.Unix(int64(n), 0).UTC()
 	case 'A':
-		all := []any{}
-		r.inside(func() { all = append(all, r.value()) })
-		return all
+		values := []any{}
+		r.nested(func() { values = append(values, r.value()) })
+		return values
 	case 'F':
 		var t Table
 		r.table(&t)
@@ -263,27 +263,27 @@
 	return nil
 }
 
-// done returns the first error, or that not all bytes were used.
-func (r *reader) done() error {
-	if r.err == nil && len(r.b) > 0 {
-		r.err = errTrailing
+// finish returns the first error, or that not all bytes were used.
+func (r *reader) finish() error {
+	if r.err == nil && len(r.buf) > 0 {
+		r.err = errTrailingBytes
 	}
 	return r.err
 }
 
 // writer appends fields. Strings too long for their form are cut: what we send comes from us, or came within bounds.
-type writer struct{ b []byte }
+type writer struct{ buf []byte }
 
-func (w *writer) u8(v *uint8)   { w.b = append(w.b, *v) }
-func (w *writer) u16(v *uint16) { w.b = binary.BigEndian.AppendUint16(w.b, *v) }
-func (w *writer) u32(v *uint32) { w.b = binary.BigEndian.AppendUint32(w.b, *v) }
-func (w *writer) u64(v *uint64) { w.b = binary.BigEndian.AppendUint64(w.b, *v) }
-func (w *writer) short(v *string) {
+func (w *writer) u8(v *uint8)   { w.buf = append(w.buf, *v) }
+func (w *writer) u16(v *uint16) { w.buf = binary.BigEndian.AppendUint16(w.buf, *v) }
+func (w *writer) u32(v *uint32) { w.buf = binary.BigEndian.AppendUint32(w.buf, *v) }
+func (w *writer) u64(v *uint64) { w.buf = binary.BigEndian.AppendUint64(w.buf, *v) }
+func (w *writer) shortString(v *string) {
 	s := (*v)[:min(255, len(*v))]
-	w.b = append(append(w.b, byte(len(s))), s...)
+	w.buf = append(append(w.buf, byte(len(s))), s...)
 }
-func (w *writer) long(v *string) {
-	w.b = append(binary.BigEndian.AppendUint32(w.b, uint32(len(*v))), *v...)
+func (w *writer) longString(v *string) {
+	w.buf = append(binary.BigEndian.AppendUint32(w.buf, uint32(len(*v))), *v...)
 }
 func (w *writer) bits(v ...*bool) {
 	var b byte
@@ -292,27 +292,27 @@
 			b |= 1 << i
 		}
 	}
-	w.b = append(w.b, b)
+	w.buf = append(w.buf, b)
 }
 
-// sized writes what do writes, its length before it.
-func (w *writer) sized(do func()) {
-	at := len(w.b)
-	w.b = append(w.b, 0, 0, 0, 0)
+// lengthPrefixed writes what do writes, its length before it.
+func (w *writer) lengthPrefixed(do func()) {
+	lengthAt := len(w.buf)
+	w.buf = append(w.buf, 0, 0, 0, 0)
 	do()
-	binary.BigEndian.PutUint32(w.b[at:], uint32(len(w.b)-at-4))
+	binary.BigEndian.PutUint32(w.buf[lengthAt:], uint32(len(w.buf)-lengthAt-4))
 }
 
 func (w *writer) table(v *Table) {
-	w.sized(func() {
+	w.lengthPrefixed(func() {
 		for i := range *v {
-			w.short(&(*v)[i].Name)
+			w.shortString(&(*v)[i].Name)
 			w.value((*v)[i].Value)
 		}
 	})
 }
 
-func (w *writer) tag(t byte) { w.b = append(w.b, t) }
+func (w *writer) tag(t byte) { w.buf = append(w.buf, t) }
 
 func (w *writer) value(v any) {
 	switch v := v.(type) {
@@ -320,46 +320,46 @@
 		w.tag('t')
 		w.bits(&v)
 	case int8:
-		w.b = append(w.b, 'b', byte(v))
+		w.buf = append(w.buf, 'b', byte(v))
 	case uint8:
-		w.b = append(w.b, 'B', v)
+		w.buf = append(w.buf, 'B', v)
 	case int16:
 		w.tag('s')
-		w.b = binary.BigEndian.AppendUint16(w.b, uint16(v))
+		w.buf = binary.BigEndian.AppendUint16(w.buf, uint16(v))
 	case uint16:
 		w.tag('u')
 		w.u16(&v)
 	case int32:
 		w.tag('I')
-		w.b = binary.BigEndian.AppendUint32(w.b, uint32(v))
+		w.buf = binary.BigEndian.AppendUint32(w.buf, uint32(v))
 	case uint32:
 		w.tag('i')
 		w.u32(&v)
 	case int64:
 		w.tag('l')
-		w.b = binary.BigEndian.AppendUint64(w.b, uint64(v))
+		w.buf = binary.BigEndian.AppendUint64(w.buf, uint64(v))
 	case float32:
 		w.tag('f')
-		w.b = binary.BigEndian.AppendUint32(w.b, math.Float32bits(v))
+		w.buf = binary.BigEndian.AppendUint32(w.buf, math.Float32bits(v))
 	case float64:
 		w.tag('d')
-		w.b = binary.BigEndian.AppendUint64(w.b, math.Float64bits(v))
+		w.buf = binary.BigEndian.AppendUint64(w.buf, math.Float64bits(v))
 	case Decimal:
 		w.tag('D')
 		w.u8(&v.Scale)
 		w.u32(&v.Value)
 	case string:
 		w.tag('S')
-		w.long(&v)
+		w.longString(&v)
 	case Bytes:
 		w.tag('x')
-		w.sized(func() { w.b = append(w.b, v...) })
+		w.lengthPrefixed(func() { w.buf = append(w.buf, v...) })
 	case time.Time:
 		w.tag('T')
-		w.b = binary.BigEndian.AppendUint64(w.b, uint64(v.Unix()))
+		w.buf = binary.BigEndian.AppendUint64(w.buf, uint64(v.Unix()))
 	case []any:
 		w.tag('A')
-		w.sized(func() {
+		w.lengthPrefixed(func() {
 			for _, x := range v {
 				w.value(x)
 			}
--- a/internal/amqp/confirm.go
+++ b/internal/amqp/confirm.go
@@ -3,18 +3,18 @@
 // ConfirmTracker decides how the publishes of one channel are confirmed: as soon as known, in any order, with "multiple"
 // where that says the same in fewer frames. It is the pure part of publisher confirms.
 type ConfirmTracker struct {
-	last  uint64  // tag of the last publish
-	base  uint64  // lowest tag that is not confirmed, where there is one
-	slots []state // from base on
-	fresh []uint64
+	lastTag  uint64         // tag of the last publish
+	firstTag uint64         // lowest tag that is not confirmed, where there is one
+	states   []confirmState // from base on
+	settled  []uint64
 }
 
-type state uint8
+type confirmState uint8
 
 const (
-	waiting state = iota
-	toAck
-	toNack
+	pending confirmState = iota
+	ackDue
+	nackDue
 	confirmed
 )
 
@@ -26,30 +26,30 @@
 
 // Publish gives the next publish its tag, from 1.
 func (c *ConfirmTracker) Publish() uint64 {
-	c.last++
-	if len(c.slots) == 0 {
-		c.base = c.last
+	c.lastTag++
+	if len(c.states) == 0 {
+		c.firstTag = c.lastTag
 	}
-	c.slots = append(c.slots, waiting)
-	return c.last
+	c.states = append(c.states, pending)
+	return c.lastTag
 }
 
 // Settle tells what became of a publish. Only the first word on a tag counts.
-func (c *ConfirmTracker) Settle(tag uint64, served bool) {
-	if tag < c.base || tag-c.base >= uint64(len(c.slots)) || c.slots[tag-c.base] != waiting {
+func (c *ConfirmTracker) Settle(tag uint64, ack bool) {
+	if tag < c.firstTag || tag-c.firstTag >= uint64(len(c.states)) || c.states[tag-c.firstTag] != pending {
 		return
 	}
-	c.slots[tag-c.base] = toNack
-	if served {
-		c.slots[tag-c.base] = toAck
+	c.states[tag-c.firstTag] = nackDue
+	if ack {
+		c.states[tag-c.firstTag] = ackDue
 	}
-	c.fresh = append(c.fresh, tag)
+	c.settled = append(c.settled, tag)
 }
 
 // Outstanding is how many publishes are not settled, or settled and not yet confirmed.
 func (c *ConfirmTracker) Outstanding() int {
 	n := 0
-	for _, s := range c.slots {
+	for _, s := range c.states {
 		if s != confirmed {
 			n++
 		}
@@ -60,39 +60,39 @@
 // Flush returns what is to be sent for all that was settled since the last Flush: first the nacks, then one ack for
 // the lowest tags without a gap, then those above a gap one by one.
 func (c *ConfirmTracker) Flush(out []Confirm) []Confirm {
-	if len(c.fresh) == 0 {
+	if len(c.settled) == 0 {
 		return out
 	}
-	for _, tag := range c.fresh {
-		if c.slots[tag-c.base] == toNack {
+	for _, tag := range c.settled {
+		if c.states[tag-c.firstTag] == nackDue {
 			out = append(out, Confirm{Tag: tag, Nack: true})
-			c.slots[tag-c.base] = confirmed
+			c.states[tag-c.firstTag] = confirmed
 		}
 	}
-	gap, acks := 0, 0
-	var top uint64
-	for gap < len(c.slots) && c.slots[gap] != waiting {
-		if c.slots[gap] == toAck {
+	settledPrefix, acks := 0, 0
+	var highestAck uint64
+	for settledPrefix < len(c.states) && c.states[settledPrefix] != pending {
+		if c.states[settledPrefix] == ackDue {
 			acks++
-			top = c.base + uint64(gap)
-			c.slots[gap] = confirmed
+			highestAck = c.firstTag + uint64(settledPrefix)
+			c.states[settledPrefix] = confirmed
 		}
-		gap++
+		settledPrefix++
 	}
 	if acks > 0 {
-		out = append(out, Confirm{Tag: top, Multiple: acks > 1})
+		out = append(out, Confirm{Tag: highestAck, Multiple: acks > 1})
 	}
-	for _, tag := range c.fresh {
-		if c.slots[tag-c.base] == toAck {
+	for _, tag := range c.settled {
+		if c.states[tag-c.firstTag] == ackDue {
 			out = append(out, Confirm{Tag: tag})
-			c.slots[tag-c.base] = confirmed
+			c.states[tag-c.firstTag] = confirmed
 		}
 	}
-	c.fresh = c.fresh[:0]
-	c.base += uint64(gap)
-	c.slots = c.slots[gap:]
-	if len(c.slots) == 0 {
-		c.slots = nil // an idle channel holds nothing
+	c.settled = c.settled[:0]
+	c.firstTag += uint64(settledPrefix)
+	c.states = c.states[settledPrefix:]
+	if len(c.states) == 0 {
+		c.states = nil // an idle channel holds nothing
 	}
 	return out
 }
--- a/internal/amqp/conn.go
+++ b/internal/amqp/conn.go
@@ -58,7 +58,7 @@
 	awaitTuneOK
 	awaitOpen
 	running
-	ending // we sent connection.close
+	awaitCloseOK // we sent connection.close
 	closed
 )
 
@@ -67,49 +67,49 @@
 	closing bool // we sent channel.close: all but its answer is discarded
 	opening bool // not answered yet
 
-	publish *BasicPublish // a publish whose content is not whole
-	header  bool          // its content header is here
-	left    uint64        // bytes of its body to come
-	moved   time.Duration // when it last got longer
-	skip    bool          // discard the rest of it
+	publish        *BasicPublish // a publish whose content is not whole
+	headerReceived bool          // its content header is here
+	bodyRemaining  uint64        // bytes of its body to come
+	lastProgress   time.Duration // when it last got longer
+	discardBody    bool          // discard the rest of it
 }
 
 // Conn is the server's side of one connection.
 type Conn struct {
-	cfg      Config
-	now      time.Duration
-	start    time.Duration
-	phase    phase
-	in       []byte
-	out      []byte
-	handle   func(*Event)
-	channels map[uint16]*channel
-	partial  int // channels with a publish that is not whole
-
-	frameMax   int
-	channelMax int
-	heartbeat  time.Duration
-	heard      time.Duration
-	sent       time.Duration
-	closeBy    time.Duration // the answer to our close is due then
-
-	canBlock, canCancel, authClose bool
-	blocked                        bool
-	deaf                           bool
-	abuse                          *rate.Limiter
+	cfg        Config
+	now        time.Duration
+	start      time.Duration
+	phase      phase
+	in         []byte
+	out        []byte
+	handle     func(*Event)
+	channels   map[uint16]*channel
+	incomplete int // channels with a publish that is not whole
+
+	frameMax      int
+	channelMax    int
+	heartbeat     time.Duration
+	lastReceived  time.Duration
+	lastSent      time.Duration
+	closeDeadline time.Duration // the answer to our close is due then
+
+	supportsBlocked, supportsCancelNotify, supportsAuthClose bool
+	blocked                                                  bool
+	ignoreInput                                              bool
+	abuseLimiter                                             *rate.Limiter
 }
 
 // NewConn starts a connection. handle is called from Receive, for one event at a time; it may call any method but
 // Receive and Check.
 func NewConn(cfg Config, now time.Duration, handle func(*Event)) *Conn {
-	return &Conn{cfg: cfg, now: now, start: now, heard: now, sent: now, handle: handle, channels: map[uint16]*channel{}, frameMax: minFrame,
-		abuse: rate.NewLimiter(rate.Limit(cfg.AbuseRate), int(cfg.AbuseBurst)+2*int(cfg.ChannelMax))}
+	return &Conn{cfg: cfg, now: now, start: now, lastReceived: now, lastSent: now, handle: handle, channels: map[uint16]*channel{}, frameMax: minFrameMax,
+		abuseLimiter: rate.NewLimiter(rate.Limit(cfg.AbuseRate), int(cfg.AbuseBurst)+2*int(cfg.ChannelMax))}
 }
 
 // Receive takes bytes of the client. An error ends the connection at once; errors that the client is told of don't.
 func (c *Conn) Receive(now time.Duration, b []byte) error {
-	c.now, c.heard = now, now
-	if c.deaf {
+	c.now, c.lastReceived = now, now
+	if c.ignoreInput {
 		return nil
 	}
 	if len(c.in) > 0 {
@@ -119,16 +119,16 @@
 	for err == nil && c.phase != closed {
 		var n int
 		if c.phase == awaitHeader {
-			n, err = c.header(b)
+			n, err = c.receiveProtocolHeader(b)
 		} else {
-			n, err = c.frame(b)
+			n, err = c.receiveFrame(b)
 		}
 		if n == 0 {
 			break
 		}
 		b = b[n:]
 	}
-	if c.phase == closed || c.deaf {
+	if c.phase == closed || c.ignoreInput {
 		b = nil
 	}
 	c.in = append(c.in[:0:0], b...)
@@ -136,7 +136,7 @@
 }
 
 // header takes the protocol header (section 4.2.2). Another one is answered with ours.
-func (c *Conn) header(b []byte) (int, error) {
+func (c *Conn) receiveProtocolHeader(b []byte) (int, error) {
 	n := min(len(b), len(ProtocolHeader))
 	if !bytes.Equal(b[:n], []byte(ProtocolHeader)[:n]) {
 		c.out = append(c.out, ProtocolHeader...)
@@ -154,62 +154,62 @@
 	return n, nil
 }
 
-func (c *Conn) frame(b []byte) (int, error) {
+func (c *Conn) receiveFrame(b []byte) (int, error) {
 	f, n, e := nextFrame(b, c.frameMax)
 	if e != nil { // frames can't be told apart any more: the close is sent, what still comes is not looked at
-		if err := c.failed(e); err != nil {
+		if err := c.reportError(e); err != nil {
 			return 0, err
 		}
-		c.deaf = true
+		c.ignoreInput = true
 		return 0, nil
 	}
 	if n == 0 {
 		return 0, nil
 	}
-	return n, c.dispatch(f)
+	return n, c.handleFrame(f)
 }
 
-func (c *Conn) dispatch(f frame) error {
+func (c *Conn) handleFrame(f frame) error {
 	switch f.kind {
 	case frameMethod:
 		m, e := parseMethod(f)
-		if c.phase == ending {
-			c.afterClose(m)
+		if c.phase == awaitCloseOK {
+			c.handleAfterClose(m)
 			return nil
 		}
 		if e != nil {
 			if ch := c.channels[f.channel]; ch != nil && ch.closing {
 				return nil // what an unknown method was about is gone
 			}
-			return c.failed(e)
+			return c.reportError(e)
 		}
 		if f.channel == 0 {
-			return c.connection(m)
+			return c.handleConnectionMethod(m)
 		}
-		return c.failed(c.method(f.channel, m))
+		return c.reportError(c.handleMethod(f.channel, m))
 	case frameHeader, frameBody:
-		if c.phase == ending {
+		if c.phase == awaitCloseOK {
 			return nil
 		}
 		if c.phase != running || f.channel == 0 {
-			return c.failed(fail(UnexpectedFrame, f.channel, "content frame outside of an open channel"))
+			return c.reportError(newError(UnexpectedFrame, f.channel, "content frame outside of an open channel"))
 		}
-		return c.failed(c.content(f))
+		return c.reportError(c.handleContentFrame(f))
 	case frameHeartbeat:
 		if f.channel != 0 || len(f.payload) != 0 {
-			return c.failed(fail(FrameError, f.channel, "heartbeat on a channel, or with a payload"))
+			return c.reportError(newError(FrameError, f.channel, "heartbeat on a channel, or with a payload"))
 		}
-		return c.failed(c.idleWork(0, nil))
+		return c.reportError(c.chargeFrame(0, nil))
 	}
-	return c.failed(fail(FrameError, f.channel, "frame of unknown type %d", f.kind))
+	return c.reportError(newError(FrameError, f.channel, "frame of unknown type %d", f.kind))
 }
 
-// failed tells the client of an error. Before the handshake is over there is nothing to keep: the connection ends.
-func (c *Conn) failed(e *Error) error {
+// reportError tells the client of an error. Before the handshake is over there is nothing to keep: the connection ends.
+func (c *Conn) reportError(e *Error) error {
 	if e == nil {
 		return nil
 	}
-	if c.phase < awaitTuneOK && c.phase != ending {
+	if c.phase < awaitTuneOK && c.phase != awaitCloseOK {
 		c.phase = closed
 		return e
 	}
@@ -217,58 +217,58 @@
 	return nil
 }
 
-// idleWork counts a frame that does no work for a message against the budget.
-func (c *Conn) idleWork(channel uint16, m Method) *Error {
-	if c.abuse.AllowN(time.Unix(0, int64(c.now)), 1) {
+// chargeFrame counts a frame that does no work for a message against the budget.
+func (c *Conn) chargeFrame(channel uint16, m Method) *Error {
+	if c.abuseLimiter.AllowN(time.Unix(0, int64(c.now)), 1) {
 		return nil
 	}
-	return fail(ResourceError, channel, "too many frames that carry no message").about(m)
+	return newError(ResourceError, channel, "too many frames that carry no message").forMethod(m)
 }
 
-// connection takes a method on channel 0.
-func (c *Conn) connection(m Method) error {
-	if e := c.idleWork(0, m); e != nil {
-		return c.failed(e)
+// handleConnectionMethod takes a method on channel 0.
+func (c *Conn) handleConnectionMethod(m Method) error {
+	if e := c.chargeFrame(0, m); e != nil {
+		return c.reportError(e)
 	}
 	switch m := m.(type) {
 	case *ConnectionClose:
 		c.Send(0, &ConnectionCloseOK{})
-		c.shut()
+		c.terminateNow()
 		return nil
 	case *ConnectionStartOK:
 		if c.phase == awaitStartOK {
-			return c.startOK(m)
+			return c.handleStartOK(m)
 		}
 	case *ConnectionTuneOK:
 		if c.phase == awaitTuneOK {
-			return c.failed(c.tuneOK(m))
+			return c.reportError(c.handleTuneOK(m))
 		}
 	case *ConnectionOpen:
 		if c.phase == awaitOpen {
-			return c.failed(c.open(m))
+			return c.reportError(c.handleOpen(m))
 		}
 	case *ConnectionUpdateSecret:
-		return c.failed(fail(NotImplemented, 0, "connection.update-secret is not supported").about(m))
+		return c.reportError(newError(NotImplemented, 0, "connection.update-secret is not supported").forMethod(m))
 	}
-	return c.failed(fail(CommandInvalid, 0, "method is not to be sent now, or not on channel 0").about(m))
+	return c.reportError(newError(CommandInvalid, 0, "method is not to be sent now, or not on channel 0").forMethod(m))
 }
 
-func (c *Conn) startOK(m *ConnectionStartOK) error {
+func (c *Conn) handleStartOK(m *ConnectionStartOK) error {
 	if m.Mechanism != "PLAIN" {
 		c.phase = closed
 		return fmt.Errorf("SASL mechanism %.40q is not offered", m.Mechanism)
 	}
-	caps, _ := m.Properties.Get("capabilities").(Table)
-	c.canBlock, _ = caps.Get("connection.blocked").(bool)
-	c.canCancel, _ = caps.Get("consumer_cancel_notify").(bool)
-	c.authClose, _ = caps.Get("authentication_failure_close").(bool)
-	part := strings.Split(m.Response, "\x00") // RFC 4616: authorization identity, authentication identity, password
-	if len(part) != 3 || part[1] == "" || part[0] != "" && part[0] != part[1] {
+	capabilities, _ := m.Properties.Get("capabilities").(Table)
+	c.supportsBlocked, _ = capabilities.Get("connection.blocked").(bool)
+	c.supportsCancelNotify, _ = capabilities.Get("consumer_cancel_notify").(bool)
+	c.supportsAuthClose, _ = capabilities.Get("authentication_failure_close").(bool)
+	parts := strings.Split(m.Response, "\x00") // RFC 4616: authorization identity, authentication identity, password
+	if len(parts) != 3 || parts[1] == "" || parts[0] != "" && parts[0] != parts[1] {
 		c.phase = awaitLogin
 		return c.RefuseLogin("the PLAIN response is not an identity and a password (RFC 4616)")
 	}
 	c.phase = awaitLogin
-	c.handle(&Event{Kind: Login, User: part[1], Password: part[2]})
+	c.handle(&Event{Kind: Login, User: parts[1], Password: parts[2]})
 	return nil
 }
 
@@ -280,66 +280,66 @@
 
 // RefuseLogin turns a client away after Login; clients that can be told are told.
 func (c *Conn) RefuseLogin(text string) error {
-	if !c.authClose {
+	if !c.supportsAuthClose {
 		c.phase = closed
 		return fmt.Errorf("login refused: %s", text)
 	}
-	c.CloseWithError(fail(AccessRefused, 0, "%s", text))
+	c.CloseWithError(newError(AccessRefused, 0, "%s", text))
 	return nil
 }
 
-// tuneOK settles the limits (section 1.4.2.6): a client may lower them.
-func (c *Conn) tuneOK(m *ConnectionTuneOK) *Error {
-	frame, most := int64(m.FrameMax), int64(m.ChannelMax)
-	if most == 0 {
-		most = int64(c.cfg.ChannelMax) // "no limit" of the client's own: ours holds
+// handleTuneOK settles the limits (section 1.4.2.6): a client may lower them.
+func (c *Conn) handleTuneOK(m *ConnectionTuneOK) *Error {
+	frameMax, channelMax := int64(m.FrameMax), int64(m.ChannelMax)
+	if channelMax == 0 {
+		channelMax = int64(c.cfg.ChannelMax) // "no limit" of the client's own: ours holds
 	}
-	if frame == 0 {
-		frame = int64(c.cfg.FrameMax)
+	if frameMax == 0 {
+		frameMax = int64(c.cfg.FrameMax)
 	}
 	switch {
-	case frame > int64(c.cfg.FrameMax) || frame < minFrame:
-		return fail(NotAllowed, 0, "frame-max %d is not within %d and %d", m.FrameMax, minFrame, c.cfg.FrameMax).about(m)
-	case most > int64(c.cfg.ChannelMax):
-		return fail(NotAllowed, 0, "channel-max %d is above %d", m.ChannelMax, c.cfg.ChannelMax).about(m)
+	case frameMax > int64(c.cfg.FrameMax) || frameMax < minFrameMax:
+		return newError(NotAllowed, 0, "frame-max %d is not within %d and %d", m.FrameMax, minFrameMax, c.cfg.FrameMax).forMethod(m)
+	case channelMax > int64(c.cfg.ChannelMax):
+		return newError(NotAllowed, 0, "channel-max %d is above %d", m.ChannelMax, c.cfg.ChannelMax).forMethod(m)
 	}
-	c.frameMax, c.channelMax = int(frame), int(most)
+	c.frameMax, c.channelMax = int(frameMax), int(channelMax)
 	c.heartbeat = time.Duration(m.Heartbeat) * time.Second
 	c.phase = awaitOpen
 	return nil
 }
 
-func (c *Conn) open(m *ConnectionOpen) *Error {
+func (c *Conn) handleOpen(m *ConnectionOpen) *Error {
 	if m.VHost != "/" && m.VHost != "" {
-		return fail(NotAllowed, 0, "there is no virtual host %.60q, only /", m.VHost).about(m)
+		return newError(NotAllowed, 0, "there is no virtual host %.60q, only /", m.VHost).forMethod(m)
 	}
 	c.phase = running
 	c.Send(0, &ConnectionOpenOK{})
 	return nil
 }
 
-// method takes a method on a channel.
-func (c *Conn) method(id uint16, m Method) *Error {
+// handleMethod takes a method on a channel.
+func (c *Conn) handleMethod(id uint16, m Method) *Error {
 	if c.phase != running {
-		return fail(CommandInvalid, id, "method on a channel before the connection is open").about(m)
+		return newError(CommandInvalid, id, "method on a channel before the connection is open").forMethod(m)
 	}
 	ch := c.channels[id]
 	if ch != nil && ch.closing {
-		c.channelEnding(id, m)
+		c.handleClosingChannel(id, m)
 		return nil
 	}
 	if ch != nil && ch.publish != nil {
-		return fail(UnexpectedFrame, id, "method in the middle of a message").about(m)
+		return newError(UnexpectedFrame, id, "method in the middle of a message").forMethod(m)
 	}
 	if p, ok := m.(*BasicPublish); ok && ch != nil {
-		ch.publish, ch.header, ch.moved = p, false, c.now
-		c.partial++
+		ch.publish, ch.headerReceived, ch.lastProgress = p, false, c.now
+		c.incomplete++
 		return nil
 	}
 	switch m.(type) {
 	case *BasicAck, *BasicNack, *BasicReject: // they are about messages
 	default:
-		if e := c.idleWork(id, m); e != nil {
+		if e := c.chargeFrame(id, m); e != nil {
 			return e
 		}
 	}
@@ -348,17 +348,17 @@
 		return c.openChannel(id, ch, m)
 	case *ChannelClose:
 		if ch == nil {
-			return fail(ChannelError, id, "channel is not open").about(m)
+			return newError(ChannelError, id, "channel is not open").forMethod(m)
 		}
 		c.Send(id, &ChannelCloseOK{})
-		c.drop(id)
+		c.removeChannel(id)
 		return nil
 	}
 	if ch == nil {
-		return fail(ChannelError, id, "channel is not open").about(m)
+		return newError(ChannelError, id, "channel is not open").forMethod(m)
 	}
 	if class, _ := m.id(); class == classConnection {
-		return fail(CommandInvalid, id, "connection method on a channel").about(m)
+		return newError(CommandInvalid, id, "connection method on a channel").forMethod(m)
 	}
 	c.handle(&Event{Kind: ChannelMethod, Channel: id, Method: m})
 	return nil
@@ -367,9 +367,9 @@
 func (c *Conn) openChannel(id uint16, ch *channel, m *ChannelOpen) *Error {
 	switch {
 	case ch != nil:
-		return fail(ChannelError, id, "channel is open already").about(m)
+		return newError(ChannelError, id, "channel is open already").forMethod(m)
 	case int(id) > c.channelMax:
-		return fail(NotAllowed, id, "channel above channel-max %d", c.channelMax).about(m)
+		return newError(NotAllowed, id, "channel above channel-max %d", c.channelMax).forMethod(m)
 	}
 	c.channels[id] = &channel{opening: true}
 	c.handle(&Event{Kind: ChannelOpened, Channel: id})
@@ -384,8 +384,8 @@
 	}
 }
 
-// channelEnding takes what comes on a channel that we have closed (section 1.5.2.5): closes may cross.
-func (c *Conn) channelEnding(id uint16, m Method) {
+// handleClosingChannel takes what comes on a channel that we have closed (section 1.5.2.5): closes may cross.
+func (c *Conn) handleClosingChannel(id uint16, m Method) {
 	switch m.(type) {
 	case *ChannelCloseOK:
 		delete(c.channels, id)
@@ -394,78 +394,78 @@
 	}
 }
 
-// drop forgets a channel that is open no more.
-func (c *Conn) drop(id uint16) {
+// removeChannel forgets a channel that is open no more.
+func (c *Conn) removeChannel(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
-		c.partial--
+		c.incomplete--
 	}
 	delete(c.channels, id)
 	c.handle(&Event{Kind: ChannelClosed, Channel: id})
 }
 
-// content takes a content header or a part of a body (section 4.2.6).
-func (c *Conn) content(f frame) *Error {
+// handleContentFrame takes a content header or a part of a body (section 4.2.6).
+func (c *Conn) handleContentFrame(f frame) *Error {
 	ch := c.channels[f.channel]
 	if ch != nil && ch.closing {
 		return nil
 	}
 	if ch == nil {
-		return fail(ChannelError, f.channel, "content on a channel that is not open")
+		return newError(ChannelError, f.channel, "content on a channel that is not open")
 	}
-	if ch.publish == nil || ch.header != (f.kind == frameBody) {
-		return fail(UnexpectedFrame, f.channel, "content frame of type %d out of its order", f.kind)
+	if ch.publish == nil || ch.headerReceived != (f.kind == frameBody) {
+		return newError(UnexpectedFrame, f.channel, "content frame of type %d out of its order", f.kind)
 	}
-	ch.moved = c.now
+	ch.lastProgress = c.now
 	if f.kind == frameHeader {
-		return c.contentHeader(f, ch)
+		return c.handleContentHeader(f, ch)
 	}
-	n := uint64(len(f.payload))
-	if n > ch.left {
-		return fail(FrameError, f.channel, "body longer than its header says")
+	size := uint64(len(f.payload))
+	if size > ch.bodyRemaining {
+		return newError(FrameError, f.channel, "body longer than its header says")
 	}
-	if n < 64 && n < ch.left { // bodies cut into shreds
-		if e := c.idleWork(f.channel, ch.publish); e != nil {
+	if size < 64 && size < ch.bodyRemaining { // bodies cut into shreds
+		if e := c.chargeFrame(f.channel, ch.publish); e != nil {
 			return e
 		}
 	}
-	ch.left -= n
-	e := Event{Kind: ContentBody, Channel: f.channel, Data: f.payload, Complete: ch.left == 0}
-	skip := ch.skip
-	if e.Complete {
-		c.whole(ch)
+	ch.bodyRemaining -= size
+	event := Event{Kind: ContentBody, Channel: f.channel, Data: f.payload, Complete: ch.bodyRemaining == 0}
+	discard := ch.discardBody
+	if event.Complete {
+		c.finishContent(ch)
 	}
-	if !skip {
-		c.handle(&e)
+	if !discard {
+		c.handle(&event)
 	}
 	return nil
 }
 
-func (c *Conn) contentHeader(f frame, ch *channel) *Error {
-	class, size, p, e := parseHeader(f)
+func (c *Conn) handleContentHeader(f frame, ch *channel) *Error {
+	class, size, properties, e := parseContentHeader(f)
 	if e != nil {
 		return e
 	}
 	if class != classBasic {
-		return fail(UnexpectedFrame, f.channel, "content header of class %d", class)
+		return newError(UnexpectedFrame, f.channel, "content header of class %d", class)
 	}
-	ch.header, ch.left, ch.skip = true, size, false
-	ev := Event{Kind: ContentHeader, Channel: f.channel, Publish: ch.publish, Properties: &p, Size: size, Complete: size == 0}
-	if ev.Complete {
-		c.whole(ch)
+	ch.headerReceived, ch.bodyRemaining, ch.discardBody = true, size, false
+	event := Event{Kind: ContentHeader, Channel: f.channel, Publish: ch.publish, Properties: &properties, Size: size, Complete: size == 0}
+	if event.Complete {
+		c.finishContent(ch)
 	}
-	c.handle(&ev)
+	c.handle(&event)
 	return nil
 }
 
-func (c *Conn) whole(ch *channel) {
-	ch.publish, ch.header = nil, false
-	c.partial--
+func (c *Conn) finishContent(ch *channel) {
+	ch.publish, ch.headerReceived = nil, false
+	c.incomplete--
 }
 
 // DiscardBody discards the rest of a message whose Content has just come: no Body events follow for it.
 func (c *Conn) DiscardBody(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
-		ch.skip = true
+		ch.discardBody = true
 	}
 }
 
@@ -477,7 +477,7 @@
 		}
 	}
 	c.out = AppendMethod(c.out, id, m)
-	c.sent = c.now
+	c.lastSent = c.now
 }
 
 // SendContent sends a method with a message.
@@ -487,7 +487,7 @@
 	}
 	c.out = AppendMethod(c.out, id, m)
 	c.out = appendContent(c.out, id, p, body, c.frameMax)
-	c.sent = c.now
+	c.lastSent = c.now
 }
 
 // IsChannelOpen tells whether a channel is open.
@@ -501,7 +501,7 @@
 
 // CloseWithError closes a channel or the connection with an error.
 func (c *Conn) CloseWithError(e *Error) {
-	if c.phase >= ending {
+	if c.phase >= awaitCloseOK {
 		return
 	}
 	if !e.Code.ClosesConnection() && e.Channel != 0 {
@@ -509,19 +509,19 @@
 		if ch == nil || ch.closing {
 			return
 		}
-		c.out = AppendMethod(c.out, e.Channel, &ChannelClose{e.Code, e.reply(), e.Class, e.Method})
-		c.sent = c.now
+		c.out = AppendMethod(c.out, e.Channel, &ChannelClose{e.Code, e.replyText(), e.Class, e.Method})
+		c.lastSent = c.now
 		if ch.publish != nil {
-			c.partial--
+			c.incomplete--
 		}
 		*ch = channel{closing: true}
 		c.handle(&Event{Kind: ChannelClosed, Channel: e.Channel})
 		return
 	}
-	c.out = AppendMethod(c.out, 0, &ConnectionClose{e.Code, e.reply(), e.Class, e.Method})
-	c.sent = c.now
-	c.end(ending)
-	c.closeBy = c.now + min(c.cfg.Handshake, 2*time.Second)
+	c.out = AppendMethod(c.out, 0, &ConnectionClose{e.Code, e.replyText(), e.Class, e.Method})
+	c.lastSent = c.now
+	c.terminate(awaitCloseOK)
+	c.closeDeadline = c.now + min(c.cfg.Handshake, 2*time.Second)
 }
 
 // Close ends the connection in order.
@@ -529,15 +529,15 @@
 	c.now = now
 	switch {
 	case c.phase == running:
-		c.CloseWithError(fail(ConnectionForced, 0, "%s", text))
+		c.CloseWithError(newError(ConnectionForced, 0, "%s", text))
 	case c.phase < running:
-		c.end(closed)
+		c.terminate(closed)
 	}
 }
 
-// end drops all channels.
-func (c *Conn) end(to phase) {
-	c.phase = to
+// terminate drops all channels.
+func (c *Conn) terminate(next phase) {
+	c.phase = next
 	ids := make([]uint16, 0, len(c.channels))
 	for id := range c.channels {
 		ids = append(ids, id)
@@ -549,13 +549,13 @@
 		}
 	}
 	clear(c.channels)
-	c.partial = 0
+	c.incomplete = 0
 }
 
-func (c *Conn) shut() { c.end(closed) }
+func (c *Conn) terminateNow() { c.terminate(closed) }
 
 // ending takes what comes after our connection.close.
-func (c *Conn) afterClose(m Method) {
+func (c *Conn) handleAfterClose(m Method) {
 	switch m.(type) {
 	case *ConnectionCloseOK:
 		c.phase = closed
@@ -567,22 +567,22 @@
 
 // SetBlocked asks the client to publish nothing, or lets it again; clients without that capability are not asked. It tells
 // whether the client can be asked.
-func (c *Conn) SetBlocked(now time.Duration, on bool, reason string) bool {
+func (c *Conn) SetBlocked(now time.Duration, blocked bool, reason string) bool {
 	c.now = now
-	if !c.canBlock || c.phase != running {
-		return c.canBlock
+	if !c.supportsBlocked || c.phase != running {
+		return c.supportsBlocked
 	}
-	if on && !c.blocked {
+	if blocked && !c.blocked {
 		c.Send(0, &ConnectionBlocked{reason})
-	} else if !on && c.blocked {
+	} else if !blocked && c.blocked {
 		c.Send(0, &ConnectionUnblocked{})
 	}
-	c.blocked = on
+	c.blocked = blocked
 	return true
 }
 
 // SupportsCancelNotify tells whether the client can be told that a consumer is cancelled.
-func (c *Conn) SupportsCancelNotify() bool { return c.canCancel }
+func (c *Conn) SupportsCancelNotify() bool { return c.supportsCancelNotify }
 
 // Check holds the time limits: handshake, heartbeats, bodies that stand still, answers to our close.
 func (c *Conn) Check(now time.Duration) error {
@@ -590,8 +590,8 @@
 	switch {
 	case c.phase == closed:
 		return nil
-	case c.phase == ending:
-		if now >= c.closeBy {
+	case c.phase == awaitCloseOK:
+		if now >= c.closeDeadline {
 			c.phase = closed
 		}
 		return nil
@@ -600,19 +600,19 @@
 		return fmt.Errorf("no connection.open within %v", c.cfg.Handshake)
 	}
 	if c.heartbeat > 0 && c.phase == running {
-		if now-c.heard > 2*c.heartbeat { // section 4.2.7
-			c.end(closed)
-			return fmt.Errorf("nothing heard for %v: two heartbeats missed", now-c.heard)
+		if now-c.lastReceived > 2*c.heartbeat { // section 4.2.7
+			c.terminate(closed)
+			return fmt.Errorf("nothing heard for %v: two heartbeats missed", now-c.lastReceived)
 		}
-		if now-c.sent >= c.heartbeat/2 {
-			c.out = append(appendFrameHead(c.out, frameHeartbeat, 0, 0), frameEnd)
-			c.sent = now
+		if now-c.lastSent >= c.heartbeat/2 {
+			c.out = append(appendFrameHeader(c.out, frameHeartbeat, 0, 0), frameEnd)
+			c.lastSent = now
 		}
 	}
-	if c.partial > 0 {
+	if c.incomplete > 0 {
 		for id, ch := range c.channels {
-			if ch.publish != nil && now-ch.moved > c.cfg.BodyStallTimeout {
-				c.CloseWithError(fail(ResourceError, id, "a message has stood still for %v", c.cfg.BodyStallTimeout).about(ch.publish))
+			if ch.publish != nil && now-ch.lastProgress > c.cfg.BodyStallTimeout {
+				c.CloseWithError(newError(ResourceError, id, "a message has stood still for %v", c.cfg.BodyStallTimeout).forMethod(ch.publish))
 				return nil
 			}
 		}
@@ -625,16 +625,16 @@
 	switch {
 	case c.phase == closed:
 		return now
-	case c.phase == ending:
-		return c.closeBy
+	case c.phase == awaitCloseOK:
+		return c.closeDeadline
 	case c.phase < running:
 		return c.start + c.cfg.Handshake + time.Millisecond
 	}
 	due := now + time.Hour
 	if c.heartbeat > 0 {
-		due = min(c.sent+c.heartbeat/2, c.heard+2*c.heartbeat+time.Millisecond)
+		due = min(c.lastSent+c.heartbeat/2, c.lastReceived+2*c.heartbeat+time.Millisecond)
 	}
-	if c.partial > 0 {
+	if c.incomplete > 0 {
 		due = min(due, now+c.cfg.BodyStallTimeout/4)
 	}
 	return due
@@ -651,4 +651,4 @@
 func (c *Conn) Done() bool { return c.phase == closed }
 
 // Closing tells that a close is under way.
-func (c *Conn) Closing() bool { return c.phase >= ending }
+func (c *Conn) Closing() bool { return c.phase >= awaitCloseOK }
--- a/internal/amqp/frame.go
+++ b/internal/amqp/frame.go
@@ -14,7 +14,7 @@
 	frameEnd       = 0xCE
 
 	frameOverhead = 8 // type, channel, size, end
-	minFrame      = 4096
+	minFrameMax   = 4096
 )
 
 // ProtocolHeader opens a connection (section 4.2.2), and answers one that asks for another version.
@@ -35,15 +35,15 @@
 	return fmt.Sprintf("channel %d: %d %s - %s", e.Channel, e.Code, codeNames[e.Code], e.Text)
 }
 
-// reply is the text that goes with the code.
-func (e *Error) reply() string { return codeNames[e.Code] + " - " + e.Text }
+// replyText is the text that goes with the code.
+func (e *Error) replyText() string { return codeNames[e.Code] + " - " + e.Text }
 
-func fail(code Code, channel uint16, format string, a ...any) *Error {
+func newError(code Code, channel uint16, format string, a ...any) *Error {
 	return &Error{Code: code, Channel: channel, Text: fmt.Sprintf(format, a...)}
 }
 
-// about names the method that an error is about.
-func (e *Error) about(m Method) *Error {
+// forMethod names the method that an error is about.
+func (e *Error) forMethod(m Method) *Error {
 	if m != nil {
 		e.Class, e.Method = m.id()
 	}
@@ -58,27 +58,27 @@
 }
 
 // nextFrame takes one whole frame off b. size 0: not all of it is here yet.
-func nextFrame(b []byte, most int) (f frame, size int, err *Error) {
+func nextFrame(b []byte, frameMax int) (f frame, size int, err *Error) {
 	if len(b) < 7 {
 		return f, 0, nil
 	}
 	f.kind, f.channel = b[0], binary.BigEndian.Uint16(b[1:])
 	n := binary.BigEndian.Uint32(b[3:])
-	if uint64(n)+frameOverhead > uint64(most) {
-		return f, 0, fail(FrameError, f.channel, "frame of %d bytes above frame-max %d", uint64(n)+frameOverhead, most)
+	if uint64(n)+frameOverhead > uint64(frameMax) {
+		return f, 0, newError(FrameError, f.channel, "frame of %d bytes above frame-max %d", uint64(n)+frameOverhead, frameMax)
 	}
 	size = int(n) + frameOverhead
 	if len(b) < size {
 		return f, 0, nil
 	}
 	if b[size-1] != frameEnd {
-		return f, 0, fail(FrameError, f.channel, "frame of type %d without its end octet", f.kind)
+		return f, 0, newError(FrameError, f.channel, "frame of type %d without its end octet", f.kind)
 	}
 	f.payload = b[7 : size-1]
 	return f, size, nil
 }
 
-func appendFrameHead(out []byte, kind byte, channel uint16, n int) []byte {
+func appendFrameHeader(out []byte, kind byte, channel uint16, n int) []byte {
 	out = append(out, kind)
 	out = binary.BigEndian.AppendUint16(out, channel)
 	return binary.BigEndian.AppendUint32(out, uint32(n))
@@ -87,33 +87,33 @@
 // AppendMethod appends a method as a frame (section 2.3.5.1).
 func AppendMethod(out []byte, channel uint16, m Method) []byte {
 	at := len(out)
-	out = appendFrameHead(out, frameMethod, channel, 0)
+	out = appendFrameHeader(out, frameMethod, channel, 0)
 	class, method := m.id()
 	w := writer{out}
 	w.u16(&class)
 	w.u16(&method)
 	m.fields(&w)
-	binary.BigEndian.PutUint32(w.b[at+3:], uint32(len(w.b)-at-7))
-	return append(w.b, frameEnd)
+	binary.BigEndian.PutUint32(w.buf[at+3:], uint32(len(w.buf)-at-7))
+	return append(w.buf, frameEnd)
 }
 
 // parseMethod reads a method frame's payload.
 func parseMethod(f frame) (Method, *Error) {
 	if len(f.payload) < 4 {
-		return nil, fail(SyntaxError, f.channel, "method frame of %d bytes", len(f.payload))
+		return nil, newError(SyntaxError, f.channel, "method frame of %d bytes", len(f.payload))
 	}
 	id := binary.BigEndian.Uint32(f.payload)
-	make := known[id]
-	if make == nil {
-		e := fail(NotImplemented, f.channel, "class %d method %d is not supported", id>>16, id&0xffff)
+	newMethod := methodsByID[id]
+	if newMethod == nil {
+		e := newError(NotImplemented, f.channel, "class %d method %d is not supported", id>>16, id&0xffff)
 		e.Class, e.Method = uint16(id>>16), uint16(id)
 		return nil, e
 	}
-	m := make()
-	r := reader{b: f.payload[4:]}
+	m := newMethod()
+	r := reader{buf: f.payload[4:]}
 	m.fields(&r)
-	if err := r.done(); err != nil {
-		return nil, fail(SyntaxError, f.channel, "class %d method %d: %v", id>>16, id&0xffff, err).about(m)
+	if err := r.finish(); err != nil {
+		return nil, newError(SyntaxError, f.channel, "class %d method %d: %v", id>>16, id&0xffff, err).forMethod(m)
 	}
 	return m, nil
 }
@@ -146,8 +146,8 @@
 	flagUserID
 	flagAppID
 	flagCluster
-	flagNone
-	flagMore
+	flagUnused
+	flagContinuation
 )
 
 func (p *Properties) flags() (f uint16) {
@@ -174,10 +174,10 @@
 }
 
 // fields goes over the properties that flags name.
-func (p *Properties) fields(c coder, flags uint16) {
+func (p *Properties) fields(c fieldCoder, flags uint16) {
 	text := func(flag uint16, s *string) {
 		if flags&flag != 0 {
-			c.short(s)
+			c.shortString(s)
 		}
 	}
 	text(flagContentType, &p.ContentType)
@@ -205,20 +205,20 @@
 	text(flagCluster, &p.ClusterID)
 }
 
-// parseHeader reads a content header frame's payload (section 4.2.6.1).
-func parseHeader(f frame) (class uint16, size uint64, p Properties, e *Error) {
-	r := reader{b: f.payload}
+// parseContentHeader reads a content header frame's payload (section 4.2.6.1).
+func parseContentHeader(f frame) (class uint16, size uint64, p Properties, e *Error) {
+	r := reader{buf: f.payload}
 	var weight, flags uint16
 	r.u16(&class)
 	r.u16(&weight)
 	r.u64(&size)
 	r.u16(&flags)
-	if r.err == nil && flags&(flagMore|flagNone) != 0 {
-		return class, size, p, fail(SyntaxError, f.channel, "content header with property flags that basic does not have")
+	if r.err == nil && flags&(flagContinuation|flagUnused) != 0 {
+		return class, size, p, newError(SyntaxError, f.channel, "content header with property flags that basic does not have")
 	}
 	p.fields(&r, flags)
-	if err := r.done(); err != nil {
-		return class, size, p, fail(SyntaxError, f.channel, "content header: %v", err)
+	if err := r.finish(); err != nil {
+		return class, size, p, newError(SyntaxError, f.channel, "content header: %v", err)
 	}
 	return class, size, p, nil
 }
@@ -226,7 +226,7 @@
 // appendContent appends a content header and its body in frames of at most frameMax bytes.
 func appendContent(out []byte, channel uint16, p *Properties, body []byte, frameMax int) []byte {
 	at := len(out)
-	out = appendFrameHead(out, frameHeader, channel, 0)
+	out = appendFrameHeader(out, frameHeader, channel, 0)
 	class, weight, size, flags := uint16(classBasic), uint16(0), uint64(len(body)), p.flags()
 	w := writer{out}
 	w.u16(&class)
@@ -234,11 +234,11 @@
 	w.u64(&size)
 	w.u16(&flags)
 	p.fields(&w, flags)
-	binary.BigEndian.PutUint32(w.b[at+3:], uint32(len(w.b)-at-7))
-	out = append(w.b, frameEnd)
+	binary.BigEndian.PutUint32(w.buf[at+3:], uint32(len(w.buf)-at-7))
+	out = append(w.buf, frameEnd)
 	for len(body) > 0 {
 		n := min(len(body), frameMax-frameOverhead)
-		out = appendFrameHead(out, frameBody, channel, n)
+		out = appendFrameHeader(out, frameBody, channel, n)
 		out = append(append(out, body[:n]...), frameEnd)
 		body = body[n:]
 	}
--- a/internal/amqp/methods.go
+++ b/internal/amqp/methods.go
@@ -39,7 +39,7 @@
 // Method is one of the protocol's methods, with its arguments.
 type Method interface {
 	id() (class, method uint16)
-	fields(coder)
+	fields(fieldCoder)
 }
 
 // ID names a method by its class and number.
@@ -57,10 +57,10 @@
 	classTx         = 90
 )
 
-// bare is a method without arguments.
-type bare struct{}
+// noArguments is a method without arguments.
+type noArguments struct{}
 
-func (bare) fields(coder) {}
+func (noArguments) fields(fieldCoder) {}
 
 // Methods of the connection class (section 1.4.1).
 type (
@@ -84,24 +84,24 @@
 		Insist          bool
 	}
 	ConnectionOpenOK         struct{ Reserved string }
-	ConnectionClose          closing
-	ConnectionCloseOK        struct{ bare }
+	ConnectionClose          closeArguments
+	ConnectionCloseOK        struct{ noArguments }
 	ConnectionBlocked        struct{ Reason string }
-	ConnectionUnblocked      struct{ bare }
+	ConnectionUnblocked      struct{ noArguments }
 	ConnectionUpdateSecret   struct{ Secret, Reason string }
-	ConnectionUpdateSecretOK struct{ bare }
+	ConnectionUpdateSecretOK struct{ noArguments }
 )
 
-// closing is what both kinds of close say.
-type closing struct {
+// closeArguments is what both kinds of close say.
+type closeArguments struct {
 	Code          Code
 	Text          string
 	Class, Method uint16 // that the close is about, 0 for none
 }
 
-func (m *closing) fields(c coder) {
+func (m *closeArguments) fields(c fieldCoder) {
 	c.u16((*uint16)(&m.Code))
-	c.short(&m.Text)
+	c.shortString(&m.Text)
 	c.u16(&m.Class)
 	c.u16(&m.Method)
 }
@@ -119,36 +119,36 @@
 func (*ConnectionUpdateSecret) id() (uint16, uint16)   { return classConnection, 70 }
 func (*ConnectionUpdateSecretOK) id() (uint16, uint16) { return classConnection, 71 }
 
-func (m *ConnectionStart) fields(c coder) {
+func (m *ConnectionStart) fields(c fieldCoder) {
 	c.u8(&m.Major)
 	c.u8(&m.Minor)
 	c.table(&m.Properties)
-	c.long(&m.Mechanisms)
-	c.long(&m.Locales)
+	c.longString(&m.Mechanisms)
+	c.longString(&m.Locales)
 }
-func (m *ConnectionStartOK) fields(c coder) {
+func (m *ConnectionStartOK) fields(c fieldCoder) {
 	c.table(&m.Properties)
-	c.short(&m.Mechanism)
-	c.long(&m.Response)
-	c.short(&m.Locale)
+	c.shortString(&m.Mechanism)
+	c.longString(&m.Response)
+	c.shortString(&m.Locale)
 }
-func (m *ConnectionTune) fields(c coder) {
+func (m *ConnectionTune) fields(c fieldCoder) {
 	c.u16(&m.ChannelMax)
 	c.u32(&m.FrameMax)
 	c.u16(&m.Heartbeat)
 }
-func (m *ConnectionTuneOK) fields(c coder) { (*ConnectionTune)(m).fields(c) }
-func (m *ConnectionOpen) fields(c coder) {
-	c.short(&m.VHost)
-	c.short(&m.Reserved)
+func (m *ConnectionTuneOK) fields(c fieldCoder) { (*ConnectionTune)(m).fields(c) }
+func (m *ConnectionOpen) fields(c fieldCoder) {
+	c.shortString(&m.VHost)
+	c.shortString(&m.Reserved)
 	c.bits(&m.Insist)
 }
-func (m *ConnectionOpenOK) fields(c coder)  { c.short(&m.Reserved) }
-func (m *ConnectionClose) fields(c coder)   { (*closing)(m).fields(c) }
-func (m *ConnectionBlocked) fields(c coder) { c.short(&m.Reason) }
-func (m *ConnectionUpdateSecret) fields(c coder) {
-	c.long(&m.Secret)
-	c.short(&m.Reason)
+func (m *ConnectionOpenOK) fields(c fieldCoder)  { c.shortString(&m.Reserved) }
+func (m *ConnectionClose) fields(c fieldCoder)   { (*closeArguments)(m).fields(c) }
+func (m *ConnectionBlocked) fields(c fieldCoder) { c.shortString(&m.Reason) }
+func (m *ConnectionUpdateSecret) fields(c fieldCoder) {
+	c.longString(&m.Secret)
+	c.shortString(&m.Reason)
 }
 
 // Methods of the channel class (section 1.5).
@@ -157,8 +157,8 @@
 	ChannelOpenOK  struct{ Reserved string }
 	ChannelFlow    struct{ Active bool }
 	ChannelFlowOK  struct{ Active bool }
-	ChannelClose   closing
-	ChannelCloseOK struct{ bare }
+	ChannelClose   closeArguments
+	ChannelCloseOK struct{ noArguments }
 )
 
 func (*ChannelOpen) id() (uint16, uint16)    { return classChannel, 10 }
@@ -168,11 +168,11 @@
 func (*ChannelClose) id() (uint16, uint16)   { return classChannel, 40 }
 func (*ChannelCloseOK) id() (uint16, uint16) { return classChannel, 41 }
 
-func (m *ChannelOpen) fields(c coder)   { c.short(&m.Reserved) }
-func (m *ChannelOpenOK) fields(c coder) { c.long(&m.Reserved) }
-func (m *ChannelFlow) fields(c coder)   { c.bits(&m.Active) }
-func (m *ChannelFlowOK) fields(c coder) { c.bits(&m.Active) }
-func (m *ChannelClose) fields(c coder)  { (*closing)(m).fields(c) }
+func (m *ChannelOpen) fields(c fieldCoder)   { c.shortString(&m.Reserved) }
+func (m *ChannelOpenOK) fields(c fieldCoder) { c.longString(&m.Reserved) }
+func (m *ChannelFlow) fields(c fieldCoder)   { c.bits(&m.Active) }
+func (m *ChannelFlowOK) fields(c fieldCoder) { c.bits(&m.Active) }
+func (m *ChannelClose) fields(c fieldCoder)  { (*closeArguments)(m).fields(c) }
 
 // Methods of the exchange class (section 1.6).
 type (
@@ -182,7 +182,7 @@
 		Passive, Durable, AutoDelete, Internal, NoWait bool
 		Arguments                                      Table
 	}
-	ExchangeDeclareOK struct{ bare }
+	ExchangeDeclareOK struct{ noArguments }
 	ExchangeDelete    struct {
 		Ticket           uint16
 		Exchange         string
@@ -194,16 +194,16 @@
 func (*ExchangeDeclareOK) id() (uint16, uint16) { return classExchange, 11 }
 func (*ExchangeDelete) id() (uint16, uint16)    { return classExchange, 20 }
 
-func (m *ExchangeDeclare) fields(c coder) {
+func (m *ExchangeDeclare) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Exchange)
-	c.short(&m.Type)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Type)
 	c.bits(&m.Passive, &m.Durable, &m.AutoDelete, &m.Internal, &m.NoWait)
 	c.table(&m.Arguments)
 }
-func (m *ExchangeDelete) fields(c coder) {
+func (m *ExchangeDelete) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Exchange)
+	c.shortString(&m.Exchange)
 	c.bits(&m.IfUnused, &m.NoWait)
 }
 
@@ -225,7 +225,7 @@
 		NoWait               bool
 		Arguments            Table
 	}
-	QueueBindOK struct{ bare }
+	QueueBindOK struct{ noArguments }
 	QueuePurge  struct {
 		Ticket uint16
 		Queue  string
@@ -243,7 +243,7 @@
 		Queue, Exchange, Key string
 		Arguments            Table
 	}
-	QueueUnbindOK struct{ bare }
+	QueueUnbindOK struct{ noArguments }
 )
 
 func (*QueueDeclare) id() (uint16, uint16)   { return classQueue, 10 }
@@ -257,42 +257,42 @@
 func (*QueueUnbind) id() (uint16, uint16)    { return classQueue, 50 }
 func (*QueueUnbindOK) id() (uint16, uint16)  { return classQueue, 51 }
 
-func (m *QueueDeclare) fields(c coder) {
+func (m *QueueDeclare) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
+	c.shortString(&m.Queue)
 	c.bits(&m.Passive, &m.Durable, &m.Exclusive, &m.AutoDelete, &m.NoWait)
 	c.table(&m.Arguments)
 }
-func (m *QueueDeclareOK) fields(c coder) {
-	c.short(&m.Queue)
+func (m *QueueDeclareOK) fields(c fieldCoder) {
+	c.shortString(&m.Queue)
 	c.u32(&m.Messages)
 	c.u32(&m.Consumers)
 }
-func (m *QueueBind) fields(c coder) {
+func (m *QueueBind) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
-	c.short(&m.Exchange)
-	c.short(&m.Key)
+	c.shortString(&m.Queue)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Key)
 	c.bits(&m.NoWait)
 	c.table(&m.Arguments)
 }
-func (m *QueuePurge) fields(c coder) {
+func (m *QueuePurge) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
+	c.shortString(&m.Queue)
 	c.bits(&m.NoWait)
 }
-func (m *QueuePurgeOK) fields(c coder) { c.u32(&m.Messages) }
-func (m *QueueDelete) fields(c coder) {
+func (m *QueuePurgeOK) fields(c fieldCoder) { c.u32(&m.Messages) }
+func (m *QueueDelete) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
+	c.shortString(&m.Queue)
 	c.bits(&m.IfUnused, &m.IfEmpty, &m.NoWait)
 }
-func (m *QueueDeleteOK) fields(c coder) { c.u32(&m.Messages) }
-func (m *QueueUnbind) fields(c coder) {
+func (m *QueueDeleteOK) fields(c fieldCoder) { c.u32(&m.Messages) }
+func (m *QueueUnbind) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
-	c.short(&m.Exchange)
-	c.short(&m.Key)
+	c.shortString(&m.Queue)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Key)
 	c.table(&m.Arguments)
 }
 
@@ -303,7 +303,7 @@
 		PrefetchCount uint16
 		Global        bool
 	}
-	BasicQosOK   struct{ bare }
+	BasicQosOK   struct{ noArguments }
 	BasicConsume struct {
 		Ticket                            uint16
 		Queue, ConsumerTag                string
@@ -353,7 +353,7 @@
 	}
 	BasicRecoverAsync struct{ Requeue bool }
 	BasicRecover      struct{ Requeue bool }
-	BasicRecoverOK    struct{ bare }
+	BasicRecoverOK    struct{ noArguments }
 	BasicNack         struct {
 		DeliveryTag       uint64
 		Multiple, Requeue bool
@@ -379,67 +379,67 @@
 func (*BasicRecoverOK) id() (uint16, uint16)    { return classBasic, 111 }
 func (*BasicNack) id() (uint16, uint16)         { return classBasic, 120 }
 
-func (m *BasicQos) fields(c coder) {
+func (m *BasicQos) fields(c fieldCoder) {
 	c.u32(&m.PrefetchSize)
 	c.u16(&m.PrefetchCount)
 	c.bits(&m.Global)
 }
-func (m *BasicConsume) fields(c coder) {
+func (m *BasicConsume) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
-	c.short(&m.ConsumerTag)
+	c.shortString(&m.Queue)
+	c.shortString(&m.ConsumerTag)
 	c.bits(&m.NoLocal, &m.NoAck, &m.Exclusive, &m.NoWait)
 	c.table(&m.Arguments)
 }
-func (m *BasicConsumeOK) fields(c coder) { c.short(&m.ConsumerTag) }
-func (m *BasicCancel) fields(c coder) {
-	c.short(&m.ConsumerTag)
+func (m *BasicConsumeOK) fields(c fieldCoder) { c.shortString(&m.ConsumerTag) }
+func (m *BasicCancel) fields(c fieldCoder) {
+	c.shortString(&m.ConsumerTag)
 	c.bits(&m.NoWait)
 }
-func (m *BasicCancelOK) fields(c coder) { c.short(&m.ConsumerTag) }
-func (m *BasicPublish) fields(c coder) {
+func (m *BasicCancelOK) fields(c fieldCoder) { c.shortString(&m.ConsumerTag) }
+func (m *BasicPublish) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Exchange)
-	c.short(&m.Key)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Key)
 	c.bits(&m.Mandatory, &m.Immediate)
 }
-func (m *BasicReturn) fields(c coder) {
+func (m *BasicReturn) fields(c fieldCoder) {
 	c.u16((*uint16)(&m.Code))
-	c.short(&m.Text)
-	c.short(&m.Exchange)
-	c.short(&m.Key)
+	c.shortString(&m.Text)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Key)
 }
-func (m *BasicDeliver) fields(c coder) {
-	c.short(&m.ConsumerTag)
+func (m *BasicDeliver) fields(c fieldCoder) {
+	c.shortString(&m.ConsumerTag)
 	c.u64(&m.DeliveryTag)
 	c.bits(&m.Redelivered)
-	c.short(&m.Exchange)
-	c.short(&m.Key)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Key)
 }
-func (m *BasicGet) fields(c coder) {
+func (m *BasicGet) fields(c fieldCoder) {
 	c.u16(&m.Ticket)
-	c.short(&m.Queue)
+	c.shortString(&m.Queue)
 	c.bits(&m.NoAck)
 }
-func (m *BasicGetOK) fields(c coder) {
+func (m *BasicGetOK) fields(c fieldCoder) {
 	c.u64(&m.DeliveryTag)
 	c.bits(&m.Redelivered)
-	c.short(&m.Exchange)
-	c.short(&m.Key)
+	c.shortString(&m.Exchange)
+	c.shortString(&m.Key)
 	c.u32(&m.Messages)
 }
-func (m *BasicGetEmpty) fields(c coder) { c.short(&m.Reserved) }
-func (m *BasicAck) fields(c coder) {
+func (m *BasicGetEmpty) fields(c fieldCoder) { c.shortString(&m.Reserved) }
+func (m *BasicAck) fields(c fieldCoder) {
 	c.u64(&m.DeliveryTag)
 	c.bits(&m.Multiple)
 }
-func (m *BasicReject) fields(c coder) {
+func (m *BasicReject) fields(c fieldCoder) {
 	c.u64(&m.DeliveryTag)
 	c.bits(&m.Requeue)
 }
-func (m *BasicRecoverAsync) fields(c coder) { c.bits(&m.Requeue) }
-func (m *BasicRecover) fields(c coder)      { c.bits(&m.Requeue) }
-func (m *BasicNack) fields(c coder) {
+func (m *BasicRecoverAsync) fields(c fieldCoder) { c.bits(&m.Requeue) }
+func (m *BasicRecover) fields(c fieldCoder)      { c.bits(&m.Requeue) }
+func (m *BasicNack) fields(c fieldCoder) {
 	c.u64(&m.DeliveryTag)
 	c.bits(&m.Multiple, &m.Requeue)
 }
@@ -447,19 +447,19 @@
 // Methods of the confirm extension.
 type (
 	ConfirmSelect   struct{ NoWait bool }
-	ConfirmSelectOK struct{ bare }
+	ConfirmSelectOK struct{ noArguments }
 )
 
 func (*ConfirmSelect) id() (uint16, uint16)   { return classConfirm, 10 }
 func (*ConfirmSelectOK) id() (uint16, uint16) { return classConfirm, 11 }
 
-func (m *ConfirmSelect) fields(c coder) { c.bits(&m.NoWait) }
+func (m *ConfirmSelect) fields(c fieldCoder) { c.bits(&m.NoWait) }
 
-// known makes the methods that a client or a server may send; all others are not implemented.
-var known = map[uint32]func() Method{}
+// methodsByID makes the methods that a client or a server may send; all others are not implemented.
+var methodsByID = map[uint32]func() Method{}
 
 func init() {
-	for _, make := range []func() Method{
+	for _, newMethod := range []func() Method{
 		func() Method { return &ConnectionStart{} }, func() Method { return &ConnectionStartOK{} }, func() Method { return &ConnectionTune{} },
 		func() Method { return &ConnectionTuneOK{} }, func() Method { return &ConnectionOpen{} }, func() Method { return &ConnectionOpenOK{} },
 		func() Method { return &ConnectionClose{} }, func() Method { return &ConnectionCloseOK{} }, func() Method { return &ConnectionBlocked{} },
@@ -478,7 +478,7 @@
 		func() Method { return &BasicReject{} }, func() Method { return &BasicRecoverAsync{} }, func() Method { return &BasicRecover{} },
 		func() Method { return &BasicRecoverOK{} }, func() Method { return &BasicNack{} }, func() Method { return &ConfirmSelect{} },
 		func() Method { return &ConfirmSelectOK{} }} {
-		class, method := make().id()
-		known[uint32(class)<<16|uint32(method)] = make
+		class, method := newMethod().id()
+		methodsByID[uint32(class)<<16|uint32(method)] = newMethod
 	}
 }
--- a/internal/mailbox/channel.go
+++ b/internal/mailbox/channel.go
@@ -9,65 +9,65 @@
 
 // Channel is one channel of a connection that reads answers: its consumers and what they have not acknowledged.
 type Channel struct {
-	b         *Broker
-	tenant    int
-	owner     uint64
-	sink      Sink
-	consumers map[string]*consumer
-	out       []unacked // by tag
-	last      uint64
-	most      int // all consumers together, 0 for no bound
-	each      int // new consumers, each
-	held      bool
+	broker           *Broker
+	tenant           int
+	owner            uint64
+	sink             Sink
+	consumers        map[string]*consumer
+	unacked          []unackedDelivery // by tag
+	lastDeliveryTag  uint64
+	channelPrefetch  int // all consumers together, 0 for no bound
+	consumerPrefetch int // new consumers, each
+	paused           bool
 }
 
 type consumer struct {
-	ch        *Channel
+	channel   *Channel
 	tag       string
-	q         *queue
+	queue     *queue
 	noAck     bool
 	exclusive bool
-	most      int
-	out       int
+	prefetch  int
+	unacked   int
 }
 
-type unacked struct {
-	tag  uint64
-	q    *queue
-	c    *consumer // nil: fetched by Get
-	item item
+type unackedDelivery struct {
+	deliveryTag uint64
+	queue       *queue
+	consumer    *consumer // nil: fetched by Get
+	answer      queuedAnswer
 }
 
 // Channel makes a channel of a connection.
 func (b *Broker) Channel(tenant int, owner uint64, sink Sink) *Channel {
-	return &Channel{b: b, tenant: tenant, owner: owner, sink: sink, consumers: map[string]*consumer{}}
+	return &Channel{broker: b, tenant: tenant, owner: owner, sink: sink, consumers: map[string]*consumer{}}
 }
 
-func (c *consumer) room() bool {
-	return !c.ch.held && (c.noAck || (c.most == 0 || c.out < c.most) && (c.ch.most == 0 || len(c.ch.out) < c.ch.most))
+func (c *consumer) hasCapacity() bool {
+	return !c.channel.paused && (c.noAck || (c.prefetch == 0 || c.unacked < c.prefetch) && (c.channel.channelPrefetch == 0 || len(c.channel.unacked) < c.channel.channelPrefetch))
 }
 
-// hand gives an answer to a reader.
-func (ch *Channel) hand(q *queue, c *consumer, it item) {
-	ch.last++
-	d := Delivery{ConsumerTag: c.tag, DeliveryTag: ch.last, Redelivered: it.again, Queue: q.name, Payload: it.payload}
+// deliver gives an answer to a reader.
+func (ch *Channel) deliver(q *queue, c *consumer, answer queuedAnswer) {
+	ch.lastDeliveryTag++
+	d := Delivery{ConsumerTag: c.tag, DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}
 	if !c.noAck {
-		ch.out = append(ch.out, unacked{ch.last, q, c, it})
-		c.out++
-		q.out++
+		ch.unacked = append(ch.unacked, unackedDelivery{ch.lastDeliveryTag, q, c, answer})
+		c.unacked++
+		q.unacked++
 	}
 	ch.sink.Deliver(d)
 }
 
 // Consume starts a reader of a queue. An empty tag gets one made up.
 func (ch *Channel) Consume(queue, tag string, noAck, exclusive bool) (string, error) {
-	q, err := ch.b.find(ch.tenant, queue, ch.owner)
+	q, err := ch.broker.find(ch.tenant, queue, ch.owner)
 	if err != nil {
 		return "", err
 	}
 	if tag == "" {
-		ch.b.names++
-		tag = fmt.Sprintf("amq.ctag-%d", ch.b.names)
+		ch.broker.lastGeneratedName++
+		tag = fmt.Sprintf("amq.ctag-%d", ch.broker.lastGeneratedName)
 	}
 	if ch.consumers[tag] != nil {
 		return "", ErrConsumerTagInUse
@@ -75,7 +75,7 @@
 	if len(q.consumers) > 0 && (exclusive || q.consumers[0].exclusive) {
 		return "", ErrInUse
 	}
-	c := &consumer{ch: ch, tag: tag, q: q, noAck: noAck, exclusive: exclusive, most: ch.each}
+	c := &consumer{channel: ch, tag: tag, queue: q, noAck: noAck, exclusive: exclusive, prefetch: ch.consumerPrefetch}
 	ch.consumers[tag] = c
 	q.consumers = append(q.consumers, c)
 	return tag, nil
@@ -84,7 +84,7 @@
 // StartDeliveries hands out what waits for a reader; it is apart from Consume so that the reader hears of its tag first.
 func (ch *Channel) StartDeliveries(tag string) {
 	if c := ch.consumers[tag]; c != nil {
-		ch.b.pump(c.q)
+		ch.broker.dispatch(c.queue)
 	}
 }
 
@@ -95,15 +95,15 @@
 		return
 	}
 	delete(ch.consumers, tag)
-	ch.leave(now, c)
+	ch.removeConsumer(now, c)
 }
 
-func (ch *Channel) leave(now time.Duration, c *consumer) {
-	q := c.q
+func (ch *Channel) removeConsumer(now time.Duration, c *consumer) {
+	q := c.queue
 	q.consumers = slices.DeleteFunc(q.consumers, func(o *consumer) bool { return o == c })
-	q.used = now
-	if q.spec.AutoDelete && len(q.consumers) == 0 && !q.gone {
-		ch.b.remove(q)
+	q.lastUsed = now
+	if q.spec.AutoDelete && len(q.consumers) == 0 && !q.removed {
+		ch.broker.removeQueue(q)
 	}
 }
 
@@ -111,46 +111,46 @@
 func (ch *Channel) HasConsumer(tag string) bool { return ch.consumers[tag] != nil }
 
 // SetPrefetch bounds what is out unacknowledged: of the whole channel, or of each consumer from now on. 0 is no bound.
-func (ch *Channel) SetPrefetch(n int, whole bool) {
-	if whole {
-		ch.most = n
-		ch.pump()
+func (ch *Channel) SetPrefetch(n int, perChannel bool) {
+	if perChannel {
+		ch.channelPrefetch = n
+		ch.dispatch()
 	} else {
-		ch.each = n
+		ch.consumerPrefetch = n
 	}
 }
 
 // SetPaused stops deliveries, or lets them go on.
-func (ch *Channel) SetPaused(on bool) {
-	ch.held = on
-	ch.pump()
+func (ch *Channel) SetPaused(paused bool) {
+	ch.paused = paused
+	ch.dispatch()
 }
 
-func (ch *Channel) pump() {
+func (ch *Channel) dispatch() {
 	tags := make([]string, 0, len(ch.consumers))
 	for tag := range ch.consumers {
 		tags = append(tags, tag)
 	}
 	slices.Sort(tags)
 	for _, tag := range tags {
-		ch.b.pump(ch.consumers[tag].q)
+		ch.broker.dispatch(ch.consumers[tag].queue)
 	}
 }
 
 // Get fetches one answer. ok is false where none waits.
-func (ch *Channel) Get(queue string, noAck bool) (d Delivery, left int, ok bool, err error) {
-	q, err := ch.b.find(ch.tenant, queue, ch.owner)
+func (ch *Channel) Get(queue string, noAck bool) (d Delivery, remaining int, ok bool, err error) {
+	q, err := ch.broker.find(ch.tenant, queue, ch.owner)
 	if err != nil || len(q.ready) == 0 {
 		return d, 0, false, err
 	}
-	it := q.ready[0]
+	answer := q.ready[0]
 	q.ready = q.ready[1:]
-	ch.last++
+	ch.lastDeliveryTag++
 	if !noAck {
-		ch.out = append(ch.out, unacked{ch.last, q, nil, it})
-		q.out++
+		ch.unacked = append(ch.unacked, unackedDelivery{ch.lastDeliveryTag, q, nil, answer})
+		q.unacked++
 	}
-	return Delivery{DeliveryTag: ch.last, Redelivered: it.again, Queue: q.name, Payload: it.payload}, len(q.ready), true, nil
+	return Delivery{DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}, len(q.ready), true, nil
 }
 
 // Ack takes an acknowledgement; multiple means all up to the tag, and 0 with it all there are.
@@ -169,61 +169,61 @@
 }
 
 func (ch *Channel) settle(now time.Duration, tag uint64, multiple, requeue bool) error {
-	i, found := slices.BinarySearchFunc(ch.out, tag, func(u unacked, tag uint64) int { return cmp.Compare(u.tag, tag) })
-	var over []unacked
+	i, found := slices.BinarySearchFunc(ch.unacked, tag, func(u unackedDelivery, tag uint64) int { return cmp.Compare(u.deliveryTag, tag) })
+	var settled []unackedDelivery
 	switch {
 	case multiple && tag == 0:
-		over, ch.out = ch.out, nil
+		settled, ch.unacked = ch.unacked, nil
 	case !found:
 		return ErrUnknownDelivery
 	case multiple:
-		over = slices.Clone(ch.out[:i+1])
-		ch.out = ch.out[i+1:]
+		settled = slices.Clone(ch.unacked[:i+1])
+		ch.unacked = ch.unacked[i+1:]
 	default:
-		over = []unacked{ch.out[i]}
-		ch.out = slices.Delete(ch.out, i, i+1)
+		settled = []unackedDelivery{ch.unacked[i]}
+		ch.unacked = slices.Delete(ch.unacked, i, i+1)
 	}
-	ch.free(now, over, requeue)
+	ch.release(now, settled, requeue)
 	return nil
 }
 
-// free takes what is no longer out, and hands on what that makes room for.
-func (ch *Channel) free(now time.Duration, over []unacked, requeue bool) {
+// release takes what is no longer out, and hands on what that makes room for.
+func (ch *Channel) release(now time.Duration, settled []unackedDelivery, requeue bool) {
 	var queues []*queue
-	for _, u := range over {
-		u.q.out--
-		u.q.used = now
-		if u.c != nil {
-			u.c.out--
+	for _, u := range settled {
+		u.queue.unacked--
+		u.queue.lastUsed = now
+		if u.consumer != nil {
+			u.consumer.unacked--
 		}
-		if requeue && !u.q.gone {
-			u.q.back(u.item)
+		if requeue && !u.queue.removed {
+			u.queue.requeue(u.answer)
 		}
-		if !slices.Contains(queues, u.q) {
-			queues = append(queues, u.q)
+		if !slices.Contains(queues, u.queue) {
+			queues = append(queues, u.queue)
 		}
 	}
 	for _, q := range queues {
-		if !q.gone {
-			ch.b.pump(q)
+		if !q.removed {
+			ch.broker.dispatch(q)
 		}
 	}
-	if ch.most > 0 {
-		ch.pump()
+	if ch.channelPrefetch > 0 {
+		ch.dispatch()
 	}
 }
 
 // Close ends all readers of the channel; what they had not acknowledged goes back.
 func (ch *Channel) Close(now time.Duration) {
-	out := ch.out
-	ch.out = nil
+	returned := ch.unacked
+	ch.unacked = nil
 	consumers := ch.consumers
 	ch.consumers = map[string]*consumer{}
 	for _, c := range consumers { // first none of them may get anything
-		c.q.consumers = slices.DeleteFunc(c.q.consumers, func(o *consumer) bool { return o == c })
+		c.queue.consumers = slices.DeleteFunc(c.queue.consumers, func(o *consumer) bool { return o == c })
 	}
-	ch.free(now, out, true)
+	ch.release(now, returned, true)
 	for _, c := range consumers {
-		ch.leave(now, c)
+		ch.removeConsumer(now, c)
 	}
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -43,50 +43,50 @@
 	Owner                 uint64 // connection that declares it
 }
 
-type address struct {
+type queueKey struct {
 	tenant int
 	name   string
 }
 
-type binding struct {
+type bindingKey struct {
 	tenant        int
 	exchange, key string
 }
 
 // Broker holds all queues.
 type Broker struct {
-	limits         Limits
-	queues         map[address]*queue
-	count          map[int]int // by tenant
-	bindings       map[binding]*queue
-	seq            uint64
-	names          uint64
-	DroppedAnswers uint64 // answers whose queue was gone
+	limits            Limits
+	queues            map[queueKey]*queue
+	queuesByTenant    map[int]int // by tenant
+	bindings          map[bindingKey]*queue
+	lastSequence      uint64
+	lastGeneratedName uint64
+	DroppedAnswers    uint64 // answers whose queue was gone
 }
 
 // New makes a Box.
 func New(l Limits) *Broker {
-	return &Broker{limits: l, queues: map[address]*queue{}, count: map[int]int{}, bindings: map[binding]*queue{}}
+	return &Broker{limits: l, queues: map[queueKey]*queue{}, queuesByTenant: map[int]int{}, bindings: map[bindingKey]*queue{}}
 }
 
 // queue holds answers in the order in which they were known.
 type queue struct {
-	address
-	spec      QueueSpec
-	ready     []item // by seq
-	out       int    // with readers, not acknowledged
-	promised  int
-	consumers []*consumer
-	turn      int
-	used      time.Duration
-	gone      bool
+	queueKey
+	spec       QueueSpec
+	ready      []queuedAnswer // by seq
+	unacked    int            // with readers, not acknowledged
+	reserved   int
+	consumers  []*consumer
+	lastServed int
+	lastUsed   time.Duration
+	removed    bool
 }
 
-type item struct {
-	seq     uint64
-	at      time.Duration
-	payload any
-	again   bool // delivered before
+type queuedAnswer struct {
+	sequence    uint64
+	queuedAt    time.Duration
+	payload     any
+	redelivered bool // delivered before
 }
 
 // Sink takes what is for a reader. It must not call the Box, nor block.
@@ -105,38 +105,38 @@
 }
 
 // Declare makes a queue, or finds one that is the same. An empty name gets one made up. passive only looks.
-func (b *Broker) Declare(now time.Duration, tenant int, s QueueSpec, passive bool) (name string, ready, consumers int, err error) {
-	if q := b.queues[address{tenant, s.Name}]; q != nil && s.Name != "" {
+func (b *Broker) Declare(now time.Duration, tenant int, spec QueueSpec, passive bool) (name string, ready, consumers int, err error) {
+	if q := b.queues[queueKey{tenant, spec.Name}]; q != nil && spec.Name != "" {
 		switch {
-		case q.spec.Exclusive && q.spec.Owner != s.Owner:
+		case q.spec.Exclusive && q.spec.Owner != spec.Owner:
 			return "", 0, 0, ErrLocked
-		case !passive && (q.spec.Exclusive != s.Exclusive || q.spec.AutoDelete != s.AutoDelete):
+		case !passive && (q.spec.Exclusive != spec.Exclusive || q.spec.AutoDelete != spec.AutoDelete):
 			return "", 0, 0, ErrPropertiesDiffer
 		}
-		q.used = now
-		return s.Name, len(q.ready), len(q.consumers), nil
+		q.lastUsed = now
+		return spec.Name, len(q.ready), len(q.consumers), nil
 	}
 	if passive {
 		return "", 0, 0, ErrNotFound
 	}
-	if b.count[tenant] >= b.limits.QueuesPerTenant {
+	if b.queuesByTenant[tenant] >= b.limits.QueuesPerTenant {
 		return "", 0, 0, ErrTooManyQueues
 	}
-	if s.Name == "" {
-		for s.Name == "" || b.queues[address{tenant, s.Name}] != nil { // some may be back from before a restart
-			b.names++
-			s.Name = fmt.Sprintf("amq.gen-%d", b.names)
+	if spec.Name == "" {
+		for spec.Name == "" || b.queues[queueKey{tenant, spec.Name}] != nil { // some may be back from before a restart
+			b.lastGeneratedName++
+			spec.Name = fmt.Sprintf("amq.gen-%d", b.lastGeneratedName)
 		}
 	}
-	q := &queue{address: address{tenant, s.Name}, spec: s, used: now}
-	b.queues[q.address] = q
-	b.count[tenant]++
-	return s.Name, 0, 0, nil
+	q := &queue{queueKey: queueKey{tenant, spec.Name}, spec: spec, lastUsed: now}
+	b.queues[q.queueKey] = q
+	b.queuesByTenant[tenant]++
+	return spec.Name, 0, 0, nil
 }
 
 // find returns a queue that a connection may use.
 func (b *Broker) find(tenant int, name string, owner uint64) (*queue, error) {
-	q := b.queues[address{tenant, name}]
+	q := b.queues[queueKey{tenant, name}]
 	if q == nil {
 		return nil, ErrNotFound
 	}
@@ -159,16 +159,16 @@
 		return 0, ErrInUse
 	}
 	n := len(q.ready)
-	b.remove(q)
+	b.removeQueue(q)
 	return n, nil
 }
 
-func (b *Broker) remove(q *queue) {
-	q.gone = true
+func (b *Broker) removeQueue(q *queue) {
+	q.removed = true
 	b.DroppedAnswers += uint64(len(q.ready))
 	for _, c := range q.consumers {
-		delete(c.ch.consumers, c.tag)
-		c.ch.sink.Cancelled(c.tag)
+		delete(c.channel.consumers, c.tag)
+		c.channel.sink.Cancelled(c.tag)
 	}
 	q.consumers, q.ready = nil, nil
 	for k, o := range b.bindings {
@@ -176,9 +176,9 @@
 			delete(b.bindings, k)
 		}
 	}
-	delete(b.queues, q.address)
-	if b.count[q.tenant]--; b.count[q.tenant] == 0 {
-		delete(b.count, q.tenant)
+	delete(b.queues, q.queueKey)
+	if b.queuesByTenant[q.tenant]--; b.queuesByTenant[q.tenant] == 0 {
+		delete(b.queuesByTenant, q.tenant)
 	}
 }
 
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	k := binding{tenant, exchange, key}
+	k := bindingKey{tenant, exchange, key}
 	if old := b.bindings[k]; old != nil && old != q {
 		return ErrAlreadyBound
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	if k := (binding{tenant, exchange, key}); b.bindings[k] == q {
+	if k := (bindingKey{tenant, exchange, key}); b.bindings[k] == q {
 		delete(b.bindings, k)
 	}
 	return nil
@@ -224,8 +224,8 @@
 // Reservation is the promise of a place in a queue, made before a message is taken: its answer is then never turned away.
 // It ends once, by Fill or Drop.
 type Reservation struct {
-	b *Broker
-	q *queue
+	broker *Broker
+	queue  *queue
 }
 
 // Reserve asks for a place in the queue that replyTo names or, where that is empty, in the one bound. Without either
@@ -233,69 +233,69 @@
 func (b *Broker) Reserve(tenant int, replyTo, exchange, key string) (*Reservation, error) {
 	var q *queue
 	if replyTo != "" {
-		if q = b.queues[address{tenant, replyTo}]; q == nil {
+		if q = b.queues[queueKey{tenant, replyTo}]; q == nil {
 			return nil, ErrNotFound
 		}
-	} else if q = b.bindings[binding{tenant, exchange, key}]; q == nil {
-		if q = b.bindings[binding{tenant, exchange, "#"}]; q == nil {
+	} else if q = b.bindings[bindingKey{tenant, exchange, key}]; q == nil {
+		if q = b.bindings[bindingKey{tenant, exchange, "#"}]; q == nil {
 			return nil, nil
 		}
 	}
-	if len(q.ready)+q.out+q.promised >= b.limits.QueueLength {
+	if len(q.ready)+q.unacked+q.reserved >= b.limits.QueueLength {
 		return nil, ErrQueueFull
 	}
-	q.promised++
+	q.reserved++
 	return &Reservation{b, q}, nil
 }
 
 // Release gives the place back.
 func (p *Reservation) Release(now time.Duration) {
-	p.q.promised--
-	p.q.used = now
+	p.queue.reserved--
+	p.queue.lastUsed = now
 }
 
 // Fill puts the answer into the queue.
 func (p *Reservation) Fill(now time.Duration, payload any) {
 	p.Release(now)
-	if p.q.gone {
-		p.b.DroppedAnswers++
+	if p.queue.removed {
+		p.broker.DroppedAnswers++
 		return
 	}
-	p.b.seq++
-	p.q.ready = append(p.q.ready, item{seq: p.b.seq, at: now, payload: payload})
-	p.b.pump(p.q)
+	p.broker.lastSequence++
+	p.queue.ready = append(p.queue.ready, queuedAnswer{sequence: p.broker.lastSequence, queuedAt: now, payload: payload})
+	p.broker.dispatch(p.queue)
 }
 
-// pump hands out what waits, to the readers in turns.
-func (b *Broker) pump(q *queue) {
+// dispatch hands out what waits, to the readers in turns.
+func (b *Broker) dispatch(q *queue) {
 	for len(q.ready) > 0 {
-		c := q.next()
+		c := q.nextConsumer()
 		if c == nil {
 			return
 		}
-		it := q.ready[0]
-		q.ready[0] = item{}
+		answer := q.ready[0]
+		q.ready[0] = queuedAnswer{}
 		q.ready = q.ready[1:]
-		c.ch.hand(q, c, it)
+		c.channel.deliver(q, c, answer)
 	}
 }
 
-// next is the reader whose turn it is among those with room.
-func (q *queue) next() *consumer {
+// nextConsumer is the reader whose turn it is among those with room.
+func (q *queue) nextConsumer() *consumer {
 	for range q.consumers {
-		q.turn = (q.turn + 1) % len(q.consumers)
-		if c := q.consumers[q.turn]; c.room() {
+		q.lastServed = (q.lastServed + 1) % len(q.consumers)
+		if c := q.consumers[q.lastServed]; c.hasCapacity() {
 			return c
 		}
 	}
 	return nil
 }
 
-// back puts an answer where it was.
-func (q *queue) back(it item) {
-	it.again = true
-	i, _ := slices.BinarySearchFunc(q.ready, it.seq, func(x item, seq uint64) int { return cmp.Compare(x.seq, seq) })
-	q.ready = slices.Insert(q.ready, i, it)
+// requeue puts an answer where it was.
+func (q *queue) requeue(answer queuedAnswer) {
+	answer.redelivered = true
+	i, _ := slices.BinarySearchFunc(q.ready, answer.sequence, func(x queuedAnswer, seq uint64) int { return cmp.Compare(x.sequence, seq) })
+	q.ready = slices.Insert(q.ready, i, answer)
 }
 
 // PendingAnswer is an answer as a reader without a channel sees it: it stays until it is taken out by its number.
@@ -305,27 +305,27 @@
 }
 
 // Peek returns the first answers that wait in a queue.
-func (b *Broker) Peek(now time.Duration, tenant int, name string, most int) ([]PendingAnswer, error) {
+func (b *Broker) Peek(now time.Duration, tenant int, name string, limit int) ([]PendingAnswer, error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
 		return nil, err
 	}
-	q.used = now
-	var all []PendingAnswer
-	for _, it := range q.ready[:min(most, len(q.ready))] {
-		all = append(all, PendingAnswer{it.seq, it.payload})
+	q.lastUsed = now
+	var answers []PendingAnswer
+	for _, it := range q.ready[:min(limit, len(q.ready))] {
+		answers = append(answers, PendingAnswer{it.sequence, it.payload})
 	}
-	return all, nil
+	return answers, nil
 }
 
 // Take takes an answer out of a queue.
-func (b *Broker) Take(now time.Duration, tenant int, name string, no uint64) (payload any, err error) {
+func (b *Broker) Take(now time.Duration, tenant int, name string, sequence uint64) (payload any, err error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
 		return nil, err
 	}
-	q.used = now
-	i, ok := slices.BinarySearchFunc(q.ready, no, func(x item, no uint64) int { return cmp.Compare(x.seq, no) })
+	q.lastUsed = now
+	i, ok := slices.BinarySearchFunc(q.ready, sequence, func(x queuedAnswer, no uint64) int { return cmp.Compare(x.sequence, no) })
 	if !ok {
 		return nil, ErrUnknownDelivery
 	}
@@ -355,13 +355,13 @@
 // Expire drops answers that nobody has read, and removes queues that nobody has used, for long.
 func (b *Broker) Expire(now time.Duration) {
 	for _, q := range b.queues {
-		for b.limits.Keep > 0 && len(q.ready) > 0 && now-q.ready[0].at > b.limits.Keep {
-			q.ready[0] = item{}
+		for b.limits.Keep > 0 && len(q.ready) > 0 && now-q.ready[0].queuedAt > b.limits.Keep {
+			q.ready[0] = queuedAnswer{}
 			q.ready = q.ready[1:]
 			b.DroppedAnswers++
 		}
-		if b.limits.Idle > 0 && !q.spec.Exclusive && len(q.consumers)+len(q.ready)+q.out+q.promised == 0 && now-q.used > b.limits.Idle {
-			b.remove(q)
+		if b.limits.Idle > 0 && !q.spec.Exclusive && len(q.consumers)+len(q.ready)+q.unacked+q.reserved == 0 && now-q.lastUsed > b.limits.Idle {
+			b.removeQueue(q)
 		}
 	}
 }
@@ -370,7 +370,7 @@
 func (b *Broker) DeleteExclusive(owner uint64) {
 	for _, q := range b.queues {
 		if q.spec.Exclusive && q.spec.Owner == owner {
-			b.remove(q)
+			b.removeQueue(q)
 		}
 	}
 }
@@ -378,7 +378,7 @@
 // Usage is how many queues there are and answers in them.
 func (b *Broker) Usage() (queues, answers int) {
 	for _, q := range b.queues {
-		answers += len(q.ready) + q.out
+		answers += len(q.ready) + q.unacked
 	}
 	return len(b.queues), answers
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// reader is a Sink that keeps what it gets.
-type reader struct {
-	got       []Delivery
-	cancelled []string
+// recordingSink is a Sink that keeps what it gets.
+type recordingSink struct {
+	deliveries []Delivery
+	cancelled  []string
 }
 
-func (r *reader) Deliver(d Delivery)   { r.got = append(r.got, d) }
-func (r *reader) Cancelled(tag string) { r.cancelled = append(r.cancelled, tag) }
+func (r *recordingSink) Deliver(d Delivery)   { r.deliveries = append(r.deliveries, d) }
+func (r *recordingSink) Cancelled(tag string) { r.cancelled = append(r.cancelled, tag) }
 
-func put(t *testing.T, b *Broker, queue string, payload any) {
+func putAnswer(t *testing.T, b *Broker, queue string, payload any) {
 	t.Helper()
 	p, err := b.Reserve(0, queue, "", "")
 	if err != nil {
@@ -27,7 +27,7 @@
 	p.Fill(0, payload)
 }
 
-func box(t *testing.T, queues ...QueueSpec) *Broker {
+func newTestBroker(t *testing.T, queues ...QueueSpec) *Broker {
 	b := New(Limits{QueuesPerTenant: 4, QueueLength: 6, Idle: time.Minute})
 	for _, s := range queues {
 		if _, _, _, err := b.Declare(0, 0, s, false); err != nil {
@@ -38,7 +38,7 @@
 }
 
 func TestDeclare(t *testing.T) {
-	b := box(t, QueueSpec{Name: "mine", Exclusive: true, Owner: 1}, QueueSpec{Name: "all"})
+	b := newTestBroker(t, QueueSpec{Name: "mine", Exclusive: true, Owner: 1}, QueueSpec{Name: "all"})
 	for name, c := range map[string]struct {
 		tenant  int
 		spec    QueueSpec
@@ -69,7 +69,7 @@
 
 // A place that was promised is there, however full the queue is by then; a full queue promises none.
 func TestPlacesArePromised(t *testing.T) {
-	b := box(t, QueueSpec{Name: "q"})
+	b := newTestBroker(t, QueueSpec{Name: "q"})
 	var places []*Reservation
 	for range 6 {
 		p, err := b.Reserve(0, "q", "", "")
@@ -109,8 +109,8 @@
 
 // Readers share in turns, each within its prefetch; what is acknowledged makes room.
 func TestPrefetch(t *testing.T) {
-	b := box(t, QueueSpec{Name: "q"})
-	one, two := &reader{}, &reader{}
+	b := newTestBroker(t, QueueSpec{Name: "q"})
+	one, two := &recordingSink{}, &recordingSink{}
 	c1, c2 := b.Channel(0, 1, one), b.Channel(0, 2, two)
 	c1.SetPrefetch(2, false)
 	c2.SetPrefetch(1, true)
@@ -120,37 +120,37 @@
 		}
 	}
 	for i := range 6 {
-		put(t, b, "q", i)
+		putAnswer(t, b, "q", i)
 	}
-	if len(one.got) != 2 || len(two.got) != 1 {
-		t.Fatalf("%d and %d handed out", len(one.got), len(two.got))
+	if len(one.deliveries) != 2 || len(two.deliveries) != 1 {
+		t.Fatalf("%d and %d handed out", len(one.deliveries), len(two.deliveries))
 	}
-	if err := c1.Ack(0, 2, true); err != nil || len(one.got) != 4 {
-		t.Errorf("after an ack of both: %d, %v", len(one.got), err)
+	if err := c1.Ack(0, 2, true); err != nil || len(one.deliveries) != 4 {
+		t.Errorf("after an ack of both: %d, %v", len(one.deliveries), err)
 	}
 	if err := c1.Ack(0, 2, false); !errors.Is(err, ErrUnknownDelivery) {
 		t.Error("acknowledged twice:", err)
 	}
 	c2.SetPaused(true)
-	if err := c2.Ack(0, 1, false); err != nil || len(two.got) != 1 {
+	if err := c2.Ack(0, 1, false); err != nil || len(two.deliveries) != 1 {
 		t.Error("handed out in spite of channel.flow")
 	}
 	c2.SetPaused(false)
-	if len(two.got) != 2 {
+	if len(two.deliveries) != 2 {
 		t.Error("nothing comes after channel.flow")
 	}
 }
 
 // What a reader had not acknowledged goes back to where it was, marked, and in its order.
 func TestBackInOrder(t *testing.T) {
-	b := box(t, QueueSpec{Name: "q"})
-	one, two := &reader{}, &reader{}
+	b := newTestBroker(t, QueueSpec{Name: "q"})
+	one, two := &recordingSink{}, &recordingSink{}
 	c := b.Channel(0, 1, one)
 	if _, err := c.Consume("q", "", false, false); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 5 {
-		put(t, b, "q", i)
+		putAnswer(t, b, "q", i)
 	}
 	if err := c.Ack(0, 2, false); err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 	}
 	next.StartDeliveries("amq.ctag-2")
 	var order []any
-	for _, d := range two.got {
+	for _, d := range two.deliveries {
 		order = append(order, d.Payload)
 		if !d.Redelivered {
 			t.Error("not marked as delivered before")
@@ -174,8 +174,8 @@
 }
 
 func TestQueueGone(t *testing.T) {
-	b := box(t, QueueSpec{Name: "q"}, QueueSpec{Name: "auto", AutoDelete: true})
-	r := &reader{}
+	b := newTestBroker(t, QueueSpec{Name: "q"}, QueueSpec{Name: "auto", AutoDelete: true})
+	r := &recordingSink{}
 	c := b.Channel(0, 1, r)
 	if _, err := c.Consume("q", "a", false, false); err != nil {
 		t.Fatal(err)
@@ -187,7 +187,7 @@
 		t.Error("a second reader beside an exclusive one:", err)
 	}
 	p, _ := b.Reserve(0, "q", "", "")
-	put(t, b, "q", 1)
+	putAnswer(t, b, "q", 1)
 	if _, err := b.Delete(0, "q", 1, true, false); !errors.Is(err, ErrInUse) {
 		t.Error("deleted in use:", err)
 	}
@@ -245,7 +245,7 @@
 		_, _, _, _ = b.Declare(0, 0, QueueSpec{Name: "q"}, false)
 		type side struct {
 			ch *Channel
-			r  *reader
+			r  *recordingSink
 		}
 		var open []side
 		put, acked := 0, map[any]bool{}
@@ -256,7 +256,7 @@
 			}
 			switch step {
 			case 0:
-				r := &reader{}
+				r := &recordingSink{}
 				ch := b.Channel(0, uint64(len(open)), r)
 				ch.SetPrefetch(rapid.IntRange(0, 3).Draw(t, "prefetch"), rapid.Bool().Draw(t, "whole"))
 				tag, err := ch.Consume("q", "", false, false)
@@ -269,7 +269,7 @@
 				if p, err := b.Reserve(0, "q", "", ""); err == nil {
 					p.Fill(0, put)
 					put++
-				} else if !errors.Is(err, ErrQueueFull) || len(b.queues[address{0, "q"}].ready)+b.queues[address{0, "q"}].out < 20 {
+				} else if !errors.Is(err, ErrQueueFull) || len(b.queues[queueKey{0, "q"}].ready)+b.queues[queueKey{0, "q"}].unacked < 20 {
 					t.Fatal(err)
 				}
 			default:
@@ -280,24 +280,24 @@
 					open = append(open[:i], open[i+1:]...)
 					continue
 				}
-				if len(s.ch.out) == 0 {
+				if len(s.ch.unacked) == 0 {
 					continue
 				}
-				u := s.ch.out[rapid.IntRange(0, len(s.ch.out)-1).Draw(t, "which")]
+				u := s.ch.unacked[rapid.IntRange(0, len(s.ch.unacked)-1).Draw(t, "which")]
 				if step == 3 {
-					if acked[u.item.payload] {
-						t.Fatalf("%v is out though acknowledged", u.item.payload)
+					if acked[u.answer.payload] {
+						t.Fatalf("%v is out though acknowledged", u.answer.payload)
 					}
-					acked[u.item.payload] = true
-					_ = s.ch.Ack(0, u.tag, false)
+					acked[u.answer.payload] = true
+					_ = s.ch.Ack(0, u.deliveryTag, false)
 				} else {
-					_ = s.ch.Reject(0, u.tag, step == 4, true)
+					_ = s.ch.Reject(0, u.deliveryTag, step == 4, true)
 				}
 			}
 		}
-		q := b.queues[address{0, "q"}]
-		if len(acked)+len(q.ready)+q.out != put {
-			t.Fatalf("%d put, %d acknowledged, %d waiting, %d out", put, len(acked), len(q.ready), q.out)
+		q := b.queues[queueKey{0, "q"}]
+		if len(acked)+len(q.ready)+q.unacked != put {
+			t.Fatalf("%d put, %d acknowledged, %d waiting, %d out", put, len(acked), len(q.ready), q.unacked)
 		}
 	})
 }
