--- a/internal/amqp/codec.go
+++ b/internal/amqp/codec.go
@@ -1,6 +1,7 @@
-// Package amqp speaks AMQP 0-9-1 as a server does, with the common extensions (publisher confirms, basic.nack,
-// consumer_cancel_notify, connection.blocked). It is free of I/O: bytes in, events out, output collected until it is
-// written. Section numbers are those of the specification, version 0-9-1.
+// Package amqp implements the server side of AMQP 0-9-1 with the common extensions: publisher confirms, basic.nack,
+// consumer_cancel_notify and connection.blocked. It does no I/O. A Conn takes received bytes, reports events and
+// collects output until the caller writes it. Section numbers in comments are those of the specification, version
+// 0-9-1.
 package amqp
 
 import (
@@ -11,7 +12,7 @@
 	"time"
 )
 
-// Errors of the decoder. All are syntax errors to the peer (502).
+// Errors of the decoder. The peer is told of each as a syntax error (502).
 var (
 	errTruncated       = errors.New("arguments end in mid-field")
 	errTrailingBytes   = errors.New("bytes after the last argument")
@@ -19,32 +20,34 @@
 	errTooManyEntries  = errors.New("field table with too many entries")
 )
 
-// Bounds of field tables: what a peer sends must not cost much more than its bytes.
+// Limits of field tables. They keep the cost of decoding close to the number of bytes that a peer sends.
 const (
-	maxTableDepth   = 8
-	maxTableEntries = 1024 // of a table with all that is in it
+	// maxTableDepth is the number of levels to which tables and arrays may be nested.
+	maxTableDepth = 8
+	// maxTableEntries bounds the entries of all tables and arrays of one frame together.
+	maxTableEntries = 1024
 )
 
-// Table is a field table (section 4.2.5.5), its entries in the order in which they stand.
+// Table is a field table (section 4.2.5.5). Its entries are in the order of the wire.
 type Table []Entry
 
-// Entry is a name with its value: bool, int8, uint8, int16, uint16, int32, uint32, int64, float32, float64, Decimal,
-// string (long string), Bytes, []any, time.Time, Table or nil.
+// Entry is one name and value of a Table. The value is a bool, int8, uint8, int16, uint16, int32, uint32, int64,
+// float32, float64, Decimal, string (a long string), Bytes, []any, time.Time, Table or nil.
 type Entry struct {
 	Name  string
 	Value any
 }
 
-// Decimal is a decimal number: Value / 10^Scale.
+// Decimal is the decimal number Value / 10^Scale.
 type Decimal struct {
 	Scale uint8
 	Value uint32
 }
 
-// Bytes is a byte array, a type that common implementations added.
+// Bytes is a byte array. The specification lacks this type; common implementations have added it.
 type Bytes []byte
 
-// Get returns the first value of a name, nil where there is none.
+// Get returns the first value of a name, or nil if the table has none.
 func (t Table) Get(name string) any {
 	for _, e := range t {
 		if e.Name == name {
@@ -54,13 +57,13 @@
 	return nil
 }
 
-// GetString returns a string value, empty where there is none.
+// GetString returns the first value of a name if it is a string, or else the empty string.
 func (t Table) GetString(name string) string {
 	s, _ := t.Get(name).(string)
 	return s
 }
 
-// Set replaces the value of a name or adds it.
+// Set replaces the first value of a name, or appends an entry if there is none. It returns the resulting table.
 func (t Table) Set(name string, v any) Table {
 	for i := range t {
 		if t[i].Name == name {
@@ -71,19 +74,22 @@
 	return append(t, Entry{name, v})
 }
 
-// fieldCoder goes over the fields of a method in their order, reading or writing them: each layout stands once.
+// fieldCoder reads or writes the fields of a method in wire order. Because reader and writer share it, each method
+// describes its layout only once.
 type fieldCoder interface {
 	u8(*uint8)
 	u16(*uint16)
 	u32(*uint32)
 	u64(*uint64)
-	shortString(*string) // up to 255 bytes
+	// shortString has at most 255 bytes.
+	shortString(*string)
 	longString(*string)
 	table(*Table)
-	bits(...*bool) // packed into one octet
+	// bits packs up to eight flags into one octet.
+	bits(...*bool)
 }
 
-// reader reads fields; the first error stays.
+// reader decodes fields. After the first error, which it keeps, it reads nothing more.
 type reader struct {
 	buf     []byte
 	err     error
@@ -144,7 +150,8 @@
 	}
 }
 
-// lengthPrefixed reads a length and returns a reader's bytes of that many.
+// lengthPrefixed reads a 32-bit length and returns that many bytes of the input. A length beyond the input is
+// replaced by one that next refuses and that fits an int on 32-bit platforms.
 func (r *reader) lengthPrefixed() []byte {
 	var n uint32
 	r.u32(&n)
@@ -154,7 +161,7 @@
 	return r.next(int(n))
 }
 
-// nested runs do on a part of the input, one level deeper.
+// nested reads a length and calls do for each entry within that many bytes, one nesting level deeper.
 func (r *reader) nested(do func()) {
 	part := r.lengthPrefixed()
 	if r.err != nil {
@@ -188,7 +195,8 @@
 	*v = t
 }
 
-// value reads a tagged value. The tags are those in use (with the errata that common implementations agree on).
+// value reads a type tag and its value. The tags are those in actual use: the specification's, with the errata that
+// common implementations agree on.
 func (r *reader) value() any {
 	var tag uint8
 	r.u8(&tag)
@@ -263,7 +271,7 @@
 	return nil
 }
 
-// finish returns the first error, or that not all bytes were used.
+// finish returns the first error, or errTrailingBytes if input is left over.
 func (r *reader) finish() error {
 	if r.err == nil && len(r.buf) > 0 {
 		r.err = errTrailingBytes
@@ -271,7 +279,8 @@
 	return r.err
 }
 
-// writer appends fields. Strings too long for their form are cut: what we send comes from us, or came within bounds.
+// writer encodes fields. It truncates short strings to 255 bytes: what is sent is either our own text or was received
+// within that limit.
 type writer struct{ buf []byte }
 
 func (w *writer) u8(v *uint8)   { w.buf = append(w.buf, *v) }
@@ -295,7 +304,7 @@
 	w.buf = append(w.buf, b)
 }
 
-// lengthPrefixed writes what do writes, its length before it.
+// lengthPrefixed writes the output of do with its 32-bit length in front.
 func (w *writer) lengthPrefixed(do func()) {
 	lengthAt := len(w.buf)
 	w.buf = append(w.buf, 0, 0, 0, 0)
--- a/internal/amqp/confirm.go
+++ b/internal/amqp/confirm.go
@@ -1,30 +1,40 @@
 package amqp
 
-// ConfirmTracker decides how the publishes of one channel are confirmed: as soon as known, in any order, with "multiple"
-// where that says the same in fewer frames. It is the pure part of publisher confirms.
+// ConfirmTracker decides which publisher confirms a channel sends. It numbers the publishes, accepts their outcomes in
+// any order, and uses the "multiple" flag where that says the same in fewer frames. It does no I/O. The zero value is
+// ready for use.
 type ConfirmTracker struct {
-	lastTag  uint64         // tag of the last publish
-	firstTag uint64         // lowest tag that is not confirmed, where there is one
-	states   []confirmState // from base on
-	settled  []uint64
+	// lastTag is the tag of the last publish.
+	lastTag uint64
+	// firstTag is the tag of states[0]. After Flush it is the lowest pending tag, if there is one.
+	firstTag uint64
+	// states holds the state of each tag from firstTag to lastTag.
+	states []confirmState
+	// settled lists the tags that were settled since the last Flush, in that order.
+	settled []uint64
 }
 
+// confirmState is the state of one publish.
 type confirmState uint8
 
 const (
+	// pending means that the outcome is not known yet.
 	pending confirmState = iota
+	// ackDue means that a basic.ack is to be sent.
 	ackDue
+	// nackDue means that a basic.nack is to be sent.
 	nackDue
+	// confirmed means that Flush has returned the confirm.
 	confirmed
 )
 
-// Confirm is one basic.ack or basic.nack.
+// Confirm is one basic.ack, or basic.nack if Nack is set. With Multiple it covers all unconfirmed tags up to Tag.
 type Confirm struct {
 	Tag            uint64
 	Multiple, Nack bool
 }
 
-// Publish gives the next publish its tag, from 1.
+// Publish returns the delivery tag of the next publish. Tags count from 1.
 func (c *ConfirmTracker) Publish() uint64 {
 	c.lastTag++
 	if len(c.states) == 0 {
@@ -34,7 +44,7 @@
 	return c.lastTag
 }
 
-// Settle tells what became of a publish. Only the first word on a tag counts.
+// Settle records the outcome of a publish: an ack or a nack. Later calls for the same tag are ignored.
 func (c *ConfirmTracker) Settle(tag uint64, ack bool) {
 	if tag < c.firstTag || tag-c.firstTag >= uint64(len(c.states)) || c.states[tag-c.firstTag] != pending {
 		return
@@ -46,7 +56,7 @@
 	c.settled = append(c.settled, tag)
 }
 
-// Outstanding is how many publishes are not settled, or settled and not yet confirmed.
+// Outstanding returns the number of publishes for which Flush has returned no confirm yet.
 func (c *ConfirmTracker) Outstanding() int {
 	n := 0
 	for _, s := range c.states {
@@ -57,8 +67,9 @@
 	return n
 }
 
-// Flush returns what is to be sent for all that was settled since the last Flush: first the nacks, then one ack for
-// the lowest tags without a gap, then those above a gap one by one.
+// Flush appends to out the confirms of all publishes that were settled since the last Flush, and returns out. The nacks
+// come first, so that an ack with Multiple cannot cover them. Then comes one ack for all tags below the lowest pending
+// one, then a single ack for each tag above it.
 func (c *ConfirmTracker) Flush(out []Confirm) []Confirm {
 	if len(c.settled) == 0 {
 		return out
@@ -92,7 +103,8 @@
 	c.firstTag += uint64(settledPrefix)
 	c.states = c.states[settledPrefix:]
 	if len(c.states) == 0 {
-		c.states = nil // an idle channel holds nothing
+		// An idle channel keeps no memory for its states.
+		c.states = nil
 	}
 	return out
 }
--- a/internal/amqp/conn.go
+++ b/internal/amqp/conn.go
@@ -10,32 +10,49 @@
 	"golang.org/x/time/rate"
 )
 
-// Config bounds one connection.
+// Config holds the limits and timeouts of one connection.
 type Config struct {
-	Product, Version string        // told to clients
-	ChannelMax       uint16        // channels on the connection
-	FrameMax         int           // bytes of a frame, with its overhead
-	Heartbeat        time.Duration // asked for, in whole seconds; a client may ask for less. 0 for none
-	Handshake        time.Duration // until connection.open must be here, and for the answer to a close
-	BodyStallTimeout time.Duration // a body may stand still so long
-	AbuseBurst       float64       // frames that do no work at once, beside two for each channel ...
-	AbuseRate        float64       // ... and a second
-}
-
-// EventKind tells what an Event is.
+	// Product and Version name the server to clients in connection.start.
+	Product, Version string
+	// ChannelMax is the highest channel number, and so the number of channels on the connection.
+	ChannelMax uint16
+	// FrameMax is the largest frame in bytes, including frameOverhead.
+	FrameMax int
+	// Heartbeat is the interval proposed to the client, in whole seconds, 0 for none. The interval in the client's
+	// tune-ok applies.
+	Heartbeat time.Duration
+	// Handshake is the time within which a new connection must reach connection.open. It also bounds the wait for the
+	// answer to our close, which is at most two seconds.
+	Handshake time.Duration
+	// BodyStallTimeout is how long an incomplete message may receive no further frame.
+	BodyStallTimeout time.Duration
+	// AbuseBurst is the number of frames without work for a message that the client may send at once. Two frames for
+	// each channel of ChannelMax are added to it, so that a client can open all its channels.
+	AbuseBurst float64
+	// AbuseRate is the number of such frames that the client may send per second.
+	AbuseRate float64
+}
+
+// EventKind says what an Event reports.
 type EventKind uint8
 
-// Kinds of event; the fields each one uses are in brackets.
+// Kinds of event. The brackets list the fields of Event that a kind uses.
 const (
-	Login         EventKind = iota + 1 // answer with Accept or Refuse [User Secret]
-	ChannelOpened                      // answer with AcceptChannel or Fail [Channel]
-	ChannelClosed                      // closed by either side, or with the connection [Channel]
-	ChannelMethod                      // any other method on an open channel [Channel Method]
-	ContentHeader                      // a publish with its properties; its body follows [Channel Publish Properties Size End]
-	ContentBody                        // a part of it; Data holds until the handler returns [Channel Data End]
+	// Login reports the client's credentials. Answer it with AcceptLogin or RefuseLogin. [User Password]
+	Login EventKind = iota + 1
+	// ChannelOpened reports channel.open. Answer it with AcceptChannel or CloseWithError. [Channel]
+	ChannelOpened
+	// ChannelClosed reports that either side has closed the channel, or that the connection has ended. [Channel]
+	ChannelClosed
+	// ChannelMethod reports any other method on an open channel. [Channel Method]
+	ChannelMethod
+	// ContentHeader reports a publish with its properties. Its body follows. [Channel Publish Properties Size Complete]
+	ContentHeader
+	// ContentBody reports a part of the body. Data is valid until the handler returns. [Channel Data Complete]
+	ContentBody
 )
 
-// Event is something the client did.
+// Event is something that the client did.
 type Event struct {
 	Kind           EventKind
 	Channel        uint16
@@ -43,12 +60,14 @@
 	Method         Method
 	Publish        *BasicPublish
 	Properties     *Properties
-	Size           uint64
-	Data           []byte
-	Complete       bool // the message is whole
+	// Size is the length of the whole body in bytes.
+	Size uint64
+	Data []byte
+	// Complete is set when no more of the body follows.
+	Complete bool
 }
 
-// phase of a connection.
+// phase is the state of a connection. The order matters: phases are compared with < and >=.
 type phase uint8
 
 const (
@@ -58,55 +77,71 @@
 	awaitTuneOK
 	awaitOpen
 	running
-	awaitCloseOK // we sent connection.close
+	// awaitCloseOK follows our connection.close.
+	awaitCloseOK
 	closed
 )
 
-// channel is what the protocol knows of one.
+// channel is the protocol state of one channel.
 type channel struct {
-	closing bool // we sent channel.close: all but its answer is discarded
-	opening bool // not answered yet
-
-	publish        *BasicPublish // a publish whose content is not whole
-	headerReceived bool          // its content header is here
-	bodyRemaining  uint64        // bytes of its body to come
-	lastProgress   time.Duration // when it last got longer
-	discardBody    bool          // discard the rest of it
-}
-
-// Conn is the server's side of one connection.
+	// closing is set when we have sent channel.close. All but the answer to it is discarded then.
+	closing bool
+	// opening is set until channel.open is answered.
+	opening bool
+
+	// publish is a basic.publish whose content is incomplete, or nil.
+	publish *BasicPublish
+	// headerReceived is set once the content header of publish has come.
+	headerReceived bool
+	// bodyRemaining is the number of body bytes still to come.
+	bodyRemaining uint64
+	// lastProgress is when the last frame of the publish came.
+	lastProgress time.Duration
+	// discardBody suppresses the ContentBody events of the publish.
+	discardBody bool
+}
+
+// Conn is the server side of one connection. It is not safe for concurrent use. All times passed to it are readings of
+// one monotonic clock.
 type Conn struct {
-	cfg        Config
-	now        time.Duration
-	start      time.Duration
-	phase      phase
-	in         []byte
-	out        []byte
-	handle     func(*Event)
-	channels   map[uint16]*channel
-	incomplete int // channels with a publish that is not whole
-
-	frameMax      int
-	channelMax    int
-	heartbeat     time.Duration
-	lastReceived  time.Duration
-	lastSent      time.Duration
-	closeDeadline time.Duration // the answer to our close is due then
-
+	cfg      Config
+	now      time.Duration
+	start    time.Duration
+	phase    phase
+	in       []byte
+	out      []byte
+	handle   func(*Event)
+	channels map[uint16]*channel
+	// incomplete is the number of channels whose publish is set.
+	incomplete int
+
+	frameMax     int
+	channelMax   int
+	heartbeat    time.Duration
+	lastReceived time.Duration
+	lastSent     time.Duration
+	// closeDeadline is when the connection ends without an answer to our close.
+	closeDeadline time.Duration
+
+	// These are the capabilities that the client declared in start-ok.
 	supportsBlocked, supportsCancelNotify, supportsAuthClose bool
-	blocked                                                  bool
-	ignoreInput                                              bool
-	abuseLimiter                                             *rate.Limiter
+	// blocked is set while a connection.blocked that we sent is in force.
+	blocked bool
+	// ignoreInput is set after a framing error. No frame can be recognised after it.
+	ignoreInput bool
+	// abuseLimiter is the budget for frames that do no work for a message.
+	abuseLimiter *rate.Limiter
 }
 
-// NewConn starts a connection. handle is called from Receive, for one event at a time; it may call any method but
-// Receive and Check.
+// NewConn returns a connection that waits for the protocol header. The connection calls handle for one event at a time.
+// handle may call any method of the Conn except Receive and Check.
 func NewConn(cfg Config, now time.Duration, handle func(*Event)) *Conn {
 	return &Conn{cfg: cfg, now: now, start: now, lastReceived: now, lastSent: now, handle: handle, channels: map[uint16]*channel{}, frameMax: minFrameMax,
 		abuseLimiter: rate.NewLimiter(rate.Limit(cfg.AbuseRate), int(cfg.AbuseBurst)+2*int(cfg.ChannelMax))}
 }
 
-// Receive takes bytes of the client. An error ends the connection at once; errors that the client is told of don't.
+// Receive processes bytes from the client. It returns an error only if the connection has ended at once. Errors that
+// the client is told of with a close are not returned.
 func (c *Conn) Receive(now time.Duration, b []byte) error {
 	c.now, c.lastReceived = now, now
 	if c.ignoreInput {
@@ -135,7 +170,8 @@
 	return err
 }
 
-// header takes the protocol header (section 4.2.2). Another one is answered with ours.
+// receiveProtocolHeader processes the protocol header (section 4.2.2) and returns the number of bytes used. A header of
+// another version is answered with ProtocolHeader, and the connection ends.
 func (c *Conn) receiveProtocolHeader(b []byte) (int, error) {
 	n := min(len(b), len(ProtocolHeader))
 	if !bytes.Equal(b[:n], []byte(ProtocolHeader)[:n]) {
@@ -154,9 +190,11 @@
 	return n, nil
 }
 
+// receiveFrame processes the first frame of b and returns its size, or 0 if the frame is incomplete.
 func (c *Conn) receiveFrame(b []byte) (int, error) {
 	f, n, e := nextFrame(b, c.frameMax)
-	if e != nil { // frames can't be told apart any more: the close is sent, what still comes is not looked at
+	if e != nil {
+		// The start of the next frame is unknown. A close is sent and all further input is ignored.
 		if err := c.reportError(e); err != nil {
 			return 0, err
 		}
@@ -169,6 +207,7 @@
 	return n, c.handleFrame(f)
 }
 
+// handleFrame processes one frame by its type. An error ends the connection.
 func (c *Conn) handleFrame(f frame) error {
 	switch f.kind {
 	case frameMethod:
@@ -179,7 +218,8 @@
 		}
 		if e != nil {
 			if ch := c.channels[f.channel]; ch != nil && ch.closing {
-				return nil // what an unknown method was about is gone
+				// The channel is closed by us, so a malformed or unknown method on it needs no answer.
+				return nil
 			}
 			return c.reportError(e)
 		}
@@ -204,7 +244,8 @@
 	return c.reportError(newError(FrameError, f.channel, "frame of unknown type %d", f.kind))
 }
 
-// reportError tells the client of an error. Before the handshake is over there is nothing to keep: the connection ends.
+// reportError tells the client of an error with a close. Before the login is accepted it returns the error instead,
+// which ends the connection at once.
 func (c *Conn) reportError(e *Error) error {
 	if e == nil {
 		return nil
@@ -217,7 +258,7 @@
 	return nil
 }
 
-// chargeFrame counts a frame that does no work for a message against the budget.
+// chargeFrame takes a frame that does no work for a message from the budget. It returns an error if none is left.
 func (c *Conn) chargeFrame(channel uint16, m Method) *Error {
 	if c.abuseLimiter.AllowN(time.Unix(0, int64(c.now)), 1) {
 		return nil
@@ -225,7 +266,7 @@
 	return newError(ResourceError, channel, "too many frames that carry no message").forMethod(m)
 }
 
-// handleConnectionMethod takes a method on channel 0.
+// handleConnectionMethod processes a method on channel 0.
 func (c *Conn) handleConnectionMethod(m Method) error {
 	if e := c.chargeFrame(0, m); e != nil {
 		return c.reportError(e)
@@ -253,6 +294,7 @@
 	return c.reportError(newError(CommandInvalid, 0, "method is not to be sent now, or not on channel 0").forMethod(m))
 }
 
+// handleStartOK checks the SASL mechanism and reports the credentials as a Login event.
 func (c *Conn) handleStartOK(m *ConnectionStartOK) error {
 	if m.Mechanism != "PLAIN" {
 		c.phase = closed
@@ -262,7 +304,8 @@
 	c.supportsBlocked, _ = capabilities.Get("connection.blocked").(bool)
 	c.supportsCancelNotify, _ = capabilities.Get("consumer_cancel_notify").(bool)
 	c.supportsAuthClose, _ = capabilities.Get("authentication_failure_close").(bool)
-	parts := strings.Split(m.Response, "\x00") // RFC 4616: authorization identity, authentication identity, password
+	// RFC 4616 defines the parts: authorization identity, authentication identity, password.
+	parts := strings.Split(m.Response, "\x00")
 	if len(parts) != 3 || parts[1] == "" || parts[0] != "" && parts[0] != parts[1] {
 		c.phase = awaitLogin
 		return c.RefuseLogin("the PLAIN response is not an identity and a password (RFC 4616)")
@@ -272,13 +315,14 @@
 	return nil
 }
 
-// AcceptLogin lets a client in after Login.
+// AcceptLogin accepts the credentials of a Login event and continues the handshake.
 func (c *Conn) AcceptLogin() {
 	c.phase = awaitTuneOK
 	c.Send(0, &ConnectionTune{c.cfg.ChannelMax, uint32(c.cfg.FrameMax), uint16(c.cfg.Heartbeat / time.Second)})
 }
 
-// RefuseLogin turns a client away after Login; clients that can be told are told.
+// RefuseLogin refuses the credentials of a Login event. A client with the authentication_failure_close capability gets a
+// connection.close with the text. For others the connection ends, and the returned error says why.
 func (c *Conn) RefuseLogin(text string) error {
 	if !c.supportsAuthClose {
 		c.phase = closed
@@ -288,11 +332,12 @@
 	return nil
 }
 
-// handleTuneOK settles the limits (section 1.4.2.6): a client may lower them.
+// handleTuneOK applies the client's limits (section 1.4.2.6). A client may lower ours but not raise them.
 func (c *Conn) handleTuneOK(m *ConnectionTuneOK) *Error {
 	frameMax, channelMax := int64(m.FrameMax), int64(m.ChannelMax)
 	if channelMax == 0 {
-		channelMax = int64(c.cfg.ChannelMax) // "no limit" of the client's own: ours holds
+		// 0 means that the client sets no limit, so ours applies.
+		channelMax = int64(c.cfg.ChannelMax)
 	}
 	if frameMax == 0 {
 		frameMax = int64(c.cfg.FrameMax)
@@ -309,6 +354,7 @@
 	return nil
 }
 
+// handleOpen processes connection.open. There is one virtual host, /, and an empty name stands for it.
 func (c *Conn) handleOpen(m *ConnectionOpen) *Error {
 	if m.VHost != "/" && m.VHost != "" {
 		return newError(NotAllowed, 0, "there is no virtual host %.60q, only /", m.VHost).forMethod(m)
@@ -318,7 +364,7 @@
 	return nil
 }
 
-// handleMethod takes a method on a channel.
+// handleMethod processes a method on a channel other than 0.
 func (c *Conn) handleMethod(id uint16, m Method) *Error {
 	if c.phase != running {
 		return newError(CommandInvalid, id, "method on a channel before the connection is open").forMethod(m)
@@ -337,7 +383,8 @@
 		return nil
 	}
 	switch m.(type) {
-	case *BasicAck, *BasicNack, *BasicReject: // they are about messages
+	case *BasicAck, *BasicNack, *BasicReject:
+		// These settle messages, so they are not charged.
 	default:
 		if e := c.chargeFrame(id, m); e != nil {
 			return e
@@ -364,6 +411,7 @@
 	return nil
 }
 
+// openChannel processes channel.open. ch is the channel that is open under this number, or nil.
 func (c *Conn) openChannel(id uint16, ch *channel, m *ChannelOpen) *Error {
 	switch {
 	case ch != nil:
@@ -376,7 +424,7 @@
 	return nil
 }
 
-// AcceptChannel lets a channel be, after ChannelOpened.
+// AcceptChannel answers a ChannelOpened event with channel.open-ok.
 func (c *Conn) AcceptChannel(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.opening {
 		ch.opening = false
@@ -384,7 +432,8 @@
 	}
 }
 
-// handleClosingChannel takes what comes on a channel that we have closed (section 1.5.2.5): closes may cross.
+// handleClosingChannel processes a method on a channel for which we have sent channel.close (section 1.5.2.5). The
+// client may have sent its own channel.close meanwhile, which is answered. Our close stays open until its close-ok.
 func (c *Conn) handleClosingChannel(id uint16, m Method) {
 	switch m.(type) {
 	case *ChannelCloseOK:
@@ -394,7 +443,7 @@
 	}
 }
 
-// removeChannel forgets a channel that is open no more.
+// removeChannel removes a channel that the client has closed, and reports it.
 func (c *Conn) removeChannel(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
 		c.incomplete--
@@ -403,7 +452,7 @@
 	c.handle(&Event{Kind: ChannelClosed, Channel: id})
 }
 
-// handleContentFrame takes a content header or a part of a body (section 4.2.6).
+// handleContentFrame processes a content header frame or body frame (section 4.2.6).
 func (c *Conn) handleContentFrame(f frame) *Error {
 	ch := c.channels[f.channel]
 	if ch != nil && ch.closing {
@@ -423,7 +472,8 @@
 	if size > ch.bodyRemaining {
 		return newError(FrameError, f.channel, "body longer than its header says")
 	}
-	if size < 64 && size < ch.bodyRemaining { // bodies cut into shreds
+	if size < 64 && size < ch.bodyRemaining {
+		// A body in very small frames costs more than its bytes. Each such frame but the last is charged.
 		if e := c.chargeFrame(f.channel, ch.publish); e != nil {
 			return e
 		}
@@ -440,6 +490,7 @@
 	return nil
 }
 
+// handleContentHeader processes a content header frame of ch.
 func (c *Conn) handleContentHeader(f frame, ch *channel) *Error {
 	class, size, properties, e := parseContentHeader(f)
 	if e != nil {
@@ -457,19 +508,21 @@
 	return nil
 }
 
+// finishContent marks the message of ch as complete.
 func (c *Conn) finishContent(ch *channel) {
 	ch.publish, ch.headerReceived = nil, false
 	c.incomplete--
 }
 
-// DiscardBody discards the rest of a message whose Content has just come: no Body events follow for it.
+// DiscardBody suppresses the remaining ContentBody events of the incomplete message on a channel.
 func (c *Conn) DiscardBody(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
 		ch.discardBody = true
 	}
 }
 
-// Send sends a method, in the state it is valid in: on channels that are open, or on the connection.
+// Send queues a method for output. On a channel that is not open it sends nothing, except for channel.close-ok. Channel
+// 0 is the connection.
 func (c *Conn) Send(id uint16, m Method) {
 	if id != 0 {
 		if _, ok := m.(*ChannelCloseOK); !ok && !c.IsChannelOpen(id) {
@@ -480,7 +533,7 @@
 	c.lastSent = c.now
 }
 
-// SendContent sends a method with a message.
+// SendContent queues a method with a message for output. On a channel that is not open it sends nothing.
 func (c *Conn) SendContent(id uint16, m Method, p *Properties, body []byte) {
 	if !c.IsChannelOpen(id) {
 		return
@@ -490,16 +543,17 @@
 	c.lastSent = c.now
 }
 
-// IsChannelOpen tells whether a channel is open.
+// IsChannelOpen reports whether methods can be sent on a channel: neither it nor the connection is being closed.
 func (c *Conn) IsChannelOpen(id uint16) bool {
 	ch := c.channels[id]
 	return ch != nil && !ch.closing && c.phase == running
 }
 
-// Running tells whether the handshake is over and no close has been sent or taken.
+// Running reports whether the handshake is complete and no connection.close has been sent or received.
 func (c *Conn) Running() bool { return c.phase == running }
 
-// CloseWithError closes a channel or the connection with an error.
+// CloseWithError closes a channel or the connection with an error. The reply code says which of the two; an error
+// without a channel closes the connection.
 func (c *Conn) CloseWithError(e *Error) {
 	if c.phase >= awaitCloseOK {
 		return
@@ -524,7 +578,8 @@
 	c.closeDeadline = c.now + min(c.cfg.Handshake, 2*time.Second)
 }
 
-// Close ends the connection in order.
+// Close closes a running connection with reply code 320 and the text, and waits for close-ok until closeDeadline. Before
+// connection.open it ends the connection at once.
 func (c *Conn) Close(now time.Duration, text string) {
 	c.now = now
 	switch {
@@ -535,7 +590,7 @@
 	}
 }
 
-// terminate drops all channels.
+// terminate enters a phase in which no channel is open, and reports each open channel as closed.
 func (c *Conn) terminate(next phase) {
 	c.phase = next
 	ids := make([]uint16, 0, len(c.channels))
@@ -552,9 +607,10 @@
 	c.incomplete = 0
 }
 
+// terminateNow ends the connection without waiting for an answer.
 func (c *Conn) terminateNow() { c.terminate(closed) }
 
-// ending takes what comes after our connection.close.
+// handleAfterClose processes a method that comes after our connection.close. All but close and close-ok are ignored.
 func (c *Conn) handleAfterClose(m Method) {
 	switch m.(type) {
 	case *ConnectionCloseOK:
@@ -565,8 +621,8 @@
 	}
 }
 
-// SetBlocked asks the client to publish nothing, or lets it again; clients without that capability are not asked. It tells
-// whether the client can be asked.
+// SetBlocked sends connection.blocked with the reason, or connection.unblocked, if the state changes. It returns false
+// for a client without the connection.blocked capability, and sends nothing then.
 func (c *Conn) SetBlocked(now time.Duration, blocked bool, reason string) bool {
 	c.now = now
 	if !c.supportsBlocked || c.phase != running {
@@ -581,10 +637,11 @@
 	return true
 }
 
-// SupportsCancelNotify tells whether the client can be told that a consumer is cancelled.
+// SupportsCancelNotify reports whether the client accepts a basic.cancel from the server.
 func (c *Conn) SupportsCancelNotify() bool { return c.supportsCancelNotify }
 
-// Check holds the time limits: handshake, heartbeats, bodies that stand still, answers to our close.
+// Check enforces the time limits: for the handshake, heartbeats, incomplete messages and the answer to our close. It
+// also sends heartbeats. An error says why it has ended the connection.
 func (c *Conn) Check(now time.Duration) error {
 	c.now = now
 	switch {
@@ -600,7 +657,8 @@
 		return fmt.Errorf("no connection.open within %v", c.cfg.Handshake)
 	}
 	if c.heartbeat > 0 && c.phase == running {
-		if now-c.lastReceived > 2*c.heartbeat { // section 4.2.7
+		// Two missed heartbeats end the connection (section 4.2.7).
+		if now-c.lastReceived > 2*c.heartbeat {
 			c.terminate(closed)
 			return fmt.Errorf("nothing heard for %v: two heartbeats missed", now-c.lastReceived)
 		}
@@ -620,7 +678,7 @@
 	return nil
 }
 
-// Due is when Check has something to look at.
+// Due returns when Check is to be called next.
 func (c *Conn) Due(now time.Duration) time.Duration {
 	switch {
 	case c.phase == closed:
@@ -640,15 +698,15 @@
 	return due
 }
 
-// Output returns what is to be written and forgets it.
+// Output returns the bytes to be written to the client and clears them.
 func (c *Conn) Output() []byte {
 	out := c.out
 	c.out = nil
 	return out
 }
 
-// Done tells that the connection has ended.
+// Done reports whether the connection has ended.
 func (c *Conn) Done() bool { return c.phase == closed }
 
-// Closing tells that a close is under way.
+// Closing reports whether we have sent connection.close or the connection has ended.
 func (c *Conn) Closing() bool { return c.phase >= awaitCloseOK }
--- a/internal/amqp/frame.go
+++ b/internal/amqp/frame.go
@@ -5,22 +5,27 @@
 	"fmt"
 )
 
-// Frame types (section 4.2.3).
+// Frame types and the layout of frames (section 4.2.3).
 const (
 	frameMethod    = 1
 	frameHeader    = 2
 	frameBody      = 3
 	frameHeartbeat = 8
-	frameEnd       = 0xCE
+	// frameEnd is the last octet of each frame.
+	frameEnd = 0xCE
 
-	frameOverhead = 8 // type, channel, size, end
-	minFrameMax   = 4096
+	// frameOverhead is the number of bytes of type, channel, size and end octet.
+	frameOverhead = 8
+	// minFrameMax is the smallest frame-max that the specification allows, in bytes. It applies until tune-ok.
+	minFrameMax = 4096
 )
 
-// ProtocolHeader opens a connection (section 4.2.2), and answers one that asks for another version.
+// ProtocolHeader is the first thing that a client sends (section 4.2.2). The server answers a header of another version
+// with it.
 const ProtocolHeader = "AMQP\x00\x00\x09\x01"
 
-// Error is what ends a channel or a connection, as the peer is told.
+// Error is a protocol error that closes a channel or the connection. The peer gets the code and the text. Class and
+// Method name the method that caused it, and are 0 if there is none.
 type Error struct {
 	Code          Code
 	Channel       uint16
@@ -28,6 +33,7 @@
 	Class, Method uint16
 }
 
+// Error returns the code, the text and the channel, for logs.
 func (e *Error) Error() string {
 	if e.Code.ClosesConnection() {
 		return fmt.Sprintf("%d %s - %s (channel %d)", e.Code, codeNames[e.Code], e.Text, e.Channel)
@@ -35,14 +41,15 @@
 	return fmt.Sprintf("channel %d: %d %s - %s", e.Channel, e.Code, codeNames[e.Code], e.Text)
 }
 
-// replyText is the text that goes with the code.
+// replyText returns the reply text of the close.
 func (e *Error) replyText() string { return codeNames[e.Code] + " - " + e.Text }
 
+// newError returns an Error with a formatted text.
 func newError(code Code, channel uint16, format string, a ...any) *Error {
 	return &Error{Code: code, Channel: channel, Text: fmt.Sprintf(format, a...)}
 }
 
-// forMethod names the method that an error is about.
+// forMethod sets the method that caused the error, and returns the error.
 func (e *Error) forMethod(m Method) *Error {
 	if m != nil {
 		e.Class, e.Method = m.id()
@@ -50,14 +57,14 @@
 	return e
 }
 
-// frame is one frame as it came.
+// frame is one received frame. Its payload is part of the input buffer.
 type frame struct {
 	kind    byte
 	channel uint16
 	payload []byte
 }
 
-// nextFrame takes one whole frame off b. size 0: not all of it is here yet.
+// nextFrame decodes the first frame of b and returns its size in bytes. The size is 0 if the frame is incomplete.
 func nextFrame(b []byte, frameMax int) (f frame, size int, err *Error) {
 	if len(b) < 7 {
 		return f, 0, nil
@@ -78,13 +85,14 @@
 	return f, size, nil
 }
 
+// appendFrameHeader appends the type, channel and payload size of a frame.
 func appendFrameHeader(out []byte, kind byte, channel uint16, n int) []byte {
 	out = append(out, kind)
 	out = binary.BigEndian.AppendUint16(out, channel)
 	return binary.BigEndian.AppendUint32(out, uint32(n))
 }
 
-// AppendMethod appends a method as a frame (section 2.3.5.1).
+// AppendMethod appends a method frame to out (section 2.3.5.1) and returns out.
 func AppendMethod(out []byte, channel uint16, m Method) []byte {
 	at := len(out)
 	out = appendFrameHeader(out, frameMethod, channel, 0)
@@ -97,7 +105,7 @@
 	return append(w.buf, frameEnd)
 }
 
-// parseMethod reads a method frame's payload.
+// parseMethod decodes the payload of a method frame.
 func parseMethod(f frame) (Method, *Error) {
 	if len(f.payload) < 4 {
 		return nil, newError(SyntaxError, f.channel, "method frame of %d bytes", len(f.payload))
@@ -118,19 +126,21 @@
 	return m, nil
 }
 
-// Properties of a message (section 1.8). Empty values are left out, but for what has its own flag here.
+// Properties are the properties of a message (section 1.8). Properties with empty or zero values are not sent, except
+// that HasPriority says whether Priority is sent.
 type Properties struct {
-	ContentType, ContentEncoding   string
-	Headers                        Table
-	DeliveryMode, Priority         uint8
-	HasPriority                    bool
-	CorrelationID, ReplyTo         string
-	Expiration, MessageID          string
+	ContentType, ContentEncoding string
+	Headers                      Table
+	DeliveryMode, Priority       uint8
+	HasPriority                  bool
+	CorrelationID, ReplyTo       string
+	Expiration, MessageID        string
+	// Timestamp is in seconds since the Unix epoch.
 	Timestamp                      uint64
 	Type, UserID, AppID, ClusterID string
 }
 
-// Flags of the properties, from the first bit.
+// Property flags, from the highest bit.
 const (
 	flagContentType = 1 << (15 - iota)
 	flagContentEncoding
@@ -146,10 +156,13 @@
 	flagUserID
 	flagAppID
 	flagCluster
+	// flagUnused is a bit that the basic class does not use.
 	flagUnused
+	// flagContinuation says that another word of flags follows. The basic class needs none.
 	flagContinuation
 )
 
+// flags returns the flags of the properties that are set.
 func (p *Properties) flags() (f uint16) {
 	set := func(flag uint16, on bool) {
 		if on {
@@ -173,7 +186,7 @@
 	return f
 }
 
-// fields goes over the properties that flags name.
+// fields reads or writes the properties that flags names.
 func (p *Properties) fields(c fieldCoder, flags uint16) {
 	text := func(flag uint16, s *string) {
 		if flags&flag != 0 {
@@ -205,7 +218,7 @@
 	text(flagCluster, &p.ClusterID)
 }
 
-// parseContentHeader reads a content header frame's payload (section 4.2.6.1).
+// parseContentHeader decodes the payload of a content header frame (section 4.2.6.1). size is that of the body in bytes.
 func parseContentHeader(f frame) (class uint16, size uint64, p Properties, e *Error) {
 	r := reader{buf: f.payload}
 	var weight, flags uint16
@@ -223,7 +236,7 @@
 	return class, size, p, nil
 }
 
-// appendContent appends a content header and its body in frames of at most frameMax bytes.
+// appendContent appends a content header frame and the body in frames of at most frameMax bytes.
 func appendContent(out []byte, channel uint16, p *Properties, body []byte, frameMax int) []byte {
 	at := len(out)
 	out = appendFrameHeader(out, frameHeader, channel, 0)
--- a/internal/amqp/methods.go
+++ b/internal/amqp/methods.go
@@ -3,7 +3,7 @@
 // Code is a reply code (section 1.2).
 type Code uint16
 
-// Reply codes. Those below 500 close a channel, the others and 320, 402 the connection.
+// Reply codes. Codes below 500 close a channel, except for 320 and 402. These two and the others close the connection.
 const (
 	ReplySuccess       Code = 200
 	ContentTooLarge    Code = 311
@@ -26,6 +26,7 @@
 	InternalError      Code = 541
 )
 
+// codeNames holds the names that begin the reply texts.
 var codeNames = map[Code]string{ContentTooLarge: "CONTENT_TOO_LARGE", NoRoute: "NO_ROUTE", NoConsumers: "NO_CONSUMERS",
 	ConnectionForced: "CONNECTION_FORCED", InvalidPath: "INVALID_PATH", AccessRefused: "ACCESS_REFUSED", NotFound: "NOT_FOUND",
 	ResourceLocked: "RESOURCE_LOCKED", PreconditionFailed: "PRECONDITION_FAILED", FrameError: "FRAME_ERROR",
@@ -33,16 +34,18 @@
 	UnexpectedFrame: "UNEXPECTED_FRAME", ResourceError: "RESOURCE_ERROR", NotAllowed: "NOT_ALLOWED",
 	NotImplemented: "NOT_IMPLEMENTED", InternalError: "INTERNAL_ERROR"}
 
-// ClosesConnection tells whether an error ends the connection and not just a channel.
+// ClosesConnection reports whether an error with this code closes the connection and not only a channel.
 func (c Code) ClosesConnection() bool { return c >= 500 || c == ConnectionForced || c == InvalidPath }
 
-// Method is one of the protocol's methods, with its arguments.
+// Method is a method of the protocol with its arguments.
 type Method interface {
+	// id returns the class and method numbers.
 	id() (class, method uint16)
+	// fields reads or writes the arguments in wire order.
 	fields(fieldCoder)
 }
 
-// ID names a method by its class and number.
+// ID returns the class and method numbers of m.
 func ID(m Method) (class, method uint16) { return m.id() }
 
 // Class numbers (section 1.4).
@@ -57,46 +60,59 @@
 	classTx         = 90
 )
 
-// noArguments is a method without arguments.
+// noArguments is embedded in methods without arguments.
 type noArguments struct{}
 
 func (noArguments) fields(fieldCoder) {}
 
 // Methods of the connection class (section 1.4.1).
 type (
+	// ConnectionStart begins the handshake and names the SASL mechanisms.
 	ConnectionStart struct {
 		Major, Minor        uint8
 		Properties          Table
 		Mechanisms, Locales string
 	}
+	// ConnectionStartOK selects a SASL mechanism and carries its response.
 	ConnectionStartOK struct {
 		Properties                  Table
 		Mechanism, Response, Locale string
 	}
+	// ConnectionTune proposes limits. Heartbeat is in seconds.
 	ConnectionTune struct {
 		ChannelMax uint16
 		FrameMax   uint32
 		Heartbeat  uint16
 	}
+	// ConnectionTuneOK carries the limits that the client selects.
 	ConnectionTuneOK ConnectionTune
-	ConnectionOpen   struct {
+	// ConnectionOpen opens a virtual host and ends the handshake.
+	ConnectionOpen struct {
 		VHost, Reserved string
 		Insist          bool
 	}
-	ConnectionOpenOK         struct{ Reserved string }
-	ConnectionClose          closeArguments
-	ConnectionCloseOK        struct{ noArguments }
-	ConnectionBlocked        struct{ Reason string }
-	ConnectionUnblocked      struct{ noArguments }
-	ConnectionUpdateSecret   struct{ Secret, Reason string }
+	// ConnectionOpenOK answers ConnectionOpen.
+	ConnectionOpenOK struct{ Reserved string }
+	// ConnectionClose closes the connection with a reply code.
+	ConnectionClose closeArguments
+	// ConnectionCloseOK answers ConnectionClose.
+	ConnectionCloseOK struct{ noArguments }
+	// ConnectionBlocked asks the client to publish nothing for now.
+	ConnectionBlocked struct{ Reason string }
+	// ConnectionUnblocked ends ConnectionBlocked.
+	ConnectionUnblocked struct{ noArguments }
+	// ConnectionUpdateSecret replaces the credentials of an open connection.
+	ConnectionUpdateSecret struct{ Secret, Reason string }
+	// ConnectionUpdateSecretOK answers ConnectionUpdateSecret.
 	ConnectionUpdateSecretOK struct{ noArguments }
 )
 
-// closeArguments is what both kinds of close say.
+// closeArguments are the arguments of ConnectionClose and ChannelClose.
 type closeArguments struct {
-	Code          Code
-	Text          string
-	Class, Method uint16 // that the close is about, 0 for none
+	Code Code
+	Text string
+	// Class and Method name the method that caused the close, 0 for none.
+	Class, Method uint16
 }
 
 func (m *closeArguments) fields(c fieldCoder) {
@@ -153,11 +169,17 @@
 
 // Methods of the channel class (section 1.5).
 type (
-	ChannelOpen    struct{ Reserved string }
-	ChannelOpenOK  struct{ Reserved string }
-	ChannelFlow    struct{ Active bool }
-	ChannelFlowOK  struct{ Active bool }
-	ChannelClose   closeArguments
+	// ChannelOpen opens a channel.
+	ChannelOpen struct{ Reserved string }
+	// ChannelOpenOK answers ChannelOpen.
+	ChannelOpenOK struct{ Reserved string }
+	// ChannelFlow pauses or resumes the content that the peer sends on the channel.
+	ChannelFlow struct{ Active bool }
+	// ChannelFlowOK answers ChannelFlow.
+	ChannelFlowOK struct{ Active bool }
+	// ChannelClose closes a channel with a reply code.
+	ChannelClose closeArguments
+	// ChannelCloseOK answers ChannelClose.
 	ChannelCloseOK struct{ noArguments }
 )
 
@@ -176,14 +198,17 @@
 
 // Methods of the exchange class (section 1.6).
 type (
+	// ExchangeDeclare declares an exchange, or checks for one if Passive.
 	ExchangeDeclare struct {
 		Ticket                                         uint16
 		Exchange, Type                                 string
 		Passive, Durable, AutoDelete, Internal, NoWait bool
 		Arguments                                      Table
 	}
+	// ExchangeDeclareOK answers ExchangeDeclare.
 	ExchangeDeclareOK struct{ noArguments }
-	ExchangeDelete    struct {
+	// ExchangeDelete deletes an exchange.
+	ExchangeDelete struct {
 		Ticket           uint16
 		Exchange         string
 		IfUnused, NoWait bool
@@ -209,40 +234,50 @@
 
 // Methods of the queue class (section 1.7).
 type (
+	// QueueDeclare declares a queue, or checks for one if Passive.
 	QueueDeclare struct {
 		Ticket                                          uint16
 		Queue                                           string
 		Passive, Durable, Exclusive, AutoDelete, NoWait bool
 		Arguments                                       Table
 	}
+	// QueueDeclareOK answers QueueDeclare with the name of the queue and its counts.
 	QueueDeclareOK struct {
 		Queue               string
 		Messages, Consumers uint32
 	}
+	// QueueBind binds a queue to an exchange.
 	QueueBind struct {
 		Ticket               uint16
 		Queue, Exchange, Key string
 		NoWait               bool
 		Arguments            Table
 	}
+	// QueueBindOK answers QueueBind.
 	QueueBindOK struct{ noArguments }
-	QueuePurge  struct {
+	// QueuePurge drops the messages that are ready in a queue.
+	QueuePurge struct {
 		Ticket uint16
 		Queue  string
 		NoWait bool
 	}
+	// QueuePurgeOK answers QueuePurge with the number of dropped messages.
 	QueuePurgeOK struct{ Messages uint32 }
-	QueueDelete  struct {
+	// QueueDelete deletes a queue.
+	QueueDelete struct {
 		Ticket                    uint16
 		Queue                     string
 		IfUnused, IfEmpty, NoWait bool
 	}
+	// QueueDeleteOK answers QueueDelete with the number of dropped messages.
 	QueueDeleteOK struct{ Messages uint32 }
-	QueueUnbind   struct {
+	// QueueUnbind removes the binding of a queue to an exchange.
+	QueueUnbind struct {
 		Ticket               uint16
 		Queue, Exchange, Key string
 		Arguments            Table
 	}
+	// QueueUnbindOK answers QueueUnbind.
 	QueueUnbindOK struct{ noArguments }
 )
 
@@ -296,65 +331,83 @@
 	c.table(&m.Arguments)
 }
 
-// Methods of the basic class (section 1.8), with the nack of the confirms extension.
+// Methods of the basic class (section 1.8), and basic.nack of the confirm extension.
 type (
+	// BasicQos sets the prefetch limits. PrefetchSize is in bytes, PrefetchCount in messages, 0 is no limit.
 	BasicQos struct {
 		PrefetchSize  uint32
 		PrefetchCount uint16
 		Global        bool
 	}
-	BasicQosOK   struct{ noArguments }
+	// BasicQosOK answers BasicQos.
+	BasicQosOK struct{ noArguments }
+	// BasicConsume starts a consumer.
 	BasicConsume struct {
 		Ticket                            uint16
 		Queue, ConsumerTag                string
 		NoLocal, NoAck, Exclusive, NoWait bool
 		Arguments                         Table
 	}
+	// BasicConsumeOK answers BasicConsume with the consumer tag.
 	BasicConsumeOK struct{ ConsumerTag string }
-	BasicCancel    struct {
+	// BasicCancel ends a consumer. The server sends it when the queue is gone.
+	BasicCancel struct {
 		ConsumerTag string
 		NoWait      bool
 	}
+	// BasicCancelOK answers BasicCancel.
 	BasicCancelOK struct{ ConsumerTag string }
-	BasicPublish  struct {
+	// BasicPublish publishes the message whose content follows.
+	BasicPublish struct {
 		Ticket               uint16
 		Exchange, Key        string
 		Mandatory, Immediate bool
 	}
+	// BasicReturn returns a message that was not accepted. Its content follows.
 	BasicReturn struct {
 		Code                Code
 		Text, Exchange, Key string
 	}
+	// BasicDeliver delivers a message to a consumer. Its content follows.
 	BasicDeliver struct {
 		ConsumerTag   string
 		DeliveryTag   uint64
 		Redelivered   bool
 		Exchange, Key string
 	}
+	// BasicGet fetches one message.
 	BasicGet struct {
 		Ticket uint16
 		Queue  string
 		NoAck  bool
 	}
+	// BasicGetOK answers BasicGet with a message. Messages is the number left in the queue.
 	BasicGetOK struct {
 		DeliveryTag   uint64
 		Redelivered   bool
 		Exchange, Key string
 		Messages      uint32
 	}
+	// BasicGetEmpty answers BasicGet when no message is ready.
 	BasicGetEmpty struct{ Reserved string }
-	BasicAck      struct {
+	// BasicAck acknowledges a delivery or confirms a publish.
+	BasicAck struct {
 		DeliveryTag uint64
 		Multiple    bool
 	}
+	// BasicReject rejects one delivery.
 	BasicReject struct {
 		DeliveryTag uint64
 		Requeue     bool
 	}
+	// BasicRecoverAsync asks for redelivery of all unacknowledged messages, without an answer.
 	BasicRecoverAsync struct{ Requeue bool }
-	BasicRecover      struct{ Requeue bool }
-	BasicRecoverOK    struct{ noArguments }
-	BasicNack         struct {
+	// BasicRecover asks for redelivery of all unacknowledged messages.
+	BasicRecover struct{ Requeue bool }
+	// BasicRecoverOK answers BasicRecover.
+	BasicRecoverOK struct{ noArguments }
+	// BasicNack rejects deliveries, or tells a publisher that a message was not accepted.
+	BasicNack struct {
 		DeliveryTag       uint64
 		Multiple, Requeue bool
 	}
@@ -446,7 +499,9 @@
 
 // Methods of the confirm extension.
 type (
-	ConfirmSelect   struct{ NoWait bool }
+	// ConfirmSelect turns on publisher confirms for the channel.
+	ConfirmSelect struct{ NoWait bool }
+	// ConfirmSelectOK answers ConfirmSelect.
 	ConfirmSelectOK struct{ noArguments }
 )
 
@@ -455,7 +510,8 @@
 
 func (m *ConfirmSelect) fields(c fieldCoder) { c.bits(&m.NoWait) }
 
-// methodsByID makes the methods that a client or a server may send; all others are not implemented.
+// methodsByID holds constructors of the supported methods, by class number shifted left by 16 bits and method number.
+// Other methods are answered with NotImplemented.
 var methodsByID = map[uint32]func() Method{}
 
 func init() {
