--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -16,13 +16,13 @@
 		AbuseBurst: 100, AbuseRate: 10}
 }
 
-// testingT is what rapid's tests share with others.
+// testingT is the part of testing.TB that rapid.T also has.
 type testingT interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// testConn is a connection with its client's side written by hand.
+// testConn is a connection whose client side the tests write frame by frame. It records the events.
 type testConn struct {
 	t      testingT
 	c      *Conn
@@ -32,6 +32,7 @@
 	err    error
 }
 
+// newTestConn returns a connection before the protocol header. Its password is "secret".
 func newTestConn(t testingT) *testConn {
 	r := &testConn{t: t, bodies: map[uint16][]byte{}, now: time.Second}
 	r.c = NewConn(testConfig(), r.now, func(e *Event) {
@@ -54,6 +55,7 @@
 	return r
 }
 
+// send passes bytes of the client to the server.
 func (r *testConn) send(b []byte) *testConn {
 	if err := r.c.Receive(r.now, b); err != nil {
 		r.err = err
@@ -61,6 +63,7 @@
 	return r
 }
 
+// methods sends methods on a channel as the client.
 func (r *testConn) methods(channel uint16, all ...Method) *testConn {
 	for _, m := range all {
 		r.send(AppendMethod(nil, channel, m))
@@ -68,7 +71,7 @@
 	return r
 }
 
-// output reads what the server has written.
+// output returns the methods that the server has written, and their channels.
 func (r *testConn) output() (all []Method, channels []uint16) {
 	b := r.c.Output()
 	for len(b) > 0 {
@@ -94,7 +97,7 @@
 		Table{{"connection.blocked", true}, {"authentication_failure_close", true}}}}}
 }
 
-// openTestConn is a rig with an open connection and channel 1.
+// openTestConn returns a testConn after the handshake, with channel 1 open.
 func openTestConn(t testingT) *testConn {
 	r := newTestConn(t).send([]byte(ProtocolHeader)).methods(0, startOK("secret"), &ConnectionTuneOK{2047, 8192, 10}, &ConnectionOpen{VHost: "/"})
 	r.methods(1, &ChannelOpen{})
@@ -106,7 +109,7 @@
 	return r
 }
 
-// closeCode is the code of the close that the server has written, 0 for none, and whether it is of the connection.
+// closeCode returns the code of the close that the server has written, 0 for none, and whether it closes the connection.
 func (r *testConn) closeCode() (code Code, hard bool) {
 	all, _ := r.output()
 	for _, m := range all {
@@ -120,10 +123,12 @@
 	return code, false
 }
 
+// rawFrame returns a frame with any type and payload.
 func rawFrame(kind byte, channel uint16, payload ...byte) []byte {
 	return append(append(appendFrameHeader(nil, kind, channel, len(payload)), payload...), frameEnd)
 }
 
+// publishFrames returns a basic.publish on channel 1 and a content header that announces size bytes, at most 65535.
 func publishFrames(size uint64) []byte {
 	b := AppendMethod(nil, 1, &BasicPublish{Exchange: "x", Key: "k"})
 	head := appendContent(nil, 1, &Properties{}, nil, 8192)
@@ -137,11 +142,11 @@
 		t.Errorf("another version: %v", r.err)
 	}
 	if r := newTestConn(t).send([]byte("PRI * HTTP/2.0\r\n")); r.err == nil || !r.c.Done() {
-		t.Error("HTTP/2 was let in")
+		t.Error("an HTTP/2 preface was accepted")
 	}
 	hello := func() *testConn { r := newTestConn(t).send([]byte(ProtocolHeader)); r.output(); return r }
 	if r := hello().methods(0, &ConnectionStartOK{Mechanism: "EXTERNAL"}); r.err == nil || !r.c.Done() {
-		t.Error("another mechanism was let in")
+		t.Error("another SASL mechanism was accepted")
 	}
 	if code, hard := hello().methods(0, startOK("wrong")).closeCode(); code != AccessRefused || !hard {
 		t.Errorf("wrong password: %d", code)
@@ -149,10 +154,10 @@
 	old := startOK("wrong")
 	old.Properties = nil
 	if r := hello().methods(0, old); r.err == nil || !r.c.Done() {
-		t.Error("a client that can't be told is not cut off")
+		t.Error("a refused client without authentication_failure_close is still connected")
 	}
 	if r := hello().methods(0, &ConnectionOpen{VHost: "/"}); r.err == nil || !r.c.Done() {
-		t.Error("open before the login was let in")
+		t.Error("connection.open before the login was accepted")
 	}
 	for _, tune := range []*ConnectionTuneOK{{2047, 1 << 20, 0}, {2047, 100, 0}, {4000, 8192, 0}} {
 		r := hello().methods(0, startOK("secret"), tune)
@@ -166,7 +171,7 @@
 	}
 	late := hello()
 	if late.c.Check(late.now+6*time.Second) == nil || !late.c.Done() {
-		t.Error("a handshake without end")
+		t.Error("a handshake has no time limit")
 	}
 }
 
@@ -219,7 +224,7 @@
 	}
 }
 
-// Messages arrive whole however their bytes are cut, also on channels whose frames mix.
+// Messages arrive complete however the input is split, and when the frames of two channels are interleaved.
 func TestContentInAnyPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := openTestConn(t)
@@ -241,23 +246,25 @@
 	})
 }
 
-// A message that stands still ends the connection, one that moves does not; its channel's close is no error.
+// An incomplete message without a further frame for longer than BodyStallTimeout closes the connection. One that
+// progresses does not.
 func TestStandingStill(t *testing.T) {
 	r := openTestConn(t).send(publishFrames(200))
 	r.now += 2 * time.Second
 	r.send(rawFrame(frameBody, 1, bytes.Repeat([]byte("x"), 100)...))
 	if r.c.Check(r.now + 2*time.Second); r.c.Closing() {
-		t.Error("a message that moves is ended")
+		t.Error("a message that progresses closed the connection")
 	}
 	if r.c.Check(r.now + 4*time.Second); !r.c.Closing() {
-		t.Error("a message that stands still is not ended")
+		t.Error("a stalled message did not close the connection")
 	}
 }
 
-// Heartbeats: ours go out, any byte of the client's counts, two missed end the connection.
+// The server sends heartbeats, any input counts as one of the client's, and two missed ones end the connection.
 func TestHeartbeats(t *testing.T) {
 	r := openTestConn(t)
-	r.c.SetBlocked(r.now, true, "full") // a throttled connection is heard, and hears of us, all the same
+	// Heartbeats go on in both directions while the client is blocked.
+	r.c.SetBlocked(r.now, true, "full")
 	r.output()
 	for range 20 {
 		r.now += 5 * time.Second
@@ -273,18 +280,18 @@
 		t.Error(err)
 	}
 	if err := r.c.Check(r.now + 21*time.Second); err == nil || !r.c.Done() {
-		t.Error("a client that is silent for two heartbeats is kept")
+		t.Error("a client that missed two heartbeats is still connected")
 	}
 }
 
-// Frames that carry no message draw on a budget; publishes don't.
+// Frames that carry no message are limited by a budget. Publishes are not.
 func TestFloods(t *testing.T) {
 	r := openTestConn(t)
 	for range 10000 {
 		r.send(append(publishFrames(1), rawFrame(frameBody, 1, 'x')...))
 	}
 	if r.c.Closing() {
-		t.Fatal("publishes are taken for abuse")
+		t.Fatal("publishes count against the frame budget")
 	}
 	n := 0
 	for ; !r.c.Closing() && n < 10000; n++ {
@@ -302,7 +309,8 @@
 	}
 }
 
-// Closes cross: what comes on a channel that we have closed is discarded until the client has heard of it.
+// What the client sends on a channel that the server has closed is discarded until channel.close-ok. The client's own
+// channel.close may cross the server's and is answered.
 func TestCloseCrossesPublish(t *testing.T) {
 	r := openTestConn(t)
 	r.c.CloseWithError(&Error{Code: PreconditionFailed, Channel: 1, Text: "no"})
@@ -327,7 +335,7 @@
 	}
 }
 
-// Every tag is confirmed exactly once, with what was settled, as a client reads acks, nacks and multiple.
+// Every tag is confirmed exactly once and with its outcome, as a client interprets acks, nacks and multiple.
 func TestConfirmsOnceEach(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c ConfirmTracker
@@ -368,7 +376,8 @@
 					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 					ok := rapid.Bool().Draw(t, "served")
 					c.Settle(open[i], ok)
-					c.Settle(open[i], !ok) // only the first word counts
+					// Only the first outcome counts.
+					c.Settle(open[i], !ok)
 					want[open[i]] = ok
 					open = append(open[:i], open[i+1:]...)
 				}
@@ -399,7 +408,7 @@
 	}
 }
 
-// fieldValues draws field values of every type.
+// fieldValues generates field values of every type. Arrays and tables nest up to depth levels.
 func fieldValues(depth int) *rapid.Generator[any] {
 	text := rapid.StringMatching(`[a-z]{0,9}`)
 	all := []*rapid.Generator[any]{rapid.Bool().AsAny(), rapid.Int8().AsAny(), rapid.Uint8().AsAny(), rapid.Int16().AsAny(), rapid.Uint16().AsAny(),
@@ -420,7 +429,7 @@
 	return rapid.OneOf(all...)
 }
 
-// What is written reads back the same: tables of all types, methods with arguments, properties.
+// Encoding and decoding are inverse for tables with all types, methods with arguments, and properties.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := Table{{"v", fieldValues(3).Draw(t, "value")}, {"w", fieldValues(1).Draw(t, "other")}}
@@ -444,7 +453,7 @@
 	})
 }
 
-// Each method that is known reads back what its zero value writes.
+// The zero value of each supported method is unchanged after encoding and decoding.
 func TestAllMethods(t *testing.T) {
 	for id, make := range methodsByID {
 		m := make()
@@ -459,7 +468,7 @@
 	}
 }
 
-// FuzzConn feeds bytes after a handshake: no crash, and what the server writes is well formed.
+// FuzzConn sends arbitrary bytes after a handshake. The server must not crash, and its output must be well formed.
 func FuzzConn(f *testing.F) {
 	f.Add(append(publishFrames(2), rawFrame(frameBody, 1, 'x', 'y')...))
 	f.Add(AppendMethod(nil, 1, &QueueDeclare{Arguments: Table{{"a", Table{{"b", []any{int8(1)}}}}}}))
@@ -474,7 +483,7 @@
 	})
 }
 
-// FuzzTable reads field tables: what was read writes to what reads the same.
+// FuzzTable decodes field tables. A decoded table must be the same after encoding and decoding it.
 func FuzzTable(f *testing.F) {
 	var w writer
 	w.table(&Table{{"a", int32(1)}, {"b", "x"}, {"c", Table{{"d", []any{true, nil}}}}})
@@ -492,7 +501,8 @@
 		again.table(&two)
 		var w2 writer
 		w2.table(&two)
-		if again.err != nil || !bytes.Equal(w.buf, w2.buf) { // compared as bytes: a NaN differs from itself
+		// The comparison is of bytes, because a NaN does not equal itself.
+		if again.err != nil || !bytes.Equal(w.buf, w2.buf) {
 			t.Fatalf("%v: %x, then %x", again.err, w.buf, w2.buf)
 		}
 	})
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -1,6 +1,7 @@
-// Package amqpfront is the AMQP 0-9-1 side towards clients: programs publish as to a broker, the final answer comes
-// back as a confirm, and in full in a queue of answers where one is named. What each promises is in docs/answers.md.
-// Like every front it decides nothing about messages: what it turns away at the door was never taken.
+// Package amqpfront is the AMQP 0-9-1 front towards clients. Programs publish as to a broker. The final answer comes back
+// as a confirm. It also comes in full in an answer queue if the message names one in reply-to or a queue is bound to its
+// exchange and routing key. docs/answers.md says what each of these guarantees. Like every front it decides nothing about
+// messages: one that it rejects was never taken.
 package amqpfront
 
 import (
@@ -15,65 +16,78 @@
 	"whinrun/internal/push"
 )
 
-// Server is what the sessions of one front share.
+// Server holds what the sessions of the front share. It is safe for concurrent use.
 type Server struct {
 	cfg       amqp.Config
 	catalog   *intake.Book
 	names     push.Names
 	admission *door.Side
 	now       func() time.Duration
+	// lastOwner is the owner number of the latest session. It names the session to the answer queues.
 	lastOwner atomic.Uint64
 
+	// answers holds the answer queues.
 	answers *mailbox.SharedBroker
 }
 
-// New makes a Desk. now is the clock of the sessions.
+// New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message numbers
+// to message names, admission admits messages and channels, answers holds the answer queues, and now is the clock of the
+// sessions.
 func New(cfg amqp.Config, catalog *intake.Book, names push.Names, admission *door.Side, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
 	return &Server{cfg: cfg, catalog: catalog, names: names, admission: admission, now: now, answers: answers}
 }
 
-// Open makes the session of a connection.
+// Open returns the session of a new connection.
 func (d *Server) Open(c *front.Conn, now time.Duration) front.Session {
 	s := &session{server: d, conn: c, owner: d.lastOwner.Add(1), channels: map[uint16]*channel{}}
 	s.protocol = amqp.NewConn(d.cfg, now, s.handleEvent)
 	return s
 }
 
-// session is one client connection.
+// session serves one client connection. Its event loop makes all calls.
 type session struct {
-	server     *Server
-	conn       *front.Conn
-	protocol   *amqp.Conn
-	owner      uint64
-	now        time.Duration
-	tenant     int
-	user       string
-	channels   map[uint16]*channel
-	unflushed  []*channel // with confirms to be sent
-	unanswered int        // publishes taken without an answer yet
+	server   *Server
+	conn     *front.Conn
+	protocol *amqp.Conn
+	owner    uint64
+	now      time.Duration
+	tenant   int
+	user     string
+	channels map[uint16]*channel
+	// unflushed lists the channels with confirms to send. A channel may occur more than once.
+	unflushed []*channel
+	// unanswered is the number of accepted publishes without a final answer.
+	unanswered int
 	hasPublished,
-	blockSent, // publishers have been asked to stop
+	// blockSent is set while the client is asked to publish nothing.
+	blockSent,
+	// goingAway is set once the dispatcher is stopping.
 	goingAway bool
 }
 
 // channel is one channel of a session.
 type channel struct {
-	session       *session
-	id            uint16
-	closed        bool
-	confirms      *amqp.ConfirmTracker // after confirm.select
-	incoming      *publish             // its body is coming
-	reader        *mailbox.Channel     // once it reads answers
+	session *session
+	id      uint16
+	closed  bool
+	// confirms is nil before confirm.select.
+	confirms *amqp.ConfirmTracker
+	// incoming is the publish whose body is incomplete, or nil.
+	incoming *publish
+	// reader is nil until the channel first uses a method for reading answers.
+	reader *mailbox.Channel
+	// confirmBuffer is reused between calls of sendConfirms.
 	confirmBuffer []amqp.Confirm
 }
 
-// Receive takes bytes of the client.
+// Receive processes bytes from the client. An error ends the connection.
 func (s *session) Receive(now time.Duration, b []byte) error {
 	s.now = now
 	return s.protocol.Receive(now, b)
 }
 
-// Check asks publishers to stop, or lets them go on, and holds the protocol's time limits.
+// Check blocks or unblocks the client if it publishes, and enforces the time limits of the protocol. An error ends the
+// connection.
 func (s *session) Check(now time.Duration) error {
 	s.now = now
 	if s.hasPublished {
@@ -82,7 +96,8 @@
 	return s.protocol.Check(now)
 }
 
-// setBlocked asks the client with connection.blocked or, where its library does not know that, with channel.flow.
+// setBlocked asks the client to stop or resume publishing. It uses connection.blocked or, for a client without that
+// capability, channel.flow on each channel.
 func (s *session) setBlocked(now time.Duration, blocked bool) {
 	if blocked == s.blockSent || !s.protocol.Running() {
 		return
@@ -100,24 +115,26 @@
 	}
 }
 
-// Due is when Check has something to look at.
+// Due returns when Check is to be called next.
 func (s *session) Due(now time.Duration) time.Duration { return s.protocol.Due(now) }
 
-// GoAway asks publishers to stop for good.
+// GoAway makes the next Check ask the client to stop publishing for good.
 func (s *session) GoAway(time.Duration) { s.goingAway = true }
 
-// Finish closes the connection: all answers are out.
+// Finish closes the connection after all answers have come.
 func (s *session) Finish(now time.Duration) {
-	s.flush() // closing drops the channels, and what was to be confirmed on them
+	// Closing removes the channels, and with them any confirms that are not sent yet.
+	s.flush()
 	s.protocol.Close(now, "the dispatcher is stopping")
 }
 
-// Output returns what is to be written, the confirms that have gathered with it.
+// Output returns the bytes to be written, including the confirms that are due.
 func (s *session) Output() []byte {
 	s.flush()
 	return s.protocol.Output()
 }
 
+// flush sends the confirms that are due on all channels.
 func (s *session) flush() {
 	for _, ch := range s.unflushed {
 		s.sendConfirms(ch)
@@ -125,14 +142,14 @@
 	s.unflushed = s.unflushed[:0]
 }
 
-// Owes tells whether publishes have no answer yet, or a close is under way.
+// Owes reports whether publishes have no final answer yet or a close is not complete.
 func (s *session) Owes() bool { return s.unanswered > 0 || s.protocol.Closing() && !s.protocol.Done() }
 
-// Done tells that the connection has ended.
+// Done reports whether the connection has ended.
 func (s *session) Done() bool { return s.protocol.Done() }
 
-// Lost lets what was taken be carried on: a publish is a hand-over, and does not end with its connection. Answers go
-// to the queue that the message names. What the client read without acknowledging goes back.
+// Lost cleans up after the connection. Accepted publishes continue, because publishing hands the message over for good;
+// their answers go to the reserved answer queues. Unacknowledged deliveries are requeued.
 func (s *session) Lost() {
 	s.now = s.server.now()
 	for _, ch := range s.channels {
@@ -143,7 +160,7 @@
 	s.server.answers.Unlock()
 }
 
-// removeChannel drops a channel that is gone.
+// removeChannel cleans up after a channel that is closed.
 func (s *session) removeChannel(ch *channel) {
 	if ch.closed {
 		return
@@ -162,6 +179,7 @@
 	}
 }
 
+// handleEvent handles an event of the protocol.
 func (s *session) handleEvent(e *amqp.Event) {
 	switch e.Kind {
 	case amqp.Login:
@@ -196,6 +214,7 @@
 	}
 }
 
+// login checks the credentials of a Login event and answers it.
 func (s *session) login(e *amqp.Event) {
 	tenant, ok := s.server.catalog.Login(e.User, e.Password)
 	if !ok {
@@ -210,7 +229,7 @@
 	s.protocol.AcceptLogin()
 }
 
-// sendConfirms sends what is known of a channel's publishes.
+// sendConfirms sends the confirms that are due on a channel.
 func (s *session) sendConfirms(ch *channel) {
 	if ch.closed || ch.confirms == nil {
 		return
@@ -224,11 +243,12 @@
 		}
 	}
 	if cap(ch.confirmBuffer) > 64 {
-		ch.confirmBuffer = nil // an idle channel holds little
+		// An idle channel keeps no large buffer.
+		ch.confirmBuffer = nil
 	}
 }
 
-// settle tells a publisher what became of a publish, with the next output.
+// settle records the outcome of a publish. The confirm goes out with the next output. Without confirms it does nothing.
 func (s *session) settle(ch *channel, tag uint64, served bool) {
 	if ch.confirms == nil || tag == 0 || ch.closed {
 		return
--- a/internal/amqpfront/methods.go
+++ b/internal/amqpfront/methods.go
@@ -11,7 +11,7 @@
 	"whinrun/internal/receipt"
 )
 
-// handleMethod takes a method on an open channel. docs/amqp.md has the table of what is supported.
+// handleMethod handles a method on an open channel. docs/amqp.md has the table of supported methods.
 func (s *session) handleMethod(ch *channel, m amqp.Method) *amqp.Error {
 	switch m := m.(type) {
 	case *amqp.ConfirmSelect:
@@ -25,7 +25,8 @@
 			s.protocol.Send(ch.id, &amqp.ChannelFlowOK{Active: m.Active})
 			return nil
 		})
-	case *amqp.ChannelFlowOK: // what a client does with it shows in what it sends
+	case *amqp.ChannelFlowOK:
+		// Nothing depends on it. Publishes are admitted or rejected one by one.
 	case *amqp.ExchangeDeclare:
 		return s.declareExchange(ch, m)
 	case *amqp.QueueDeclare:
@@ -43,17 +44,19 @@
 	return nil
 }
 
+// unsupported returns an error that closes the connection with NotImplemented.
 func unsupported(format string, a ...any) *amqp.Error {
 	return &amqp.Error{Code: amqp.NotImplemented, Text: fmt.Sprintf(format, a...)}
 }
 
+// reply sends the answer to a method, unless its no-wait flag forbids one.
 func (s *session) reply(ch *channel, noWait bool, m amqp.Method) {
 	if !noWait {
 		s.protocol.Send(ch.id, m)
 	}
 }
 
-// replyError maps what the mailbox says to reply codes.
+// replyError converts an error of the answer queues to one with a reply code. The default is PreconditionFailed.
 func replyError(err error) *amqp.Error {
 	if err == nil {
 		return nil
@@ -72,7 +75,7 @@
 	return &amqp.Error{Code: code, Text: err.Error()}
 }
 
-// declareExchange finds a configured exchange: declaring one makes none.
+// declareExchange checks a declaration against the configured exchanges. It never creates one.
 func (s *session) declareExchange(ch *channel, m *amqp.ExchangeDeclare) *amqp.Error {
 	x := s.server.catalog.Exchange(m.Exchange)
 	switch {
@@ -88,6 +91,7 @@
 	return nil
 }
 
+// declareQueue declares an answer queue.
 func (s *session) declareQueue(ch *channel, m *amqp.QueueDeclare) *amqp.Error {
 	if m.Durable {
 		return unsupported("queues of answers are not durable")
@@ -110,7 +114,7 @@
 	return replyError(err)
 }
 
-// handleQueueMethod takes the methods that are about a queue.
+// handleQueueMethod handles the methods on existing queues.
 func (s *session) handleQueueMethod(ch *channel, m amqp.Method) *amqp.Error {
 	s.server.answers.Lock()
 	defer s.server.answers.Unlock()
@@ -147,7 +151,7 @@
 	return nil
 }
 
-// mail runs do on the channel's part of the mailbox, under its lock.
+// withReader calls do with the channel's reader, under the lock of the answer queues. It creates the reader if needed.
 func (s *session) withReader(ch *channel, do func(*mailbox.Channel) error) *amqp.Error {
 	s.server.answers.Lock()
 	defer s.server.answers.Unlock()
@@ -157,7 +161,7 @@
 	return replyError(do(ch.reader))
 }
 
-// handleReaderMethod takes the methods of a reader of answers.
+// handleReaderMethod handles the methods for reading answers.
 func (s *session) handleReaderMethod(ch *channel, m amqp.Method) *amqp.Error {
 	switch m := m.(type) {
 	case *amqp.BasicQos:
@@ -193,6 +197,7 @@
 	return nil
 }
 
+// recoverDeliveries requeues all unacknowledged deliveries of a channel.
 func (s *session) recoverDeliveries(ch *channel, requeue, reply bool) *amqp.Error {
 	if !requeue {
 		return unsupported("recovering without requeue is not supported")
@@ -206,6 +211,7 @@
 	})
 }
 
+// consume starts a consumer. Deliveries begin after basic.consume-ok is queued for output.
 func (s *session) consume(ch *channel, m *amqp.BasicConsume) *amqp.Error {
 	if len(m.Arguments) > 0 {
 		return &amqp.Error{Code: amqp.PreconditionFailed, Text: "consumer arguments are not supported"}
@@ -221,6 +227,7 @@
 	})
 }
 
+// get answers basic.get.
 func (s *session) get(ch *channel, m *amqp.BasicGet) *amqp.Error {
 	return s.withReader(ch, func(c *mailbox.Channel) error {
 		d, remaining, ok, err := c.Get(m.Queue, m.NoAck)
@@ -237,25 +244,27 @@
 	})
 }
 
-// delivery is an answer on its way to the event loop of its reader.
+// delivery passes an answer to the event loop of its consumer's connection.
 type delivery struct {
 	channel *channel
 	answer  mailbox.Delivery
 }
 
-// Deliver is mailbox.Sink: it runs under the mailbox's lock, on any goroutine. Where the connection is gone its
-// channels are about to be closed, which puts the answer back.
+// Deliver implements mailbox.Sink. It runs on any goroutine, under the lock of the answer queues. If the connection is
+// gone, its channels are about to be closed, which requeues the answer.
 func (ch *channel) Deliver(d mailbox.Delivery) { ch.session.conn.Post(&delivery{ch, d}) }
 
-// Open writes an answer to its reader.
+// Open sends an answer to its consumer. It runs on the connection's event loop.
 func (d *delivery) Open(now time.Duration) {
-	if d.channel.closed { // closing it has put the answer back; its number may be another channel's by now
+	if d.channel.closed {
+		// Closing the channel has requeued the answer. The channel number may be in use again.
 		return
 	}
 	answers := d.channel.session.server.answers
 	answers.Lock()
 	consuming := d.channel.reader.HasConsumer(d.answer.ConsumerTag)
-	if !consuming { // cancelled while this was on its way
+	if !consuming {
+		// The consumer was cancelled after the answer was handed to it.
 		_ = d.channel.reader.Reject(now, d.answer.DeliveryTag, false, true)
 	}
 	answers.Unlock()
@@ -267,24 +276,24 @@
 		props, body)
 }
 
-// Lost does nothing: closing the channel puts the answer back.
+// Lost does nothing, because closing the channel requeues the answer.
 func (d *delivery) Lost() {}
 
-// cancelled tells a reader that its queue is gone.
+// cancelled passes the removal of a queue to the event loop of its consumer's connection.
 type cancelled struct {
 	channel *channel
 	tag     string
 }
 
-// Cancelled is mailbox.Sink.
+// Cancelled implements mailbox.Sink. It runs on any goroutine, under the lock of the answer queues.
 func (ch *channel) Cancelled(tag string) { ch.session.conn.Post(&cancelled{ch, tag}) }
 
-// Open sends basic.cancel where the client can take it.
+// Open sends basic.cancel if the client accepts it from a server.
 func (c *cancelled) Open(time.Duration) {
 	if !c.channel.closed && c.channel.session.protocol.SupportsCancelNotify() {
 		c.channel.session.protocol.Send(c.channel.id, &amqp.BasicCancel{ConsumerTag: c.tag, NoWait: true})
 	}
 }
 
-// Lost does nothing.
+// Lost does nothing, because the consumer is gone with its connection.
 func (c *cancelled) Lost() {}
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -16,31 +16,41 @@
 	"whinrun/internal/receipt"
 )
 
-// Headers that a publisher may send, and those that we set on returned messages.
+// Names of message headers.
 const (
-	HeaderOrderKey    = "x-order-key"
-	HeaderAnswer      = "x-answer"        // refused
-	HeaderReason      = "x-reason"        // in words
-	HeaderRetryAfter  = "x-retry-after"   // milliseconds to stay away
-	HeaderMessageName = "whinrun-message" // our name of the message
-	HeaderReceipt     = "x-receipt"       // of an answer: the signed receipt
-	HeaderDeliveryTag = "x-delivery-tag"  // of the publish, on channels that confirm
+	// HeaderOrderKey is sent by publishers: the key of messages to be delivered in order.
+	HeaderOrderKey = "x-order-key"
+	// HeaderAnswer is set on returned messages. Its value is "refused".
+	HeaderAnswer = "x-answer"
+	// HeaderReason is set on returned messages: the reason as text.
+	HeaderReason = "x-reason"
+	// HeaderRetryAfter is set on returned messages: the time to wait before a retry, in milliseconds.
+	HeaderRetryAfter = "x-retry-after"
+	// HeaderMessageName is set on returned messages that already have a message name: that name.
+	HeaderMessageName = "whinrun-message"
+	// HeaderReceipt is set on answers if receipts are signed: the signed receipt.
+	HeaderReceipt = "x-receipt"
+	// HeaderDeliveryTag is set on returned messages of channels with confirms: the delivery tag of the publish.
+	HeaderDeliveryTag = "x-delivery-tag"
 )
 
-// publish is one message from its content header to its answer.
+// publish is one message from its content header to its final answer. It is the engine.Origin of the message, and the
+// parcel that brings the answer to the connection's event loop.
 type publish struct {
-	session     *session
-	channel     *channel
-	tag         uint64 // 0 on a channel that does not confirm
-	method      *amqp.BasicPublish
-	props       *amqp.Properties
-	message     *engine.Message
-	ticket      door.Ticket
+	session *session
+	channel *channel
+	// tag is the delivery tag, 0 on a channel without confirms.
+	tag     uint64
+	method  *amqp.BasicPublish
+	props   *amqp.Properties
+	message *engine.Message
+	ticket  door.Ticket
+	// reservation is the answer's place in its queue. It is nil if there is no queue, or once it is released.
 	reservation *mailbox.Reservation
 	answer      engine.Answer
 }
 
-// handleContentHeader begins a message.
+// handleContentHeader starts a publish, or rejects it and discards its body.
 func (s *session) handleContentHeader(ch *channel, e *amqp.Event) {
 	s.hasPublished = true
 	p := &publish{session: s, channel: ch, method: e.Publish, props: e.Properties}
@@ -59,7 +69,8 @@
 	}
 }
 
-// prepare finds what a message is for and takes its properties; an error is a protocol error or a refusal.
+// prepare finds the resource for a publish, applies its properties and reserves a place for its answer. The error is an
+// *amqp.Error, which closes the channel or the connection, or a *refusal.
 func (s *session) prepare(p *publish, size uint64) error {
 	if p.method.Immediate {
 		return &amqp.Error{Code: amqp.NotImplemented, Text: "the immediate flag is not supported"}
@@ -88,15 +99,17 @@
 	return nil
 }
 
-// refusal turns one message away and harms nothing else.
+// refusal rejects one message without closing its channel.
 type refusal struct {
 	code amqp.Code
 	text string
 }
 
+// Error returns the reason.
 func (r *refusal) Error() string { return r.text }
 
-// route finds the resource of an exchange and routing key. The default exchange takes the paths of push resources.
+// route returns the resource and target for an exchange and routing key. On the default exchange the routing key is the
+// path of a push resource.
 func (s *session) route(method *amqp.BasicPublish) (*intake.Resource, string, error) {
 	var r *intake.Resource
 	var target string
@@ -118,7 +131,8 @@
 	return r, target, nil
 }
 
-// applyProperties takes what the message asks for.
+// applyProperties sets the lifetime, urgency, order key and deduplication key of a message from its properties. It
+// returns an error for invalid properties.
 func (s *session) applyProperties(m *engine.Message, r *intake.Resource, p *amqp.Properties) error {
 	requested := time.Duration(-1)
 	if p.Expiration != "" {
@@ -151,7 +165,7 @@
 	return nil
 }
 
-// urgency maps a priority (0 to 9, above counts as 9) to RFC 8030's four.
+// urgency maps a priority to one of the four urgencies of RFC 8030. Priorities above 9 count as 9.
 func urgency(priority uint8) string {
 	switch {
 	case priority <= 1:
@@ -164,7 +178,7 @@
 	return "high"
 }
 
-// handleBody takes a part of the body; end has the message handed over.
+// handleBody appends a part of the body. When the body is complete it submits the message.
 func (s *session) handleBody(ch *channel, data []byte, complete bool) {
 	p := ch.incoming
 	if p == nil {
@@ -189,12 +203,13 @@
 	s.reject(p, &refusal{amqp.NoConsumers, "not taken: " + err.Error()})
 }
 
-// abandon ends a message that was not taken.
+// abandon releases what a publish holds that was not accepted.
 func (p *publish) abandon() {
 	p.ticket.Turn()
 	p.releaseReservation()
 }
 
+// releaseReservation gives the place in the answer queue back, if there is one.
 func (p *publish) releaseReservation() {
 	if p.reservation == nil {
 		return
@@ -206,10 +221,10 @@
 	p.reservation = nil
 }
 
-// reject tells the publisher of a message that was never taken: its channel is closed for what can never be right,
-// else the message comes back with a nack. Without confirms and the mandatory flag a message without a route is
-// dropped, as the specification has it (section 1.8.3.3), and one above the limits closes the channel: nobody else
-// would tell its publisher.
+// reject tells the publisher of a message that was never taken. An *amqp.Error closes its channel or the connection. For
+// a *refusal the message is returned and gets a nack. On a channel without confirms, a refused message without the
+// mandatory flag is dropped if it has no route (section 1.8.3.3). Any other such refusal closes the channel, because the
+// publisher would not learn of it otherwise.
 func (s *session) reject(p *publish, err error) {
 	var e *amqp.Error
 	var r *refusal
@@ -231,7 +246,8 @@
 	}
 }
 
-// returnMessage returns a message: handing it in again is harmless.
+// returnMessage sends a message back with basic.return and the headers that say why. wait is the time after which the
+// publisher may retry. Publishing the message again is harmless.
 func (s *session) returnMessage(p *publish, code amqp.Code, reason string, wait time.Duration) {
 	if p.channel.closed {
 		return
@@ -256,8 +272,8 @@
 	s.protocol.SendContent(p.channel.id, &amqp.BasicReturn{Code: code, Text: text + " - " + reason, Exchange: p.method.Exchange, Key: p.method.Key}, &props, body)
 }
 
-// Final is engine.Origin: it runs on the engine's goroutine. The answer goes into its queue first, whether or not the
-// connection is still there.
+// Final implements engine.Origin. It runs on the engine's goroutine. It puts the answer into its queue first, even if the
+// connection is gone, and then passes it to the connection's event loop.
 func (p *publish) Final(_ *engine.Message, a engine.Answer) {
 	p.answer = a
 	if p.reservation != nil {
@@ -272,10 +288,10 @@
 	}
 }
 
-// Lost counts an answer for which the connection is not there any more.
+// Lost counts the answer of a publish whose connection is gone.
 func (p *publish) Lost() { p.ticket.Answered(p.answer.Final, p.reservation != nil) }
 
-// Open tells the publisher.
+// Open confirms the publish, and returns the message if it was refused. It runs on the connection's event loop.
 func (p *publish) Open(time.Duration) {
 	s := p.session
 	s.unanswered--
@@ -288,15 +304,15 @@
 	p.ticket.Answered(p.answer.Final, notified || p.reservation != nil)
 }
 
-// receipt is the full final answer, for the queue of answers.
+// receipt returns the full final answer for the answer queue.
 func (p *publish) receipt() *receipt.Receipt {
 	r := receipt.New(p.session.server.names.Of(p.message.ID), &p.answer, clock.Wall())
 	r.MessageID, r.Correlation, r.Exchange, r.Key = p.props.MessageID, p.props.CorrelationID, p.method.Exchange, p.method.Key
 	return r
 }
 
-// receiptMessage makes a receipt a message: its correlation-id is the publisher's or, without one, the message-id. With a key
-// the signed form goes along.
+// receiptMessage converts a receipt to the properties and body of a message. The correlation-id is that of the publish
+// or, without one, its message-id. If receipts are signed, a header carries the signed form.
 func (d *Server) receiptMessage(r *receipt.Receipt) (*amqp.Properties, []byte) {
 	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.Correlation, Type: r.Answer,
 		DeliveryMode: 1, Timestamp: uint64(r.At.Unix())}
--- a/internal/mailbox/channel.go
+++ b/internal/mailbox/channel.go
@@ -7,20 +7,25 @@
 	"time"
 )
 
-// Channel is one channel of a connection that reads answers: its consumers and what they have not acknowledged.
+// Channel is the reading side of one channel of a connection. It holds the channel's consumers and unacknowledged
+// deliveries. Its methods are calls of its Broker and are serialised with them.
 type Channel struct {
-	broker           *Broker
-	tenant           int
-	owner            uint64
-	sink             Sink
-	consumers        map[string]*consumer
-	unacked          []unackedDelivery // by tag
-	lastDeliveryTag  uint64
-	channelPrefetch  int // all consumers together, 0 for no bound
-	consumerPrefetch int // new consumers, each
+	broker    *Broker
+	tenant    int
+	owner     uint64
+	sink      Sink
+	consumers map[string]*consumer
+	// unacked is sorted by delivery tag.
+	unacked         []unackedDelivery
+	lastDeliveryTag uint64
+	// channelPrefetch bounds the unacknowledged deliveries of the channel, 0 for no bound.
+	channelPrefetch int
+	// consumerPrefetch is the prefetch of consumers that are started from now on, 0 for no bound.
+	consumerPrefetch int
 	paused           bool
 }
 
+// consumer is one consumer of a queue.
 type consumer struct {
 	channel   *Channel
 	tag       string
@@ -31,23 +36,27 @@
 	unacked   int
 }
 
+// unackedDelivery is a delivery that waits for an acknowledgement.
 type unackedDelivery struct {
 	deliveryTag uint64
 	queue       *queue
-	consumer    *consumer // nil: fetched by Get
-	answer      queuedAnswer
+	// consumer is nil for an answer fetched by Get.
+	consumer *consumer
+	answer   queuedAnswer
 }
 
-// Channel makes a channel of a connection.
+// Channel returns a new channel of the connection owner. Deliveries to its consumers go to sink.
 func (b *Broker) Channel(tenant int, owner uint64, sink Sink) *Channel {
 	return &Channel{broker: b, tenant: tenant, owner: owner, sink: sink, consumers: map[string]*consumer{}}
 }
 
+// hasCapacity reports whether the consumer may get another delivery: its channel is not paused, and it has no
+// acknowledgements or is within both prefetch limits.
 func (c *consumer) hasCapacity() bool {
 	return !c.channel.paused && (c.noAck || (c.prefetch == 0 || c.unacked < c.prefetch) && (c.channel.channelPrefetch == 0 || len(c.channel.unacked) < c.channel.channelPrefetch))
 }
 
-// deliver gives an answer to a reader.
+// deliver passes an answer to a consumer and, unless the consumer needs no acknowledgement, records it as unacknowledged.
 func (ch *Channel) deliver(q *queue, c *consumer, answer queuedAnswer) {
 	ch.lastDeliveryTag++
 	d := Delivery{ConsumerTag: c.tag, DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}
@@ -59,7 +68,8 @@
 	ch.sink.Deliver(d)
 }
 
-// Consume starts a reader of a queue. An empty tag gets one made up.
+// Consume adds a consumer to a queue and returns its tag. For an empty tag it generates one. Call StartDeliveries after
+// it. Errors are ErrNotFound, ErrLocked, ErrConsumerTagInUse and ErrInUse.
 func (ch *Channel) Consume(queue, tag string, noAck, exclusive bool) (string, error) {
 	q, err := ch.broker.find(ch.tenant, queue, ch.owner)
 	if err != nil {
@@ -81,14 +91,15 @@
 	return tag, nil
 }
 
-// StartDeliveries hands out what waits for a reader; it is apart from Consume so that the reader hears of its tag first.
+// StartDeliveries delivers the answers that are ready for a consumer. It is separate from Consume so that the client can
+// be told of the consumer tag before the first delivery.
 func (ch *Channel) StartDeliveries(tag string) {
 	if c := ch.consumers[tag]; c != nil {
 		ch.broker.dispatch(c.queue)
 	}
 }
 
-// Cancel ends a reader. What it has stays to be acknowledged.
+// Cancel removes a consumer. Its unacknowledged deliveries remain.
 func (ch *Channel) Cancel(now time.Duration, tag string) {
 	c := ch.consumers[tag]
 	if c == nil {
@@ -98,6 +109,7 @@
 	ch.removeConsumer(now, c)
 }
 
+// removeConsumer removes a consumer from its queue. An auto-delete queue is removed with its last consumer.
 func (ch *Channel) removeConsumer(now time.Duration, c *consumer) {
 	q := c.queue
 	q.consumers = slices.DeleteFunc(q.consumers, func(o *consumer) bool { return o == c })
@@ -107,10 +119,11 @@
 	}
 }
 
-// HasConsumer tells whether a tag is a reader's.
+// HasConsumer reports whether the channel has a consumer with the tag.
 func (ch *Channel) HasConsumer(tag string) bool { return ch.consumers[tag] != nil }
 
-// SetPrefetch bounds what is out unacknowledged: of the whole channel, or of each consumer from now on. 0 is no bound.
+// SetPrefetch limits the number of unacknowledged deliveries: of the whole channel if perChannel is set, or else of each
+// consumer that is started from now on. 0 is no limit.
 func (ch *Channel) SetPrefetch(n int, perChannel bool) {
 	if perChannel {
 		ch.channelPrefetch = n
@@ -120,12 +133,13 @@
 	}
 }
 
-// SetPaused stops deliveries, or lets them go on.
+// SetPaused stops deliveries to all consumers of the channel, or resumes them.
 func (ch *Channel) SetPaused(paused bool) {
 	ch.paused = paused
 	ch.dispatch()
 }
 
+// dispatch delivers from the queues of all consumers, in the order of their tags so that it is deterministic.
 func (ch *Channel) dispatch() {
 	tags := make([]string, 0, len(ch.consumers))
 	for tag := range ch.consumers {
@@ -137,7 +151,8 @@
 	}
 }
 
-// Get fetches one answer. ok is false where none waits.
+// Get fetches the first ready answer of a queue and returns the number of those that remain. ok is false if none is
+// ready. Prefetch limits do not apply.
 func (ch *Channel) Get(queue string, noAck bool) (d Delivery, remaining int, ok bool, err error) {
 	q, err := ch.broker.find(ch.tenant, queue, ch.owner)
 	if err != nil || len(q.ready) == 0 {
@@ -153,21 +168,23 @@
 	return Delivery{DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}, len(q.ready), true, nil
 }
 
-// Ack takes an acknowledgement; multiple means all up to the tag, and 0 with it all there are.
+// Ack acknowledges a delivery. With multiple it acknowledges all deliveries up to the tag, or all deliveries if the tag is
+// 0. It returns ErrUnknownDelivery if the tag is not unacknowledged.
 func (ch *Channel) Ack(now time.Duration, tag uint64, multiple bool) error {
 	return ch.settle(now, tag, multiple, false)
 }
 
-// Reject gives deliveries back, or drops them.
+// Reject requeues deliveries, or drops them if requeue is false. tag, multiple and the error are as for Ack.
 func (ch *Channel) Reject(now time.Duration, tag uint64, multiple, requeue bool) error {
 	return ch.settle(now, tag, multiple, requeue)
 }
 
-// Recover gives all back that is not acknowledged.
+// Recover requeues all unacknowledged deliveries.
 func (ch *Channel) Recover(now time.Duration) {
 	_ = ch.settle(now, 0, true, true)
 }
 
+// settle removes deliveries from unacked and releases them.
 func (ch *Channel) settle(now time.Duration, tag uint64, multiple, requeue bool) error {
 	i, found := slices.BinarySearchFunc(ch.unacked, tag, func(u unackedDelivery, tag uint64) int { return cmp.Compare(u.deliveryTag, tag) })
 	var settled []unackedDelivery
@@ -187,7 +204,7 @@
 	return nil
 }
 
-// release takes what is no longer out, and hands on what that makes room for.
+// release requeues or drops deliveries that are no longer unacknowledged, and delivers what that makes room for.
 func (ch *Channel) release(now time.Duration, settled []unackedDelivery, requeue bool) {
 	var queues []*queue
 	for _, u := range settled {
@@ -213,13 +230,14 @@
 	}
 }
 
-// Close ends all readers of the channel; what they had not acknowledged goes back.
+// Close removes all consumers of the channel and requeues its unacknowledged deliveries.
 func (ch *Channel) Close(now time.Duration) {
 	returned := ch.unacked
 	ch.unacked = nil
 	consumers := ch.consumers
 	ch.consumers = map[string]*consumer{}
-	for _, c := range consumers { // first none of them may get anything
+	// All consumers are detached first, so that none of them gets a requeued answer.
+	for _, c := range consumers {
 		c.queue.consumers = slices.DeleteFunc(c.queue.consumers, func(o *consumer) bool { return o == c })
 	}
 	ch.release(now, returned, true)
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,7 +1,7 @@
-// Package mailbox keeps the queues in which senders' final answers wait for their readers, and decides who gets which:
-// places promised before a message is taken, readers in turns, prefetch, acknowledgements, what goes back into a queue
-// and where. It is deterministic and free of I/O; the time is passed in. A Box is not safe for concurrent use: its
-// owner serialises the calls.
+// Package mailbox holds the answer queues: the final answers of messages wait there for the programs that published the
+// messages. A Broker reserves places before messages are accepted and delivers answers to consumers round robin, within
+// prefetch limits. It keeps unacknowledged deliveries and requeues them in order. It is deterministic, does no I/O, and
+// gets the time as an argument. A Broker is not safe for concurrent use; its callers serialise the calls.
 package mailbox
 
 import (
@@ -15,96 +15,130 @@
 	"whinrun/internal/receipt"
 )
 
-// Errors of a Box.
+// Errors of a Broker and its channels.
 var (
-	ErrNotFound         = errors.New("there is no such queue")
-	ErrLocked           = errors.New("the queue is another connection's")
+	// ErrNotFound is returned for a queue that does not exist.
+	ErrNotFound = errors.New("there is no such queue")
+	// ErrLocked is returned for a queue that is exclusive to another connection.
+	ErrLocked = errors.New("the queue is another connection's")
+	// ErrPropertiesDiffer is returned by Declare for an existing queue with other properties.
 	ErrPropertiesDiffer = errors.New("the queue exists with other properties")
-	ErrTooManyQueues    = errors.New("too many queues")
-	ErrQueueFull        = errors.New("the answer queue is full: its reader is behind")
-	ErrInUse            = errors.New("the queue is in use")
-	ErrAlreadyBound     = errors.New("the binding leads to another queue already")
+	// ErrTooManyQueues is returned by Declare when the tenant has QueuesPerTenant queues.
+	ErrTooManyQueues = errors.New("too many queues")
+	// ErrQueueFull is returned by Reserve when the queue holds QueueLength answers.
+	ErrQueueFull = errors.New("the answer queue is full: its reader is behind")
+	// ErrInUse is returned when a queue has consumers or answers that forbid the operation.
+	ErrInUse = errors.New("the queue is in use")
+	// ErrAlreadyBound is returned by Bind for an exchange and key that are bound to another queue.
+	ErrAlreadyBound = errors.New("the binding leads to another queue already")
+	// ErrConsumerTagInUse is returned by Consume for a tag of another consumer of the channel.
 	ErrConsumerTagInUse = errors.New("the consumer tag is taken")
-	ErrUnknownDelivery  = errors.New("no such delivery is waiting for an acknowledgement")
+	// ErrUnknownDelivery is returned for a delivery tag or sequence number that names no answer.
+	ErrUnknownDelivery = errors.New("no such delivery is waiting for an acknowledgement")
 )
 
-// Limits of a Box.
+// Limits are the limits of a Broker.
 type Limits struct {
-	QueuesPerTenant int           // of a tenant
-	QueueLength     int           // answers in a queue: waiting, with readers, and promised
-	Keep            time.Duration // an answer that nobody reads is dropped after this, 0 for never
-	Idle            time.Duration // a queue that is not exclusive goes after this without reader, answer or promise
-}
-
-// QueueSpec is how a queue is declared.
+	// QueuesPerTenant is the number of queues that a tenant may have.
+	QueuesPerTenant int
+	// QueueLength is the number of answers in a queue: ready, unacknowledged and reserved.
+	QueueLength int
+	// Keep is the age at which a ready answer is dropped, 0 for never.
+	Keep time.Duration
+	// Idle is the time after which a queue without consumers, answers and reservations is removed, 0 for never.
+	// Exclusive queues are not removed.
+	Idle time.Duration
+}
+
+// QueueSpec holds the properties with which a queue is declared.
 type QueueSpec struct {
 	Name                  string
 	Exclusive, AutoDelete bool
-	Owner                 uint64 // connection that declares it
+	// Owner is the number of the connection that declares the queue.
+	Owner uint64
 }
 
+// queueKey identifies a queue.
 type queueKey struct {
 	tenant int
 	name   string
 }
 
+// bindingKey identifies a binding.
 type bindingKey struct {
 	tenant        int
 	exchange, key string
 }
 
-// Broker holds all queues.
+// Broker holds all queues and bindings.
 type Broker struct {
-	limits            Limits
-	queues            map[queueKey]*queue
-	queuesByTenant    map[int]int // by tenant
-	bindings          map[bindingKey]*queue
-	lastSequence      uint64
+	limits Limits
+	queues map[queueKey]*queue
+	// queuesByTenant is the number of queues of each tenant that has any.
+	queuesByTenant map[int]int
+	bindings       map[bindingKey]*queue
+	// lastSequence is the sequence number of the latest answer in any queue.
+	lastSequence uint64
+	// lastGeneratedName is the number in the latest generated queue name or consumer tag.
 	lastGeneratedName uint64
-	DroppedAnswers    uint64 // answers whose queue was gone
+	// DroppedAnswers counts the answers that were dropped because their queue was removed or purged, or because they were
+	// older than Keep.
+	DroppedAnswers uint64
 }
 
-// New makes a Box.
+// New returns a Broker without queues.
 func New(l Limits) *Broker {
 	return &Broker{limits: l, queues: map[queueKey]*queue{}, queuesByTenant: map[int]int{}, bindings: map[bindingKey]*queue{}}
 }
 
-// queue holds answers in the order in which they were known.
+// queue holds answers in the order in which they became known.
 type queue struct {
 	queueKey
-	spec       QueueSpec
-	ready      []queuedAnswer // by seq
-	unacked    int            // with readers, not acknowledged
-	reserved   int
-	consumers  []*consumer
+	spec QueueSpec
+	// ready is sorted by sequence number.
+	ready []queuedAnswer
+	// unacked is the number of unacknowledged deliveries from the queue.
+	unacked int
+	// reserved is the number of reservations that are neither filled nor released.
+	reserved  int
+	consumers []*consumer
+	// lastServed is the index in consumers of the one that was tried last.
 	lastServed int
 	lastUsed   time.Duration
 	removed    bool
 }
 
+// queuedAnswer is one answer in a queue.
 type queuedAnswer struct {
-	sequence    uint64
-	queuedAt    time.Duration
-	payload     any
-	redelivered bool // delivered before
+	sequence uint64
+	queuedAt time.Duration
+	payload  any
+	// redelivered is set if the answer was delivered before.
+	redelivered bool
 }
 
-// Sink takes what is for a reader. It must not call the Box, nor block.
+// Sink receives what is for the consumers of a channel. Its methods run within calls of the Broker. They must neither
+// call the Broker nor block.
 type Sink interface {
+	// Deliver passes on an answer for a consumer.
 	Deliver(d Delivery)
-	Cancelled(consumer string) // the queue is gone
+	// Cancelled reports that a consumer has ended because its queue was removed.
+	Cancelled(consumer string)
 }
 
-// Delivery is one answer on its way to a reader.
+// Delivery is one answer for a consumer or for Get. ConsumerTag is empty for Get.
 type Delivery struct {
 	ConsumerTag string
 	DeliveryTag uint64
-	Redelivered bool // it was delivered before
+	// Redelivered is set if the answer was delivered before.
+	Redelivered bool
 	Queue       string
 	Payload     any
 }
 
-// Declare makes a queue, or finds one that is the same. An empty name gets one made up. passive only looks.
+// Declare creates a queue, or finds an existing one with the same properties. For an empty name it generates one. With
+// passive it creates nothing and does not compare the properties. It returns the name and the numbers of ready answers and
+// consumers. Errors are ErrLocked, ErrPropertiesDiffer, ErrNotFound and ErrTooManyQueues.
 func (b *Broker) Declare(now time.Duration, tenant int, spec QueueSpec, passive bool) (name string, ready, consumers int, err error) {
 	if q := b.queues[queueKey{tenant, spec.Name}]; q != nil && spec.Name != "" {
 		switch {
@@ -123,7 +157,8 @@
 		return "", 0, 0, ErrTooManyQueues
 	}
 	if spec.Name == "" {
-		for spec.Name == "" || b.queues[queueKey{tenant, spec.Name}] != nil { // some may be back from before a restart
+		// Generated names of an earlier process may be in use: queues are restored at the start.
+		for spec.Name == "" || b.queues[queueKey{tenant, spec.Name}] != nil {
 			b.lastGeneratedName++
 			spec.Name = fmt.Sprintf("amq.gen-%d", b.lastGeneratedName)
 		}
@@ -134,7 +169,7 @@
 	return spec.Name, 0, 0, nil
 }
 
-// find returns a queue that a connection may use.
+// find returns a queue if the connection owner may use it, or else ErrNotFound or ErrLocked.
 func (b *Broker) find(tenant int, name string, owner uint64) (*queue, error) {
 	q := b.queues[queueKey{tenant, name}]
 	if q == nil {
@@ -146,11 +181,13 @@
 	return q, nil
 }
 
-// Delete removes a queue and tells how many answers were in it.
+// Delete removes a queue and returns the number of ready answers that it held. With ifUnused or ifEmpty it returns
+// ErrInUse for a queue with consumers or ready answers. Deleting a queue that does not exist is no error.
 func (b *Broker) Delete(tenant int, name string, owner uint64, ifUnused, ifEmpty bool) (int, error) {
 	q, err := b.find(tenant, name, owner)
 	if errors.Is(err, ErrNotFound) {
-		return 0, nil // as common implementations do: gone is what was wanted
+		// Common implementations do the same: the result is what the client wants.
+		return 0, nil
 	}
 	if err != nil {
 		return 0, err
@@ -163,6 +200,7 @@
 	return n, nil
 }
 
+// removeQueue removes a queue with its ready answers, consumers and bindings.
 func (b *Broker) removeQueue(q *queue) {
 	q.removed = true
 	b.DroppedAnswers += uint64(len(q.ready))
@@ -182,7 +220,7 @@
 	}
 }
 
-// Purge drops the answers that wait in a queue.
+// Purge drops the ready answers of a queue and returns their number.
 func (b *Broker) Purge(tenant int, name string, owner uint64) (int, error) {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
@@ -194,8 +232,8 @@
 	return n, nil
 }
 
-// Bind has the answers of what a tenant publishes to an exchange with a key, "#" for any, go to a queue, where a
-// message names none itself.
+// Bind routes answers to a queue: those of messages that the tenant publishes to the exchange with the key and that name
+// no queue themselves. The key "#" stands for any key without a binding of its own.
 func (b *Broker) Bind(tenant int, exchange, key, name string, owner uint64) error {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
@@ -209,7 +247,7 @@
 	return nil
 }
 
-// Unbind takes a binding back.
+// Unbind removes a binding. If there is no such binding to the queue it does nothing.
 func (b *Broker) Unbind(tenant int, exchange, key, name string, owner uint64) error {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
@@ -221,15 +259,16 @@
 	return nil
 }
 
-// Reservation is the promise of a place in a queue, made before a message is taken: its answer is then never turned away.
-// It ends once, by Fill or Drop.
+// Reservation is a reserved place in a queue. It is made before a message is accepted, so that there is always room for
+// the answer. It must be ended exactly once, by Fill or Release.
 type Reservation struct {
 	broker *Broker
 	queue  *queue
 }
 
-// Reserve asks for a place in the queue that replyTo names or, where that is empty, in the one bound. Without either
-// the place is nil, and there is no error.
+// Reserve reserves a place in the queue that replyTo names or, if replyTo is empty, in the queue that is bound to the
+// exchange and key. If there is no binding either it returns nil without an error. Errors are ErrNotFound and
+// ErrQueueFull.
 func (b *Broker) Reserve(tenant int, replyTo, exchange, key string) (*Reservation, error) {
 	var q *queue
 	if replyTo != "" {
@@ -248,13 +287,13 @@
 	return &Reservation{b, q}, nil
 }
 
-// Release gives the place back.
+// Release gives the place back without an answer.
 func (p *Reservation) Release(now time.Duration) {
 	p.queue.reserved--
 	p.queue.lastUsed = now
 }
 
-// Fill puts the answer into the queue.
+// Fill puts the answer into the queue. If the queue has been removed the answer is dropped and counted.
 func (p *Reservation) Fill(now time.Duration, payload any) {
 	p.Release(now)
 	if p.queue.removed {
@@ -266,7 +305,7 @@
 	p.broker.dispatch(p.queue)
 }
 
-// dispatch hands out what waits, to the readers in turns.
+// dispatch delivers the ready answers of a queue to its consumers round robin, while any has capacity.
 func (b *Broker) dispatch(q *queue) {
 	for len(q.ready) > 0 {
 		c := q.nextConsumer()
@@ -280,7 +319,7 @@
 	}
 }
 
-// nextConsumer is the reader whose turn it is among those with room.
+// nextConsumer returns the next consumer in round-robin order that has capacity, or nil.
 func (q *queue) nextConsumer() *consumer {
 	for range q.consumers {
 		q.lastServed = (q.lastServed + 1) % len(q.consumers)
@@ -291,20 +330,21 @@
 	return nil
 }
 
-// requeue puts an answer where it was.
+// requeue puts an answer back in its place by sequence number and marks it as redelivered.
 func (q *queue) requeue(answer queuedAnswer) {
 	answer.redelivered = true
 	i, _ := slices.BinarySearchFunc(q.ready, answer.sequence, func(x queuedAnswer, seq uint64) int { return cmp.Compare(x.sequence, seq) })
 	q.ready = slices.Insert(q.ready, i, answer)
 }
 
-// PendingAnswer is an answer as a reader without a channel sees it: it stays until it is taken out by its number.
+// PendingAnswer is a ready answer as Peek returns it, for readers without a Channel. It stays in the queue until Take
+// removes it by its sequence number.
 type PendingAnswer struct {
 	Sequence uint64
 	Payload  any
 }
 
-// Peek returns the first answers that wait in a queue.
+// Peek returns up to limit ready answers from the front of a queue. Exclusive queues give ErrLocked.
 func (b *Broker) Peek(now time.Duration, tenant int, name string, limit int) ([]PendingAnswer, error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
@@ -318,7 +358,8 @@
 	return answers, nil
 }
 
-// Take takes an answer out of a queue.
+// Take removes a ready answer from a queue by its sequence number and returns it. It returns ErrUnknownDelivery if there is
+// none. Exclusive queues give ErrLocked.
 func (b *Broker) Take(now time.Duration, tenant int, name string, sequence uint64) (payload any, err error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
@@ -334,25 +375,27 @@
 	return payload, nil
 }
 
-// SharedBroker is a Box that several fronts share. Nothing blocks under its lock.
+// SharedBroker is a Broker with a lock, for several fronts. Hold the lock for each call of the Broker. Nothing may block
+// under it.
 type SharedBroker struct {
 	sync.Mutex
 	*Broker
-	Key receipt.Signer // signs what is handed out; nil: nothing is signed
+	// Key signs the receipts that are given to clients. If it is nil they are not signed.
+	Key receipt.Signer
 
-	// Told when a subscription is made (without a receipt) and when a receipt is taken out; nil: nobody is. They must
-	// not block.
+	// OnChange is called when a receipt subscription is created, with taken nil, and when a receipt is taken from its
+	// queue. It must not block. It may be nil.
 	OnChange func(tenant int, name string, taken *receipt.Receipt)
 }
 
-// NotifyChange calls Changed.
+// NotifyChange calls OnChange if it is set.
 func (r *SharedBroker) NotifyChange(tenant int, name string, taken *receipt.Receipt) {
 	if r.OnChange != nil {
 		r.OnChange(tenant, name, taken)
 	}
 }
 
-// Expire drops answers that nobody has read, and removes queues that nobody has used, for long.
+// Expire drops ready answers that are older than Keep, and removes queues that have been idle for longer than Idle.
 func (b *Broker) Expire(now time.Duration) {
 	for _, q := range b.queues {
 		for b.limits.Keep > 0 && len(q.ready) > 0 && now-q.ready[0].queuedAt > b.limits.Keep {
@@ -366,7 +409,7 @@
 	}
 }
 
-// DeleteExclusive removes the queues that were exclusive to a connection. Its channels are to be closed before.
+// DeleteExclusive removes the queues that are exclusive to a connection. Close the connection's channels first.
 func (b *Broker) DeleteExclusive(owner uint64) {
 	for _, q := range b.queues {
 		if q.spec.Exclusive && q.spec.Owner == owner {
@@ -375,7 +418,7 @@
 	}
 }
 
-// Usage is how many queues there are and answers in them.
+// Usage returns the number of queues, and of ready and unacknowledged answers in them.
 func (b *Broker) Usage() (queues, answers int) {
 	for _, q := range b.queues {
 		answers += len(q.ready) + q.unacked
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// recordingSink is a Sink that keeps what it gets.
+// recordingSink is a Sink that records its calls.
 type recordingSink struct {
 	deliveries []Delivery
 	cancelled  []string
@@ -18,6 +18,7 @@
 func (r *recordingSink) Deliver(d Delivery)   { r.deliveries = append(r.deliveries, d) }
 func (r *recordingSink) Cancelled(tag string) { r.cancelled = append(r.cancelled, tag) }
 
+// putAnswer reserves a place in a queue and fills it.
 func putAnswer(t *testing.T, b *Broker, queue string, payload any) {
 	t.Helper()
 	p, err := b.Reserve(0, queue, "", "")
@@ -27,6 +28,7 @@
 	p.Fill(0, payload)
 }
 
+// newTestBroker returns a Broker with small limits and the given queues of tenant 0.
 func newTestBroker(t *testing.T, queues ...QueueSpec) *Broker {
 	b := New(Limits{QueuesPerTenant: 4, QueueLength: 6, Idle: time.Minute})
 	for _, s := range queues {
@@ -67,7 +69,7 @@
 	}
 }
 
-// A place that was promised is there, however full the queue is by then; a full queue promises none.
+// A reserved place can be filled however full the queue is by then. A full queue grants no reservation.
 func TestPlacesArePromised(t *testing.T) {
 	b := newTestBroker(t, QueueSpec{Name: "q"})
 	var places []*Reservation
@@ -79,7 +81,7 @@
 		places = append(places, p)
 	}
 	if _, err := b.Reserve(0, "q", "", ""); !errors.Is(err, ErrQueueFull) {
-		t.Error("a seventh place of six:", err)
+		t.Error("a seventh reservation in a queue of six:", err)
 	}
 	places[0].Release(0)
 	if p, err := b.Reserve(0, "q", "", ""); err != nil {
@@ -97,17 +99,17 @@
 		t.Error(err)
 	}
 	if p, err := b.Reserve(0, "", "x", "k"); p != nil || err != nil {
-		t.Error("a place that nobody asked for:", p, err)
+		t.Error("a reservation without a reply-to or binding:", p, err)
 	}
 	if err := b.Bind(0, "x", "#", "q", 1); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.Reserve(0, "", "x", "k"); !errors.Is(err, ErrQueueFull) {
-		t.Error("a binding leads nowhere:", err)
+		t.Error("the binding does not lead to the full queue:", err)
 	}
 }
 
-// Readers share in turns, each within its prefetch; what is acknowledged makes room.
+// Consumers share a queue round robin, each within its prefetch. Acknowledgements make room for more.
 func TestPrefetch(t *testing.T) {
 	b := newTestBroker(t, QueueSpec{Name: "q"})
 	one, two := &recordingSink{}, &recordingSink{}
@@ -123,7 +125,7 @@
 		putAnswer(t, b, "q", i)
 	}
 	if len(one.deliveries) != 2 || len(two.deliveries) != 1 {
-		t.Fatalf("%d and %d handed out", len(one.deliveries), len(two.deliveries))
+		t.Fatalf("%d and %d delivered", len(one.deliveries), len(two.deliveries))
 	}
 	if err := c1.Ack(0, 2, true); err != nil || len(one.deliveries) != 4 {
 		t.Errorf("after an ack of both: %d, %v", len(one.deliveries), err)
@@ -133,15 +135,15 @@
 	}
 	c2.SetPaused(true)
 	if err := c2.Ack(0, 1, false); err != nil || len(two.deliveries) != 1 {
-		t.Error("handed out in spite of channel.flow")
+		t.Error("delivered while paused by channel.flow")
 	}
 	c2.SetPaused(false)
 	if len(two.deliveries) != 2 {
-		t.Error("nothing comes after channel.flow")
+		t.Error("no delivery after channel.flow resumed")
 	}
 }
 
-// What a reader had not acknowledged goes back to where it was, marked, and in its order.
+// Unacknowledged deliveries of a closed channel are requeued in their order and marked as redelivered.
 func TestBackInOrder(t *testing.T) {
 	b := newTestBroker(t, QueueSpec{Name: "q"})
 	one, two := &recordingSink{}, &recordingSink{}
@@ -184,17 +186,18 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Consume("auto", "c", false, false); !errors.Is(err, ErrInUse) {
-		t.Error("a second reader beside an exclusive one:", err)
+		t.Error("a second consumer beside an exclusive one:", err)
 	}
 	p, _ := b.Reserve(0, "q", "", "")
 	putAnswer(t, b, "q", 1)
 	if _, err := b.Delete(0, "q", 1, true, false); !errors.Is(err, ErrInUse) {
-		t.Error("deleted in use:", err)
+		t.Error("deleted while in use:", err)
 	}
 	if _, err := b.Delete(0, "q", 1, false, false); err != nil || len(r.cancelled) != 1 {
 		t.Error(err, r.cancelled)
 	}
-	p.Fill(0, 2) // its queue is gone: counted, no harm
+	// The queue has been removed, so the answer is only counted.
+	p.Fill(0, 2)
 	if b.DroppedAnswers != 1 {
 		t.Errorf("%d lost", b.DroppedAnswers)
 	}
@@ -213,11 +216,11 @@
 		t.Error("expired too soon")
 	}
 	if b.Expire(61 * time.Second); len(b.queues) != 0 {
-		t.Error("an idle queue stays")
+		t.Error("an idle queue was not removed")
 	}
 }
 
-// Answers that nobody reads are dropped once they are old, and no others.
+// Ready answers older than Keep are dropped, and no others.
 func TestOldAnswersGo(t *testing.T) {
 	b := New(Limits{QueuesPerTenant: 4, QueueLength: 6, Keep: time.Minute})
 	_, _, _, _ = b.Declare(0, 0, QueueSpec{Name: "q"}, false)
@@ -238,7 +241,7 @@
 	}
 }
 
-// Whatever readers do, no answer is lost, none is acknowledged twice, and no bound is passed.
+// Whatever consumers do, no answer is lost, none is acknowledged twice, and the queue stays within its length.
 func TestNothingLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{QueuesPerTenant: 4, QueueLength: 20})
@@ -286,7 +289,7 @@
 				u := s.ch.unacked[rapid.IntRange(0, len(s.ch.unacked)-1).Draw(t, "which")]
 				if step == 3 {
 					if acked[u.answer.payload] {
-						t.Fatalf("%v is out though acknowledged", u.answer.payload)
+						t.Fatalf("%v is unacknowledged after its acknowledgement", u.answer.payload)
 					}
 					acked[u.answer.payload] = true
 					_ = s.ch.Ack(0, u.deliveryTag, false)
