--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -64,15 +64,15 @@
 }
 
 // methods sends methods on a channel as the client.
-func (r *testConn) methods(channel uint16, all ...Method) *testConn {
-	for _, m := range all {
+func (r *testConn) methods(channel uint16, methods ...Method) *testConn {
+	for _, m := range methods {
 		r.send(AppendMethod(nil, channel, m))
 	}
 	return r
 }
 
 // output returns the methods that the server has written, and their channels.
-func (r *testConn) output() (all []Method, channels []uint16) {
+func (r *testConn) output() (methods []Method, channels []uint16) {
 	b := r.c.Output()
 	for len(b) > 0 {
 		f, n, e := nextFrame(b, 1<<20)
@@ -87,9 +87,9 @@
 		if e != nil {
 			r.t.Fatal(e)
 		}
-		all, channels = append(all, m), append(channels, f.channel)
+		methods, channels = append(methods, m), append(channels, f.channel)
 	}
-	return all, channels
+	return methods, channels
 }
 
 func startOK(secret string) *ConnectionStartOK {
@@ -131,10 +131,10 @@
 // publishFrames returns a basic.publish on channel 1 and a content header that announces size bytes, at most 65535.
 func publishFrames(size uint64) []byte {
 	b := AppendMethod(nil, 1, &BasicPublish{Exchange: "x", Key: "k"})
-	head := appendContent(nil, 1, &Properties{}, nil, 8192)
-	head[7+11] = byte(size)
-	head[7+10] = byte(size >> 8)
-	return append(b, head...)
+	header := appendContent(nil, 1, &Properties{}, nil, 8192)
+	header[7+11] = byte(size)
+	header[7+10] = byte(size >> 8)
+	return append(b, header...)
 }
 
 func TestHandshakeRefusals(t *testing.T) {
@@ -144,33 +144,33 @@
 	if r := newTestConn(t).send([]byte("PRI * HTTP/2.0\r\n")); r.err == nil || !r.c.Done() {
 		t.Error("an HTTP/2 preface was accepted")
 	}
-	hello := func() *testConn { r := newTestConn(t).send([]byte(ProtocolHeader)); r.output(); return r }
-	if r := hello().methods(0, &ConnectionStartOK{Mechanism: "EXTERNAL"}); r.err == nil || !r.c.Done() {
+	afterHeader := func() *testConn { r := newTestConn(t).send([]byte(ProtocolHeader)); r.output(); return r }
+	if r := afterHeader().methods(0, &ConnectionStartOK{Mechanism: "EXTERNAL"}); r.err == nil || !r.c.Done() {
 		t.Error("another SASL mechanism was accepted")
 	}
-	if code, hard := hello().methods(0, startOK("wrong")).closeCode(); code != AccessRefused || !hard {
+	if code, hard := afterHeader().methods(0, startOK("wrong")).closeCode(); code != AccessRefused || !hard {
 		t.Errorf("wrong password: %d", code)
 	}
-	old := startOK("wrong")
-	old.Properties = nil
-	if r := hello().methods(0, old); r.err == nil || !r.c.Done() {
+	withoutCapabilities := startOK("wrong")
+	withoutCapabilities.Properties = nil
+	if r := afterHeader().methods(0, withoutCapabilities); r.err == nil || !r.c.Done() {
 		t.Error("a refused client without authentication_failure_close is still connected")
 	}
-	if r := hello().methods(0, &ConnectionOpen{VHost: "/"}); r.err == nil || !r.c.Done() {
+	if r := afterHeader().methods(0, &ConnectionOpen{VHost: "/"}); r.err == nil || !r.c.Done() {
 		t.Error("connection.open before the login was accepted")
 	}
 	for _, tune := range []*ConnectionTuneOK{{2047, 1 << 20, 0}, {2047, 100, 0}, {4000, 8192, 0}} {
-		r := hello().methods(0, startOK("secret"), tune)
+		r := afterHeader().methods(0, startOK("secret"), tune)
 		if code, _ := r.closeCode(); code != NotAllowed {
 			t.Errorf("tuned to %+v: %d", tune, code)
 		}
 	}
-	r := hello().methods(0, startOK("secret"), &ConnectionTuneOK{0, 0, 0}, &ConnectionOpen{VHost: "other"})
+	r := afterHeader().methods(0, startOK("secret"), &ConnectionTuneOK{0, 0, 0}, &ConnectionOpen{VHost: "other"})
 	if code, _ := r.closeCode(); code != NotAllowed {
 		t.Errorf("another virtual host: %d", code)
 	}
-	late := hello()
-	if late.c.Check(late.now+6*time.Second) == nil || !late.c.Done() {
+	idle := afterHeader()
+	if idle.c.Check(idle.now+6*time.Second) == nil || !idle.c.Done() {
 		t.Error("a handshake has no time limit")
 	}
 }
@@ -225,7 +225,7 @@
 }
 
 // Messages arrive complete however the input is split, and when the frames of two channels are interleaved.
-func TestContentInAnyPieces(t *testing.T) {
+func TestContentSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := openTestConn(t)
 		r.methods(2, &ChannelOpen{})
@@ -248,7 +248,7 @@
 
 // An incomplete message without a further frame for longer than BodyStallTimeout closes the connection. One that
 // progresses does not.
-func TestStandingStill(t *testing.T) {
+func TestStalledMessage(t *testing.T) {
 	r := openTestConn(t).send(publishFrames(200))
 	r.now += 2 * time.Second
 	r.send(rawFrame(frameBody, 1, bytes.Repeat([]byte("x"), 100)...))
@@ -285,7 +285,7 @@
 }
 
 // Frames that carry no message are limited by a budget. Publishes are not.
-func TestFloods(t *testing.T) {
+func TestFrameBudget(t *testing.T) {
 	r := openTestConn(t)
 	for range 10000 {
 		r.send(append(publishFrames(1), rawFrame(frameBody, 1, 'x')...))
@@ -336,63 +336,63 @@
 }
 
 // Every tag is confirmed exactly once and with its outcome, as a client interprets acks, nacks and multiple.
-func TestConfirmsOnceEach(t *testing.T) {
+func TestEachTagConfirmedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c ConfirmTracker
-		told := map[uint64]bool{}
-		want := map[uint64]bool{}
-		var open []uint64
+		confirmed := map[uint64]bool{}
+		outcomes := map[uint64]bool{}
+		var unsettled []uint64
 		flush := func() {
 			for _, f := range c.Flush(nil) {
 				tags := []uint64{f.Tag}
 				if f.Multiple {
 					tags = nil
 					for tag := uint64(1); tag <= f.Tag; tag++ {
-						if _, ok := told[tag]; !ok {
+						if _, ok := confirmed[tag]; !ok {
 							tags = append(tags, tag)
 						}
 					}
 				}
 				for _, tag := range tags {
-					if _, ok := told[tag]; ok {
+					if _, ok := confirmed[tag]; ok {
 						t.Fatalf("tag %d confirmed twice", tag)
 					}
-					if served, ok := want[tag]; !ok || served == f.Nack {
+					if served, ok := outcomes[tag]; !ok || served == f.Nack {
 						t.Fatalf("tag %d: %+v, settled %v %v", tag, f, ok, served)
 					}
-					told[tag] = !f.Nack
+					confirmed[tag] = !f.Nack
 				}
 			}
-			if len(told) != len(want) {
-				t.Fatalf("%d settled, %d confirmed", len(want), len(told))
+			if len(confirmed) != len(outcomes) {
+				t.Fatalf("%d settled, %d confirmed", len(outcomes), len(confirmed))
 			}
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				open = append(open, c.Publish())
+				unsettled = append(unsettled, c.Publish())
 			case 2:
-				if len(open) > 0 {
-					i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
+				if len(unsettled) > 0 {
+					i := rapid.IntRange(0, len(unsettled)-1).Draw(t, "which")
 					ok := rapid.Bool().Draw(t, "served")
-					c.Settle(open[i], ok)
+					c.Settle(unsettled[i], ok)
 					// Only the first outcome counts.
-					c.Settle(open[i], !ok)
-					want[open[i]] = ok
-					open = append(open[:i], open[i+1:]...)
+					c.Settle(unsettled[i], !ok)
+					outcomes[unsettled[i]] = ok
+					unsettled = append(unsettled[:i], unsettled[i+1:]...)
 				}
 			case 3:
 				flush()
 			}
 		}
 		flush()
-		if c.Outstanding() != len(open) {
-			t.Fatalf("%d open, want %d", c.Outstanding(), len(open))
+		if c.Outstanding() != len(unsettled) {
+			t.Fatalf("%d open, want %d", c.Outstanding(), len(unsettled))
 		}
 	})
 }
 
-func TestConfirmsGatherInMultiple(t *testing.T) {
+func TestConfirmsUseMultiple(t *testing.T) {
 	var c ConfirmTracker
 	for range 100 {
 		c.Publish()
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -38,9 +38,9 @@
 }
 
 // Open returns the session of a new connection.
-func (d *Server) Open(c *front.Conn, now time.Duration) front.Session {
-	s := &session{server: d, conn: c, owner: d.lastOwner.Add(1), channels: map[uint16]*channel{}}
-	s.protocol = amqp.NewConn(d.cfg, now, s.handleEvent)
+func (server *Server) Open(c *front.Conn, now time.Duration) front.Session {
+	s := &session{server: server, conn: c, owner: server.lastOwner.Add(1), channels: map[uint16]*channel{}}
+	s.protocol = amqp.NewConn(server.cfg, now, s.handleEvent)
 	return s
 }
 
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -214,10 +214,10 @@
 	if p.reservation == nil {
 		return
 	}
-	d := p.session.server
-	d.answers.Lock()
+	server := p.session.server
+	server.answers.Lock()
 	p.reservation.Release(p.session.now)
-	d.answers.Unlock()
+	server.answers.Unlock()
 	p.reservation = nil
 }
 
@@ -277,11 +277,11 @@
 func (p *publish) Final(_ *engine.Message, a engine.Answer) {
 	p.answer = a
 	if p.reservation != nil {
-		d := p.session.server
-		receipt := p.receipt()
-		d.answers.Lock()
-		p.reservation.Fill(d.now(), receipt)
-		d.answers.Unlock()
+		server := p.session.server
+		answer := p.receipt()
+		server.answers.Lock()
+		p.reservation.Fill(server.now(), answer)
+		server.answers.Unlock()
 	}
 	if !p.session.conn.Post(p) {
 		p.Lost()
@@ -313,14 +313,14 @@
 
 // receiptMessage converts a receipt to the properties and body of a message. The correlation-id is that of the publish
 // or, without one, its message-id. If receipts are signed, a header carries the signed form.
-func (d *Server) receiptMessage(r *receipt.Receipt) (*amqp.Properties, []byte) {
+func (server *Server) receiptMessage(r *receipt.Receipt) (*amqp.Properties, []byte) {
 	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.Correlation, Type: r.Answer,
 		DeliveryMode: 1, Timestamp: uint64(r.At.Unix())}
 	if p.CorrelationID == "" {
 		p.CorrelationID = r.MessageID
 	}
-	if d.answers.Key != nil {
-		p.Headers = amqp.Table{{Name: HeaderReceipt, Value: r.Sign(d.answers.Key)}}
+	if server.answers.Key != nil {
+		p.Headers = amqp.Table{{Name: HeaderReceipt, Value: r.Sign(server.answers.Key)}}
 	}
 	return p, r.JSON()
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -288,21 +288,21 @@
 }
 
 // Release gives the place back without an answer.
-func (p *Reservation) Release(now time.Duration) {
-	p.queue.reserved--
-	p.queue.lastUsed = now
+func (r *Reservation) Release(now time.Duration) {
+	r.queue.reserved--
+	r.queue.lastUsed = now
 }
 
 // Fill puts the answer into the queue. If the queue has been removed the answer is dropped and counted.
-func (p *Reservation) Fill(now time.Duration, payload any) {
-	p.Release(now)
-	if p.queue.removed {
-		p.broker.DroppedAnswers++
+func (r *Reservation) Fill(now time.Duration, payload any) {
+	r.Release(now)
+	if r.queue.removed {
+		r.broker.DroppedAnswers++
 		return
 	}
-	p.broker.lastSequence++
-	p.queue.ready = append(p.queue.ready, queuedAnswer{sequence: p.broker.lastSequence, queuedAt: now, payload: payload})
-	p.broker.dispatch(p.queue)
+	r.broker.lastSequence++
+	r.queue.ready = append(r.queue.ready, queuedAnswer{sequence: r.broker.lastSequence, queuedAt: now, payload: payload})
+	r.broker.dispatch(r.queue)
 }
 
 // dispatch delivers the ready answers of a queue to its consumers round robin, while any has capacity.
@@ -352,8 +352,8 @@
 	}
 	q.lastUsed = now
 	var answers []PendingAnswer
-	for _, it := range q.ready[:min(limit, len(q.ready))] {
-		answers = append(answers, PendingAnswer{it.sequence, it.payload})
+	for _, answer := range q.ready[:min(limit, len(q.ready))] {
+		answers = append(answers, PendingAnswer{answer.sequence, answer.payload})
 	}
 	return answers, nil
 }
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -70,26 +70,26 @@
 }
 
 // A reserved place can be filled however full the queue is by then. A full queue grants no reservation.
-func TestPlacesArePromised(t *testing.T) {
+func TestReservations(t *testing.T) {
 	b := newTestBroker(t, QueueSpec{Name: "q"})
-	var places []*Reservation
+	var reservations []*Reservation
 	for range 6 {
 		p, err := b.Reserve(0, "q", "", "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		places = append(places, p)
+		reservations = append(reservations, p)
 	}
 	if _, err := b.Reserve(0, "q", "", ""); !errors.Is(err, ErrQueueFull) {
 		t.Error("a seventh reservation in a queue of six:", err)
 	}
-	places[0].Release(0)
+	reservations[0].Release(0)
 	if p, err := b.Reserve(0, "q", "", ""); err != nil {
 		t.Error(err)
 	} else {
 		p.Fill(0, 1)
 	}
-	for _, p := range places[1:] {
+	for _, p := range reservations[1:] {
 		p.Fill(0, 1)
 	}
 	if _, n := b.Usage(); n != 6 || b.DroppedAnswers != 0 {
@@ -144,7 +144,7 @@
 }
 
 // Unacknowledged deliveries of a closed channel are requeued in their order and marked as redelivered.
-func TestBackInOrder(t *testing.T) {
+func TestRequeueInOrder(t *testing.T) {
 	b := newTestBroker(t, QueueSpec{Name: "q"})
 	one, two := &recordingSink{}, &recordingSink{}
 	c := b.Channel(0, 1, one)
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestQueueGone(t *testing.T) {
+func TestQueueRemoved(t *testing.T) {
 	b := newTestBroker(t, QueueSpec{Name: "q"}, QueueSpec{Name: "auto", AutoDelete: true})
 	r := &recordingSink{}
 	c := b.Channel(0, 1, r)
@@ -221,7 +221,7 @@
 }
 
 // Ready answers older than Keep are dropped, and no others.
-func TestOldAnswersGo(t *testing.T) {
+func TestOldAnswersDropped(t *testing.T) {
 	b := New(Limits{QueuesPerTenant: 4, QueueLength: 6, Keep: time.Minute})
 	_, _, _, _ = b.Declare(0, 0, QueueSpec{Name: "q"}, false)
 	for i := range 3 {
@@ -242,45 +242,45 @@
 }
 
 // Whatever consumers do, no answer is lost, none is acknowledged twice, and the queue stays within its length.
-func TestNothingLost(t *testing.T) {
+func TestNoAnswerLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Limits{QueuesPerTenant: 4, QueueLength: 20})
 		_, _, _, _ = b.Declare(0, 0, QueueSpec{Name: "q"}, false)
-		type side struct {
+		type reader struct {
 			ch *Channel
 			r  *recordingSink
 		}
-		var open []side
-		put, acked := 0, map[any]bool{}
+		var readers []reader
+		filled, acknowledged := 0, map[any]bool{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			step := rapid.IntRange(0, 6).Draw(t, "step")
-			if step > 2 && len(open) == 0 {
+			if step > 2 && len(readers) == 0 {
 				step = 0
 			}
 			switch step {
 			case 0:
 				r := &recordingSink{}
-				ch := b.Channel(0, uint64(len(open)), r)
+				ch := b.Channel(0, uint64(len(readers)), r)
 				ch.SetPrefetch(rapid.IntRange(0, 3).Draw(t, "prefetch"), rapid.Bool().Draw(t, "whole"))
 				tag, err := ch.Consume("q", "", false, false)
 				if err != nil {
 					t.Fatal(err)
 				}
 				ch.StartDeliveries(tag)
-				open = append(open, side{ch, r})
+				readers = append(readers, reader{ch, r})
 			case 1, 2:
 				if p, err := b.Reserve(0, "q", "", ""); err == nil {
-					p.Fill(0, put)
-					put++
+					p.Fill(0, filled)
+					filled++
 				} else if !errors.Is(err, ErrQueueFull) || len(b.queues[queueKey{0, "q"}].ready)+b.queues[queueKey{0, "q"}].unacked < 20 {
 					t.Fatal(err)
 				}
 			default:
-				i := rapid.IntRange(0, len(open)-1).Draw(t, "reader")
-				s := open[i]
+				i := rapid.IntRange(0, len(readers)-1).Draw(t, "reader")
+				s := readers[i]
 				if step == 6 {
 					s.ch.Close(0)
-					open = append(open[:i], open[i+1:]...)
+					readers = append(readers[:i], readers[i+1:]...)
 					continue
 				}
 				if len(s.ch.unacked) == 0 {
@@ -288,10 +288,10 @@
 				}
 				u := s.ch.unacked[rapid.IntRange(0, len(s.ch.unacked)-1).Draw(t, "which")]
 				if step == 3 {
-					if acked[u.answer.payload] {
+					if acknowledged[u.answer.payload] {
 						t.Fatalf("%v is unacknowledged after its acknowledgement", u.answer.payload)
 					}
-					acked[u.answer.payload] = true
+					acknowledged[u.answer.payload] = true
 					_ = s.ch.Ack(0, u.deliveryTag, false)
 				} else {
 					_ = s.ch.Reject(0, u.deliveryTag, step == 4, true)
@@ -299,8 +299,8 @@
 			}
 		}
 		q := b.queues[queueKey{0, "q"}]
-		if len(acked)+len(q.ready)+q.unacked != put {
-			t.Fatalf("%d put, %d acknowledged, %d waiting, %d out", put, len(acked), len(q.ready), q.unacked)
+		if len(acknowledged)+len(q.ready)+q.unacked != filled {
+			t.Fatalf("%d put, %d acknowledged, %d waiting, %d out", filled, len(acknowledged), len(q.ready), q.unacked)
 		}
 	})
 }
