--- a/internal/amqp/conn.go
+++ b/internal/amqp/conn.go
@@ -21,8 +21,8 @@
 	// Heartbeat is the interval proposed to the client, in whole seconds, 0 for none. The interval in the client's
 	// tune-ok applies.
 	Heartbeat time.Duration
-	// Handshake is the time within which a new connection must reach connection.open. It also bounds the wait for the
-	// answer to our close, which is at most two seconds.
+	// Handshake is the time within which a new connection must reach connection.open. The wait for the answer to our
+	// close is Handshake or two seconds, whichever is shorter.
 	Handshake time.Duration
 	// BodyStallTimeout is how long an incomplete message may receive no further frame.
 	BodyStallTimeout time.Duration
@@ -321,8 +321,8 @@
 	c.Send(0, &ConnectionTune{c.cfg.ChannelMax, uint32(c.cfg.FrameMax), uint16(c.cfg.Heartbeat / time.Second)})
 }
 
-// RefuseLogin refuses the credentials of a Login event. A client with the authentication_failure_close capability gets a
-// connection.close with the text. For others the connection ends, and the returned error says why.
+// RefuseLogin refuses the credentials of a Login event. A client with the authentication_failure_close capability gets
+// a connection.close with the text. For others the connection ends, and the returned error says why.
 func (c *Conn) RefuseLogin(text string) error {
 	if !c.supportsAuthClose {
 		c.phase = closed
@@ -578,8 +578,8 @@
 	c.closeDeadline = c.now + min(c.cfg.Handshake, 2*time.Second)
 }
 
-// Close closes a running connection with reply code 320 and the text, and waits for close-ok until closeDeadline. Before
-// connection.open it ends the connection at once.
+// Close closes a running connection with reply code 320 and the text, and waits for close-ok until closeDeadline.
+// Before connection.open it ends the connection at once.
 func (c *Conn) Close(now time.Duration, text string) {
 	c.now = now
 	switch {
@@ -678,7 +678,7 @@
 	return nil
 }
 
-// Due returns when Check is to be called next.
+// Due returns when Check is to be called next. Without a time limit that is in an hour.
 func (c *Conn) Due(now time.Duration) time.Duration {
 	switch {
 	case c.phase == closed:
@@ -693,6 +693,7 @@
 		due = min(c.lastSent+c.heartbeat/2, c.lastReceived+2*c.heartbeat+time.Millisecond)
 	}
 	if c.incomplete > 0 {
+		// The time of the last progress is kept per channel, so a stalled message is found by polling.
 		due = min(due, now+c.cfg.BodyStallTimeout/4)
 	}
 	return due
--- a/internal/amqp/methods.go
+++ b/internal/amqp/methods.go
@@ -350,7 +350,7 @@
 	}
 	// BasicConsumeOK answers BasicConsume with the consumer tag.
 	BasicConsumeOK struct{ ConsumerTag string }
-	// BasicCancel ends a consumer. The server sends it when the queue is gone.
+	// BasicCancel ends a consumer. The server sends it when the queue has been removed.
 	BasicCancel struct {
 		ConsumerTag string
 		NoWait      bool
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -1,7 +1,7 @@
-// Package amqpfront is the AMQP 0-9-1 front towards clients. Programs publish as to a broker. The final answer comes back
-// as a confirm. It also comes in full in an answer queue if the message names one in reply-to or a queue is bound to its
-// exchange and routing key. docs/answers.md says what each of these guarantees. Like every front it decides nothing about
-// messages: one that it rejects was never taken.
+// Package amqpfront is the AMQP 0-9-1 front towards clients. Programs publish as to a broker. The final answer comes
+// back as a confirm. It also comes in full in an answer queue if the message names one in reply-to or a queue is bound
+// to its exchange and routing key. docs/answers.md says what each of these guarantees. Like every front it decides
+// nothing about messages: one that it rejects was never taken.
 package amqpfront
 
 import (
@@ -30,9 +30,9 @@
 	answers *mailbox.SharedBroker
 }
 
-// New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message numbers
-// to message names, admission admits messages and channels, answers holds the answer queues, and now is the clock of the
-// sessions.
+// New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message
+// numbers to message names, admission admits messages and channels, answers holds the answer queues, and now is the
+// clock of the sessions.
 func New(cfg amqp.Config, catalog *intake.Book, names push.Names, admission *door.Side, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
 	return &Server{cfg: cfg, catalog: catalog, names: names, admission: admission, now: now, answers: answers}
 }
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -221,10 +221,10 @@
 	p.reservation = nil
 }
 
-// reject tells the publisher of a message that was never taken. An *amqp.Error closes its channel or the connection. For
-// a *refusal the message is returned and gets a nack. On a channel without confirms, a refused message without the
-// mandatory flag is dropped if it has no route (section 1.8.3.3). Any other such refusal closes the channel, because the
-// publisher would not learn of it otherwise.
+// reject tells the publisher of a message that was never taken. An *amqp.Error closes its channel or the connection.
+// For a *refusal the message is returned and, on a channel with confirms, gets a nack. Without confirms, a refused
+// message without the mandatory flag is dropped if it has no route (section 1.8.3.3). Any other such refusal closes the
+// channel, because the publisher would not learn of it otherwise.
 func (s *session) reject(p *publish, err error) {
 	var e *amqp.Error
 	var r *refusal
@@ -272,8 +272,8 @@
 	s.protocol.SendContent(p.channel.id, &amqp.BasicReturn{Code: code, Text: text + " - " + reason, Exchange: p.method.Exchange, Key: p.method.Key}, &props, body)
 }
 
-// Final implements engine.Origin. It runs on the engine's goroutine. It puts the answer into its queue first, even if the
-// connection is gone, and then passes it to the connection's event loop.
+// Final implements engine.Origin. It runs on the engine's goroutine. It puts the answer into its queue first, even if
+// the connection is gone, and then passes it to the connection's event loop.
 func (p *publish) Final(_ *engine.Message, a engine.Answer) {
 	p.answer = a
 	if p.reservation != nil {
--- a/internal/mailbox/channel.go
+++ b/internal/mailbox/channel.go
@@ -56,7 +56,8 @@
 	return !c.channel.paused && (c.noAck || (c.prefetch == 0 || c.unacked < c.prefetch) && (c.channel.channelPrefetch == 0 || len(c.channel.unacked) < c.channel.channelPrefetch))
 }
 
-// deliver passes an answer to a consumer and, unless the consumer needs no acknowledgement, records it as unacknowledged.
+// deliver passes an answer to a consumer and, unless the consumer needs no acknowledgement, records it as
+// unacknowledged.
 func (ch *Channel) deliver(q *queue, c *consumer, answer queuedAnswer) {
 	ch.lastDeliveryTag++
 	d := Delivery{ConsumerTag: c.tag, DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}
@@ -91,8 +92,8 @@
 	return tag, nil
 }
 
-// StartDeliveries delivers the answers that are ready for a consumer. It is separate from Consume so that the client can
-// be told of the consumer tag before the first delivery.
+// StartDeliveries delivers the answers that are ready for a consumer. It is separate from Consume so that the client
+// can be told of the consumer tag before the first delivery.
 func (ch *Channel) StartDeliveries(tag string) {
 	if c := ch.consumers[tag]; c != nil {
 		ch.broker.dispatch(c.queue)
@@ -122,8 +123,8 @@
 // HasConsumer reports whether the channel has a consumer with the tag.
 func (ch *Channel) HasConsumer(tag string) bool { return ch.consumers[tag] != nil }
 
-// SetPrefetch limits the number of unacknowledged deliveries: of the whole channel if perChannel is set, or else of each
-// consumer that is started from now on. 0 is no limit.
+// SetPrefetch limits the number of unacknowledged deliveries: of the whole channel if perChannel is set, or else of
+// each consumer that is started from now on. 0 is no limit.
 func (ch *Channel) SetPrefetch(n int, perChannel bool) {
 	if perChannel {
 		ch.channelPrefetch = n
@@ -168,8 +169,8 @@
 	return Delivery{DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}, len(q.ready), true, nil
 }
 
-// Ack acknowledges a delivery. With multiple it acknowledges all deliveries up to the tag, or all deliveries if the tag is
-// 0. It returns ErrUnknownDelivery if the tag is not unacknowledged.
+// Ack acknowledges a delivery. With multiple it acknowledges all deliveries up to the tag, or all deliveries if the tag
+// is 0. It returns ErrUnknownDelivery if the tag is not unacknowledged.
 func (ch *Channel) Ack(now time.Duration, tag uint64, multiple bool) error {
 	return ch.settle(now, tag, multiple, false)
 }
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -137,8 +137,8 @@
 }
 
 // Declare creates a queue, or finds an existing one with the same properties. For an empty name it generates one. With
-// passive it creates nothing and does not compare the properties. It returns the name and the numbers of ready answers and
-// consumers. Errors are ErrLocked, ErrPropertiesDiffer, ErrNotFound and ErrTooManyQueues.
+// passive it creates nothing and does not compare the properties. It returns the name and the numbers of ready answers
+// and consumers. Errors are ErrLocked, ErrPropertiesDiffer, ErrNotFound and ErrTooManyQueues.
 func (b *Broker) Declare(now time.Duration, tenant int, spec QueueSpec, passive bool) (name string, ready, consumers int, err error) {
 	if q := b.queues[queueKey{tenant, spec.Name}]; q != nil && spec.Name != "" {
 		switch {
@@ -232,8 +232,8 @@
 	return n, nil
 }
 
-// Bind routes answers to a queue: those of messages that the tenant publishes to the exchange with the key and that name
-// no queue themselves. The key "#" stands for any key without a binding of its own.
+// Bind routes answers to a queue: those of messages that the tenant publishes to the exchange with the key and that
+// name no queue themselves. The key "#" stands for any key without a binding of its own.
 func (b *Broker) Bind(tenant int, exchange, key, name string, owner uint64) error {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
@@ -358,8 +358,8 @@
 	return answers, nil
 }
 
-// Take removes a ready answer from a queue by its sequence number and returns it. It returns ErrUnknownDelivery if there is
-// none. Exclusive queues give ErrLocked.
+// Take removes a ready answer from a queue by its sequence number and returns it. It returns ErrUnknownDelivery if
+// there is none. Exclusive queues give ErrLocked.
 func (b *Broker) Take(now time.Duration, tenant int, name string, sequence uint64) (payload any, err error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
@@ -375,8 +375,8 @@
 	return payload, nil
 }
 
-// SharedBroker is a Broker with a lock, for several fronts. Hold the lock for each call of the Broker. Nothing may block
-// under it.
+// SharedBroker is a Broker with a lock, for several fronts. Hold the lock for each call of the Broker. Nothing may
+// block under it.
 type SharedBroker struct {
 	sync.Mutex
 	*Broker
