--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -19,7 +19,7 @@
 // Server holds what the sessions of the front share. It is safe for concurrent use.
 type Server struct {
 	cfg       amqp.Config
-	catalog   *intake.Book
+	catalog   *intake.Registry
 	names     push.Names
 	admission *door.Side
 	now       func() time.Duration
@@ -33,7 +33,7 @@
 // New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message
 // numbers to message names, admission admits messages and channels, answers holds the answer queues, and now is the
 // clock of the sessions.
-func New(cfg amqp.Config, catalog *intake.Book, names push.Names, admission *door.Side, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
+func New(cfg amqp.Config, catalog *intake.Registry, names push.Names, admission *door.Side, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
 	return &Server{cfg: cfg, catalog: catalog, names: names, admission: admission, now: now, answers: answers}
 }
 
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -82,8 +82,8 @@
 	if err != nil {
 		return err
 	}
-	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Target: target, Type: p.props.ContentType,
-		Coding: p.props.ContentEncoding, Origin: p}
+	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, TargetPath: target, ContentType: p.props.ContentType,
+		ContentEncoding: p.props.ContentEncoding, Origin: p}
 	if err := s.applyProperties(m, r, p.props); err != nil {
 		return &amqp.Error{Code: amqp.PreconditionFailed, Text: err.Error()}
 	}
@@ -125,7 +125,7 @@
 	if r == nil {
 		return nil, "", &refusal{amqp.NoRoute, fmt.Sprintf("routing key %q leads to no partner", intake.Printable(method.Key))}
 	}
-	if r.Tenant != s.tenant && !s.server.catalog.Open(r.Tenant) {
+	if r.Tenant != s.tenant && !s.server.catalog.IsOpen(r.Tenant) {
 		return nil, "", &amqp.Error{Code: amqp.AccessRefused, Text: "that is another tenant's"}
 	}
 	return r, target, nil
@@ -140,22 +140,22 @@
 		if err != nil && !errors.Is(err, strconv.ErrRange) {
 			return fmt.Errorf("expiration %q is no number of milliseconds", intake.Printable(p.Expiration))
 		}
-		if ms < uint64(r.Life/time.Millisecond) {
+		if ms < uint64(r.MaxLifetime/time.Millisecond) {
 			requested = time.Duration(ms) * time.Millisecond
 		}
 	}
-	m.Life = s.server.catalog.Life(r.Life, requested)
+	m.Lifetime = s.server.catalog.Lifetime(r.MaxLifetime, requested)
 	if p.HasPriority {
 		m.Urgency = urgency(p.Priority)
 	}
 	if p.UserID != "" && p.UserID != s.user {
 		return fmt.Errorf("user-id is not that of the connection")
 	}
-	if err := intake.Order(m, r.InOrder, p.Headers.GetString(HeaderOrderKey)); err != nil {
+	if err := intake.SetTopic(m, r.InOrder, p.Headers.GetString(HeaderOrderKey)); err != nil {
 		return fmt.Errorf("header %s: %w", HeaderOrderKey, err)
 	}
 	if p.MessageID != "" {
-		if err := intake.Repeat(m, p.MessageID); err != nil {
+		if err := intake.SetIdempotencyKey(m, p.MessageID); err != nil {
 			return fmt.Errorf("message-id: %w", err)
 		}
 	}
@@ -272,9 +272,9 @@
 	s.protocol.SendContent(p.channel.id, &amqp.BasicReturn{Code: code, Text: text + " - " + reason, Exchange: p.method.Exchange, Key: p.method.Key}, &props, body)
 }
 
-// Final implements engine.Origin. It runs on the engine's goroutine. It puts the answer into its queue first, even if
+// Answer implements engine.Origin. It runs on the engine's goroutine. It puts the answer into its queue first, even if
 // the connection is gone, and then passes it to the connection's event loop.
-func (p *publish) Final(_ *engine.Message, a engine.Answer) {
+func (p *publish) Answer(_ *engine.Message, a engine.Answer) {
 	p.answer = a
 	if p.reservation != nil {
 		server := p.session.server
@@ -289,32 +289,32 @@
 }
 
 // Lost counts the answer of a publish whose connection is gone.
-func (p *publish) Lost() { p.ticket.Answered(p.answer.Final, p.reservation != nil) }
+func (p *publish) Lost() { p.ticket.Answered(p.answer.Kind, p.reservation != nil) }
 
 // Open confirms the publish, and returns the message if it was refused. It runs on the connection's event loop.
 func (p *publish) Open(time.Duration) {
 	s := p.session
 	s.unanswered--
 	notified := !p.channel.closed && p.tag > 0
-	if p.answer.Final == engine.Refused && (p.tag > 0 || p.method.Mandatory) {
-		s.returnMessage(p, amqp.NoConsumers, p.answer.Why, time.Duration(p.answer.Wait)*time.Microsecond)
+	if p.answer.Kind == engine.Refused && (p.tag > 0 || p.method.Mandatory) {
+		s.returnMessage(p, amqp.NoConsumers, p.answer.AttemptDetail, time.Duration(p.answer.RetryAfter)*time.Microsecond)
 		notified = !p.channel.closed
 	}
-	s.settle(p.channel, p.tag, p.answer.Final == engine.Served)
-	p.ticket.Answered(p.answer.Final, notified || p.reservation != nil)
+	s.settle(p.channel, p.tag, p.answer.Kind == engine.Served)
+	p.ticket.Answered(p.answer.Kind, notified || p.reservation != nil)
 }
 
 // receipt returns the full final answer for the answer queue.
 func (p *publish) receipt() *receipt.Receipt {
 	r := receipt.New(p.session.server.names.Of(p.message.ID), &p.answer, clock.Wall())
-	r.MessageID, r.Correlation, r.Exchange, r.Key = p.props.MessageID, p.props.CorrelationID, p.method.Exchange, p.method.Key
+	r.MessageID, r.CorrelationID, r.Exchange, r.RoutingKey = p.props.MessageID, p.props.CorrelationID, p.method.Exchange, p.method.Key
 	return r
 }
 
 // receiptMessage converts a receipt to the properties and body of a message. The correlation-id is that of the publish
 // or, without one, its message-id. If receipts are signed, a header carries the signed form.
 func (server *Server) receiptMessage(r *receipt.Receipt) (*amqp.Properties, []byte) {
-	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.Correlation, Type: r.Answer,
+	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.CorrelationID, Type: r.Answer,
 		DeliveryMode: 1, Timestamp: uint64(r.At.Unix())}
 	if p.CorrelationID == "" {
 		p.CorrelationID = r.MessageID
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,7 +32,7 @@
 	AMQP     front.Config // its address is empty where AMQP is off
 	AMQPConn amqp.Config
 	Outbound outbound.Config
-	Bounds   engine.Bounds
+	Bounds   engine.Limits
 	Audit    audit.Config
 	Mailbox  mailbox.Limits
 	Door     door.Limits
@@ -43,7 +43,7 @@
 	LogLines   float64
 	StopWithin time.Duration
 
-	Intake    intake.Setup
+	Intake    intake.Config
 	Classes   []string
 	Partners  []roster.Partner
 	Sites     []push.Site // by partner
@@ -210,7 +210,7 @@
 		res := intake.Resource{Path: s.name, Dest: r.ref(s, "partner", partnerAt), Class: r.ref(s, "class", classAt),
 			Tenant: r.ref(s, "tenant", tenantAt)}
 		if len(r.problems) == 0 {
-			res.InOrder, res.Life = c.limits(res.Class)
+			res.InOrder, res.MaxLifetime = c.limits(res.Class)
 			c.Intake.Resources = append(c.Intake.Resources, res)
 		}
 	}
@@ -218,7 +218,7 @@
 	for _, s := range exchanges {
 		x := intake.Exchange{Name: s.name, Class: r.ref(s, "class", classAt), Tenant: r.ref(s, "tenant", tenantAt)}
 		if len(r.problems) == 0 {
-			x.InOrder, x.Life = c.limits(x.Class)
+			x.InOrder, x.MaxLifetime = c.limits(x.Class)
 			c.Intake.Exchanges = append(c.Intake.Exchanges, x)
 		}
 	}
@@ -274,7 +274,7 @@
 	if m.MaxOpen = l.int("hold"); m.MaxOpen == 0 {
 		m.MaxOpen = max(1000, 40*m.Slots)
 	}
-	c.Intake.LeastLife = rules.span("least-life")
+	c.Intake.MinLifetime = rules.span("least-life")
 	if m.StopSendingWithin < 2*m.Tick {
 		r.bad(rules.at["drain-grace"], "drain-grace", "is shorter than two ticks")
 	}
@@ -283,7 +283,7 @@
 			r.bad(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
 		}
 	}
-	c.Bounds = engine.Bounds{Queue: l.int("queue"), Hold: m.MaxOpen}
+	c.Bounds = engine.Limits{MaxQueued: l.int("queue"), MaxHeld: m.MaxOpen}
 	c.Door = door.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
 		TenantBytes: int64(l.num["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
 	if c.Door.UnblockAt >= c.Door.BlockAt {
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -236,7 +236,7 @@
 func (t *Ticket) Over() bool { return t.over }
 
 // Answered ends the ticket of a message that has its final answer; heard tells whether its sender was there.
-func (t *Ticket) Answered(f engine.Final, heard bool) {
+func (t *Ticket) Answered(f engine.AnswerKind, heard bool) {
 	if !t.end() {
 		return
 	}
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -19,7 +19,7 @@
 
 func (c *core) Submit(m *engine.Message) error {
 	if c.room == 0 {
-		return engine.ErrHoldFull
+		return engine.ErrTooManyHeld
 	}
 	c.room--
 	c.next++
@@ -65,7 +65,7 @@
 	s := d.Side("a")
 	x, y := s.Ticket(0), s.Ticket(0)
 	m := &engine.Message{}
-	if x.Grow(10) != nil || x.Submit(m) != nil || !errors.Is(y.Submit(&engine.Message{}), engine.ErrHoldFull) {
+	if x.Grow(10) != nil || x.Submit(m) != nil || !errors.Is(y.Submit(&engine.Message{}), engine.ErrTooManyHeld) {
 		t.Fatal("submit")
 	}
 	y.Turn()
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -148,7 +148,7 @@
 		}
 		return nil
 	})
-	watch := clock.Start()
+	watch := clock.StartStopwatch()
 	for talk(g, []byte("hello")) != nil { // those that waited at the old socket are gone with it
 		if watch.Elapsed() > 20*time.Second {
 			t.Fatal("nobody is served")
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -16,10 +16,10 @@
 	// Request appends the request of a call to b; left is the time that each of its attempts has.
 	Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte
 	// Answer makes a whole response into one end for each attempt of the call. The head is valid only until it returns.
-	Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End
+	Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome
 	// Assured is the end of a call that is sure from the first line of an answer, though the rest of it was spoilt or
 	// has not come; ok is false where the first line promises nothing.
-	Assured(as []*engine.Attempt, status int) (end engine.End, ok bool)
+	Assured(as []*engine.Attempt, status int) (end engine.Outcome, ok bool)
 }
 
 // NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
@@ -81,13 +81,13 @@
 	}
 	// The message with the most time goes first. Guards against peers that reckon a call by its first message: its end
 	// before that of the others would leave these without theirs.
-	slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.a.Due, x.a.Due) })
+	slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.a.Deadline, x.a.Deadline) })
 	l.used, l.call, l.tasks = true, k, tasks
 	l.as = make([]*engine.Attempt, len(tasks))
 	left := make([]time.Duration, len(tasks))
 	for i, t := range tasks {
 		l.as[i] = t.a
-		left[i] = time.Duration(t.a.Due)*time.Microsecond - now
+		left[i] = time.Duration(t.a.Deadline)*time.Microsecond - now
 	}
 	l.status, l.head, l.in = 0, nil, nil
 	l.out = l.calls.Request(l.out, l.as, left)
@@ -100,7 +100,7 @@
 	if l.call != t.call {
 		return
 	}
-	if t.kind == engine.OutOfTime && t.a.Due >= t.a.Ends && !l.assured() && l.waitsForOthers() {
+	if t.kind == engine.TimedOut && t.a.Deadline >= t.a.MessageDeadline && !l.assured() && l.waitsForOthers() {
 		return
 	}
 	l.over = true // lose reports it, once nothing can come any more
@@ -123,11 +123,11 @@
 		return false
 	}
 	l.over = true
-	l.finish([]engine.End{end})
+	l.finish([]engine.Outcome{end})
 	return true
 }
 
-func (l *h1Line) finish(ends []engine.End) {
+func (l *h1Line) finish(ends []engine.Outcome) {
 	if l.over { // before the ends make room for others
 		l.c.pool.mu.Lock()
 		l.c.usable = false
@@ -140,19 +140,19 @@
 	}
 }
 
-func (l *h1Line) lose(kind engine.EndKind, why string) {
+func (l *h1Line) lose(kind engine.OutcomeKind, why string) {
 	l.over = true
 	if l.call == nil || l.assured() {
 		return
 	}
-	ends := make([]engine.End, len(l.tasks))
+	ends := make([]engine.Outcome, len(l.tasks))
 	for i, t := range l.tasks {
-		ends[i] = engine.End{Kind: kind, Detail: why}
+		ends[i] = engine.Outcome{Kind: kind, Detail: why}
 		l.c.pool.mu.Lock()
 		if t.given {
-			ends[i] = engine.End{Kind: t.kind}
-		} else if l.head != nil && kind == engine.ResetUnanswered {
-			ends[i].Kind = engine.ResetMidAnswer
+			ends[i] = engine.Outcome{Kind: t.kind}
+		} else if l.head != nil && kind == engine.ResetBeforeResponse {
+			ends[i].Kind = engine.ResetDuringResponse
 		}
 		l.c.pool.mu.Unlock()
 	}
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -13,7 +13,7 @@
 	Addresses
 	Request(a *engine.Attempt, left time.Duration) []h2.Field
 	// Answer makes a whole response into an end.
-	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End
+	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome
 }
 
 // NewHTTP2 is HTTP/2 with a speech; each attempt is a stream.
@@ -61,8 +61,8 @@
 
 func (l *h2Line) start(now time.Duration, _ *call, tasks []*task) error {
 	t := tasks[0] // HTTP/2 has no bulk calls
-	left := time.Duration(t.a.Due)*time.Microsecond - now
-	id, err := l.h.Request(now, l.speech.Request(t.a, left), t.a.Msg.Body)
+	left := time.Duration(t.a.Deadline)*time.Microsecond - now
+	id, err := l.h.Request(now, l.speech.Request(t.a, left), t.a.Message.Body)
 	switch {
 	case err == nil:
 		t.stream = id
@@ -77,17 +77,17 @@
 func (l *h2Line) giveUp(now time.Duration, t *task) {
 	l.h.Reset(now, t.stream, h2.Cancel)
 	delete(l.tasks, t.stream)
-	l.c.pool.end(t, engine.End{Kind: t.kind})
+	l.c.pool.end(t, engine.Outcome{Kind: t.kind})
 }
 
-func (l *h2Line) lose(kind engine.EndKind, why string) {
+func (l *h2Line) lose(kind engine.OutcomeKind, why string) {
 	for id, t := range l.tasks {
 		delete(l.tasks, id)
 		k := kind
-		if t.headers && kind == engine.ResetUnanswered {
-			k = engine.ResetMidAnswer
+		if t.headers && kind == engine.ResetBeforeResponse {
+			k = engine.ResetDuringResponse
 		}
-		l.c.pool.end(t, engine.End{Kind: k, Detail: why})
+		l.c.pool.end(t, engine.Outcome{Kind: k, Detail: why})
 	}
 }
 
@@ -129,15 +129,15 @@
 }
 
 // resetEnd tells what a reset of a stream proves.
-func resetEnd(t *task, e *h2.Event) engine.End {
-	end := engine.End{Kind: engine.ResetUnanswered, Detail: "RST_STREAM " + e.Code.String()}
+func resetEnd(t *task, e *h2.Event) engine.Outcome {
+	end := engine.Outcome{Kind: engine.ResetBeforeResponse, Detail: "RST_STREAM " + e.Code.String()}
 	switch {
 	case e.Local:
-		end.Kind, end.Detail = engine.Malformed, e.Reason
+		end.Kind, end.Detail = engine.ProtocolError, e.Reason
 	case t.headers:
-		end.Kind = engine.ResetMidAnswer
+		end.Kind = engine.ResetDuringResponse
 	case e.Code == h2.RefusedStream:
-		end.Kind = engine.RefusedByStream
+		end.Kind = engine.StreamRefused
 	}
 	return end
 }
@@ -148,17 +148,17 @@
 	p.mu.Lock()
 	l.c.usable = false
 	p.mu.Unlock()
-	kind := engine.AwayUnseen
+	kind := engine.GoAwayUnprocessed
 	switch {
 	case e.Code != h2.NoError:
-		kind = engine.AwayAngry
+		kind = engine.GoAwayWithError
 	case !l.proved:
-		kind = engine.AwayAtOnce
+		kind = engine.GoAwayBeforeResponse
 	}
 	for id, t := range l.tasks {
 		if id > e.Last {
 			delete(l.tasks, id)
-			p.end(t, engine.End{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
+			p.end(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
 	}
 }
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -73,18 +73,18 @@
 func (s speech) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
-func (s speech) Answer(*engine.Attempt, []h2.Field, []byte) engine.End {
-	return engine.End{Kind: engine.Answered, Status: 201}
+func (s speech) Answer(*engine.Attempt, []h2.Field, []byte) engine.Outcome {
+	return engine.Outcome{Kind: engine.Answered, Status: 201}
 }
 
 // gather collects the ends of n attempts, each to an endpoint of its own.
-func gather(t *testing.T, cfg Config, n int) (ends map[engine.EndKind]int, most int) {
+func gather(t *testing.T, cfg Config, n int) (ends map[engine.OutcomeKind]int, most int) {
 	t.Helper()
 	var mu sync.Mutex
-	ends = map[engine.EndKind]int{}
+	ends = map[engine.OutcomeKind]int{}
 	all := make(chan struct{}, n)
 	clock := clock.New()
-	p, err := New(cfg, NewHTTP2(speech{peer(t)}), clock, func(e engine.End) {
+	p, err := New(cfg, NewHTTP2(speech{peer(t)}), clock, func(e engine.Outcome) {
 		mu.Lock()
 		ends[e.Kind]++
 		mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 	defer p.Close()
 	for i := range n {
-		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Msg: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Due: clock.Now() + 60*control.Second}})
+		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Message: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Deadline: clock.Now() + 60*control.Second}})
 	}
 	for range n {
 		<-all
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -55,7 +55,7 @@
 	giveUp(now time.Duration, t *task)
 	shut(now time.Duration) // it is closed next, idle
 	state() lineState
-	lose(kind engine.EndKind, why string) // the connection is gone: all that is out ends
+	lose(kind engine.OutcomeKind, why string) // the connection is gone: all that is out ends
 }
 
 // lineState is how a line stands.
@@ -89,7 +89,7 @@
 	cfg    Config
 	proto  Protocol
 	clock  clock.Clock
-	report func(engine.End)
+	report func(engine.Outcome)
 	loops  *eventloop.Group
 	kick   chan struct{} // something changed for the planner
 	quit   chan struct{}
@@ -135,7 +135,7 @@
 	call    *call
 	ended   bool // reported
 	given   bool // it is to be given up ...
-	kind    engine.EndKind
+	kind    engine.OutcomeKind
 	stream  uint32
 	fields  []h2.Field
 	body    []byte
@@ -167,7 +167,7 @@
 }
 
 // New makes a Pool that reports ends to report, which must not block.
-func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.End)) (*Pool, error) {
+func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.Outcome)) (*Pool, error) {
 	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.Endpoint]*site{},
 		tasks: map[uint64]*task{}, quit: make(chan struct{}), kick: make(chan struct{}, 1),
 		planner: opener.New(cfg.Opening), idle: list.New(), active: map[*conn]struct{}{}}
@@ -220,7 +220,7 @@
 		if !ok {
 			p.mu.Unlock()
 			for _, a := range as {
-				p.report(engine.End{Seq: a.Seq, Kind: engine.NotConnected, Detail: "endpoint without an address"})
+				p.report(engine.Outcome{Seq: a.Seq, Kind: engine.NotConnected, Detail: "endpoint without an address"})
 			}
 			return
 		}
@@ -282,7 +282,7 @@
 	}
 	s.wished = true
 	first := s.pending[0].tasks[0].a
-	p.planner.Wish(opener.Want{Key: uint64(s.ep), Worth: first.Worth, Due: time.Duration(first.Due) * time.Microsecond,
+	p.planner.Wish(opener.Want{Key: uint64(s.ep), Worth: first.Worth, Due: time.Duration(first.Deadline) * time.Microsecond,
 		Busy: s.busyTo > p.clock.Now()})
 	p.nudge()
 }
@@ -340,8 +340,8 @@
 	}
 }
 
-// Abandon is engine.Back.
-func (p *Pool) Abandon(a *engine.Attempt, kind engine.EndKind) {
+// Cancel is engine.Back.
+func (p *Pool) Cancel(a *engine.Attempt, kind engine.OutcomeKind) {
 	p.mu.Lock()
 	t := p.tasks[a.Seq]
 	if t == nil || t.given { // its end is on its way
@@ -354,19 +354,19 @@
 		p.mu.Unlock()
 		return
 	}
-	end := engine.End{Kind: engine.Unsent}
+	end := engine.Outcome{Kind: engine.Unsent}
 	switch {
-	case kind == engine.OutOfTime && t.call.site.lacking:
+	case kind == engine.TimedOut && t.call.site.lacking:
 		end.Detail = "this machine could make no connection"
-	case kind == engine.OutOfTime: // no connection had room for all its time
+	case kind == engine.TimedOut: // no connection had room for all its time
 		end.Kind = engine.NotConnected
 	}
 	p.mu.Unlock()
 	p.end(t, end)
 }
 
-// Unsend is engine.Back.
-func (p *Pool) Unsend(a *engine.Attempt) {
+// CancelUnsent is engine.Back.
+func (p *Pool) CancelUnsent(a *engine.Attempt) {
 	p.mu.Lock()
 	t := p.tasks[a.Seq]
 	waits := t != nil && !t.given && t.call.conn == nil
@@ -375,7 +375,7 @@
 	}
 	p.mu.Unlock()
 	if waits {
-		p.end(t, engine.End{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
+		p.end(t, engine.Outcome{Kind: engine.Unsent, Detail: "its endpoint is not to be sent to now"})
 	}
 }
 
@@ -417,7 +417,7 @@
 }
 
 // end reports the end of an attempt, once.
-func (p *Pool) end(t *task, e engine.End) {
+func (p *Pool) end(t *task, e engine.Outcome) {
 	p.mu.Lock()
 	if t.ended {
 		p.mu.Unlock()
@@ -455,7 +455,7 @@
 func (p *Pool) fail(calls []*call, why string) {
 	for _, k := range calls {
 		for _, t := range k.tasks {
-			p.end(t, engine.End{Kind: engine.NotConnected, Detail: why})
+			p.end(t, engine.Outcome{Kind: engine.NotConnected, Detail: why})
 		}
 	}
 }
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -101,10 +101,10 @@
 }
 
 // NewLog starts a log that keeps so many events at most.
-func NewLog(most int) *Log { return &Log{start: clock.Start(), most: most} }
+func NewLog(most int) *Log { return &Log{start: clock.StartStopwatch(), most: most} }
 
 // Began is the start of the log.
-func (l *Log) Began() time.Time { return l.start.Began() }
+func (l *Log) Began() time.Time { return l.start.StartedAt() }
 
 // Now is the time since the start of the log.
 func (l *Log) Now() time.Duration { return l.start.Elapsed() }
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -47,7 +47,7 @@
 
 // Apply takes a list, or changes of one, and returns the entries that the module is told. A host that can't be used is
 // left out, and named in faults.
-func (d *Directory) Apply(l List, now time.Duration) (entries []control.Entry, faults []error) {
+func (d *Directory) Apply(l EndpointList, now time.Duration) (entries []control.Entry, faults []error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := map[string]bool{}
@@ -124,11 +124,11 @@
 	return e, nil
 }
 
-// Whole returns all that is listed, as one list of that version.
-func (d *Directory) Whole(seq int64) List {
+// Snapshot returns all that is listed, as one list of that version.
+func (d *Directory) Snapshot(seq int64) EndpointList {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	l := List{Seq: seq, Whole: true, Hosts: []Host{}}
+	l := EndpointList{Seq: seq, Whole: true, Hosts: []Host{}}
 	for _, p := range d.hosts {
 		if p.gone == 0 {
 			l.Hosts = append(l.Hosts, p.host)
@@ -173,16 +173,16 @@
 	return p.addr, true
 }
 
-// Listed tells whether an endpoint is in the list.
-func (d *Directory) Listed(ep control.Endpoint) bool {
+// IsListed tells whether an endpoint is in the list.
+func (d *Directory) IsListed(ep control.Endpoint) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.byID[ep]
 	return p != nil && p.gone == 0
 }
 
-// Find returns what the list says of a host; ok is false where it is not listed.
-func (d *Directory) Find(host string) (e control.Entry, ok bool) {
+// Lookup returns what the list says of a host; ok is false where it is not listed.
+func (d *Directory) Lookup(host string) (e control.Entry, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.hosts[host]
@@ -192,8 +192,8 @@
 	return p.entry, true
 }
 
-// Host is the name of an endpoint, for logs.
-func (d *Directory) Host(ep control.Endpoint) string {
+// HostName is the name of an endpoint, for logs.
+func (d *Directory) HostName(ep control.Endpoint) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if p := d.byID[ep]; p != nil {
@@ -202,8 +202,8 @@
 	return "unknown"
 }
 
-// Knows tells whether a destination is listed, or was a short while ago.
-func (d *Directory) Knows(dest int) bool {
+// KnowsDestination tells whether a destination is listed, or was a short while ago.
+func (d *Directory) KnowsDestination(dest int) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	_, ok := d.dests[dest]
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -27,8 +27,8 @@
 	pause      = time.Second     // told with refusals at the door
 )
 
-// Desk is what all client sessions share.
-type Desk struct {
+// ClientHandler is what all client sessions share.
+type ClientHandler struct {
 	classes map[string]int
 	keyed   []bool // classes whose messages carry an idempotency key
 	tenants map[string]int
@@ -40,9 +40,9 @@
 	closing atomic.Bool
 }
 
-// NewDesk returns a Desk for classes and tenants as the settings name them.
-func NewDesk(s control.Settings, side *door.Side) *Desk {
-	d := &Desk{side: side, trace: func(string, ...any) {}}
+// NewClientHandler returns a Desk for classes and tenants as the settings name them.
+func NewClientHandler(s control.Settings, side *door.Side) *ClientHandler {
+	d := &ClientHandler{side: side, trace: func(string, ...any) {}}
 	d.classes, d.tenants = numbers(&s)
 	for _, c := range s.Classes {
 		d.keyed = append(d.keyed, c.Effect == control.Guarded)
@@ -63,14 +63,14 @@
 }
 
 // Open makes the session of a new connection.
-func (d *Desk) Open(c *front.Conn, now time.Duration) front.Session {
+func (d *ClientHandler) Open(c *front.Conn, now time.Duration) front.Session {
 	return &session{d: d, peer: c.Peer(), post: c.Post, opened: now, last: now}
 }
 
 // session is one client connection. Requests are taken one at a time, in order, each answered in the round that takes its
 // message; what a client sends ahead of an answer waits (RFC 9112 section 9.3.2).
 type session struct {
-	d      *Desk
+	d      *ClientHandler
 	peer   string // address of the client, for the trace
 	name   string // id of the last message that it handed in, for the trace
 	post   func(front.Parcel) bool
@@ -98,20 +98,20 @@
 // verdict is what a sender is to hear; it is a front.Parcel.
 type verdict struct {
 	ask   *ask
-	final engine.Final // Served stands for taken on
+	final engine.AnswerKind // Served stands for taken on
 	wait  control.Time
 }
 
-// Taken is engine.Taker.
-func (a *ask) Taken(*engine.Message) {
+// Accepted is engine.Taker.
+func (a *ask) Accepted(*engine.Message) {
 	a.taken = true
 	a.s.post(verdict{ask: a, final: engine.Served})
 }
 
-// Final is engine.Origin. The end of a message that was taken on is the keeper's to tell.
-func (a *ask) Final(_ *engine.Message, x engine.Answer) {
+// Answer is engine.Origin. The end of a message that was taken on is the keeper's to tell.
+func (a *ask) Answer(_ *engine.Message, x engine.Answer) {
 	if !a.taken {
-		a.s.post(verdict{a, x.Final, x.Wait})
+		a.s.post(verdict{a, x.Kind, x.RetryAfter})
 	}
 }
 
@@ -251,7 +251,7 @@
 			s.fault(now, status)
 			return
 		}
-		s.name = m.Name
+		s.name = m.ExternalID
 		s.submit(now, m, head.Close)
 		return
 	}
@@ -285,7 +285,7 @@
 }
 
 // message makes a request into a message, or tells the status of what is wrong with it.
-func (d *Desk) message(r *h1.Request, body []byte, now time.Duration) (m *engine.Message, status string) {
+func (d *ClientHandler) message(r *h1.Request, body []byte, now time.Duration) (m *engine.Message, status string) {
 	const bad = "400 Bad Request"
 	var v [6]string
 	for i, name := range [...]string{"x-txn", "x-lane", "x-org", "x-remaining", "x-consignee", "idempotency-key"} {
@@ -320,8 +320,8 @@
 	if !ok {
 		return nil, bad
 	}
-	return &engine.Message{Class: class, Tenant: tenant, Dest: to, Key: order, Name: v[0], Repeat: v[5],
-		Life: control.Time(min(left, maxWait) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
+	return &engine.Message{Class: class, Tenant: tenant, Dest: to, OrderKey: order, ExternalID: v[0], IdempotencyKey: v[5],
+		Lifetime: control.Time(min(left, maxWait) * float64(control.Second)), ReceivedAt: control.Time(now / time.Microsecond), Body: body}, ""
 }
 
 // beginsWith tells whether the class is the first part of a path.
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -224,8 +224,8 @@
 	_ = s.h.Respond(now, stream, reply.Fields, reply.Body)
 }
 
-// Final is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
-func (r *request) Final(_ *engine.Message, a engine.Answer) {
+// Answer is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
+func (r *request) Answer(_ *engine.Message, a engine.Answer) {
 	r.answer = a
 	if r.place != nil {
 		r.fill(&a)
@@ -243,7 +243,7 @@
 		r.s.side.Unheard.Add(1)
 		return
 	}
-	r.ticket.Answered(r.answer.Final, true)
+	r.ticket.Answered(r.answer.Kind, true)
 	if r.place != nil {
 		return
 	}
@@ -255,7 +255,7 @@
 // Lost counts an answer that comes too late; a receipt is in its place already.
 func (r *request) Lost() {
 	if r.place != nil {
-		r.ticket.Answered(r.answer.Final, true)
+		r.ticket.Answered(r.answer.Kind, true)
 		return
 	}
 	r.s.side.Unheard.Add(1)
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -63,7 +63,7 @@
 	case err != nil:
 		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
 	}
-	r.place, r.receipts, r.msg.Receipt = place, uri, name
+	r.place, r.receipts, r.msg.ReceiptSubscription = place, uri, name
 	return nil
 }
 
@@ -89,7 +89,7 @@
 func (r *request) fill(a *engine.Answer) {
 	rec := receipt.New(r.s.names.Of(r.msg.ID), a, clock.Wall())
 	rec.Path = r.path
-	if _, key, ok := strings.Cut(r.msg.Repeat, "/"); ok {
+	if _, key, ok := strings.Cut(r.msg.IdempotencyKey, "/"); ok {
 		rec.MessageID = key
 	}
 	r.s.room.Lock()
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -30,7 +30,7 @@
 		all = append(all, chores.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
 			chores.Chore{Name: "compress and drop", Class: 2, Every: 500 * time.Millisecond, Deadline: time.Minute},
 			chores.Chore{Name: "verify", Class: 3, Every: 30 * time.Second})
-		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Tend, k.VerifyNext)
+		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Maintain, k.VerifyNext)
 	}
 	b.planner = chores.New(chores.Budget{Share: s.cfg.Background, Burst: 200 * time.Millisecond}, all, s.now())
 	s.background = b
@@ -59,7 +59,7 @@
 
 // pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
 }
 
 func (b *background) stop() {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,20 +50,20 @@
 	acQueryAll
 )
 
-// Kind tells what a Record is about.
-type Kind uint8
+// RecordKind tells what a Record is about.
+type RecordKind uint8
 
 // Kinds of record.
 const (
-	Decision Kind = iota // an event for the module
-	Attach               // an instance starts
-	Exit                 // an instance is killed
-	Other                // well-formed, of no use to the module
+	ModuleEvent RecordKind = iota // an event for the module
+	Attach                        // an instance starts
+	Exit                          // an instance is killed
+	Ignored                       // well-formed, of no use to the module
 )
 
 // Record is one event with the instance it is for.
 type Record struct {
-	Kind     Kind
+	Kind     RecordKind
 	Instance uint16
 	Seed     uint64
 	Settings string
@@ -116,7 +116,7 @@
 		if err != nil {
 			return b, fmt.Errorf("batch %d, record %d: %w", b.Seq, i, err)
 		}
-		if rec.Kind != Other {
+		if rec.Kind != Ignored {
 			b.Records = append(b.Records, rec)
 		}
 	}
@@ -175,7 +175,7 @@
 func (d *Decoder) record(c *cursor) (Record, error) {
 	code := c.u8()
 	if code == evPool {
-		return Record{Kind: Other}, d.pool(c)
+		return Record{Kind: Ignored}, d.pool(c)
 	}
 	r := Record{Instance: c.u16()}
 	e := &r.Event
