--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,6 +10,7 @@
 	"whinrun/control"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
@@ -17,7 +18,6 @@
 	"whinrun/internal/intake"
 	"whinrun/internal/logstore/plan"
 	"whinrun/internal/mailbox"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
@@ -112,9 +112,9 @@
 			KeepFor: a.span("keep-for"), KeepBytes: int64(a.num["keep-bytes"]), RetryEvery: time.Second}}
 	c.Push = pushfront.Config{Idle: l.span("client-idle"), H2: bounds}
 	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.int("loops"), Conns: o.int("connections"), Streams: o.int("streams"),
+	c.Outbound = outbound.Config{Loops: d.int("loops"), MaxConnsPerEndpoint: o.int("connections"), MaxStreams: o.int("streams"),
 		ConnectTimeout: o.span("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: o.num["handshakes"], MaxHandshakes: o.int("opening"), MaxConns: o.int("total")}, IdleTimeout: o.span("idle"), MaxAnswerBytes: o.int("answer"), H2: bounds}
 	r.list(c)
 	r.classes(c)
 	r.partners(c)
@@ -149,14 +149,14 @@
 	if len(classes) == 0 {
 		r.bad(0, "", "no [class NAME] section: at least one is needed")
 	}
-	effects := map[string]control.Effect{"safe": control.Free, "keyed": control.Guarded, "unsafe": control.SingleShot}
+	effects := map[string]control.RepeatEffect{"safe": control.Idempotent, "keyed": control.Deduplicated, "unsafe": control.AtMostOnce}
 	for _, s := range classes {
-		k := control.Class{Name: s.name, Effect: effects[s.raw["effect"]], Window: s.time("window"), Aim: s.time("aim"),
-			Deadline: s.time("deadline"), Worth: s.num["worth"], LateWorth: s.num["late-worth"], InOrder: s.num["order"] == 1}
-		if k.Deadline < k.Aim {
+		k := control.Class{Name: s.name, Effect: effects[s.raw["effect"]], DedupWindow: s.time("window"), Target: s.time("aim"),
+			Deadline: s.time("deadline"), Value: s.num["worth"], LateValue: s.num["late-worth"], InOrder: s.num["order"] == 1}
+		if k.Deadline < k.Target {
 			r.bad(s.at["deadline"], "deadline", "is shorter than the aim")
 		}
-		if (k.Effect == control.Guarded) != (k.Window > 0) {
+		if (k.Effect == control.Deduplicated) != (k.DedupWindow > 0) {
 			r.bad(max(s.at["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
 		c.Classes = append(c.Classes, s.name)
@@ -183,7 +183,7 @@
 func (r *reader) partners(c *Config) {
 	kinds, kindAt := r.all("kind")
 	for _, s := range kinds {
-		c.Module.Kinds = append(c.Module.Kinds, control.Kind{Name: s.name, Batch: s.int("batch"), RoutesApart: s.num["routes-apart"] == 1})
+		c.Module.DestinationKinds = append(c.Module.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.int("batch"), PerEndpointLimits: s.num["routes-apart"] == 1})
 		c.Dialects = append(c.Dialects, push.Dialects[s.raw["dialect"]])
 	}
 	partners, partnerAt := r.all("partner")
@@ -256,18 +256,18 @@
 	m.Instances = 1
 	m.Tick = rules.time("tick")
 	m.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
-		"rough": control.WeightRough}[rules.raw["weights"]]
-	m.OverShare = rules.num["over-share"]
-	m.ReportLeft, m.ReportLimit = -1, -1
-	m.MaxTries = l.int("tries")
+		"rough": control.WeightApproximate}[rules.raw["weights"]]
+	m.OverQuotaFactor = rules.num["over-share"]
+	m.ReportRemainingIndex, m.ReportLimitIndex = -1, -1
+	m.MaxAttempts = l.int("tries")
 	m.MayCancel, m.RetryAfter = true, true
 	m.MaxRetryAfter = rules.time("longest-wait")
-	m.ConnIdle, m.ConnectTimeout = o.time("idle"), o.time("connect-timeout")
+	m.ConnIdleTimeout, m.ConnectTimeout = o.time("idle"), o.time("connect-timeout")
 	m.StreamsPerConn = o.int("streams")
 	m.StopSendingWithin = rules.time("drain-grace")
-	m.ColdFrom, m.WarmUp = rules.num["cold-from"], rules.time("warm-up")
-	m.TipMultiple, m.OverloadFor = rules.num["tip-multiple"], rules.time("overload-for")
-	m.SettleAfterDoubt = rules.time("settle-after-doubt")
+	m.ColdCapacity, m.WarmUp = rules.num["cold-from"], rules.time("warm-up")
+	m.CollapseMultiple, m.MaxOverload = rules.num["tip-multiple"], rules.time("overload-for")
+	m.SettleTime = rules.time("settle-after-doubt")
 	if m.Slots = l.int("slots"); m.Slots == 0 {
 		m.Slots = defaultSlots(c)
 	}
--- a/internal/day/check_test.go
+++ b/internal/day/check_test.go
@@ -19,9 +19,9 @@
 // quiet is a record in which no rule is broken.
 func quiet() *Record {
 	s := &Script{Scale: 1, Partners: []PartnerSpec{{Config: partner.Config{Name: "p", Rate: 10, ColdFrom: 0.2, WarmUp: 4 * second, Tip: 2, TipFor: second}}}}
-	return &Record{Script: s, Lives: []Life{{From: 0}}, Rules: control.Settings{StopSendingWithin: control.Second, SettleAfterDoubt: control.Second,
-		Classes: []control.Class{{Name: "safe", Deadline: 4 * control.Second}, {Name: "upload", Effect: control.SingleShot, Deadline: 4 * control.Second},
-			{Name: "keyed", Effect: control.Guarded, Window: 2 * control.Second, Deadline: 8 * control.Second},
+	return &Record{Script: s, Lives: []Life{{From: 0}}, Rules: control.Settings{StopSendingWithin: control.Second, SettleTime: control.Second,
+		Classes: []control.Class{{Name: "safe", Deadline: 4 * control.Second}, {Name: "upload", Effect: control.AtMostOnce, Deadline: 4 * control.Second},
+			{Name: "keyed", Effect: control.Deduplicated, DedupWindow: 2 * control.Second, Deadline: 8 * control.Second},
 			{Name: "ordered", Deadline: 8 * control.Second, InOrder: true}}}}
 }
 
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -106,7 +106,7 @@
 	Seq               uint64 // names it towards the back end
 	Message           *Message
 	Number            int // 0 is the first
-	Endpoint          control.Endpoint
+	Endpoint          control.EndpointID
 	Placement         Placement
 	PerEndpointLimits bool         // its endpoint has limits and waits of its own
 	Worth             float64      // of its message, as its class has it
@@ -127,7 +127,7 @@
 	Start(call []*Attempt)               // several where the kind of destination takes several messages in a call
 	CancelUnsent(a *Attempt)             // give up with the end Unsent, if no connection has it yet
 	Cancel(a *Attempt, kind OutcomeKind) // give up: OutOfTime or CalledOff, unless another end is on its way
-	CloseIdle(ep control.Endpoint)       // close idle connections to it
+	CloseIdle(ep control.EndpointID)     // close idle connections to it
 }
 
 // Discovery is where the endpoint list comes from, for settings with AskList. Each call is answered by one List input.
@@ -215,12 +215,12 @@
 	seq    uint64
 	msgs   map[control.MessageID]*held
 	out    map[uint64]*Attempt
-	places map[control.Endpoint]Placement
+	places map[control.EndpointID]Placement
 	fresh  []*held
-	calls  [][]*Attempt              // of this round, not started yet
-	shut   map[control.Endpoint]bool // told in this round to want nothing new ...
-	told   map[int]bool              // ... and destinations whose partner told a wait
-	later  []control.Event           // for the next round
+	calls  [][]*Attempt                // of this round, not started yet
+	shut   map[control.EndpointID]bool // told in this round to want nothing new ...
+	told   map[int]bool                // ... and destinations whose partner told a wait
+	later  []control.Event             // for the next round
 	timers timers
 	stale  int // timers of messages that are over
 	events []control.Event
@@ -230,7 +230,7 @@
 
 // NewCore returns a Core, or the module's error about its settings. lists may be nil where AskList is off.
 func NewCore(p Options, seed uint64, back Transport, lists Discovery, log Logger) (*Core, error) {
-	p.Settings.KeepOutages, p.Settings.Promises = p.Ledger != nil, p.Ledger != nil
+	p.Settings.TrackOutages, p.Settings.EarlyAck = p.Ledger != nil, p.Ledger != nil
 	mod, err := control.New(p.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
@@ -239,7 +239,7 @@
 		p.Guard = safety.NewGuard(p.Settings)
 	}
 	return &Core{pol: p, mod: mod, guard: p.Guard, back: back, lists: lists, log: log, msgs: map[control.MessageID]*held{}, out: map[uint64]*Attempt{},
-		places: map[control.Endpoint]Placement{}, shut: map[control.Endpoint]bool{}, told: map[int]bool{}}, nil
+		places: map[control.EndpointID]Placement{}, shut: map[control.EndpointID]bool{}, told: map[int]bool{}}, nil
 }
 
 // Stats returns the counts so far.
@@ -324,9 +324,9 @@
 	case in.Outage != nil:
 		c.events = append(c.events, control.Event{Kind: control.OutageRestored, Outage: in.Outage})
 	case in.LedgerWritable:
-		c.events = append(c.events, control.Event{Kind: control.Recording})
+		c.events = append(c.events, control.Event{Kind: control.RecordingStatus})
 	case in.StopWithin > 0:
-		c.events = append(c.events, control.Event{Kind: control.Closing, Grace: in.StopWithin, Kept: in.KeepMessages})
+		c.events = append(c.events, control.Event{Kind: control.Shutdown, TimeLeft: in.StopWithin, KeepHeld: in.KeepMessages})
 	default:
 		c.withdraw(in.Withdraw)
 	}
@@ -351,7 +351,7 @@
 		c.pol.Trail.Accepted(m)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Arrival, Message: m.ID, Class: m.Class, Tenant: m.Tenant,
-		Dest: m.Dest, Key: m.OrderKey, Grace: life, Restored: r.Restored, Attempt: r.Attempts, Doubt: r.PossiblyExecuted, Lag: c.now - r.ExecutedAt, Zone: r.ExecutedZone})
+		Dest: m.Dest, Key: m.OrderKey, TimeLeft: life, Restored: r.Restored, Attempt: r.Attempts, PossiblyExecuted: r.PossiblyExecuted, Elapsed: c.now - r.ExecutedAt, Zone: r.ExecutedZone})
 }
 
 func (c *Core) withdraw(id control.MessageID) {
@@ -375,7 +375,7 @@
 			c.pol.Trail.EndpointChanged(&l.Entries[i])
 		}
 	}
-	c.events = append(c.events, control.Event{Kind: control.List, ListKind: l.Kind, Entries: l.Entries})
+	c.events = append(c.events, control.Event{Kind: control.ListUpdate, ListKind: l.Kind, Entries: l.Entries})
 }
 
 // listed keeps what a line of the list says.
@@ -384,7 +384,7 @@
 		delete(c.places, e.Endpoint)
 		c.back.CloseIdle(e.Endpoint)
 	} else {
-		c.places[e.Endpoint] = Placement{e.Dest, e.Kind, e.Zone}
+		c.places[e.Endpoint] = Placement{e.Dest, e.DestinationKind, e.Zone}
 	}
 	if e.Health != control.Ready {
 		c.shut[e.Endpoint] = true
@@ -455,10 +455,10 @@
 		c.waits(a, e.RetryAfter)
 	}
 	if e.Kind == NotRecorded {
-		c.events = append(c.events, control.Event{Kind: control.Recording, Failing: true})
+		c.events = append(c.events, control.Event{Kind: control.RecordingStatus, RecordingFails: true})
 	}
 	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: a.Message.ID, Attempt: a.Number, Endpoint: a.Endpoint,
-		Result: v.Result, Closed: h.ended, Lag: c.now - a.StartedAt, Wait: e.RetryAfter, Report: e.LoadReport})
+		Result: v.Result, Closed: h.ended, Elapsed: c.now - a.StartedAt, RetryAfter: e.RetryAfter, Report: e.LoadReport})
 	c.forget(h)
 }
 
@@ -534,14 +534,14 @@
 			c.back.Cancel(h.out, Cancelled)
 		}
 	case control.Timer:
-		heap.Push(&c.timers, timer{at: c.now + a.After, mark: a.Mark})
+		heap.Push(&c.timers, timer{at: c.now + a.After, mark: a.TimerToken})
 	case control.Close:
 		c.back.CloseIdle(a.Endpoint)
 	case control.Watch:
 		c.lists.Watch()
 	case control.Fetch:
 		c.lists.Fetch()
-	case control.Note:
+	case control.Log:
 		c.log.Info(a.Text)
 	default:
 		c.log.InternalError(fmt.Sprintf("action %d is not carried out here", a.Kind))
@@ -559,7 +559,7 @@
 	}
 	c.seq++
 	at := &Attempt{Seq: c.seq, Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Placement: c.places[a.Endpoint], Deadline: h.due, MessageDeadline: h.due, StartedAt: c.now,
-		WriteBefore: c.now + a.Within, Worth: c.pol.Settings.Classes[h.msg.Class].Worth}
+		WriteBefore: c.now + a.SendWithin, Worth: c.pol.Settings.Classes[h.msg.Class].Value}
 	at.PerEndpointLimits = c.routesApart(at.Placement.Kind)
 	if a.After > 0 {
 		at.Deadline = min(at.Deadline, c.now+a.After)
@@ -567,7 +567,7 @@
 	h.tries++
 	if err := c.guard.AuthorizeCall(c.now, at.SafetyCall()); err != nil { // the module learns in the next round that it was not sent
 		c.log.InternalError(err.Error())
-		c.later = append(c.later, control.Event{Kind: control.Outcome, Message: h.msg.ID, Attempt: at.Number, Endpoint: at.Endpoint, Result: control.Moot})
+		c.later = append(c.later, control.Event{Kind: control.Outcome, Message: h.msg.ID, Attempt: at.Number, Endpoint: at.Endpoint, Result: control.NotExecuted})
 		return
 	}
 	h.out = at
@@ -585,14 +585,14 @@
 
 // routesApart tells whether endpoints of a kind have limits and waits of their own.
 func (c *Core) routesApart(kind int) bool {
-	return kind >= 0 && kind < len(c.pol.Settings.Kinds) && c.pol.Settings.Kinds[kind].RoutesApart
+	return kind >= 0 && kind < len(c.pol.Settings.DestinationKinds) && c.pol.Settings.DestinationKinds[kind].PerEndpointLimits
 }
 
 // join puts an attempt into a call of this round to the same endpoint that has room, or begins one.
 func (c *Core) join(a *Attempt) {
 	most := 1
-	if k := a.Placement.Kind; k >= 0 && k < len(c.pol.Settings.Kinds) {
-		most = max(1, c.pol.Settings.Kinds[k].Batch)
+	if k := a.Placement.Kind; k >= 0 && k < len(c.pol.Settings.DestinationKinds) {
+		most = max(1, c.pol.Settings.DestinationKinds[k].MaxBatch)
 	}
 	if most > 1 { // else there is nothing to look for, in a round of very many
 		for i, call := range c.calls {
@@ -665,7 +665,7 @@
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		if t.seq == 0 {
-			c.events = append(c.events, control.Event{Kind: control.Tick, Mark: t.mark})
+			c.events = append(c.events, control.Event{Kind: control.TimerFired, TimerToken: t.mark})
 		} else if a := c.out[t.seq]; a != nil && t.at < a.Deadline {
 			c.back.CancelUnsent(a)
 		} else if a != nil {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -12,16 +12,16 @@
 )
 
 func settings() control.Settings {
-	return control.Settings{Instances: 1, Tick: 5 * control.Millisecond, Slots: 8, MaxOpen: 400, MaxTries: 4, ReportLeft: -1, ReportLimit: -1,
-		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * control.Second, ConnIdle: 10 * control.Second, ConnectTimeout: control.Second,
-		StreamsPerConn: 100, StopSendingWithin: control.Second, ColdFrom: 0.2, WarmUp: 3 * control.Second, TipMultiple: 2,
-		OverloadFor: control.Second, SettleAfterDoubt: control.Second / 2,
+	return control.Settings{Instances: 1, Tick: 5 * control.Millisecond, Slots: 8, MaxOpen: 400, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * control.Second, ConnIdleTimeout: 10 * control.Second, ConnectTimeout: control.Second,
+		StreamsPerConn: 100, StopSendingWithin: control.Second, ColdCapacity: 0.2, WarmUp: 3 * control.Second, CollapseMultiple: 2,
+		MaxOverload: control.Second, SettleTime: control.Second / 2,
 		Classes: []control.Class{
-			{Name: "safe", Effect: control.Free, Aim: control.Second, Deadline: 4 * control.Second, Worth: 1},
-			{Name: "unsafe", Effect: control.SingleShot, Aim: control.Second, Deadline: 4 * control.Second, Worth: 3},
-			{Name: "ordered", Effect: control.Guarded, Window: 3 * control.Second, Aim: control.Second, Deadline: 4 * control.Second, Worth: 1, InOrder: true},
+			{Name: "safe", Effect: control.Idempotent, Target: control.Second, Deadline: 4 * control.Second, Value: 1},
+			{Name: "unsafe", Effect: control.AtMostOnce, Target: control.Second, Deadline: 4 * control.Second, Value: 3},
+			{Name: "ordered", Effect: control.Deduplicated, DedupWindow: 3 * control.Second, Target: control.Second, Deadline: 4 * control.Second, Value: 1, InOrder: true},
 		},
-		Kinds: []control.Kind{{Name: "k", Batch: 1}}}
+		DestinationKinds: []control.DestinationKind{{Name: "k", MaxBatch: 1}}}
 }
 
 // world is both sides of a Core on a virtual clock: partners that answer, refuse, lose and hang by a seed.
@@ -115,7 +115,7 @@
 		w.later(control.Millisecond, Input{Outcome: &Outcome{Seq: a.Seq, Kind: kind}})
 	}
 }
-func (w *world) CloseIdle(control.Endpoint) {}
+func (w *world) CloseIdle(control.EndpointID) {}
 
 func (w *world) Answer(m *Message, a Answer) {
 	w.trace = append(w.trace, fmt.Sprint(w.now, " final ", m.ID, a.Kind, a.RetryAfter, a.DeadlineExceeded))
@@ -225,20 +225,20 @@
 	}{
 		{Outcome{Kind: Answered, Status: 201}, false, control.OK, true, true},
 		{Outcome{Kind: Answered, Status: 204}, false, control.OK, true, true},
-		{Outcome{Kind: Answered, Status: 301}, false, control.Errored, true, false},
+		{Outcome{Kind: Answered, Status: 301}, false, control.ErrorResponse, true, false},
 		{Outcome{Kind: Answered, Status: 400}, false, control.OK, true, true},
-		{Outcome{Kind: Answered, Status: 401}, false, control.Errored, true, true},
-		{Outcome{Kind: Answered, Status: 404}, false, control.Errored, true, true},
+		{Outcome{Kind: Answered, Status: 401}, false, control.ErrorResponse, true, true},
+		{Outcome{Kind: Answered, Status: 404}, false, control.ErrorResponse, true, true},
 		{Outcome{Kind: Answered, Status: 404}, true, control.OK, true, true},
-		{Outcome{Kind: Answered, Status: 408}, false, control.Errored, true, false},
+		{Outcome{Kind: Answered, Status: 408}, false, control.ErrorResponse, true, false},
 		{Outcome{Kind: Answered, Status: 410}, true, control.OK, true, true},
-		{Outcome{Kind: Answered, Status: 429}, false, control.Full, false, false},
-		{Outcome{Kind: Answered, Status: 500}, false, control.Errored, true, false},
-		{Outcome{Kind: Answered, Status: 503}, false, control.Errored, true, false},
-		{Outcome{Kind: Answered, Status: 503, RetryAfter: 1}, false, control.Full, false, false},
+		{Outcome{Kind: Answered, Status: 429}, false, control.LimitExceeded, false, false},
+		{Outcome{Kind: Answered, Status: 500}, false, control.ErrorResponse, true, false},
+		{Outcome{Kind: Answered, Status: 503}, false, control.ErrorResponse, true, false},
+		{Outcome{Kind: Answered, Status: 503, RetryAfter: 1}, false, control.LimitExceeded, false, false},
 		{Outcome{Kind: NotConnected}, false, control.ConnectFailed, false, false},
-		{Outcome{Kind: StreamRefused}, false, control.Full, false, false},
-		{Outcome{Kind: GoAwayUnprocessed}, false, control.Moot, false, false},
+		{Outcome{Kind: StreamRefused}, false, control.LimitExceeded, false, false},
+		{Outcome{Kind: GoAwayUnprocessed}, false, control.NotExecuted, false, false},
 		{Outcome{Kind: GoAwayBeforeResponse}, false, control.ConnectFailed, false, false},
 		{Outcome{Kind: ResetBeforeResponse}, false, control.Reset, true, false},
 		{Outcome{Kind: ResetDuringResponse}, false, control.Reset, true, false},
@@ -252,7 +252,7 @@
 			t.Errorf("%+v own %v: %+v", c.end, c.own, v)
 		}
 		// The module takes these results as proof (its ranNot): the table may not claim less doubt than is there.
-		if proof := v.Result == control.Full || v.Result == control.ConnectFailed || v.Result == control.Moot; proof == v.PossiblyExecuted {
+		if proof := v.Result == control.LimitExceeded || v.Result == control.ConnectFailed || v.Result == control.NotExecuted; proof == v.PossiblyExecuted {
 			t.Errorf("%+v: result %v and ran %v disagree", c.end, v.Result, v.PossiblyExecuted)
 		}
 	}
@@ -326,7 +326,7 @@
 	s.ends = append(s.ends, Input{Outcome: &Outcome{Seq: a.Seq, Kind: Answered, Status: 201}})
 }
 func (s *sink) Cancel(*Attempt, OutcomeKind) {}
-func (s *sink) CloseIdle(control.Endpoint)   {}
+func (s *sink) CloseIdle(control.EndpointID) {}
 func (s *sink) Info(string)                  {}
 func (s *sink) InternalError(string)         {}
 func (s *sink) Answer(m *Message, a Answer)  {}
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -37,7 +37,7 @@
 func (b *book) Answer(m *Message, a Answer)        { b.put("final %s %v", m.ExternalID, a.Kind) }
 func (b *book) Cancel(a *Attempt, _ OutcomeKind)   { b.put("abandon %s", a.Message.ExternalID) }
 func (b *book) CancelUnsent(a *Attempt)            { b.put("unsend %s", a.Message.ExternalID) }
-func (b *book) CloseIdle(control.Endpoint)         {}
+func (b *book) CloseIdle(control.EndpointID)       {}
 func (b *book) Info(string)                        {}
 func (b *book) InternalError(text string)          { b.put("fault %s", text) }
 func (b *book) Start(call []*Attempt)              { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
@@ -53,14 +53,14 @@
 	t.Helper()
 	set := settings()
 	set.MayCancel = true
-	set.Kinds = []control.Kind{{Name: "bulk", Batch: 3}, {Name: "single", Batch: 1}}
+	set.DestinationKinds = []control.DestinationKind{{Name: "bulk", MaxBatch: 3}, {Name: "single", MaxBatch: 1}}
 	b := &book{}
 	c, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false, false}, Ledger: b, MaxCallBytes: 2000}, 1, b, nil, b)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Round(control.Second, []Input{{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
-		{Endpoint: 1, Dest: 1, Kind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, Kind: 1, Health: control.Ready}}}}})
+		{Endpoint: 1, Dest: 1, DestinationKind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, DestinationKind: 1, Health: control.Ready}}}}})
 	return b, c
 }
 
@@ -216,7 +216,7 @@
 	b, c := newBook(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.take()
-	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
+	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, DestinationKind: 1, Health: control.Draining}}}}})
 	b.want(t, "unsend m1")
 	b, c = newBook(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
@@ -247,7 +247,7 @@
 func TestRestoredEndsOnRecord(t *testing.T) {
 	b, c := newBook(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.pol.Settings.MaxTries}
+	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.pol.Settings.MaxAttempts}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "over m1 true", "final m1 refused")
 }
--- a/internal/engine/verdict.go
+++ b/internal/engine/verdict.go
@@ -53,7 +53,7 @@
 
 // unheard tells that the peer said nothing of the attempt's end: it may be executed yet.
 func (v Classification) unheard() bool {
-	return v.PossiblyExecuted && v.Result != control.OK && v.Result != control.Errored
+	return v.PossiblyExecuted && v.Result != control.OK && v.Result != control.ErrorResponse
 }
 
 // verdicts holds the ends that no status is needed for. Doubt counts as "may have run".
@@ -61,15 +61,15 @@
 	NotConnected:         {control.ConnectFailed, false, false, "no connection: nothing was sent"},
 	Unsent:               {control.NotSent, false, false, "given up before it was written"},
 	NotRecorded:          {control.NotSent, false, false, "it could not be put on record, and was not sent"},
-	NoFreeSlot:           {control.Moot, false, false, "the endpoint has no slot free for this dispatcher: not executed"},
-	StreamRefused:        {control.Full, false, false, "REFUSED_STREAM: the peer has not worked on it (RFC 9113 section 8.7)"},
-	GoAwayUnprocessed:    {control.Moot, false, false, "GOAWAY below its stream: not worked on (RFC 9113 section 6.8)"},
+	NoFreeSlot:           {control.NotExecuted, false, false, "the endpoint has no slot free for this dispatcher: not executed"},
+	StreamRefused:        {control.LimitExceeded, false, false, "REFUSED_STREAM: the peer has not worked on it (RFC 9113 section 8.7)"},
+	GoAwayUnprocessed:    {control.NotExecuted, false, false, "GOAWAY below its stream: not worked on (RFC 9113 section 6.8)"},
 	GoAwayBeforeResponse: {control.ConnectFailed, false, false, "GOAWAY before any answer: not worked on, the endpoint takes no calls"},
-	GoAwayWithError:      {control.Full, false, false, "GOAWAY with an error below its stream: not worked on, too much for the peer"},
+	GoAwayWithError:      {control.LimitExceeded, false, false, "GOAWAY with an error below its stream: not worked on, too much for the peer"},
 	ResetBeforeResponse:  {control.Reset, true, false, "broken off before an answer: it may have run"},
 	ResetDuringResponse:  {control.Reset, true, false, "answer cut: it may have run"},
 	ProtocolError:        {control.Reset, true, false, "protocol broken by the peer: it may have run"},
-	HeadersTooLarge:      {control.Moot, false, true, "header section above the peer's limit: can never be sent"},
+	HeadersTooLarge:      {control.NotExecuted, false, true, "header section above the peer's limit: can never be sent"},
 	TimedOut:             {control.TimedOut, true, false, "no answer in time: it may have run or still do so"},
 	Cancelled:            {control.Cancelled, true, false, "called off: it may have run"},
 }
@@ -92,20 +92,20 @@
 	case status >= 200 && status < 300:
 		return Classification{control.OK, true, true, why("taken")}
 	case status == 429:
-		return Classification{control.Full, false, false, why("above the partner's limit, turned away unseen (RFC 6585 section 4)")}
+		return Classification{control.LimitExceeded, false, false, why("above the partner's limit, turned away unseen (RFC 6585 section 4)")}
 	case status == 503 && wait > 0:
-		return Classification{control.Full, false, false, why("turned away with a wait (RFC 9110 section 15.6.4)")}
+		return Classification{control.LimitExceeded, false, false, why("turned away with a wait (RFC 9110 section 15.6.4)")}
 	case status >= 500:
-		return Classification{control.Errored, true, false, why("error, it may have run")}
+		return Classification{control.ErrorResponse, true, false, why("error, it may have run")}
 	case status == 408 || status == 425:
-		return Classification{control.Errored, true, false, why("not taken now; no proof that it has not run")}
+		return Classification{control.ErrorResponse, true, false, why("not taken now; no proof that it has not run")}
 	case status >= 400 && aboutMessage(status, own):
 		// The endpoint works: it answered for good. To the module that is an answer like any other.
 		return Classification{control.OK, true, true, why("refused for good, for what the message is")}
 	case status >= 400:
-		return Classification{control.Errored, true, true, why("refused for good; the endpoint may be set up wrongly")}
+		return Classification{control.ErrorResponse, true, true, why("refused for good; the endpoint may be set up wrongly")}
 	}
-	return Classification{control.Errored, true, false, why("not followed, and no proof that it has not run")}
+	return Classification{control.ErrorResponse, true, false, why("not followed, and no proof that it has not run")}
 }
 
 // aboutMessage tells a permanent refusal of the message from one of the endpoint's: 400, 409 and the like blame what
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -107,7 +107,7 @@
 		f.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, Tick: tick, System: cfg.System, Log: log}, f, clock); err != nil {
+	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: tick, System: cfg.System, Log: log}, f, clock); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	if err := f.loops.Listen(cfg.Address); err != nil {
@@ -252,7 +252,7 @@
 		return
 	}
 	c.life.end(now)
-	c.gc.Hold(false)
+	c.gc.PauseReading(false)
 	c.mu.Lock()
 	late := c.inbox
 	c.inbox, c.gone = nil, true
@@ -336,7 +336,7 @@
 func (c *Conn) flush(now time.Duration) {
 	c.gc.Write(c.session.Output()) // a failed write shows as Closed
 	if s, ok := c.session.(Filler); ok {
-		c.gc.Hold(s.Full())
+		c.gc.PauseReading(s.Full())
 	}
 	unread := c.gc.Unsent()
 	c.owes.Store(unread > 0 || c.session.Owes())
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -8,18 +8,18 @@
 	"whinrun/internal/h2"
 )
 
-// Speech turns attempts into HTTP/2 requests and answers into ends, for the endpoint's kind of partner.
-type Speech interface {
-	Addresses
+// HTTP2Codec turns attempts into HTTP/2 requests and answers into ends, for the endpoint's kind of partner.
+type HTTP2Codec interface {
+	Resolver
 	Request(a *engine.Attempt, left time.Duration) []h2.Field
 	// Answer makes a whole response into an end.
 	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome
 }
 
 // NewHTTP2 is HTTP/2 with a speech; each attempt is a stream.
-func NewHTTP2(s Speech) Protocol { return http2{s} }
+func NewHTTP2(s HTTP2Codec) Protocol { return http2{s} }
 
-type http2 struct{ Speech }
+type http2 struct{ HTTP2Codec }
 
 func (http2) bulk() bool { return false }
 
@@ -33,7 +33,7 @@
 // connections and says nothing then costs no doubt.
 type h2Line struct {
 	c      *conn
-	speech Speech
+	speech HTTP2Codec
 	h      *h2.Conn
 	tasks  map[uint32]*task
 	proved bool // it has answered something
@@ -51,7 +51,7 @@
 func (l *h2Line) output() []byte                { return l.h.Output() }
 func (l *h2Line) shut(now time.Duration)        { l.h.GoAway(now, h2.NoError) }
 
-func (l *h2Line) room() int { return min(l.c.pool.cfg.Streams, l.h.Room()+l.h.Open()) }
+func (l *h2Line) room() int { return min(l.c.pool.cfg.MaxStreams, l.h.Room()+l.h.Open()) }
 
 func (l *h2Line) state() lineState {
 	return lineState{settled: l.h.Settled(), busy: l.h.Open() > 0, done: l.h.Done(), limit: l.room()}
@@ -110,7 +110,7 @@
 	case h2.Headers:
 		t.fields, t.headers = e.Fields, true
 	case h2.Data:
-		if room := p.cfg.MaxAnswer - len(t.body); room > 0 {
+		if room := p.cfg.MaxAnswerBytes - len(t.body); room > 0 {
 			t.body = append(t.body, e.Data[:min(room, len(e.Data))]...)
 		}
 	case h2.StreamReset:
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -160,15 +160,15 @@
 	case 200:
 		return engine.Classification{Result: control.OK, PossiblyExecuted: true, Final: true, Reason: "200: delivered"}
 	case 429:
-		return engine.Classification{Result: control.Full, Reason: "429: turned away, it never ran"}
+		return engine.Classification{Result: control.LimitExceeded, Reason: "429: turned away, it never ran"}
 	case 503:
-		return engine.Classification{Result: control.Full, Reason: "503: turned away, it never ran"}
+		return engine.Classification{Result: control.LimitExceeded, Reason: "503: turned away, it never ran"}
 	case 504:
-		return engine.Classification{Result: control.Moot, Reason: "504: it has had all its attempts, this one never ran"}
+		return engine.Classification{Result: control.NotExecuted, Reason: "504: it has had all its attempts, this one never ran"}
 	case 410:
-		return engine.Classification{Result: control.Moot, Final: true, Reason: "410: it is over"}
+		return engine.Classification{Result: control.NotExecuted, Final: true, Reason: "410: it is over"}
 	case 400, 413:
-		return engine.Classification{Result: control.Moot, Reason: "the endpoint can't use the call: it never ran"}
+		return engine.Classification{Result: control.NotExecuted, Reason: "the endpoint can't use the call: it never ran"}
 	}
-	return engine.Classification{Result: control.Errored, PossiblyExecuted: true, Reason: "error, it may have run"}
+	return engine.Classification{Result: control.ErrorResponse, PossiblyExecuted: true, Reason: "error, it may have run"}
 }
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -15,12 +15,12 @@
 // another. It is free of I/O; Address and Knows may be called from any goroutine.
 type Directory struct {
 	zones []string
-	kinds []control.Kind
+	kinds []control.DestinationKind
 
 	mu     sync.RWMutex
-	next   control.Endpoint
+	next   control.EndpointID
 	hosts  map[string]*place
-	byID   map[control.Endpoint]*place
+	byID   map[control.EndpointID]*place
 	dests  map[int]time.Duration // destinations that are listed, or were: when each was last seen listed
 	tidied time.Duration
 }
@@ -40,8 +40,8 @@
 )
 
 // NewDirectory returns a Directory for zones and kinds as the settings name them.
-func NewDirectory(zones []string, kinds []control.Kind) *Directory {
-	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*place{}, byID: map[control.Endpoint]*place{},
+func NewDirectory(zones []string, kinds []control.DestinationKind) *Directory {
+	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*place{}, byID: map[control.EndpointID]*place{},
 		dests: map[int]time.Duration{}}
 }
 
@@ -100,14 +100,14 @@
 	if err != nil {
 		return control.Entry{}, err
 	}
-	kind := slices.IndexFunc(d.kinds, func(k control.Kind) bool { return k.Name == h.Class })
+	kind := slices.IndexFunc(d.kinds, func(k control.DestinationKind) bool { return k.Name == h.Class })
 	if kind < 0 && len(d.kinds) > 0 {
 		return control.Entry{}, fmt.Errorf("class %.20q", h.Class)
 	}
 	if h.Name == "" || h.Block < 0 || h.Block > maxDest {
 		return control.Entry{}, fmt.Errorf("block %d", h.Block)
 	}
-	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
+	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), DestinationKind: max(kind, 0), Health: health, Weight: h.Share}
 	if p != nil && p.entry.Dest != e.Dest { // another destination is another endpoint
 		delete(d.hosts, h.Name)
 		p = nil
@@ -163,7 +163,7 @@
 }
 
 // Address is outbound.Addresses.
-func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+func (d *Directory) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.byID[ep]
@@ -174,7 +174,7 @@
 }
 
 // IsListed tells whether an endpoint is in the list.
-func (d *Directory) IsListed(ep control.Endpoint) bool {
+func (d *Directory) IsListed(ep control.EndpointID) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.byID[ep]
@@ -193,7 +193,7 @@
 }
 
 // HostName is the name of an endpoint, for logs.
-func (d *Directory) HostName(ep control.Endpoint) string {
+func (d *Directory) HostName(ep control.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if p := d.byID[ep]; p != nil {
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -52,7 +52,7 @@
 // repeatable tells whether executing a message again does no harm, whoever hands it in and when.
 func (k *keeper) repeatable(m *engine.Message) bool {
 	c := &k.settings.Classes[m.Class]
-	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
+	return c.Effect == control.Idempotent || c.Effect == control.Deduplicated && !c.DedupPerZone
 }
 
 // Write is outbound.Permits.
@@ -78,7 +78,7 @@
 	}
 	var may []*engine.Attempt
 	for _, a := range call {
-		if k.settings.Classes[a.Message.Class].Effect == control.Free {
+		if k.settings.Classes[a.Message.Class].Effect == control.Idempotent {
 			may = append(may, a)
 		}
 	}
@@ -175,7 +175,7 @@
 func (k *keeper) RecordOutages(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; k.dir.IsListed(o.Endpoint) || o.Over() {
+		if o := &changed[i]; k.dir.IsListed(o.Endpoint) || o.Ended() {
 			all = append(all, k.outage(o))
 		}
 	}
@@ -190,8 +190,8 @@
 		}
 		return k.clock.ToInstant(t)
 	}
-	return ledger.Outage{Host: k.dir.HostName(o.Endpoint), Suspect: o.Suspect, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownAt),
-		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Proven, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.ColdAt), RefusingSince: instant(o.FullAt)}
+	return ledger.Outage{Host: k.dir.HostName(o.Endpoint), Suspect: o.Suspected, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownSince),
+		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Unreachable, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.RampStart), RefusingSince: instant(o.RefusingSince)}
 }
 
 // known says an outage of the ledger in the module's terms, of an endpoint.
@@ -205,8 +205,8 @@
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.LastFailedAt), DownAt: at(o.FirstFailedAt),
-		Failures: o.ConsecutiveFailures, Proven: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, ColdAt: at(o.RecoveredAt), FullAt: at(o.RefusingSince)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspected: o.Suspect, FailedAt: at(o.LastFailedAt), DownSince: at(o.FirstFailedAt),
+		Failures: o.ConsecutiveFailures, Unreachable: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, RampStart: at(o.RecoveredAt), RefusingSince: at(o.RefusingSince)}
 }
 
 // acked records that the platform has heard.
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -11,6 +11,7 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
 	"whinrun/internal/door"
 	"whinrun/internal/engine"
@@ -18,7 +19,6 @@
 	"whinrun/internal/front"
 	"whinrun/internal/ledger"
 	"whinrun/internal/logs"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/safety"
 )
@@ -86,7 +86,7 @@
 // startOn starts a dispatcher on a folder; system may be nil for the kernel.
 func startOn(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.DestinationKinds), agent: newAgent(cfg.Discovery),
 		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
 	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.dir.Snapshot(n.listSeq.Load()) }, n.warn("discovery"))
 	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
@@ -111,7 +111,7 @@
 	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
 	keep.notes = n.notes
 	settings := *set
-	settings.Follows = n.ledger.Reopened()
+	settings.HasPredecessor = n.ledger.Reopened()
 	policy := engine.Options{Settings: settings, Ledger: keep, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
@@ -153,14 +153,14 @@
 }
 
 // openPool opens the connections' side towards endpoints.
-func (n *Node) openPool(shares plan, permits outbound.Permits) error {
+func (n *Node) openPool(shares plan, permits outbound.Admission) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
+		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxAnswer,
 		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
-		Trace:          n.debug(), Permits: permits, System: n.system,
+		IdleTimeout:    time.Duration(idlePart * float64(span(set.ConnIdleTimeout, 5*time.Second))),
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * shares.endpoints), MaxHandshakes: shares.opening, MaxConns: shares.endpoints},
+		Trace:          n.debug(), Admission: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(CallCodec{n.dir, n.cfg.LoadMetrics})
 	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -31,9 +31,9 @@
 	env   map[string]string
 	addr  string
 	node  *Node
-	disk  *disk.Memory          // in place of the folder, nil for the folder
-	calls *eventlooptest.Faulty // in place of the kernel, nil for the kernel
-	old   []byte                // the configuration, where it is not to be written anew
+	disk  *disk.Memory                // in place of the folder, nil for the folder
+	calls *eventlooptest.FaultySystem // in place of the kernel, nil for the kernel
+	old   []byte                      // the configuration, where it is not to be written anew
 	log   bytes.Buffer
 	logMu sync.Mutex
 }
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -45,7 +45,7 @@
 	d := &ClientHandler{side: side, trace: func(string, ...any) {}}
 	d.classes, d.tenants = numbers(&s)
 	for _, c := range s.Classes {
-		d.keyed = append(d.keyed, c.Effect == control.Guarded)
+		d.keyed = append(d.keyed, c.Effect == control.Deduplicated)
 	}
 	return d
 }
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -53,7 +53,7 @@
 type Call struct {
 	Message           control.MessageID
 	Attempt           int // 0 is the first
-	Endpoint          control.Endpoint
+	Endpoint          control.EndpointID
 	Dest              int
 	Zone              int
 	PerEndpointLimits bool // limits and waits are of the endpoint, and not of the destination
@@ -79,11 +79,11 @@
 
 	mu         sync.Mutex
 	messages   map[control.MessageID]*message
-	withdrawn  map[control.Endpoint]control.Time // draining or gone, and since when
-	destWaits  map[int]control.Time              // until when destinations told to wait
-	routeWaits map[control.Endpoint]control.Time // the same of endpoints with limits of their own
-	keys       map[uint64][]*message             // unfinished messages of a key, in the order of their acceptance
-	rests      map[uint64]control.Time           // until when keys rest
+	withdrawn  map[control.EndpointID]control.Time // draining or gone, and since when
+	destWaits  map[int]control.Time                // until when destinations told to wait
+	routeWaits map[control.EndpointID]control.Time // the same of endpoints with limits of their own
+	keys       map[uint64][]*message               // unfinished messages of a key, in the order of their acceptance
+	rests      map[uint64]control.Time             // until when keys rest
 	violations uint64
 }
 
@@ -100,8 +100,8 @@
 
 // NewGuard makes a Guard for settings.
 func NewGuard(s control.Settings) *Guard {
-	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawn: map[control.Endpoint]control.Time{},
-		destWaits: map[int]control.Time{}, routeWaits: map[control.Endpoint]control.Time{}, keys: map[uint64][]*message{}, rests: map[uint64]control.Time{}}
+	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawn: map[control.EndpointID]control.Time{},
+		destWaits: map[int]control.Time{}, routeWaits: map[control.EndpointID]control.Time{}, keys: map[uint64][]*message{}, rests: map[uint64]control.Time{}}
 }
 
 // Violations counts what was prevented.
@@ -131,7 +131,7 @@
 	if err == nil && m.out != noAttempt {
 		err = ErrAttemptInFlight
 	}
-	if err == nil && m.Attempts >= g.settings.MaxTries {
+	if err == nil && m.Attempts >= g.settings.MaxAttempts {
 		err = ErrAttemptsExhausted
 	}
 	if err != nil {
@@ -191,19 +191,19 @@
 // mayRepeat tells why a message that may have been executed must not be called again.
 func (m *message) mayRepeat(now control.Time, zone int) error {
 	switch {
-	case !m.PossiblyExecuted || m.class.Effect == control.Free:
+	case !m.PossiblyExecuted || m.class.Effect == control.Idempotent:
 		return nil
-	case m.class.Effect == control.SingleShot:
+	case m.class.Effect == control.AtMostOnce:
 		return ErrPossiblyExecuted
-	case now+control.StallMargin > m.ExecutedAt+m.class.Window:
+	case now+control.StallMargin > m.ExecutedAt+m.class.DedupWindow:
 		return ErrWindowExpired
-	case m.class.ZoneGroup && zone != m.ExecutedZone:
+	case m.class.DedupPerZone && zone != m.ExecutedZone:
 		return ErrOtherZone
 	}
 	return nil
 }
 
-func (g *Guard) drained(e control.Endpoint) bool {
+func (g *Guard) drained(e control.EndpointID) bool {
 	_, ok := g.withdrawn[e]
 	return ok
 }
@@ -250,7 +250,7 @@
 		m.PossiblyExecuted, m.ExecutedAt, m.ExecutedZone = true, began, c.Zone
 	}
 	if e.Unconfirmed && m.class.InOrder && m.OrderKey != 0 {
-		g.rests[m.OrderKey] = now + g.settings.SettleAfterDoubt
+		g.rests[m.OrderKey] = now + g.settings.SettleTime
 	}
 	g.forget(m)
 	return err
@@ -287,7 +287,7 @@
 // dispatcher, by its own clock.
 func (m *message) mayBeHandedInAgain() bool {
 	maybe := m.PossiblyExecuted || m.out != noAttempt && m.written
-	return !maybe || m.class.Effect == control.Free || m.class.Effect == control.Guarded && !m.class.ZoneGroup
+	return !maybe || m.class.Effect == control.Idempotent || m.class.Effect == control.Deduplicated && !m.class.DedupPerZone
 }
 
 // VerifyRecord checks that the record which another process would go by says the same of a message as this one knows: when it may
@@ -336,7 +336,7 @@
 }
 
 // SetHealth takes what the endpoint list says of an endpoint.
-func (g *Guard) SetHealth(now control.Time, e control.Endpoint, h control.Health) {
+func (g *Guard) SetHealth(now control.Time, e control.EndpointID, h control.Health) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h == control.Ready {
@@ -370,8 +370,8 @@
 
 // tidy forgets what is of no more use; it is called with the lock held.
 func (g *Guard) tidy(now control.Time) {
-	maps.DeleteFunc(g.withdrawn, func(_ control.Endpoint, since control.Time) bool { return now-since > keptFor })
-	maps.DeleteFunc(g.routeWaits, func(_ control.Endpoint, until control.Time) bool { return until < now })
+	maps.DeleteFunc(g.withdrawn, func(_ control.EndpointID, since control.Time) bool { return now-since > keptFor })
+	maps.DeleteFunc(g.routeWaits, func(_ control.EndpointID, until control.Time) bool { return until < now })
 	maps.DeleteFunc(g.rests, func(_ uint64, until control.Time) bool { return until < now })
 }
 
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -18,12 +18,12 @@
 )
 
 func settings() control.Settings {
-	return control.Settings{Tick: 5 * control.Millisecond, MaxTries: 3, SettleAfterDoubt: s, Classes: []control.Class{
-		free:    {Effect: control.Free},
-		keyed:   {Effect: control.Guarded, Window: 5 * s},
-		once:    {Effect: control.SingleShot},
-		zoned:   {Effect: control.Guarded, Window: 5 * s, ZoneGroup: true},
-		ordered: {Effect: control.Free, InOrder: true},
+	return control.Settings{Tick: 5 * control.Millisecond, MaxAttempts: 3, SettleTime: s, Classes: []control.Class{
+		free:    {Effect: control.Idempotent},
+		keyed:   {Effect: control.Deduplicated, DedupWindow: 5 * s},
+		once:    {Effect: control.AtMostOnce},
+		zoned:   {Effect: control.Deduplicated, DedupWindow: 5 * s, DedupPerZone: true},
+		ordered: {Effect: control.Idempotent, InOrder: true},
 	}}
 }
 
@@ -226,7 +226,7 @@
 // What is kept of endpoints that left the list is bounded.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	g := NewGuard(settings())
-	for e := range control.Endpoint(20000) {
+	for e := range control.EndpointID(20000) {
 		g.SetHealth(control.Time(e)*s, e, control.Gone)
 	}
 	if len(g.withdrawn) > tidyAbove+1 {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -60,7 +60,7 @@
 	speech := &speech{roster: s.roster, sites: cfg.Sites, dialects: cfg.Dialects, names: names, wall: clock.Wall}
 	guard := safety.NewGuard(cfg.Module)
 	pool := cfg.Outbound
-	pool.Permits = permits{guard}
+	pool.Admission = permits{guard}
 	s.pool, err = outbound.New(pool, outbound.NewHTTP2(speech), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
 	if err != nil {
 		return nil, err
@@ -256,7 +256,7 @@
 	wall     func() time.Time
 }
 
-func (s *speech) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+func (s *speech) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	p, ok := s.roster.Place(ep)
 	return p.Addr, ok
 }
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -24,7 +24,7 @@
 }
 
 var results = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
-	control.Full: "full", control.Errored: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.Moot: "moot"}
+	control.LimitExceeded: "full", control.ErrorResponse: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.NotExecuted: "moot"}
 
 var standings = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
 
