--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
-	"whinrun/internal/door"
 	"whinrun/internal/front"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
@@ -21,7 +21,7 @@
 	cfg       amqp.Config
 	catalog   *intake.Registry
 	names     push.Names
-	admission *door.Side
+	admission *admission.Frontend
 	now       func() time.Duration
 	// lastOwner is the owner number of the latest session. It names the session to the answer queues.
 	lastOwner atomic.Uint64
@@ -33,7 +33,7 @@
 // New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message
 // numbers to message names, admission admits messages and channels, answers holds the answer queues, and now is the
 // clock of the sessions.
-func New(cfg amqp.Config, catalog *intake.Registry, names push.Names, admission *door.Side, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
+func New(cfg amqp.Config, catalog *intake.Registry, names push.Names, admission *admission.Frontend, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
 	return &Server{cfg: cfg, catalog: catalog, names: names, admission: admission, now: now, answers: answers}
 }
 
@@ -167,7 +167,7 @@
 	}
 	ch.closed = true
 	delete(s.channels, ch.id)
-	s.server.admission.CloseChannels(1)
+	s.server.admission.ReleaseChannels(1)
 	if ch.incoming != nil {
 		ch.incoming.abandon()
 		ch.incoming = nil
@@ -186,7 +186,7 @@
 		s.login(e)
 		return
 	case amqp.ChannelOpened:
-		if !s.server.admission.OpenChannel() {
+		if !s.server.admission.AcquireChannel() {
 			s.protocol.CloseWithError(&amqp.Error{Code: amqp.ResourceError, Channel: e.Channel, Text: "too many channels are open on all connections"})
 			return
 		}
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/clock"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
@@ -44,7 +44,7 @@
 	method  *amqp.BasicPublish
 	props   *amqp.Properties
 	message *engine.Message
-	ticket  door.Ticket
+	ticket  admission.Reservation
 	// reservation is the answer's place in its queue. It is nil if there is no queue, or once it is released.
 	reservation *mailbox.Reservation
 	answer      engine.Answer
@@ -95,7 +95,7 @@
 	} else if err != nil {
 		return &refusal{amqp.NoConsumers, err.Error()}
 	}
-	p.message, p.ticket = m, s.server.admission.Ticket(m.Tenant)
+	p.message, p.ticket = m, s.server.admission.NewReservation(m.Tenant)
 	return nil
 }
 
@@ -184,7 +184,7 @@
 	if p == nil {
 		return
 	}
-	err := p.ticket.Grow(len(data))
+	err := p.ticket.Reserve(len(data))
 	if err == nil {
 		p.message.Body = append(p.message.Body, data...)
 		if !complete {
@@ -205,7 +205,7 @@
 
 // abandon releases what a publish holds that was not accepted.
 func (p *publish) abandon() {
-	p.ticket.Turn()
+	p.ticket.Reject()
 	p.releaseReservation()
 }
 
@@ -289,7 +289,7 @@
 }
 
 // Lost counts the answer of a publish whose connection is gone.
-func (p *publish) Lost() { p.ticket.Answered(p.answer.Kind, p.reservation != nil) }
+func (p *publish) Lost() { p.ticket.Complete(p.answer.Kind, p.reservation != nil) }
 
 // Open confirms the publish, and returns the message if it was refused. It runs on the connection's event loop.
 func (p *publish) Open(time.Duration) {
@@ -301,7 +301,7 @@
 		notified = !p.channel.closed
 	}
 	s.settle(p.channel, p.tag, p.answer.Kind == engine.Served)
-	p.ticket.Answered(p.answer.Kind, notified || p.reservation != nil)
+	p.ticket.Complete(p.answer.Kind, notified || p.reservation != nil)
 }
 
 // receipt returns the full final answer for the answer queue.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
 	"whinrun/internal/dialscheduler"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -35,7 +35,7 @@
 	Bounds   engine.Limits
 	Audit    audit.Config
 	Mailbox  mailbox.Limits
-	Door     door.Limits
+	Door     admission.Limits
 
 	Background float64 // share of a core
 	Garbage    int     // percent, as of debug.SetGCPercent
@@ -102,9 +102,9 @@
 	c.Intake.MaxBody = l.int("body")
 	streamWindow := uint32(min(max(64<<10, c.Intake.MaxBody), 1<<20))
 	bounds := h2.Config{MaxStreams: uint32(l.int("streams")), MaxHeaderList: l.int("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: l.span("handshake"), Stall: l.span("stall"),
+		ConnWindow: 4 << 20, Handshake: l.span("handshake"), StallTimeout: l.span("stall"),
 		AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), Unread: l.int("unread")}
+	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), MaxUnread: l.int("unread")}
 	r.amqp(c, d, l)
 	a := r.single("audit")
 	c.Audit = audit.Config{Folder: a.raw["folder"], Buffer: a.int("buffer"), SealEvery: a.span("seal-every"),
@@ -124,7 +124,7 @@
 
 func (r *reader) amqp(c *Config, d, l *section) {
 	a := r.single("amqp")
-	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), Unread: max(l.int("unread"), 2*c.Intake.MaxBody)}
+	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), MaxUnread: max(l.int("unread"), 2*c.Intake.MaxBody)}
 	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.int("channels")), FrameMax: a.int("frame"), Heartbeat: a.span("heartbeat"),
 		Handshake: l.span("handshake"), BodyStallTimeout: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
 	q := r.single("answers")
@@ -284,8 +284,8 @@
 		}
 	}
 	c.Bounds = engine.Limits{MaxQueued: l.int("queue"), MaxHeld: m.MaxOpen}
-	c.Door = door.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
-		TenantBytes: int64(l.num["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
+	c.Door = admission.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
+		TenantBytes: int64(l.num["tenant-bytes"]), Messages: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
 	if c.Door.UnblockAt >= c.Door.BlockAt {
 		r.bad(max(l.at["unblock-at"], l.at["block-at"]), "unblock-at", "is not below block-at")
 	}
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -49,7 +49,7 @@
 	status int               // of the first line that counts, 0 before
 	head   *h1.Response
 	headAt time.Duration
-	chunks h1.Chunks
+	chunks h1.ChunkDecoder
 }
 
 func (l *h1Line) output() []byte {
@@ -185,7 +185,7 @@
 // readHead reads the head of the answer; those of interim answers (1xx) are passed over.
 func (l *h1Line) readHead(now time.Duration) error {
 	for {
-		if s, ok := h1.Status(l.in); ok && s >= 200 {
+		if s, ok := h1.ParseStatus(l.in); ok && s >= 200 {
 			l.status = s
 		}
 		head, n, err := h1.ParseResponse(l.in)
@@ -194,7 +194,7 @@
 		}
 		l.in = l.in[n:]
 		if head.Status >= 200 {
-			l.head, l.headAt, l.chunks = head, now, h1.Chunks{}
+			l.head, l.headAt, l.chunks = head, now, h1.ChunkDecoder{}
 			return nil
 		}
 		if head.Status == 101 {
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -51,13 +51,15 @@
 func (l *h2Line) output() []byte                { return l.h.Output() }
 func (l *h2Line) shut(now time.Duration)        { l.h.GoAway(now, h2.NoError) }
 
-func (l *h2Line) room() int { return min(l.c.pool.cfg.MaxStreams, l.h.Room()+l.h.Open()) }
+func (l *h2Line) room() int {
+	return min(l.c.pool.cfg.MaxStreams, l.h.AvailableStreams()+l.h.OpenStreams())
+}
 
 func (l *h2Line) state() lineState {
-	return lineState{settled: l.h.Settled(), busy: l.h.Open() > 0, done: l.h.Done(), limit: l.room()}
+	return lineState{settled: l.h.SettingsReceived(), busy: l.h.OpenStreams() > 0, done: l.h.Done(), limit: l.room()}
 }
 
-func (l *h2Line) hasRoom() bool { return l.h.Room() > 0 }
+func (l *h2Line) hasRoom() bool { return l.h.AvailableStreams() > 0 }
 
 func (l *h2Line) start(now time.Duration, _ *call, tasks []*task) error {
 	t := tasks[0] // HTTP/2 has no bulk calls
@@ -97,7 +99,7 @@
 	case h2.Ready:
 		l.c.ready(l.room())
 		return
-	case h2.PeerGoAway:
+	case h2.GoAwayReceived:
 		l.away(e)
 		return
 	}
@@ -122,7 +124,7 @@
 		delete(l.tasks, e.Stream)
 		l.proved = true
 		p.end(t, l.speech.Answer(t.a, t.fields, t.body))
-		if l.h.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
+		if l.h.IsOpen(e.Stream) { // an early answer: the rest of our body is not wanted
 			l.h.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
@@ -156,7 +158,7 @@
 		kind = engine.GoAwayBeforeResponse
 	}
 	for id, t := range l.tasks {
-		if id > e.Last {
+		if id > e.LastStream {
 			delete(l.tasks, id)
 			p.end(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -293,7 +293,7 @@
 	conns := e.list()
 	e.mu.Unlock()
 	for _, c := range conns {
-		c.do(func(now time.Duration) { c.h.Limit(now, n) })
+		c.do(func(now time.Duration) { c.h.SetMaxStreams(now, n) })
 	}
 }
 
--- a/internal/platform/listreader.go
+++ b/internal/platform/listreader.go
@@ -21,7 +21,7 @@
 
 	head   *h1.Response
 	in     []byte // of the head, while it is not whole
-	chunks h1.Chunks
+	chunks h1.ChunkDecoder
 	object objectReader
 }
 
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
 	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/front"
@@ -174,13 +174,13 @@
 func (n *Node) openFront(shares plan, hold int) error {
 	set := &n.cfg.Settings
 	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
-	n.desk = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	limits := admission.Limits{Conns: shares.clients, Bytes: bytes, Messages: hold, BlockAt: 1, UnblockAt: 1}
+	n.desk = NewClientHandler(*set, admission.New(limits, max(1, len(set.Tenants)), n.loop).AddFrontend("platform"))
 	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.KnowsDestination, n.ledger.Contains, n.listed.Load
 	if n.cfg.Trace {
 		n.desk.trace = n.debug()
 	}
-	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debug(), System: n.system}
+	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, MaxUnread: 64 << 10, Trace: n.debug(), System: n.system}
 	log := func(t string) { n.log.Warn("clients", "%s", t) }
 	return untilItWorks(n.warn("node"), func() (err error) {
 		n.front, err = front.New(cfg, n.desk.side, n.clock, log, n.desk.Open)
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"whinrun/control"
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h1"
@@ -35,13 +35,13 @@
 	knows   func(dest int) bool
 	owes    func(name string) bool // a message of that id is owed its end
 	ready   func() bool
-	side    *door.Side
+	side    *admission.Frontend
 	trace   func(format string, a ...any) // told of each answer and each connection that is given up
 	closing atomic.Bool
 }
 
 // NewClientHandler returns a Desk for classes and tenants as the settings name them.
-func NewClientHandler(s control.Settings, side *door.Side) *ClientHandler {
+func NewClientHandler(s control.Settings, side *admission.Frontend) *ClientHandler {
 	d := &ClientHandler{side: side, trace: func(string, ...any) {}}
 	d.classes, d.tenants = numbers(&s)
 	for _, c := range s.Classes {
@@ -73,13 +73,13 @@
 	d      *ClientHandler
 	peer   string // address of the client, for the trace
 	name   string // id of the last message that it handed in, for the trace
-	post   func(front.Parcel) bool
+	post   func(front.Task) bool
 	opened time.Duration
 	last   time.Duration // when the last request was answered, or its first byte came
 	in     []byte        // not taken yet
 	head   *h1.Request   // its body is awaited
 	size   int           // of that head
-	room   *door.Ticket
+	room   *admission.Reservation
 	ask    *ask // a message whose answer is awaited
 	served bool // a request has been answered
 	away   bool
@@ -122,7 +122,7 @@
 		return
 	}
 	s.ask = nil
-	s.room.Answered(v.final, true)
+	s.room.Complete(v.final, true)
 	s.room = nil
 	switch v.final {
 	case engine.Served:
@@ -225,10 +225,10 @@
 		s.fault(now, "400 Bad Request")
 		return false
 	}
-	room := s.d.side.Ticket(0)
+	room := s.d.side.NewReservation(0)
 	s.head, s.size, s.room = head, n, &room
-	if err := s.room.Grow(int(head.Length)); err != nil {
-		s.room.Turn()
+	if err := s.room.Reserve(int(head.Length)); err != nil {
+		s.room.Reject()
 		s.room = nil
 		s.in, s.head = nil, nil
 		s.answer(now, "503 Service Unavailable", pause, true)
@@ -255,7 +255,7 @@
 		s.submit(now, m, head.Close)
 		return
 	}
-	s.room.Turn()
+	s.room.Reject()
 	s.room = nil
 	switch {
 	case head.Method != "GET":
@@ -279,7 +279,7 @@
 		}
 	}
 	s.ask = nil
-	s.room.Turn()
+	s.room.Reject()
 	s.room = nil
 	s.answer(now, "503 Service Unavailable", pause, last || s.d.closing.Load())
 }
@@ -290,7 +290,7 @@
 	var v [6]string
 	for i, name := range [...]string{"x-txn", "x-lane", "x-org", "x-remaining", "x-consignee", "idempotency-key"} {
 		var ok bool
-		if v[i], ok = r.Fields.One(name); !ok {
+		if v[i], ok = r.Fields.Single(name); !ok {
 			return nil, bad
 		}
 	}
@@ -359,7 +359,7 @@
 
 // orderKey reads what a message is about, in classes that keep their order.
 func orderKey(f h1.Fields) (uint64, bool) {
-	text, ok := f.One("x-entity")
+	text, ok := f.Single("x-entity")
 	if text == "" || !ok {
 		return 0, ok
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqpfront"
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -39,7 +39,7 @@
 	roster *roster.Roster
 	loop   *engine.Loop
 	pool   *outbound.Pool
-	door   *door.Door
+	door   *admission.Controller
 	fronts []*front.Front // push, then AMQP where it is on
 	lists  *lists
 	keeper *audit.Recorder // nil where no trail is kept
@@ -73,7 +73,7 @@
 		source = sourceOf(cfg)
 	}
 	s.lists = &lists{source: source, roster: s.roster, log: log, quit: make(chan struct{})}
-	s.door = door.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
+	s.door = admission.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
 	policy := engine.Options{Settings: cfg.Module, PathPerMessage: own, Guard: guard}
 	if cfg.Audit.Folder != "" {
 		if policy.Trail, err = s.keep(names); err != nil {
@@ -114,7 +114,7 @@
 		if err != nil {
 			err = errors.New("the audit trail can't be written")
 		}
-		s.door.Shut(err)
+		s.door.Suspend(err)
 	}
 	var err error
 	s.keeper, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, bad)
@@ -143,7 +143,7 @@
 // listen opens the fronts. They are equals: each gets its side of the one door.
 func (s *Service) listen(names push.Names) error {
 	cfg, book := s.cfg, intake.NewRegistry(s.cfg.Intake)
-	add := func(name string, c front.Config, side *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
+	add := func(name string, c front.Config, side *admission.Frontend, open func(*front.Conn, time.Duration) front.Session) error {
 		f, err := front.New(c, side, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
 		if err == nil {
 			s.fronts = append(s.fronts, f)
@@ -158,11 +158,11 @@
 		}
 	}
 	s.startChores(room)
-	side := s.door.Side("push")
+	side := s.door.AddFrontend("push")
 	if err := add("push", cfg.Front, side, pushfront.Opener(cfg.Push, push.NewDesk(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
 		return err
 	}
-	side = s.door.Side("amqp")
+	side = s.door.AddFrontend("amqp")
 	return add("amqp", cfg.AMQP, side, amqpfront.New(cfg.AMQPConn, book, names, side, room, s.now).Open)
 }
 
@@ -181,7 +181,7 @@
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
 // Door gives access to what clients have handed in, for measurements and tests.
-func (s *Service) Door() *door.Door { return s.door }
+func (s *Service) Door() *admission.Controller { return s.door }
 
 // now is the dispatcher's clock as a duration.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
