--- a/internal/amqp/conn.go
+++ b/internal/amqp/conn.go
@@ -10,45 +10,64 @@
 	"golang.org/x/time/rate"
 )
 
-// Config bounds one connection.
+// Config holds the limits and timeouts of one connection.
 type Config struct {
-	Product, Version string        // told to clients
-	ChannelMax       uint16        // channels on the connection
-	FrameMax         int           // bytes of a frame, with its overhead
-	Heartbeat        time.Duration // asked for, in whole seconds; a client may ask for less. 0 for none
-	Handshake        time.Duration // until connection.open must be here, and for the answer to a close
-	Stall            time.Duration // a body may stand still so long
-	AbuseBurst       float64       // frames that do no work at once, beside two for each channel ...
-	AbuseRate        float64       // ... and a second
-}
-
-// EventKind tells what an Event is.
+	// Product and Version name the server to clients in connection.start.
+	Product, Version string
+	// ChannelMax is the highest channel number, and so the number of channels on the connection.
+	ChannelMax uint16
+	// FrameMax is the largest frame in bytes, including frameOverhead.
+	FrameMax int
+	// Heartbeat is the interval proposed to the client, in whole seconds, 0 for none. The interval in the client's
+	// tune-ok applies.
+	Heartbeat time.Duration
+	// Handshake is the time within which a new connection must reach connection.open. The wait for the answer to our
+	// close is Handshake or two seconds, whichever is shorter.
+	Handshake time.Duration
+	// BodyStallTimeout is how long an incomplete message may receive no further frame.
+	BodyStallTimeout time.Duration
+	// AbuseBurst is the number of frames without work for a message that the client may send at once. Two frames for
+	// each channel of ChannelMax are added to it, so that a client can open all its channels.
+	AbuseBurst float64
+	// AbuseRate is the number of such frames that the client may send per second.
+	AbuseRate float64
+}
+
+// EventKind says what an Event reports.
 type EventKind uint8
 
-// Kinds of event; the fields each one uses are in brackets.
+// Kinds of event. The brackets list the fields of Event that a kind uses.
 const (
-	Login         EventKind = iota + 1 // answer with Accept or Refuse [User Secret]
-	ChannelOpened                      // answer with AcceptChannel or Fail [Channel]
-	ChannelGone                        // closed by either side, or with the connection [Channel]
-	Call                               // any other method on an open channel [Channel Method]
-	Content                            // a publish with its properties; its body follows [Channel Publish Properties Size End]
-	Body                               // a part of it; Data holds until the handler returns [Channel Data End]
+	// Login reports the client's credentials. Answer it with AcceptLogin or RefuseLogin. [User Password]
+	Login EventKind = iota + 1
+	// ChannelOpened reports channel.open. Answer it with AcceptChannel or CloseWithError. [Channel]
+	ChannelOpened
+	// ChannelClosed reports that either side has closed the channel, or that the connection has ended. [Channel]
+	ChannelClosed
+	// ChannelMethod reports any other method on an open channel. [Channel Method]
+	ChannelMethod
+	// ContentHeader reports a publish with its properties. Its body follows. [Channel Publish Properties Size Complete]
+	ContentHeader
+	// ContentBody reports a part of the body. Data is valid until the handler returns. [Channel Data Complete]
+	ContentBody
 )
 
-// Event is something the client did.
+// Event is something that the client did.
 type Event struct {
-	Kind         EventKind
-	Channel      uint16
-	User, Secret string
-	Method       Method
-	Publish      *BasicPublish
-	Properties   *Properties
-	Size         uint64
-	Data         []byte
-	End          bool // the message is whole
-}
-
-// phase of a connection.
+	Kind           EventKind
+	Channel        uint16
+	User, Password string
+	Method         Method
+	Publish        *BasicPublish
+	Properties     *Properties
+	// Size is the length of the whole body in bytes.
+	Size uint64
+	Data []byte
+	// Complete is set when no more of the body follows.
+	Complete bool
+}
+
+// phase is the state of a connection. The order matters: phases are compared with < and >=.
 type phase uint8
 
 const (
@@ -58,23 +77,32 @@
 	awaitTuneOK
 	awaitOpen
 	running
-	ending // we sent connection.close
+	// awaitCloseOK follows our connection.close.
+	awaitCloseOK
 	closed
 )
 
-// channel is what the protocol knows of one.
+// channel is the protocol state of one channel.
 type channel struct {
-	closing bool // we sent channel.close: all but its answer is discarded
-	opening bool // not answered yet
-
-	publish *BasicPublish // a publish whose content is not whole
-	header  bool          // its content header is here
-	left    uint64        // bytes of its body to come
-	moved   time.Duration // when it last got longer
-	skip    bool          // discard the rest of it
-}
-
-// Conn is the server's side of one connection.
+	// closing is set when we have sent channel.close. All but the answer to it is discarded then.
+	closing bool
+	// opening is set until channel.open is answered.
+	opening bool
+
+	// publish is a basic.publish whose content is incomplete, or nil.
+	publish *BasicPublish
+	// headerReceived is set once the content header of publish has come.
+	headerReceived bool
+	// bodyRemaining is the number of body bytes still to come.
+	bodyRemaining uint64
+	// lastProgress is when the last frame of the publish came.
+	lastProgress time.Duration
+	// discardBody suppresses the ContentBody events of the publish.
+	discardBody bool
+}
+
+// Conn is the server side of one connection. It is not safe for concurrent use. All times passed to it are readings of
+// one monotonic clock.
 type Conn struct {
 	cfg      Config
 	now      time.Duration
@@ -84,32 +112,39 @@
 	out      []byte
 	handle   func(*Event)
 	channels map[uint16]*channel
-	partial  int // channels with a publish that is not whole
-
-	frameMax   int
-	channelMax int
-	heartbeat  time.Duration
-	heard      time.Duration
-	sent       time.Duration
-	closeBy    time.Duration // the answer to our close is due then
-
-	canBlock, canCancel, authClose bool
-	blocked                        bool
-	deaf                           bool
-	abuse                          *rate.Limiter
-}
-
-// NewConn starts a connection. handle is called from Receive, for one event at a time; it may call any method but
-// Receive and Check.
+	// incomplete is the number of channels whose publish is set.
+	incomplete int
+
+	frameMax     int
+	channelMax   int
+	heartbeat    time.Duration
+	lastReceived time.Duration
+	lastSent     time.Duration
+	// closeDeadline is when the connection ends without an answer to our close.
+	closeDeadline time.Duration
+
+	// These are the capabilities that the client declared in start-ok.
+	supportsBlocked, supportsCancelNotify, supportsAuthClose bool
+	// blocked is set while a connection.blocked that we sent is in force.
+	blocked bool
+	// ignoreInput is set after a framing error. No frame can be recognised after it.
+	ignoreInput bool
+	// abuseLimiter is the budget for frames that do no work for a message.
+	abuseLimiter *rate.Limiter
+}
+
+// NewConn returns a connection that waits for the protocol header. The connection calls handle for one event at a time.
+// handle may call any method of the Conn except Receive and Check.
 func NewConn(cfg Config, now time.Duration, handle func(*Event)) *Conn {
-	return &Conn{cfg: cfg, now: now, start: now, heard: now, sent: now, handle: handle, channels: map[uint16]*channel{}, frameMax: minFrame,
-		abuse: rate.NewLimiter(rate.Limit(cfg.AbuseRate), int(cfg.AbuseBurst)+2*int(cfg.ChannelMax))}
+	return &Conn{cfg: cfg, now: now, start: now, lastReceived: now, lastSent: now, handle: handle, channels: map[uint16]*channel{}, frameMax: minFrameMax,
+		abuseLimiter: rate.NewLimiter(rate.Limit(cfg.AbuseRate), int(cfg.AbuseBurst)+2*int(cfg.ChannelMax))}
 }
 
-// Receive takes bytes of the client. An error ends the connection at once; errors that the client is told of don't.
+// Receive processes bytes from the client. It returns an error only if the connection has ended at once. Errors that
+// the client is told of with a close are not returned.
 func (c *Conn) Receive(now time.Duration, b []byte) error {
-	c.now, c.heard = now, now
-	if c.deaf {
+	c.now, c.lastReceived = now, now
+	if c.ignoreInput {
 		return nil
 	}
 	if len(c.in) > 0 {
@@ -119,24 +154,25 @@
 	for err == nil && c.phase != closed {
 		var n int
 		if c.phase == awaitHeader {
-			n, err = c.header(b)
+			n, err = c.receiveProtocolHeader(b)
 		} else {
-			n, err = c.frame(b)
+			n, err = c.receiveFrame(b)
 		}
 		if n == 0 {
 			break
 		}
 		b = b[n:]
 	}
-	if c.phase == closed || c.deaf {
+	if c.phase == closed || c.ignoreInput {
 		b = nil
 	}
 	c.in = append(c.in[:0:0], b...)
 	return err
 }
 
-// header takes the protocol header (section 4.2.2). Another one is answered with ours.
-func (c *Conn) header(b []byte) (int, error) {
+// receiveProtocolHeader processes the protocol header (section 4.2.2) and returns the number of bytes used. A header of
+// another version is answered with ProtocolHeader, and the connection ends.
+func (c *Conn) receiveProtocolHeader(b []byte) (int, error) {
 	n := min(len(b), len(ProtocolHeader))
 	if !bytes.Equal(b[:n], []byte(ProtocolHeader)[:n]) {
 		c.out = append(c.out, ProtocolHeader...)
@@ -154,192 +190,203 @@
 	return n, nil
 }
 
-func (c *Conn) frame(b []byte) (int, error) {
+// receiveFrame processes the first frame of b and returns its size, or 0 if the frame is incomplete.
+func (c *Conn) receiveFrame(b []byte) (int, error) {
 	f, n, e := nextFrame(b, c.frameMax)
-	if e != nil { // frames can't be told apart any more: the close is sent, what still comes is not looked at
-		if err := c.failed(e); err != nil {
+	if e != nil {
+		// The start of the next frame is unknown. A close is sent and all further input is ignored.
+		if err := c.reportError(e); err != nil {
 			return 0, err
 		}
-		c.deaf = true
+		c.ignoreInput = true
 		return 0, nil
 	}
 	if n == 0 {
 		return 0, nil
 	}
-	return n, c.dispatch(f)
+	return n, c.handleFrame(f)
 }
 
-func (c *Conn) dispatch(f frame) error {
+// handleFrame processes one frame by its type. An error ends the connection.
+func (c *Conn) handleFrame(f frame) error {
 	switch f.kind {
 	case frameMethod:
 		m, e := parseMethod(f)
-		if c.phase == ending {
-			c.afterClose(m)
+		if c.phase == awaitCloseOK {
+			c.handleAfterClose(m)
 			return nil
 		}
 		if e != nil {
 			if ch := c.channels[f.channel]; ch != nil && ch.closing {
-				return nil // what an unknown method was about is gone
+				// The channel is closed by us, so a malformed or unknown method on it needs no answer.
+				return nil
 			}
-			return c.failed(e)
+			return c.reportError(e)
 		}
 		if f.channel == 0 {
-			return c.connection(m)
+			return c.handleConnectionMethod(m)
 		}
-		return c.failed(c.method(f.channel, m))
+		return c.reportError(c.handleMethod(f.channel, m))
 	case frameHeader, frameBody:
-		if c.phase == ending {
+		if c.phase == awaitCloseOK {
 			return nil
 		}
 		if c.phase != running || f.channel == 0 {
-			return c.failed(fail(UnexpectedFrame, f.channel, "content frame outside of an open channel"))
+			return c.reportError(newError(UnexpectedFrame, f.channel, "content frame outside of an open channel"))
 		}
-		return c.failed(c.content(f))
+		return c.reportError(c.handleContentFrame(f))
 	case frameHeartbeat:
 		if f.channel != 0 || len(f.payload) != 0 {
-			return c.failed(fail(FrameError, f.channel, "heartbeat on a channel, or with a payload"))
+			return c.reportError(newError(FrameError, f.channel, "heartbeat on a channel, or with a payload"))
 		}
-		return c.failed(c.idleWork(0, nil))
+		return c.reportError(c.chargeFrame(0, nil))
 	}
-	return c.failed(fail(FrameError, f.channel, "frame of unknown type %d", f.kind))
+	return c.reportError(newError(FrameError, f.channel, "frame of unknown type %d", f.kind))
 }
 
-// failed tells the client of an error. Before the handshake is over there is nothing to keep: the connection ends.
-func (c *Conn) failed(e *Error) error {
+// reportError tells the client of an error with a close. Before the login is accepted it returns the error instead,
+// which ends the connection at once.
+func (c *Conn) reportError(e *Error) error {
 	if e == nil {
 		return nil
 	}
-	if c.phase < awaitTuneOK && c.phase != ending {
+	if c.phase < awaitTuneOK && c.phase != awaitCloseOK {
 		c.phase = closed
 		return e
 	}
-	c.Fail(e)
+	c.CloseWithError(e)
 	return nil
 }
 
-// idleWork counts a frame that does no work for a message against the budget.
-func (c *Conn) idleWork(channel uint16, m Method) *Error {
-	if c.abuse.AllowN(time.Unix(0, int64(c.now)), 1) {
+// chargeFrame takes a frame that does no work for a message from the budget. It returns an error if none is left.
+func (c *Conn) chargeFrame(channel uint16, m Method) *Error {
+	if c.abuseLimiter.AllowN(time.Unix(0, int64(c.now)), 1) {
 		return nil
 	}
-	return fail(ResourceError, channel, "too many frames that carry no message").about(m)
+	return newError(ResourceError, channel, "too many frames that carry no message").forMethod(m)
 }
 
-// connection takes a method on channel 0.
-func (c *Conn) connection(m Method) error {
-	if e := c.idleWork(0, m); e != nil {
-		return c.failed(e)
+// handleConnectionMethod processes a method on channel 0.
+func (c *Conn) handleConnectionMethod(m Method) error {
+	if e := c.chargeFrame(0, m); e != nil {
+		return c.reportError(e)
 	}
 	switch m := m.(type) {
 	case *ConnectionClose:
 		c.Send(0, &ConnectionCloseOK{})
-		c.shut()
+		c.terminateNow()
 		return nil
 	case *ConnectionStartOK:
 		if c.phase == awaitStartOK {
-			return c.startOK(m)
+			return c.handleStartOK(m)
 		}
 	case *ConnectionTuneOK:
 		if c.phase == awaitTuneOK {
-			return c.failed(c.tuneOK(m))
+			return c.reportError(c.handleTuneOK(m))
 		}
 	case *ConnectionOpen:
 		if c.phase == awaitOpen {
-			return c.failed(c.open(m))
+			return c.reportError(c.handleOpen(m))
 		}
-	case *ConnectionUpdate:
-		return c.failed(fail(NotImplemented, 0, "connection.update-secret is not supported").about(m))
+	case *ConnectionUpdateSecret:
+		return c.reportError(newError(NotImplemented, 0, "connection.update-secret is not supported").forMethod(m))
 	}
-	return c.failed(fail(CommandInvalid, 0, "method is not to be sent now, or not on channel 0").about(m))
+	return c.reportError(newError(CommandInvalid, 0, "method is not to be sent now, or not on channel 0").forMethod(m))
 }
 
-func (c *Conn) startOK(m *ConnectionStartOK) error {
+// handleStartOK checks the SASL mechanism and reports the credentials as a Login event.
+func (c *Conn) handleStartOK(m *ConnectionStartOK) error {
 	if m.Mechanism != "PLAIN" {
 		c.phase = closed
 		return fmt.Errorf("SASL mechanism %.40q is not offered", m.Mechanism)
 	}
-	caps, _ := m.Properties.Get("capabilities").(Table)
-	c.canBlock, _ = caps.Get("connection.blocked").(bool)
-	c.canCancel, _ = caps.Get("consumer_cancel_notify").(bool)
-	c.authClose, _ = caps.Get("authentication_failure_close").(bool)
-	part := strings.Split(m.Response, "\x00") // RFC 4616: authorization identity, authentication identity, password
-	if len(part) != 3 || part[1] == "" || part[0] != "" && part[0] != part[1] {
+	capabilities, _ := m.Properties.Get("capabilities").(Table)
+	c.supportsBlocked, _ = capabilities.Get("connection.blocked").(bool)
+	c.supportsCancelNotify, _ = capabilities.Get("consumer_cancel_notify").(bool)
+	c.supportsAuthClose, _ = capabilities.Get("authentication_failure_close").(bool)
+	// RFC 4616 defines the parts: authorization identity, authentication identity, password.
+	parts := strings.Split(m.Response, "\x00")
+	if len(parts) != 3 || parts[1] == "" || parts[0] != "" && parts[0] != parts[1] {
 		c.phase = awaitLogin
-		return c.Refuse("the PLAIN response is not an identity and a password (RFC 4616)")
+		return c.RefuseLogin("the PLAIN response is not an identity and a password (RFC 4616)")
 	}
 	c.phase = awaitLogin
-	c.handle(&Event{Kind: Login, User: part[1], Secret: part[2]})
+	c.handle(&Event{Kind: Login, User: parts[1], Password: parts[2]})
 	return nil
 }
 
-// Accept lets a client in after Login.
-func (c *Conn) Accept() {
+// AcceptLogin accepts the credentials of a Login event and continues the handshake.
+func (c *Conn) AcceptLogin() {
 	c.phase = awaitTuneOK
 	c.Send(0, &ConnectionTune{c.cfg.ChannelMax, uint32(c.cfg.FrameMax), uint16(c.cfg.Heartbeat / time.Second)})
 }
 
-// Refuse turns a client away after Login; clients that can be told are told.
-func (c *Conn) Refuse(text string) error {
-	if !c.authClose {
+// RefuseLogin refuses the credentials of a Login event. A client with the authentication_failure_close capability gets
+// a connection.close with the text. For others the connection ends, and the returned error says why.
+func (c *Conn) RefuseLogin(text string) error {
+	if !c.supportsAuthClose {
 		c.phase = closed
 		return fmt.Errorf("login refused: %s", text)
 	}
-	c.Fail(fail(AccessRefused, 0, "%s", text))
+	c.CloseWithError(newError(AccessRefused, 0, "%s", text))
 	return nil
 }
 
-// tuneOK settles the limits (section 1.4.2.6): a client may lower them.
-func (c *Conn) tuneOK(m *ConnectionTuneOK) *Error {
-	frame, most := int64(m.FrameMax), int64(m.ChannelMax)
-	if most == 0 {
-		most = int64(c.cfg.ChannelMax) // "no limit" of the client's own: ours holds
+// handleTuneOK applies the client's limits (section 1.4.2.6). A client may lower ours but not raise them.
+func (c *Conn) handleTuneOK(m *ConnectionTuneOK) *Error {
+	frameMax, channelMax := int64(m.FrameMax), int64(m.ChannelMax)
+	if channelMax == 0 {
+		// 0 means that the client sets no limit, so ours applies.
+		channelMax = int64(c.cfg.ChannelMax)
 	}
-	if frame == 0 {
-		frame = int64(c.cfg.FrameMax)
+	if frameMax == 0 {
+		frameMax = int64(c.cfg.FrameMax)
 	}
 	switch {
-	case frame > int64(c.cfg.FrameMax) || frame < minFrame:
-		return fail(NotAllowed, 0, "frame-max %d is not within %d and %d", m.FrameMax, minFrame, c.cfg.FrameMax).about(m)
-	case most > int64(c.cfg.ChannelMax):
-		return fail(NotAllowed, 0, "channel-max %d is above %d", m.ChannelMax, c.cfg.ChannelMax).about(m)
+	case frameMax > int64(c.cfg.FrameMax) || frameMax < minFrameMax:
+		return newError(NotAllowed, 0, "frame-max %d is not within %d and %d", m.FrameMax, minFrameMax, c.cfg.FrameMax).forMethod(m)
+	case channelMax > int64(c.cfg.ChannelMax):
+		return newError(NotAllowed, 0, "channel-max %d is above %d", m.ChannelMax, c.cfg.ChannelMax).forMethod(m)
 	}
-	c.frameMax, c.channelMax = int(frame), int(most)
+	c.frameMax, c.channelMax = int(frameMax), int(channelMax)
 	c.heartbeat = time.Duration(m.Heartbeat) * time.Second
 	c.phase = awaitOpen
 	return nil
 }
 
-func (c *Conn) open(m *ConnectionOpen) *Error {
+// handleOpen processes connection.open. There is one virtual host, /, and an empty name stands for it.
+func (c *Conn) handleOpen(m *ConnectionOpen) *Error {
 	if m.VHost != "/" && m.VHost != "" {
-		return fail(NotAllowed, 0, "there is no virtual host %.60q, only /", m.VHost).about(m)
+		return newError(NotAllowed, 0, "there is no virtual host %.60q, only /", m.VHost).forMethod(m)
 	}
 	c.phase = running
 	c.Send(0, &ConnectionOpenOK{})
 	return nil
 }
 
-// method takes a method on a channel.
-func (c *Conn) method(id uint16, m Method) *Error {
+// handleMethod processes a method on a channel other than 0.
+func (c *Conn) handleMethod(id uint16, m Method) *Error {
 	if c.phase != running {
-		return fail(CommandInvalid, id, "method on a channel before the connection is open").about(m)
+		return newError(CommandInvalid, id, "method on a channel before the connection is open").forMethod(m)
 	}
 	ch := c.channels[id]
 	if ch != nil && ch.closing {
-		c.channelEnding(id, m)
+		c.handleClosingChannel(id, m)
 		return nil
 	}
 	if ch != nil && ch.publish != nil {
-		return fail(UnexpectedFrame, id, "method in the middle of a message").about(m)
+		return newError(UnexpectedFrame, id, "method in the middle of a message").forMethod(m)
 	}
 	if p, ok := m.(*BasicPublish); ok && ch != nil {
-		ch.publish, ch.header, ch.moved = p, false, c.now
-		c.partial++
+		ch.publish, ch.headerReceived, ch.lastProgress = p, false, c.now
+		c.incomplete++
 		return nil
 	}
 	switch m.(type) {
-	case *BasicAck, *BasicNack, *BasicReject: // they are about messages
+	case *BasicAck, *BasicNack, *BasicReject:
+		// These settle messages, so they are not charged.
 	default:
-		if e := c.idleWork(id, m); e != nil {
+		if e := c.chargeFrame(id, m); e != nil {
 			return e
 		}
 	}
@@ -348,35 +395,36 @@
 		return c.openChannel(id, ch, m)
 	case *ChannelClose:
 		if ch == nil {
-			return fail(ChannelError, id, "channel is not open").about(m)
+			return newError(ChannelError, id, "channel is not open").forMethod(m)
 		}
 		c.Send(id, &ChannelCloseOK{})
-		c.drop(id)
+		c.removeChannel(id)
 		return nil
 	}
 	if ch == nil {
-		return fail(ChannelError, id, "channel is not open").about(m)
+		return newError(ChannelError, id, "channel is not open").forMethod(m)
 	}
 	if class, _ := m.id(); class == classConnection {
-		return fail(CommandInvalid, id, "connection method on a channel").about(m)
+		return newError(CommandInvalid, id, "connection method on a channel").forMethod(m)
 	}
-	c.handle(&Event{Kind: Call, Channel: id, Method: m})
+	c.handle(&Event{Kind: ChannelMethod, Channel: id, Method: m})
 	return nil
 }
 
+// openChannel processes channel.open. ch is the channel that is open under this number, or nil.
 func (c *Conn) openChannel(id uint16, ch *channel, m *ChannelOpen) *Error {
 	switch {
 	case ch != nil:
-		return fail(ChannelError, id, "channel is open already").about(m)
+		return newError(ChannelError, id, "channel is open already").forMethod(m)
 	case int(id) > c.channelMax:
-		return fail(NotAllowed, id, "channel above channel-max %d", c.channelMax).about(m)
+		return newError(NotAllowed, id, "channel above channel-max %d", c.channelMax).forMethod(m)
 	}
 	c.channels[id] = &channel{opening: true}
 	c.handle(&Event{Kind: ChannelOpened, Channel: id})
 	return nil
 }
 
-// AcceptChannel lets a channel be, after ChannelOpened.
+// AcceptChannel answers a ChannelOpened event with channel.open-ok.
 func (c *Conn) AcceptChannel(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.opening {
 		ch.opening = false
@@ -384,8 +432,9 @@
 	}
 }
 
-// channelEnding takes what comes on a channel that we have closed (section 1.5.2.5): closes may cross.
-func (c *Conn) channelEnding(id uint16, m Method) {
+// handleClosingChannel processes a method on a channel for which we have sent channel.close (section 1.5.2.5). The
+// client may have sent its own channel.close meanwhile, which is answered. Our close stays open until its close-ok.
+func (c *Conn) handleClosingChannel(id uint16, m Method) {
 	switch m.(type) {
 	case *ChannelCloseOK:
 		delete(c.channels, id)
@@ -394,150 +443,156 @@
 	}
 }
 
-// drop forgets a channel that is open no more.
-func (c *Conn) drop(id uint16) {
+// removeChannel removes a channel that the client has closed, and reports it.
+func (c *Conn) removeChannel(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
-		c.partial--
+		c.incomplete--
 	}
 	delete(c.channels, id)
-	c.handle(&Event{Kind: ChannelGone, Channel: id})
+	c.handle(&Event{Kind: ChannelClosed, Channel: id})
 }
 
-// content takes a content header or a part of a body (section 4.2.6).
-func (c *Conn) content(f frame) *Error {
+// handleContentFrame processes a content header frame or body frame (section 4.2.6).
+func (c *Conn) handleContentFrame(f frame) *Error {
 	ch := c.channels[f.channel]
 	if ch != nil && ch.closing {
 		return nil
 	}
 	if ch == nil {
-		return fail(ChannelError, f.channel, "content on a channel that is not open")
+		return newError(ChannelError, f.channel, "content on a channel that is not open")
 	}
-	if ch.publish == nil || ch.header != (f.kind == frameBody) {
-		return fail(UnexpectedFrame, f.channel, "content frame of type %d out of its order", f.kind)
+	if ch.publish == nil || ch.headerReceived != (f.kind == frameBody) {
+		return newError(UnexpectedFrame, f.channel, "content frame of type %d out of its order", f.kind)
 	}
-	ch.moved = c.now
+	ch.lastProgress = c.now
 	if f.kind == frameHeader {
-		return c.contentHeader(f, ch)
+		return c.handleContentHeader(f, ch)
 	}
-	n := uint64(len(f.payload))
-	if n > ch.left {
-		return fail(FrameError, f.channel, "body longer than its header says")
+	size := uint64(len(f.payload))
+	if size > ch.bodyRemaining {
+		return newError(FrameError, f.channel, "body longer than its header says")
 	}
-	if n < 64 && n < ch.left { // bodies cut into shreds
-		if e := c.idleWork(f.channel, ch.publish); e != nil {
+	if size < 64 && size < ch.bodyRemaining {
+		// A body in very small frames costs more than its bytes. Each such frame but the last is charged.
+		if e := c.chargeFrame(f.channel, ch.publish); e != nil {
 			return e
 		}
 	}
-	ch.left -= n
-	e := Event{Kind: Body, Channel: f.channel, Data: f.payload, End: ch.left == 0}
-	skip := ch.skip
-	if e.End {
-		c.whole(ch)
+	ch.bodyRemaining -= size
+	event := Event{Kind: ContentBody, Channel: f.channel, Data: f.payload, Complete: ch.bodyRemaining == 0}
+	discard := ch.discardBody
+	if event.Complete {
+		c.finishContent(ch)
 	}
-	if !skip {
-		c.handle(&e)
+	if !discard {
+		c.handle(&event)
 	}
 	return nil
 }
 
-func (c *Conn) contentHeader(f frame, ch *channel) *Error {
-	class, size, p, e := parseHeader(f)
+// handleContentHeader processes a content header frame of ch.
+func (c *Conn) handleContentHeader(f frame, ch *channel) *Error {
+	class, size, properties, e := parseContentHeader(f)
 	if e != nil {
 		return e
 	}
 	if class != classBasic {
-		return fail(UnexpectedFrame, f.channel, "content header of class %d", class)
+		return newError(UnexpectedFrame, f.channel, "content header of class %d", class)
 	}
-	ch.header, ch.left, ch.skip = true, size, false
-	ev := Event{Kind: Content, Channel: f.channel, Publish: ch.publish, Properties: &p, Size: size, End: size == 0}
-	if ev.End {
-		c.whole(ch)
+	ch.headerReceived, ch.bodyRemaining, ch.discardBody = true, size, false
+	event := Event{Kind: ContentHeader, Channel: f.channel, Publish: ch.publish, Properties: &properties, Size: size, Complete: size == 0}
+	if event.Complete {
+		c.finishContent(ch)
 	}
-	c.handle(&ev)
+	c.handle(&event)
 	return nil
 }
 
-func (c *Conn) whole(ch *channel) {
-	ch.publish, ch.header = nil, false
-	c.partial--
+// finishContent marks the message of ch as complete.
+func (c *Conn) finishContent(ch *channel) {
+	ch.publish, ch.headerReceived = nil, false
+	c.incomplete--
 }
 
-// Skip discards the rest of a message whose Content has just come: no Body events follow for it.
-func (c *Conn) Skip(id uint16) {
+// DiscardBody suppresses the remaining ContentBody events of the incomplete message on a channel.
+func (c *Conn) DiscardBody(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
-		ch.skip = true
+		ch.discardBody = true
 	}
 }
 
-// Send sends a method, in the state it is valid in: on channels that are open, or on the connection.
+// Send queues a method for output. On a channel that is not open it sends nothing, except for channel.close-ok. Channel
+// 0 is the connection.
 func (c *Conn) Send(id uint16, m Method) {
 	if id != 0 {
-		if _, ok := m.(*ChannelCloseOK); !ok && !c.Open(id) {
+		if _, ok := m.(*ChannelCloseOK); !ok && !c.IsChannelOpen(id) {
 			return
 		}
 	}
 	c.out = AppendMethod(c.out, id, m)
-	c.sent = c.now
+	c.lastSent = c.now
 }
 
-// SendContent sends a method with a message.
+// SendContent queues a method with a message for output. On a channel that is not open it sends nothing.
 func (c *Conn) SendContent(id uint16, m Method, p *Properties, body []byte) {
-	if !c.Open(id) {
+	if !c.IsChannelOpen(id) {
 		return
 	}
 	c.out = AppendMethod(c.out, id, m)
 	c.out = appendContent(c.out, id, p, body, c.frameMax)
-	c.sent = c.now
+	c.lastSent = c.now
 }
 
-// Open tells whether a channel is open.
-func (c *Conn) Open(id uint16) bool {
+// IsChannelOpen reports whether methods can be sent on a channel: neither it nor the connection is being closed.
+func (c *Conn) IsChannelOpen(id uint16) bool {
 	ch := c.channels[id]
 	return ch != nil && !ch.closing && c.phase == running
 }
 
-// Running tells whether the handshake is over and no close has been sent or taken.
+// Running reports whether the handshake is complete and no connection.close has been sent or received.
 func (c *Conn) Running() bool { return c.phase == running }
 
-// Fail closes a channel or the connection with an error.
-func (c *Conn) Fail(e *Error) {
-	if c.phase >= ending {
+// CloseWithError closes a channel or the connection with an error. The reply code says which of the two; an error
+// without a channel closes the connection.
+func (c *Conn) CloseWithError(e *Error) {
+	if c.phase >= awaitCloseOK {
 		return
 	}
-	if !e.Code.Hard() && e.Channel != 0 {
+	if !e.Code.ClosesConnection() && e.Channel != 0 {
 		ch := c.channels[e.Channel]
 		if ch == nil || ch.closing {
 			return
 		}
-		c.out = AppendMethod(c.out, e.Channel, &ChannelClose{e.Code, e.reply(), e.Class, e.Method})
-		c.sent = c.now
+		c.out = AppendMethod(c.out, e.Channel, &ChannelClose{e.Code, e.replyText(), e.Class, e.Method})
+		c.lastSent = c.now
 		if ch.publish != nil {
-			c.partial--
+			c.incomplete--
 		}
 		*ch = channel{closing: true}
-		c.handle(&Event{Kind: ChannelGone, Channel: e.Channel})
+		c.handle(&Event{Kind: ChannelClosed, Channel: e.Channel})
 		return
 	}
-	c.out = AppendMethod(c.out, 0, &ConnectionClose{e.Code, e.reply(), e.Class, e.Method})
-	c.sent = c.now
-	c.end(ending)
-	c.closeBy = c.now + min(c.cfg.Handshake, 2*time.Second)
+	c.out = AppendMethod(c.out, 0, &ConnectionClose{e.Code, e.replyText(), e.Class, e.Method})
+	c.lastSent = c.now
+	c.terminate(awaitCloseOK)
+	c.closeDeadline = c.now + min(c.cfg.Handshake, 2*time.Second)
 }
 
-// Close ends the connection in order.
+// Close closes a running connection with reply code 320 and the text, and waits for close-ok until closeDeadline.
+// Before connection.open it ends the connection at once.
 func (c *Conn) Close(now time.Duration, text string) {
 	c.now = now
 	switch {
 	case c.phase == running:
-		c.Fail(fail(ConnectionForced, 0, "%s", text))
+		c.CloseWithError(newError(ConnectionForced, 0, "%s", text))
 	case c.phase < running:
-		c.end(closed)
+		c.terminate(closed)
 	}
 }
 
-// end drops all channels.
-func (c *Conn) end(to phase) {
-	c.phase = to
+// terminate enters a phase in which no channel is open, and reports each open channel as closed.
+func (c *Conn) terminate(next phase) {
+	c.phase = next
 	ids := make([]uint16, 0, len(c.channels))
 	for id := range c.channels {
 		ids = append(ids, id)
@@ -545,17 +600,18 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		if !c.channels[id].closing {
-			c.handle(&Event{Kind: ChannelGone, Channel: id})
+			c.handle(&Event{Kind: ChannelClosed, Channel: id})
 		}
 	}
 	clear(c.channels)
-	c.partial = 0
+	c.incomplete = 0
 }
 
-func (c *Conn) shut() { c.end(closed) }
+// terminateNow ends the connection without waiting for an answer.
+func (c *Conn) terminateNow() { c.terminate(closed) }
 
-// ending takes what comes after our connection.close.
-func (c *Conn) afterClose(m Method) {
+// handleAfterClose processes a method that comes after our connection.close. All but close and close-ok are ignored.
+func (c *Conn) handleAfterClose(m Method) {
 	switch m.(type) {
 	case *ConnectionCloseOK:
 		c.phase = closed
@@ -565,33 +621,34 @@
 	}
 }
 
-// Block asks the client to publish nothing, or lets it again; clients without that capability are not asked. It tells
-// whether the client can be asked.
-func (c *Conn) Block(now time.Duration, on bool, reason string) bool {
+// SetBlocked sends connection.blocked with the reason, or connection.unblocked, if the state changes. It returns false
+// for a client without the connection.blocked capability, and sends nothing then.
+func (c *Conn) SetBlocked(now time.Duration, blocked bool, reason string) bool {
 	c.now = now
-	if !c.canBlock || c.phase != running {
-		return c.canBlock
+	if !c.supportsBlocked || c.phase != running {
+		return c.supportsBlocked
 	}
-	if on && !c.blocked {
+	if blocked && !c.blocked {
 		c.Send(0, &ConnectionBlocked{reason})
-	} else if !on && c.blocked {
+	} else if !blocked && c.blocked {
 		c.Send(0, &ConnectionUnblocked{})
 	}
-	c.blocked = on
+	c.blocked = blocked
 	return true
 }
 
-// CanCancel tells whether the client can be told that a consumer is cancelled.
-func (c *Conn) CanCancel() bool { return c.canCancel }
+// SupportsCancelNotify reports whether the client accepts a basic.cancel from the server.
+func (c *Conn) SupportsCancelNotify() bool { return c.supportsCancelNotify }
 
-// Check holds the time limits: handshake, heartbeats, bodies that stand still, answers to our close.
+// Check enforces the time limits: for the handshake, heartbeats, incomplete messages and the answer to our close. It
+// also sends heartbeats. An error says why it has ended the connection.
 func (c *Conn) Check(now time.Duration) error {
 	c.now = now
 	switch {
 	case c.phase == closed:
 		return nil
-	case c.phase == ending:
-		if now >= c.closeBy {
+	case c.phase == awaitCloseOK:
+		if now >= c.closeDeadline {
 			c.phase = closed
 		}
 		return nil
@@ -600,19 +657,20 @@
 		return fmt.Errorf("no connection.open within %v", c.cfg.Handshake)
 	}
 	if c.heartbeat > 0 && c.phase == running {
-		if now-c.heard > 2*c.heartbeat { // section 4.2.7
-			c.end(closed)
-			return fmt.Errorf("nothing heard for %v: two heartbeats missed", now-c.heard)
+		// Two missed heartbeats end the connection (section 4.2.7).
+		if now-c.lastReceived > 2*c.heartbeat {
+			c.terminate(closed)
+			return fmt.Errorf("nothing heard for %v: two heartbeats missed", now-c.lastReceived)
 		}
-		if now-c.sent >= c.heartbeat/2 {
-			c.out = append(appendFrameHead(c.out, frameHeartbeat, 0, 0), frameEnd)
-			c.sent = now
+		if now-c.lastSent >= c.heartbeat/2 {
+			c.out = append(appendFrameHeader(c.out, frameHeartbeat, 0, 0), frameEnd)
+			c.lastSent = now
 		}
 	}
-	if c.partial > 0 {
+	if c.incomplete > 0 {
 		for id, ch := range c.channels {
-			if ch.publish != nil && now-ch.moved > c.cfg.Stall {
-				c.Fail(fail(ResourceError, id, "a message has stood still for %v", c.cfg.Stall).about(ch.publish))
+			if ch.publish != nil && now-ch.lastProgress > c.cfg.BodyStallTimeout {
+				c.CloseWithError(newError(ResourceError, id, "a message has stood still for %v", c.cfg.BodyStallTimeout).forMethod(ch.publish))
 				return nil
 			}
 		}
@@ -620,35 +678,36 @@
 	return nil
 }
 
-// Due is when Check has something to look at.
+// Due returns when Check is to be called next. Without a time limit that is in an hour.
 func (c *Conn) Due(now time.Duration) time.Duration {
 	switch {
 	case c.phase == closed:
 		return now
-	case c.phase == ending:
-		return c.closeBy
+	case c.phase == awaitCloseOK:
+		return c.closeDeadline
 	case c.phase < running:
 		return c.start + c.cfg.Handshake + time.Millisecond
 	}
 	due := now + time.Hour
 	if c.heartbeat > 0 {
-		due = min(c.sent+c.heartbeat/2, c.heard+2*c.heartbeat+time.Millisecond)
+		due = min(c.lastSent+c.heartbeat/2, c.lastReceived+2*c.heartbeat+time.Millisecond)
 	}
-	if c.partial > 0 {
-		due = min(due, now+c.cfg.Stall/4)
+	if c.incomplete > 0 {
+		// The time of the last progress is kept per channel, so a stalled message is found by polling.
+		due = min(due, now+c.cfg.BodyStallTimeout/4)
 	}
 	return due
 }
 
-// Output returns what is to be written and forgets it.
+// Output returns the bytes to be written to the client and clears them.
 func (c *Conn) Output() []byte {
 	out := c.out
 	c.out = nil
 	return out
 }
 
-// Done tells that the connection has ended.
+// Done reports whether the connection has ended.
 func (c *Conn) Done() bool { return c.phase == closed }
 
-// Ending tells that a close is under way.
-func (c *Conn) Ending() bool { return c.phase >= ending }
+// Closing reports whether we have sent connection.close or the connection has ended.
+func (c *Conn) Closing() bool { return c.phase >= awaitCloseOK }
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -1,6 +1,7 @@
-// Package amqpfront is the AMQP 0-9-1 side towards clients: programs publish as to a broker, the final answer comes
-// back as a confirm, and in full in a queue of answers where one is named. What each promises is in docs/answers.md.
-// Like every front it decides nothing about messages: what it turns away at the door was never taken.
+// Package amqpfront is the AMQP 0-9-1 front towards clients. Programs publish as to a broker. The final answer comes
+// back as a confirm. It also comes in full in an answer queue if the message names one in reply-to or a queue is bound
+// to its exchange and routing key. docs/answers.md says what each of these guarantees. Like every front it decides
+// nothing about messages: one that it rejects was never taken.
 package amqpfront
 
 import (
@@ -15,165 +16,182 @@
 	"whinrun/internal/push"
 )
 
-// Desk is what the sessions of one front share.
-type Desk struct {
-	cfg   amqp.Config
-	book  *intake.Registry
-	names push.Names
-	side  *admission.Frontend
-	now   func() time.Duration
-	owner atomic.Uint64
+// Server holds what the sessions of the front share. It is safe for concurrent use.
+type Server struct {
+	cfg       amqp.Config
+	catalog   *intake.Registry
+	names     push.Names
+	admission *admission.Frontend
+	now       func() time.Duration
+	// lastOwner is the owner number of the latest session. It names the session to the answer queues.
+	lastOwner atomic.Uint64
 
-	room *mailbox.Room
+	// answers holds the answer queues.
+	answers *mailbox.SharedBroker
 }
 
-// New makes a Desk. now is the clock of the sessions.
-func New(cfg amqp.Config, book *intake.Registry, names push.Names, side *admission.Frontend, room *mailbox.Room, now func() time.Duration) *Desk {
-	return &Desk{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
+// New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message
+// numbers to message names, admission admits messages and channels, answers holds the answer queues, and now is the
+// clock of the sessions.
+func New(cfg amqp.Config, catalog *intake.Registry, names push.Names, admission *admission.Frontend, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
+	return &Server{cfg: cfg, catalog: catalog, names: names, admission: admission, now: now, answers: answers}
 }
 
-// Open makes the session of a connection.
-func (d *Desk) Open(c *front.Conn, now time.Duration) front.Session {
-	s := &session{desk: d, conn: c, owner: d.owner.Add(1), channels: map[uint16]*channel{}}
-	s.c = amqp.NewConn(d.cfg, now, s.event)
+// Open returns the session of a new connection.
+func (server *Server) Open(c *front.Conn, now time.Duration) front.Session {
+	s := &session{server: server, conn: c, owner: server.lastOwner.Add(1), channels: map[uint16]*channel{}}
+	s.protocol = amqp.NewConn(server.cfg, now, s.handleEvent)
 	return s
 }
 
-// session is one client connection.
+// session serves one client connection. Its event loop makes all calls.
 type session struct {
-	desk     *Desk
+	server   *Server
 	conn     *front.Conn
-	c        *amqp.Conn
+	protocol *amqp.Conn
 	owner    uint64
 	now      time.Duration
 	tenant   int
 	user     string
 	channels map[uint16]*channel
-	dirty    []*channel // with confirms to be sent
-	awaiting int        // publishes taken without an answer yet
-	publishes,
-	asked, // publishers have been asked to stop
-	away bool
+	// unflushed lists the channels with confirms to send. A channel may occur more than once.
+	unflushed []*channel
+	// unanswered is the number of accepted publishes without a final answer.
+	unanswered int
+	hasPublished,
+	// blockSent is set while the client is asked to publish nothing.
+	blockSent,
+	// goingAway is set once the dispatcher is stopping.
+	goingAway bool
 }
 
 // channel is one channel of a session.
 type channel struct {
-	s        *session
-	id       uint16
-	gone     bool
-	confirms *amqp.Confirms   // after confirm.select
-	in       *publish         // its body is coming
-	mail     *mailbox.Channel // once it reads answers
-	buf      []amqp.Confirm
+	session *session
+	id      uint16
+	closed  bool
+	// confirms is nil before confirm.select.
+	confirms *amqp.ConfirmTracker
+	// incoming is the publish whose body is incomplete, or nil.
+	incoming *publish
+	// reader is nil until the channel first uses a method for reading answers.
+	reader *mailbox.Channel
+	// confirmBuffer is reused between calls of sendConfirms.
+	confirmBuffer []amqp.Confirm
 }
 
-// Receive takes bytes of the client.
+// Receive processes bytes from the client. An error ends the connection.
 func (s *session) Receive(now time.Duration, b []byte) error {
 	s.now = now
-	return s.c.Receive(now, b)
+	return s.protocol.Receive(now, b)
 }
 
-// Check asks publishers to stop, or lets them go on, and holds the protocol's time limits.
+// Check blocks or unblocks the client if it publishes, and enforces the time limits of the protocol. An error ends the
+// connection.
 func (s *session) Check(now time.Duration) error {
 	s.now = now
-	if s.publishes {
-		s.block(now, s.away || s.desk.side.Blocked())
+	if s.hasPublished {
+		s.setBlocked(now, s.goingAway || s.server.admission.Blocked())
 	}
-	return s.c.Check(now)
+	return s.protocol.Check(now)
 }
 
-// block asks the client with connection.blocked or, where its library does not know that, with channel.flow.
-func (s *session) block(now time.Duration, on bool) {
-	if on == s.asked || !s.c.Running() {
+// setBlocked asks the client to stop or resume publishing. It uses connection.blocked or, for a client without that
+// capability, channel.flow on each channel.
+func (s *session) setBlocked(now time.Duration, blocked bool) {
+	if blocked == s.blockSent || !s.protocol.Running() {
 		return
 	}
-	s.asked = on
+	s.blockSent = blocked
 	reason := "no messages are taken for now"
-	if s.away {
+	if s.goingAway {
 		reason = "the dispatcher is stopping"
 	}
-	if s.c.Block(now, on, reason) {
+	if s.protocol.SetBlocked(now, blocked, reason) {
 		return
 	}
 	for id := range s.channels {
-		s.c.Send(id, &amqp.ChannelFlow{Active: !on})
+		s.protocol.Send(id, &amqp.ChannelFlow{Active: !blocked})
 	}
 }
 
-// Due is when Check has something to look at.
-func (s *session) Due(now time.Duration) time.Duration { return s.c.Due(now) }
+// Due returns when Check is to be called next.
+func (s *session) Due(now time.Duration) time.Duration { return s.protocol.Due(now) }
 
-// GoAway asks publishers to stop for good.
-func (s *session) GoAway(time.Duration) { s.away = true }
+// GoAway makes the next Check ask the client to stop publishing for good.
+func (s *session) GoAway(time.Duration) { s.goingAway = true }
 
-// Finish closes the connection: all answers are out.
+// Finish closes the connection after all answers have come.
 func (s *session) Finish(now time.Duration) {
-	s.flush() // closing drops the channels, and what was to be confirmed on them
-	s.c.Close(now, "the dispatcher is stopping")
+	// Closing removes the channels, and with them any confirms that are not sent yet.
+	s.flush()
+	s.protocol.Close(now, "the dispatcher is stopping")
 }
 
-// Output returns what is to be written, the confirms that have gathered with it.
+// Output returns the bytes to be written, including the confirms that are due.
 func (s *session) Output() []byte {
 	s.flush()
-	return s.c.Output()
+	return s.protocol.Output()
 }
 
+// flush sends the confirms that are due on all channels.
 func (s *session) flush() {
-	for _, ch := range s.dirty {
-		s.confirm(ch)
+	for _, ch := range s.unflushed {
+		s.sendConfirms(ch)
 	}
-	s.dirty = s.dirty[:0]
+	s.unflushed = s.unflushed[:0]
 }
 
-// Owes tells whether publishes have no answer yet, or a close is under way.
-func (s *session) Owes() bool { return s.awaiting > 0 || s.c.Ending() && !s.c.Done() }
+// Owes reports whether publishes have no final answer yet or a close is not complete.
+func (s *session) Owes() bool { return s.unanswered > 0 || s.protocol.Closing() && !s.protocol.Done() }
 
-// Done tells that the connection has ended.
-func (s *session) Done() bool { return s.c.Done() }
+// Done reports whether the connection has ended.
+func (s *session) Done() bool { return s.protocol.Done() }
 
-// Lost lets what was taken be carried on: a publish is a hand-over, and does not end with its connection. Answers go
-// to the queue that the message names. What the client read without acknowledging goes back.
+// Lost cleans up after the connection. Accepted publishes continue, because publishing hands the message over for good;
+// their answers go to the reserved answer queues. Unacknowledged deliveries are requeued.
 func (s *session) Lost() {
-	s.now = s.desk.now()
+	s.now = s.server.now()
 	for _, ch := range s.channels {
-		s.forget(ch)
+		s.removeChannel(ch)
 	}
-	s.desk.room.Lock()
-	s.desk.room.Leave(s.owner)
-	s.desk.room.Unlock()
+	s.server.answers.Lock()
+	s.server.answers.DeleteExclusive(s.owner)
+	s.server.answers.Unlock()
 }
 
-// forget drops a channel that is gone.
-func (s *session) forget(ch *channel) {
-	if ch.gone {
+// removeChannel cleans up after a channel that is closed.
+func (s *session) removeChannel(ch *channel) {
+	if ch.closed {
 		return
 	}
-	ch.gone = true
+	ch.closed = true
 	delete(s.channels, ch.id)
-	s.desk.side.ReleaseChannels(1)
-	if ch.in != nil {
-		ch.in.drop()
-		ch.in = nil
+	s.server.admission.ReleaseChannels(1)
+	if ch.incoming != nil {
+		ch.incoming.abandon()
+		ch.incoming = nil
 	}
-	if ch.mail != nil {
-		s.desk.room.Lock()
-		ch.mail.Close(s.now)
-		s.desk.room.Unlock()
+	if ch.reader != nil {
+		s.server.answers.Lock()
+		ch.reader.Close(s.now)
+		s.server.answers.Unlock()
 	}
 }
 
-func (s *session) event(e *amqp.Event) {
+// handleEvent handles an event of the protocol.
+func (s *session) handleEvent(e *amqp.Event) {
 	switch e.Kind {
 	case amqp.Login:
 		s.login(e)
 		return
 	case amqp.ChannelOpened:
-		if !s.desk.side.AcquireChannel() {
-			s.c.Fail(&amqp.Error{Code: amqp.ResourceError, Channel: e.Channel, Text: "too many channels are open on all connections"})
+		if !s.server.admission.AcquireChannel() {
+			s.protocol.CloseWithError(&amqp.Error{Code: amqp.ResourceError, Channel: e.Channel, Text: "too many channels are open on all connections"})
 			return
 		}
-		s.channels[e.Channel] = &channel{s: s, id: e.Channel}
-		s.c.AcceptChannel(e.Channel)
+		s.channels[e.Channel] = &channel{session: s, id: e.Channel}
+		s.protocol.AcceptChannel(e.Channel)
 		return
 	}
 	ch := s.channels[e.Channel]
@@ -181,58 +199,60 @@
 		return
 	}
 	switch e.Kind {
-	case amqp.ChannelGone:
-		s.forget(ch)
-	case amqp.Content:
-		s.content(ch, e)
-	case amqp.Body:
-		s.body(ch, e.Data, e.End)
-	case amqp.Call:
-		if err := s.call(ch, e.Method); err != nil {
+	case amqp.ChannelClosed:
+		s.removeChannel(ch)
+	case amqp.ContentHeader:
+		s.handleContentHeader(ch, e)
+	case amqp.ContentBody:
+		s.handleBody(ch, e.Data, e.Complete)
+	case amqp.ChannelMethod:
+		if err := s.handleMethod(ch, e.Method); err != nil {
 			err.Channel = ch.id
 			err.Class, err.Method = amqp.ID(e.Method)
-			s.c.Fail(err)
+			s.protocol.CloseWithError(err)
 		}
 	}
 }
 
+// login checks the credentials of a Login event and answers it.
 func (s *session) login(e *amqp.Event) {
-	tenant, ok := s.desk.book.Login(e.User, e.Secret)
+	tenant, ok := s.server.catalog.Login(e.User, e.Password)
 	if !ok {
-		s.desk.side.Malformed.Add(1)
+		s.server.admission.Malformed.Add(1)
 		s.conn.Log("login refused for %q", intake.Printable(e.User))
-		if err := s.c.Refuse("no tenant of this name with this password"); err != nil {
+		if err := s.protocol.RefuseLogin("no tenant of this name with this password"); err != nil {
 			s.conn.Log("%v", err)
 		}
 		return
 	}
 	s.tenant, s.user = tenant, e.User
-	s.c.Accept()
+	s.protocol.AcceptLogin()
 }
 
-// confirm sends what is known of a channel's publishes.
-func (s *session) confirm(ch *channel) {
-	if ch.gone || ch.confirms == nil {
+// sendConfirms sends the confirms that are due on a channel.
+func (s *session) sendConfirms(ch *channel) {
+	if ch.closed || ch.confirms == nil {
 		return
 	}
-	ch.buf = ch.confirms.Flush(ch.buf[:0])
-	for _, c := range ch.buf {
+	ch.confirmBuffer = ch.confirms.Flush(ch.confirmBuffer[:0])
+	for _, c := range ch.confirmBuffer {
 		if c.Nack {
-			s.c.Send(ch.id, &amqp.BasicNack{Delivery: c.Tag})
+			s.protocol.Send(ch.id, &amqp.BasicNack{DeliveryTag: c.Tag})
 		} else {
-			s.c.Send(ch.id, &amqp.BasicAck{Delivery: c.Tag, Multiple: c.Multiple})
+			s.protocol.Send(ch.id, &amqp.BasicAck{DeliveryTag: c.Tag, Multiple: c.Multiple})
 		}
 	}
-	if cap(ch.buf) > 64 {
-		ch.buf = nil // an idle channel holds little
+	if cap(ch.confirmBuffer) > 64 {
+		// An idle channel keeps no large buffer.
+		ch.confirmBuffer = nil
 	}
 }
 
-// settle tells a publisher what became of a publish, with the next output.
+// settle records the outcome of a publish. The confirm goes out with the next output. Without confirms it does nothing.
 func (s *session) settle(ch *channel, tag uint64, served bool) {
-	if ch.confirms == nil || tag == 0 || ch.gone {
+	if ch.confirms == nil || tag == 0 || ch.closed {
 		return
 	}
 	ch.confirms.Settle(tag, served)
-	s.dirty = append(s.dirty, ch)
+	s.unflushed = append(s.unflushed, ch)
 }
--- a/internal/mailbox/channel.go
+++ b/internal/mailbox/channel.go
@@ -7,223 +7,242 @@
 	"time"
 )
 
-// Channel is one channel of a connection that reads answers: its consumers and what they have not acknowledged.
+// Channel is the reading side of one channel of a connection. It holds the channel's consumers and unacknowledged
+// deliveries. Its methods are calls of its Broker and are serialised with them.
 type Channel struct {
-	b         *Box
+	broker    *Broker
 	tenant    int
 	owner     uint64
 	sink      Sink
 	consumers map[string]*consumer
-	out       []unacked // by tag
-	last      uint64
-	most      int // all consumers together, 0 for no bound
-	each      int // new consumers, each
-	held      bool
+	// unacked is sorted by delivery tag.
+	unacked         []unackedDelivery
+	lastDeliveryTag uint64
+	// channelPrefetch bounds the unacknowledged deliveries of the channel, 0 for no bound.
+	channelPrefetch int
+	// consumerPrefetch is the prefetch of consumers that are started from now on, 0 for no bound.
+	consumerPrefetch int
+	paused           bool
 }
 
+// consumer is one consumer of a queue.
 type consumer struct {
-	ch        *Channel
+	channel   *Channel
 	tag       string
-	q         *queue
+	queue     *queue
 	noAck     bool
 	exclusive bool
-	most      int
-	out       int
+	prefetch  int
+	unacked   int
 }
 
-type unacked struct {
-	tag  uint64
-	q    *queue
-	c    *consumer // nil: fetched by Get
-	item item
+// unackedDelivery is a delivery that waits for an acknowledgement.
+type unackedDelivery struct {
+	deliveryTag uint64
+	queue       *queue
+	// consumer is nil for an answer fetched by Get.
+	consumer *consumer
+	answer   queuedAnswer
 }
 
-// Channel makes a channel of a connection.
-func (b *Box) Channel(tenant int, owner uint64, sink Sink) *Channel {
-	return &Channel{b: b, tenant: tenant, owner: owner, sink: sink, consumers: map[string]*consumer{}}
+// Channel returns a new channel of the connection owner. Deliveries to its consumers go to sink.
+func (b *Broker) Channel(tenant int, owner uint64, sink Sink) *Channel {
+	return &Channel{broker: b, tenant: tenant, owner: owner, sink: sink, consumers: map[string]*consumer{}}
 }
 
-func (c *consumer) room() bool {
-	return !c.ch.held && (c.noAck || (c.most == 0 || c.out < c.most) && (c.ch.most == 0 || len(c.ch.out) < c.ch.most))
+// hasCapacity reports whether the consumer may get another delivery: its channel is not paused, and it has no
+// acknowledgements or is within both prefetch limits.
+func (c *consumer) hasCapacity() bool {
+	return !c.channel.paused && (c.noAck || (c.prefetch == 0 || c.unacked < c.prefetch) && (c.channel.channelPrefetch == 0 || len(c.channel.unacked) < c.channel.channelPrefetch))
 }
 
-// hand gives an answer to a reader.
-func (ch *Channel) hand(q *queue, c *consumer, it item) {
-	ch.last++
-	d := Delivery{Consumer: c.tag, Tag: ch.last, Again: it.again, Queue: q.name, Payload: it.payload}
+// deliver passes an answer to a consumer and, unless the consumer needs no acknowledgement, records it as
+// unacknowledged.
+func (ch *Channel) deliver(q *queue, c *consumer, answer queuedAnswer) {
+	ch.lastDeliveryTag++
+	d := Delivery{ConsumerTag: c.tag, DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}
 	if !c.noAck {
-		ch.out = append(ch.out, unacked{ch.last, q, c, it})
-		c.out++
-		q.out++
+		ch.unacked = append(ch.unacked, unackedDelivery{ch.lastDeliveryTag, q, c, answer})
+		c.unacked++
+		q.unacked++
 	}
 	ch.sink.Deliver(d)
 }
 
-// Consume starts a reader of a queue. An empty tag gets one made up.
+// Consume adds a consumer to a queue and returns its tag. For an empty tag it generates one. Call StartDeliveries after
+// it. Errors are ErrNotFound, ErrLocked, ErrConsumerTagInUse and ErrInUse.
 func (ch *Channel) Consume(queue, tag string, noAck, exclusive bool) (string, error) {
-	q, err := ch.b.find(ch.tenant, queue, ch.owner)
+	q, err := ch.broker.find(ch.tenant, queue, ch.owner)
 	if err != nil {
 		return "", err
 	}
 	if tag == "" {
-		ch.b.names++
-		tag = fmt.Sprintf("amq.ctag-%d", ch.b.names)
+		ch.broker.lastGeneratedName++
+		tag = fmt.Sprintf("amq.ctag-%d", ch.broker.lastGeneratedName)
 	}
 	if ch.consumers[tag] != nil {
-		return "", ErrTagTaken
+		return "", ErrConsumerTagInUse
 	}
 	if len(q.consumers) > 0 && (exclusive || q.consumers[0].exclusive) {
 		return "", ErrInUse
 	}
-	c := &consumer{ch: ch, tag: tag, q: q, noAck: noAck, exclusive: exclusive, most: ch.each}
+	c := &consumer{channel: ch, tag: tag, queue: q, noAck: noAck, exclusive: exclusive, prefetch: ch.consumerPrefetch}
 	ch.consumers[tag] = c
 	q.consumers = append(q.consumers, c)
 	return tag, nil
 }
 
-// Start hands out what waits for a reader; it is apart from Consume so that the reader hears of its tag first.
-func (ch *Channel) Start(tag string) {
+// StartDeliveries delivers the answers that are ready for a consumer. It is separate from Consume so that the client
+// can be told of the consumer tag before the first delivery.
+func (ch *Channel) StartDeliveries(tag string) {
 	if c := ch.consumers[tag]; c != nil {
-		ch.b.pump(c.q)
+		ch.broker.dispatch(c.queue)
 	}
 }
 
-// Cancel ends a reader. What it has stays to be acknowledged.
+// Cancel removes a consumer. Its unacknowledged deliveries remain.
 func (ch *Channel) Cancel(now time.Duration, tag string) {
 	c := ch.consumers[tag]
 	if c == nil {
 		return
 	}
 	delete(ch.consumers, tag)
-	ch.leave(now, c)
+	ch.removeConsumer(now, c)
 }
 
-func (ch *Channel) leave(now time.Duration, c *consumer) {
-	q := c.q
+// removeConsumer removes a consumer from its queue. An auto-delete queue is removed with its last consumer.
+func (ch *Channel) removeConsumer(now time.Duration, c *consumer) {
+	q := c.queue
 	q.consumers = slices.DeleteFunc(q.consumers, func(o *consumer) bool { return o == c })
-	q.used = now
-	if q.spec.AutoDelete && len(q.consumers) == 0 && !q.gone {
-		ch.b.remove(q)
+	q.lastUsed = now
+	if q.spec.AutoDelete && len(q.consumers) == 0 && !q.removed {
+		ch.broker.removeQueue(q)
 	}
 }
 
-// Reads tells whether a tag is a reader's.
-func (ch *Channel) Reads(tag string) bool { return ch.consumers[tag] != nil }
+// HasConsumer reports whether the channel has a consumer with the tag.
+func (ch *Channel) HasConsumer(tag string) bool { return ch.consumers[tag] != nil }
 
-// Prefetch bounds what is out unacknowledged: of the whole channel, or of each consumer from now on. 0 is no bound.
-func (ch *Channel) Prefetch(n int, whole bool) {
-	if whole {
-		ch.most = n
-		ch.pump()
+// SetPrefetch limits the number of unacknowledged deliveries: of the whole channel if perChannel is set, or else of
+// each consumer that is started from now on. 0 is no limit.
+func (ch *Channel) SetPrefetch(n int, perChannel bool) {
+	if perChannel {
+		ch.channelPrefetch = n
+		ch.dispatch()
 	} else {
-		ch.each = n
+		ch.consumerPrefetch = n
 	}
 }
 
-// Hold stops deliveries, or lets them go on.
-func (ch *Channel) Hold(on bool) {
-	ch.held = on
-	ch.pump()
+// SetPaused stops deliveries to all consumers of the channel, or resumes them.
+func (ch *Channel) SetPaused(paused bool) {
+	ch.paused = paused
+	ch.dispatch()
 }
 
-func (ch *Channel) pump() {
+// dispatch delivers from the queues of all consumers, in the order of their tags so that it is deterministic.
+func (ch *Channel) dispatch() {
 	tags := make([]string, 0, len(ch.consumers))
 	for tag := range ch.consumers {
 		tags = append(tags, tag)
 	}
 	slices.Sort(tags)
 	for _, tag := range tags {
-		ch.b.pump(ch.consumers[tag].q)
+		ch.broker.dispatch(ch.consumers[tag].queue)
 	}
 }
 
-// Get fetches one answer. ok is false where none waits.
-func (ch *Channel) Get(queue string, noAck bool) (d Delivery, left int, ok bool, err error) {
-	q, err := ch.b.find(ch.tenant, queue, ch.owner)
+// Get fetches the first ready answer of a queue and returns the number of those that remain. ok is false if none is
+// ready. Prefetch limits do not apply.
+func (ch *Channel) Get(queue string, noAck bool) (d Delivery, remaining int, ok bool, err error) {
+	q, err := ch.broker.find(ch.tenant, queue, ch.owner)
 	if err != nil || len(q.ready) == 0 {
 		return d, 0, false, err
 	}
-	it := q.ready[0]
+	answer := q.ready[0]
 	q.ready = q.ready[1:]
-	ch.last++
+	ch.lastDeliveryTag++
 	if !noAck {
-		ch.out = append(ch.out, unacked{ch.last, q, nil, it})
-		q.out++
+		ch.unacked = append(ch.unacked, unackedDelivery{ch.lastDeliveryTag, q, nil, answer})
+		q.unacked++
 	}
-	return Delivery{Tag: ch.last, Again: it.again, Queue: q.name, Payload: it.payload}, len(q.ready), true, nil
+	return Delivery{DeliveryTag: ch.lastDeliveryTag, Redelivered: answer.redelivered, Queue: q.name, Payload: answer.payload}, len(q.ready), true, nil
 }
 
-// Ack takes an acknowledgement; multiple means all up to the tag, and 0 with it all there are.
+// Ack acknowledges a delivery. With multiple it acknowledges all deliveries up to the tag, or all deliveries if the tag
+// is 0. It returns ErrUnknownDelivery if the tag is not unacknowledged.
 func (ch *Channel) Ack(now time.Duration, tag uint64, multiple bool) error {
 	return ch.settle(now, tag, multiple, false)
 }
 
-// Reject gives deliveries back, or drops them.
+// Reject requeues deliveries, or drops them if requeue is false. tag, multiple and the error are as for Ack.
 func (ch *Channel) Reject(now time.Duration, tag uint64, multiple, requeue bool) error {
 	return ch.settle(now, tag, multiple, requeue)
 }
 
-// Recover gives all back that is not acknowledged.
+// Recover requeues all unacknowledged deliveries.
 func (ch *Channel) Recover(now time.Duration) {
 	_ = ch.settle(now, 0, true, true)
 }
 
+// settle removes deliveries from unacked and releases them.
 func (ch *Channel) settle(now time.Duration, tag uint64, multiple, requeue bool) error {
-	i, found := slices.BinarySearchFunc(ch.out, tag, func(u unacked, tag uint64) int { return cmp.Compare(u.tag, tag) })
-	var over []unacked
+	i, found := slices.BinarySearchFunc(ch.unacked, tag, func(u unackedDelivery, tag uint64) int { return cmp.Compare(u.deliveryTag, tag) })
+	var settled []unackedDelivery
 	switch {
 	case multiple && tag == 0:
-		over, ch.out = ch.out, nil
+		settled, ch.unacked = ch.unacked, nil
 	case !found:
-		return ErrNoTag
+		return ErrUnknownDelivery
 	case multiple:
-		over = slices.Clone(ch.out[:i+1])
-		ch.out = ch.out[i+1:]
+		settled = slices.Clone(ch.unacked[:i+1])
+		ch.unacked = ch.unacked[i+1:]
 	default:
-		over = []unacked{ch.out[i]}
-		ch.out = slices.Delete(ch.out, i, i+1)
+		settled = []unackedDelivery{ch.unacked[i]}
+		ch.unacked = slices.Delete(ch.unacked, i, i+1)
 	}
-	ch.free(now, over, requeue)
+	ch.release(now, settled, requeue)
 	return nil
 }
 
-// free takes what is no longer out, and hands on what that makes room for.
-func (ch *Channel) free(now time.Duration, over []unacked, requeue bool) {
+// release requeues or drops deliveries that are no longer unacknowledged, and delivers what that makes room for.
+func (ch *Channel) release(now time.Duration, settled []unackedDelivery, requeue bool) {
 	var queues []*queue
-	for _, u := range over {
-		u.q.out--
-		u.q.used = now
-		if u.c != nil {
-			u.c.out--
+	for _, u := range settled {
+		u.queue.unacked--
+		u.queue.lastUsed = now
+		if u.consumer != nil {
+			u.consumer.unacked--
 		}
-		if requeue && !u.q.gone {
-			u.q.back(u.item)
+		if requeue && !u.queue.removed {
+			u.queue.requeue(u.answer)
 		}
-		if !slices.Contains(queues, u.q) {
-			queues = append(queues, u.q)
+		if !slices.Contains(queues, u.queue) {
+			queues = append(queues, u.queue)
 		}
 	}
 	for _, q := range queues {
-		if !q.gone {
-			ch.b.pump(q)
+		if !q.removed {
+			ch.broker.dispatch(q)
 		}
 	}
-	if ch.most > 0 {
-		ch.pump()
+	if ch.channelPrefetch > 0 {
+		ch.dispatch()
 	}
 }
 
-// Close ends all readers of the channel; what they had not acknowledged goes back.
+// Close removes all consumers of the channel and requeues its unacknowledged deliveries.
 func (ch *Channel) Close(now time.Duration) {
-	out := ch.out
-	ch.out = nil
+	returned := ch.unacked
+	ch.unacked = nil
 	consumers := ch.consumers
 	ch.consumers = map[string]*consumer{}
-	for _, c := range consumers { // first none of them may get anything
-		c.q.consumers = slices.DeleteFunc(c.q.consumers, func(o *consumer) bool { return o == c })
+	// All consumers are detached first, so that none of them gets a requeued answer.
+	for _, c := range consumers {
+		c.queue.consumers = slices.DeleteFunc(c.queue.consumers, func(o *consumer) bool { return o == c })
 	}
-	ch.free(now, out, true)
+	ch.release(now, returned, true)
 	for _, c := range consumers {
-		ch.leave(now, c)
+		ch.removeConsumer(now, c)
 	}
 }
