--- a/cmd/whinrun/main.go
+++ b/cmd/whinrun/main.go
@@ -44,14 +44,14 @@
 	versionCmd   struct{}
 )
 
-// errUsage ends with 2: what was asked for can't be done as it stands.
-type errUsage struct{ error }
+// usageError ends with 2: what was asked for can't be done as it stands.
+type usageError struct{ error }
 
 func main() {
 	k := kong.Parse(&cli, kong.Name("whinrun"), kong.Description("Delivers messages to partners over HTTP/2 push, and answers each exactly once."),
 		kong.UsageOnError())
 	err := k.Run()
-	var usage errUsage
+	var usage usageError
 	switch {
 	case errors.As(err, &usage):
 		fmt.Fprintln(os.Stderr, err)
@@ -68,7 +68,7 @@
 func (c *checkCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	fmt.Println("well:", cfg.Describe())
 	return nil
@@ -77,14 +77,14 @@
 func (c *serveCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
-	log, err := logs.New(os.Stderr, cfg.LogLevel, cfg.LogLines)
+	log, err := logs.New(os.Stderr, cfg.LogLevel, cfg.LogLinesPerSecond)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(cfg.Garbage)
+		debug.SetGCPercent(cfg.GCPercent)
 	}
 	// Before anything is taken: a signal that comes while starting counts, too.
 	signals := make(chan os.Signal, 2)
@@ -94,7 +94,7 @@
 		return err
 	}
 	<-signals
-	ctx, stop := context.WithTimeout(context.Background(), cfg.StopWithin*5/4)
+	ctx, stop := context.WithTimeout(context.Background(), cfg.StopTimeout*5/4)
 	defer stop()
 	stopped := make(chan bool, 1)
 	go func() { stopped <- s.Stop(ctx) }()
--- a/cmd/whinrun/node.go
+++ b/cmd/whinrun/node.go
@@ -24,7 +24,7 @@
 func (nodeCmd) Run() error {
 	cfg, err := platform.Load(os.Getenv)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	level, lines := "info", float64(nodeLogLines)
 	if cfg.Trace = os.Getenv("WHINRUN_TRACE") != ""; cfg.Trace {
@@ -32,7 +32,7 @@
 	}
 	log, err := logs.New(os.Stdout, level, lines)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	runtime.GOMAXPROCS(nodeThreads)
 	debug.SetMemoryLimit(cfg.Limits.HeapLimit())
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -19,7 +19,7 @@
 type Desk struct {
 	cfg   amqp.Config
 	book  *intake.Book
-	names push.Names
+	names push.ExternalIDs
 	side  *door.Side
 	now   func() time.Duration
 	owner atomic.Uint64
@@ -28,7 +28,7 @@
 }
 
 // New makes a Desk. now is the clock of the sessions.
-func New(cfg amqp.Config, book *intake.Book, names push.Names, side *door.Side, room *mailbox.Room, now func() time.Duration) *Desk {
+func New(cfg amqp.Config, book *intake.Book, names push.ExternalIDs, side *door.Side, room *mailbox.Room, now func() time.Duration) *Desk {
 	return &Desk{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,55 +26,55 @@
 
 // Config is a whole setup, checked.
 type Config struct {
-	Module   control.Settings
-	Front    front.Config
-	Push     pushfront.Config
-	AMQP     front.Config // its address is empty where AMQP is off
-	AMQPConn amqp.Config
-	Outbound outbound.Config
-	Bounds   engine.Bounds
-	Audit    audit.Config
-	Mailbox  mailbox.Limits
-	Door     door.Limits
+	Control      control.Settings
+	Front        front.Config
+	Push         pushfront.Config
+	AMQP         front.Config // its address is empty where AMQP is off
+	AMQPConn     amqp.Config
+	Outbound     outbound.Config
+	EngineBounds engine.Bounds
+	Audit        audit.Config
+	Mailbox      mailbox.Limits
+	Admission    door.Limits
 
-	Background float64 // share of a core
-	Garbage    int     // percent, as of debug.SetGCPercent
-	LogLevel   string
-	LogLines   float64
-	StopWithin time.Duration
+	BackgroundShare   float64 // share of a core
+	GCPercent         int     // percent, as of debug.SetGCPercent
+	LogLevel          string
+	LogLinesPerSecond float64
+	StopTimeout       time.Duration
 
-	Intake    intake.Setup
-	Classes   []string
-	Partners  []roster.Partner
-	Sites     []push.Site // by partner
-	Dialects  []push.Dialect
-	Lines     []roster.Line // endpoints of the partner sections
-	ListFile  string
-	ListEvery time.Duration
+	Intake           intake.Setup
+	Classes          []string
+	Partners         []roster.Partner
+	PartnerResources []push.PartnerResource // by partner
+	Dialects         []push.Dialect
+	Endpoints        []roster.Endpoint // endpoints of the partner sections
+	ListFile         string
+	ListInterval     time.Duration
 }
 
-func (s *section) span(key string) time.Duration {
-	return time.Duration(s.num[key] * float64(time.Second))
+func (s *section) duration(key string) time.Duration {
+	return time.Duration(s.numbers[key] * float64(time.Second))
 }
-func (s *section) time(key string) control.Time {
-	return control.Time(s.num[key] * float64(control.Second))
+func (s *section) controlTime(key string) control.Time {
+	return control.Time(s.numbers[key] * float64(control.Second))
 }
-func (s *section) int(key string) int { return int(s.num[key]) }
+func (s *section) integer(key string) int { return int(s.numbers[key]) }
 
-// single returns a section that stands once at most; its defaults where it does not stand.
-func (r *reader) single(name string) *section {
+// singleSection returns a section that stands once at most; its defaults where it does not stand.
+func (r *parser) singleSection(name string) *section {
 	for _, s := range r.sections {
 		if s.spec.name == name {
 			return s
 		}
 	}
 	spec, _, _ := findSection(name)
-	s := &section{spec: spec, raw: map[string]string{}, num: map[string]float64{}, at: map[string]int{}}
-	r.defaults(s)
+	s := &section{spec: spec, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
+	r.applyDefaults(s)
 	return s
 }
 
-func (r *reader) all(name string) (all []*section, index map[string]int) {
+func (r *parser) allSections(name string) (all []*section, index map[string]int) {
 	index = map[string]int{}
 	for _, s := range r.sections {
 		if s.spec.name == name {
@@ -85,94 +85,94 @@
 	return all, index
 }
 
-// ref finds what a key names.
-func (r *reader) ref(s *section, key string, index map[string]int) int {
-	i, ok := index[s.raw[key]]
+// resolve finds what a key names.
+func (r *parser) resolve(s *section, key string, index map[string]int) int {
+	i, ok := index[s.values[key]]
 	if !ok {
-		r.bad(s.at[key], key, "there is no [%s %s]", key, s.raw[key])
+		r.addProblem(s.lines[key], key, "there is no [%s %s]", key, s.values[key])
 	}
 	return i
 }
 
-func (r *reader) build() *Config {
+func (r *parser) build() *Config {
 	c := &Config{}
-	d, l, o := r.single("dispatcher"), r.single("limits"), r.single("outbound")
-	c.LogLevel, c.LogLines, c.StopWithin = d.raw["log"], d.num["log-lines"], d.span("stop-within")
-	c.Garbage, c.Background = d.int("garbage"), d.num["background"]
-	c.Intake.MaxBody = l.int("body")
+	d, l, o := r.singleSection("dispatcher"), r.singleSection("limits"), r.singleSection("outbound")
+	c.LogLevel, c.LogLinesPerSecond, c.StopTimeout = d.values["log"], d.numbers["log-lines"], d.duration("stop-within")
+	c.GCPercent, c.BackgroundShare = d.integer("garbage"), d.numbers["background"]
+	c.Intake.MaxBody = l.integer("body")
 	streamWindow := uint32(min(max(64<<10, c.Intake.MaxBody), 1<<20))
-	bounds := h2.Config{MaxStreams: uint32(l.int("streams")), MaxHeaderList: l.int("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: l.span("handshake"), Stall: l.span("stall"),
-		AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), Unread: l.int("unread")}
-	r.amqp(c, d, l)
-	a := r.single("audit")
-	c.Audit = audit.Config{Folder: a.raw["folder"], Buffer: a.int("buffer"), SealEvery: a.span("seal-every"),
-		Policy: plan.Policy{SyncWithin: a.span("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(a.num["segment"]),
-			KeepFor: a.span("keep-for"), KeepBytes: int64(a.num["keep-bytes"]), RetryEvery: time.Second}}
-	c.Push = pushfront.Config{Idle: l.span("client-idle"), H2: bounds}
+	bounds := h2.Config{MaxStreams: uint32(l.integer("streams")), MaxHeaderList: l.integer("headers"), StreamWindow: streamWindow,
+		ConnWindow: 4 << 20, Handshake: l.duration("handshake"), Stall: l.duration("stall"),
+		AbuseBurst: l.numbers["abuse-burst"], AbuseRate: l.numbers["abuse-rate"]}
+	c.Front = front.Config{Address: d.values["listen"], Loops: d.integer("loops"), Unread: l.integer("unread")}
+	r.buildAMQP(c, d, l)
+	a := r.singleSection("audit")
+	c.Audit = audit.Config{Folder: a.values["folder"], Buffer: a.integer("buffer"), SealEvery: a.duration("seal-every"),
+		Policy: plan.Policy{SyncWithin: a.duration("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(a.numbers["segment"]),
+			KeepFor: a.duration("keep-for"), KeepBytes: int64(a.numbers["keep-bytes"]), RetryEvery: time.Second}}
+	c.Push = pushfront.Config{IdleTimeout: l.duration("client-idle"), H2: bounds}
 	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.int("loops"), Conns: o.int("connections"), Streams: o.int("streams"),
-		ConnectTimeout: o.span("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
-	r.list(c)
-	r.classes(c)
-	r.partners(c)
-	r.module(c, l, o)
+	c.Outbound = outbound.Config{Loops: d.integer("loops"), Conns: o.integer("connections"), Streams: o.integer("streams"),
+		ConnectTimeout: o.duration("connect-timeout"),
+		Opening:        opener.Budget{PerSecond: o.numbers["handshakes"], Opening: o.integer("opening"), Total: o.integer("total")}, Idle: o.duration("idle"), MaxAnswer: o.integer("answer"), H2: bounds}
+	r.buildList(c)
+	r.buildClasses(c)
+	r.buildPartners(c)
+	r.buildControl(c, l, o)
 	return c
 }
 
-func (r *reader) amqp(c *Config, d, l *section) {
-	a := r.single("amqp")
-	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), Unread: max(l.int("unread"), 2*c.Intake.MaxBody)}
-	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.int("channels")), FrameMax: a.int("frame"), Heartbeat: a.span("heartbeat"),
-		Handshake: l.span("handshake"), Stall: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	q := r.single("answers")
-	c.Mailbox = mailbox.Limits{Queues: q.int("queues"), Length: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
+func (r *parser) buildAMQP(c *Config, d, l *section) {
+	a := r.singleSection("amqp")
+	c.AMQP = front.Config{Address: a.values["listen"], Loops: d.integer("loops"), Unread: max(l.integer("unread"), 2*c.Intake.MaxBody)}
+	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.integer("channels")), FrameMax: a.integer("frame"), Heartbeat: a.duration("heartbeat"),
+		Handshake: l.duration("handshake"), Stall: l.duration("stall"), AbuseBurst: l.numbers["abuse-burst"], AbuseRate: l.numbers["abuse-rate"]}
+	q := r.singleSection("answers")
+	c.Mailbox = mailbox.Limits{Queues: q.integer("queues"), Length: q.integer("queue-length"), Idle: q.duration("queue-idle"), Keep: q.duration("keep")}
 	if h := c.AMQPConn.Heartbeat; h%time.Second != 0 {
-		r.bad(a.at["heartbeat"], "heartbeat", "is not in whole seconds")
+		r.addProblem(a.lines["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
 }
 
-func (r *reader) list(c *Config) {
-	s := r.single("list")
-	c.ListFile, c.ListEvery = s.raw["file"], s.span("every")
+func (r *parser) buildList(c *Config) {
+	s := r.singleSection("list")
+	c.ListFile, c.ListInterval = s.values["file"], s.duration("every")
 	if c.ListFile != "" {
 		if _, err := os.Stat(c.ListFile); err != nil {
-			r.bad(s.at["file"], "file", "%v", err)
+			r.addProblem(s.lines["file"], "file", "%v", err)
 		}
 	}
 }
 
-func (r *reader) classes(c *Config) {
-	classes, _ := r.all("class")
+func (r *parser) buildClasses(c *Config) {
+	classes, _ := r.allSections("class")
 	if len(classes) == 0 {
-		r.bad(0, "", "no [class NAME] section: at least one is needed")
+		r.addProblem(0, "", "no [class NAME] section: at least one is needed")
 	}
 	effects := map[string]control.Effect{"safe": control.Free, "keyed": control.Guarded, "unsafe": control.SingleShot}
 	for _, s := range classes {
-		k := control.Class{Name: s.name, Effect: effects[s.raw["effect"]], Window: s.time("window"), Aim: s.time("aim"),
-			Deadline: s.time("deadline"), Worth: s.num["worth"], LateWorth: s.num["late-worth"], InOrder: s.num["order"] == 1}
+		k := control.Class{Name: s.name, Effect: effects[s.values["effect"]], Window: s.controlTime("window"), Aim: s.controlTime("aim"),
+			Deadline: s.controlTime("deadline"), Worth: s.numbers["worth"], LateWorth: s.numbers["late-worth"], InOrder: s.numbers["order"] == 1}
 		if k.Deadline < k.Aim {
-			r.bad(s.at["deadline"], "deadline", "is shorter than the aim")
+			r.addProblem(s.lines["deadline"], "deadline", "is shorter than the aim")
 		}
 		if (k.Effect == control.Guarded) != (k.Window > 0) {
-			r.bad(max(s.at["window"], s.line), "window", "is needed for keyed classes, and only there")
+			r.addProblem(max(s.lines["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
 		c.Classes = append(c.Classes, s.name)
-		c.Module.Classes = append(c.Module.Classes, k)
+		c.Control.Classes = append(c.Control.Classes, k)
 	}
-	tenants, _ := r.all("tenant")
+	tenants, _ := r.allSections("tenant")
 	tokens := map[string]string{}
 	for i, s := range tenants {
 		c.Intake.Tenants = append(c.Intake.Tenants, s.name)
-		c.Module.Tenants = append(c.Module.Tenants, control.Tenant{Name: s.name, Quota: s.num["quota"]})
-		if t, ok := s.raw["token"]; ok {
+		c.Control.Tenants = append(c.Control.Tenants, control.Tenant{Name: s.name, Quota: s.numbers["quota"]})
+		if t, ok := s.values["token"]; ok {
 			if t == "" || strings.ContainsAny(t, " \t") {
-				r.bad(s.at["token"], "token", "is empty or has blanks in it")
+				r.addProblem(s.lines["token"], "token", "is empty or has blanks in it")
 			}
 			if o := tokens[t]; o != "" {
-				r.bad(s.at["token"], "token", "is that of tenant %s, too", o)
+				r.addProblem(s.lines["token"], "token", "is that of tenant %s, too", o)
 			}
 			tokens[t] = s.name
 			c.Intake.Tokens = append(c.Intake.Tokens, intake.NewToken(t, i))
@@ -180,114 +180,114 @@
 	}
 }
 
-func (r *reader) partners(c *Config) {
-	kinds, kindAt := r.all("kind")
+func (r *parser) buildPartners(c *Config) {
+	kinds, kindAt := r.allSections("kind")
 	for _, s := range kinds {
-		c.Module.Kinds = append(c.Module.Kinds, control.Kind{Name: s.name, Batch: s.int("batch"), RoutesApart: s.num["routes-apart"] == 1})
-		c.Dialects = append(c.Dialects, push.Dialects[s.raw["dialect"]])
+		c.Control.Kinds = append(c.Control.Kinds, control.Kind{Name: s.name, Batch: s.integer("batch"), RoutesApart: s.numbers["routes-apart"] == 1})
+		c.Dialects = append(c.Dialects, push.Dialects[s.values["dialect"]])
 	}
-	partners, partnerAt := r.all("partner")
+	partners, partnerAt := r.allSections("partner")
 	if len(partners) == 0 {
-		r.bad(0, "", "no [partner NAME] section: at least one is needed")
+		r.addProblem(0, "", "no [partner NAME] section: at least one is needed")
 	}
 	c.Intake.Partners = partnerAt
 	for i, s := range partners {
-		k := r.ref(s, "kind", kindAt)
-		c.Partners = append(c.Partners, roster.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.num["rate"]})
-		c.Sites = append(c.Sites, push.Site{Authority: s.raw["authority"], Path: s.raw["path"], Topic: s.raw["topic"]})
-		if !strings.HasPrefix(s.raw["path"], "/") {
-			r.bad(s.at["path"], "path", "%q does not begin with a slash", s.raw["path"])
+		k := r.resolve(s, "kind", kindAt)
+		c.Partners = append(c.Partners, roster.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.numbers["rate"]})
+		c.PartnerResources = append(c.PartnerResources, push.PartnerResource{Authority: s.values["authority"], Path: s.values["path"], Topic: s.values["topic"]})
+		if !strings.HasPrefix(s.values["path"], "/") {
+			r.addProblem(s.lines["path"], "path", "%q does not begin with a slash", s.values["path"])
 		}
-		r.endpoints(c, s)
+		r.buildEndpoints(c, s)
 	}
-	_, classAt := r.all("class")
-	_, tenantAt := r.all("tenant")
-	resources, _ := r.all("push")
+	_, classAt := r.allSections("class")
+	_, tenantAt := r.allSections("tenant")
+	resources, _ := r.allSections("push")
 	if len(resources) == 0 {
-		r.bad(0, "", "no [push PATH] section: clients could hand in nothing")
+		r.addProblem(0, "", "no [push PATH] section: clients could hand in nothing")
 	}
 	for _, s := range resources {
-		res := intake.Resource{Path: s.name, Dest: r.ref(s, "partner", partnerAt), Class: r.ref(s, "class", classAt),
-			Tenant: r.ref(s, "tenant", tenantAt)}
+		res := intake.Resource{Path: s.name, Dest: r.resolve(s, "partner", partnerAt), Class: r.resolve(s, "class", classAt),
+			Tenant: r.resolve(s, "tenant", tenantAt)}
 		if len(r.problems) == 0 {
-			res.InOrder, res.Life = c.limits(res.Class)
+			res.InOrder, res.Life = c.classLimits(res.Class)
 			c.Intake.Resources = append(c.Intake.Resources, res)
 		}
 	}
-	exchanges, _ := r.all("exchange")
+	exchanges, _ := r.allSections("exchange")
 	for _, s := range exchanges {
-		x := intake.Exchange{Name: s.name, Class: r.ref(s, "class", classAt), Tenant: r.ref(s, "tenant", tenantAt)}
+		x := intake.Exchange{Name: s.name, Class: r.resolve(s, "class", classAt), Tenant: r.resolve(s, "tenant", tenantAt)}
 		if len(r.problems) == 0 {
-			x.InOrder, x.Life = c.limits(x.Class)
+			x.InOrder, x.Life = c.classLimits(x.Class)
 			c.Intake.Exchanges = append(c.Intake.Exchanges, x)
 		}
 	}
 }
 
-// limits are what a class lays down for its messages.
-func (c *Config) limits(class int) (inOrder bool, life time.Duration) {
-	k := c.Module.Classes[class]
+// classLimits are what a class lays down for its messages.
+func (c *Config) classLimits(class int) (inOrder bool, life time.Duration) {
+	k := c.Control.Classes[class]
 	return k.InOrder, time.Duration(k.Deadline) * time.Microsecond
 }
 
-func (r *reader) endpoints(c *Config, s *section) {
+func (r *parser) buildEndpoints(c *Config, s *section) {
 	seen := map[netip.AddrPort]bool{}
 	add := func(key string, health control.Health) {
-		all, _ := parseAddresses(s.raw[key], false)
+		all, _ := parseAddresses(s.values[key], false)
 		for _, a := range all {
 			if seen[a] {
-				r.bad(s.at[key], key, "%v stands twice", a)
+				r.addProblem(s.lines[key], key, "%v stands twice", a)
 			}
 			seen[a] = true
-			c.Lines = append(c.Lines, roster.Line{Partner: s.name, Addr: a, Health: health})
+			c.Endpoints = append(c.Endpoints, roster.Endpoint{Partner: s.name, Addr: a, Health: health})
 		}
 	}
 	add("endpoints", control.Ready)
 	add("draining", control.Draining)
 	if len(seen) == 0 && c.ListFile == "" {
-		r.bad(s.line, "endpoints", "partner %s has none, and there is no list file", s.name)
+		r.addProblem(s.line, "endpoints", "partner %s has none, and there is no list file", s.name)
 	}
 }
 
-// module fills the module's settings; bounds that are not set come from the partners listed.
-func (r *reader) module(c *Config, l, o *section) {
-	rules := r.single("rules")
-	m := &c.Module
+// buildControl fills the module's settings; bounds that are not set come from the partners listed.
+func (r *parser) buildControl(c *Config, l, o *section) {
+	rules := r.singleSection("rules")
+	m := &c.Control
 	m.Instances = 1
-	m.Tick = rules.time("tick")
+	m.Tick = rules.controlTime("tick")
 	m.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
-		"rough": control.WeightRough}[rules.raw["weights"]]
-	m.OverShare = rules.num["over-share"]
+		"rough": control.WeightRough}[rules.values["weights"]]
+	m.OverShare = rules.numbers["over-share"]
 	m.ReportLeft, m.ReportLimit = -1, -1
-	m.MaxTries = l.int("tries")
+	m.MaxTries = l.integer("tries")
 	m.MayCancel, m.RetryAfter = true, true
-	m.MaxRetryAfter = rules.time("longest-wait")
-	m.ConnIdle, m.ConnectTimeout = o.time("idle"), o.time("connect-timeout")
-	m.StreamsPerConn = o.int("streams")
-	m.StopSendingWithin = rules.time("drain-grace")
-	m.ColdFrom, m.WarmUp = rules.num["cold-from"], rules.time("warm-up")
-	m.TipMultiple, m.OverloadFor = rules.num["tip-multiple"], rules.time("overload-for")
-	m.SettleAfterDoubt = rules.time("settle-after-doubt")
-	if m.Slots = l.int("slots"); m.Slots == 0 {
+	m.MaxRetryAfter = rules.controlTime("longest-wait")
+	m.ConnIdle, m.ConnectTimeout = o.controlTime("idle"), o.controlTime("connect-timeout")
+	m.StreamsPerConn = o.integer("streams")
+	m.StopSendingWithin = rules.controlTime("drain-grace")
+	m.ColdFrom, m.WarmUp = rules.numbers["cold-from"], rules.controlTime("warm-up")
+	m.TipMultiple, m.OverloadFor = rules.numbers["tip-multiple"], rules.controlTime("overload-for")
+	m.SettleAfterDoubt = rules.controlTime("settle-after-doubt")
+	if m.Slots = l.integer("slots"); m.Slots == 0 {
 		m.Slots = defaultSlots(c)
 	}
-	if m.MaxOpen = l.int("hold"); m.MaxOpen == 0 {
+	if m.MaxOpen = l.integer("hold"); m.MaxOpen == 0 {
 		m.MaxOpen = max(1000, 40*m.Slots)
 	}
-	c.Intake.LeastLife = rules.span("least-life")
+	c.Intake.LeastLife = rules.duration("least-life")
 	if m.StopSendingWithin < 2*m.Tick {
-		r.bad(rules.at["drain-grace"], "drain-grace", "is shorter than two ticks")
+		r.addProblem(rules.lines["drain-grace"], "drain-grace", "is shorter than two ticks")
 	}
 	for i, k := range m.Classes {
 		if k.Deadline < 4*m.Tick {
-			r.bad(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
+			r.addProblem(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
 		}
 	}
-	c.Bounds = engine.Bounds{Queue: l.int("queue"), Hold: m.MaxOpen}
-	c.Door = door.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
-		TenantBytes: int64(l.num["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
-	if c.Door.UnblockAt >= c.Door.BlockAt {
-		r.bad(max(l.at["unblock-at"], l.at["block-at"]), "unblock-at", "is not below block-at")
+	c.EngineBounds = engine.Bounds{Queue: l.integer("queue"), Hold: m.MaxOpen}
+	c.Admission = door.Limits{Conns: l.integer("connections"), Channels: l.integer("channels"), Bytes: int64(l.numbers["hold-bytes"]),
+		TenantBytes: int64(l.numbers["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.numbers["block-at"], UnblockAt: l.numbers["unblock-at"]}
+	if c.Admission.UnblockAt >= c.Admission.BlockAt {
+		r.addProblem(max(l.lines["unblock-at"], l.lines["block-at"]), "unblock-at", "is not below block-at")
 	}
 }
 
@@ -295,7 +295,7 @@
 func defaultSlots(c *Config) int {
 	const each, least, most = 32, 16, 8192
 	n := map[string]float64{}
-	for _, l := range c.Lines {
+	for _, l := range c.Endpoints {
 		n[l.Partner] += each
 	}
 	sum := 0.0
@@ -308,5 +308,5 @@
 // Describe tells in a line what a setup is.
 func (c *Config) Describe() string {
 	return fmt.Sprintf("%d partners, %d endpoints, %d classes, %d tenants, %d push resources; %d slots, %d messages held at most",
-		len(c.Partners), len(c.Lines), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Module.Slots, c.Module.MaxOpen)
+		len(c.Partners), len(c.Endpoints), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Control.Slots, c.Control.MaxOpen)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Partners) != 3 || len(c.Lines) != 3 || len(c.Intake.Resources) != 7 || c.Module.Slots != 96 {
+	if len(c.Partners) != 3 || len(c.Endpoints) != 3 || len(c.Intake.Resources) != 7 || c.Control.Slots != 96 {
 		t.Errorf("quickstart: %s", c.Describe())
 	}
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -48,22 +48,22 @@
 
 // section is one section of the file with its values.
 type section struct {
-	spec *sectionSpec
-	name string // of a named section
-	line int
-	raw  map[string]string
-	num  map[string]float64
-	at   map[string]int
+	spec    *sectionSpec
+	name    string // of a named section
+	line    int
+	values  map[string]string
+	numbers map[string]float64
+	lines   map[string]int
 }
 
-// reader gathers sections and problems.
-type reader struct {
+// parser gathers sections and problems.
+type parser struct {
 	file     string
 	problems Problems
 	sections []*section
 }
 
-func (r *reader) bad(line int, key, format string, a ...any) {
+func (r *parser) addProblem(line int, key, format string, a ...any) {
 	r.problems = append(r.problems, Problem{r.file, line, key, fmt.Sprintf(format, a...)})
 }
 
@@ -78,14 +78,14 @@
 
 // Parse reads settings; file is how problems name them.
 func Parse(file string, text []byte) (*Config, error) {
-	r := &reader{file: file}
+	r := &parser{file: file}
 	if len(text) > 16<<20 {
-		r.bad(0, "", "longer than 16 MiB")
+		r.addProblem(0, "", "longer than 16 MiB")
 		return nil, r.problems
 	}
-	lines := r.locate(string(text))
+	lines := r.indexLines(string(text))
 	if len(r.problems) == 0 {
-		r.values(text, lines)
+		r.parseSections(text, lines)
 	}
 	var c *Config
 	if len(r.problems) == 0 {
@@ -101,9 +101,9 @@
 // position is where a section or a key stands.
 type position struct{ section, key string }
 
-// locate finds the lines of sections and keys, which the INI library does not tell, and what it would merge silently:
+// indexLines finds the lines of sections and keys, which the INI library does not tell, and what it would merge silently:
 // duplicates. Values are the library's.
-func (r *reader) locate(text string) map[position]int {
+func (r *parser) indexLines(text string) map[position]int {
 	at := map[position]int{}
 	now := ""
 	for i, line := range strings.Split(text, "\n") {
@@ -113,12 +113,12 @@
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
 			if line[len(line)-1] != ']' {
-				r.bad(n, "", "section without its closing bracket")
+				r.addProblem(n, "", "section without its closing bracket")
 				continue
 			}
 			now = strings.TrimSpace(line[1 : len(line)-1])
 			if first := at[position{section: now}]; first > 0 {
-				r.bad(n, "["+now+"]", "stands already in line %d", first)
+				r.addProblem(n, "["+now+"]", "stands already in line %d", first)
 				continue
 			}
 			at[position{section: now}] = n
@@ -127,11 +127,11 @@
 			key = strings.TrimSpace(key)
 			switch {
 			case !ok || key == "" || strings.ContainsAny(key, "\"`"):
-				r.bad(n, "", "neither a section, nor key = value, nor a comment: %.60q", line)
+				r.addProblem(n, "", "neither a section, nor key = value, nor a comment: %.60q", line)
 			case now == "":
-				r.bad(n, key, "stands before the first section")
+				r.addProblem(n, key, "stands before the first section")
 			case at[position{now, key}] > 0:
-				r.bad(n, key, "stands already in line %d", at[position{now, key}])
+				r.addProblem(n, key, "stands already in line %d", at[position{now, key}])
 			default:
 				at[position{now, key}] = n
 			}
@@ -140,12 +140,12 @@
 	return at
 }
 
-// values reads all sections and checks each key by its spec.
-func (r *reader) values(text []byte, at map[position]int) {
+// parseSections reads all sections and checks each key by its spec.
+func (r *parser) parseSections(text []byte, at map[position]int) {
 	f, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, IgnoreInlineComment: true, KeyValueDelimiters: "=",
 		SkipUnrecognizableLines: false, PreserveSurroundedQuote: true}, text)
 	if err != nil {
-		r.bad(0, "", "%v", err)
+		r.addProblem(0, "", "%v", err)
 		return
 	}
 	for _, s := range f.Sections() {
@@ -155,17 +155,17 @@
 		line := at[position{section: s.Name()}]
 		spec, name, ok := findSection(s.Name())
 		if !ok {
-			r.bad(line, "["+s.Name()+"]", "no such section")
+			r.addProblem(line, "["+s.Name()+"]", "no such section")
 			continue
 		}
-		sec := &section{spec: spec, name: name, line: line, raw: map[string]string{}, num: map[string]float64{}, at: map[string]int{}}
-		if spec.named && !sectionName(spec.name, name) {
-			r.bad(line, "["+s.Name()+"]", "%q is no name for it", name)
+		sec := &section{spec: spec, name: name, line: line, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
+		if spec.named && !validSectionName(spec.name, name) {
+			r.addProblem(line, "["+s.Name()+"]", "%q is no name for it", name)
 		}
 		for _, k := range s.Keys() {
-			r.value(sec, k.Name(), strings.TrimSpace(k.Value()), at[position{s.Name(), k.Name()}])
+			r.parseKey(sec, k.Name(), strings.TrimSpace(k.Value()), at[position{s.Name(), k.Name()}])
 		}
-		r.defaults(sec)
+		r.applyDefaults(sec)
 		r.sections = append(r.sections, sec)
 	}
 }
@@ -181,45 +181,45 @@
 	return nil, "", false
 }
 
-func sectionName(kind, name string) bool {
+func validSectionName(kind, name string) bool {
 	if kind == "push" {
 		return len(name) > 1 && name[0] == '/' && len(name) < 256 && !strings.ContainsAny(name, " ?#%\"\\") && !strings.Contains(name, "..") &&
 			(!strings.Contains(name, "*") || strings.HasSuffix(name, "/*") && strings.Count(name, "*") == 1)
 	}
-	return bareName.MatchString(name)
+	return namePattern.MatchString(name)
 }
 
-func (r *reader) value(s *section, key, v string, line int) {
+func (r *parser) parseKey(s *section, key, v string, line int) {
 	for i := range s.spec.keys {
 		k := &s.spec.keys[i]
 		if k.name != key {
 			continue
 		}
-		s.at[key] = line
+		s.lines[key] = line
 		num, err := k.parse(v)
 		if err != nil {
-			r.bad(line, key, "%v", err)
+			r.addProblem(line, key, "%v", err)
 			return
 		}
-		s.raw[key], s.num[key] = v, num
+		s.values[key], s.numbers[key] = v, num
 		return
 	}
-	r.bad(line, key, "no such key in [%s]", s.spec.name)
+	r.addProblem(line, key, "no such key in [%s]", s.spec.name)
 }
 
-func (r *reader) defaults(s *section) {
+func (r *parser) applyDefaults(s *section) {
 	for i := range s.spec.keys {
 		k := &s.spec.keys[i]
-		if s.at[k.name] > 0 {
+		if s.lines[k.name] > 0 {
 			continue
 		}
 		if k.required {
-			r.bad(s.line, k.name, "is required in [%s %s]", s.spec.name, s.name)
+			r.addProblem(s.line, k.name, "is required in [%s %s]", s.spec.name, s.name)
 			continue
 		}
-		if k.def != "" {
-			s.raw[k.name] = k.def
-			s.num[k.name], _ = k.parse(k.def)
+		if k.defaultValue != "" {
+			s.values[k.name] = k.defaultValue
+			s.numbers[k.name], _ = k.parse(k.defaultValue)
 		}
 	}
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// kind is the type of a value.
-type kind uint8
+// valueKind is the type of a value.
+type valueKind uint8
 
 const (
-	text kind = iota
-	count
-	size
-	span
-	rate
-	figure
-	yesNo
-	address
-	addresses
-	choice
-	name
+	kindText valueKind = iota
+	kindCount
+	kindSize
+	kindDuration
+	kindRate
+	kindNumber
+	kindYesNo
+	kindAddress
+	kindAddresses
+	kindChoice
+	kindName
 )
 
-var kindNames = map[kind]string{text: "text", count: "count", size: "size", span: "duration", rate: "rate", figure: "number",
-	yesNo: "yes or no", address: "address", addresses: "addresses", choice: "choice", name: "name"}
+var kindNames = map[valueKind]string{kindText: "text", kindCount: "count", kindSize: "size", kindDuration: "duration", kindRate: "rate", kindNumber: "number",
+	kindYesNo: "yes or no", kindAddress: "address", kindAddresses: "addresses", kindChoice: "choice", kindName: "name"}
 
 // keySpec describes one key: the reference page is made from it.
 type keySpec struct {
-	name     string
-	kind     kind
-	def      string // as it would be written; empty: none, or derived as the doc says
-	required bool
-	min, max float64 // in the kind's base unit: pieces, bytes, seconds, a second; 0, 0 is no bound
-	choices  string  // names apart by blanks; for name: the section it refers to
-	doc      string
+	name         string
+	kind         valueKind
+	defaultValue string // as it would be written; empty: none, or derived as the doc says
+	required     bool
+	min, max     float64 // in the kind's base unit: pieces, bytes, seconds, a second; 0, 0 is no bound
+	choices      string  // names apart by blanks; for name: the section it refers to
+	doc          string
 }
 
 // sectionSpec describes a kind of section.
@@ -49,183 +49,183 @@
 	keys  []keySpec
 }
 
-const maxSpan = 30 * 24 * 3600
+const maxDurationSeconds = 30 * 24 * 3600
 
 var schema = []sectionSpec{
 	{"dispatcher", false, "The program itself.", []keySpec{
-		{"listen", address, "127.0.0.1:8420", false, 0, 0, "", "where clients connect, by HTTP/2 in clear text with prior knowledge"},
-		{"loops", count, "2", false, 1, 256, "", "event loops towards clients, and as many towards partners"},
-		{"log", choice, "info", false, 0, 0, "debug info warn error", "least level of lines logged"},
-		{"log-lines", rate, "20/s", false, 1, 1e5, "", "lines logged at most; those left out are counted"},
-		{"garbage", count, "400", false, 20, 10000, "", "percent of the live memory that garbage may come to before it is collected: more is faster and larger. GOGC in the environment goes before it"},
-		{"background", figure, "0.2", false, 0.01, 16, "", "share of one core for sealing, compression, retention and checks; less where the engine is under pressure"},
-		{"stop-within", span, "10s", false, 0.1, 600, "", "on SIGTERM, what was taken has its answer within this"},
+		{"listen", kindAddress, "127.0.0.1:8420", false, 0, 0, "", "where clients connect, by HTTP/2 in clear text with prior knowledge"},
+		{"loops", kindCount, "2", false, 1, 256, "", "event loops towards clients, and as many towards partners"},
+		{"log", kindChoice, "info", false, 0, 0, "debug info warn error", "least level of lines logged"},
+		{"log-lines", kindRate, "20/s", false, 1, 1e5, "", "lines logged at most; those left out are counted"},
+		{"garbage", kindCount, "400", false, 20, 10000, "", "percent of the live memory that garbage may come to before it is collected: more is faster and larger. GOGC in the environment goes before it"},
+		{"background", kindNumber, "0.2", false, 0.01, 16, "", "share of one core for sealing, compression, retention and checks; less where the engine is under pressure"},
+		{"stop-within", kindDuration, "10s", false, 0.1, 600, "", "on SIGTERM, what was taken has its answer within this"},
 	}},
 	{"limits", false, "What is held at most, and so how much memory is used. Each limit has its answer: see operating.md.", []keySpec{
-		{"hold", count, "", false, 16, 1e7, "", "messages held, sent or not; above it 503. Default: 40 for each slot, 1,000 at least"},
-		{"hold-bytes", size, "64MiB", false, 1 << 16, 1 << 40, "", "bytes of bodies held; above it 503"},
-		{"tenant-bytes", size, "0B", false, 0, 1 << 40, "", "bytes of them for one tenant; above it 503. 0 is no bound"},
-		{"block-at", figure, "0.9", false, 0.01, 1, "", "part of hold or hold-bytes from which publishers are asked to stop (connection.blocked) ..."},
-		{"unblock-at", figure, "0.7", false, 0, 1, "", "... until it is down to this part"},
-		{"channels", count, "20000", false, 1, 1e7, "", "AMQP channels on all connections; more get a connection error 506"},
-		{"queue", count, "10000", false, 1, 1e7, "", "messages that wait for the engine's next round; above it 503"},
-		{"slots", count, "", false, 1, 1e6, "", "calls out at once. Default: 32 for each endpoint listed, or its rate's calls of one second where that is more, 16 to 8192 in all"},
-		{"tries", count, "6", false, 1, 1000, "", "attempts for one message"},
-		{"body", size, "256KiB", false, 1, 1 << 30, "", "largest body; above it 413"},
-		{"headers", size, "16KiB", false, 1024, 1 << 20, "", "largest header section, as SETTINGS_MAX_HEADER_LIST_SIZE counts; above it 431"},
-		{"connections", count, "1000", false, 1, 1e6, "", "client connections of all protocols; more are closed at once"},
-		{"streams", count, "250", false, 1, 1e6, "", "streams open on a client connection; more get REFUSED_STREAM"},
-		{"unread", size, "1MiB", false, 1024, 1 << 30, "", "bytes of answers that a client may leave unread before its connection is closed"},
-		{"abuse-burst", count, "1000", false, 10, 1e7, "", "frames without work (PING, SETTINGS, resets, empty DATA) that a connection may send at once"},
-		{"abuse-rate", rate, "200/s", false, 1, 1e7, "", "and for good; above it GOAWAY with ENHANCE_YOUR_CALM"},
-		{"handshake", span, "5s", false, 0.01, 600, "", "until a client's preface and SETTINGS must be here"},
-		{"stall", span, "10s", false, 0.01, 600, "", "a header section in parts, or a window held shut, may last so long"},
-		{"client-idle", span, "5m", false, 1, maxSpan, "", "a client connection without requests gets GOAWAY after this"},
+		{"hold", kindCount, "", false, 16, 1e7, "", "messages held, sent or not; above it 503. Default: 40 for each slot, 1,000 at least"},
+		{"hold-bytes", kindSize, "64MiB", false, 1 << 16, 1 << 40, "", "bytes of bodies held; above it 503"},
+		{"tenant-bytes", kindSize, "0B", false, 0, 1 << 40, "", "bytes of them for one tenant; above it 503. 0 is no bound"},
+		{"block-at", kindNumber, "0.9", false, 0.01, 1, "", "part of hold or hold-bytes from which publishers are asked to stop (connection.blocked) ..."},
+		{"unblock-at", kindNumber, "0.7", false, 0, 1, "", "... until it is down to this part"},
+		{"channels", kindCount, "20000", false, 1, 1e7, "", "AMQP channels on all connections; more get a connection error 506"},
+		{"queue", kindCount, "10000", false, 1, 1e7, "", "messages that wait for the engine's next round; above it 503"},
+		{"slots", kindCount, "", false, 1, 1e6, "", "calls out at once. Default: 32 for each endpoint listed, or its rate's calls of one second where that is more, 16 to 8192 in all"},
+		{"tries", kindCount, "6", false, 1, 1000, "", "attempts for one message"},
+		{"body", kindSize, "256KiB", false, 1, 1 << 30, "", "largest body; above it 413"},
+		{"headers", kindSize, "16KiB", false, 1024, 1 << 20, "", "largest header section, as SETTINGS_MAX_HEADER_LIST_SIZE counts; above it 431"},
+		{"connections", kindCount, "1000", false, 1, 1e6, "", "client connections of all protocols; more are closed at once"},
+		{"streams", kindCount, "250", false, 1, 1e6, "", "streams open on a client connection; more get REFUSED_STREAM"},
+		{"unread", kindSize, "1MiB", false, 1024, 1 << 30, "", "bytes of answers that a client may leave unread before its connection is closed"},
+		{"abuse-burst", kindCount, "1000", false, 10, 1e7, "", "frames without work (PING, SETTINGS, resets, empty DATA) that a connection may send at once"},
+		{"abuse-rate", kindRate, "200/s", false, 1, 1e7, "", "and for good; above it GOAWAY with ENHANCE_YOUR_CALM"},
+		{"handshake", kindDuration, "5s", false, 0.01, 600, "", "until a client's preface and SETTINGS must be here"},
+		{"stall", kindDuration, "10s", false, 0.01, 600, "", "a header section in parts, or a window held shut, may last so long"},
+		{"client-idle", kindDuration, "5m", false, 1, maxDurationSeconds, "", "a client connection without requests gets GOAWAY after this"},
 	}},
 	{"answers", false, "Queues in which final answers wait: receipt subscriptions, and AMQP's queues of answers.", []keySpec{
-		{"queues", count, "64", false, 1, 1e6, "", "queues of answers that a tenant may have"},
-		{"queue-length", count, "10000", false, 1, 1e7, "", "answers in a queue, those promised to messages under way with them; above it messages that name the queue are returned"},
-		{"keep", span, "24h", false, 1, maxSpan, "", "an answer that nobody reads is dropped after this"},
-		{"queue-idle", span, "30m", false, 0, maxSpan, "", "a queue without reader and answers is removed after this; 0 is never. Exclusive ones go with their connection"},
+		{"queues", kindCount, "64", false, 1, 1e6, "", "queues of answers that a tenant may have"},
+		{"queue-length", kindCount, "10000", false, 1, 1e7, "", "answers in a queue, those promised to messages under way with them; above it messages that name the queue are returned"},
+		{"keep", kindDuration, "24h", false, 1, maxDurationSeconds, "", "an answer that nobody reads is dropped after this"},
+		{"queue-idle", kindDuration, "30m", false, 0, maxDurationSeconds, "", "a queue without reader and answers is removed after this; 0 is never. Exclusive ones go with their connection"},
 	}},
 	{"amqp", false, "AMQP 0-9-1 towards clients; see amqp.md. Without an address it is off.", []keySpec{
-		{"listen", address, "", false, 0, 0, "", "where clients connect, in clear text; 127.0.0.1:5672 is the usual port"},
-		{"heartbeat", span, "60s", false, 0, 3600, "", "heartbeat proposed, in whole seconds; a client may set another, or 0 for none"},
-		{"frame", size, "128KiB", false, 4096, 16 << 20, "", "frame-max: largest frame"},
-		{"channels", count, "2047", false, 1, 65535, "", "channel-max: channels on one connection"},
+		{"listen", kindAddress, "", false, 0, 0, "", "where clients connect, in clear text; 127.0.0.1:5672 is the usual port"},
+		{"heartbeat", kindDuration, "60s", false, 0, 3600, "", "heartbeat proposed, in whole seconds; a client may set another, or 0 for none"},
+		{"frame", kindSize, "128KiB", false, 4096, 16 << 20, "", "frame-max: largest frame"},
+		{"channels", kindCount, "2047", false, 1, 65535, "", "channel-max: channels on one connection"},
 	}},
 	{"outbound", false, "Connections to partners.", []keySpec{
-		{"connections", count, "8", false, 1, 1e5, "", "connections to one endpoint"},
-		{"streams", count, "100", false, 1, 1e6, "", "attempts on one connection at once, where the partner allows as many"},
-		{"connect-timeout", span, "2s", false, 0.01, 600, "", "until a connection stands and the partner's SETTINGS are here"},
-		{"idle", span, "60s", false, 0.05, maxSpan, "", "a connection without attempts is closed after this"},
-		{"handshakes", rate, "500/s", false, 1, 1e6, "", "connections begun; a wave of partners that wake keeps to it, by worth and time left"},
-		{"opening", count, "64", false, 1, 4096, "", "connections being made at once"},
-		{"total", count, "10000", false, 1, 1e6, "", "connections to all partners; at that the longest idle one is closed for a new one, or attempts wait"},
-		{"answer", size, "4KiB", false, 0, 1 << 20, "", "bytes of an answer's body that are kept, for its reason"},
+		{"connections", kindCount, "8", false, 1, 1e5, "", "connections to one endpoint"},
+		{"streams", kindCount, "100", false, 1, 1e6, "", "attempts on one connection at once, where the partner allows as many"},
+		{"connect-timeout", kindDuration, "2s", false, 0.01, 600, "", "until a connection stands and the partner's SETTINGS are here"},
+		{"idle", kindDuration, "60s", false, 0.05, maxDurationSeconds, "", "a connection without attempts is closed after this"},
+		{"handshakes", kindRate, "500/s", false, 1, 1e6, "", "connections begun; a wave of partners that wake keeps to it, by worth and time left"},
+		{"opening", kindCount, "64", false, 1, 4096, "", "connections being made at once"},
+		{"total", kindCount, "10000", false, 1, 1e6, "", "connections to all partners; at that the longest idle one is closed for a new one, or attempts wait"},
+		{"answer", kindSize, "4KiB", false, 0, 1 << 20, "", "bytes of an answer's body that are kept, for its reason"},
 	}},
 	{"rules", false, "Figures of the rules that the decision module keeps.", []keySpec{
-		{"tick", span, "5ms", false, 0.0005, 1, "", "longest that an event waits for a round; answers leave two of them before a message's time ends"},
-		{"drain-grace", span, "1s", false, 0.01, 600, "", "nothing new to an endpoint later than this after it was learned to drain or be gone"},
-		{"cold-from", figure, "0.15", false, 0.001, 1, "", "part of its capacity that a partner has at its return from an outage"},
-		{"warm-up", span, "10s", false, 0.01, 3600, "", "until it has all of it"},
-		{"tip-multiple", figure, "2", false, 1, 100, "", "multiple of its capacity at the moment that pushes it over ..."},
-		{"overload-for", span, "2s", false, 0.01, 600, "", "... when kept up for this long"},
-		{"settle-after-doubt", span, "1s", false, 0, 600, "", "rest of an order key after a time-out, reset or cancel"},
-		{"longest-wait", span, "60s", false, 1, maxSpan, "", "longest Retry-After told to a client"},
-		{"least-life", span, "1s", false, 0.02, 600, "", "life of a message whose TTL is shorter, 0 above all"},
-		{"over-share", figure, "0.05", false, 0, 1, "", "worth of a message beyond its tenant's quota, as part of its class's"},
-		{"weights", choice, "nominal", false, 0, 0, "none nominal rough", "what partners' rates are: nothing, exact, up to half too low"},
+		{"tick", kindDuration, "5ms", false, 0.0005, 1, "", "longest that an event waits for a round; answers leave two of them before a message's time ends"},
+		{"drain-grace", kindDuration, "1s", false, 0.01, 600, "", "nothing new to an endpoint later than this after it was learned to drain or be gone"},
+		{"cold-from", kindNumber, "0.15", false, 0.001, 1, "", "part of its capacity that a partner has at its return from an outage"},
+		{"warm-up", kindDuration, "10s", false, 0.01, 3600, "", "until it has all of it"},
+		{"tip-multiple", kindNumber, "2", false, 1, 100, "", "multiple of its capacity at the moment that pushes it over ..."},
+		{"overload-for", kindDuration, "2s", false, 0.01, 600, "", "... when kept up for this long"},
+		{"settle-after-doubt", kindDuration, "1s", false, 0, 600, "", "rest of an order key after a time-out, reset or cancel"},
+		{"longest-wait", kindDuration, "60s", false, 1, maxDurationSeconds, "", "longest Retry-After told to a client"},
+		{"least-life", kindDuration, "1s", false, 0.02, 600, "", "life of a message whose TTL is shorter, 0 above all"},
+		{"over-share", kindNumber, "0.05", false, 0, 1, "", "worth of a message beyond its tenant's quota, as part of its class's"},
+		{"weights", kindChoice, "nominal", false, 0, 0, "none nominal rough", "what partners' rates are: nothing, exact, up to half too low"},
 	}},
 	{"list", false, "Where the endpoint list comes from; without a file the endpoints are those of the partner sections.", []keySpec{
-		{"file", text, "", false, 0, 0, "", "list of endpoints, a line each: PARTNER ADDRESS ready|draining; read again when it changes"},
-		{"every", span, "1s", false, 0.02, 3600, "", "how often it is looked at"},
+		{"file", kindText, "", false, 0, 0, "", "list of endpoints, a line each: PARTNER ADDRESS ready|draining; read again when it changes"},
+		{"every", kindDuration, "1s", false, 0.02, 3600, "", "how often it is looked at"},
 	}},
 	{"audit", false, "The trail of all messages on disk; see audit.md. Without a folder none is kept.", []keySpec{
-		{"folder", text, "", false, 0, 0, "", "where the trail and its keys are; one dispatcher has it at a time"},
-		{"sync-within", span, "20ms", false, 0.001, 60, "", "a record is on disk this soon; a crash loses no more than that"},
-		{"seal-every", span, "1s", false, 0.01, 3600, "", "records are sealed with the signing key this often"},
-		{"segment", size, "8MiB", false, 4096, 1 << 30, "", "a file of the trail is closed, and then compressed, at this size"},
-		{"keep-for", span, "720h", false, 0, maxSpan, "", "closed files are kept this long; 0 is for ever"},
-		{"keep-bytes", size, "1GiB", false, 0, 1 << 40, "", "and within this in all; 0 is no bound"},
-		{"buffer", size, "8MiB", false, 65536, 1 << 30, "", "records that wait for a disk that fails; no new messages are taken meanwhile"},
+		{"folder", kindText, "", false, 0, 0, "", "where the trail and its keys are; one dispatcher has it at a time"},
+		{"sync-within", kindDuration, "20ms", false, 0.001, 60, "", "a record is on disk this soon; a crash loses no more than that"},
+		{"seal-every", kindDuration, "1s", false, 0.01, 3600, "", "records are sealed with the signing key this often"},
+		{"segment", kindSize, "8MiB", false, 4096, 1 << 30, "", "a file of the trail is closed, and then compressed, at this size"},
+		{"keep-for", kindDuration, "720h", false, 0, maxDurationSeconds, "", "closed files are kept this long; 0 is for ever"},
+		{"keep-bytes", kindSize, "1GiB", false, 0, 1 << 40, "", "and within this in all; 0 is no bound"},
+		{"buffer", kindSize, "8MiB", false, 65536, 1 << 30, "", "records that wait for a disk that fails; no new messages are taken meanwhile"},
 	}},
 	{"class", true, "A class of message.", []keySpec{
-		{"effect", choice, "", true, 0, 0, "safe keyed unsafe", "what a repeat does: nothing, dropped by its key for a window, takes effect again"},
-		{"aim", span, "", true, 0.001, maxSpan, "", "delivered within this it earns its full worth"},
-		{"deadline", span, "", true, 0.05, maxSpan, "", "longest life; a shorter TTL counts"},
-		{"worth", figure, "1", false, 0, 1e6, "", "worth of a message, against other classes"},
-		{"late-worth", figure, "0", false, 0, 1, "", "part of it that is left at the deadline"},
-		{"window", span, "0s", false, 0, maxSpan, "", "keyed: how long partners drop repeats"},
-		{"order", yesNo, "no", false, 0, 0, "", "messages that share a Topic go one at a time, in the order in which they came"},
+		{"effect", kindChoice, "", true, 0, 0, "safe keyed unsafe", "what a repeat does: nothing, dropped by its key for a window, takes effect again"},
+		{"aim", kindDuration, "", true, 0.001, maxDurationSeconds, "", "delivered within this it earns its full worth"},
+		{"deadline", kindDuration, "", true, 0.05, maxDurationSeconds, "", "longest life; a shorter TTL counts"},
+		{"worth", kindNumber, "1", false, 0, 1e6, "", "worth of a message, against other classes"},
+		{"late-worth", kindNumber, "0", false, 0, 1, "", "part of it that is left at the deadline"},
+		{"window", kindDuration, "0s", false, 0, maxDurationSeconds, "", "keyed: how long partners drop repeats"},
+		{"order", kindYesNo, "no", false, 0, 0, "", "messages that share a Topic go one at a time, in the order in which they came"},
 	}},
 	{"tenant", true, "A customer.", []keySpec{
-		{"token", text, "", false, 0, 0, "", "bearer token; without one the tenant's resources are open to all who can connect"},
-		{"quota", rate, "0/s", false, 0, 1e7, "", "messages within its share; beyond it they are worth less while others wait. 0 is no quota"},
+		{"token", kindText, "", false, 0, 0, "", "bearer token; without one the tenant's resources are open to all who can connect"},
+		{"quota", kindRate, "0/s", false, 0, 1e7, "", "messages within its share; beyond it they are worth less while others wait. 0 is no quota"},
 	}},
 	{"kind", true, "A kind of partner.", []keySpec{
-		{"dialect", choice, "push", false, 0, 0, "push device", "RFC 8030, or the form of provider interfaces for device notifications"},
-		{"batch", count, "1", false, 1, 1000, "", "messages that go out in one turn, as streams written together on one connection"},
-		{"routes-apart", yesNo, "no", false, 0, 0, "", "endpoints have limits, waits and outages of their own"},
+		{"dialect", kindChoice, "push", false, 0, 0, "push device", "RFC 8030, or the form of provider interfaces for device notifications"},
+		{"batch", kindCount, "1", false, 1, 1000, "", "messages that go out in one turn, as streams written together on one connection"},
+		{"routes-apart", kindYesNo, "no", false, 0, 0, "", "endpoints have limits, waits and outages of their own"},
 	}},
 	{"partner", true, "A partner that messages go to.", []keySpec{
-		{"kind", name, "", true, 0, 0, "kind", "its kind"},
-		{"endpoints", addresses, "", false, 0, 0, "", "addresses, apart by commas; none where a list file names them"},
-		{"draining", addresses, "", false, 0, 0, "", "those of them that get nothing new"},
-		{"rate", rate, "0/s", false, 0, 1e7, "", "calls that it takes from all dispatchers together; 0 is not known"},
-		{"path", text, "/push", false, 0, 0, "", "path of the push resource there, or what stands before the device"},
-		{"authority", text, "", false, 0, 0, "", "host that requests name. Default: the endpoint's address"},
-		{"topic", text, "", false, 0, 0, "", "device dialect: topic of the notifications"},
+		{"kind", kindName, "", true, 0, 0, "kind", "its kind"},
+		{"endpoints", kindAddresses, "", false, 0, 0, "", "addresses, apart by commas; none where a list file names them"},
+		{"draining", kindAddresses, "", false, 0, 0, "", "those of them that get nothing new"},
+		{"rate", kindRate, "0/s", false, 0, 1e7, "", "calls that it takes from all dispatchers together; 0 is not known"},
+		{"path", kindText, "/push", false, 0, 0, "", "path of the push resource there, or what stands before the device"},
+		{"authority", kindText, "", false, 0, 0, "", "host that requests name. Default: the endpoint's address"},
+		{"topic", kindText, "", false, 0, 0, "", "device dialect: topic of the notifications"},
 	}},
 	{"push", true, "A push resource: the path that clients post to. A path that ends in /* takes one more part, a device or subscription.", []keySpec{
-		{"partner", name, "", true, 0, 0, "partner", "where messages go"},
-		{"class", name, "", true, 0, 0, "class", "their class"},
-		{"tenant", name, "", true, 0, 0, "tenant", "whose they are"},
+		{"partner", kindName, "", true, 0, 0, "partner", "where messages go"},
+		{"class", kindName, "", true, 0, 0, "class", "their class"},
+		{"tenant", kindName, "", true, 0, 0, "tenant", "whose they are"},
 	}},
 	{"exchange", true, "An exchange for AMQP publishers. The routing key is a partner's name or, where its path takes one more part, PARTNER/PART.", []keySpec{
-		{"class", name, "", true, 0, 0, "class", "class of what is published"},
-		{"tenant", name, "", true, 0, 0, "tenant", "whose it is"},
+		{"class", kindName, "", true, 0, 0, "class", "class of what is published"},
+		{"tenant", kindName, "", true, 0, 0, "tenant", "whose it is"},
 	}},
 }
 
-var bareName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-var units = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1e3, "MB": 1e6, "GB": 1e9}
+var sizeUnits = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1e3, "MB": 1e6, "GB": 1e9}
 
 // parse reads a value by its spec; a number comes back in the kind's base unit.
 func (k *keySpec) parse(v string) (num float64, err error) {
 	switch k.kind {
-	case text:
+	case kindText:
 		return 0, nil
-	case name:
-		if !bareName.MatchString(v) {
+	case kindName:
+		if !namePattern.MatchString(v) {
 			return 0, fmt.Errorf("%q is no name", v)
 		}
 		return 0, nil
-	case choice:
+	case kindChoice:
 		for _, c := range strings.Fields(k.choices) {
 			if c == v {
 				return 0, nil
 			}
 		}
 		return 0, fmt.Errorf("%q is none of: %s", v, strings.ReplaceAll(k.choices, " ", ", "))
-	case yesNo:
+	case kindYesNo:
 		if v == "yes" {
 			return 1, nil
 		} else if v == "no" {
 			return 0, nil
 		}
 		return 0, fmt.Errorf("%q is neither yes nor no", v)
-	case address, addresses:
-		_, err := parseAddresses(v, k.kind == address)
+	case kindAddress, kindAddresses:
+		_, err := parseAddresses(v, k.kind == kindAddress)
 		return 0, err
-	case span:
+	case kindDuration:
 		d, err := time.ParseDuration(v)
 		if err != nil {
 			return 0, fmt.Errorf("%q is no duration with its unit, as in 250ms, 5s or 2m", v)
 		}
 		num = d.Seconds()
-	case rate:
+	case kindRate:
 		n, ok := strings.CutSuffix(v, "/s")
 		if num, err = strconv.ParseFloat(n, 64); !ok || err != nil {
 			return 0, fmt.Errorf("%q is no rate, as in 20/s", v)
 		}
-	case size:
+	case kindSize:
 		at := strings.IndexFunc(v, func(r rune) bool { return r > '9' || r < '0' && r != '.' })
-		if at < 1 || units[v[at:]] == 0 {
+		if at < 1 || sizeUnits[v[at:]] == 0 {
 			return 0, fmt.Errorf("%q is no size with its unit, as in 64KiB or 2MiB", v)
 		}
 		if num, err = strconv.ParseFloat(v[:at], 64); err != nil {
 			return 0, fmt.Errorf("%q is no size", v)
 		}
-		num *= units[v[at:]]
-	case count:
+		num *= sizeUnits[v[at:]]
+	case kindCount:
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil {
 			return 0, fmt.Errorf("%q is no whole number", v)
 		}
 		num = float64(n)
-	case figure:
+	case kindNumber:
 		if num, err = strconv.ParseFloat(v, 64); err != nil {
 			return 0, fmt.Errorf("%q is no number", v)
 		}
@@ -234,22 +234,22 @@
 		return 0, fmt.Errorf("%q is out of range", v)
 	}
 	if (k.min != 0 || k.max != 0) && (num < k.min || num > k.max) {
-		return 0, fmt.Errorf("%q is out of range: %s to %s", v, k.show(k.min), k.show(k.max))
+		return 0, fmt.Errorf("%q is out of range: %s to %s", v, k.format(k.min), k.format(k.max))
 	}
 	return num, nil
 }
 
-// show writes a bound in the kind's unit.
-func (k *keySpec) show(n float64) string {
+// format writes a bound in the kind's unit.
+func (k *keySpec) format(n float64) string {
 	switch k.kind {
-	case span:
+	case kindDuration:
 		return time.Duration(n * float64(time.Second)).String()
-	case rate:
+	case kindRate:
 		return strconv.FormatFloat(n, 'f', -1, 64) + "/s"
-	case size:
+	case kindSize:
 		for _, u := range []string{"GiB", "MiB", "KiB"} {
-			if n >= units[u] && math.Mod(n, units[u]) == 0 {
-				return strconv.FormatFloat(n/units[u], 'f', -1, 64) + u
+			if n >= sizeUnits[u] && math.Mod(n, sizeUnits[u]) == 0 {
+				return strconv.FormatFloat(n/sizeUnits[u], 'f', -1, 64) + u
 			}
 		}
 		return strconv.FormatFloat(n, 'f', -1, 64) + "B"
@@ -293,17 +293,17 @@
 		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | type | default | range | meaning |\n| --- | --- | --- | --- | --- |\n", title, s.doc)
 		for i := range s.keys {
 			k := &s.keys[i]
-			def, bounds := k.def, ""
+			def, bounds := k.defaultValue, ""
 			if k.required {
 				def = "required"
 			}
 			if k.min != 0 || k.max != 0 {
-				bounds = k.show(k.min) + " to " + k.show(k.max)
+				bounds = k.format(k.min) + " to " + k.format(k.max)
 			}
-			if k.kind == choice {
+			if k.kind == kindChoice {
 				bounds = strings.ReplaceAll(k.choices, " ", ", ")
 			}
-			if k.kind == name {
+			if k.kind == kindName {
 				bounds = "a " + k.choices + " section"
 			}
 			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.name, kindNames[k.kind], def, bounds, k.doc)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,7 +20,7 @@
 func Settings(listen string, endpoints []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[dispatcher]\nlisten = %s\n\n", listen)
-	b.WriteString(common)
+	b.WriteString(commonSettings)
 	names := []string{"archive", "tracker", "mirror"}
 	for i, n := range names {
 		fmt.Fprintf(&b, "\n[partner %s]\nkind = gateway\nendpoints = %s\n", n, endpoints[i])
@@ -31,7 +31,7 @@
 	return b.String()
 }
 
-const common = `[class status]
+const commonSettings = `[class status]
 effect = safe
 aim = 1500ms
 deadline = 5s
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -15,13 +15,13 @@
 
 // Logger is a zerolog logger with a bound on lines a second. Lines left out are counted, and the count is told.
 type Logger struct {
-	z     zerolog.Logger
-	mu    sync.Mutex
-	rate  float64
-	room  float64
-	at    time.Time
-	left  int
-	clock func() time.Time
+	logger     zerolog.Logger
+	mu         sync.Mutex
+	rate       float64
+	tokens     float64
+	refilledAt time.Time
+	dropped    int
+	now        func() time.Time
 }
 
 // New returns a Logger that writes JSON lines of that level and above to w.
@@ -30,23 +30,23 @@
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: %w", level, err)
 	}
-	return &Logger{z: zerolog.New(w).Level(l).With().Timestamp().Logger(), rate: linesPerSecond, room: 2 * linesPerSecond,
-		at: clock.Wall(), clock: clock.Wall}, nil
+	return &Logger{logger: zerolog.New(w).Level(l).With().Timestamp().Logger(), rate: linesPerSecond, tokens: 2 * linesPerSecond,
+		refilledAt: clock.Wall(), now: clock.Wall}, nil
 }
 
 // allow tells whether a line may go out, and how many were left out before it.
 func (l *Logger) allow() (ok bool, left int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.clock()
-	l.room = min(2*l.rate, l.room+l.rate*max(0, now.Sub(l.at).Seconds()))
-	l.at = now
-	if l.room < 1 {
-		l.left++
+	now := l.now()
+	l.tokens = min(2*l.rate, l.tokens+l.rate*max(0, now.Sub(l.refilledAt).Seconds()))
+	l.refilledAt = now
+	if l.tokens < 1 {
+		l.dropped++
 		return false, 0
 	}
-	l.room--
-	left, l.left = l.left, 0
+	l.tokens--
+	left, l.dropped = l.dropped, 0
 	return true, left
 }
 
@@ -66,20 +66,20 @@
 
 // Info logs what operators want to know.
 func (l *Logger) Info(part, format string, a ...any) {
-	l.write(l.z.Info(), part, fmt.Sprintf(format, a...))
+	l.write(l.logger.Info(), part, fmt.Sprintf(format, a...))
 }
 
 // Warn logs what may need an operator.
 func (l *Logger) Warn(part, format string, a ...any) {
-	l.write(l.z.Warn(), part, fmt.Sprintf(format, a...))
+	l.write(l.logger.Warn(), part, fmt.Sprintf(format, a...))
 }
 
 // Error logs what must not happen.
 func (l *Logger) Error(part, format string, a ...any) {
-	l.write(l.z.Error(), part, fmt.Sprintf(format, a...))
+	l.write(l.logger.Error(), part, fmt.Sprintf(format, a...))
 }
 
 // Debug logs single events.
 func (l *Logger) Debug(part, format string, a ...any) {
-	l.write(l.z.Debug(), part, fmt.Sprintf(format, a...))
+	l.write(l.logger.Debug(), part, fmt.Sprintf(format, a...))
 }
--- a/internal/push/push.go
+++ b/internal/push/push.go
@@ -21,33 +21,33 @@
 
 // Names of the fields that an attempt carries beside the published ones.
 const (
-	FieldMessage = "whinrun-message" // id of the message, the same on every attempt
-	FieldAttempt = "whinrun-attempt" // number of the attempt, from 0
+	FieldMessageID = "whinrun-message" // id of the message, the same on every attempt
+	FieldAttempt   = "whinrun-attempt" // number of the attempt, from 0
 )
 
-// Site is where a partner takes messages.
-type Site struct {
+// PartnerResource is where a partner takes messages.
+type PartnerResource struct {
 	Authority string // host and port
 	Path      string // of the push resource, or before the device in the device dialect
 	Topic     string // device dialect: the topic, where the message names none
 }
 
-// Names gives messages their names outside: the same number never means two messages, over restarts neither.
-type Names struct{ Epoch string }
+// ExternalIDs gives messages their names outside: the same number never means two messages, over restarts neither.
+type ExternalIDs struct{ Epoch string }
 
-// Of returns the name of a message.
-func (n Names) Of(id control.MessageID) string {
+// Format returns the name of a message.
+func (n ExternalIDs) Format(id control.MessageID) string {
 	return n.Epoch + "-" + strconv.FormatUint(uint64(id), 36)
 }
 
 // Dialect is how a kind of partner is spoken to.
 type Dialect interface {
 	// Request returns the header section of an attempt. left is the time that the message has.
-	Request(s Site, n Names, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field
+	Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field
 	// Reason returns what a partner says of a refusal, in its body.
 	Reason(body []byte) string
-	// OwnPath tells that paths belong to messages (see engine.Judge).
-	OwnPath() bool
+	// PathPerMessage tells that paths belong to messages (see engine.Judge).
+	PathPerMessage() bool
 }
 
 // Dialects by their names in the settings.
@@ -56,11 +56,11 @@
 // Standard is RFC 8030.
 type Standard struct{}
 
-// OwnPath is false: the push resource is the partner's.
-func (Standard) OwnPath() bool { return false }
+// PathPerMessage is false: the push resource is the partner's.
+func (Standard) PathPerMessage() bool { return false }
 
 // Request is RFC 8030 section 5, with Idempotency-Key for repeats.
-func (Standard) Request(s Site, n Names, a *engine.Attempt, left time.Duration, _ time.Time) []h2.Field {
+func (Standard) Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, _ time.Time) []h2.Field {
 	m := a.Msg
 	path := s.Path
 	if m.Target != "" {
@@ -70,10 +70,10 @@
 	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
 		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: path},
 		h2.Field{Name: "ttl", Value: strconv.Itoa(int(left / time.Second))})
-	f = addIf(f, "urgency", m.Urgency)
-	f = addIf(f, "topic", m.Topic)
-	f = common(f, n, a)
-	return append(f, h2.Field{Name: "idempotency-key", Value: strconv.Quote(repeatKey(n, m)), Sensitive: true})
+	f = appendNonEmpty(f, "urgency", m.Urgency)
+	f = appendNonEmpty(f, "topic", m.Topic)
+	f = appendCommon(f, n, a)
+	return append(f, h2.Field{Name: "idempotency-key", Value: strconv.Quote(idempotencyKey(n, m)), Sensitive: true})
 }
 
 // Reason is the first line of the body.
@@ -82,26 +82,26 @@
 	return intake.Printable(line)
 }
 
-func repeatKey(n Names, m *engine.Message) string {
+func idempotencyKey(n ExternalIDs, m *engine.Message) string {
 	if m.Repeat != "" {
 		return m.Repeat
 	}
-	return n.Of(m.ID)
+	return n.Format(m.ID)
 }
 
-func addIf(f []h2.Field, name, value string) []h2.Field {
+func appendNonEmpty(f []h2.Field, name, value string) []h2.Field {
 	if value == "" {
 		return f
 	}
 	return append(f, h2.Field{Name: name, Value: value})
 }
 
-func common(f []h2.Field, n Names, a *engine.Attempt) []h2.Field {
+func appendCommon(f []h2.Field, n ExternalIDs, a *engine.Attempt) []h2.Field {
 	m := a.Msg
-	f = addIf(f, "content-type", m.Type)
-	f = addIf(f, "content-encoding", m.Coding)
+	f = appendNonEmpty(f, "content-type", m.Type)
+	f = appendNonEmpty(f, "content-encoding", m.Coding)
 	return append(f, h2.Field{Name: "content-length", Value: strconv.Itoa(len(m.Body))},
-		h2.Field{Name: FieldMessage, Value: n.Of(m.ID), Sensitive: true},
+		h2.Field{Name: FieldMessageID, Value: n.Format(m.ID), Sensitive: true},
 		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(a.N)})
 }
 
@@ -109,11 +109,11 @@
 // expiry as an absolute time, a priority, a topic, and refusals with a reason in JSON.
 type Device struct{}
 
-// OwnPath is true: the path is the device's.
-func (Device) OwnPath() bool { return true }
+// PathPerMessage is true: the path is the device's.
+func (Device) PathPerMessage() bool { return true }
 
 // Request names the device in its path.
-func (Device) Request(s Site, n Names, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field {
+func (Device) Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field {
 	m := a.Msg
 	priority := "5"
 	if m.Urgency == "high" {
@@ -123,12 +123,12 @@
 	f := make([]h2.Field, 0, 14)
 	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
 		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(s.Path, "/") + m.Target},
-		h2.Field{Name: "apns-id", Value: uuidOf(n.Of(m.ID)), Sensitive: true},
+		h2.Field{Name: "apns-id", Value: uuidFor(n.Format(m.ID)), Sensitive: true},
 		h2.Field{Name: "apns-expiration", Value: strconv.FormatInt(wall.Add(left).Unix(), 10)},
 		h2.Field{Name: "apns-priority", Value: priority})
-	f = addIf(f, "apns-topic", topic)
-	f = addIf(f, "apns-collapse-id", m.Topic)
-	return common(f, n, a)
+	f = appendNonEmpty(f, "apns-topic", topic)
+	f = appendNonEmpty(f, "apns-collapse-id", m.Topic)
+	return appendCommon(f, n, a)
 }
 
 // Reason is the member of that name in a JSON object.
@@ -142,8 +142,8 @@
 	return intake.Printable(v.Reason)
 }
 
-// uuidOf makes a name into the form of a UUID (RFC 9562 version 8), the same for the same name.
-func uuidOf(name string) string {
+// uuidFor makes a name into the form of a UUID (RFC 9562 version 8), the same for the same name.
+func uuidFor(name string) string {
 	var b [16]byte
 	h1, h2 := xxhash.Sum64String(name), xxhash.Sum64String("2"+name)
 	for i := range 8 {
@@ -154,8 +154,8 @@
 	return fmt.Sprintf("%x-%x-%x-%x-%x", b[0:4], b[4:6], b[6:8], b[8:10], b[10:16])
 }
 
-// mostWait bounds what a told wait can count as: past it the figure is no figure.
-const mostWait = 10 * 365 * 24 * time.Hour
+// maxRetryAfter bounds what a told wait can count as: past it the figure is no figure.
+const maxRetryAfter = 10 * 365 * 24 * time.Hour
 
 // RetryAfter reads the wait of an answer (RFC 9110 section 10.2.3): seconds, or a date. A date is held against the
 // answer's own Date field where it has one, so that clocks which differ or step do not matter.
@@ -165,12 +165,12 @@
 		return 0
 	}
 	if n, err := strconv.ParseUint(v, 10, 64); err == nil {
-		if n > uint64(mostWait/time.Second) {
-			return mostWait
+		if n > uint64(maxRetryAfter/time.Second) {
+			return maxRetryAfter
 		}
 		return time.Duration(n) * time.Second
 	} else if isDigits(v) {
-		return mostWait
+		return maxRetryAfter
 	}
 	at, err := http.ParseTime(v)
 	if err != nil {
@@ -180,7 +180,7 @@
 	if d, err := http.ParseTime(h2.Value(fields, "date")); err == nil {
 		from = d
 	}
-	return min(max(at.Sub(from), 0), mostWait)
+	return min(max(at.Sub(from), 0), maxRetryAfter)
 }
 
 func isDigits(s string) bool {
--- a/internal/push/push_test.go
+++ b/internal/push/push_test.go
@@ -11,8 +11,8 @@
 	"whinrun/internal/intake"
 )
 
-func desk() *Desk {
-	return NewDesk(intake.NewBook(intake.Setup{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, Life: 10 * time.Second},
+func desk() *RequestParser {
+	return NewRequestParser(intake.NewBook(intake.Setup{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, Life: 10 * time.Second},
 		{Path: "/a/open", Class: 1, Tenant: 2, Life: 10 * time.Second}, {Path: "/d/*", Tenant: 1, Life: 10 * time.Second, Target: ""}},
 		Tokens: []intake.Token{intake.NewToken("one", 0), intake.NewToken("two", 1)}, Tenants: []string{"x", "y", "z"},
 		MaxBody: 1000, LeastLife: time.Second}))
@@ -102,7 +102,7 @@
 		value, date string
 		want        time.Duration
 	}{
-		{"", "", 0}, {"7", "", 7 * time.Second}, {"-7", "", 0}, {"soon", "", 0}, {"99999999999999999999", "", mostWait}, {"9999999999", "", mostWait},
+		{"", "", 0}, {"7", "", 7 * time.Second}, {"-7", "", 0}, {"soon", "", 0}, {"99999999999999999999", "", maxRetryAfter}, {"9999999999", "", maxRetryAfter},
 		{"Fri, 02 Jan 2026 03:04:15 GMT", "", 10 * time.Second},
 		{"Fri, 02 Jan 2026 03:04:00 GMT", "", 0},
 		{"Fri, 02 Jan 2026 08:00:30 GMT", "Fri, 02 Jan 2026 08:00:00 GMT", 30 * time.Second},
@@ -121,16 +121,16 @@
 func TestDialects(t *testing.T) {
 	m := &engine.Message{ID: 40, Topic: "t", Urgency: "high", Target: "/device9", Body: []byte("abc"), Type: "text/plain"}
 	a := &engine.Attempt{Msg: m, N: 2}
-	n := Names{Epoch: "e"}
+	n := ExternalIDs{Epoch: "e"}
 	wall := time.Unix(1000, 0)
-	f := Standard{}.Request(Site{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
-	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessage: "e-14",
+	f := Standard{}.Request(PartnerResource{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
+	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessageID: "e-14",
 		FieldAttempt: "2", "idempotency-key": `"e-14"`, "content-length": "3", ":authority": "h:1"} {
 		if got := h2.Value(f, name); got != want {
 			t.Errorf("push %s: %q, want %q", name, got, want)
 		}
 	}
-	f = Device{}.Request(Site{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
+	f = Device{}.Request(PartnerResource{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
 	for name, want := range map[string]string{":path": "/3/device/device9", "apns-expiration": "1003", "apns-priority": "10", "apns-topic": "app",
 		"apns-collapse-id": "t"} {
 		if got := h2.Value(f, name); got != want {
@@ -138,7 +138,7 @@
 		}
 	}
 	id := h2.Value(f, "apns-id")
-	again := Device{}.Request(Site{}, n, &engine.Attempt{Msg: m, N: 3}, 0, wall)
+	again := Device{}.Request(PartnerResource{}, n, &engine.Attempt{Msg: m, N: 3}, 0, wall)
 	if len(id) != 36 || h2.Value(again, "apns-id") != id {
 		t.Errorf("apns-id %q, then %q", id, h2.Value(again, "apns-id"))
 	}
@@ -164,7 +164,7 @@
 		{engine.Answer{Final: engine.Failed}, "502", ""},
 		{engine.Answer{Final: engine.Failed, Late: true}, "504", ""},
 	} {
-		r := Response(Names{"e"}, m, c.a)
+		r := Response(ExternalIDs{"e"}, m, c.a)
 		if got := h2.Value(r.Fields, ":status"); got != c.status {
 			t.Errorf("%+v: status %s", c.a, got)
 		}
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -16,51 +16,51 @@
 
 // Config is of all sessions.
 type Config struct {
-	Idle time.Duration // a connection without requests is sent away after this, 0 for never
-	H2   h2.Config
+	IdleTimeout time.Duration // a connection without requests is sent away after this, 0 for never
+	H2          h2.Config
 }
 
-// Opener makes sessions.
-func Opener(cfg Config, desk *push.Desk, names push.Names, side *door.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+// SessionFactory makes sessions.
+func SessionFactory(cfg Config, desk *push.RequestParser, names push.ExternalIDs, side *door.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, now time.Duration) front.Session {
-		return &session{cfg: &cfg, desk: desk, names: names, side: side, room: room, now: clock, conn: c, h: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
-			idleFrom: now}
+		return &session{cfg: &cfg, parser: desk, ids: names, admitter: side, mailboxes: room, now: clock, conn: c, h2conn: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
+			idleSince: now}
 	}
 }
 
 // session is one client connection.
 type session struct {
-	cfg      *Config
-	desk     *push.Desk
-	names    push.Names
-	side     *door.Side
-	room     *mailbox.Room
-	now      func() time.Duration
-	conn     *front.Conn
-	h        *h2.Conn
-	requests map[uint32]*request
-	idleFrom time.Duration
+	cfg       *Config
+	parser    *push.RequestParser
+	ids       push.ExternalIDs
+	admitter  *door.Side
+	mailboxes *mailbox.Room
+	now       func() time.Duration
+	conn      *front.Conn
+	h2conn    *h2.Conn
+	requests  map[uint32]*request
+	idleSince time.Duration
 }
 
 // request is one stream from its header section to its answer.
 type request struct {
-	s      *session
-	stream uint32
-	msg    *engine.Message
-	ticket door.Ticket
-	whole  bool
-	answer engine.Answer
+	session  *session
+	stream   uint32
+	msg      *engine.Message
+	ticket   door.Ticket
+	complete bool
+	answer   engine.Answer
 
-	place    *mailbox.Place // of the receipt, where one is wanted
-	receipts string         // the subscription it goes to
-	path     string
+	reservation     *mailbox.Place // of the receipt, where one is wanted
+	subscriptionURI string         // the subscription it goes to
+	resourcePath    string
 }
 
 // Receive takes bytes of the client.
 func (s *session) Receive(now time.Duration, b []byte) error {
-	events, err := s.h.Receive(now, b)
+	events, err := s.h2conn.Receive(now, b)
 	for i := range events {
-		s.event(&events[i], now)
+		s.handleEvent(&events[i], now)
 	}
 	return err
 }
@@ -68,12 +68,12 @@
 // Check sends an idle client away and holds the protocol's time limits.
 func (s *session) Check(now time.Duration) error {
 	if len(s.requests) > 0 {
-		s.idleFrom = now
+		s.idleSince = now
 	}
-	if s.cfg.Idle > 0 && now-s.idleFrom > s.cfg.Idle {
-		s.h.GoAway(now, h2.NoError)
+	if s.cfg.IdleTimeout > 0 && now-s.idleSince > s.cfg.IdleTimeout {
+		s.h2conn.GoAway(now, h2.NoError)
 	}
-	return s.h.Check(now)
+	return s.h2conn.Check(now)
 }
 
 // Due is soon while something moves, else when the client has been idle for long.
@@ -81,51 +81,53 @@
 	switch {
 	case s.Owes():
 		return now + time.Second
-	case s.cfg.Idle > 0:
-		return s.idleFrom + s.cfg.Idle + time.Millisecond
+	case s.cfg.IdleTimeout > 0:
+		return s.idleSince + s.cfg.IdleTimeout + time.Millisecond
 	}
 	return 0
 }
 
 // GoAway tells the client to open no further streams.
-func (s *session) GoAway(now time.Duration) { s.h.GoAway(now, h2.NoError) }
+func (s *session) GoAway(now time.Duration) { s.h2conn.GoAway(now, h2.NoError) }
 
 // Finish has nothing to add to GOAWAY.
 func (s *session) Finish(time.Duration) {}
 
 // Output returns what is to be written.
-func (s *session) Output() []byte { return s.h.Output() }
+func (s *session) Output() []byte { return s.h2conn.Output() }
 
 // Owes tells whether requests are open, or the handshake is not over.
-func (s *session) Owes() bool { return len(s.requests) > 0 || !s.h.Settled() || s.h.Open() > 0 }
+func (s *session) Owes() bool {
+	return len(s.requests) > 0 || !s.h2conn.Settled() || s.h2conn.Open() > 0
+}
 
 // Done tells whether all streams are over after a GOAWAY.
-func (s *session) Done() bool { return s.h.Done() }
+func (s *session) Done() bool { return s.h2conn.Done() }
 
 // Lost withdraws what the client waited for.
 func (s *session) Lost() {
 	for _, r := range s.requests {
-		r.withdraw()
+		r.cancel()
 	}
 	s.requests = nil
 }
 
-// withdraw ends a request that nobody waits for.
-func (r *request) withdraw() {
+// cancel ends a request that nobody waits for.
+func (r *request) cancel() {
 	r.ticket.Withdraw()
-	r.unpromise(r.s.now())
+	r.releaseReceipt(r.session.now())
 }
 
-func (s *session) event(e *h2.Event, now time.Duration) {
+func (s *session) handleEvent(e *h2.Event, now time.Duration) {
 	switch e.Kind {
 	case h2.Headers:
-		s.begin(e, now)
+		s.handleHeaders(e, now)
 	case h2.TooLarge:
-		s.side.Rejected.Add(1)
+		s.admitter.Rejected.Add(1)
 		s.reply(e.Stream, &push.Problem{Status: 431, Title: "header section too large"}, now)
 	case h2.Data:
 		if r := s.requests[e.Stream]; r != nil {
-			s.body(r, e, now)
+			s.handleData(r, e, now)
 		}
 	case h2.Trailers:
 		if r := s.requests[e.Stream]; r != nil {
@@ -134,53 +136,53 @@
 	case h2.StreamReset:
 		if r := s.requests[e.Stream]; r != nil {
 			delete(s.requests, e.Stream)
-			r.withdraw()
+			r.cancel()
 		}
 	}
 }
 
-func (s *session) begin(e *h2.Event, now time.Duration) {
-	if s.receiptCall(e, now) {
+func (s *session) handleHeaders(e *h2.Event, now time.Duration) {
+	if s.handleReceiptRequest(e, now) {
 		return
 	}
-	m, p := s.desk.Read(e.Fields)
+	m, p := s.parser.Read(e.Fields)
 	uri := ""
 	if p == nil {
-		uri, p = wanted(e.Fields)
+		uri, p = requestedSubscription(e.Fields)
 	}
 	if p != nil {
-		s.side.Rejected.Add(1)
+		s.admitter.Rejected.Add(1)
 		s.reply(e.Stream, p, now)
 		return
 	}
-	r := &request{s: s, stream: e.Stream, msg: m, ticket: s.side.Ticket(m.Tenant)}
+	r := &request{session: s, stream: e.Stream, msg: m, ticket: s.admitter.Ticket(m.Tenant)}
 	m.Origin = r
 	if uri != "" {
-		r.path = h2.Value(e.Fields, ":path")
-		if p := s.promise(r, uri); p != nil {
-			s.refuse(r, p, now)
+		r.resourcePath = h2.Value(e.Fields, ":path")
+		if p := s.reserveReceipt(r, uri); p != nil {
+			s.reject(r, p, now)
 			return
 		}
 	}
 	s.requests[e.Stream] = r
 	if h2.Value(e.Fields, "expect") == "100-continue" && !e.End {
-		_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "100"}}, nil)
+		_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "100"}}, nil)
 	}
 	if e.End {
 		s.submit(r, now)
 	}
 }
 
-func (s *session) body(r *request, e *h2.Event, now time.Duration) {
-	if r.whole {
+func (s *session) handleData(r *request, e *h2.Event, now time.Duration) {
+	if r.complete {
 		return
 	}
-	if len(r.msg.Body)+len(e.Data) > s.desk.MaxBody() {
-		s.refuse(r, s.desk.TooLong(), now)
+	if len(r.msg.Body)+len(e.Data) > s.parser.MaxBody() {
+		s.reject(r, s.parser.BodyTooLarge(), now)
 		return
 	}
 	if err := r.ticket.Grow(len(e.Data)); err != nil {
-		s.refuse(r, notTaken(err), now)
+		s.reject(r, rejectionProblem(err), now)
 		return
 	}
 	r.msg.Body = append(r.msg.Body, e.Data...)
@@ -191,72 +193,72 @@
 
 // submit hands a message over that is here in full.
 func (s *session) submit(r *request, now time.Duration) {
-	if r.whole {
+	if r.complete {
 		return
 	}
-	r.whole = true
+	r.complete = true
 	if err := r.ticket.Submit(r.msg); err != nil {
-		s.refuse(r, notTaken(err), now)
-	} else if r.place != nil {
-		s.accepted(r, now)
+		s.reject(r, rejectionProblem(err), now)
+	} else if r.reservation != nil {
+		s.respondAccepted(r, now)
 	}
 }
 
-// notTaken is the answer to a message that the door or the engine does not take.
-func notTaken(err error) *push.Problem {
-	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
+// rejectionProblem is the answer to a message that the door or the engine does not take.
+func rejectionProblem(err error) *push.Problem {
+	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	if errors.Is(err, engine.ErrStopping) {
-		p.Wait = 5 * time.Second
+		p.RetryAfter = 5 * time.Second
 	}
 	return p
 }
 
-// refuse answers a request that never became a message.
-func (s *session) refuse(r *request, p *push.Problem, now time.Duration) {
+// reject answers a request that never became a message.
+func (s *session) reject(r *request, p *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
 	r.ticket.Turn()
-	r.unpromise(now)
+	r.releaseReceipt(now)
 	s.reply(r.stream, p, now)
 }
 
 func (s *session) reply(stream uint32, p *push.Problem, now time.Duration) {
 	reply := p.Reply()
-	_ = s.h.Respond(now, stream, reply.Fields, reply.Body)
+	_ = s.h2conn.Respond(now, stream, reply.Fields, reply.Body)
 }
 
 // Final is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
 func (r *request) Final(_ *engine.Message, a engine.Answer) {
 	r.answer = a
-	if r.place != nil {
-		r.fill(&a)
-		if !r.s.conn.Post(r) {
+	if r.reservation != nil {
+		r.storeReceipt(&a)
+		if !r.session.conn.Post(r) {
 			r.Lost()
 		}
 		return
 	}
-	r.s.conn.Post(r) // where the connection is gone its session has withdrawn the message
+	r.session.conn.Post(r) // where the connection is gone its session has withdrawn the message
 }
 
 // Open writes the final answer, unless the client has withdrawn the message meanwhile.
 func (r *request) Open(now time.Duration) {
 	if r.ticket.Over() {
-		r.s.side.Unheard.Add(1)
+		r.session.admitter.Unheard.Add(1)
 		return
 	}
 	r.ticket.Answered(r.answer.Final, true)
-	if r.place != nil {
+	if r.reservation != nil {
 		return
 	}
-	delete(r.s.requests, r.stream)
-	reply := push.Response(r.s.names, r.msg, r.answer)
-	_ = r.s.h.Respond(now, r.stream, reply.Fields, reply.Body)
+	delete(r.session.requests, r.stream)
+	reply := push.Response(r.session.ids, r.msg, r.answer)
+	_ = r.session.h2conn.Respond(now, r.stream, reply.Fields, reply.Body)
 }
 
 // Lost counts an answer that comes too late; a receipt is in its place already.
 func (r *request) Lost() {
-	if r.place != nil {
+	if r.reservation != nil {
 		r.ticket.Answered(r.answer.Final, true)
 		return
 	}
-	r.s.side.Unheard.Add(1)
+	r.session.admitter.Unheard.Add(1)
 }
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -8,31 +8,31 @@
 	"whinrun/internal/mailbox"
 )
 
-// background runs the chores that internal/chores plans, one at a time, on one goroutine beside delivery.
-type background struct {
+// backgroundTasks runs the chores that internal/chores plans, one at a time, on one goroutine beside delivery.
+type backgroundTasks struct {
 	planner *chores.Planner
-	run     []func() (more bool, err error)
+	tasks   []func() (more bool, err error)
 	quit    chan struct{}
 	done    sync.WaitGroup
 }
 
-// startChores plans sealing, upkeep of the trail, expiry of answers and a look at old records.
-func (s *Service) startChores(room *mailbox.Room) {
-	b := &background{quit: make(chan struct{})}
+// startBackground plans sealing, upkeep of the trail, expiry of answers and a look at old records.
+func (s *Service) startBackground(room *mailbox.Room) {
+	b := &backgroundTasks{quit: make(chan struct{})}
 	all := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
-	b.run = append(b.run, func() (bool, error) {
+	b.tasks = append(b.tasks, func() (bool, error) {
 		room.Lock()
 		defer room.Unlock()
 		room.Expire(s.now())
 		return false, nil
 	})
-	if k := s.keeper; k != nil {
+	if k := s.auditLog; k != nil {
 		all = append(all, chores.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
 			chores.Chore{Name: "compress and drop", Class: 2, Every: 500 * time.Millisecond, Deadline: time.Minute},
 			chores.Chore{Name: "verify", Class: 3, Every: 30 * time.Second})
-		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Tend, k.VerifyNext)
+		b.tasks = append(b.tasks, func() (bool, error) { return false, k.SealNow() }, k.Tend, k.VerifyNext)
 	}
-	b.planner = chores.New(chores.Budget{Share: s.cfg.Background, Burst: 200 * time.Millisecond}, all, s.now())
+	b.planner = chores.New(chores.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, all, s.now())
 	s.background = b
 	b.done.Go(func() {
 		timer := time.NewTimer(0)
@@ -46,7 +46,7 @@
 			i, wait := b.planner.Next(s.now(), s.pressure())
 			if i >= 0 {
 				start := s.now()
-				more, err := b.run[i]()
+				more, err := b.tasks[i]()
 				if err != nil {
 					s.log.Warn("background", "%s: %v", all[i].Name, err)
 				}
@@ -59,10 +59,10 @@
 
 // pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Control.Tick)*time.Microsecond)
 }
 
-func (b *background) stop() {
+func (b *backgroundTasks) stop() {
 	if b != nil {
 		close(b.quit)
 		b.done.Wait()
--- a/internal/service/lists.go
+++ b/internal/service/lists.go
@@ -21,25 +21,25 @@
 // ListSource is where the whole endpoint list comes from.
 type ListSource interface {
 	// Load returns the whole list; version changes with it. With an unchanged version the lines do not matter.
-	Load(known string) (lines []roster.Line, version string, err error)
+	Load(known string) (lines []roster.Endpoint, version string, err error)
 }
 
-// fixed is the list of the settings.
-type fixed []roster.Line
+// staticList is the list of the settings.
+type staticList []roster.Endpoint
 
-func (f fixed) Load(string) ([]roster.Line, string, error) { return f, "settings", nil }
+func (f staticList) Load(string) ([]roster.Endpoint, string, error) { return f, "settings", nil }
 
 // listFile is a list on disk: a line each of PARTNER ADDRESS ready|draining.
 type listFile struct{ name string }
 
-func sourceOf(cfg *config.Config) ListSource {
+func newListSource(cfg *config.Config) ListSource {
 	if cfg.ListFile == "" {
-		return fixed(cfg.Lines)
+		return staticList(cfg.Endpoints)
 	}
 	return listFile{cfg.ListFile}
 }
 
-func (f listFile) Load(known string) ([]roster.Line, string, error) {
+func (f listFile) Load(known string) ([]roster.Endpoint, string, error) {
 	st, err := os.Stat(f.name)
 	if err != nil {
 		return nil, "", err
@@ -57,8 +57,8 @@
 }
 
 // ParseList reads a list file. One bad line makes it all void: half a list would look as if the rest were gone.
-func ParseList(name string, text []byte) ([]roster.Line, error) {
-	var lines []roster.Line
+func ParseList(name string, text []byte) ([]roster.Endpoint, error) {
+	var lines []roster.Endpoint
 	var wrong []error
 	in := bufio.NewScanner(bytes.NewReader(text))
 	in.Buffer(nil, 1<<16)
@@ -82,7 +82,7 @@
 	return lines, errors.Join(wrong...)
 }
 
-func parseLine(part []string) (l roster.Line, err error) {
+func parseLine(part []string) (l roster.Endpoint, err error) {
 	if len(part) != 3 {
 		return l, errors.New("not PARTNER ADDRESS ready|draining")
 	}
@@ -101,21 +101,21 @@
 	return l, nil
 }
 
-// lists looks at the source and pushes what changed to the engine, on one goroutine.
-type lists struct {
-	source  ListSource
-	roster  *roster.Roster
-	log     *logs.Logger
-	put     func(engine.List)
-	quit    chan struct{}
-	done    sync.WaitGroup
-	version string
-	failing bool
+// listPoller looks at the source and pushes what changed to the engine, on one goroutine.
+type listPoller struct {
+	source    ListSource
+	endpoints *roster.Registry
+	log       *logs.Logger
+	put       func(engine.List)
+	quit      chan struct{}
+	done      sync.WaitGroup
+	version   string
+	failing   bool
 }
 
 // start takes the first list at once, so that it is there before the first message, and looks for news every so often.
-func (l *lists) start(every time.Duration) {
-	l.look(control.ListFull)
+func (l *listPoller) start(every time.Duration) {
+	l.poll(control.ListFull)
 	l.done.Add(1)
 	go func() {
 		defer l.done.Done()
@@ -126,13 +126,13 @@
 			case <-l.quit:
 				return
 			case <-tick.C:
-				l.look(control.ListDelta)
+				l.poll(control.ListDelta)
 			}
 		}
 	}()
 }
 
-func (l *lists) look(kind control.ListKind) {
+func (l *listPoller) poll(kind control.ListKind) {
 	lines, version, err := l.source.Load(l.version)
 	if err != nil {
 		if !l.failing {
@@ -149,20 +149,20 @@
 		return
 	}
 	l.version = version
-	c := l.roster.Whole(lines)
-	for _, odd := range c.Odd {
+	c := l.endpoints.Replace(lines)
+	for _, odd := range c.Warnings {
 		l.log.Warn("list", "%s", odd)
 	}
 	l.put(engine.List{Kind: kind, Entries: c.Entries})
 }
 
-func (l *lists) stop() {
+func (l *listPoller) stop() {
 	close(l.quit)
 	l.done.Wait()
 }
 
 // Watch and Fetch are engine.Lists; the list is pushed here, so the module asks for neither.
-func (l *lists) Watch() {}
+func (l *listPoller) Watch() {}
 
 // Fetch is engine.Lists.
-func (l *lists) Fetch() {}
+func (l *listPoller) Fetch() {}
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -193,8 +193,8 @@
 		}
 		return nil
 	})
-	s.keeper.Put(&audit.Record{Kind: audit.Begin})
-	for s.keeper.Failing() == nil {
+	s.auditLog.Put(&audit.Record{Kind: audit.Begin})
+	for s.auditLog.Failing() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	for post() != 503 { // the door is shut a moment after the failure is known
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -33,63 +33,63 @@
 
 // Service is a running dispatcher.
 type Service struct {
-	cfg    *config.Config
-	log    *logs.Logger
-	clock  clock.Clock
-	roster *roster.Roster
-	loop   *engine.Loop
-	pool   *outbound.Pool
-	door   *door.Door
-	fronts []*front.Front // push, then AMQP where it is on
-	lists  *lists
-	keeper *audit.Keeper // nil where no trail is kept
-	trail  *trail
+	cfg       *config.Config
+	log       *logs.Logger
+	clock     clock.Clock
+	endpoints *roster.Registry
+	loop      *engine.Loop
+	pool      *outbound.Pool
+	admission *door.Door
+	fronts    []*front.Front // push, then AMQP where it is on
+	poller    *listPoller
+	auditLog  *audit.Keeper // nil where no trail is kept
+	trail     *auditTrail
 
-	background *background
+	background *backgroundTasks
 }
 
 // Start starts a dispatcher. source may be nil: then the list is that of the settings, or of the list file.
 func Start(cfg *config.Config, log *logs.Logger, source ListSource) (*Service, error) {
-	s := &Service{cfg: cfg, log: log, clock: clock.New(), roster: roster.New(cfg.Partners)}
+	s := &Service{cfg: cfg, log: log, clock: clock.New(), endpoints: roster.New(cfg.Partners)}
 	var seed [16]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("random seed: %w", err)
 	}
-	names := push.Names{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
+	names := push.ExternalIDs{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
 	var err error
-	speech := &speech{roster: s.roster, sites: cfg.Sites, dialects: cfg.Dialects, names: names, wall: clock.Wall}
-	guard := safety.NewGuard(cfg.Module)
+	speech := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: names, wall: clock.Wall}
+	guard := safety.NewGuard(cfg.Control)
 	pool := cfg.Outbound
-	pool.Permits = permits{guard}
+	pool.Permits = sendPermits{guard}
 	s.pool, err = outbound.New(pool, outbound.NewHTTP2(speech), s.clock, func(e engine.End) { s.loop.Put(engine.Input{End: &e}) })
 	if err != nil {
 		return nil, err
 	}
 	own := make([]bool, len(cfg.Dialects))
 	for i, d := range cfg.Dialects {
-		own[i] = d.OwnPath()
+		own[i] = d.PathPerMessage()
 	}
 	if source == nil {
-		source = sourceOf(cfg)
+		source = newListSource(cfg)
 	}
-	s.lists = &lists{source: source, roster: s.roster, log: log, quit: make(chan struct{})}
-	s.door = door.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
-	policy := engine.Policy{Settings: cfg.Module, OwnPath: own, Guard: guard}
+	s.poller = &listPoller{source: source, endpoints: s.endpoints, log: log, quit: make(chan struct{})}
+	s.admission = door.New(cfg.Admission, len(cfg.Intake.Tenants), engineAdapter{s})
+	policy := engine.Policy{Settings: cfg.Control, OwnPath: own, Guard: guard}
 	if cfg.Audit.Folder != "" {
-		if policy.Trail, err = s.keep(names); err != nil {
+		if policy.Trail, err = s.openTrail(names); err != nil {
 			s.pool.Close()
 			return nil, err
 		}
 	}
-	core, err := engine.NewCore(policy, binary.LittleEndian.Uint64(seed[:]), s.pool, s.lists, s)
+	core, err := engine.NewCore(policy, binary.LittleEndian.Uint64(seed[:]), s.pool, s.poller, s)
 	if err != nil {
 		s.pool.Close()
-		s.endTrail(true)
+		s.closeTrail(true)
 		return nil, err
 	}
-	s.loop = engine.NewLoop(core, s.clock, cfg.Bounds)
-	s.lists.put = func(l engine.List) { s.loop.Put(engine.Input{List: &l}) }
-	s.lists.start(cfg.ListEvery)
+	s.loop = engine.NewLoop(core, s.clock, cfg.EngineBounds)
+	s.poller.put = func(l engine.List) { s.loop.Put(engine.Input{List: &l}) }
+	s.poller.start(cfg.ListInterval)
 	go s.loop.Run()
 	if err := s.listen(names); err != nil {
 		s.Kill()
@@ -102,46 +102,46 @@
 	return s, nil
 }
 
-// inner is the engine as the door sees it; the door is there first, as the trail may have it shut.
-type inner struct{ s *Service }
+// engineAdapter is the engine as the door sees it; the door is there first, as the trail may have it shut.
+type engineAdapter struct{ s *Service }
 
-func (i inner) Submit(m *engine.Message) error { return i.s.loop.Submit(m) }
-func (i inner) Withdraw(id control.MessageID)  { i.s.loop.Withdraw(id) }
+func (i engineAdapter) Submit(m *engine.Message) error { return i.s.loop.Submit(m) }
+func (i engineAdapter) Withdraw(id control.MessageID)  { i.s.loop.Withdraw(id) }
 
-// keep opens the trail. While its disk fails nothing new is taken; what is held is answered.
-func (s *Service) keep(names push.Names) (engine.Trail, error) {
+// openTrail opens the trail. While its disk fails nothing new is taken; what is held is answered.
+func (s *Service) openTrail(names push.ExternalIDs) (engine.Trail, error) {
 	bad := func(err error) {
 		if err != nil {
 			err = errors.New("the audit trail can't be written")
 		}
-		s.door.Shut(err)
+		s.admission.Shut(err)
 	}
 	var err error
-	s.keeper, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, bad)
+	s.auditLog, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, bad)
 	if err != nil {
 		return nil, err
 	}
-	s.keeper.Put(&audit.Record{Kind: audit.Begin, Why: "epoch " + names.Epoch})
-	s.trail = &trail{s.keeper, s.cfg, s.roster, names}
+	s.auditLog.Put(&audit.Record{Kind: audit.Begin, Why: "epoch " + names.Epoch})
+	s.trail = &auditTrail{s.auditLog, s.cfg, s.endpoints, names}
 	return s.trail, nil
 }
 
-// endTrail closes the trail, in order or as a crash would.
-func (s *Service) endTrail(orderly bool) {
+// closeTrail closes the trail, in order or as a crash would.
+func (s *Service) closeTrail(orderly bool) {
 	switch {
-	case s.keeper == nil:
+	case s.auditLog == nil:
 	case !orderly:
-		s.keeper.Kill()
+		s.auditLog.Kill()
 	default:
-		if err := s.keeper.Close(); err != nil {
+		if err := s.auditLog.Close(); err != nil {
 			s.log.Error("audit", "%v", err)
 		}
 	}
-	s.keeper = nil
+	s.auditLog = nil
 }
 
 // listen opens the fronts. They are equals: each gets its side of the one door.
-func (s *Service) listen(names push.Names) error {
+func (s *Service) listen(names push.ExternalIDs) error {
 	cfg, book := s.cfg, intake.NewBook(s.cfg.Intake)
 	add := func(name string, c front.Config, side *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
 		f, err := front.New(c, side, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
@@ -151,18 +151,18 @@
 		return err
 	}
 	room := &mailbox.Room{Box: mailbox.New(cfg.Mailbox)}
-	if s.keeper != nil {
-		room.Key, room.Changed = s.keeper.Key(), s.trail.changed
-		if err := s.restore(room, book); err != nil {
+	if s.auditLog != nil {
+		room.Key, room.Changed = s.auditLog.Key(), s.trail.receiptChanged
+		if err := s.restoreReceipts(room, book); err != nil {
 			return err
 		}
 	}
-	s.startChores(room)
-	side := s.door.Side("push")
-	if err := add("push", cfg.Front, side, pushfront.Opener(cfg.Push, push.NewDesk(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
+	s.startBackground(room)
+	side := s.admission.Side("push")
+	if err := add("push", cfg.Front, side, pushfront.SessionFactory(cfg.Push, push.NewRequestParser(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
 		return err
 	}
-	side = s.door.Side("amqp")
+	side = s.admission.Side("amqp")
 	return add("amqp", cfg.AMQP, side, amqpfront.New(cfg.AMQPConn, book, names, side, room, s.now).Open)
 }
 
@@ -180,8 +180,8 @@
 // Stats returns the engine's counts.
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
-// Door gives access to what clients have handed in, for measurements and tests.
-func (s *Service) Door() *door.Door { return s.door }
+// Admission gives access to what clients have handed in, for measurements and tests.
+func (s *Service) Admission() *door.Door { return s.admission }
 
 // now is the dispatcher's clock as a duration.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
@@ -189,8 +189,8 @@
 // Note is engine.Log. What the module tells of partners, returns among it, goes into the trail, too.
 func (s *Service) Note(text string) {
 	s.log.Info("module", "%s", text)
-	if s.keeper != nil {
-		s.keeper.Put(&audit.Record{Kind: audit.Learned, Why: text})
+	if s.auditLog != nil {
+		s.auditLog.Put(&audit.Record{Kind: audit.Learned, Why: text})
 	}
 }
 
@@ -206,7 +206,7 @@
 	}
 	answered := false
 	select {
-	case <-s.loop.Stop(s.cfg.StopWithin):
+	case <-s.loop.Stop(s.cfg.StopTimeout):
 		answered = true
 	case <-ctx.Done():
 	}
@@ -215,7 +215,7 @@
 			f.Flush(ctx)
 		}
 	}
-	s.end(true)
+	s.close(true)
 	st := s.Stats()
 	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", st.Taken, st.Served,
 		st.Refused, st.Failed, st.Withdrawn, st.Open)
@@ -223,55 +223,55 @@
 }
 
 // Kill ends a dispatcher at once, as a crash would, but for the sockets that it closes.
-func (s *Service) Kill() { s.end(false) }
+func (s *Service) Kill() { s.close(false) }
 
-func (s *Service) end(orderly bool) {
-	s.lists.stop()
+func (s *Service) close(orderly bool) {
+	s.poller.stop()
 	for _, f := range s.fronts {
 		f.Close()
 	}
 	s.background.stop()
 	s.loop.Close()
 	s.pool.Close()
-	s.endTrail(orderly)
+	s.closeTrail(orderly)
 }
 
-// permits asks the guard alone: nothing of attempts outlives this kind of process.
-type permits struct{ guard *safety.Guard }
+// sendPermits asks the guard alone: nothing of attempts outlives this kind of process.
+type sendPermits struct{ guard *safety.Guard }
 
-func (p permits) Write(now control.Time, a *engine.Attempt) error {
+func (p sendPermits) Write(now control.Time, a *engine.Attempt) error {
 	return p.guard.Write(now, a.Call())
 }
 
-func (permits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
+func (sendPermits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
 
-func (p permits) TakenBack(a *engine.Attempt) { p.guard.TakenBack(a.Call()) }
+func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.TakenBack(a.Call()) }
 
-// speech speaks to each endpoint in the dialect of its partner's kind.
-type speech struct {
-	roster   *roster.Roster
-	sites    []push.Site
-	dialects []push.Dialect
-	names    push.Names
-	wall     func() time.Time
+// partnerProtocol speaks to each endpoint in the dialect of its partner's kind.
+type partnerProtocol struct {
+	endpoints *roster.Registry
+	resources []push.PartnerResource
+	dialects  []push.Dialect
+	ids       push.ExternalIDs
+	wall      func() time.Time
 }
 
-func (s *speech) Address(ep control.Endpoint) (netip.AddrPort, bool) {
-	p, ok := s.roster.Place(ep)
+func (s *partnerProtocol) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+	p, ok := s.endpoints.Lookup(ep)
 	return p.Addr, ok
 }
 
-func (s *speech) Request(a *engine.Attempt, left time.Duration) []h2.Field {
-	p, _ := s.roster.Place(a.Endpoint)
-	site := s.sites[p.Partner]
+func (s *partnerProtocol) Request(a *engine.Attempt, left time.Duration) []h2.Field {
+	p, _ := s.endpoints.Lookup(a.Endpoint)
+	site := s.resources[p.Partner]
 	if site.Authority == "" {
 		site.Authority = p.Addr.String()
 	}
-	return s.dialects[p.Kind].Request(site, s.names, a, left, s.wall())
+	return s.dialects[p.Kind].Request(site, s.ids, a, left, s.wall())
 }
 
-func (s *speech) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End {
-	p, _ := s.roster.Place(a.Endpoint)
+func (s *partnerProtocol) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End {
+	p, _ := s.endpoints.Lookup(a.Endpoint)
 	status, _ := strconv.Atoi(h2.Value(fields, ":status"))
 	e := engine.End{Kind: engine.Answered, Status: status}
 	if status >= 300 {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -244,7 +244,7 @@
 	if full.Load() != 60 {
 		t.Errorf("%d of 60 refused or failed at a partner that answers nothing", full.Load())
 	}
-	if n := s.Door().Usage().Bytes; n != 0 {
+	if n := s.Admission().Usage().Bytes; n != 0 {
 		t.Errorf("%d bytes are still reserved", n)
 	}
 }
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -15,81 +15,83 @@
 	"whinrun/internal/roster"
 )
 
-// trail writes down what the engine does, in names.
-type trail struct {
-	keeper *audit.Keeper
-	cfg    *config.Config
-	roster *roster.Roster
-	names  push.Names
+// auditTrail writes down what the engine does, in names.
+type auditTrail struct {
+	log       *audit.Keeper
+	cfg       *config.Config
+	endpoints *roster.Registry
+	ids       push.ExternalIDs
 }
 
-var results = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
+var resultNames = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
 	control.Full: "full", control.Errored: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.Moot: "moot"}
 
-var standings = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
+var healthNames = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
 
-func (t *trail) of(kind audit.Kind, m *engine.Message) *audit.Record {
-	return &audit.Record{Kind: kind, Message: t.names.Of(m.ID), Partner: t.cfg.Partners[m.Dest].Name}
+func (t *auditTrail) newRecord(kind audit.Kind, m *engine.Message) *audit.Record {
+	return &audit.Record{Kind: kind, Message: t.ids.Format(m.ID), Partner: t.cfg.Partners[m.Dest].Name}
 }
 
-func (t *trail) at(r *audit.Record, a *engine.Attempt) *audit.Record {
-	p, _ := t.roster.Place(a.Endpoint)
+func (t *auditTrail) setAttempt(r *audit.Record, a *engine.Attempt) *audit.Record {
+	p, _ := t.endpoints.Lookup(a.Endpoint)
 	r.Attempt, r.Endpoint = a.N+1, p.Addr.String()
 	return r
 }
 
 // Accepted is engine.Trail, as are the others.
-func (t *trail) Accepted(m *engine.Message) {
-	r := t.of(audit.Accepted, m)
+func (t *auditTrail) Accepted(m *engine.Message) {
+	r := t.newRecord(audit.Accepted, m)
 	r.Tenant, r.Class, r.Life, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Life), len(m.Body)
 	r.Receipt = m.Receipt
-	t.keeper.Put(r)
+	t.log.Put(r)
 }
 
-func (t *trail) Started(a *engine.Attempt) { t.keeper.Put(t.at(t.of(audit.Started, a.Msg), a)) }
+func (t *auditTrail) Started(a *engine.Attempt) {
+	t.log.Put(t.setAttempt(t.newRecord(audit.Started, a.Msg), a))
+}
 
-func (t *trail) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
-	r := t.at(t.of(audit.Ended, a.Msg), a)
-	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = results[v.Result], v.Ran, e.Status, int64(e.Wait), v.Why, after
-	r.Took = max(0, t.keeper.Now().Microseconds()-int64(a.Sent))
-	t.keeper.Put(r)
+func (t *auditTrail) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
+	r := t.setAttempt(t.newRecord(audit.Ended, a.Msg), a)
+	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = resultNames[v.Result], v.Ran, e.Status, int64(e.Wait), v.Why, after
+	r.Took = max(0, t.log.Now().Microseconds()-int64(a.Sent))
+	t.log.Put(r)
 }
 
-func (t *trail) Withdrawn(m *engine.Message) {
-	r := t.of(audit.Withdrawn, m)
+func (t *auditTrail) Withdrawn(m *engine.Message) {
+	r := t.newRecord(audit.Withdrawn, m)
 	r.Tenant = t.cfg.Intake.Tenants[m.Tenant]
-	t.keeper.Put(r)
+	t.log.Put(r)
 }
 
-func (t *trail) Answered(m *engine.Message, a *engine.Answer) {
-	r := t.of(audit.Answered, m)
+func (t *auditTrail) Answered(m *engine.Message, a *engine.Answer) {
+	r := t.newRecord(audit.Answered, m)
 	r.Tenant, r.Result, r.Status, r.Wait, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Final.String(), a.Status, int64(a.Wait), a.Tries
 	r.Why, r.Reason, r.Receipt = a.Why, a.Reason, m.Receipt
-	t.keeper.Put(r)
+	t.log.Put(r)
 }
 
-func (t *trail) Learned(e *control.Entry) {
-	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: standings[e.Health]}
-	if p, ok := t.roster.Place(e.Endpoint); ok {
+func (t *auditTrail) Learned(e *control.Entry) {
+	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: healthNames[e.Health]}
+	if p, ok := t.endpoints.Lookup(e.Endpoint); ok {
 		r.Endpoint = p.Addr.String()
 	}
-	t.keeper.Put(r)
+	t.log.Put(r)
 }
 
-// changed takes down what becomes of receipts.
-func (t *trail) changed(tenant int, name string, taken *receipt.Receipt) {
+// receiptChanged takes down what becomes of receipts.
+func (t *auditTrail) receiptChanged(tenant int, name string, taken *receipt.Receipt) {
 	r := &audit.Record{Kind: audit.Subscribed, Tenant: t.cfg.Intake.Tenants[tenant], Receipt: name}
 	if taken != nil {
 		r.Kind, r.Message = audit.Fetched, taken.Message
 	}
-	t.keeper.Put(r)
+	t.log.Put(r)
 }
 
-// restore puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
+// restoreReceipts puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
 // answer by then gets the one that is true of it: failed, it may have been sent.
-func (s *Service) restore(room *mailbox.Room, book *intake.Book) error {
+func (s *Service) restoreReceipts(room *mailbox.Room, book *intake.Book) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
-	subscriptions, owed, err := s.keeper.Unfetched(since)
+	subscriptions, owed, err := s.auditLog.Unfetched(since)
 	if err != nil {
 		return fmt.Errorf("receipts of before: %w", err)
 	}
@@ -112,9 +114,9 @@
 		if p.Answered == nil {
 			p.Answered = &audit.Record{Kind: audit.Answered, Message: p.Accepted.Message, Partner: p.Accepted.Partner, Tenant: p.Tenant,
 				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: p.Queue}
-			s.keeper.Put(p.Answered) // from now on that is its answer
+			s.auditLog.Put(p.Answered) // from now on that is its answer
 		}
-		place.Fill(s.now(), receiptOf(p.Answered))
+		place.Fill(s.now(), newReceipt(p.Answered))
 		back++
 	}
 	if back > 0 {
@@ -123,7 +125,7 @@
 	return nil
 }
 
-func receiptOf(a *audit.Record) *receipt.Receipt {
+func newReceipt(a *audit.Record) *receipt.Receipt {
 	return &receipt.Receipt{Message: a.Message, Answer: a.Result, At: a.Time(), Detail: a.Why, Reason: a.Reason, Attempts: a.Attempts,
 		Partner: a.Status, RetryAfter: a.Wait / 1000}
 }
