--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,6 +11,7 @@
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
 	"whinrun/internal/door"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -21,7 +22,6 @@
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
-	"whinrun/internal/roster"
 )
 
 // Config is a whole setup, checked.
@@ -45,10 +45,10 @@
 
 	Intake           intake.Setup
 	Classes          []string
-	Partners         []roster.Partner
+	Partners         []endpointlist.Partner
 	PartnerResources []push.PartnerResource // by partner
 	Dialects         []push.Dialect
-	Endpoints        []roster.Endpoint // endpoints of the partner sections
+	Endpoints        []endpointlist.Endpoint // endpoints of the partner sections
 	ListFile         string
 	ListInterval     time.Duration
 }
@@ -193,7 +193,7 @@
 	c.Intake.Partners = partnerAt
 	for i, s := range partners {
 		k := r.resolve(s, "kind", kindAt)
-		c.Partners = append(c.Partners, roster.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.numbers["rate"]})
+		c.Partners = append(c.Partners, endpointlist.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.numbers["rate"]})
 		c.PartnerResources = append(c.PartnerResources, push.PartnerResource{Authority: s.values["authority"], Path: s.values["path"], Topic: s.values["topic"]})
 		if !strings.HasPrefix(s.values["path"], "/") {
 			r.addProblem(s.lines["path"], "path", "%q does not begin with a slash", s.values["path"])
@@ -239,7 +239,7 @@
 				r.addProblem(s.lines[key], key, "%v stands twice", a)
 			}
 			seen[a] = true
-			c.Endpoints = append(c.Endpoints, roster.Endpoint{Partner: s.name, Addr: a, Health: health})
+			c.Endpoints = append(c.Endpoints, endpointlist.Endpoint{Partner: s.name, Addr: a, Health: health})
 		}
 	}
 	add("endpoints", control.Ready)
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -18,10 +18,10 @@
 	"whinrun/control"
 	"whinrun/internal/audit"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/load"
 	"whinrun/internal/logs"
 	"whinrun/internal/partner"
-	"whinrun/internal/roster"
 	"whinrun/internal/service"
 )
 
@@ -57,7 +57,7 @@
 	mu          sync.Mutex
 	now         func() time.Duration
 	lag         time.Duration
-	lines       []roster.Endpoint
+	lines       []endpointlist.Endpoint
 	history     []snapshot // not yet seen, oldest first
 	seen        snapshot
 	stale       bool
@@ -69,11 +69,11 @@
 type snapshot struct {
 	at      time.Duration
 	version int
-	lines   []roster.Endpoint
+	lines   []endpointlist.Endpoint
 }
 
 // change alters the list; it is seen after the lag.
-func (l *list) change(alter func([]roster.Endpoint) []roster.Endpoint) {
+func (l *list) change(alter func([]endpointlist.Endpoint) []endpointlist.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = alter(slices.Clone(l.lines))
@@ -85,7 +85,7 @@
 }
 
 // Load is service.ListSource. What it returns is noted as told.
-func (l *list) Load(known string) ([]roster.Endpoint, string, error) {
+func (l *list) Load(known string) ([]endpointlist.Endpoint, string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable && known != "" {
@@ -198,13 +198,13 @@
 			if err != nil {
 				return err
 			}
-			r.list.lines = append(r.list.lines, roster.Endpoint{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
+			r.list.lines = append(r.list.lines, endpointlist.Endpoint{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
 		}
 	}
 	for k, w := range r.s.Wakes {
 		for i := range r.count(w) {
 			for _, e := range r.partners[w.Partner].Endpoints() {
-				r.list.lines = append(r.list.lines, roster.Endpoint{Partner: sleeper(k, w, i), Addr: e.Addr(), Health: control.Ready})
+				r.list.lines = append(r.list.lines, endpointlist.Endpoint{Partner: sleeper(k, w, i), Addr: e.Addr(), Health: control.Ready})
 			}
 		}
 	}
@@ -444,8 +444,8 @@
 
 // relist changes the standing of an endpoint in the list.
 func (r *runner) relist(e *partner.Endpoint, h control.Health) {
-	r.list.change(func(lines []roster.Endpoint) []roster.Endpoint {
-		var out []roster.Endpoint
+	r.list.change(func(lines []endpointlist.Endpoint) []endpointlist.Endpoint {
+		var out []endpointlist.Endpoint
 		for _, l := range lines {
 			if l.Addr == e.Addr() {
 				if h == control.Gone {
@@ -465,7 +465,7 @@
 	if err != nil {
 		return err
 	}
-	r.list.change(func(lines []roster.Endpoint) []roster.Endpoint {
+	r.list.change(func(lines []endpointlist.Endpoint) []endpointlist.Endpoint {
 		seen := map[string]bool{}
 		for _, l := range lines { // the partners of a wave behind it, too
 			if l.Partner == p.Name() || strings.HasPrefix(l.Partner, p.Name()+"-w") {
@@ -474,7 +474,7 @@
 		}
 		seen[p.Name()] = true
 		for _, name := range sorted(seen) {
-			lines = append(lines, roster.Endpoint{Partner: name, Addr: e.Addr(), Health: control.Ready})
+			lines = append(lines, endpointlist.Endpoint{Partner: name, Addr: e.Addr(), Health: control.Ready})
 		}
 		return lines
 	})
--- a/internal/roster/roster.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,6 +1,6 @@
-// Package roster keeps the endpoint list: names and addresses of endpoints, whole lists turned into the entries that
+// Package endpointlist keeps the endpoint list: names and addresses of endpoints, whole lists turned into the entries that
 // the decision module is told, and what is wrong with a list. It is deterministic and free of I/O.
-package roster
+package endpointlist
 
 import (
 	"fmt"
--- a/internal/roster/roster_test.go
+++ b/internal/endpointlist/endpointlist_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpointlist
 
 import (
 	"fmt"
--- a/internal/service/lists.go
+++ b/internal/service/lists.go
@@ -13,21 +13,21 @@
 
 	"whinrun/control"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/logs"
-	"whinrun/internal/roster"
 )
 
 // ListSource is where the whole endpoint list comes from.
 type ListSource interface {
 	// Load returns the whole list; version changes with it. With an unchanged version the lines do not matter.
-	Load(known string) (lines []roster.Endpoint, version string, err error)
+	Load(known string) (lines []endpointlist.Endpoint, version string, err error)
 }
 
 // staticList is the list of the settings.
-type staticList []roster.Endpoint
+type staticList []endpointlist.Endpoint
 
-func (f staticList) Load(string) ([]roster.Endpoint, string, error) { return f, "settings", nil }
+func (f staticList) Load(string) ([]endpointlist.Endpoint, string, error) { return f, "settings", nil }
 
 // listFile is a list on disk: a line each of PARTNER ADDRESS ready|draining.
 type listFile struct{ name string }
@@ -39,7 +39,7 @@
 	return listFile{cfg.ListFile}
 }
 
-func (f listFile) Load(known string) ([]roster.Endpoint, string, error) {
+func (f listFile) Load(known string) ([]endpointlist.Endpoint, string, error) {
 	st, err := os.Stat(f.name)
 	if err != nil {
 		return nil, "", err
@@ -57,8 +57,8 @@
 }
 
 // ParseList reads a list file. One bad line makes it all void: half a list would look as if the rest were gone.
-func ParseList(name string, text []byte) ([]roster.Endpoint, error) {
-	var lines []roster.Endpoint
+func ParseList(name string, text []byte) ([]endpointlist.Endpoint, error) {
+	var lines []endpointlist.Endpoint
 	var wrong []error
 	in := bufio.NewScanner(bytes.NewReader(text))
 	in.Buffer(nil, 1<<16)
@@ -82,7 +82,7 @@
 	return lines, errors.Join(wrong...)
 }
 
-func parseLine(part []string) (l roster.Endpoint, err error) {
+func parseLine(part []string) (l endpointlist.Endpoint, err error) {
 	if len(part) != 3 {
 		return l, errors.New("not PARTNER ADDRESS ready|draining")
 	}
@@ -104,7 +104,7 @@
 // listPoller looks at the source and pushes what changed to the engine, on one goroutine.
 type listPoller struct {
 	source    ListSource
-	endpoints *roster.Registry
+	endpoints *endpointlist.Registry
 	log       *logs.Logger
 	put       func(engine.List)
 	quit      chan struct{}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,6 +18,7 @@
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
 	"whinrun/internal/door"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -27,7 +28,6 @@
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
-	"whinrun/internal/roster"
 	"whinrun/internal/safety"
 )
 
@@ -36,7 +36,7 @@
 	cfg       *config.Config
 	log       *logs.Logger
 	clock     clock.Clock
-	endpoints *roster.Registry
+	endpoints *endpointlist.Registry
 	loop      *engine.Loop
 	pool      *outbound.Pool
 	admission *door.Door
@@ -50,7 +50,7 @@
 
 // Start starts a dispatcher. source may be nil: then the list is that of the settings, or of the list file.
 func Start(cfg *config.Config, log *logs.Logger, source ListSource) (*Service, error) {
-	s := &Service{cfg: cfg, log: log, clock: clock.New(), endpoints: roster.New(cfg.Partners)}
+	s := &Service{cfg: cfg, log: log, clock: clock.New(), endpoints: endpointlist.New(cfg.Partners)}
 	var seed [16]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("random seed: %w", err)
@@ -249,7 +249,7 @@
 
 // partnerProtocol speaks to each endpoint in the dialect of its partner's kind.
 type partnerProtocol struct {
-	endpoints *roster.Registry
+	endpoints *endpointlist.Registry
 	resources []push.PartnerResource
 	dialects  []push.Dialect
 	ids       push.ExternalIDs
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -7,19 +7,19 @@
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
 	"whinrun/internal/push"
 	"whinrun/internal/receipt"
-	"whinrun/internal/roster"
 )
 
 // auditTrail writes down what the engine does, in names.
 type auditTrail struct {
 	log       *audit.Keeper
 	cfg       *config.Config
-	endpoints *roster.Registry
+	endpoints *endpointlist.Registry
 	ids       push.ExternalIDs
 }
 
