--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -62,21 +62,21 @@
 func (s *section) integer(key string) int { return int(s.numbers[key]) }
 
 // singleSection returns a section that stands once at most; its defaults where it does not stand.
-func (r *parser) singleSection(name string) *section {
-	for _, s := range r.sections {
+func (p *parser) singleSection(name string) *section {
+	for _, s := range p.sections {
 		if s.spec.name == name {
 			return s
 		}
 	}
 	spec, _, _ := findSection(name)
 	s := &section{spec: spec, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
-	r.applyDefaults(s)
+	p.applyDefaults(s)
 	return s
 }
 
-func (r *parser) allSections(name string) (all []*section, index map[string]int) {
+func (p *parser) allSections(name string) (all []*section, index map[string]int) {
 	index = map[string]int{}
-	for _, s := range r.sections {
+	for _, s := range p.sections {
 		if s.spec.name == name {
 			index[s.name] = len(all)
 			all = append(all, s)
@@ -86,221 +86,221 @@
 }
 
 // resolve finds what a key names.
-func (r *parser) resolve(s *section, key string, index map[string]int) int {
+func (p *parser) resolve(s *section, key string, index map[string]int) int {
 	i, ok := index[s.values[key]]
 	if !ok {
-		r.addProblem(s.lines[key], key, "there is no [%s %s]", key, s.values[key])
+		p.addProblem(s.lines[key], key, "there is no [%s %s]", key, s.values[key])
 	}
 	return i
 }
 
-func (r *parser) build() *Config {
-	c := &Config{}
-	d, l, o := r.singleSection("dispatcher"), r.singleSection("limits"), r.singleSection("outbound")
-	c.LogLevel, c.LogLinesPerSecond, c.StopTimeout = d.values["log"], d.numbers["log-lines"], d.duration("stop-within")
-	c.GCPercent, c.BackgroundShare = d.integer("garbage"), d.numbers["background"]
-	c.Intake.MaxBody = l.integer("body")
-	streamWindow := uint32(min(max(64<<10, c.Intake.MaxBody), 1<<20))
-	bounds := h2.Config{MaxStreams: uint32(l.integer("streams")), MaxHeaderList: l.integer("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: l.duration("handshake"), Stall: l.duration("stall"),
-		AbuseBurst: l.numbers["abuse-burst"], AbuseRate: l.numbers["abuse-rate"]}
-	c.Front = front.Config{Address: d.values["listen"], Loops: d.integer("loops"), Unread: l.integer("unread")}
-	r.buildAMQP(c, d, l)
-	a := r.singleSection("audit")
-	c.Audit = audit.Config{Folder: a.values["folder"], Buffer: a.integer("buffer"), SealEvery: a.duration("seal-every"),
-		Policy: plan.Policy{SyncWithin: a.duration("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(a.numbers["segment"]),
-			KeepFor: a.duration("keep-for"), KeepBytes: int64(a.numbers["keep-bytes"]), RetryEvery: time.Second}}
-	c.Push = pushfront.Config{IdleTimeout: l.duration("client-idle"), H2: bounds}
-	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.integer("loops"), Conns: o.integer("connections"), Streams: o.integer("streams"),
-		ConnectTimeout: o.duration("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: o.numbers["handshakes"], Opening: o.integer("opening"), Total: o.integer("total")}, Idle: o.duration("idle"), MaxAnswer: o.integer("answer"), H2: bounds}
-	r.buildList(c)
-	r.buildClasses(c)
-	r.buildPartners(c)
-	r.buildControl(c, l, o)
-	return c
+func (p *parser) build() *Config {
+	cfg := &Config{}
+	dispatcher, limits, outboundSection := p.singleSection("dispatcher"), p.singleSection("limits"), p.singleSection("outbound")
+	cfg.LogLevel, cfg.LogLinesPerSecond, cfg.StopTimeout = dispatcher.values["log"], dispatcher.numbers["log-lines"], dispatcher.duration("stop-within")
+	cfg.GCPercent, cfg.BackgroundShare = dispatcher.integer("garbage"), dispatcher.numbers["background"]
+	cfg.Intake.MaxBody = limits.integer("body")
+	streamWindow := uint32(min(max(64<<10, cfg.Intake.MaxBody), 1<<20))
+	h2Config := h2.Config{MaxStreams: uint32(limits.integer("streams")), MaxHeaderList: limits.integer("headers"), StreamWindow: streamWindow,
+		ConnWindow: 4 << 20, Handshake: limits.duration("handshake"), Stall: limits.duration("stall"),
+		AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
+	cfg.Front = front.Config{Address: dispatcher.values["listen"], Loops: dispatcher.integer("loops"), Unread: limits.integer("unread")}
+	p.buildAMQP(cfg, dispatcher, limits)
+	auditSection := p.singleSection("audit")
+	cfg.Audit = audit.Config{Folder: auditSection.values["folder"], Buffer: auditSection.integer("buffer"), SealEvery: auditSection.duration("seal-every"),
+		Policy: plan.Policy{SyncWithin: auditSection.duration("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(auditSection.numbers["segment"]),
+			KeepFor: auditSection.duration("keep-for"), KeepBytes: int64(auditSection.numbers["keep-bytes"]), RetryEvery: time.Second}}
+	cfg.Push = pushfront.Config{IdleTimeout: limits.duration("client-idle"), H2: h2Config}
+	h2Config.MaxStreams, h2Config.StreamWindow, h2Config.ConnWindow = 1, 64<<10, 1<<20
+	cfg.Outbound = outbound.Config{Loops: dispatcher.integer("loops"), Conns: outboundSection.integer("connections"), Streams: outboundSection.integer("streams"),
+		ConnectTimeout: outboundSection.duration("connect-timeout"),
+		Opening:        opener.Budget{PerSecond: outboundSection.numbers["handshakes"], Opening: outboundSection.integer("opening"), Total: outboundSection.integer("total")}, Idle: outboundSection.duration("idle"), MaxAnswer: outboundSection.integer("answer"), H2: h2Config}
+	p.buildList(cfg)
+	p.buildClasses(cfg)
+	p.buildPartners(cfg)
+	p.buildControl(cfg, limits, outboundSection)
+	return cfg
 }
 
-func (r *parser) buildAMQP(c *Config, d, l *section) {
-	a := r.singleSection("amqp")
-	c.AMQP = front.Config{Address: a.values["listen"], Loops: d.integer("loops"), Unread: max(l.integer("unread"), 2*c.Intake.MaxBody)}
-	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.integer("channels")), FrameMax: a.integer("frame"), Heartbeat: a.duration("heartbeat"),
-		Handshake: l.duration("handshake"), Stall: l.duration("stall"), AbuseBurst: l.numbers["abuse-burst"], AbuseRate: l.numbers["abuse-rate"]}
-	q := r.singleSection("answers")
-	c.Mailbox = mailbox.Limits{Queues: q.integer("queues"), Length: q.integer("queue-length"), Idle: q.duration("queue-idle"), Keep: q.duration("keep")}
-	if h := c.AMQPConn.Heartbeat; h%time.Second != 0 {
-		r.addProblem(a.lines["heartbeat"], "heartbeat", "is not in whole seconds")
+func (p *parser) buildAMQP(cfg *Config, dispatcher, limits *section) {
+	amqpSection := p.singleSection("amqp")
+	cfg.AMQP = front.Config{Address: amqpSection.values["listen"], Loops: dispatcher.integer("loops"), Unread: max(limits.integer("unread"), 2*cfg.Intake.MaxBody)}
+	cfg.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(amqpSection.integer("channels")), FrameMax: amqpSection.integer("frame"), Heartbeat: amqpSection.duration("heartbeat"),
+		Handshake: limits.duration("handshake"), Stall: limits.duration("stall"), AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
+	answers := p.singleSection("answers")
+	cfg.Mailbox = mailbox.Limits{Queues: answers.integer("queues"), Length: answers.integer("queue-length"), Idle: answers.duration("queue-idle"), Keep: answers.duration("keep")}
+	if heartbeat := cfg.AMQPConn.Heartbeat; heartbeat%time.Second != 0 {
+		p.addProblem(amqpSection.lines["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
 }
 
-func (r *parser) buildList(c *Config) {
-	s := r.singleSection("list")
-	c.ListFile, c.ListInterval = s.values["file"], s.duration("every")
-	if c.ListFile != "" {
-		if _, err := os.Stat(c.ListFile); err != nil {
-			r.addProblem(s.lines["file"], "file", "%v", err)
+func (p *parser) buildList(cfg *Config) {
+	s := p.singleSection("list")
+	cfg.ListFile, cfg.ListInterval = s.values["file"], s.duration("every")
+	if cfg.ListFile != "" {
+		if _, err := os.Stat(cfg.ListFile); err != nil {
+			p.addProblem(s.lines["file"], "file", "%v", err)
 		}
 	}
 }
 
-func (r *parser) buildClasses(c *Config) {
-	classes, _ := r.allSections("class")
+func (p *parser) buildClasses(cfg *Config) {
+	classes, _ := p.allSections("class")
 	if len(classes) == 0 {
-		r.addProblem(0, "", "no [class NAME] section: at least one is needed")
+		p.addProblem(0, "", "no [class NAME] section: at least one is needed")
 	}
 	effects := map[string]control.Effect{"safe": control.Free, "keyed": control.Guarded, "unsafe": control.SingleShot}
 	for _, s := range classes {
-		k := control.Class{Name: s.name, Effect: effects[s.values["effect"]], Window: s.controlTime("window"), Aim: s.controlTime("aim"),
+		class := control.Class{Name: s.name, Effect: effects[s.values["effect"]], Window: s.controlTime("window"), Aim: s.controlTime("aim"),
 			Deadline: s.controlTime("deadline"), Worth: s.numbers["worth"], LateWorth: s.numbers["late-worth"], InOrder: s.numbers["order"] == 1}
-		if k.Deadline < k.Aim {
-			r.addProblem(s.lines["deadline"], "deadline", "is shorter than the aim")
+		if class.Deadline < class.Aim {
+			p.addProblem(s.lines["deadline"], "deadline", "is shorter than the aim")
 		}
-		if (k.Effect == control.Guarded) != (k.Window > 0) {
-			r.addProblem(max(s.lines["window"], s.line), "window", "is needed for keyed classes, and only there")
+		if (class.Effect == control.Guarded) != (class.Window > 0) {
+			p.addProblem(max(s.lines["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
-		c.Classes = append(c.Classes, s.name)
-		c.Control.Classes = append(c.Control.Classes, k)
+		cfg.Classes = append(cfg.Classes, s.name)
+		cfg.Control.Classes = append(cfg.Control.Classes, class)
 	}
-	tenants, _ := r.allSections("tenant")
+	tenants, _ := p.allSections("tenant")
 	tokens := map[string]string{}
 	for i, s := range tenants {
-		c.Intake.Tenants = append(c.Intake.Tenants, s.name)
-		c.Control.Tenants = append(c.Control.Tenants, control.Tenant{Name: s.name, Quota: s.numbers["quota"]})
-		if t, ok := s.values["token"]; ok {
-			if t == "" || strings.ContainsAny(t, " \t") {
-				r.addProblem(s.lines["token"], "token", "is empty or has blanks in it")
+		cfg.Intake.Tenants = append(cfg.Intake.Tenants, s.name)
+		cfg.Control.Tenants = append(cfg.Control.Tenants, control.Tenant{Name: s.name, Quota: s.numbers["quota"]})
+		if token, ok := s.values["token"]; ok {
+			if token == "" || strings.ContainsAny(token, " \t") {
+				p.addProblem(s.lines["token"], "token", "is empty or has blanks in it")
 			}
-			if o := tokens[t]; o != "" {
-				r.addProblem(s.lines["token"], "token", "is that of tenant %s, too", o)
+			if owner := tokens[token]; owner != "" {
+				p.addProblem(s.lines["token"], "token", "is that of tenant %s, too", owner)
 			}
-			tokens[t] = s.name
-			c.Intake.Tokens = append(c.Intake.Tokens, intake.NewToken(t, i))
+			tokens[token] = s.name
+			cfg.Intake.Tokens = append(cfg.Intake.Tokens, intake.NewToken(token, i))
 		}
 	}
 }
 
-func (r *parser) buildPartners(c *Config) {
-	kinds, kindAt := r.allSections("kind")
+func (p *parser) buildPartners(cfg *Config) {
+	kinds, kindIndex := p.allSections("kind")
 	for _, s := range kinds {
-		c.Control.Kinds = append(c.Control.Kinds, control.Kind{Name: s.name, Batch: s.integer("batch"), RoutesApart: s.numbers["routes-apart"] == 1})
-		c.Dialects = append(c.Dialects, push.Dialects[s.values["dialect"]])
+		cfg.Control.Kinds = append(cfg.Control.Kinds, control.Kind{Name: s.name, Batch: s.integer("batch"), RoutesApart: s.numbers["routes-apart"] == 1})
+		cfg.Dialects = append(cfg.Dialects, push.Dialects[s.values["dialect"]])
 	}
-	partners, partnerAt := r.allSections("partner")
+	partners, partnerIndex := p.allSections("partner")
 	if len(partners) == 0 {
-		r.addProblem(0, "", "no [partner NAME] section: at least one is needed")
+		p.addProblem(0, "", "no [partner NAME] section: at least one is needed")
 	}
-	c.Intake.Partners = partnerAt
+	cfg.Intake.Partners = partnerIndex
 	for i, s := range partners {
-		k := r.resolve(s, "kind", kindAt)
-		c.Partners = append(c.Partners, endpointlist.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.numbers["rate"]})
-		c.PartnerResources = append(c.PartnerResources, push.PartnerResource{Authority: s.values["authority"], Path: s.values["path"], Topic: s.values["topic"]})
+		kind := p.resolve(s, "kind", kindIndex)
+		cfg.Partners = append(cfg.Partners, endpointlist.Partner{Name: s.name, Dest: i, Kind: kind, Rate: s.numbers["rate"]})
+		cfg.PartnerResources = append(cfg.PartnerResources, push.PartnerResource{Authority: s.values["authority"], Path: s.values["path"], Topic: s.values["topic"]})
 		if !strings.HasPrefix(s.values["path"], "/") {
-			r.addProblem(s.lines["path"], "path", "%q does not begin with a slash", s.values["path"])
+			p.addProblem(s.lines["path"], "path", "%q does not begin with a slash", s.values["path"])
 		}
-		r.buildEndpoints(c, s)
+		p.buildEndpoints(cfg, s)
 	}
-	_, classAt := r.allSections("class")
-	_, tenantAt := r.allSections("tenant")
-	resources, _ := r.allSections("push")
+	_, classIndex := p.allSections("class")
+	_, tenantIndex := p.allSections("tenant")
+	resources, _ := p.allSections("push")
 	if len(resources) == 0 {
-		r.addProblem(0, "", "no [push PATH] section: clients could hand in nothing")
+		p.addProblem(0, "", "no [push PATH] section: clients could hand in nothing")
 	}
 	for _, s := range resources {
-		res := intake.Resource{Path: s.name, Dest: r.resolve(s, "partner", partnerAt), Class: r.resolve(s, "class", classAt),
-			Tenant: r.resolve(s, "tenant", tenantAt)}
-		if len(r.problems) == 0 {
-			res.InOrder, res.Life = c.classLimits(res.Class)
-			c.Intake.Resources = append(c.Intake.Resources, res)
+		resource := intake.Resource{Path: s.name, Dest: p.resolve(s, "partner", partnerIndex), Class: p.resolve(s, "class", classIndex),
+			Tenant: p.resolve(s, "tenant", tenantIndex)}
+		if len(p.problems) == 0 {
+			resource.InOrder, resource.Life = cfg.classLimits(resource.Class)
+			cfg.Intake.Resources = append(cfg.Intake.Resources, resource)
 		}
 	}
-	exchanges, _ := r.allSections("exchange")
+	exchanges, _ := p.allSections("exchange")
 	for _, s := range exchanges {
-		x := intake.Exchange{Name: s.name, Class: r.resolve(s, "class", classAt), Tenant: r.resolve(s, "tenant", tenantAt)}
-		if len(r.problems) == 0 {
-			x.InOrder, x.Life = c.classLimits(x.Class)
-			c.Intake.Exchanges = append(c.Intake.Exchanges, x)
+		exchange := intake.Exchange{Name: s.name, Class: p.resolve(s, "class", classIndex), Tenant: p.resolve(s, "tenant", tenantIndex)}
+		if len(p.problems) == 0 {
+			exchange.InOrder, exchange.Life = cfg.classLimits(exchange.Class)
+			cfg.Intake.Exchanges = append(cfg.Intake.Exchanges, exchange)
 		}
 	}
 }
 
 // classLimits are what a class lays down for its messages.
 func (c *Config) classLimits(class int) (inOrder bool, life time.Duration) {
-	k := c.Control.Classes[class]
-	return k.InOrder, time.Duration(k.Deadline) * time.Microsecond
+	settings := c.Control.Classes[class]
+	return settings.InOrder, time.Duration(settings.Deadline) * time.Microsecond
 }
 
-func (r *parser) buildEndpoints(c *Config, s *section) {
+func (p *parser) buildEndpoints(cfg *Config, s *section) {
 	seen := map[netip.AddrPort]bool{}
 	add := func(key string, health control.Health) {
-		all, _ := parseAddresses(s.values[key], false)
-		for _, a := range all {
-			if seen[a] {
-				r.addProblem(s.lines[key], key, "%v stands twice", a)
+		addrs, _ := parseAddresses(s.values[key], false)
+		for _, addr := range addrs {
+			if seen[addr] {
+				p.addProblem(s.lines[key], key, "%v stands twice", addr)
 			}
-			seen[a] = true
-			c.Endpoints = append(c.Endpoints, endpointlist.Endpoint{Partner: s.name, Addr: a, Health: health})
+			seen[addr] = true
+			cfg.Endpoints = append(cfg.Endpoints, endpointlist.Endpoint{Partner: s.name, Addr: addr, Health: health})
 		}
 	}
 	add("endpoints", control.Ready)
 	add("draining", control.Draining)
-	if len(seen) == 0 && c.ListFile == "" {
-		r.addProblem(s.line, "endpoints", "partner %s has none, and there is no list file", s.name)
+	if len(seen) == 0 && cfg.ListFile == "" {
+		p.addProblem(s.line, "endpoints", "partner %s has none, and there is no list file", s.name)
 	}
 }
 
 // buildControl fills the module's settings; bounds that are not set come from the partners listed.
-func (r *parser) buildControl(c *Config, l, o *section) {
-	rules := r.singleSection("rules")
-	m := &c.Control
-	m.Instances = 1
-	m.Tick = rules.controlTime("tick")
-	m.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
+func (p *parser) buildControl(cfg *Config, limits, outboundSection *section) {
+	rules := p.singleSection("rules")
+	settings := &cfg.Control
+	settings.Instances = 1
+	settings.Tick = rules.controlTime("tick")
+	settings.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
 		"rough": control.WeightRough}[rules.values["weights"]]
-	m.OverShare = rules.numbers["over-share"]
-	m.ReportLeft, m.ReportLimit = -1, -1
-	m.MaxTries = l.integer("tries")
-	m.MayCancel, m.RetryAfter = true, true
-	m.MaxRetryAfter = rules.controlTime("longest-wait")
-	m.ConnIdle, m.ConnectTimeout = o.controlTime("idle"), o.controlTime("connect-timeout")
-	m.StreamsPerConn = o.integer("streams")
-	m.StopSendingWithin = rules.controlTime("drain-grace")
-	m.ColdFrom, m.WarmUp = rules.numbers["cold-from"], rules.controlTime("warm-up")
-	m.TipMultiple, m.OverloadFor = rules.numbers["tip-multiple"], rules.controlTime("overload-for")
-	m.SettleAfterDoubt = rules.controlTime("settle-after-doubt")
-	if m.Slots = l.integer("slots"); m.Slots == 0 {
-		m.Slots = defaultSlots(c)
+	settings.OverShare = rules.numbers["over-share"]
+	settings.ReportLeft, settings.ReportLimit = -1, -1
+	settings.MaxTries = limits.integer("tries")
+	settings.MayCancel, settings.RetryAfter = true, true
+	settings.MaxRetryAfter = rules.controlTime("longest-wait")
+	settings.ConnIdle, settings.ConnectTimeout = outboundSection.controlTime("idle"), outboundSection.controlTime("connect-timeout")
+	settings.StreamsPerConn = outboundSection.integer("streams")
+	settings.StopSendingWithin = rules.controlTime("drain-grace")
+	settings.ColdFrom, settings.WarmUp = rules.numbers["cold-from"], rules.controlTime("warm-up")
+	settings.TipMultiple, settings.OverloadFor = rules.numbers["tip-multiple"], rules.controlTime("overload-for")
+	settings.SettleAfterDoubt = rules.controlTime("settle-after-doubt")
+	if settings.Slots = limits.integer("slots"); settings.Slots == 0 {
+		settings.Slots = defaultSlots(cfg)
 	}
-	if m.MaxOpen = l.integer("hold"); m.MaxOpen == 0 {
-		m.MaxOpen = max(1000, 40*m.Slots)
+	if settings.MaxOpen = limits.integer("hold"); settings.MaxOpen == 0 {
+		settings.MaxOpen = max(1000, 40*settings.Slots)
 	}
-	c.Intake.LeastLife = rules.duration("least-life")
-	if m.StopSendingWithin < 2*m.Tick {
-		r.addProblem(rules.lines["drain-grace"], "drain-grace", "is shorter than two ticks")
+	cfg.Intake.LeastLife = rules.duration("least-life")
+	if settings.StopSendingWithin < 2*settings.Tick {
+		p.addProblem(rules.lines["drain-grace"], "drain-grace", "is shorter than two ticks")
 	}
-	for i, k := range m.Classes {
-		if k.Deadline < 4*m.Tick {
-			r.addProblem(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
+	for i, class := range settings.Classes {
+		if class.Deadline < 4*settings.Tick {
+			p.addProblem(0, "", "class %s: its deadline is shorter than four ticks", cfg.Classes[i])
 		}
 	}
-	c.EngineBounds = engine.Bounds{Queue: l.integer("queue"), Hold: m.MaxOpen}
-	c.Admission = door.Limits{Conns: l.integer("connections"), Channels: l.integer("channels"), Bytes: int64(l.numbers["hold-bytes"]),
-		TenantBytes: int64(l.numbers["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.numbers["block-at"], UnblockAt: l.numbers["unblock-at"]}
-	if c.Admission.UnblockAt >= c.Admission.BlockAt {
-		r.addProblem(max(l.lines["unblock-at"], l.lines["block-at"]), "unblock-at", "is not below block-at")
+	cfg.EngineBounds = engine.Bounds{Queue: limits.integer("queue"), Hold: settings.MaxOpen}
+	cfg.Admission = door.Limits{Conns: limits.integer("connections"), Channels: limits.integer("channels"), Bytes: int64(limits.numbers["hold-bytes"]),
+		TenantBytes: int64(limits.numbers["tenant-bytes"]), Hold: settings.MaxOpen, BlockAt: limits.numbers["block-at"], UnblockAt: limits.numbers["unblock-at"]}
+	if cfg.Admission.UnblockAt >= cfg.Admission.BlockAt {
+		p.addProblem(max(limits.lines["unblock-at"], limits.lines["block-at"]), "unblock-at", "is not below block-at")
 	}
 }
 
 // defaultSlots is 32 calls for each endpoint, or one second's calls where a partner's rate is listed as more.
-func defaultSlots(c *Config) int {
+func defaultSlots(cfg *Config) int {
 	const each, least, most = 32, 16, 8192
-	n := map[string]float64{}
-	for _, l := range c.Endpoints {
-		n[l.Partner] += each
+	slots := map[string]float64{}
+	for _, l := range cfg.Endpoints {
+		slots[l.Partner] += each
 	}
 	sum := 0.0
-	for _, p := range c.Partners {
-		sum += max(n[p.Name], p.Rate, each)
+	for _, p := range cfg.Partners {
+		sum += max(slots[p.Name], p.Rate, each)
 	}
 	return int(min(max(sum, least), most))
 }
--- a/internal/config/parser.go
+++ b/internal/config/parser.go
@@ -20,14 +20,14 @@
 }
 
 func (p Problem) Error() string {
-	at := p.File
+	position := p.File
 	if p.Line > 0 {
-		at = fmt.Sprintf("%s:%d", p.File, p.Line)
+		position = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	if p.Key != "" {
-		at += ": " + p.Key
+		position += ": " + p.Key
 	}
-	return at + ": " + p.Text
+	return position + ": " + p.Text
 }
 
 // Problems are all that is wrong with a file, in the order of its lines.
@@ -36,12 +36,12 @@
 func (p Problems) Error() string {
 	const most = 50 // one slip in a file made by a program can make thousands
 	var lines []string
-	for i, o := range p {
+	for i, problem := range p {
 		if i == most {
-			lines = append(lines, fmt.Sprintf("%s: and %d more", o.File, len(p)-most))
+			lines = append(lines, fmt.Sprintf("%s: and %d more", problem.File, len(p)-most))
 			break
 		}
-		lines = append(lines, o.Error())
+		lines = append(lines, problem.Error())
 	}
 	return strings.Join(lines, "\n")
 }
@@ -63,8 +63,8 @@
 	sections []*section
 }
 
-func (r *parser) addProblem(line int, key, format string, a ...any) {
-	r.problems = append(r.problems, Problem{r.file, line, key, fmt.Sprintf(format, a...)})
+func (p *parser) addProblem(line int, key, format string, a ...any) {
+	p.problems = append(p.problems, Problem{p.file, line, key, fmt.Sprintf(format, a...)})
 }
 
 // Load reads a settings file. The error is Problems where the file could be read.
@@ -78,24 +78,24 @@
 
 // Parse reads settings; file is how problems name them.
 func Parse(file string, text []byte) (*Config, error) {
-	r := &parser{file: file}
+	p := &parser{file: file}
 	if len(text) > 16<<20 {
-		r.addProblem(0, "", "longer than 16 MiB")
-		return nil, r.problems
+		p.addProblem(0, "", "longer than 16 MiB")
+		return nil, p.problems
 	}
-	lines := r.indexLines(string(text))
-	if len(r.problems) == 0 {
-		r.parseSections(text, lines)
+	lines := p.indexLines(string(text))
+	if len(p.problems) == 0 {
+		p.parseSections(text, lines)
 	}
-	var c *Config
-	if len(r.problems) == 0 {
-		c = r.build()
+	var cfg *Config
+	if len(p.problems) == 0 {
+		cfg = p.build()
 	}
-	if len(r.problems) > 0 {
-		slices.SortStableFunc(r.problems, func(a, b Problem) int { return a.Line - b.Line })
-		return nil, r.problems
+	if len(p.problems) > 0 {
+		slices.SortStableFunc(p.problems, func(a, b Problem) int { return a.Line - b.Line })
+		return nil, p.problems
 	}
-	return c, nil
+	return cfg, nil
 }
 
 // position is where a section or a key stands.
@@ -103,70 +103,70 @@
 
 // indexLines finds the lines of sections and keys, which the INI library does not tell, and what it would merge silently:
 // duplicates. Values are the library's.
-func (r *parser) indexLines(text string) map[position]int {
-	at := map[position]int{}
-	now := ""
+func (p *parser) indexLines(text string) map[position]int {
+	lines := map[position]int{}
+	section := ""
 	for i, line := range strings.Split(text, "\n") {
-		n := i + 1
+		number := i + 1
 		line = strings.TrimSpace(strings.TrimSuffix(line, "\r"))
 		switch {
 		case line == "" || line[0] == '#' || line[0] == ';':
 		case line[0] == '[':
 			if line[len(line)-1] != ']' {
-				r.addProblem(n, "", "section without its closing bracket")
+				p.addProblem(number, "", "section without its closing bracket")
 				continue
 			}
-			now = strings.TrimSpace(line[1 : len(line)-1])
-			if first := at[position{section: now}]; first > 0 {
-				r.addProblem(n, "["+now+"]", "stands already in line %d", first)
+			section = strings.TrimSpace(line[1 : len(line)-1])
+			if first := lines[position{section: section}]; first > 0 {
+				p.addProblem(number, "["+section+"]", "stands already in line %d", first)
 				continue
 			}
-			at[position{section: now}] = n
+			lines[position{section: section}] = number
 		default:
 			key, _, ok := strings.Cut(line, "=")
 			key = strings.TrimSpace(key)
 			switch {
 			case !ok || key == "" || strings.ContainsAny(key, "\"`"):
-				r.addProblem(n, "", "neither a section, nor key = value, nor a comment: %.60q", line)
-			case now == "":
-				r.addProblem(n, key, "stands before the first section")
-			case at[position{now, key}] > 0:
-				r.addProblem(n, key, "stands already in line %d", at[position{now, key}])
+				p.addProblem(number, "", "neither a section, nor key = value, nor a comment: %.60q", line)
+			case section == "":
+				p.addProblem(number, key, "stands before the first section")
+			case lines[position{section, key}] > 0:
+				p.addProblem(number, key, "stands already in line %d", lines[position{section, key}])
 			default:
-				at[position{now, key}] = n
+				lines[position{section, key}] = number
 			}
 		}
 	}
-	return at
+	return lines
 }
 
 // parseSections reads all sections and checks each key by its spec.
-func (r *parser) parseSections(text []byte, at map[position]int) {
-	f, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, IgnoreInlineComment: true, KeyValueDelimiters: "=",
+func (p *parser) parseSections(text []byte, lines map[position]int) {
+	file, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, IgnoreInlineComment: true, KeyValueDelimiters: "=",
 		SkipUnrecognizableLines: false, PreserveSurroundedQuote: true}, text)
 	if err != nil {
-		r.addProblem(0, "", "%v", err)
+		p.addProblem(0, "", "%v", err)
 		return
 	}
-	for _, s := range f.Sections() {
+	for _, s := range file.Sections() {
 		if s.Name() == ini.DefaultSection && len(s.Keys()) == 0 {
 			continue
 		}
-		line := at[position{section: s.Name()}]
+		line := lines[position{section: s.Name()}]
 		spec, name, ok := findSection(s.Name())
 		if !ok {
-			r.addProblem(line, "["+s.Name()+"]", "no such section")
+			p.addProblem(line, "["+s.Name()+"]", "no such section")
 			continue
 		}
 		sec := &section{spec: spec, name: name, line: line, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
 		if spec.named && !validSectionName(spec.name, name) {
-			r.addProblem(line, "["+s.Name()+"]", "%q is no name for it", name)
+			p.addProblem(line, "["+s.Name()+"]", "%q is no name for it", name)
 		}
 		for _, k := range s.Keys() {
-			r.parseKey(sec, k.Name(), strings.TrimSpace(k.Value()), at[position{s.Name(), k.Name()}])
+			p.parseKey(sec, k.Name(), strings.TrimSpace(k.Value()), lines[position{s.Name(), k.Name()}])
 		}
-		r.applyDefaults(sec)
-		r.sections = append(r.sections, sec)
+		p.applyDefaults(sec)
+		p.sections = append(p.sections, sec)
 	}
 }
 
@@ -189,32 +189,32 @@
 	return namePattern.MatchString(name)
 }
 
-func (r *parser) parseKey(s *section, key, v string, line int) {
+func (p *parser) parseKey(s *section, key, value string, line int) {
 	for i := range s.spec.keys {
 		k := &s.spec.keys[i]
 		if k.name != key {
 			continue
 		}
 		s.lines[key] = line
-		num, err := k.parse(v)
+		num, err := k.parse(value)
 		if err != nil {
-			r.addProblem(line, key, "%v", err)
+			p.addProblem(line, key, "%v", err)
 			return
 		}
-		s.values[key], s.numbers[key] = v, num
+		s.values[key], s.numbers[key] = value, num
 		return
 	}
-	r.addProblem(line, key, "no such key in [%s]", s.spec.name)
+	p.addProblem(line, key, "no such key in [%s]", s.spec.name)
 }
 
-func (r *parser) applyDefaults(s *section) {
+func (p *parser) applyDefaults(s *section) {
 	for i := range s.spec.keys {
 		k := &s.spec.keys[i]
 		if s.lines[k.name] > 0 {
 			continue
 		}
 		if k.required {
-			r.addProblem(s.line, k.name, "is required in [%s %s]", s.spec.name, s.name)
+			p.addProblem(s.line, k.name, "is required in [%s %s]", s.spec.name, s.name)
 			continue
 		}
 		if k.defaultValue != "" {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -173,114 +173,114 @@
 var sizeUnits = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1e3, "MB": 1e6, "GB": 1e9}
 
 // parse reads a value by its spec; a number comes back in the kind's base unit.
-func (k *keySpec) parse(v string) (num float64, err error) {
+func (k *keySpec) parse(value string) (num float64, err error) {
 	switch k.kind {
 	case kindText:
 		return 0, nil
 	case kindName:
-		if !namePattern.MatchString(v) {
-			return 0, fmt.Errorf("%q is no name", v)
+		if !namePattern.MatchString(value) {
+			return 0, fmt.Errorf("%q is no name", value)
 		}
 		return 0, nil
 	case kindChoice:
 		for _, c := range strings.Fields(k.choices) {
-			if c == v {
+			if c == value {
 				return 0, nil
 			}
 		}
-		return 0, fmt.Errorf("%q is none of: %s", v, strings.ReplaceAll(k.choices, " ", ", "))
+		return 0, fmt.Errorf("%q is none of: %s", value, strings.ReplaceAll(k.choices, " ", ", "))
 	case kindYesNo:
-		if v == "yes" {
+		if value == "yes" {
 			return 1, nil
-		} else if v == "no" {
+		} else if value == "no" {
 			return 0, nil
 		}
-		return 0, fmt.Errorf("%q is neither yes nor no", v)
+		return 0, fmt.Errorf("%q is neither yes nor no", value)
 	case kindAddress, kindAddresses:
-		_, err := parseAddresses(v, k.kind == kindAddress)
+		_, err := parseAddresses(value, k.kind == kindAddress)
 		return 0, err
 	case kindDuration:
-		d, err := time.ParseDuration(v)
+		d, err := time.ParseDuration(value)
 		if err != nil {
-			return 0, fmt.Errorf("%q is no duration with its unit, as in 250ms, 5s or 2m", v)
+			return 0, fmt.Errorf("%q is no duration with its unit, as in 250ms, 5s or 2m", value)
 		}
 		num = d.Seconds()
 	case kindRate:
-		n, ok := strings.CutSuffix(v, "/s")
+		n, ok := strings.CutSuffix(value, "/s")
 		if num, err = strconv.ParseFloat(n, 64); !ok || err != nil {
-			return 0, fmt.Errorf("%q is no rate, as in 20/s", v)
+			return 0, fmt.Errorf("%q is no rate, as in 20/s", value)
 		}
 	case kindSize:
-		at := strings.IndexFunc(v, func(r rune) bool { return r > '9' || r < '0' && r != '.' })
-		if at < 1 || sizeUnits[v[at:]] == 0 {
-			return 0, fmt.Errorf("%q is no size with its unit, as in 64KiB or 2MiB", v)
+		unitStart := strings.IndexFunc(value, func(r rune) bool { return r > '9' || r < '0' && r != '.' })
+		if unitStart < 1 || sizeUnits[value[unitStart:]] == 0 {
+			return 0, fmt.Errorf("%q is no size with its unit, as in 64KiB or 2MiB", value)
 		}
-		if num, err = strconv.ParseFloat(v[:at], 64); err != nil {
-			return 0, fmt.Errorf("%q is no size", v)
+		if num, err = strconv.ParseFloat(value[:unitStart], 64); err != nil {
+			return 0, fmt.Errorf("%q is no size", value)
 		}
-		num *= sizeUnits[v[at:]]
+		num *= sizeUnits[value[unitStart:]]
 	case kindCount:
-		n, err := strconv.ParseInt(v, 10, 64)
+		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("%q is no whole number", v)
+			return 0, fmt.Errorf("%q is no whole number", value)
 		}
 		num = float64(n)
 	case kindNumber:
-		if num, err = strconv.ParseFloat(v, 64); err != nil {
-			return 0, fmt.Errorf("%q is no number", v)
+		if num, err = strconv.ParseFloat(value, 64); err != nil {
+			return 0, fmt.Errorf("%q is no number", value)
 		}
 	}
 	if math.IsNaN(num) || math.IsInf(num, 0) || num < 0 {
-		return 0, fmt.Errorf("%q is out of range", v)
+		return 0, fmt.Errorf("%q is out of range", value)
 	}
 	if (k.min != 0 || k.max != 0) && (num < k.min || num > k.max) {
-		return 0, fmt.Errorf("%q is out of range: %s to %s", v, k.format(k.min), k.format(k.max))
+		return 0, fmt.Errorf("%q is out of range: %s to %s", value, k.format(k.min), k.format(k.max))
 	}
 	return num, nil
 }
 
 // format writes a bound in the kind's unit.
-func (k *keySpec) format(n float64) string {
+func (k *keySpec) format(value float64) string {
 	switch k.kind {
 	case kindDuration:
-		return time.Duration(n * float64(time.Second)).String()
+		return time.Duration(value * float64(time.Second)).String()
 	case kindRate:
-		return strconv.FormatFloat(n, 'f', -1, 64) + "/s"
+		return strconv.FormatFloat(value, 'f', -1, 64) + "/s"
 	case kindSize:
 		for _, u := range []string{"GiB", "MiB", "KiB"} {
-			if n >= sizeUnits[u] && math.Mod(n, sizeUnits[u]) == 0 {
-				return strconv.FormatFloat(n/sizeUnits[u], 'f', -1, 64) + u
+			if value >= sizeUnits[u] && math.Mod(value, sizeUnits[u]) == 0 {
+				return strconv.FormatFloat(value/sizeUnits[u], 'f', -1, 64) + u
 			}
 		}
-		return strconv.FormatFloat(n, 'f', -1, 64) + "B"
+		return strconv.FormatFloat(value, 'f', -1, 64) + "B"
 	}
-	return strconv.FormatFloat(n, 'f', -1, 64)
+	return strconv.FormatFloat(value, 'f', -1, 64)
 }
 
 // parseAddresses reads literal addresses: names are not looked up, so that no decision ever waits for a resolver.
-func parseAddresses(v string, one bool) ([]netip.AddrPort, error) {
-	var all []netip.AddrPort
-	for _, part := range strings.Split(v, ",") {
+func parseAddresses(list string, single bool) ([]netip.AddrPort, error) {
+	var addrs []netip.AddrPort
+	for _, part := range strings.Split(list, ",") {
 		part = strings.TrimSpace(part)
 		if part == "" {
 			continue
 		}
-		a, err := netip.ParseAddrPort(part)
+		addr, err := netip.ParseAddrPort(part)
 		if err != nil {
 			return nil, fmt.Errorf("%q is no address with its port, as in 127.0.0.1:8431", part)
 		}
-		all = append(all, a)
+		addrs = append(addrs, addr)
 	}
-	if one && len(all) != 1 {
-		return nil, fmt.Errorf("%q is not one address", v)
+	if single && len(addrs) != 1 {
+		return nil, fmt.Errorf("%q is not one address", list)
 	}
-	return all, nil
+	return addrs, nil
 }
 
 // Reference is the reference page of all settings, made from what the program checks them by.
 func Reference() string {
-	var b strings.Builder
-	b.WriteString("# Settings\n\nThis page is made from the program: `whinrun reference` prints it.\n\n" +
+	var page strings.Builder
+	page.WriteString("# Settings\n\nThis page is made from the program: `whinrun reference` prints it.\n\n" +
 		"Settings are an INI file: sections in brackets, `key = value`, comments from `#` or `;` at the start of a line.\n" +
 		"Unknown sections and keys, duplicates, values without their unit or out of range, and names of what is not there\n" +
 		"are errors: `whinrun check --config FILE` prints one line each, with file and line, and exits with 2.\n\n" +
@@ -290,7 +290,7 @@
 		if s.named {
 			title += " NAME"
 		}
-		fmt.Fprintf(&b, "\n## [%s]\n\n%s\n\n| key | type | default | range | meaning |\n| --- | --- | --- | --- | --- |\n", title, s.doc)
+		fmt.Fprintf(&page, "\n## [%s]\n\n%s\n\n| key | type | default | range | meaning |\n| --- | --- | --- | --- | --- |\n", title, s.doc)
 		for i := range s.keys {
 			k := &s.keys[i]
 			def, bounds := k.defaultValue, ""
@@ -306,8 +306,8 @@
 			if k.kind == kindName {
 				bounds = "a " + k.choices + " section"
 			}
-			fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.name, kindNames[k.kind], def, bounds, k.doc)
+			fmt.Fprintf(&page, "| `%s` | %s | %s | %s | %s |\n", k.name, kindNames[k.kind], def, bounds, k.doc)
 		}
 	}
-	return b.String()
+	return page.String()
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,17 +18,17 @@
 
 // Settings returns the settings of the quickstart with its addresses replaced: the dispatcher's and the partners'.
 func Settings(listen string, endpoints []string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "[dispatcher]\nlisten = %s\n\n", listen)
-	b.WriteString(commonSettings)
+	var text strings.Builder
+	fmt.Fprintf(&text, "[dispatcher]\nlisten = %s\n\n", listen)
+	text.WriteString(commonSettings)
 	names := []string{"archive", "tracker", "mirror"}
 	for i, n := range names {
-		fmt.Fprintf(&b, "\n[partner %s]\nkind = gateway\nendpoints = %s\n", n, endpoints[i])
+		fmt.Fprintf(&text, "\n[partner %s]\nkind = gateway\nendpoints = %s\n", n, endpoints[i])
 		for _, c := range []string{"status", "sync", "upload"} {
-			fmt.Fprintf(&b, "\n[push /%s/%s]\npartner = %s\nclass = %s\ntenant = farm\n", n, c, n, c)
+			fmt.Fprintf(&text, "\n[push /%s/%s]\npartner = %s\nclass = %s\ntenant = farm\n", n, c, n, c)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
 const commonSettings = `[class status]
@@ -64,18 +64,18 @@
 func Run(ctx context.Context, w io.Writer) error {
 	fmt.Fprintln(w, "Three stand-in partners and a dispatcher on loopback; 600 messages in three seconds.")
 	fmt.Fprintln(w, "The tracker is silent from 0.8 s to 1.8 s, the mirror loses one answer in five after applying it.")
-	log := partner.NewLog(100000)
+	events := partner.NewLog(100000)
 	var addrs []string
-	var ends []*partner.Endpoint
+	var endpoints []*partner.Endpoint
 	for i, n := range []string{"archive", "tracker", "mirror"} {
-		p := partner.New(partner.Config{Name: n, Pace: 5 * time.Millisecond, Seed: uint64(i)}, log)
-		e, err := p.Listen("127.0.0.1:0")
+		p := partner.New(partner.Config{Name: n, Pace: 5 * time.Millisecond, Seed: uint64(i)}, events)
+		endpoint, err := p.Listen("127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		defer p.Close()
-		ends = append(ends, e)
-		addrs = append(addrs, e.Addr().String())
+		endpoints = append(endpoints, endpoint)
+		addrs = append(addrs, endpoint.Addr().String())
 	}
 	cfg, err := config.Parse("demo settings", []byte(Settings("127.0.0.1:0", addrs)))
 	if err != nil {
@@ -85,39 +85,39 @@
 	if err != nil {
 		return err
 	}
-	s, err := service.Start(cfg, logger, nil)
+	dispatcher, err := service.Start(cfg, logger, nil)
 	if err != nil {
 		return err
 	}
-	_ = ends[2].Set(partner.Fault{Lose: 0.2})
-	silent := time.AfterFunc(800*time.Millisecond, func() { _ = ends[1].Set(partner.Fault{Hang: true}) })
-	back := time.AfterFunc(1800*time.Millisecond, func() { _ = ends[1].Set(partner.Fault{}) })
-	defer silent.Stop()
-	defer back.Stop()
+	_ = endpoints[2].Set(partner.Fault{Lose: 0.2})
+	silence := time.AfterFunc(800*time.Millisecond, func() { _ = endpoints[1].Set(partner.Fault{Hang: true}) })
+	recovery := time.AfterFunc(1800*time.Millisecond, func() { _ = endpoints[1].Set(partner.Fault{}) })
+	defer silence.Stop()
+	defer recovery.Stop()
 
-	c := load.NewClient(s.Addr().String(), 2)
-	defer c.Close()
+	client := load.NewClient(dispatcher.Addr().String(), 2)
+	defer client.Close()
 	start := clock.Start()
-	out := load.Run(ctx, c, messages(), func() time.Duration { return start.Elapsed() }, 1000)
-	load.Write(w, load.Report(out), start.Elapsed())
-	stop, done := context.WithTimeout(context.Background(), 15*time.Second)
-	defer done()
-	s.Stop(stop)
+	outcomes := load.Run(ctx, client, messages(), func() time.Duration { return start.Elapsed() }, 1000)
+	load.Write(w, load.Report(outcomes), start.Elapsed())
+	stopCtx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
+	defer cancel()
+	dispatcher.Stop(stopCtx)
 	applied := map[string]int{}
-	for _, e := range log.Events() {
+	for _, e := range events.Events() {
 		if e.Kind == partner.Applied && e.Class == "upload" {
 			applied[e.Test]++
 		}
 	}
-	twice := 0
+	duplicates := 0
 	for _, n := range applied {
 		if n > 1 {
-			twice++
+			duplicates++
 		}
 	}
-	st := s.Stats()
-	fmt.Fprintf(w, "%d taken, %d final answers, %d attempts; uploads applied: %d, twice: %d.\n", st.Taken, st.Served+st.Refused+st.Failed,
-		st.Attempts, len(applied), twice)
+	stats := dispatcher.Stats()
+	fmt.Fprintf(w, "%d taken, %d final answers, %d attempts; uploads applied: %d, twice: %d.\n", stats.Taken, stats.Served+stats.Refused+stats.Failed,
+		stats.Attempts, len(applied), duplicates)
 	fmt.Fprintln(w, "served: a partner took it. refused: handing it in again is harmless. failed: nothing is promised.")
 	return ctx.Err()
 }
--- a/internal/endpointlist/registry.go
+++ b/internal/endpointlist/registry.go
@@ -54,27 +54,27 @@
 
 // New returns a Roster for the partners given; their Dest is set to their index.
 func New(partners []Partner) *Registry {
-	r := &Registry{partners: slices.Clone(partners), byName: map[string]int{}, ids: map[locationKey]control.Endpoint{},
+	registry := &Registry{partners: slices.Clone(partners), byName: map[string]int{}, ids: map[locationKey]control.Endpoint{},
 		locations: make([]Location, 1), current: map[control.Endpoint]control.Entry{}}
-	for i := range r.partners {
-		r.partners[i].Dest = i
-		r.byName[r.partners[i].Name] = i
+	for i := range registry.partners {
+		registry.partners[i].Dest = i
+		registry.byName[registry.partners[i].Name] = i
 	}
-	return r
+	return registry
 }
 
 // EndpointID returns the module's name of a partner's endpoint, the same for good.
 func (r *Registry) EndpointID(dest int, addr netip.AddrPort) control.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := locationKey{dest, addr}
-	ep, ok := r.ids[at]
+	key := locationKey{dest, addr}
+	id, ok := r.ids[key]
 	if !ok {
-		ep = control.Endpoint(len(r.locations))
-		r.ids[at] = ep
+		id = control.Endpoint(len(r.locations))
+		r.ids[key] = id
 		r.locations = append(r.locations, Location{Partner: dest, Kind: r.partners[dest].Kind, Addr: addr})
 	}
-	return ep
+	return id
 }
 
 // Place tells where an endpoint is.
@@ -95,92 +95,92 @@
 
 // Replace compares a whole list with the one before and keeps it. Lines that name a partner that is not set up are
 // left out and reported; of an endpoint named twice the more careful standing counts: a drain always binds.
-func (r *Registry) Replace(lines []Endpoint) Diff {
-	next := make(map[control.Endpoint]control.Entry, len(lines))
-	var c Diff
-	for _, l := range lines {
-		e, ok := r.toEntry(l, &c)
+func (r *Registry) Replace(endpoints []Endpoint) Diff {
+	next := make(map[control.Endpoint]control.Entry, len(endpoints))
+	var diff Diff
+	for _, endpoint := range endpoints {
+		entry, ok := r.toEntry(endpoint, &diff)
 		if !ok {
 			continue
 		}
-		if old, twice := next[e.Endpoint]; twice {
-			c.Warnings = append(c.Warnings, fmt.Sprintf("endpoint %v of partner %q is listed twice", l.Addr, l.Partner))
+		if old, duplicate := next[entry.Endpoint]; duplicate {
+			diff.Warnings = append(diff.Warnings, fmt.Sprintf("endpoint %v of partner %q is listed twice", endpoint.Addr, endpoint.Partner))
 			if old.Health != control.Ready {
-				e.Health = old.Health
+				entry.Health = old.Health
 			}
 		}
-		next[e.Endpoint] = e
+		next[entry.Endpoint] = entry
 	}
-	gone, left := 0, map[netip.AddrPort]int{}
+	removed, removedAddrs := 0, map[netip.AddrPort]int{}
 	for ep, old := range r.current {
-		if _, still := next[ep]; !still {
+		if _, listed := next[ep]; !listed {
 			old.Health = control.Gone
-			c.Entries = append(c.Entries, old)
-			gone++
-			if at, ok := r.Lookup(ep); ok {
-				left[at.Addr] = old.Dest
+			diff.Entries = append(diff.Entries, old)
+			removed++
+			if location, ok := r.Lookup(ep); ok {
+				removedAddrs[location.Addr] = old.Dest
 			}
 		}
 	}
-	c.Warnings = append(c.Warnings, r.movedEndpoints(next, left)...)
-	for ep, e := range next {
-		if old, known := r.current[ep]; !known || old != e {
-			c.Entries = append(c.Entries, e)
+	diff.Warnings = append(diff.Warnings, r.movedEndpoints(next, removedAddrs)...)
+	for ep, entry := range next {
+		if old, known := r.current[ep]; !known || old != entry {
+			diff.Entries = append(diff.Entries, entry)
 		}
 	}
-	if n := len(r.current); n > 3 && gone > n/2 {
-		c.Warnings = append(c.Warnings, fmt.Sprintf("%d of %d endpoints are gone at once", gone, n))
+	if total := len(r.current); total > 3 && removed > total/2 {
+		diff.Warnings = append(diff.Warnings, fmt.Sprintf("%d of %d endpoints are gone at once", removed, total))
 	}
-	slices.SortFunc(c.Entries, func(a, b control.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
+	slices.SortFunc(diff.Entries, func(a, b control.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
 	r.current = next
-	return c
+	return diff
 }
 
 // movedEndpoints reports addresses that left one partner and came to another: often a slip of whoever wrote the list. To the
 // module they are two endpoints, so nothing learned of the one, and no drain, passes to the other.
-func (r *Registry) movedEndpoints(next map[control.Endpoint]control.Entry, left map[netip.AddrPort]int) (odd []string) {
-	for ep, e := range next {
+func (r *Registry) movedEndpoints(next map[control.Endpoint]control.Entry, removedAddrs map[netip.AddrPort]int) (warnings []string) {
+	for ep, entry := range next {
 		if _, known := r.current[ep]; known {
 			continue
 		}
-		at, _ := r.Lookup(ep)
-		if from, was := left[at.Addr]; was && from != e.Dest {
-			odd = append(odd, fmt.Sprintf("endpoint %v moves from partner %q to %q", at.Addr, r.partners[from].Name, r.partners[e.Dest].Name))
+		location, _ := r.Lookup(ep)
+		if previous, moved := removedAddrs[location.Addr]; moved && previous != entry.Dest {
+			warnings = append(warnings, fmt.Sprintf("endpoint %v moves from partner %q to %q", location.Addr, r.partners[previous].Name, r.partners[entry.Dest].Name))
 		}
 	}
-	slices.Sort(odd)
-	return odd
+	slices.Sort(warnings)
+	return warnings
 }
 
 // ApplyDelta takes changes alone, in time proportional to them: lines that are new or differ, and those gone.
-func (r *Registry) ApplyDelta(lines []Endpoint) Diff {
-	var c Diff
-	for _, l := range lines {
-		e, ok := r.toEntry(l, &c)
+func (r *Registry) ApplyDelta(endpoints []Endpoint) Diff {
+	var diff Diff
+	for _, endpoint := range endpoints {
+		entry, ok := r.toEntry(endpoint, &diff)
 		if !ok {
 			continue
 		}
-		old, known := r.current[e.Endpoint]
+		old, known := r.current[entry.Endpoint]
 		switch {
-		case l.Health == control.Gone && !known, known && old == e:
+		case endpoint.Health == control.Gone && !known, known && old == entry:
 			continue
-		case l.Health == control.Gone:
-			delete(r.current, e.Endpoint)
+		case endpoint.Health == control.Gone:
+			delete(r.current, entry.Endpoint)
 		default:
-			r.current[e.Endpoint] = e
+			r.current[entry.Endpoint] = entry
 		}
-		c.Entries = append(c.Entries, e)
+		diff.Entries = append(diff.Entries, entry)
 	}
-	return c
+	return diff
 }
 
 // toEntry makes a line into what the module is told; one of an unknown partner is reported.
-func (r *Registry) toEntry(l Endpoint, c *Diff) (e control.Entry, ok bool) {
-	dest, ok := r.byName[l.Partner]
+func (r *Registry) toEntry(endpoint Endpoint, diff *Diff) (entry control.Entry, ok bool) {
+	dest, ok := r.byName[endpoint.Partner]
 	if !ok {
-		c.Warnings = append(c.Warnings, fmt.Sprintf("endpoint %v: partner %q is not set up", l.Addr, l.Partner))
-		return e, false
+		diff.Warnings = append(diff.Warnings, fmt.Sprintf("endpoint %v: partner %q is not set up", endpoint.Addr, endpoint.Partner))
+		return entry, false
 	}
-	p := r.partners[dest]
-	return control.Entry{Endpoint: r.EndpointID(dest, l.Addr), Dest: dest, Zone: l.Zone, Kind: p.Kind, Health: l.Health, Weight: p.Rate}, true
+	partner := r.partners[dest]
+	return control.Entry{Endpoint: r.EndpointID(dest, endpoint.Addr), Dest: dest, Zone: endpoint.Zone, Kind: partner.Kind, Health: endpoint.Health, Weight: partner.Rate}, true
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -26,16 +26,16 @@
 
 // New returns a Logger that writes JSON lines of that level and above to w.
 func New(w io.Writer, level string, linesPerSecond float64) (*Logger, error) {
-	l, err := zerolog.ParseLevel(level)
+	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: %w", level, err)
 	}
-	return &Logger{logger: zerolog.New(w).Level(l).With().Timestamp().Logger(), rate: linesPerSecond, tokens: 2 * linesPerSecond,
+	return &Logger{logger: zerolog.New(w).Level(minLevel).With().Timestamp().Logger(), rate: linesPerSecond, tokens: 2 * linesPerSecond,
 		refilledAt: clock.Wall(), now: clock.Wall}, nil
 }
 
 // allow tells whether a line may go out, and how many were left out before it.
-func (l *Logger) allow() (ok bool, left int) {
+func (l *Logger) allow() (ok bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
@@ -46,40 +46,40 @@
 		return false, 0
 	}
 	l.tokens--
-	left, l.dropped = l.dropped, 0
-	return true, left
+	dropped, l.dropped = l.dropped, 0
+	return true, dropped
 }
 
-func (l *Logger) write(e *zerolog.Event, part, text string) {
-	if e == nil {
+func (l *Logger) write(event *zerolog.Event, component, message string) {
+	if event == nil {
 		return
 	}
-	ok, left := l.allow()
+	ok, dropped := l.allow()
 	if !ok {
 		return
 	}
-	if left > 0 {
-		e = e.Int("left-out", left)
+	if dropped > 0 {
+		event = event.Int("left-out", dropped)
 	}
-	e.Str("part", part).Msg(text)
+	event.Str("part", component).Msg(message)
 }
 
 // Info logs what operators want to know.
-func (l *Logger) Info(part, format string, a ...any) {
-	l.write(l.logger.Info(), part, fmt.Sprintf(format, a...))
+func (l *Logger) Info(component, format string, args ...any) {
+	l.write(l.logger.Info(), component, fmt.Sprintf(format, args...))
 }
 
 // Warn logs what may need an operator.
-func (l *Logger) Warn(part, format string, a ...any) {
-	l.write(l.logger.Warn(), part, fmt.Sprintf(format, a...))
+func (l *Logger) Warn(component, format string, args ...any) {
+	l.write(l.logger.Warn(), component, fmt.Sprintf(format, args...))
 }
 
 // Error logs what must not happen.
-func (l *Logger) Error(part, format string, a ...any) {
-	l.write(l.logger.Error(), part, fmt.Sprintf(format, a...))
+func (l *Logger) Error(component, format string, args ...any) {
+	l.write(l.logger.Error(), component, fmt.Sprintf(format, args...))
 }
 
 // Debug logs single events.
-func (l *Logger) Debug(part, format string, a ...any) {
-	l.write(l.logger.Debug(), part, fmt.Sprintf(format, a...))
+func (l *Logger) Debug(component, format string, args ...any) {
+	l.write(l.logger.Debug(), component, fmt.Sprintf(format, args...))
 }
--- a/internal/push/dialect.go
+++ b/internal/push/dialect.go
@@ -36,8 +36,8 @@
 type ExternalIDs struct{ Epoch string }
 
 // Format returns the name of a message.
-func (n ExternalIDs) Format(id control.MessageID) string {
-	return n.Epoch + "-" + strconv.FormatUint(uint64(id), 36)
+func (e ExternalIDs) Format(id control.MessageID) string {
+	return e.Epoch + "-" + strconv.FormatUint(uint64(id), 36)
 }
 
 // Dialect is how a kind of partner is spoken to.
@@ -60,20 +60,20 @@
 func (Standard) PathPerMessage() bool { return false }
 
 // Request is RFC 8030 section 5, with Idempotency-Key for repeats.
-func (Standard) Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, _ time.Time) []h2.Field {
-	m := a.Msg
-	path := s.Path
-	if m.Target != "" {
-		path = strings.TrimSuffix(s.Path, "/") + m.Target
+func (Standard) Request(resource PartnerResource, ids ExternalIDs, attempt *engine.Attempt, remaining time.Duration, _ time.Time) []h2.Field {
+	msg := attempt.Msg
+	path := resource.Path
+	if msg.Target != "" {
+		path = strings.TrimSuffix(resource.Path, "/") + msg.Target
 	}
-	f := make([]h2.Field, 0, 14)
-	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
-		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: path},
-		h2.Field{Name: "ttl", Value: strconv.Itoa(int(left / time.Second))})
-	f = appendNonEmpty(f, "urgency", m.Urgency)
-	f = appendNonEmpty(f, "topic", m.Topic)
-	f = appendCommon(f, n, a)
-	return append(f, h2.Field{Name: "idempotency-key", Value: strconv.Quote(idempotencyKey(n, m)), Sensitive: true})
+	fields := make([]h2.Field, 0, 14)
+	fields = append(fields, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
+		h2.Field{Name: ":authority", Value: resource.Authority}, h2.Field{Name: ":path", Value: path},
+		h2.Field{Name: "ttl", Value: strconv.Itoa(int(remaining / time.Second))})
+	fields = appendNonEmpty(fields, "urgency", msg.Urgency)
+	fields = appendNonEmpty(fields, "topic", msg.Topic)
+	fields = appendCommon(fields, ids, attempt)
+	return append(fields, h2.Field{Name: "idempotency-key", Value: strconv.Quote(idempotencyKey(ids, msg)), Sensitive: true})
 }
 
 // Reason is the first line of the body.
@@ -82,27 +82,27 @@
 	return intake.Printable(line)
 }
 
-func idempotencyKey(n ExternalIDs, m *engine.Message) string {
-	if m.Repeat != "" {
-		return m.Repeat
+func idempotencyKey(ids ExternalIDs, msg *engine.Message) string {
+	if msg.Repeat != "" {
+		return msg.Repeat
 	}
-	return n.Format(m.ID)
+	return ids.Format(msg.ID)
 }
 
-func appendNonEmpty(f []h2.Field, name, value string) []h2.Field {
+func appendNonEmpty(fields []h2.Field, name, value string) []h2.Field {
 	if value == "" {
-		return f
+		return fields
 	}
-	return append(f, h2.Field{Name: name, Value: value})
+	return append(fields, h2.Field{Name: name, Value: value})
 }
 
-func appendCommon(f []h2.Field, n ExternalIDs, a *engine.Attempt) []h2.Field {
-	m := a.Msg
-	f = appendNonEmpty(f, "content-type", m.Type)
-	f = appendNonEmpty(f, "content-encoding", m.Coding)
-	return append(f, h2.Field{Name: "content-length", Value: strconv.Itoa(len(m.Body))},
-		h2.Field{Name: FieldMessageID, Value: n.Format(m.ID), Sensitive: true},
-		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(a.N)})
+func appendCommon(fields []h2.Field, ids ExternalIDs, attempt *engine.Attempt) []h2.Field {
+	msg := attempt.Msg
+	fields = appendNonEmpty(fields, "content-type", msg.Type)
+	fields = appendNonEmpty(fields, "content-encoding", msg.Coding)
+	return append(fields, h2.Field{Name: "content-length", Value: strconv.Itoa(len(msg.Body))},
+		h2.Field{Name: FieldMessageID, Value: ids.Format(msg.ID), Sensitive: true},
+		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(attempt.N)})
 }
 
 // Device is the form of the published provider interfaces for device notifications: a path per device, an id, an
@@ -113,41 +113,41 @@
 func (Device) PathPerMessage() bool { return true }
 
 // Request names the device in its path.
-func (Device) Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field {
-	m := a.Msg
+func (Device) Request(resource PartnerResource, ids ExternalIDs, attempt *engine.Attempt, remaining time.Duration, wall time.Time) []h2.Field {
+	msg := attempt.Msg
 	priority := "5"
-	if m.Urgency == "high" {
+	if msg.Urgency == "high" {
 		priority = "10"
 	}
-	topic := s.Topic
-	f := make([]h2.Field, 0, 14)
-	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
-		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(s.Path, "/") + m.Target},
-		h2.Field{Name: "apns-id", Value: uuidFor(n.Format(m.ID)), Sensitive: true},
-		h2.Field{Name: "apns-expiration", Value: strconv.FormatInt(wall.Add(left).Unix(), 10)},
+	topic := resource.Topic
+	fields := make([]h2.Field, 0, 14)
+	fields = append(fields, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
+		h2.Field{Name: ":authority", Value: resource.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(resource.Path, "/") + msg.Target},
+		h2.Field{Name: "apns-id", Value: uuidFor(ids.Format(msg.ID)), Sensitive: true},
+		h2.Field{Name: "apns-expiration", Value: strconv.FormatInt(wall.Add(remaining).Unix(), 10)},
 		h2.Field{Name: "apns-priority", Value: priority})
-	f = appendNonEmpty(f, "apns-topic", topic)
-	f = appendNonEmpty(f, "apns-collapse-id", m.Topic)
-	return appendCommon(f, n, a)
+	fields = appendNonEmpty(fields, "apns-topic", topic)
+	fields = appendNonEmpty(fields, "apns-collapse-id", msg.Topic)
+	return appendCommon(fields, ids, attempt)
 }
 
 // Reason is the member of that name in a JSON object.
 func (Device) Reason(body []byte) string {
-	var v struct {
+	var reply struct {
 		Reason string `json:"reason"`
 	}
-	if json.Unmarshal(body, &v) != nil {
+	if json.Unmarshal(body, &reply) != nil {
 		return ""
 	}
-	return intake.Printable(v.Reason)
+	return intake.Printable(reply.Reason)
 }
 
 // uuidFor makes a name into the form of a UUID (RFC 9562 version 8), the same for the same name.
 func uuidFor(name string) string {
 	var b [16]byte
-	h1, h2 := xxhash.Sum64String(name), xxhash.Sum64String("2"+name)
+	low, high := xxhash.Sum64String(name), xxhash.Sum64String("2"+name)
 	for i := range 8 {
-		b[i], b[8+i] = byte(h1>>(8*i)), byte(h2>>(8*i))
+		b[i], b[8+i] = byte(low>>(8*i)), byte(high>>(8*i))
 	}
 	b[6] = b[6]&0x0f | 0x80
 	b[8] = b[8]&0x3f | 0x80
@@ -160,27 +160,27 @@
 // RetryAfter reads the wait of an answer (RFC 9110 section 10.2.3): seconds, or a date. A date is held against the
 // answer's own Date field where it has one, so that clocks which differ or step do not matter.
 func RetryAfter(fields []h2.Field, wall time.Time) time.Duration {
-	v := strings.TrimSpace(h2.Value(fields, "retry-after"))
-	if v == "" {
+	value := strings.TrimSpace(h2.Value(fields, "retry-after"))
+	if value == "" {
 		return 0
 	}
-	if n, err := strconv.ParseUint(v, 10, 64); err == nil {
+	if n, err := strconv.ParseUint(value, 10, 64); err == nil {
 		if n > uint64(maxRetryAfter/time.Second) {
 			return maxRetryAfter
 		}
 		return time.Duration(n) * time.Second
-	} else if isDigits(v) {
+	} else if isDigits(value) {
 		return maxRetryAfter
 	}
-	at, err := http.ParseTime(v)
+	retryAt, err := http.ParseTime(value)
 	if err != nil {
 		return 0
 	}
-	from := wall
+	reference := wall
 	if d, err := http.ParseTime(h2.Value(fields, "date")); err == nil {
-		from = d
+		reference = d
 	}
-	return min(max(at.Sub(from), 0), maxRetryAfter)
+	return min(max(retryAt.Sub(reference), 0), maxRetryAfter)
 }
 
 func isDigits(s string) bool {
--- a/internal/push/request.go
+++ b/internal/push/request.go
@@ -17,7 +17,7 @@
 type RequestParser struct{ rules *intake.Book }
 
 // NewRequestParser returns a Desk.
-func NewRequestParser(book *intake.Book) *RequestParser { return &RequestParser{book} }
+func NewRequestParser(rules *intake.Book) *RequestParser { return &RequestParser{rules} }
 
 // Problem is a request that is not taken (RFC 9457); the message was never held.
 type Problem struct {
@@ -36,8 +36,8 @@
 // Read makes a message of a request's header section, or tells why not.
 func (d *RequestParser) Read(fields []h2.Field) (*engine.Message, *Problem) {
 	path, _, _ := strings.Cut(h2.Value(fields, ":path"), "?")
-	r, target := d.rules.Find(path)
-	if r == nil {
+	resource, target := d.rules.Find(path)
+	if resource == nil {
 		return nil, newProblem(404, "no push resource at this path")
 	}
 	if m := h2.Value(fields, ":method"); m != "POST" {
@@ -45,7 +45,7 @@
 		p.ExtraFields = []h2.Field{{Name: "allow", Value: "POST"}}
 		return nil, p
 	}
-	if p := d.Authorize(r.Tenant, h2.Value(fields, "authorization")); p != nil {
+	if p := d.Authorize(resource.Tenant, h2.Value(fields, "authorization")); p != nil {
 		return nil, p
 	}
 	if n := h2.Value(fields, "content-length"); n != "" {
@@ -53,15 +53,15 @@
 			return nil, d.BodyTooLarge()
 		}
 	}
-	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Target: target,
+	msg := &engine.Message{Class: resource.Class, Tenant: resource.Tenant, Dest: resource.Dest, Target: target,
 		Type: h2.Value(fields, "content-type"), Coding: h2.Value(fields, "content-encoding")}
-	if p := d.parseLifetime(m, r, fields); p != nil {
+	if p := d.parseLifetime(msg, resource, fields); p != nil {
 		return nil, p
 	}
-	if p := parseKeys(m, r, fields); p != nil {
+	if p := parseKeys(msg, resource, fields); p != nil {
 		return nil, p
 	}
-	return m, nil
+	return msg, nil
 }
 
 // BodyTooLarge is the answer to a body above the limit.
@@ -94,40 +94,40 @@
 }
 
 // parseLifetime reads TTL and Urgency (RFC 8030 sections 5.2 and 5.3).
-func (d *RequestParser) parseLifetime(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
-	v := h2.Value(fields, "ttl")
+func (d *RequestParser) parseLifetime(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
+	value := h2.Value(fields, "ttl")
 	switch {
-	case v == "":
+	case value == "":
 		return newProblem(400, "TTL is required (RFC 8030 section 5.2)")
-	case h2.Count(fields, "ttl") > 1 || !isDigits(v):
-		return newProblem(400, "TTL %q is not a number of seconds", intake.Printable(v))
+	case h2.Count(fields, "ttl") > 1 || !isDigits(value):
+		return newProblem(400, "TTL %q is not a number of seconds", intake.Printable(value))
 	}
-	asked := time.Duration(-1) // past 31 bits it is above any class's limit
-	if n, err := strconv.ParseUint(v, 10, 31); err == nil {
-		asked = time.Duration(n) * time.Second
+	requested := time.Duration(-1) // past 31 bits it is above any class's limit
+	if n, err := strconv.ParseUint(value, 10, 31); err == nil {
+		requested = time.Duration(n) * time.Second
 	}
-	m.Life = d.rules.Life(r.Life, asked)
-	if m.Urgency = h2.Value(fields, "urgency"); !intake.Urgency(m.Urgency) {
-		return newProblem(400, "Urgency %q (RFC 8030 section 5.3)", intake.Printable(m.Urgency))
+	msg.Life = d.rules.Life(resource.Life, requested)
+	if msg.Urgency = h2.Value(fields, "urgency"); !intake.Urgency(msg.Urgency) {
+		return newProblem(400, "Urgency %q (RFC 8030 section 5.3)", intake.Printable(msg.Urgency))
 	}
 	return nil
 }
 
 // parseKeys reads Topic, which is the order key where the class asks for order, and Idempotency-Key.
-func parseKeys(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
+func parseKeys(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
 	topic := h2.Value(fields, "topic")
-	if err := intake.Order(m, r.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
+	if err := intake.Order(msg, resource.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
 		return newProblem(400, "Topic %q: one key of at most 32 characters (RFC 8030 section 5.4)", intake.Printable(topic))
 	}
-	v := h2.Value(fields, "idempotency-key")
-	if v == "" {
+	value := h2.Value(fields, "idempotency-key")
+	if value == "" {
 		return nil
 	}
-	key, err := strconv.Unquote(v)
+	key, err := strconv.Unquote(value)
 	if err != nil {
-		key = v // commonly sent without the quotes of a structured string
+		key = value // commonly sent without the quotes of a structured string
 	}
-	if err := intake.Repeat(m, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
+	if err := intake.Repeat(msg, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
 		return newProblem(400, "Idempotency-Key: %v", intake.ErrRepeat)
 	}
 	return nil
@@ -140,24 +140,24 @@
 }
 
 // Response makes a final answer into a response: docs/answers.md says what each promises.
-func Response(n ExternalIDs, m *engine.Message, a engine.Answer) Reply {
-	id := n.Format(m.ID)
-	switch a.Final {
+func Response(ids ExternalIDs, msg *engine.Message, answer engine.Answer) Reply {
+	id := ids.Format(msg.ID)
+	switch answer.Final {
 	case engine.Served:
 		return Reply{Fields: []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: "/m/" + id},
-			{Name: "ttl", Value: strconv.Itoa(int(m.Life / control.Second))}, {Name: FieldMessageID, Value: id, Sensitive: true}}}
+			{Name: "ttl", Value: strconv.Itoa(int(msg.Life / control.Second))}, {Name: FieldMessageID, Value: id, Sensitive: true}}}
 	case engine.Refused:
 		p := newProblem(503, "refused: nothing has taken effect beyond what the class allows to repeat")
-		if a.Status == 429 {
+		if answer.Status == 429 {
 			p.Status = 429
 		}
-		p.RetryAfter = time.Duration(a.Wait) * time.Microsecond
-		return p.replyFor(id, a)
+		p.RetryAfter = time.Duration(answer.Wait) * time.Microsecond
+		return p.replyFor(id, answer)
 	}
-	if a.Late {
-		return newProblem(504, "failed: its time ended; whether it took effect is not known").replyFor(id, a)
+	if answer.Late {
+		return newProblem(504, "failed: its time ended; whether it took effect is not known").replyFor(id, answer)
 	}
-	return newProblem(502, "failed: whether it took effect is not known").replyFor(id, a)
+	return newProblem(502, "failed: whether it took effect is not known").replyFor(id, answer)
 }
 
 // Reply makes a response of a problem.
@@ -172,17 +172,17 @@
 	Partner  int    `json:"partner-status,omitempty"`
 }
 
-func (p *Problem) replyFor(id string, a engine.Answer) Reply {
-	body, _ := json.Marshal(problemBody{p.Title, p.Status, a.Why, id, a.Tries, a.Status})
-	r := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
+func (p *Problem) replyFor(id string, answer engine.Answer) Reply {
+	body, _ := json.Marshal(problemBody{p.Title, p.Status, answer.Why, id, answer.Tries, answer.Status})
+	reply := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
 		{Name: "content-type", Value: "application/problem+json"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}}
 	if p.Status == 429 || p.Status == 503 {
 		seconds := max(1, (p.RetryAfter+time.Second-1)/time.Second)
-		r.Fields = append(r.Fields, h2.Field{Name: "retry-after", Value: strconv.Itoa(int(seconds))})
+		reply.Fields = append(reply.Fields, h2.Field{Name: "retry-after", Value: strconv.Itoa(int(seconds))})
 	}
 	if id != "" {
-		r.Fields = append(r.Fields, h2.Field{Name: FieldMessageID, Value: id, Sensitive: true})
+		reply.Fields = append(reply.Fields, h2.Field{Name: FieldMessageID, Value: id, Sensitive: true})
 	}
-	r.Fields = append(r.Fields, p.ExtraFields...)
-	return r
+	reply.Fields = append(reply.Fields, p.ExtraFields...)
+	return reply
 }
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -21,10 +21,10 @@
 }
 
 // SessionFactory makes sessions.
-func SessionFactory(cfg Config, desk *push.RequestParser, names push.ExternalIDs, side *door.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
-	return func(c *front.Conn, now time.Duration) front.Session {
-		return &session{cfg: &cfg, parser: desk, ids: names, admitter: side, mailboxes: room, now: clock, conn: c, h2conn: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
-			idleSince: now}
+func SessionFactory(cfg Config, parser *push.RequestParser, ids push.ExternalIDs, admitter *door.Side, mailboxes *mailbox.Room, now func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+	return func(c *front.Conn, started time.Duration) front.Session {
+		return &session{cfg: &cfg, parser: parser, ids: ids, admitter: admitter, mailboxes: mailboxes, now: now, conn: c, h2conn: h2.NewServer(cfg.H2, started), requests: map[uint32]*request{},
+			idleSince: started}
 	}
 }
 
@@ -145,21 +145,21 @@
 	if s.handleReceiptRequest(e, now) {
 		return
 	}
-	m, p := s.parser.Read(e.Fields)
-	uri := ""
-	if p == nil {
-		uri, p = requestedSubscription(e.Fields)
+	msg, problem := s.parser.Read(e.Fields)
+	subscriptionURI := ""
+	if problem == nil {
+		subscriptionURI, problem = requestedSubscription(e.Fields)
 	}
-	if p != nil {
+	if problem != nil {
 		s.admitter.Rejected.Add(1)
-		s.reply(e.Stream, p, now)
+		s.reply(e.Stream, problem, now)
 		return
 	}
-	r := &request{session: s, stream: e.Stream, msg: m, ticket: s.admitter.Ticket(m.Tenant)}
-	m.Origin = r
-	if uri != "" {
+	r := &request{session: s, stream: e.Stream, msg: msg, ticket: s.admitter.Ticket(msg.Tenant)}
+	msg.Origin = r
+	if subscriptionURI != "" {
 		r.resourcePath = h2.Value(e.Fields, ":path")
-		if p := s.reserveReceipt(r, uri); p != nil {
+		if p := s.reserveReceipt(r, subscriptionURI); p != nil {
 			s.reject(r, p, now)
 			return
 		}
@@ -205,24 +205,24 @@
 }
 
 // rejectionProblem is the answer to a message that the door or the engine does not take.
-func rejectionProblem(err error) *push.Problem {
-	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
-	if errors.Is(err, engine.ErrStopping) {
+func rejectionProblem(cause error) *push.Problem {
+	p := &push.Problem{Status: 503, Title: "not taken: " + cause.Error(), RetryAfter: time.Second}
+	if errors.Is(cause, engine.ErrStopping) {
 		p.RetryAfter = 5 * time.Second
 	}
 	return p
 }
 
 // reject answers a request that never became a message.
-func (s *session) reject(r *request, p *push.Problem, now time.Duration) {
+func (s *session) reject(r *request, problem *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
 	r.ticket.Turn()
 	r.releaseReceipt(now)
-	s.reply(r.stream, p, now)
+	s.reply(r.stream, problem, now)
 }
 
-func (s *session) reply(stream uint32, p *push.Problem, now time.Duration) {
-	reply := p.Reply()
+func (s *session) reply(stream uint32, problem *push.Problem, now time.Duration) {
+	reply := problem.Reply()
 	_ = s.h2conn.Respond(now, stream, reply.Fields, reply.Body)
 }
 
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -38,11 +38,11 @@
 			}
 		}
 	}
-	n := h2.Count(fields, "push-receipt")
+	count := h2.Count(fields, "push-receipt")
 	switch {
-	case !async && n == 0:
+	case !async && count == 0:
 		return "", nil
-	case !async || n != 1:
+	case !async || count != 1:
 		return "", &push.Problem{Status: 400, Title: "a receipt needs one Push-Receipt field and Prefer: respond-async (RFC 8030 section 5.1)"}
 	}
 	return h2.Value(fields, "push-receipt"), nil
@@ -55,7 +55,7 @@
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	}
 	s.mailboxes.Lock()
-	place, err := s.mailboxes.Promise(tenant, name, "", "")
+	reservation, err := s.mailboxes.Promise(tenant, name, "", "")
 	s.mailboxes.Unlock()
 	switch {
 	case errors.Is(err, mailbox.ErrNotFound):
@@ -63,7 +63,7 @@
 	case err != nil:
 		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	}
-	r.reservation, r.subscriptionURI, r.msg.Receipt = place, uri, name
+	r.reservation, r.subscriptionURI, r.msg.Receipt = reservation, uri, name
 	return nil
 }
 
@@ -103,8 +103,8 @@
 		_, rest, _ := strings.Cut(uri[i+3:], "/")
 		uri = "/" + rest
 	}
-	who, name, _ := strings.Cut(strings.TrimPrefix(uri, receiptsPath), "/")
-	tenant, ok = s.parser.Rules().Tenant(who)
+	tenantName, name, _ := strings.Cut(strings.TrimPrefix(uri, receiptsPath), "/")
+	tenant, ok = s.parser.Rules().Tenant(tenantName)
 	return tenant, name, ok && strings.HasPrefix(uri, receiptsPath) && name != "" && !strings.Contains(name, "/")
 }
 
@@ -125,9 +125,9 @@
 }
 
 func (s *session) serveReceiptRequest(e *h2.Event, path string, now time.Duration) *push.Problem {
-	part := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
-	tenant, ok := s.parser.Rules().Tenant(part[0])
-	if !ok || len(part) > 3 {
+	segments := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
+	tenant, ok := s.parser.Rules().Tenant(segments[0])
+	if !ok || len(segments) > 3 {
 		return &push.Problem{Status: 404, Title: "no receipts at this path"}
 	}
 	if p := s.parser.Authorize(tenant, h2.Value(e.Fields, "authorization")); p != nil {
@@ -135,27 +135,27 @@
 	}
 	method := h2.Value(e.Fields, ":method")
 	switch {
-	case len(part) == 1 && method == "POST":
-		return s.createSubscription(e, tenant, part[0], now)
-	case len(part) == 2 && method == "GET":
-		return s.listReceipts(e, tenant, part[1], now)
-	case len(part) == 3 && method == "DELETE":
-		no, err := strconv.ParseUint(part[2], 10, 64)
+	case len(segments) == 1 && method == "POST":
+		return s.createSubscription(e, tenant, segments[0], now)
+	case len(segments) == 2 && method == "GET":
+		return s.listReceipts(e, tenant, segments[1], now)
+	case len(segments) == 3 && method == "DELETE":
+		number, err := strconv.ParseUint(segments[2], 10, 64)
 		if err != nil {
 			return &push.Problem{Status: 404, Title: "no such receipt"}
 		}
 		s.mailboxes.Lock()
-		taken, err := s.mailboxes.Take(now, tenant, part[1], no)
+		taken, err := s.mailboxes.Take(now, tenant, segments[1], number)
 		s.mailboxes.Unlock()
 		if r, ok := taken.(*receipt.Receipt); ok {
-			s.mailboxes.Tell(tenant, part[1], r)
+			s.mailboxes.Tell(tenant, segments[1], r)
 		}
 		return s.respondNoContent(e, err, now)
 	}
 	return &push.Problem{Status: 405, Title: "POST makes a subscription, GET reads it, DELETE takes a receipt out"}
 }
 
-func (s *session) createSubscription(e *h2.Event, tenant int, who string, now time.Duration) *push.Problem {
+func (s *session) createSubscription(e *h2.Event, tenant int, tenantName string, now time.Duration) *push.Problem {
 	s.mailboxes.Lock()
 	name, _, _, err := s.mailboxes.Declare(now, tenant, mailbox.Spec{}, false)
 	s.mailboxes.Unlock()
@@ -163,7 +163,7 @@
 		return &push.Problem{Status: 503, Title: err.Error(), RetryAfter: time.Minute}
 	}
 	s.mailboxes.Tell(tenant, name, nil)
-	_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + who + "/" + name}}, nil)
+	_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + tenantName + "/" + name}}, nil)
 	return nil
 }
 
@@ -176,13 +176,13 @@
 
 func (s *session) listReceipts(e *h2.Event, tenant int, name string, now time.Duration) *push.Problem {
 	s.mailboxes.Lock()
-	all, err := s.mailboxes.Peek(now, tenant, name, maxReceiptsPerGet)
+	waiting, err := s.mailboxes.Peek(now, tenant, name, maxReceiptsPerGet)
 	s.mailboxes.Unlock()
-	if err != nil || len(all) == 0 {
+	if err != nil || len(waiting) == 0 {
 		return s.respondNoContent(e, err, now)
 	}
-	entries := make([]receiptEntry, len(all))
-	for i, w := range all {
+	entries := make([]receiptEntry, len(waiting))
+	for i, w := range waiting {
 		r := w.Payload.(*receipt.Receipt)
 		entries[i] = receiptEntry{No: w.No, Receipt: r}
 		if s.mailboxes.Key != nil {
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -50,9 +50,9 @@
 	t.log.Put(t.setAttempt(t.newRecord(audit.Started, a.Msg), a))
 }
 
-func (t *auditTrail) Ended(a *engine.Attempt, e *engine.End, v engine.Verdict, after bool) {
+func (t *auditTrail) Ended(a *engine.Attempt, e *engine.End, verdict engine.Verdict, late bool) {
 	r := t.setAttempt(t.newRecord(audit.Ended, a.Msg), a)
-	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = resultNames[v.Result], v.Ran, e.Status, int64(e.Wait), v.Why, after
+	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = resultNames[verdict.Result], verdict.Ran, e.Status, int64(e.Wait), verdict.Why, late
 	r.Took = max(0, t.log.Now().Microseconds()-int64(a.Sent))
 	t.log.Put(r)
 }
@@ -89,43 +89,43 @@
 
 // restoreReceipts puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
 // answer by then gets the one that is true of it: failed, it may have been sent.
-func (s *Service) restoreReceipts(room *mailbox.Room, book *intake.Book) error {
+func (s *Service) restoreReceipts(mailboxes *mailbox.Room, rules *intake.Book) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
-	subscriptions, owed, err := s.auditLog.Unfetched(since)
+	subscriptions, pending, err := s.auditLog.Unfetched(since)
 	if err != nil {
 		return fmt.Errorf("receipts of before: %w", err)
 	}
-	back := 0
+	restored := 0
 	for _, r := range subscriptions {
-		if tenant, ok := book.Tenant(r.Tenant); ok {
-			_, _, _, _ = room.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false) // one there is none too many
+		if tenant, ok := rules.Tenant(r.Tenant); ok {
+			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false) // one there is none too many
 		}
 	}
-	for _, p := range owed {
-		tenant, ok := book.Tenant(p.Tenant)
+	for _, receipt := range pending {
+		tenant, ok := rules.Tenant(receipt.Tenant)
 		if !ok {
 			continue
 		}
-		place, err := room.Promise(tenant, p.Queue, "", "")
+		reservation, err := mailboxes.Promise(tenant, receipt.Queue, "", "")
 		if err != nil {
-			s.log.Warn("audit", "the receipt of %s is not put back: %v", p.Accepted.Message, err)
+			s.log.Warn("audit", "the receipt of %s is not put back: %v", receipt.Accepted.Message, err)
 			continue
 		}
-		if p.Answered == nil {
-			p.Answered = &audit.Record{Kind: audit.Answered, Message: p.Accepted.Message, Partner: p.Accepted.Partner, Tenant: p.Tenant,
-				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: p.Queue}
-			s.auditLog.Put(p.Answered) // from now on that is its answer
+		if receipt.Answered == nil {
+			receipt.Answered = &audit.Record{Kind: audit.Answered, Message: receipt.Accepted.Message, Partner: receipt.Accepted.Partner, Tenant: receipt.Tenant,
+				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: receipt.Queue}
+			s.auditLog.Put(receipt.Answered) // from now on that is its answer
 		}
-		place.Fill(s.now(), newReceipt(p.Answered))
-		back++
+		reservation.Fill(s.now(), newReceipt(receipt.Answered))
+		restored++
 	}
-	if back > 0 {
-		s.log.Info("audit", "%d receipts of before are put back", back)
+	if restored > 0 {
+		s.log.Info("audit", "%d receipts of before are put back", restored)
 	}
 	return nil
 }
 
-func newReceipt(a *audit.Record) *receipt.Receipt {
-	return &receipt.Receipt{Message: a.Message, Answer: a.Result, At: a.Time(), Detail: a.Why, Reason: a.Reason, Attempts: a.Attempts,
-		Partner: a.Status, RetryAfter: a.Wait / 1000}
+func newReceipt(answer *audit.Record) *receipt.Receipt {
+	return &receipt.Receipt{Message: answer.Message, Answer: answer.Result, At: answer.Time(), Detail: answer.Why, Reason: answer.Reason, Attempts: answer.Attempts,
+		Partner: answer.Status, RetryAfter: answer.Wait / 1000}
 }
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -10,47 +10,47 @@
 
 // backgroundTasks runs the chores that internal/chores plans, one at a time, on one goroutine beside delivery.
 type backgroundTasks struct {
-	planner *chores.Planner
-	tasks   []func() (more bool, err error)
-	quit    chan struct{}
-	done    sync.WaitGroup
+	planner  *chores.Planner
+	tasks    []func() (more bool, err error)
+	stopping chan struct{}
+	done     sync.WaitGroup
 }
 
 // startBackground plans sealing, upkeep of the trail, expiry of answers and a look at old records.
-func (s *Service) startBackground(room *mailbox.Room) {
-	b := &backgroundTasks{quit: make(chan struct{})}
-	all := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
-	b.tasks = append(b.tasks, func() (bool, error) {
-		room.Lock()
-		defer room.Unlock()
-		room.Expire(s.now())
+func (s *Service) startBackground(mailboxes *mailbox.Room) {
+	background := &backgroundTasks{stopping: make(chan struct{})}
+	tasks := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
+	background.tasks = append(background.tasks, func() (bool, error) {
+		mailboxes.Lock()
+		defer mailboxes.Unlock()
+		mailboxes.Expire(s.now())
 		return false, nil
 	})
-	if k := s.auditLog; k != nil {
-		all = append(all, chores.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
+	if auditLog := s.auditLog; auditLog != nil {
+		tasks = append(tasks, chores.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
 			chores.Chore{Name: "compress and drop", Class: 2, Every: 500 * time.Millisecond, Deadline: time.Minute},
 			chores.Chore{Name: "verify", Class: 3, Every: 30 * time.Second})
-		b.tasks = append(b.tasks, func() (bool, error) { return false, k.SealNow() }, k.Tend, k.VerifyNext)
+		background.tasks = append(background.tasks, func() (bool, error) { return false, auditLog.SealNow() }, auditLog.Tend, auditLog.VerifyNext)
 	}
-	b.planner = chores.New(chores.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, all, s.now())
-	s.background = b
-	b.done.Go(func() {
+	background.planner = chores.New(chores.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, tasks, s.now())
+	s.background = background
+	background.done.Go(func() {
 		timer := time.NewTimer(0)
 		defer timer.Stop()
 		for {
 			select {
-			case <-b.quit:
+			case <-background.stopping:
 				return
 			case <-timer.C:
 			}
-			i, wait := b.planner.Next(s.now(), s.pressure())
-			if i >= 0 {
+			task, wait := background.planner.Next(s.now(), s.pressure())
+			if task >= 0 {
 				start := s.now()
-				more, err := b.tasks[i]()
+				more, err := background.tasks[task]()
 				if err != nil {
-					s.log.Warn("background", "%s: %v", all[i].Name, err)
+					s.log.Warn("background", "%s: %v", tasks[task].Name, err)
 				}
-				b.planner.Done(i, s.now(), s.now()-start, more && err == nil)
+				background.planner.Done(task, s.now(), s.now()-start, more && err == nil)
 			}
 			timer.Reset(wait)
 		}
@@ -64,7 +64,7 @@
 
 func (b *backgroundTasks) stop() {
 	if b != nil {
-		close(b.quit)
+		close(b.stopping)
 		b.done.Wait()
 	}
 }
--- a/internal/service/endpoint_poller.go
+++ b/internal/service/endpoint_poller.go
@@ -40,11 +40,11 @@
 }
 
 func (f listFile) Load(known string) ([]endpointlist.Endpoint, string, error) {
-	st, err := os.Stat(f.name)
+	info, err := os.Stat(f.name)
 	if err != nil {
 		return nil, "", err
 	}
-	version := fmt.Sprint(st.ModTime().UnixNano(), st.Size())
+	version := fmt.Sprint(info.ModTime().UnixNano(), info.Size())
 	if version == known {
 		return nil, known, nil
 	}
@@ -52,53 +52,53 @@
 	if err != nil {
 		return nil, "", err
 	}
-	lines, err := ParseList(f.name, text)
-	return lines, version, err
+	endpoints, err := ParseList(f.name, text)
+	return endpoints, version, err
 }
 
 // ParseList reads a list file. One bad line makes it all void: half a list would look as if the rest were gone.
 func ParseList(name string, text []byte) ([]endpointlist.Endpoint, error) {
-	var lines []endpointlist.Endpoint
-	var wrong []error
-	in := bufio.NewScanner(bytes.NewReader(text))
-	in.Buffer(nil, 1<<16)
-	n := 0
-	for in.Scan() {
-		n++
-		part := strings.Fields(in.Text())
-		if len(part) == 0 || part[0][0] == '#' {
+	var endpoints []endpointlist.Endpoint
+	var problems []error
+	scanner := bufio.NewScanner(bytes.NewReader(text))
+	scanner.Buffer(nil, 1<<16)
+	lineNumber := 0
+	for scanner.Scan() {
+		lineNumber++
+		words := strings.Fields(scanner.Text())
+		if len(words) == 0 || words[0][0] == '#' {
 			continue
 		}
-		l, err := parseLine(part)
+		endpoint, err := parseEndpoint(words)
 		if err != nil {
-			wrong = append(wrong, fmt.Errorf("%s:%d: %w", name, n, err))
+			problems = append(problems, fmt.Errorf("%s:%d: %w", name, lineNumber, err))
 			continue
 		}
-		lines = append(lines, l)
+		endpoints = append(endpoints, endpoint)
 	}
-	if err := in.Err(); err != nil {
-		wrong = append(wrong, fmt.Errorf("%s:%d: %w", name, n+1, err))
+	if err := scanner.Err(); err != nil {
+		problems = append(problems, fmt.Errorf("%s:%d: %w", name, lineNumber+1, err))
 	}
-	return lines, errors.Join(wrong...)
+	return endpoints, errors.Join(problems...)
 }
 
-func parseLine(part []string) (l endpointlist.Endpoint, err error) {
-	if len(part) != 3 {
-		return l, errors.New("not PARTNER ADDRESS ready|draining")
+func parseEndpoint(words []string) (endpoint endpointlist.Endpoint, err error) {
+	if len(words) != 3 {
+		return endpoint, errors.New("not PARTNER ADDRESS ready|draining")
 	}
-	l.Partner = part[0]
-	if l.Addr, err = netip.ParseAddrPort(part[1]); err != nil {
-		return l, fmt.Errorf("%q is no address with its port", part[1])
+	endpoint.Partner = words[0]
+	if endpoint.Addr, err = netip.ParseAddrPort(words[1]); err != nil {
+		return endpoint, fmt.Errorf("%q is no address with its port", words[1])
 	}
-	switch part[2] {
+	switch words[2] {
 	case "ready":
-		l.Health = control.Ready
+		endpoint.Health = control.Ready
 	case "draining":
-		l.Health = control.Draining
+		endpoint.Health = control.Draining
 	default:
-		return l, fmt.Errorf("%q is neither ready nor draining", part[2])
+		return endpoint, fmt.Errorf("%q is neither ready nor draining", words[2])
 	}
-	return l, nil
+	return endpoint, nil
 }
 
 // listPoller looks at the source and pushes what changed to the engine, on one goroutine.
@@ -106,26 +106,26 @@
 	source    ListSource
 	endpoints *endpointlist.Registry
 	log       *logs.Logger
-	put       func(engine.List)
-	quit      chan struct{}
+	deliver   func(engine.List)
+	stopping  chan struct{}
 	done      sync.WaitGroup
 	version   string
 	failing   bool
 }
 
 // start takes the first list at once, so that it is there before the first message, and looks for news every so often.
-func (l *listPoller) start(every time.Duration) {
+func (l *listPoller) start(interval time.Duration) {
 	l.poll(control.ListFull)
 	l.done.Add(1)
 	go func() {
 		defer l.done.Done()
-		tick := time.NewTicker(every)
-		defer tick.Stop()
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
 		for {
 			select {
-			case <-l.quit:
+			case <-l.stopping:
 				return
-			case <-tick.C:
+			case <-ticker.C:
 				l.poll(control.ListDelta)
 			}
 		}
@@ -133,7 +133,7 @@
 }
 
 func (l *listPoller) poll(kind control.ListKind) {
-	lines, version, err := l.source.Load(l.version)
+	endpoints, version, err := l.source.Load(l.version)
 	if err != nil {
 		if !l.failing {
 			l.log.Warn("list", "the list before it stays valid: %v", err)
@@ -149,15 +149,15 @@
 		return
 	}
 	l.version = version
-	c := l.endpoints.Replace(lines)
-	for _, odd := range c.Warnings {
-		l.log.Warn("list", "%s", odd)
+	diff := l.endpoints.Replace(endpoints)
+	for _, warning := range diff.Warnings {
+		l.log.Warn("list", "%s", warning)
 	}
-	l.put(engine.List{Kind: kind, Entries: c.Entries})
+	l.deliver(engine.List{Kind: kind, Entries: diff.Entries})
 }
 
 func (l *listPoller) stop() {
-	close(l.quit)
+	close(l.stopping)
 	l.done.Wait()
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -40,7 +40,7 @@
 	loop      *engine.Loop
 	pool      *outbound.Pool
 	admission *door.Door
-	fronts    []*front.Front // push, then AMQP where it is on
+	frontends []*front.Front // push, then AMQP where it is on
 	poller    *listPoller
 	auditLog  *audit.Keeper // nil where no trail is kept
 	trail     *auditTrail
@@ -55,28 +55,28 @@
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("random seed: %w", err)
 	}
-	names := push.ExternalIDs{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
+	ids := push.ExternalIDs{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
 	var err error
-	speech := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: names, wall: clock.Wall}
+	protocol := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: ids, wall: clock.Wall}
 	guard := safety.NewGuard(cfg.Control)
-	pool := cfg.Outbound
-	pool.Permits = sendPermits{guard}
-	s.pool, err = outbound.New(pool, outbound.NewHTTP2(speech), s.clock, func(e engine.End) { s.loop.Put(engine.Input{End: &e}) })
+	poolConfig := cfg.Outbound
+	poolConfig.Permits = sendPermits{guard}
+	s.pool, err = outbound.New(poolConfig, outbound.NewHTTP2(protocol), s.clock, func(e engine.End) { s.loop.Put(engine.Input{End: &e}) })
 	if err != nil {
 		return nil, err
 	}
-	own := make([]bool, len(cfg.Dialects))
+	pathPerMessage := make([]bool, len(cfg.Dialects))
 	for i, d := range cfg.Dialects {
-		own[i] = d.PathPerMessage()
+		pathPerMessage[i] = d.PathPerMessage()
 	}
 	if source == nil {
 		source = newListSource(cfg)
 	}
-	s.poller = &listPoller{source: source, endpoints: s.endpoints, log: log, quit: make(chan struct{})}
+	s.poller = &listPoller{source: source, endpoints: s.endpoints, log: log, stopping: make(chan struct{})}
 	s.admission = door.New(cfg.Admission, len(cfg.Intake.Tenants), engineAdapter{s})
-	policy := engine.Policy{Settings: cfg.Control, OwnPath: own, Guard: guard}
+	policy := engine.Policy{Settings: cfg.Control, OwnPath: pathPerMessage, Guard: guard}
 	if cfg.Audit.Folder != "" {
-		if policy.Trail, err = s.openTrail(names); err != nil {
+		if policy.Trail, err = s.openTrail(ids); err != nil {
 			s.pool.Close()
 			return nil, err
 		}
@@ -88,10 +88,10 @@
 		return nil, err
 	}
 	s.loop = engine.NewLoop(core, s.clock, cfg.EngineBounds)
-	s.poller.put = func(l engine.List) { s.loop.Put(engine.Input{List: &l}) }
+	s.poller.deliver = func(l engine.List) { s.loop.Put(engine.Input{List: &l}) }
 	s.poller.start(cfg.ListInterval)
 	go s.loop.Run()
-	if err := s.listen(names); err != nil {
+	if err := s.listen(ids); err != nil {
 		s.Kill()
 		return nil, err
 	}
@@ -109,20 +109,20 @@
 func (i engineAdapter) Withdraw(id control.MessageID)  { i.s.loop.Withdraw(id) }
 
 // openTrail opens the trail. While its disk fails nothing new is taken; what is held is answered.
-func (s *Service) openTrail(names push.ExternalIDs) (engine.Trail, error) {
-	bad := func(err error) {
+func (s *Service) openTrail(ids push.ExternalIDs) (engine.Trail, error) {
+	onWriteError := func(err error) {
 		if err != nil {
 			err = errors.New("the audit trail can't be written")
 		}
 		s.admission.Shut(err)
 	}
 	var err error
-	s.auditLog, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, bad)
+	s.auditLog, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, onWriteError)
 	if err != nil {
 		return nil, err
 	}
-	s.auditLog.Put(&audit.Record{Kind: audit.Begin, Why: "epoch " + names.Epoch})
-	s.trail = &auditTrail{s.auditLog, s.cfg, s.endpoints, names}
+	s.auditLog.Put(&audit.Record{Kind: audit.Begin, Why: "epoch " + ids.Epoch})
+	s.trail = &auditTrail{s.auditLog, s.cfg, s.endpoints, ids}
 	return s.trail, nil
 }
 
@@ -141,40 +141,40 @@
 }
 
 // listen opens the fronts. They are equals: each gets its side of the one door.
-func (s *Service) listen(names push.ExternalIDs) error {
-	cfg, book := s.cfg, intake.NewBook(s.cfg.Intake)
-	add := func(name string, c front.Config, side *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
-		f, err := front.New(c, side, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
+func (s *Service) listen(ids push.ExternalIDs) error {
+	cfg, rules := s.cfg, intake.NewBook(s.cfg.Intake)
+	listenOn := func(name string, frontConfig front.Config, admitter *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
+		frontend, err := front.New(frontConfig, admitter, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
 		if err == nil {
-			s.fronts = append(s.fronts, f)
+			s.frontends = append(s.frontends, frontend)
 		}
 		return err
 	}
-	room := &mailbox.Room{Box: mailbox.New(cfg.Mailbox)}
+	mailboxes := &mailbox.Room{Box: mailbox.New(cfg.Mailbox)}
 	if s.auditLog != nil {
-		room.Key, room.Changed = s.auditLog.Key(), s.trail.receiptChanged
-		if err := s.restoreReceipts(room, book); err != nil {
+		mailboxes.Key, mailboxes.Changed = s.auditLog.Key(), s.trail.receiptChanged
+		if err := s.restoreReceipts(mailboxes, rules); err != nil {
 			return err
 		}
 	}
-	s.startBackground(room)
-	side := s.admission.Side("push")
-	if err := add("push", cfg.Front, side, pushfront.SessionFactory(cfg.Push, push.NewRequestParser(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
+	s.startBackground(mailboxes)
+	admitter := s.admission.Side("push")
+	if err := listenOn("push", cfg.Front, admitter, pushfront.SessionFactory(cfg.Push, push.NewRequestParser(rules), ids, admitter, mailboxes, s.now)); err != nil || cfg.AMQP.Address == "" {
 		return err
 	}
-	side = s.admission.Side("amqp")
-	return add("amqp", cfg.AMQP, side, amqpfront.New(cfg.AMQPConn, book, names, side, room, s.now).Open)
+	admitter = s.admission.Side("amqp")
+	return listenOn("amqp", cfg.AMQP, admitter, amqpfront.New(cfg.AMQPConn, rules, ids, admitter, mailboxes, s.now).Open)
 }
 
 // Addr is where clients connect by HTTP/2.
-func (s *Service) Addr() net.Addr { return s.fronts[0].Addr() }
+func (s *Service) Addr() net.Addr { return s.frontends[0].Addr() }
 
 // AMQPAddr is where clients connect by AMQP, nil where that is off.
 func (s *Service) AMQPAddr() net.Addr {
-	if len(s.fronts) < 2 {
+	if len(s.frontends) < 2 {
 		return nil
 	}
-	return s.fronts[1].Addr()
+	return s.frontends[1].Addr()
 }
 
 // Stats returns the engine's counts.
@@ -201,7 +201,7 @@
 // It tells whether every message had its answer; when ctx ends first the rest is cut off.
 func (s *Service) Stop(ctx context.Context) bool {
 	s.log.Info("service", "stopping: no new messages")
-	for _, f := range s.fronts {
+	for _, f := range s.frontends {
 		f.GoAway()
 	}
 	answered := false
@@ -211,14 +211,14 @@
 	case <-ctx.Done():
 	}
 	if answered {
-		for _, f := range s.fronts {
+		for _, f := range s.frontends {
 			f.Flush(ctx)
 		}
 	}
 	s.close(true)
-	st := s.Stats()
-	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", st.Taken, st.Served,
-		st.Refused, st.Failed, st.Withdrawn, st.Open)
+	stats := s.Stats()
+	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", stats.Taken, stats.Served,
+		stats.Refused, stats.Failed, stats.Withdrawn, stats.Open)
 	return answered
 }
 
@@ -227,7 +227,7 @@
 
 func (s *Service) close(orderly bool) {
 	s.poller.stop()
-	for _, f := range s.fronts {
+	for _, f := range s.frontends {
 		f.Close()
 	}
 	s.background.stop()
@@ -257,26 +257,26 @@
 }
 
 func (s *partnerProtocol) Address(ep control.Endpoint) (netip.AddrPort, bool) {
-	p, ok := s.endpoints.Lookup(ep)
-	return p.Addr, ok
+	location, ok := s.endpoints.Lookup(ep)
+	return location.Addr, ok
 }
 
-func (s *partnerProtocol) Request(a *engine.Attempt, left time.Duration) []h2.Field {
-	p, _ := s.endpoints.Lookup(a.Endpoint)
-	site := s.resources[p.Partner]
-	if site.Authority == "" {
-		site.Authority = p.Addr.String()
+func (s *partnerProtocol) Request(a *engine.Attempt, remaining time.Duration) []h2.Field {
+	location, _ := s.endpoints.Lookup(a.Endpoint)
+	resource := s.resources[location.Partner]
+	if resource.Authority == "" {
+		resource.Authority = location.Addr.String()
 	}
-	return s.dialects[p.Kind].Request(site, s.ids, a, left, s.wall())
+	return s.dialects[location.Kind].Request(resource, s.ids, a, remaining, s.wall())
 }
 
 func (s *partnerProtocol) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End {
-	p, _ := s.endpoints.Lookup(a.Endpoint)
+	location, _ := s.endpoints.Lookup(a.Endpoint)
 	status, _ := strconv.Atoi(h2.Value(fields, ":status"))
-	e := engine.End{Kind: engine.Answered, Status: status}
+	end := engine.End{Kind: engine.Answered, Status: status}
 	if status >= 300 {
-		e.Wait = control.Time(push.RetryAfter(fields, s.wall()) / time.Microsecond)
-		e.Detail = s.dialects[p.Kind].Reason(body)
+		end.Wait = control.Time(push.RetryAfter(fields, s.wall()) / time.Microsecond)
+		end.Detail = s.dialects[location.Kind].Reason(body)
 	}
-	return e
+	return end
 }
