--- a/cmd/whinrun/main.go
+++ b/cmd/whinrun/main.go
@@ -57,13 +57,13 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "whinrun:", oneLine(err))
+		fmt.Fprintln(os.Stderr, "whinrun:", singleLine(err))
 		os.Exit(1)
 	}
 }
 
-// oneLine is an error as one line: those that are joined stand on several.
-func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
+// singleLine is an error as one line: those that are joined stand on several.
+func singleLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
 func (c *checkCmd) Run() error {
 	cfg, err := config.Load(c.Config)
--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -21,8 +21,8 @@
 	"whinrun/internal/load"
 )
 
-// build makes the program once for the tests that need a process of its own.
-func build(t *testing.T) string {
+// buildProgram makes the program once for the tests that need a process of its own.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "whinrun")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -31,8 +31,8 @@
 	return bin
 }
 
-// serve starts the program with a partner that calls block, and returns it with its address.
-func serve(t *testing.T, bin string, handle http.HandlerFunc, more ...string) (cmd *exec.Cmd, addr string) {
+// startServe starts the program with a partner that calls block, and returns it with its address.
+func startServe(t *testing.T, bin string, handle http.HandlerFunc, more ...string) (cmd *exec.Cmd, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,7 +83,7 @@
 func TestTerminate(t *testing.T) {
 	block, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(block)
-	cmd, addr := serve(t, build(t), func(http.ResponseWriter, *http.Request) {
+	cmd, addr := startServe(t, buildProgram(t), func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
 		<-block
 	})
@@ -110,7 +110,7 @@
 func TestTerminateTwice(t *testing.T) {
 	block, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(block)
-	cmd, addr := serve(t, build(t), func(http.ResponseWriter, *http.Request) {
+	cmd, addr := startServe(t, buildProgram(t), func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
 		<-block
 	})
@@ -134,7 +134,7 @@
 
 // A broken setup: one line each, exit code 2, for check and for serve.
 func TestCheckExits(t *testing.T) {
-	bin := build(t)
+	bin := buildProgram(t)
 	file := filepath.Join(t.TempDir(), "w.ini")
 	if err := os.WriteFile(file, []byte("[dispatcher]\nlisten = here\nlags = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -172,9 +172,9 @@
 		}
 		w.WriteHeader(201)
 	}
-	bin, folder, rng := build(t), t.TempDir(), rand.New(rand.NewPCG(5, 5))
+	bin, folder, rng := buildProgram(t), t.TempDir(), rand.New(rand.NewPCG(5, 5))
 	for range kills {
-		cmd, addr := serve(t, bin, handle, "\n[audit]\nfolder = "+folder+"\nsegment = 64KiB\n")
+		cmd, addr := startServe(t, bin, handle, "\n[audit]\nfolder = "+folder+"\nsegment = 64KiB\n")
 		c := load.NewClient(addr, 1)
 		ctx, stop := context.WithCancel(context.Background())
 		var all sync.WaitGroup
--- a/cmd/whinrun/node_test.go
+++ b/cmd/whinrun/node_test.go
@@ -16,27 +16,27 @@
 	"whinrun/internal/testbed"
 )
 
-// node is the program on a test bed, in a process of its own.
-type node struct {
-	t     *testing.T
-	bin   string
-	addr  string
-	file  string
-	state string
-	agent *testbed.Agent
-	cmd   *exec.Cmd
-	out   bytes.Buffer
-	adapt func(configuration []byte) []byte // changes the configuration, nil for as it is
+// nodeProcess is the program on a test bed, in a process of its own.
+type nodeProcess struct {
+	t          *testing.T
+	bin        string
+	addr       string
+	configFile string
+	stateDir   string
+	agent      *testbed.Agent
+	cmd        *exec.Cmd
+	output     bytes.Buffer
+	transform  func(configuration []byte) []byte // changes the configuration, nil for as it is
 }
 
-func newNode(t *testing.T, s *testbed.Testbed) *node {
+func newNodeProcess(t *testing.T, s *testbed.Testbed) *nodeProcess {
 	t.Helper()
 	addr, err := testbed.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	n := &node{t: t, bin: build(t), addr: addr, file: filepath.Join(dir, "config.json"), state: filepath.Join(dir, "state")}
+	n := &nodeProcess{t: t, bin: buildProgram(t), addr: addr, configFile: filepath.Join(dir, "config.json"), stateDir: filepath.Join(dir, "state")}
 	if n.agent, err = s.Agent(); err != nil {
 		t.Fatal(err)
 	}
@@ -44,33 +44,33 @@
 	return n
 }
 
-func (n *node) configure() {
+func (n *nodeProcess) configure() {
 	n.t.Helper()
-	n.write(testbed.Configuration(n.addr, n.agent))
+	n.writeConfig(testbed.Configuration(n.addr, n.agent))
 }
 
-func (n *node) start() {
+func (n *nodeProcess) start() {
 	n.t.Helper()
 	n.configure()
 	n.cmd = n.command()
-	n.cmd.Stdout = &n.out
+	n.cmd.Stdout = &n.output
 	if err := n.cmd.Start(); err != nil {
 		n.t.Fatal(err)
 	}
 	cmd := n.cmd
 	n.t.Cleanup(func() { _ = cmd.Process.Kill() })
-	n.awaitListening()
+	n.waitUntilListening()
 }
 
 // command is the program as a node of this configuration.
-func (n *node) command() *exec.Cmd {
+func (n *nodeProcess) command() *exec.Cmd {
 	cmd := exec.Command(n.bin, "node")
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.file, "EDGE_STATE="+n.state)
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.configFile, "EDGE_STATE="+n.stateDir)
 	return cmd
 }
 
-// awaitListening waits until it takes connections.
-func (n *node) awaitListening() {
+// waitUntilListening waits until it takes connections.
+func (n *nodeProcess) waitUntilListening() {
 	n.t.Helper()
 	for over := time.Now().Add(10 * time.Second); time.Now().Before(over); time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", n.addr); err == nil {
@@ -81,8 +81,8 @@
 	n.t.Fatal("it does not listen")
 }
 
-// ready asks for its state and returns the status.
-func (n *node) ready() int {
+// readyStatus asks for its state and returns the status.
+func (n *nodeProcess) readyStatus() int {
 	n.t.Helper()
 	c, err := net.DialTimeout("tcp", n.addr, time.Second)
 	if err != nil {
@@ -101,7 +101,7 @@
 // The program killed again and again in load: every message taken has its end, no upload is sent twice.
 func TestNodeKilledInLoad(t *testing.T) {
 	s := testbed.New()
-	n := newNode(t, s)
+	n := newNodeProcess(t, s)
 	e, err := s.Endpoint("a", 1, "", func(c testbed.Call) testbed.Reply {
 		return testbed.Reply{Status: []int{200, 200, 500, 503}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%11 == 0}
 	})
@@ -153,11 +153,11 @@
 	}
 }
 
-// failing starts the program beside an endpoint that answers errors.
-func failing(t *testing.T) (*testbed.Testbed, *node, testbed.Host) {
+// startWithFailingEndpoint starts the program beside an endpoint that answers errors.
+func startWithFailingEndpoint(t *testing.T) (*testbed.Testbed, *nodeProcess, testbed.Host) {
 	t.Helper()
 	s := testbed.New()
-	n := newNode(t, s)
+	n := newNodeProcess(t, s)
 	e, err := s.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return testbed.Reply{Status: 500} })
 	if err != nil {
 		t.Fatal(err)
@@ -171,8 +171,8 @@
 
 // SIGHUP never ends it, whatever the file holds; SIGTERM ends it in order, with 0, before 3.7 s.
 func TestNodeSignals(t *testing.T) {
-	s, n, host := failing(t)
-	if err := os.WriteFile(n.file, []byte("no configuration"), 0o600); err != nil {
+	s, n, host := startWithFailingEndpoint(t)
+	if err := os.WriteFile(n.configFile, []byte("no configuration"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_ = n.cmd.Process.Signal(syscall.SIGHUP)
@@ -200,7 +200,7 @@
 	if took := time.Since(start); took > 3700*time.Millisecond {
 		t.Errorf("the stop took %v", took)
 	}
-	if out := n.out.String(); !strings.Contains(out, "stopped: 1 taken") || strings.Contains(out, `"level":"error"`) {
+	if out := n.output.String(); !strings.Contains(out, "stopped: 1 taken") || strings.Contains(out, `"level":"error"`) {
 		t.Errorf("log: %s", out)
 	}
 }
@@ -208,7 +208,7 @@
 // A stop with a notice that nobody takes: a second SIGTERM changes nothing, a new address by SIGHUP counts, and the notice that is
 // owed goes there.
 func TestNodeReloadedWhileItStops(t *testing.T) {
-	s, n, _ := failing(t)
+	s, n, _ := startWithFailingEndpoint(t)
 	n.agent.Fail(503)
 	if status := s.Hand(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
@@ -224,7 +224,7 @@
 	n.configure()
 	start := time.Now()
 	_ = n.cmd.Process.Signal(syscall.SIGTERM)
-	for n.ready() == 200 { // until it stops: signals that are pending together come in no order
+	for n.readyStatus() == 200 { // until it stops: signals that are pending together come in no order
 	}
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		_ = n.cmd.Process.Signal(sig)
@@ -243,7 +243,7 @@
 // SIGTERM that comes while the program starts ends it in order, and what its ledger owes is kept.
 func TestNodeStoppedBeforeItIsReady(t *testing.T) {
 	s := testbed.New()
-	n := newNode(t, s)
+	n := newNodeProcess(t, s)
 	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
 	n.agent.Mute(true) // the start waits for discovery's first answer
 	n.configure()
@@ -266,8 +266,8 @@
 }
 
 // A fault of the configuration is one line that names file and key.
-func TestNodeConfigurationFault(t *testing.T) {
-	bin := build(t)
+func TestNodeInvalidConfiguration(t *testing.T) {
+	bin := buildProgram(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(`{"listen":"127.0.0.1:0","discovery":"x"}`), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -13,26 +13,26 @@
 	"whinrun/internal/testbed"
 )
 
-// keyWindow is how long partners drop repeats of a keyed message, where a test shortens the settings' own window.
-const keyWindow = 2 * time.Second
+// dedupWindow is how long partners drop repeats of a keyed message, where a test shortens the settings' own window.
+const dedupWindow = 2 * time.Second
 
-// shortenWindow has the next process started with a window of keyWindow.
-func (n *node) shortenWindow() {
+// shortenDedupWindow has the next process started with a window of keyWindow.
+func (n *nodeProcess) shortenDedupWindow() {
 	n.t.Helper()
-	n.adapt = func(text []byte) []byte {
+	n.transform = func(text []byte) []byte {
 		return bytes.ReplaceAll(text, []byte(`"window":4000000`), []byte(`"window":2000000`))
 	}
 }
 
 // kill ends the process as SIGKILL does.
-func (n *node) kill(s *testbed.Testbed) {
+func (n *nodeProcess) kill(s *testbed.Testbed) {
 	_ = n.cmd.Process.Signal(syscall.SIGKILL)
 	_ = n.cmd.Wait()
 	s.Note(testbed.Event{Kind: testbed.Restarted})
 }
 
-// calls returns when the calls of a message began.
-func calls(events []testbed.Event, name string) (at []time.Time) {
+// callTimes returns when the calls of a message began.
+func callTimes(events []testbed.Event, name string) (at []time.Time) {
 	for _, e := range events {
 		if e.Kind == testbed.Called && e.Name == name {
 			at = append(at, e.At)
@@ -43,10 +43,10 @@
 
 // A call is out when a first process is killed. What a second process learns of its own calls, each turned away unrun, says
 // nothing of that one: a third process must not repeat the message once partners have forgotten its key.
-func TestSecondRestartKnowsTheFirstCall(t *testing.T) {
+func TestSecondRestartRemembersFirstCall(t *testing.T) {
 	s := testbed.New()
-	n := newNode(t, s)
-	n.shortenWindow()
+	n := newNodeProcess(t, s)
+	n.shortenDedupWindow()
 	var reply atomic.Pointer[testbed.Reply]
 	reply.Store(&testbed.Reply{Hang: true})
 	e, err := s.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return *reply.Load() })
@@ -64,14 +64,14 @@
 		t.Fatal("no call by the first process")
 	}
 	n.kill(s)
-	reply.Store(&testbed.Reply{Status: 429, Wait: keyWindow / 4}) // the second process makes one call before it is killed
+	reply.Store(&testbed.Reply{Status: 429, Wait: dedupWindow / 4}) // the second process makes one call before it is killed
 	n.start()
 	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
 		t.Fatal("no call by the second process")
 	}
 	n.kill(s)
 	reply.Store(&testbed.Reply{Status: 200})
-	time.Sleep(time.Until(calls(s.Events(), "m")[0].Add(keyWindow))) // the window is a span of real time
+	time.Sleep(time.Until(callTimes(s.Events(), "m")[0].Add(dedupWindow))) // the window is a span of real time
 	n.start()
 	if !s.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, []string{"m"}) }) {
 		t.Error("no end")
@@ -80,41 +80,41 @@
 		t.Error(f)
 	}
 	if t.Failed() {
-		t.Logf("log: %s", n.out.String())
+		t.Logf("log: %s", n.output.String())
 	}
 }
 
 // nodeRules are the figures of testbed.Settings with windows shortened to keyWindow, for processes that share a machine with others.
 func nodeRules() testbed.Rules {
 	return testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
-		Windows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
+		Windows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
 }
 
-// write puts a configuration in place.
-func (n *node) write(text []byte) {
+// writeConfig puts a configuration in place.
+func (n *nodeProcess) writeConfig(text []byte) {
 	n.t.Helper()
-	if n.adapt != nil {
-		text = n.adapt(text)
+	if n.transform != nil {
+		text = n.transform(text)
 	}
-	if err := os.WriteFile(n.file, text, 0o600); err != nil {
+	if err := os.WriteFile(n.configFile, text, 0o600); err != nil {
 		n.t.Fatal(err)
 	}
 }
 
 // A folder that can't be used ends the start with one line and exit 1; one that another process still has is waited for.
-func TestNodeFolder(t *testing.T) {
+func TestNodeStateFolder(t *testing.T) {
 	s := testbed.New()
-	n := newNode(t, s)
+	n := newNodeProcess(t, s)
 	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
-	folder := n.state
-	n.state = filepath.Join(n.file, "state") // below a file
+	folder := n.stateDir
+	n.stateDir = filepath.Join(n.configFile, "state") // below a file
 	n.configure()
 	cmd := n.command()
 	out, err := cmd.CombinedOutput()
-	if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), n.file) {
+	if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), n.configFile) {
 		t.Errorf("%v, %q", err, out)
 	}
-	n.state = folder
+	n.stateDir = folder
 	n.start()
 	first := n.cmd
 	second := n.command()
@@ -127,7 +127,7 @@
 	time.Sleep(300 * time.Millisecond) // it finds the folder taken
 	_ = first.Process.Kill()
 	_ = first.Wait()
-	n.awaitListening()
+	n.waitUntilListening()
 	_ = second.Process.Signal(syscall.SIGTERM)
 	if err := second.Wait(); err != nil || !strings.Contains(log.String(), "in use by another process") {
 		t.Errorf("%v, log %s", err, log.String())
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestQuickstartIsWell(t *testing.T) {
+func TestQuickstartIsValid(t *testing.T) {
 	c, err := Load("../../examples/quickstart.ini")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/endpointlist/registry_test.go
+++ b/internal/endpointlist/registry_test.go
@@ -9,18 +9,18 @@
 	"whinrun/control"
 )
 
-func at(n int) netip.AddrPort {
+func testAddr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(n >> 16), byte(n >> 8), byte(n)}), 80)
 }
 
-func lines(n int) (all []Endpoint) {
+func testEndpoints(n int) (all []Endpoint) {
 	for i := range n {
-		all = append(all, Endpoint{Partner: fmt.Sprintf("p%d", i), Addr: at(i), Health: control.Ready})
+		all = append(all, Endpoint{Partner: fmt.Sprintf("p%d", i), Addr: testAddr(i), Health: control.Ready})
 	}
 	return all
 }
 
-func partners(n int) (all []Partner) {
+func testPartners(n int) (all []Partner) {
 	for i := range n {
 		all = append(all, Partner{Name: fmt.Sprintf("p%d", i)})
 	}
@@ -28,9 +28,9 @@
 }
 
 // A whole list is told as what differs; names of endpoints stay.
-func TestWholeTellsTheDifference(t *testing.T) {
-	r := New(partners(4))
-	l := lines(4)
+func TestReplaceReturnsDiff(t *testing.T) {
+	r := New(testPartners(4))
+	l := testEndpoints(4)
 	if c := r.Replace(l); len(c.Entries) != 4 || len(c.Warnings) != 0 {
 		t.Fatal(c)
 	}
@@ -48,7 +48,7 @@
 }
 
 // What is strange with a list is reported, and drains bind whatever else it says.
-func TestOddLists(t *testing.T) {
+func TestListWarnings(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		change     func([]Endpoint) []Endpoint
@@ -58,44 +58,44 @@
 		{"unknown partner", `partner "q" is not set up`, func(l []Endpoint) []Endpoint { l[2].Partner = "q"; return l }},
 		{"moved", `moves from partner "p2" to "p3"`, func(l []Endpoint) []Endpoint { l[2].Partner = "p3"; return l }},
 	} {
-		r := New(partners(8))
-		r.Replace(lines(8))
-		if got := r.Replace(c.change(lines(8))); !strings.Contains(strings.Join(got.Warnings, "; "), c.want) {
+		r := New(testPartners(8))
+		r.Replace(testEndpoints(8))
+		if got := r.Replace(c.change(testEndpoints(8))); !strings.Contains(strings.Join(got.Warnings, "; "), c.want) {
 			t.Errorf("%s: %v", c.name, got.Warnings)
 		}
 	}
-	r := New(partners(1))
-	drained := Endpoint{Partner: "p0", Addr: at(0), Health: control.Draining}
-	if c := r.Replace([]Endpoint{drained, lines(1)[0]}); c.Entries[0].Health != control.Draining {
+	r := New(testPartners(1))
+	drained := Endpoint{Partner: "p0", Addr: testAddr(0), Health: control.Draining}
+	if c := r.Replace([]Endpoint{drained, testEndpoints(1)[0]}); c.Entries[0].Health != control.Draining {
 		t.Error("listed twice, once draining: told as ready")
 	}
 }
 
 // Two partners on one address are two endpoints.
 func TestSharedAddress(t *testing.T) {
-	r := New(partners(2))
-	c := r.Replace([]Endpoint{{Partner: "p0", Addr: at(1), Health: control.Ready}, {Partner: "p1", Addr: at(1), Health: control.Ready}})
+	r := New(testPartners(2))
+	c := r.Replace([]Endpoint{{Partner: "p0", Addr: testAddr(1), Health: control.Ready}, {Partner: "p1", Addr: testAddr(1), Health: control.Ready}})
 	if len(c.Entries) != 2 || c.Entries[0].Endpoint == c.Entries[1].Endpoint || len(c.Warnings) != 0 {
 		t.Error(c)
 	}
 }
 
-func TestDelta(t *testing.T) {
-	r := New(partners(3))
-	r.Replace(lines(3))
-	gone := lines(3)[1]
+func TestApplyDelta(t *testing.T) {
+	r := New(testPartners(3))
+	r.Replace(testEndpoints(3))
+	gone := testEndpoints(3)[1]
 	gone.Health = control.Gone
-	if c := r.ApplyDelta([]Endpoint{gone, lines(3)[0]}); len(c.Entries) != 1 || c.Entries[0].Health != control.Gone {
+	if c := r.ApplyDelta([]Endpoint{gone, testEndpoints(3)[0]}); len(c.Entries) != 1 || c.Entries[0].Health != control.Gone {
 		t.Error(c)
 	}
-	if c := r.Replace(lines(3)); len(c.Entries) != 1 {
+	if c := r.Replace(testEndpoints(3)); len(c.Entries) != 1 {
 		t.Error("after a delta the whole list differs in", len(c.Entries))
 	}
 }
 
-func BenchmarkWhole(b *testing.B) {
-	r := New(partners(100000))
-	l := lines(100000)
+func BenchmarkReplace(b *testing.B) {
+	r := New(testPartners(100000))
+	l := testEndpoints(100000)
 	r.Replace(l)
 	for b.Loop() {
 		l[5].Health ^= 1
@@ -103,9 +103,9 @@
 	}
 }
 
-func BenchmarkDelta(b *testing.B) {
-	r := New(partners(100000))
-	l := lines(100000)
+func BenchmarkApplyDelta(b *testing.B) {
+	r := New(testPartners(100000))
+	l := testEndpoints(100000)
 	r.Replace(l)
 	for b.Loop() {
 		l[5].Health ^= 1
--- a/internal/push/request_test.go
+++ b/internal/push/request_test.go
@@ -11,7 +11,7 @@
 	"whinrun/internal/intake"
 )
 
-func desk() *RequestParser {
+func testParser() *RequestParser {
 	return NewRequestParser(intake.NewBook(intake.Setup{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, Life: 10 * time.Second},
 		{Path: "/a/open", Class: 1, Tenant: 2, Life: 10 * time.Second}, {Path: "/d/*", Tenant: 1, Life: 10 * time.Second, Target: ""}},
 		Tokens: []intake.Token{intake.NewToken("one", 0), intake.NewToken("two", 1)}, Tenants: []string{"x", "y", "z"},
@@ -26,7 +26,7 @@
 	return f
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejects(t *testing.T) {
 	auth := []string{"authorization", "Bearer one"}
 	with := func(more ...string) []string { return append(append([]string(nil), auth...), more...) }
 	for _, c := range []struct {
@@ -57,14 +57,14 @@
 		{"blank in the device", request("/d/a b", "ttl", "5", "authorization", "Bearer two"), 404},
 		{"deeper", request("/d/a/b", "ttl", "5", "authorization", "Bearer two"), 404},
 	} {
-		_, p := desk().Read(c.fields)
+		_, p := testParser().Read(c.fields)
 		if got := statusOf(p); got != c.status {
 			t.Errorf("%s: %d, want %d (%v)", c.name, got, c.status, p)
 		}
 	}
 	get := request("/a/status", with("ttl", "5")...)
 	get[0].Value = "GET"
-	if _, p := desk().Read(get); statusOf(p) != 405 {
+	if _, p := testParser().Read(get); statusOf(p) != 405 {
 		t.Errorf("GET: %v", p)
 	}
 }
@@ -76,19 +76,19 @@
 	return p.Status
 }
 
-func TestReadMeaning(t *testing.T) {
-	m, p := desk().Read(request("/a/status", "authorization", "bearer one", "ttl", "3", "topic", "t1", "idempotency-key", `"k1"`, "urgency", "high"))
+func TestReadSetsMessageFields(t *testing.T) {
+	m, p := testParser().Read(request("/a/status", "authorization", "bearer one", "ttl", "3", "topic", "t1", "idempotency-key", `"k1"`, "urgency", "high"))
 	if p != nil {
 		t.Fatal(p)
 	}
 	if m.Life != 3*control.Second || m.Key == 0 || m.Repeat != "0/k1" || m.Dest != 1 || m.Urgency != "high" {
 		t.Errorf("%+v", m)
 	}
-	bare, _ := desk().Read(request("/a/status", "authorization", "Bearer one", "ttl", "0", "topic", "t1", "idempotency-key", "k1"))
+	bare, _ := testParser().Read(request("/a/status", "authorization", "Bearer one", "ttl", "0", "topic", "t1", "idempotency-key", "k1"))
 	if bare.Life != control.Second || bare.Key != m.Key || bare.Repeat != m.Repeat {
 		t.Errorf("TTL 0, bare key: %+v", bare)
 	}
-	d, _ := desk().Read(request("/d/token9", "authorization", "Bearer two", "ttl", "100"))
+	d, _ := testParser().Read(request("/d/token9", "authorization", "Bearer two", "ttl", "100"))
 	if d.Target != "/token9" || d.Life != 10*control.Second {
 		t.Errorf("%+v", d)
 	}
@@ -177,7 +177,7 @@
 func FuzzRead(f *testing.F) {
 	f.Add("/a/status", "Bearer one", "5", "t", `"k"`)
 	f.Fuzz(func(t *testing.T, path, auth, ttl, topic, key string) {
-		m, p := desk().Read(request(path, "authorization", auth, "ttl", ttl, "topic", topic, "idempotency-key", key))
+		m, p := testParser().Read(request(path, "authorization", auth, "ttl", ttl, "topic", topic, "idempotency-key", key))
 		if (m == nil) == (p == nil) {
 			t.Error("neither a message nor a problem, or both")
 		}
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -19,15 +19,15 @@
 	"whinrun/internal/load"
 )
 
-const withAMQP = `[amqp]
+const amqpSettings = `[amqp]
 listen = 127.0.0.1:0
 [exchange uploads]
 class = upload
 tenant = t
 `
 
-// dial connects with the client library in common use.
-func dial(t *testing.T, s *Service) (*amqp.Connection, *amqp.Channel) {
+// dialAMQP connects with the client library in common use.
+func dialAMQP(t *testing.T, s *Service) (*amqp.Connection, *amqp.Channel) {
 	t.Helper()
 	c, err := amqp.Dial(fmt.Sprintf("amqp://t:secret@%v/", s.AMQPAddr()))
 	if err != nil {
@@ -41,7 +41,7 @@
 	return c, ch
 }
 
-func within(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(stop)
 	return ctx
@@ -49,7 +49,7 @@
 
 // Interop: served, refused and failed each arrive in their documented form, and in full in the queue of answers.
 func TestAMQPAnswers(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		switch {
 		case strings.HasPrefix(string(b), "no"):
@@ -65,9 +65,9 @@
 			w.WriteHeader(201)
 		}
 	})
-	s := start(t, addr, withAMQP+"[limits]\nbody = 1MiB\n")
+	s := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
 	defer s.Kill()
-	_, ch := dial(t, s)
+	_, ch := dialAMQP(t, s)
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 		body, answer string
 		ack, back    bool
 	}{{"ok" + big[2:], "served", true, false}, {"no", "failed", false, false}, {"full", "refused", false, true}} {
-		ctx := within(t)
+		ctx := testContext(t)
 		d, err := ch.PublishWithDeferredConfirmWithContext(ctx, "uploads", "p", false, false, amqp.Publishing{Body: []byte(c.body), ReplyTo: q.Name,
 			MessageId: "id-" + c.body[:2], CorrelationId: "c-" + c.body[:2], Priority: 9, ContentType: "text/x", Expiration: "900",
 			Headers: amqp.Table{"x-order-key": "k1", "more": amqp.Table{"a": int32(1)}}})
@@ -136,7 +136,7 @@
 func TestAMQPConfirmsOutOfOrder(t *testing.T) {
 	var n int
 	var mu sync.Mutex
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		n++
 		d := time.Duration(n*7%20) * time.Millisecond
@@ -144,11 +144,11 @@
 		time.Sleep(d)
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
+	s := startService(t, addr, amqpSettings)
 	defer s.Kill()
 	p := load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
 	defer p.Close()
-	ctx := within(t)
+	ctx := testContext(t)
 	var all sync.WaitGroup
 	for i := range 500 {
 		all.Go(func() {
@@ -163,11 +163,13 @@
 
 // What is wrong closes the channel or the connection with the specified code, and says why.
 func TestAMQPRefusals(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, withAMQP+"[limits]\nbody = 1MiB\n")
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	s := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
 	defer s.Kill()
 	publish := func(exchange, key string, p amqp.Publishing) func(*amqp.Channel) error {
-		return func(ch *amqp.Channel) error { return ch.PublishWithContext(within(t), exchange, key, false, false, p) }
+		return func(ch *amqp.Channel) error {
+			return ch.PublishWithContext(testContext(t), exchange, key, false, false, p)
+		}
 	}
 	for name, c := range map[string]struct {
 		do   func(*amqp.Channel) error
@@ -179,7 +181,7 @@
 		"order key":            {publish("uploads", "p", amqp.Publishing{Headers: amqp.Table{"x-order-key": "not a key"}}), 406},
 		"user-id":              {publish("uploads", "p", amqp.Publishing{UserId: "u"}), 406},
 		"immediate": {func(ch *amqp.Channel) error {
-			return ch.PublishWithContext(within(t), "uploads", "p", false, true, amqp.Publishing{})
+			return ch.PublishWithContext(testContext(t), "uploads", "p", false, true, amqp.Publishing{})
 		}, 540},
 		"transaction": {func(ch *amqp.Channel) error { return ch.Tx() }, 540},
 		"durable queue": {func(ch *amqp.Channel) error {
@@ -195,7 +197,7 @@
 		"bind to the default": {func(ch *amqp.Channel) error { return ch.QueueBind("q", "k", "", false, nil) }, 404},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, ch := dial(t, s)
+			conn, ch := dialAMQP(t, s)
 			closed := ch.NotifyClose(make(chan *amqp.Error, 1))
 			if err := c.do(ch); err != nil {
 				t.Log(err)
@@ -205,7 +207,7 @@
 				if e == nil || e.Code != c.code {
 					t.Errorf("closed with %v, want %d", e, c.code)
 				}
-			case <-within(t).Done():
+			case <-testContext(t).Done():
 				t.Fatal("not closed")
 			}
 			if soft := c.code < 500; soft == conn.IsClosed() {
@@ -224,14 +226,14 @@
 // A publish is a hand-over: with its connection lost it is carried on, and its answer waits in the queue it names.
 func TestAMQPConnectionLost(t *testing.T) {
 	arrived, go_ := make(chan struct{}, 300), make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-go_
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
+	s := startService(t, addr, amqpSettings)
 	defer s.Kill()
-	conn, ch := dial(t, s)
+	conn, ch := dialAMQP(t, s)
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
@@ -240,7 +242,7 @@
 	}
 	const n = 200
 	for i := range n {
-		if err := ch.PublishWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x"), ReplyTo: "mine",
+		if err := ch.PublishWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x"), ReplyTo: "mine",
 			MessageId: fmt.Sprint(i)}); err != nil {
 			t.Fatal(err)
 		}
@@ -251,7 +253,7 @@
 	}
 	_ = conn.Close()
 	close(go_)
-	_, ch = dial(t, s)
+	_, ch = dialAMQP(t, s)
 	answers, err := ch.Consume("mine", "", false, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -264,7 +266,7 @@
 				t.Errorf("%s %s again: %v", a.CorrelationId, a.Type, seen[a.CorrelationId])
 			}
 			seen[a.CorrelationId] = true
-		case <-within(t).Done():
+		case <-testContext(t).Done():
 			t.Fatalf("%d of %d answers", len(seen), n)
 		}
 	}
@@ -274,15 +276,15 @@
 }
 
 // Publishers are asked to stop when the hold fills, what comes all the same is returned, and they are let go on.
-func TestAMQPBlocked(t *testing.T) {
+func TestAMQPConnectionBlocked(t *testing.T) {
 	go_ := make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		<-go_
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP+"[limits]\nhold = 16\n")
+	s := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
 	defer s.Kill()
-	conn, ch := dial(t, s)
+	conn, ch := dialAMQP(t, s)
 	blocked := conn.NotifyBlocked(make(chan amqp.Blocking, 4))
 	returns := ch.NotifyReturn(make(chan amqp.Return, 100))
 	if err := ch.Confirm(false); err != nil {
@@ -290,7 +292,7 @@
 	}
 	var confirms []*amqp.DeferredConfirmation
 	for range 40 {
-		d, err := ch.PublishWithDeferredConfirmWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x")})
+		d, err := ch.PublishWithDeferredConfirmWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -303,14 +305,14 @@
 	for n := range 20 {
 		select {
 		case <-returns:
-		case <-within(t).Done():
+		case <-testContext(t).Done():
 			t.Fatalf("%d returned while the partner answers nothing", n)
 		}
 	}
 	close(go_)
 	acks, nacks := 0, 0
 	for _, d := range confirms {
-		if ok, err := d.WaitContext(within(t)); err != nil {
+		if ok, err := d.WaitContext(testContext(t)); err != nil {
 			t.Fatal(err)
 		} else if ok {
 			acks++
@@ -329,26 +331,26 @@
 // An orderly stop answers what was taken and closes connections with 320.
 func TestAMQPStop(t *testing.T) {
 	arrived, go_ := make(chan struct{}, 10), make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-go_
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
-	conn, ch := dial(t, s)
+	s := startService(t, addr, amqpSettings)
+	conn, ch := dialAMQP(t, s)
 	closed := conn.NotifyClose(make(chan *amqp.Error, 1))
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
-	d, err := ch.PublishWithDeferredConfirmWithContext(within(t), "", "/p/upload", false, false, amqp.Publishing{Body: []byte("x")})
+	d, err := ch.PublishWithDeferredConfirmWithContext(testContext(t), "", "/p/upload", false, false, amqp.Publishing{Body: []byte("x")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-arrived
 	stopped := make(chan bool, 1)
-	go func() { stopped <- s.Stop(within(t)) }()
+	go func() { stopped <- s.Stop(testContext(t)) }()
 	close(go_)
-	if ok, err := d.WaitContext(within(t)); !ok || err != nil {
+	if ok, err := d.WaitContext(testContext(t)); !ok || err != nil {
 		t.Error("not answered at the stop:", ok, err)
 	}
 	if e := <-closed; e == nil || e.Code != 320 {
@@ -362,18 +364,18 @@
 // One message-id is one key, whichever front it comes by: partners that drop repeats see the same.
 func TestSameKeyOnBothFronts(t *testing.T) {
 	keys := make(chan string, 2)
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		keys <- r.Header.Get("Idempotency-Key") + r.Header.Get("Topic")
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
+	s := startService(t, addr, amqpSettings)
 	defer s.Kill()
 	c, p := load.NewClient(s.Addr().String(), 1), load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
 	defer c.Close()
 	defer p.Close()
 	for _, by := range []load.Poster{c, p} {
 		m := load.Message{Test: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, Repeat: "one", Key: "k"}
-		if status, _, _, err := by.Post(within(t), &m); status != 201 || err != nil {
+		if status, _, _, err := by.Post(testContext(t), &m); status != 201 || err != nil {
 			t.Fatal(status, err)
 		}
 	}
@@ -384,11 +386,11 @@
 
 // A reader that acknowledges nothing fills its queue; then messages that name it are returned before they are taken,
 // and none of its answers is lost.
-func TestAMQPReaderBehind(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, withAMQP+"[answers]\nqueue-length = 5\n")
+func TestAMQPSlowConsumer(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	s := startService(t, addr, amqpSettings+"[answers]\nqueue-length = 5\n")
 	defer s.Kill()
-	_, ch := dial(t, s)
+	_, ch := dialAMQP(t, s)
 	returns := ch.NotifyReturn(make(chan amqp.Return, 10))
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
@@ -407,11 +409,11 @@
 		t.Fatal(err)
 	}
 	for i := range 7 {
-		d, err := ch.PublishWithDeferredConfirmWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{MessageId: fmt.Sprint("m", i)})
+		d, err := ch.PublishWithDeferredConfirmWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{MessageId: fmt.Sprint("m", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if ok, err := d.WaitContext(within(t)); ok != (i < 5) || err != nil {
+		if ok, err := d.WaitContext(testContext(t)); ok != (i < 5) || err != nil {
 			t.Errorf("message %d: %v %v", i, ok, err)
 		}
 	}
@@ -440,11 +442,11 @@
 
 // A client whose library does not know connection.blocked is asked by channel.flow. What it publishes without confirms
 // above the limits closes its channel: nothing else would tell it.
-func TestAMQPFlow(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+func TestAMQPChannelFlow(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	})
-	s := start(t, addr, withAMQP+"[limits]\nhold = 16\n")
+	s := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
 	defer s.Kill()
 	c, err := net.Dial("tcp", s.AMQPAddr().String())
 	if err != nil {
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -20,14 +20,14 @@
 	"whinrun/internal/receipt"
 )
 
-// ask sends one request over HTTP/2.
-func ask(t *testing.T, s *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
+// doRequest sends one request over HTTP/2.
+func doRequest(t *testing.T, s *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
 	t.Helper()
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	tr := &http.Transport{Protocols: &p}
 	defer tr.CloseIdleConnections() // the connection goes: what was handed in asynchronously must not
-	req, err := http.NewRequestWithContext(within(t), method, "http://"+s.Addr().String()+path, bytes.NewReader([]byte(body)))
+	req, err := http.NewRequestWithContext(testContext(t), method, "http://"+s.Addr().String()+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 // RFC 8030 section 5.1: 202 once taken, the final answer as a signed receipt in the subscription, until it is taken out.
 func TestReceipts(t *testing.T) {
 	go_ := make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		<-go_
 		if strings.HasPrefix(string(b), "no") {
@@ -60,15 +60,15 @@
 		w.WriteHeader(201)
 	})
 	folder := t.TempDir()
-	s := start(t, addr, withAMQP+"[audit]\nfolder = "+folder+"\n[tenant other]\ntoken = others\n[answers]\nqueue-length = 3\n")
+	s := startService(t, addr, amqpSettings+"[audit]\nfolder = "+folder+"\n[tenant other]\ntoken = others\n[answers]\nqueue-length = 3\n")
 	defer s.Kill()
-	res, _ := ask(t, s, "POST", "/receipts/t", "")
+	res, _ := doRequest(t, s, "POST", "/receipts/t", "")
 	sub := res.Header.Get("Location")
 	if res.StatusCode != 201 || !strings.HasPrefix(sub, "/receipts/t/") {
 		t.Fatal(res.Status, sub)
 	}
 	post := func(body, to string, more ...string) *http.Response {
-		res, _ := ask(t, s, "POST", "/p/upload", body, append([]string{"TTL", "4", "Push-Receipt", to}, more...)...)
+		res, _ := doRequest(t, s, "POST", "/p/upload", body, append([]string{"TTL", "4", "Push-Receipt", to}, more...)...)
 		return res
 	}
 	async := []string{"Prefer", "wait=5, respond-async"}
@@ -80,7 +80,7 @@
 		}
 		names[res.Header.Get("Whinrun-Message")] = want
 	}
-	if res, _ := ask(t, s, "GET", sub, ""); res.StatusCode != 204 {
+	if res, _ := doRequest(t, s, "GET", sub, ""); res.StatusCode != 204 {
 		t.Error("a receipt before the answer:", res.Status)
 	}
 	for want, res := range map[int]*http.Response{400: post("x", sub), 404: post("x", "/receipts/t/none", async...)} {
@@ -97,7 +97,7 @@
 	if res := post("x", sub, async...); res.StatusCode != 503 {
 		t.Error("a fourth place of three:", res.Status)
 	}
-	if res, _ := ask(t, s, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
+	if res, _ := doRequest(t, s, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
 		t.Error("another tenant's receipts are shown")
 	}
 	close(go_)
@@ -111,7 +111,7 @@
 		Signed  string
 	}
 	for len(got) < 3 {
-		if _, b := ask(t, s, "GET", sub, ""); len(b) > 0 {
+		if _, b := doRequest(t, s, "GET", sub, ""); len(b) > 0 {
 			if err := json.Unmarshal(b, &got); err != nil {
 				t.Fatal(err)
 			}
@@ -126,14 +126,14 @@
 		if want, ok := names[g.Receipt.Message]; ok && (g.Receipt.Answer != want || !strings.HasPrefix(g.Receipt.MessageID, "k-")) {
 			t.Errorf("%+v, want %s", g.Receipt, want)
 		}
-		if res, _ := ask(t, s, "DELETE", sub+"/"+jsonNumber(g.No), ""); res.StatusCode != 204 {
+		if res, _ := doRequest(t, s, "DELETE", sub+"/"+formatNumber(g.No), ""); res.StatusCode != 204 {
 			t.Error(res.Status)
 		}
 	}
-	if res, _ := ask(t, s, "GET", sub, ""); res.StatusCode != 204 {
+	if res, _ := doRequest(t, s, "GET", sub, ""); res.StatusCode != 204 {
 		t.Error("taken out, and still there:", res.Status)
 	}
-	_, ch := dial(t, s)
+	_, ch := dialAMQP(t, s)
 	q, err := ch.QueueDeclare("", false, false, true, false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := ch.PublishWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("yes"), ReplyTo: q.Name}); err != nil {
+	if err := ch.PublishWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("yes"), ReplyTo: q.Name}); err != nil {
 		t.Fatal(err)
 	}
 	a := <-answers
@@ -152,12 +152,12 @@
 	}
 }
 
-func jsonNumber(n uint64) string { b, _ := json.Marshal(n); return string(b) }
+func formatNumber(n uint64) string { b, _ := json.Marshal(n); return string(b) }
 
 // While the trail's disk is full nothing new is taken, what is held is answered, and it goes on when there is room.
 func TestFullDisk(t *testing.T) {
 	arrived, go_ := make(chan struct{}, 1), make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case arrived <- struct{}{}:
 		default:
@@ -165,7 +165,7 @@
 		<-go_
 		w.WriteHeader(201)
 	})
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(base, "ADDRESS", addr, 1) + "[audit]\nfolder = " + t.TempDir() + "\n"
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1) + "[audit]\nfolder = " + t.TempDir() + "\n"
 	cfg, err := config.Parse("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	}
 	defer s.Kill()
 	post := func() int {
-		res, _ := ask(t, s, "POST", "/p/status", "x", "TTL", "4")
+		res, _ := doRequest(t, s, "POST", "/p/status", "x", "TTL", "4")
 		return res.StatusCode
 	}
 	held := make(chan int, 1)
@@ -217,7 +217,7 @@
 func TestReceiptsAfterACrash(t *testing.T) {
 	go_ := make(chan struct{})
 	defer close(go_)
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		if b, _ := io.ReadAll(r.Body); string(b) == "hang" {
 			<-go_
 		}
@@ -225,12 +225,12 @@
 	})
 	folder := t.TempDir()
 	more := "[audit]\nfolder = " + folder + "\n"
-	s := start(t, addr, more)
-	res, _ := ask(t, s, "POST", "/receipts/t", "")
+	s := startService(t, addr, more)
+	res, _ := doRequest(t, s, "POST", "/receipts/t", "")
 	sub := res.Header.Get("Location")
 	var names []string
 	for _, body := range []string{"one", "two", "hang"} {
-		res, _ := ask(t, s, "POST", "/p/upload", body, "TTL", "4", "Prefer", "respond-async", "Push-Receipt", sub)
+		res, _ := doRequest(t, s, "POST", "/p/upload", body, "TTL", "4", "Prefer", "respond-async", "Push-Receipt", sub)
 		names = append(names, res.Header.Get("Whinrun-Message"))
 	}
 	read := func(want int) (all []struct {
@@ -238,14 +238,14 @@
 		Receipt receipt.Receipt
 	}) {
 		for len(all) != want {
-			if _, b := ask(t, s, "GET", sub, ""); len(b) > 0 {
+			if _, b := doRequest(t, s, "GET", sub, ""); len(b) > 0 {
 				_ = json.Unmarshal(b, &all)
 			}
 		}
 		return all
 	}
 	first := read(2)[0]
-	ask(t, s, "DELETE", sub+"/"+jsonNumber(first.No), "")
+	doRequest(t, s, "DELETE", sub+"/"+formatNumber(first.No), "")
 	for owed := 3; owed != 2; time.Sleep(time.Millisecond) { // until the trail on disk knows of the fetched one
 		store, _, err := audit.OpenReader(folder)
 		if err != nil {
@@ -256,7 +256,7 @@
 		}
 	}
 	s.Kill()
-	s = start(t, addr, more)
+	s = startService(t, addr, more)
 	defer s.Kill()
 	got := map[string]string{}
 	for _, e := range read(2) {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -21,7 +21,7 @@
 	"whinrun/internal/logs"
 )
 
-const base = `[class status]
+const baseSettings = `[class status]
 effect = safe
 aim = 1s
 deadline = 4s
@@ -45,10 +45,10 @@
 tenant = t
 `
 
-// start starts a dispatcher with one partner at addr and further settings.
-func start(t *testing.T, addr, more string) *Service {
+// startService starts a dispatcher with one partner at addr and further settings.
+func startService(t *testing.T, addr, more string) *Service {
 	t.Helper()
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(base, "ADDRESS", addr, 1) + more
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1) + more
 	cfg, err := config.Parse("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	return s
 }
 
-// peer is a partner that we did not write: net/http's HTTP/2 server.
-func peer(t *testing.T, h http.HandlerFunc) (addr string, srv *http.Server) {
+// startHTTP2Partner is a partner that we did not write: net/http's HTTP/2 server.
+func startHTTP2Partner(t *testing.T, h http.HandlerFunc) (addr string, srv *http.Server) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,7 +76,7 @@
 	return ln.Addr().String(), srv
 }
 
-func post(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
+func postMessage(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
 	m := load.Message{Test: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
 	for _, f := range more {
 		f(&m)
@@ -91,7 +91,7 @@
 func TestBetweenNetHTTPPeers(t *testing.T) {
 	var mu sync.Mutex
 	sizes := map[int]int{}
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
 		mu.Lock()
 		defer mu.Unlock()
@@ -103,7 +103,7 @@
 		w.Header().Set("Location", "/d/1")
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, "")
+	s := startService(t, addr, "")
 	defer s.Kill()
 	c := load.NewClient(s.Addr().String(), 3)
 	defer c.Close()
@@ -114,7 +114,7 @@
 		go func() {
 			defer all.Done()
 			size := 100 + (i%5)*50000
-			if status, err := post(c, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
+			if status, err := postMessage(c, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
 				bad.Add(1)
 				t.Log(status, err)
 			}
@@ -127,14 +127,14 @@
 }
 
 // A peer of net/http that shuts down sends GOAWAY: nothing that was out is lost, and nothing is sent twice.
-func TestPeerShutsDownInLoad(t *testing.T) {
+func TestPartnerShutsDownUnderLoad(t *testing.T) {
 	var served atomic.Int64
-	addr, srv := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, srv := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
 		served.Add(1)
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, "")
+	s := startService(t, addr, "")
 	defer s.Kill()
 	c := load.NewClient(s.Addr().String(), 1)
 	defer c.Close()
@@ -146,7 +146,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if status, _ := post(c, "/p/upload"); status == 201 {
+			if status, _ := postMessage(c, "/p/upload"); status == 201 {
 				ok.Add(1)
 			}
 			once.Do(func() { close(first) })
@@ -163,7 +163,7 @@
 // The device dialect: a path per device, refusals with a reason in JSON; a device that is gone says nothing of the
 // partner, so that others are served on.
 func TestDeviceDialect(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Header.Get("Apns-Id") == "" || r.Header.Get("Apns-Expiration") == "":
 			w.WriteHeader(500)
@@ -174,7 +174,7 @@
 			w.WriteHeader(500)
 		}
 	})
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(base, "ADDRESS", addr, 1)
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1)
 	text = strings.Replace(text, "[kind k]", "[kind k]\ndialect = device", 1)
 	text = strings.Replace(text, "endpoints =", "path = /3/device\nendpoints =", 1)
 	text = strings.ReplaceAll(text, "[push /p/status]", "[push /p/status/*]")
@@ -191,24 +191,24 @@
 	c := load.NewClient(s.Addr().String(), 1)
 	defer c.Close()
 	for range 10 { // more in a row than make an endpoint suspect
-		if status, err := post(c, "/p/status/gone"); status != 502 {
+		if status, err := postMessage(c, "/p/status/gone"); status != 502 {
 			t.Error("gone:", status, err)
 		}
 	}
-	if status, err := post(c, "/p/status/here"); status != 201 {
+	if status, err := postMessage(c, "/p/status/here"); status != 201 {
 		t.Error("here:", status, err)
 	}
 }
 
 // Every limit at the door has its answer.
-func TestDoor(t *testing.T) {
+func TestAdmissionLimits(t *testing.T) {
 	block := make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		<-block
 		w.WriteHeader(201)
 	})
 	defer close(block)
-	s := start(t, addr, "[limits]\nhold = 16\nbody = 64KiB\nheaders = 4KiB\nhold-bytes = 128KiB\n")
+	s := startService(t, addr, "[limits]\nhold = 16\nbody = 64KiB\nheaders = 4KiB\nhold-bytes = 128KiB\n")
 	defer s.Kill()
 	c := load.NewClient(s.Addr().String(), 2)
 	defer c.Close()
@@ -222,11 +222,11 @@
 		{"no such resource", 404, func(m *load.Message) { m.Path = "/q" }},
 		{"bad topic", 400, func(m *load.Message) { m.Key = "no topic" }},
 	} {
-		if status, err := post(c, "/p/status", k.change); status != k.status {
+		if status, err := postMessage(c, "/p/status", k.change); status != k.status {
 			t.Errorf("%s: %d %v, want %d", k.name, status, err, k.status)
 		}
 	}
-	if got := largeHeaders(t, s.Addr().String()); got != "431" {
+	if got := sendLargeHeaders(t, s.Addr().String()); got != "431" {
 		t.Errorf("headers above the limit: %s", got)
 	}
 	var all sync.WaitGroup
@@ -235,7 +235,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if status, _ := post(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
+			if status, _ := postMessage(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
 				full.Add(1)
 			}
 		}()
@@ -249,24 +249,24 @@
 	}
 }
 
-// largeHeaders sends a header section above what the dispatcher's SETTINGS allow, which a polite client does not.
-func largeHeaders(t *testing.T, addr string) (status string) {
-	r := dialRaw(t, addr)
-	defer r.nc.Close()
-	if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+// sendLargeHeaders sends a header section above what the dispatcher's SETTINGS allow, which a polite client does not.
+func sendLargeHeaders(t *testing.T, addr string) (status string) {
+	r := dialRawClient(t, addr)
+	defer r.conn.Close()
+	if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 		t.Fatal(err)
 	}
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
-	for _, f := range append(fields("/p/status"), h2.Field{Name: "x", Value: strings.Repeat("x", 5000)}) {
+	for _, f := range append(requestFields("/p/status"), h2.Field{Name: "x", Value: strings.Repeat("x", 5000)}) {
 		_ = enc.WriteField(f)
 	}
-	if _, err := r.h.Request(0, fields("/p/status"), nil); err != nil { // opens stream 1 in the client's books
+	if _, err := r.h2conn.Request(0, requestFields("/p/status"), nil); err != nil { // opens stream 1 in the client's books
 		t.Fatal(err)
 	}
-	r.h.Output()
-	_, _ = r.nc.Write(h2.AppendFrame(nil, h2.FrameHeaders, h2.FlagEndHeaders|h2.FlagEndStream, 1, block.Bytes()))
-	if err := r.until(func(e h2.Event) bool {
+	r.h2conn.Output()
+	_, _ = r.conn.Write(h2.AppendFrame(nil, h2.FrameHeaders, h2.FlagEndHeaders|h2.FlagEndStream, 1, block.Bytes()))
+	if err := r.readUntil(func(e h2.Event) bool {
 		status = h2.Value(e.Fields, ":status")
 		return e.Kind == h2.Headers
 	}); err != nil {
@@ -275,34 +275,34 @@
 	return status
 }
 
-// raw is a client on a bare socket, for what net/http would not do.
-type raw struct {
-	t  *testing.T
-	nc net.Conn
-	h  *h2.Conn
+// rawClient is a client on a bare socket, for what net/http would not do.
+type rawClient struct {
+	t      *testing.T
+	conn   net.Conn
+	h2conn *h2.Conn
 }
 
-func dialRaw(t *testing.T, addr string) *raw {
+func dialRawClient(t *testing.T, addr string) *rawClient {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &raw{t, nc, h2.NewClient(h2.Config{}, 0)}
+	return &rawClient{t, nc, h2.NewClient(h2.Config{}, 0)}
 }
 
-// until reads until an event is found, or the connection ends.
-func (r *raw) until(found func(h2.Event) bool) error {
+// readUntil reads until an event is found, or the connection ends.
+func (r *rawClient) readUntil(found func(h2.Event) bool) error {
 	buf := make([]byte, 1<<16)
 	for {
-		if _, err := r.nc.Write(r.h.Output()); err != nil {
+		if _, err := r.conn.Write(r.h2conn.Output()); err != nil {
 			return err
 		}
-		_ = r.nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-		n, err := r.nc.Read(buf)
+		_ = r.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		n, err := r.conn.Read(buf)
 		if err != nil {
 			return err
 		}
-		events, err := r.h.Receive(0, buf[:n])
+		events, err := r.h2conn.Receive(0, buf[:n])
 		for _, e := range events {
 			if found(e) {
 				return nil
@@ -314,126 +314,126 @@
 	}
 }
 
-func fields(path string) []h2.Field {
+func requestFields(path string) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: "authorization", Value: "Bearer secret"}, {Name: "ttl", Value: "3"}}
 }
 
-// others checks that another client has its answer all the same.
-func others(t *testing.T, s *Service, want int) {
+// expectOtherClientServed checks that another client has its answer all the same.
+func expectOtherClientServed(t *testing.T, s *Service, want int) {
 	t.Helper()
 	c := load.NewClient(s.Addr().String(), 1)
 	defer c.Close()
-	if status, err := post(c, "/p/status"); status != want {
+	if status, err := postMessage(c, "/p/status"); status != want {
 		t.Error("another client:", status, err)
 	}
 }
 
 // A client that keeps its window shut while answers wait is cut off; others go on.
-func TestClientThatTakesNoAnswers(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
-	s := start(t, addr, "[limits]\nstall = 300ms\n")
+func TestClientThatReadsNoAnswers(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
+	s := startService(t, addr, "[limits]\nstall = 300ms\n")
 	defer s.Kill()
-	r := dialRaw(t, s.Addr().String())
-	defer r.nc.Close()
-	if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+	r := dialRawClient(t, s.Addr().String())
+	defer r.conn.Close()
+	if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 		t.Fatal(err)
 	}
 	shut := h2.AppendFrame(nil, h2.FrameSettings, 0, 0, []byte{0, 4, 0, 0, 0, 0}) // SETTINGS_INITIAL_WINDOW_SIZE 0
-	_, _ = r.nc.Write(shut)
-	if _, err := r.h.Request(0, fields("/p/status"), []byte("x")); err != nil {
+	_, _ = r.conn.Write(shut)
+	if _, err := r.h2conn.Request(0, requestFields("/p/status"), []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	away := false
-	err := r.until(func(e h2.Event) bool {
+	err := r.readUntil(func(e h2.Event) bool {
 		away = away || e.Kind == h2.PeerGoAway && e.Code == h2.FlowControlError
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
 		t.Errorf("the connection is not ended: %v, GOAWAY %v", err, away)
 	}
-	others(t, s, 502)
+	expectOtherClientServed(t, s, 502)
 }
 
 // A preface that does not come, garbage, and a flood of resets end their connections and nothing else.
-func TestAbuseEndsItsConnection(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
+func TestAbuseClosesItsConnection(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	s := startService(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
 	defer s.Kill()
-	for name, send := range map[string]func(*raw) error{
-		"nothing": func(r *raw) error { return nil },
-		"HTTP/1": func(r *raw) error {
-			_, err := io.WriteString(r.nc, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	for name, send := range map[string]func(*rawClient) error{
+		"nothing": func(r *rawClient) error { return nil },
+		"HTTP/1": func(r *rawClient) error {
+			_, err := io.WriteString(r.conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 			return err
 		},
-		"resets": func(r *raw) error {
-			if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+		"resets": func(r *rawClient) error {
+			if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 				return err
 			}
 			for range 100 {
-				id, err := r.h.Request(0, fields("/p/status"), []byte("x"))
+				id, err := r.h2conn.Request(0, requestFields("/p/status"), []byte("x"))
 				if err != nil {
 					break
 				}
-				r.h.Reset(0, id, h2.Cancel)
+				r.h2conn.Reset(0, id, h2.Cancel)
 			}
-			_, err := r.nc.Write(r.h.Output())
+			_, err := r.conn.Write(r.h2conn.Output())
 			return err
 		},
 	} {
-		r := dialRaw(t, s.Addr().String())
+		r := dialRawClient(t, s.Addr().String())
 		if name != "resets" {
-			r.h = h2.NewClient(h2.Config{}, 0)
-			r.h.Output()
+			r.h2conn = h2.NewClient(h2.Config{}, 0)
+			r.h2conn.Output()
 		}
 		if err := send(r); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		_ = r.nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if _, err := io.Copy(io.Discard, r.nc); err != nil && strings.Contains(err.Error(), "timeout") {
+		_ = r.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if _, err := io.Copy(io.Discard, r.conn); err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%s: the connection is still open", name)
 		}
-		_ = r.nc.Close()
+		_ = r.conn.Close()
 	}
-	others(t, s, 201)
+	expectOtherClientServed(t, s, 201)
 }
 
 // Clients above the limit of connections are turned away, those there are served.
 func TestConnectionLimit(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, "[limits]\nconnections = 1\n")
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	s := startService(t, addr, "[limits]\nconnections = 1\n")
 	defer s.Kill()
 	c := load.NewClient(s.Addr().String(), 1)
 	defer c.Close()
-	if status, err := post(c, "/p/status"); status != 201 {
+	if status, err := postMessage(c, "/p/status"); status != 201 {
 		t.Fatal(status, err)
 	}
-	r := dialRaw(t, s.Addr().String())
-	defer r.nc.Close()
-	if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
+	r := dialRawClient(t, s.Addr().String())
+	defer r.conn.Close()
+	if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
 		t.Error("a second connection is served")
 	}
-	if status, err := post(c, "/p/status"); status != 201 {
+	if status, err := postMessage(c, "/p/status"); status != 201 {
 		t.Error(status, err)
 	}
 }
 
 // An orderly stop answers what was taken, also where the partner answers nothing, and then ends.
-func TestStopInOrder(t *testing.T) {
+func TestGracefulStop(t *testing.T) {
 	block := make(chan struct{})
 	arrived := make(chan struct{}, 100)
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-block
 	})
 	defer close(block)
-	s := start(t, addr, "")
+	s := startService(t, addr, "")
 	c := load.NewClient(s.Addr().String(), 1)
 	defer c.Close()
 	answers := make(chan int, 10)
 	for range 10 {
 		go func() {
-			status, _ := post(c, "/p/upload")
+			status, _ := postMessage(c, "/p/upload")
 			answers <- status
 		}()
 	}
@@ -471,7 +471,7 @@
 }
 
 // Logs are bounded: what a fault would flood is counted instead.
-func TestLogsAreBounded(t *testing.T) {
+func TestLogRateIsLimited(t *testing.T) {
 	var b bytes.Buffer
 	l, err := logs.New(&b, "info", 5)
 	if err != nil {
