--- a/internal/endpointlist/registry.go
+++ b/internal/endpointlist/registry.go
@@ -1,5 +1,6 @@
-// Package endpointlist keeps the endpoint list: names and addresses of endpoints, whole lists turned into the entries that
-// the decision module is told, and what is wrong with a list. It is deterministic and free of I/O.
+// Package endpointlist keeps the list of partner endpoints. It assigns numbers to endpoints, compares a new list with the
+// current one, converts the differences into entries for the decision library, and reports suspicious lists. It does no
+// I/O.
 package endpointlist
 
 import (
@@ -11,36 +12,48 @@
 	"whinrun/control"
 )
 
-// Endpoint is one endpoint as a list names it.
+// Endpoint is one endpoint in a list.
 type Endpoint struct {
+	// Partner is the name of the partner that the endpoint belongs to.
 	Partner string
-	Addr    netip.AddrPort
-	Zone    int
-	Health  control.Health
+	// Addr is the address that the endpoint listens on.
+	Addr netip.AddrPort
+	// Zone is the number of the zone that the endpoint is in.
+	Zone int
+	// Health is the health that the list reports.
+	Health control.Health
 }
 
-// Partner is what is set up for a destination; endpoints come and go, partners do not.
+// Partner is a configured destination. The set of partners is fixed, while their endpoints change.
 type Partner struct {
+	// Name identifies the partner in lists.
 	Name string
+	// Dest is the number of the destination in the decision library.
 	Dest int
+	// Kind is the index of the kind of partner.
 	Kind int
-	Rate float64 // calls a second that it takes from all dispatchers, 0 if not known
+	// Rate is the number of calls per second that the partner accepts from all dispatchers together. 0 means unknown.
+	Rate float64
 }
 
-// Place is where an endpoint is.
+// Location tells which partner an endpoint belongs to and where it listens.
 type Location struct {
-	Partner int // index, as in New; also the module's number of the destination
-	Kind    int
-	Addr    netip.AddrPort
+	// Partner is the index of the partner in the argument of New. It is also the destination number.
+	Partner int
+	// Kind is the index of the kind of partner.
+	Kind int
+	// Addr is the address that the endpoint listens on.
+	Addr netip.AddrPort
 }
 
+// locationKey identifies an endpoint by its partner and its address.
 type locationKey struct {
 	dest int
 	addr netip.AddrPort
 }
 
-// Registry gives endpoints their names towards the module. An endpoint is a partner at an address: two partners on one
-// address are two endpoints. Place may be called from any goroutine.
+// Registry assigns endpoint numbers for the decision library and keeps the current list. An endpoint is a pair of partner
+// and address, so two partners at one address are two endpoints. EndpointID and Lookup are safe for concurrent use.
 type Registry struct {
 	partners []Partner
 	byName   map[string]int
@@ -49,10 +62,11 @@
 	ids       map[locationKey]control.Endpoint
 	locations []Location
 
-	current map[control.Endpoint]control.Entry // the list as last told
+	// current is the list that the last call of Replace or ApplyDelta left.
+	current map[control.Endpoint]control.Entry
 }
 
-// New returns a Roster for the partners given; their Dest is set to their index.
+// New returns a Registry for the given partners. It sets the Dest of each partner to its index.
 func New(partners []Partner) *Registry {
 	registry := &Registry{partners: slices.Clone(partners), byName: map[string]int{}, ids: map[locationKey]control.Endpoint{},
 		locations: make([]Location, 1), current: map[control.Endpoint]control.Entry{}}
@@ -63,7 +77,7 @@
 	return registry
 }
 
-// EndpointID returns the module's name of a partner's endpoint, the same for good.
+// EndpointID returns the number of a partner's endpoint. It assigns a number on the first call and never changes it.
 func (r *Registry) EndpointID(dest int, addr netip.AddrPort) control.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +91,7 @@
 	return id
 }
 
-// Place tells where an endpoint is.
+// Lookup returns the location of an endpoint. It returns false if the number was never assigned.
 func (r *Registry) Lookup(ep control.Endpoint) (Location, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -87,14 +101,18 @@
 	return r.locations[ep], true
 }
 
-// Diff is what a new whole list means.
+// Diff is the result of a new list or of a delta.
 type Diff struct {
-	Entries  []control.Entry // what differs from the list before, in a fixed order
-	Warnings []string        // what is wrong or strange with the list, a line each
+	// Entries are the endpoints that were added, changed or removed. Replace sorts them by endpoint number. ApplyDelta
+	// keeps the order of the delta.
+	Entries []control.Entry
+	// Warnings describe errors and suspicious changes in the list, one line each.
+	Warnings []string
 }
 
-// Replace compares a whole list with the one before and keeps it. Lines that name a partner that is not set up are
-// left out and reported; of an endpoint named twice the more careful standing counts: a drain always binds.
+// Replace compares a complete list with the current one and makes it the current one. Endpoints of an unknown partner are
+// skipped with a warning. If an endpoint is listed twice, a health other than ready takes precedence, so that a drain is
+// never lost.
 func (r *Registry) Replace(endpoints []Endpoint) Diff {
 	next := make(map[control.Endpoint]control.Entry, len(endpoints))
 	var diff Diff
@@ -136,8 +154,8 @@
 	return diff
 }
 
-// movedEndpoints reports addresses that left one partner and came to another: often a slip of whoever wrote the list. To the
-// module they are two endpoints, so nothing learned of the one, and no drain, passes to the other.
+// movedEndpoints returns warnings for addresses that were removed from one partner and added to another, which is often a
+// mistake in the list. The decision library sees two different endpoints, so neither statistics nor a drain carry over.
 func (r *Registry) movedEndpoints(next map[control.Endpoint]control.Entry, removedAddrs map[netip.AddrPort]int) (warnings []string) {
 	for ep, entry := range next {
 		if _, known := r.current[ep]; known {
@@ -152,7 +170,8 @@
 	return warnings
 }
 
-// ApplyDelta takes changes alone, in time proportional to them: lines that are new or differ, and those gone.
+// ApplyDelta applies a list of changes: endpoints that are new or changed, and endpoints whose health is Gone. It takes
+// time proportional to the number of changes.
 func (r *Registry) ApplyDelta(endpoints []Endpoint) Diff {
 	var diff Diff
 	for _, endpoint := range endpoints {
@@ -174,7 +193,8 @@
 	return diff
 }
 
-// toEntry makes a line into what the module is told; one of an unknown partner is reported.
+// toEntry converts a listed endpoint into an entry for the decision library. It adds a warning to diff and returns false
+// if the partner is unknown.
 func (r *Registry) toEntry(endpoint Endpoint, diff *Diff) (entry control.Entry, ok bool) {
 	dest, ok := r.byName[endpoint.Partner]
 	if !ok {
--- a/internal/endpointlist/registry_test.go
+++ b/internal/endpointlist/registry_test.go
@@ -27,7 +27,7 @@
 	return all
 }
 
-// A whole list is told as what differs; names of endpoints stay.
+// Replace returns only the differences from the current list, and endpoints keep their numbers.
 func TestReplaceReturnsDiff(t *testing.T) {
 	r := New(testPartners(4))
 	l := testEndpoints(4)
@@ -35,7 +35,7 @@
 		t.Fatal(c)
 	}
 	if c := r.Replace(l); len(c.Entries) != 0 {
-		t.Error("unchanged list told again:", c)
+		t.Error("Replace returned entries for an unchanged list:", c)
 	}
 	l[1].Health = control.Draining
 	c := r.Replace(l[:3])
@@ -43,11 +43,11 @@
 		t.Error(c)
 	}
 	if back := r.Replace(l); len(back.Entries) != 1 || back.Entries[0].Endpoint != c.Entries[1].Endpoint {
-		t.Error("an endpoint that comes back has another name:", back)
+		t.Error("an endpoint that was listed again has another number:", back)
 	}
 }
 
-// What is strange with a list is reported, and drains bind whatever else it says.
+// Suspicious lists give warnings. A drain takes effect even if the same list also reports the endpoint as ready.
 func TestListWarnings(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -67,11 +67,11 @@
 	r := New(testPartners(1))
 	drained := Endpoint{Partner: "p0", Addr: testAddr(0), Health: control.Draining}
 	if c := r.Replace([]Endpoint{drained, testEndpoints(1)[0]}); c.Entries[0].Health != control.Draining {
-		t.Error("listed twice, once draining: told as ready")
+		t.Error("an endpoint listed as draining and as ready is reported as ready")
 	}
 }
 
-// Two partners on one address are two endpoints.
+// Two partners at one address are two endpoints.
 func TestSharedAddress(t *testing.T) {
 	r := New(testPartners(2))
 	c := r.Replace([]Endpoint{{Partner: "p0", Addr: testAddr(1), Health: control.Ready}, {Partner: "p1", Addr: testAddr(1), Health: control.Ready}})
@@ -89,7 +89,7 @@
 		t.Error(c)
 	}
 	if c := r.Replace(testEndpoints(3)); len(c.Entries) != 1 {
-		t.Error("after a delta the whole list differs in", len(c.Entries))
+		t.Error("number of entries in which the full list differs after a delta:", len(c.Entries))
 	}
 }
 
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes structured lines with zerolog, and bounds how many: a fault that makes a line for each message
-// must not flood the disk of the machine it shows on.
+// Package logs writes structured log lines with zerolog and limits their rate. Without the limit, a fault that logs one
+// line per message could fill the disk of the machine.
 package logs
 
 import (
@@ -13,7 +13,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Logger is a zerolog logger with a bound on lines a second. Lines left out are counted, and the count is told.
+// Logger is a zerolog logger with a token bucket that limits the lines per second. It counts the lines that it drops, and
+// the next line that it writes carries the count in the field left-out. A Logger is safe for concurrent use.
 type Logger struct {
 	logger     zerolog.Logger
 	mu         sync.Mutex
@@ -24,7 +25,8 @@
 	now        func() time.Time
 }
 
-// New returns a Logger that writes JSON lines of that level and above to w.
+// New returns a Logger that writes JSON lines of the given level and above to w. The token bucket holds the lines of two
+// seconds, so a burst of 2*linesPerSecond is possible. New returns an error if the level is unknown.
 func New(w io.Writer, level string, linesPerSecond float64) (*Logger, error) {
 	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -34,7 +36,7 @@
 		refilledAt: clock.Wall(), now: clock.Wall}, nil
 }
 
-// allow tells whether a line may go out, and how many were left out before it.
+// allow takes a token from the bucket. It reports whether a line may be written and how many were dropped before it.
 func (l *Logger) allow() (ok bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,6 +52,7 @@
 	return true, dropped
 }
 
+// write completes an event and writes it, unless the rate limit drops it. The event is nil if its level is disabled.
 func (l *Logger) write(event *zerolog.Event, component, message string) {
 	if event == nil {
 		return
@@ -64,22 +67,22 @@
 	event.Str("part", component).Msg(message)
 }
 
-// Info logs what operators want to know.
+// Info logs an event of normal operation.
 func (l *Logger) Info(component, format string, args ...any) {
 	l.write(l.logger.Info(), component, fmt.Sprintf(format, args...))
 }
 
-// Warn logs what may need an operator.
+// Warn logs a condition that may need the attention of an operator.
 func (l *Logger) Warn(component, format string, args ...any) {
 	l.write(l.logger.Warn(), component, fmt.Sprintf(format, args...))
 }
 
-// Error logs what must not happen.
+// Error logs a violated invariant or a failed operation.
 func (l *Logger) Error(component, format string, args ...any) {
 	l.write(l.logger.Error(), component, fmt.Sprintf(format, args...))
 }
 
-// Debug logs single events.
+// Debug logs a single event for troubleshooting.
 func (l *Logger) Debug(component, format string, args ...any) {
 	l.write(l.logger.Debug(), component, fmt.Sprintf(format, args...))
 }
--- a/internal/push/dialect.go
+++ b/internal/push/dialect.go
@@ -1,6 +1,6 @@
-// Package push is the HTTP of push gateways: Generic Event Delivery Using HTTP Push (RFC 8030) on both sides, and
-// towards partners a second dialect, in the form of the published provider interfaces for device notifications. It
-// turns messages into header sections and header sections into messages and ends; it is free of I/O.
+// Package push implements the HTTP semantics of a push gateway. Clients and partners use Generic Event Delivery Using
+// HTTP Push (RFC 8030). Partners can also use a second dialect, which follows the published provider interfaces for
+// device notifications. The package converts between header sections and messages or answers, and does no I/O.
 package push
 
 import (
@@ -19,47 +19,56 @@
 	"whinrun/internal/intake"
 )
 
-// Names of the fields that an attempt carries beside the published ones.
+// These header fields are sent with every attempt in addition to the standard ones.
 const (
-	FieldMessageID = "whinrun-message" // id of the message, the same on every attempt
-	FieldAttempt   = "whinrun-attempt" // number of the attempt, from 0
+	// FieldMessageID is the name of the field that holds the external message ID. It has the same value on every attempt.
+	FieldMessageID = "whinrun-message"
+	// FieldAttempt is the name of the field that holds the attempt number, which starts at 0.
+	FieldAttempt = "whinrun-attempt"
 )
 
-// PartnerResource is where a partner takes messages.
+// PartnerResource describes where a partner accepts messages.
 type PartnerResource struct {
-	Authority string // host and port
-	Path      string // of the push resource, or before the device in the device dialect
-	Topic     string // device dialect: the topic, where the message names none
+	// Authority is the host and port that requests name in :authority.
+	Authority string
+	// Path is the path of the push resource. The path suffix of a message, such as a device token, is appended to it.
+	Path string
+	// Topic is the notification topic (apns-topic) in the device dialect. The standard dialect does not use it.
+	Topic string
 }
 
-// ExternalIDs gives messages their names outside: the same number never means two messages, over restarts neither.
+// ExternalIDs formats the message IDs that clients and partners see. Message numbers start over with each process. The
+// epoch differs from process to process, so an external ID does not name another message after a restart.
 type ExternalIDs struct{ Epoch string }
 
-// Format returns the name of a message.
+// Format returns the external ID of a message.
 func (e ExternalIDs) Format(id control.MessageID) string {
 	return e.Epoch + "-" + strconv.FormatUint(uint64(id), 36)
 }
 
-// Dialect is how a kind of partner is spoken to.
+// Dialect is the request format that a kind of partner understands.
 type Dialect interface {
-	// Request returns the header section of an attempt. left is the time that the message has.
+	// Request returns the header section of an attempt. left is the remaining lifetime of the message, and wall is the
+	// current wall-clock time.
 	Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field
-	// Reason returns what a partner says of a refusal, in its body.
+	// Reason extracts the partner's explanation from the body of an error response. It is empty if there is none.
 	Reason(body []byte) string
-	// PathPerMessage tells that paths belong to messages (see engine.Judge).
+	// PathPerMessage reports whether the request path identifies the recipient of one message. If so, a status such as
+	// 404 or 410 concerns that recipient and says nothing about the health of the partner.
 	PathPerMessage() bool
 }
 
-// Dialects by their names in the settings.
+// Dialects maps the dialect names of the settings to their implementations.
 var Dialects = map[string]Dialect{"push": Standard{}, "device": Device{}}
 
-// Standard is RFC 8030.
+// Standard implements RFC 8030.
 type Standard struct{}
 
-// PathPerMessage is false: the push resource is the partner's.
+// PathPerMessage returns false because the push resource belongs to the partner.
 func (Standard) PathPerMessage() bool { return false }
 
-// Request is RFC 8030 section 5, with Idempotency-Key for repeats.
+// Request returns a request for message delivery (RFC 8030 section 5). It adds an Idempotency-Key field so that the
+// partner can drop repeated attempts.
 func (Standard) Request(resource PartnerResource, ids ExternalIDs, attempt *engine.Attempt, remaining time.Duration, _ time.Time) []h2.Field {
 	msg := attempt.Msg
 	path := resource.Path
@@ -76,12 +85,13 @@
 	return append(fields, h2.Field{Name: "idempotency-key", Value: strconv.Quote(idempotencyKey(ids, msg)), Sensitive: true})
 }
 
-// Reason is the first line of the body.
+// Reason returns the first line of the body, reduced to printable characters.
 func (Standard) Reason(body []byte) string {
 	line, _, _ := strings.Cut(string(body), "\n")
 	return intake.Printable(line)
 }
 
+// idempotencyKey returns the key that the sender supplied, or the external message ID if it supplied none.
 func idempotencyKey(ids ExternalIDs, msg *engine.Message) string {
 	if msg.Repeat != "" {
 		return msg.Repeat
@@ -89,6 +99,7 @@
 	return ids.Format(msg.ID)
 }
 
+// appendNonEmpty appends a field unless its value is empty.
 func appendNonEmpty(fields []h2.Field, name, value string) []h2.Field {
 	if value == "" {
 		return fields
@@ -96,6 +107,7 @@
 	return append(fields, h2.Field{Name: name, Value: value})
 }
 
+// appendCommon appends the fields that all dialects share.
 func appendCommon(fields []h2.Field, ids ExternalIDs, attempt *engine.Attempt) []h2.Field {
 	msg := attempt.Msg
 	fields = appendNonEmpty(fields, "content-type", msg.Type)
@@ -105,14 +117,14 @@
 		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(attempt.N)})
 }
 
-// Device is the form of the published provider interfaces for device notifications: a path per device, an id, an
-// expiry as an absolute time, a priority, a topic, and refusals with a reason in JSON.
+// Device implements the format of the published provider interfaces for device notifications. Each device has its own
+// path. Requests carry an ID, an absolute expiry time, a priority and a topic. Error responses carry a reason in JSON.
 type Device struct{}
 
-// PathPerMessage is true: the path is the device's.
+// PathPerMessage returns true because the path belongs to the device.
 func (Device) PathPerMessage() bool { return true }
 
-// Request names the device in its path.
+// Request returns a notification request whose path names the device.
 func (Device) Request(resource PartnerResource, ids ExternalIDs, attempt *engine.Attempt, remaining time.Duration, wall time.Time) []h2.Field {
 	msg := attempt.Msg
 	priority := "5"
@@ -131,7 +143,7 @@
 	return appendCommon(fields, ids, attempt)
 }
 
-// Reason is the member of that name in a JSON object.
+// Reason returns the "reason" member of a JSON object. It is empty if the body is not such an object.
 func (Device) Reason(body []byte) string {
 	var reply struct {
 		Reason string `json:"reason"`
@@ -142,7 +154,7 @@
 	return intake.Printable(reply.Reason)
 }
 
-// uuidFor makes a name into the form of a UUID (RFC 9562 version 8), the same for the same name.
+// uuidFor derives a UUID (RFC 9562 version 8) from a name. Equal names give equal UUIDs.
 func uuidFor(name string) string {
 	var b [16]byte
 	low, high := xxhash.Sum64String(name), xxhash.Sum64String("2"+name)
@@ -154,11 +166,13 @@
 	return fmt.Sprintf("%x-%x-%x-%x-%x", b[0:4], b[4:6], b[6:8], b[8:10], b[10:16])
 }
 
-// maxRetryAfter bounds what a told wait can count as: past it the figure is no figure.
+// maxRetryAfter caps the wait that a Retry-After field can request. A longer value is not plausible, and the cap keeps
+// the conversion to time.Duration from overflowing.
 const maxRetryAfter = 10 * 365 * 24 * time.Hour
 
-// RetryAfter reads the wait of an answer (RFC 9110 section 10.2.3): seconds, or a date. A date is held against the
-// answer's own Date field where it has one, so that clocks which differ or step do not matter.
+// RetryAfter returns the wait that a response requests in Retry-After (RFC 9110 section 10.2.3), as seconds or as a
+// date. A date is compared with the Date field of the same response if it has one, so that clock skew and clock steps
+// do not matter. Otherwise it is compared with wall. The result is 0 if the field is missing or invalid.
 func RetryAfter(fields []h2.Field, wall time.Time) time.Duration {
 	value := strings.TrimSpace(h2.Value(fields, "retry-after"))
 	if value == "" {
@@ -183,6 +197,7 @@
 	return min(max(retryAt.Sub(reference), 0), maxRetryAfter)
 }
 
+// isDigits reports whether s contains nothing but ASCII digits.
 func isDigits(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r < '0' || r > '9' }) < 0
 }
--- a/internal/push/request.go
+++ b/internal/push/request.go
@@ -13,27 +13,35 @@
 	"whinrun/internal/intake"
 )
 
-// RequestParser reads requests: it makes messages of them by the book.
+// RequestParser converts push requests into messages and applies the intake rules to them.
 type RequestParser struct{ rules *intake.Book }
 
-// NewRequestParser returns a Desk.
+// NewRequestParser returns a RequestParser that applies the given intake rules.
 func NewRequestParser(rules *intake.Book) *RequestParser { return &RequestParser{rules} }
 
-// Problem is a request that is not taken (RFC 9457); the message was never held.
+// Problem describes why a request is rejected (RFC 9457). The message of a rejected request was never accepted.
 type Problem struct {
-	Status      int
-	Title       string
-	RetryAfter  time.Duration
+	// Status is the HTTP status code of the response.
+	Status int
+	// Title is a short explanation for the client.
+	Title string
+	// RetryAfter is the wait that a 429 or 503 response tells the client. It is rounded up to whole seconds, and is at
+	// least one second.
+	RetryAfter time.Duration
+	// ExtraFields are additional header fields of the response.
 	ExtraFields []h2.Field
 }
 
+// Error returns the status and the title.
 func (p *Problem) Error() string { return fmt.Sprintf("%d %s", p.Status, p.Title) }
 
+// newProblem returns a Problem with a formatted title.
 func newProblem(status int, format string, a ...any) *Problem {
 	return &Problem{Status: status, Title: fmt.Sprintf(format, a...)}
 }
 
-// Read makes a message of a request's header section, or tells why not.
+// Read converts the header section of a request into a message without a body. If the request is invalid, Read returns
+// a Problem and no message.
 func (d *RequestParser) Read(fields []h2.Field) (*engine.Message, *Problem) {
 	path, _, _ := strings.Cut(h2.Value(fields, ":path"), "?")
 	resource, target := d.rules.Find(path)
@@ -64,18 +72,19 @@
 	return msg, nil
 }
 
-// BodyTooLarge is the answer to a body above the limit.
+// BodyTooLarge returns the problem for a body that exceeds MaxBody.
 func (d *RequestParser) BodyTooLarge() *Problem {
 	return newProblem(413, "body above %d bytes", d.MaxBody())
 }
 
-// MaxBody is the largest body taken.
+// MaxBody returns the largest accepted body in bytes.
 func (d *RequestParser) MaxBody() int { return d.rules.MaxBody() }
 
-// Rules is what the Desk goes by.
+// Rules returns the intake rules that the parser applies.
 func (d *RequestParser) Rules() *intake.Book { return d.rules }
 
-// Authorize looks at the bearer token (RFC 6750): 401 for none or an unknown one, 403 for another tenant's.
+// Authorize checks the bearer token (RFC 6750) of a request for a tenant. A missing or unknown token gives status 401,
+// and the token of another tenant gives 403. A tenant without a token is open to everybody.
 func (d *RequestParser) Authorize(tenant int, authorization string) *Problem {
 	if d.rules.Open(tenant) {
 		return nil
@@ -93,7 +102,7 @@
 	return nil
 }
 
-// parseLifetime reads TTL and Urgency (RFC 8030 sections 5.2 and 5.3).
+// parseLifetime reads the TTL and Urgency fields (RFC 8030 sections 5.2 and 5.3).
 func (d *RequestParser) parseLifetime(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
 	value := h2.Value(fields, "ttl")
 	switch {
@@ -102,7 +111,8 @@
 	case h2.Count(fields, "ttl") > 1 || !isDigits(value):
 		return newProblem(400, "TTL %q is not a number of seconds", intake.Printable(value))
 	}
-	requested := time.Duration(-1) // past 31 bits it is above any class's limit
+	// A TTL of more than 31 bits exceeds the limit of every class, so the class limit applies.
+	requested := time.Duration(-1)
 	if n, err := strconv.ParseUint(value, 10, 31); err == nil {
 		requested = time.Duration(n) * time.Second
 	}
@@ -113,7 +123,7 @@
 	return nil
 }
 
-// parseKeys reads Topic, which is the order key where the class asks for order, and Idempotency-Key.
+// parseKeys reads the Topic and Idempotency-Key fields. Topic is also the order key if the class is ordered.
 func parseKeys(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
 	topic := h2.Value(fields, "topic")
 	if err := intake.Order(msg, resource.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
@@ -125,7 +135,8 @@
 	}
 	key, err := strconv.Unquote(value)
 	if err != nil {
-		key = value // commonly sent without the quotes of a structured string
+		// Many clients omit the quotes that a structured field string requires.
+		key = value
 	}
 	if err := intake.Repeat(msg, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
 		return newProblem(400, "Idempotency-Key: %v", intake.ErrRepeat)
@@ -133,13 +144,16 @@
 	return nil
 }
 
-// Reply is a whole response.
+// Reply is a complete response.
 type Reply struct {
+	// Fields is the header section.
 	Fields []h2.Field
-	Body   []byte
+	// Body is the response body. It is empty if there is none.
+	Body []byte
 }
 
-// Response makes a final answer into a response: docs/answers.md says what each promises.
+// Response converts the final answer of a message into a response. docs/answers.md documents the guarantee of each
+// answer.
 func Response(ids ExternalIDs, msg *engine.Message, answer engine.Answer) Reply {
 	id := ids.Format(msg.ID)
 	switch answer.Final {
@@ -160,9 +174,10 @@
 	return newProblem(502, "failed: whether it took effect is not known").replyFor(id, answer)
 }
 
-// Reply makes a response of a problem.
+// Reply converts the problem into a response.
 func (p *Problem) Reply() Reply { return p.replyFor("", engine.Answer{}) }
 
+// problemBody is the problem document (RFC 9457) in the body of an error response.
 type problemBody struct {
 	Title    string `json:"title"`
 	Status   int    `json:"status"`
@@ -172,6 +187,8 @@
 	Partner  int    `json:"partner-status,omitempty"`
 }
 
+// replyFor converts the problem into a response. It includes the external message ID and the details of the answer if
+// the request became a message.
 func (p *Problem) replyFor(id string, answer engine.Answer) Reply {
 	body, _ := json.Marshal(problemBody{p.Title, p.Status, answer.Why, id, answer.Tries, answer.Status})
 	reply := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
--- a/internal/push/request_test.go
+++ b/internal/push/request_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Retry-After as seconds and as a date; a date counts from the answer's own Date, so that clocks which differ or step
-// change no wait.
+// Retry-After can hold seconds or a date. A date is compared with the Date field of the response, so that clock skew and
+// clock steps do not change the wait.
 func TestRetryAfter(t *testing.T) {
 	wall := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
@@ -117,7 +117,7 @@
 	}
 }
 
-// What attempts look like in both dialects; the id is the same on every attempt.
+// Both dialects send the documented header fields. The message ID is the same on every attempt.
 func TestDialects(t *testing.T) {
 	m := &engine.Message{ID: 40, Topic: "t", Urgency: "high", Target: "/device9", Body: []byte("abc"), Type: "text/plain"}
 	a := &engine.Attempt{Msg: m, N: 2}
@@ -150,7 +150,7 @@
 	}
 }
 
-// Each final answer's form; a refusal always tells a wait.
+// Each final answer has its documented status, and a refusal always has a Retry-After field.
 func TestResponse(t *testing.T) {
 	m := &engine.Message{ID: 40, Life: 3 * control.Second}
 	for _, c := range []struct {
@@ -179,7 +179,7 @@
 	f.Fuzz(func(t *testing.T, path, auth, ttl, topic, key string) {
 		m, p := testParser().Read(request(path, "authorization", auth, "ttl", ttl, "topic", topic, "idempotency-key", key))
 		if (m == nil) == (p == nil) {
-			t.Error("neither a message nor a problem, or both")
+			t.Error("Read must return either a message or a problem")
 		}
 		if m != nil && (m.Life < control.Second || m.Life > 10*control.Second) {
 			t.Errorf("life %d", m.Life)
