--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -1,5 +1,6 @@
-// Package pushfront is the HTTP/2 side towards clients: messages come by push (RFC 8030), final answers go back on
-// their streams. It decides nothing about messages: what it refuses at the door was never taken.
+// Package pushfront serves clients over HTTP/2. Clients hand in messages by push (RFC 8030), and the final answer to a
+// message is the response on its stream. The package makes no delivery decisions. A message that it rejects was never
+// accepted.
 package pushfront
 
 import (
@@ -14,13 +15,16 @@
 	"whinrun/internal/push"
 )
 
-// Config is of all sessions.
+// Config is the configuration of all sessions.
 type Config struct {
-	IdleTimeout time.Duration // a connection without requests is sent away after this, 0 for never
-	H2          h2.Config
+	// IdleTimeout is how long a connection may have no requests before it gets GOAWAY. 0 means no limit.
+	IdleTimeout time.Duration
+	// H2 is the HTTP/2 configuration of the connections.
+	H2 h2.Config
 }
 
-// SessionFactory makes sessions.
+// SessionFactory returns a function that creates the session of a new client connection. now returns the dispatcher's
+// monotonic time.
 func SessionFactory(cfg Config, parser *push.RequestParser, ids push.ExternalIDs, admitter *door.Side, mailboxes *mailbox.Room, now func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, started time.Duration) front.Session {
 		return &session{cfg: &cfg, parser: parser, ids: ids, admitter: admitter, mailboxes: mailboxes, now: now, conn: c, h2conn: h2.NewServer(cfg.H2, started), requests: map[uint32]*request{},
@@ -28,7 +32,7 @@
 	}
 }
 
-// session is one client connection.
+// session serves one client connection. All methods run on the event loop of the connection.
 type session struct {
 	cfg       *Config
 	parser    *push.RequestParser
@@ -42,7 +46,7 @@
 	idleSince time.Duration
 }
 
-// request is one stream from its header section to its answer.
+// request is a message that a client sends on a stream, from its header section to its final answer.
 type request struct {
 	session  *session
 	stream   uint32
@@ -51,12 +55,15 @@
 	complete bool
 	answer   engine.Answer
 
-	reservation     *mailbox.Place // of the receipt, where one is wanted
-	subscriptionURI string         // the subscription it goes to
-	resourcePath    string
+	// reservation is the reserved place for the receipt. It is nil if the client waits for the answer on the stream.
+	reservation *mailbox.Place
+	// subscriptionURI is the receipt subscription that the client named.
+	subscriptionURI string
+	// resourcePath is the path that the message was posted to. It is set if the client wants a receipt.
+	resourcePath string
 }
 
-// Receive takes bytes of the client.
+// Receive processes bytes from the client.
 func (s *session) Receive(now time.Duration, b []byte) error {
 	events, err := s.h2conn.Receive(now, b)
 	for i := range events {
@@ -65,7 +72,7 @@
 	return err
 }
 
-// Check sends an idle client away and holds the protocol's time limits.
+// Check sends GOAWAY to an idle client and enforces the time limits of the protocol.
 func (s *session) Check(now time.Duration) error {
 	if len(s.requests) > 0 {
 		s.idleSince = now
@@ -76,7 +83,8 @@
 	return s.h2conn.Check(now)
 }
 
-// Due is soon while something moves, else when the client has been idle for long.
+// Due returns when Check must run next. That is in a second while requests, streams or the handshake are open, and
+// otherwise when the idle timeout ends. It is 0 if there is no idle timeout.
 func (s *session) Due(now time.Duration) time.Duration {
 	switch {
 	case s.Owes():
@@ -87,24 +95,24 @@
 	return 0
 }
 
-// GoAway tells the client to open no further streams.
+// GoAway tells the client not to open further streams.
 func (s *session) GoAway(now time.Duration) { s.h2conn.GoAway(now, h2.NoError) }
 
-// Finish has nothing to add to GOAWAY.
+// Finish does nothing, because GOAWAY already ends an HTTP/2 connection in order.
 func (s *session) Finish(time.Duration) {}
 
-// Output returns what is to be written.
+// Output returns the bytes to write to the client and clears them.
 func (s *session) Output() []byte { return s.h2conn.Output() }
 
-// Owes tells whether requests are open, or the handshake is not over.
+// Owes reports whether requests or streams are open, or the handshake is not complete.
 func (s *session) Owes() bool {
 	return len(s.requests) > 0 || !s.h2conn.Settled() || s.h2conn.Open() > 0
 }
 
-// Done tells whether all streams are over after a GOAWAY.
+// Done reports whether all streams have ended after a GOAWAY.
 func (s *session) Done() bool { return s.h2conn.Done() }
 
-// Lost withdraws what the client waited for.
+// Lost cancels the requests whose answers the client was waiting for.
 func (s *session) Lost() {
 	for _, r := range s.requests {
 		r.cancel()
@@ -112,12 +120,13 @@
 	s.requests = nil
 }
 
-// cancel ends a request that nobody waits for.
+// cancel cancels a request whose client no longer waits for the answer.
 func (r *request) cancel() {
 	r.ticket.Withdraw()
 	r.releaseReceipt(r.session.now())
 }
 
+// handleEvent handles an event of the HTTP/2 connection.
 func (s *session) handleEvent(e *h2.Event, now time.Duration) {
 	switch e.Kind {
 	case h2.Headers:
@@ -141,6 +150,7 @@
 	}
 }
 
+// handleHeaders starts a request, or rejects it.
 func (s *session) handleHeaders(e *h2.Event, now time.Duration) {
 	if s.handleReceiptRequest(e, now) {
 		return
@@ -173,6 +183,7 @@
 	}
 }
 
+// handleData appends a part of the body to the message and rejects a body that exceeds a limit.
 func (s *session) handleData(r *request, e *h2.Event, now time.Duration) {
 	if r.complete {
 		return
@@ -191,7 +202,7 @@
 	}
 }
 
-// submit hands a message over that is here in full.
+// submit hands a complete message over to the engine.
 func (s *session) submit(r *request, now time.Duration) {
 	if r.complete {
 		return
@@ -204,7 +215,8 @@
 	}
 }
 
-// rejectionProblem is the answer to a message that the door or the engine does not take.
+// rejectionProblem returns the problem for a message that admission or the engine rejects. A dispatcher that is stopping
+// needs longer until it can accept messages again than one that is overloaded.
 func rejectionProblem(cause error) *push.Problem {
 	p := &push.Problem{Status: 503, Title: "not taken: " + cause.Error(), RetryAfter: time.Second}
 	if errors.Is(cause, engine.ErrStopping) {
@@ -213,7 +225,7 @@
 	return p
 }
 
-// reject answers a request that never became a message.
+// reject ends a request whose message was not accepted and sends the problem.
 func (s *session) reject(r *request, problem *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
 	r.ticket.Turn()
@@ -221,12 +233,13 @@
 	s.reply(r.stream, problem, now)
 }
 
+// reply sends a problem as the response on a stream. An error of Respond is ignored: the stream is then closed already.
 func (s *session) reply(stream uint32, problem *push.Problem, now time.Duration) {
 	reply := problem.Reply()
 	_ = s.h2conn.Respond(now, stream, reply.Fields, reply.Body)
 }
 
-// Final is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
+// Final implements engine.Origin. It runs on the engine's goroutine and posts the answer to the connection.
 func (r *request) Final(_ *engine.Message, a engine.Answer) {
 	r.answer = a
 	if r.reservation != nil {
@@ -236,10 +249,12 @@
 		}
 		return
 	}
-	r.session.conn.Post(r) // where the connection is gone its session has withdrawn the message
+	// If the connection is closed, its session has already canceled the message.
+	r.session.conn.Post(r)
 }
 
-// Open writes the final answer, unless the client has withdrawn the message meanwhile.
+// Open runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
+// the client wanted a receipt, Final has stored it, and Open only counts the answer.
 func (r *request) Open(now time.Duration) {
 	if r.ticket.Over() {
 		r.session.admitter.Unheard.Add(1)
@@ -254,7 +269,7 @@
 	_ = r.session.h2conn.Respond(now, r.stream, reply.Fields, reply.Body)
 }
 
-// Lost counts an answer that comes too late; a receipt is in its place already.
+// Lost counts an answer whose connection is closed. A receipt was stored before and counts as heard.
 func (r *request) Lost() {
 	if r.reservation != nil {
 		r.ticket.Answered(r.answer.Final, true)
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -16,19 +16,21 @@
 	"whinrun/internal/receipt"
 )
 
-// Receipts (RFC 8030 section 5.1): a message with "Prefer: respond-async" and a Push-Receipt field is answered 202 once
-// it is taken, and its final answer goes to the receipt subscription. Where the standard pushes receipts to a waiting
-// GET, which clients no longer support, a subscription here is read: GET returns what is there, DELETE takes one out.
+// receiptsPath is the path prefix of receipt subscriptions (RFC 8030 section 5.1). A message with "Prefer: respond-async"
+// and a Push-Receipt field gets status 202 as soon as it is accepted, and its final answer goes to the subscription. The
+// standard delivers receipts by server push to a waiting GET, which clients no longer support. Here, clients poll a
+// subscription with GET and remove receipts with DELETE.
 //
-//	POST   /receipts/TENANT          makes a subscription: 201, Location
-//	GET    /receipts/TENANT/NAME     the oldest receipts, a JSON array; 204 where there is none
-//	DELETE /receipts/TENANT/NAME/NO  takes one out
+//	POST   /receipts/TENANT          creates a subscription: 201 with Location
+//	GET    /receipts/TENANT/NAME     returns the oldest receipts as a JSON array, or 204 if there are none
+//	DELETE /receipts/TENANT/NAME/NO  removes a receipt
 const receiptsPath = "/receipts/"
 
-// maxReceiptsPerGet are returned by one GET.
+// maxReceiptsPerGet is the largest number of receipts in one GET response.
 const maxReceiptsPerGet = 100
 
-// requestedSubscription returns the subscription that a message's final answer is to go to, empty where its sender waits for it.
+// requestedSubscription returns the URI of the receipt subscription that a request names. It is empty if the client waits
+// for the final answer on the stream.
 func requestedSubscription(fields []h2.Field) (name string, p *push.Problem) {
 	async := false
 	for _, f := range fields {
@@ -48,7 +50,7 @@
 	return h2.Value(fields, "push-receipt"), nil
 }
 
-// reserveReceipt has a place kept for the receipt of a message.
+// reserveReceipt reserves a place for the receipt of a message, so that the answer cannot be lost to a full queue.
 func (s *session) reserveReceipt(r *request, uri string) *push.Problem {
 	tenant, name, ok := s.parseSubscription(uri)
 	if !ok || tenant != r.msg.Tenant {
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// releaseReceipt gives the place of a message back that was not taken.
+// releaseReceipt releases the reserved place of a message that was not accepted or was canceled.
 func (r *request) releaseReceipt(now time.Duration) {
 	if r.reservation != nil {
 		r.session.mailboxes.Lock()
@@ -77,7 +79,8 @@
 	}
 }
 
-// respondAccepted answers a message whose receipt goes elsewhere: its stream is over, and no longer withdraws it.
+// respondAccepted sends status 202 for a message with a receipt subscription. From then on, the end of its stream or of
+// the connection no longer cancels the message.
 func (s *session) respondAccepted(r *request, now time.Duration) {
 	delete(s.requests, r.stream)
 	id := s.ids.Format(r.msg.ID)
@@ -85,7 +88,7 @@
 		{Name: "link", Value: "<" + r.subscriptionURI + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessageID, Value: id, Sensitive: true}}, nil)
 }
 
-// storeReceipt puts the final answer into its place; it runs on the engine's goroutine.
+// storeReceipt stores the final answer in the reserved place. It runs on the engine's goroutine.
 func (r *request) storeReceipt(a *engine.Answer) {
 	rec := receipt.New(r.session.ids.Format(r.msg.ID), a, clock.Wall())
 	rec.Path = r.resourcePath
@@ -97,7 +100,7 @@
 	r.session.mailboxes.Unlock()
 }
 
-// parseSubscription splits a receipt subscription's path, or a URI with it, into tenant and name.
+// parseSubscription splits the path or the URI of a receipt subscription into its tenant and its name.
 func (s *session) parseSubscription(uri string) (tenant int, name string, ok bool) {
 	if i := strings.Index(uri, "://"); i >= 0 {
 		_, rest, _ := strings.Cut(uri[i+3:], "/")
@@ -108,7 +111,8 @@
 	return tenant, name, ok && strings.HasPrefix(uri, receiptsPath) && name != "" && !strings.Contains(name, "/")
 }
 
-// handleReceiptRequest takes a request about receipts; false where the path is not one.
+// handleReceiptRequest handles a request for receipts. It returns false if the path is not below receiptsPath, or if a push
+// resource is configured at that path.
 func (s *session) handleReceiptRequest(e *h2.Event, now time.Duration) bool {
 	path := h2.Value(e.Fields, ":path")
 	if !strings.HasPrefix(path, receiptsPath) {
@@ -124,6 +128,7 @@
 	return true
 }
 
+// serveReceiptRequest checks a request for receipts and dispatches it by its path and method.
 func (s *session) serveReceiptRequest(e *h2.Event, path string, now time.Duration) *push.Problem {
 	segments := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
 	tenant, ok := s.parser.Rules().Tenant(segments[0])
@@ -155,6 +160,7 @@
 	return &push.Problem{Status: 405, Title: "POST makes a subscription, GET reads it, DELETE takes a receipt out"}
 }
 
+// createSubscription creates a receipt subscription and responds with its path.
 func (s *session) createSubscription(e *h2.Event, tenant int, tenantName string, now time.Duration) *push.Problem {
 	s.mailboxes.Lock()
 	name, _, _, err := s.mailboxes.Declare(now, tenant, mailbox.Spec{}, false)
@@ -167,13 +173,16 @@
 	return nil
 }
 
-// receiptEntry is one receipt as it is read.
+// receiptEntry is a receipt in the response to a GET.
 type receiptEntry struct {
+	// No is the number that the DELETE path of the receipt ends in.
 	No      uint64           `json:"no"`
 	Receipt *receipt.Receipt `json:"receipt"`
-	Signed  string           `json:"signed,omitempty"` // JWS (RFC 7515), where the dispatcher has a key
+	// Signed is the receipt as a JWS (RFC 7515). It is empty if the dispatcher has no signing key.
+	Signed string `json:"signed,omitempty"`
 }
 
+// listReceipts responds with the oldest receipts of a subscription.
 func (s *session) listReceipts(e *h2.Event, tenant int, name string, now time.Duration) *push.Problem {
 	s.mailboxes.Lock()
 	waiting, err := s.mailboxes.Peek(now, tenant, name, maxReceiptsPerGet)
@@ -198,7 +207,7 @@
 	return nil
 }
 
-// respondNoContent answers 204, or 404 for what is not there.
+// respondNoContent sends status 204, or returns a problem with status 404 if err is not nil.
 func (s *session) respondNoContent(e *h2.Event, err error, now time.Duration) *push.Problem {
 	if err != nil {
 		return &push.Problem{Status: 404, Title: err.Error()}
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -15,7 +15,8 @@
 	"whinrun/internal/receipt"
 )
 
-// auditTrail writes down what the engine does, in names.
+// auditTrail implements engine.Trail. It records what the engine does, with the names of partners, tenants and classes in
+// place of their numbers.
 type auditTrail struct {
 	log       *audit.Keeper
 	cfg       *config.Config
@@ -23,22 +24,26 @@
 	ids       push.ExternalIDs
 }
 
+// resultNames are the names of results in the audit trail.
 var resultNames = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
 	control.Full: "full", control.Errored: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.Moot: "moot"}
 
+// healthNames are the names of health states in the audit trail.
 var healthNames = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
 
+// newRecord returns a record about a message.
 func (t *auditTrail) newRecord(kind audit.Kind, m *engine.Message) *audit.Record {
 	return &audit.Record{Kind: kind, Message: t.ids.Format(m.ID), Partner: t.cfg.Partners[m.Dest].Name}
 }
 
+// setAttempt adds the number of an attempt, counted from 1, and its endpoint to a record.
 func (t *auditTrail) setAttempt(r *audit.Record, a *engine.Attempt) *audit.Record {
 	p, _ := t.endpoints.Lookup(a.Endpoint)
 	r.Attempt, r.Endpoint = a.N+1, p.Addr.String()
 	return r
 }
 
-// Accepted is engine.Trail, as are the others.
+// Accepted records that the engine accepted a message.
 func (t *auditTrail) Accepted(m *engine.Message) {
 	r := t.newRecord(audit.Accepted, m)
 	r.Tenant, r.Class, r.Life, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Life), len(m.Body)
@@ -46,10 +51,12 @@
 	t.log.Put(r)
 }
 
+// Started records the start of an attempt.
 func (t *auditTrail) Started(a *engine.Attempt) {
 	t.log.Put(t.setAttempt(t.newRecord(audit.Started, a.Msg), a))
 }
 
+// Ended records the end of an attempt and its verdict. late means that the message had its final answer before.
 func (t *auditTrail) Ended(a *engine.Attempt, e *engine.End, verdict engine.Verdict, late bool) {
 	r := t.setAttempt(t.newRecord(audit.Ended, a.Msg), a)
 	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = resultNames[verdict.Result], verdict.Ran, e.Status, int64(e.Wait), verdict.Why, late
@@ -57,12 +64,14 @@
 	t.log.Put(r)
 }
 
+// Withdrawn records that the sender canceled a message.
 func (t *auditTrail) Withdrawn(m *engine.Message) {
 	r := t.newRecord(audit.Withdrawn, m)
 	r.Tenant = t.cfg.Intake.Tenants[m.Tenant]
 	t.log.Put(r)
 }
 
+// Answered records the final answer to a message.
 func (t *auditTrail) Answered(m *engine.Message, a *engine.Answer) {
 	r := t.newRecord(audit.Answered, m)
 	r.Tenant, r.Result, r.Status, r.Wait, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Final.String(), a.Status, int64(a.Wait), a.Tries
@@ -70,6 +79,7 @@
 	t.log.Put(r)
 }
 
+// Learned records the health of an endpoint as the endpoint list reports it.
 func (t *auditTrail) Learned(e *control.Entry) {
 	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: healthNames[e.Health]}
 	if p, ok := t.endpoints.Lookup(e.Endpoint); ok {
@@ -78,7 +88,7 @@
 	t.log.Put(r)
 }
 
-// receiptChanged takes down what becomes of receipts.
+// receiptChanged records that a receipt subscription was created, if taken is nil, or that a receipt was fetched.
 func (t *auditTrail) receiptChanged(tenant int, name string, taken *receipt.Receipt) {
 	r := &audit.Record{Kind: audit.Subscribed, Tenant: t.cfg.Intake.Tenants[tenant], Receipt: name}
 	if taken != nil {
@@ -87,18 +97,20 @@
 	t.log.Put(r)
 }
 
-// restoreReceipts puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
-// answer by then gets the one that is true of it: failed, it may have been sent.
+// restoreReceipts restores the receipts that an earlier process promised and that were not fetched. A message without a
+// final answer gets the answer failed, because it may have been sent.
 func (s *Service) restoreReceipts(mailboxes *mailbox.Room, rules *intake.Book) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
 	subscriptions, pending, err := s.auditLog.Unfetched(since)
 	if err != nil {
-		return fmt.Errorf("receipts of before: %w", err)
+		return fmt.Errorf("reading the receipts of earlier processes: %w", err)
 	}
 	restored := 0
 	for _, r := range subscriptions {
 		if tenant, ok := rules.Tenant(r.Tenant); ok {
-			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false) // one there is none too many
+			// Declare fails if the tenant already has as many queues as allowed. The subscription is then not restored, and
+			// Promise fails below for each of its receipts.
+			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false)
 		}
 	}
 	for _, receipt := range pending {
@@ -114,7 +126,8 @@
 		if receipt.Answered == nil {
 			receipt.Answered = &audit.Record{Kind: audit.Answered, Message: receipt.Accepted.Message, Partner: receipt.Accepted.Partner, Tenant: receipt.Tenant,
 				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: receipt.Queue}
-			s.auditLog.Put(receipt.Answered) // from now on that is its answer
+			// From now on, the recorded answer is the final one.
+			s.auditLog.Put(receipt.Answered)
 		}
 		reservation.Fill(s.now(), newReceipt(receipt.Answered))
 		restored++
@@ -125,6 +138,7 @@
 	return nil
 }
 
+// newReceipt converts the record of a final answer into a receipt.
 func newReceipt(answer *audit.Record) *receipt.Receipt {
 	return &receipt.Receipt{Message: answer.Message, Answer: answer.Result, At: answer.Time(), Detail: answer.Why, Reason: answer.Reason, Attempts: answer.Attempts,
 		Partner: answer.Status, RetryAfter: answer.Wait / 1000}
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -8,7 +8,8 @@
 	"whinrun/internal/mailbox"
 )
 
-// backgroundTasks runs the chores that internal/chores plans, one at a time, on one goroutine beside delivery.
+// backgroundTasks runs the periodic background tasks one at a time on a goroutine of their own. The planner decides which
+// task runs when.
 type backgroundTasks struct {
 	planner  *chores.Planner
 	tasks    []func() (more bool, err error)
@@ -16,7 +17,8 @@
 	done     sync.WaitGroup
 }
 
-// startBackground plans sealing, upkeep of the trail, expiry of answers and a look at old records.
+// startBackground starts the background tasks. They expire unread answers and, if an audit trail is kept, seal it, compress
+// and drop old segments, and verify old records.
 func (s *Service) startBackground(mailboxes *mailbox.Room) {
 	background := &backgroundTasks{stopping: make(chan struct{})}
 	tasks := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
@@ -57,11 +59,13 @@
 	})
 }
 
-// pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
+// pressure returns the load of the engine. It is 1 if a round of the engine takes half a tick, which is when events begin to
+// wait.
 func (s *Service) pressure() float64 {
 	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Control.Tick)*time.Microsecond)
 }
 
+// stop ends the background tasks and waits for a running one. It does nothing if b is nil.
 func (b *backgroundTasks) stop() {
 	if b != nil {
 		close(b.stopping)
--- a/internal/service/endpoint_poller.go
+++ b/internal/service/endpoint_poller.go
@@ -18,20 +18,24 @@
 	"whinrun/internal/logs"
 )
 
-// ListSource is where the whole endpoint list comes from.
+// ListSource provides the complete endpoint list.
 type ListSource interface {
-	// Load returns the whole list; version changes with it. With an unchanged version the lines do not matter.
+	// Load returns the complete list and its version. known is the version of the previous call. If the version has not
+	// changed, the returned endpoints are ignored.
 	Load(known string) (lines []endpointlist.Endpoint, version string, err error)
 }
 
-// staticList is the list of the settings.
+// staticList is the endpoint list of the settings.
 type staticList []endpointlist.Endpoint
 
+// Load returns the list under a version that never changes.
+
 func (f staticList) Load(string) ([]endpointlist.Endpoint, string, error) { return f, "settings", nil }
 
-// listFile is a list on disk: a line each of PARTNER ADDRESS ready|draining.
+// listFile is an endpoint list on disk. Each line has the form PARTNER ADDRESS ready|draining.
 type listFile struct{ name string }
 
+// newListSource returns the list file of the settings or, if there is none, the list in the settings.
 func newListSource(cfg *config.Config) ListSource {
 	if cfg.ListFile == "" {
 		return staticList(cfg.Endpoints)
@@ -39,6 +43,7 @@
 	return listFile{cfg.ListFile}
 }
 
+// Load reads the file if its modification time or its size has changed.
 func (f listFile) Load(known string) ([]endpointlist.Endpoint, string, error) {
 	info, err := os.Stat(f.name)
 	if err != nil {
@@ -56,7 +61,8 @@
 	return endpoints, version, err
 }
 
-// ParseList reads a list file. One bad line makes it all void: half a list would look as if the rest were gone.
+// ParseList parses a list file. name is the file name in errors. An invalid line makes the whole list invalid, because the
+// endpoints of a partial list would look like the only ones left.
 func ParseList(name string, text []byte) ([]endpointlist.Endpoint, error) {
 	var endpoints []endpointlist.Endpoint
 	var problems []error
@@ -82,13 +88,14 @@
 	return endpoints, errors.Join(problems...)
 }
 
+// parseEndpoint parses the words of one line.
 func parseEndpoint(words []string) (endpoint endpointlist.Endpoint, err error) {
 	if len(words) != 3 {
-		return endpoint, errors.New("not PARTNER ADDRESS ready|draining")
+		return endpoint, errors.New("expected PARTNER ADDRESS ready|draining")
 	}
 	endpoint.Partner = words[0]
 	if endpoint.Addr, err = netip.ParseAddrPort(words[1]); err != nil {
-		return endpoint, fmt.Errorf("%q is no address with its port", words[1])
+		return endpoint, fmt.Errorf("%q is not an address with a port", words[1])
 	}
 	switch words[2] {
 	case "ready":
@@ -101,7 +108,7 @@
 	return endpoint, nil
 }
 
-// listPoller looks at the source and pushes what changed to the engine, on one goroutine.
+// listPoller polls the list source and passes changes on to the engine. It runs on one goroutine.
 type listPoller struct {
 	source    ListSource
 	endpoints *endpointlist.Registry
@@ -113,7 +120,8 @@
 	failing   bool
 }
 
-// start takes the first list at once, so that it is there before the first message, and looks for news every so often.
+// start loads the first list at once, so that the engine has it before the first message. Then it polls at the given
+// interval.
 func (l *listPoller) start(interval time.Duration) {
 	l.poll(control.ListFull)
 	l.done.Add(1)
@@ -132,6 +140,8 @@
 	}()
 }
 
+// poll loads the list and delivers the changes. If the list cannot be loaded, the previous list stays in use, and the first
+// error of a row is logged.
 func (l *listPoller) poll(kind control.ListKind) {
 	endpoints, version, err := l.source.Load(l.version)
 	if err != nil {
@@ -156,13 +166,14 @@
 	l.deliver(engine.List{Kind: kind, Entries: diff.Entries})
 }
 
+// stop ends polling and waits for the goroutine.
 func (l *listPoller) stop() {
 	close(l.stopping)
 	l.done.Wait()
 }
 
-// Watch and Fetch are engine.Lists; the list is pushed here, so the module asks for neither.
+// Watch implements engine.Lists. It does nothing, because the poller delivers the list without being asked.
 func (l *listPoller) Watch() {}
 
-// Fetch is engine.Lists.
+// Fetch implements engine.Lists. It does nothing, for the same reason as Watch.
 func (l *listPoller) Fetch() {}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,5 @@
-// Package service puts a dispatcher together from its settings: front, engine, module, back end and endpoint list.
+// Package service assembles a dispatcher from its settings: frontends, engine, decision library, outbound connections,
+// endpoint list, audit trail and background tasks.
 package service
 
 import (
@@ -40,15 +41,18 @@
 	loop      *engine.Loop
 	pool      *outbound.Pool
 	admission *door.Door
-	frontends []*front.Front // push, then AMQP where it is on
+	// frontends holds the push frontend and, if AMQP is enabled, the AMQP frontend after it.
+	frontends []*front.Front
 	poller    *listPoller
-	auditLog  *audit.Keeper // nil where no trail is kept
-	trail     *auditTrail
+	// auditLog is nil if no audit trail is kept.
+	auditLog *audit.Keeper
+	trail    *auditTrail
 
 	background *backgroundTasks
 }
 
-// Start starts a dispatcher. source may be nil: then the list is that of the settings, or of the list file.
+// Start starts a dispatcher. If source is nil, the endpoint list comes from the list file or, if none is configured, from
+// the settings.
 func Start(cfg *config.Config, log *logs.Logger, source ListSource) (*Service, error) {
 	s := &Service{cfg: cfg, log: log, clock: clock.New(), endpoints: endpointlist.New(cfg.Partners)}
 	var seed [16]byte
@@ -102,13 +106,18 @@
 	return s, nil
 }
 
-// engineAdapter is the engine as the door sees it; the door is there first, as the trail may have it shut.
+// engineAdapter passes calls of the admission control on to the engine. Admission control is created before the engine,
+// because the audit trail must be able to close it as soon as the trail is open.
 type engineAdapter struct{ s *Service }
 
+// Submit hands a message over to the engine.
 func (i engineAdapter) Submit(m *engine.Message) error { return i.s.loop.Submit(m) }
-func (i engineAdapter) Withdraw(id control.MessageID)  { i.s.loop.Withdraw(id) }
 
-// openTrail opens the trail. While its disk fails nothing new is taken; what is held is answered.
+// Withdraw cancels a message.
+func (i engineAdapter) Withdraw(id control.MessageID) { i.s.loop.Withdraw(id) }
+
+// openTrail opens the audit trail. While the trail cannot be written, no new messages are accepted, but the messages in
+// progress still get their answers.
 func (s *Service) openTrail(ids push.ExternalIDs) (engine.Trail, error) {
 	onWriteError := func(err error) {
 		if err != nil {
@@ -126,7 +135,7 @@
 	return s.trail, nil
 }
 
-// closeTrail closes the trail, in order or as a crash would.
+// closeTrail closes the audit trail. If orderly is false, it leaves the trail as a crash would.
 func (s *Service) closeTrail(orderly bool) {
 	switch {
 	case s.auditLog == nil:
@@ -140,7 +149,7 @@
 	s.auditLog = nil
 }
 
-// listen opens the fronts. They are equals: each gets its side of the one door.
+// listen opens the frontends. They share one admission control, which applies the same limits to all of them.
 func (s *Service) listen(ids push.ExternalIDs) error {
 	cfg, rules := s.cfg, intake.NewBook(s.cfg.Intake)
 	listenOn := func(name string, frontConfig front.Config, admitter *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
@@ -166,10 +175,10 @@
 	return listenOn("amqp", cfg.AMQP, admitter, amqpfront.New(cfg.AMQPConn, rules, ids, admitter, mailboxes, s.now).Open)
 }
 
-// Addr is where clients connect by HTTP/2.
+// Addr returns the address that HTTP/2 clients connect to.
 func (s *Service) Addr() net.Addr { return s.frontends[0].Addr() }
 
-// AMQPAddr is where clients connect by AMQP, nil where that is off.
+// AMQPAddr returns the address that AMQP clients connect to. It is nil if AMQP is disabled.
 func (s *Service) AMQPAddr() net.Addr {
 	if len(s.frontends) < 2 {
 		return nil
@@ -177,16 +186,17 @@
 	return s.frontends[1].Addr()
 }
 
-// Stats returns the engine's counts.
+// Stats returns the counters of the engine.
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
-// Admission gives access to what clients have handed in, for measurements and tests.
+// Admission returns the admission control, for measurements and tests.
 func (s *Service) Admission() *door.Door { return s.admission }
 
-// now is the dispatcher's clock as a duration.
+// now returns the monotonic time of the dispatcher's clock.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
 
-// Note is engine.Log. What the module tells of partners, returns among it, goes into the trail, too.
+// Note implements engine.Log. It also writes the text to the audit trail, because the text reports what the decision library
+// has learned about partners, such as their recovery from an outage.
 func (s *Service) Note(text string) {
 	s.log.Info("module", "%s", text)
 	if s.auditLog != nil {
@@ -194,11 +204,12 @@
 	}
 }
 
-// Fault is engine.Log.
+// Fault implements engine.Log.
 func (s *Service) Fault(text string) { s.log.Error("engine", "%s", text) }
 
-// Stop ends a dispatcher in order: GOAWAY to clients, no new messages, answers for those taken, then all is closed.
-// It tells whether every message had its answer; when ctx ends first the rest is cut off.
+// Stop shuts a dispatcher down gracefully. It sends GOAWAY to clients, rejects new messages, waits for the answers to the
+// accepted ones and closes everything. It reports whether all messages were answered. If ctx ends first, the remaining
+// messages get no answer.
 func (s *Service) Stop(ctx context.Context) bool {
 	s.log.Info("service", "stopping: no new messages")
 	for _, f := range s.frontends {
@@ -222,9 +233,10 @@
 	return answered
 }
 
-// Kill ends a dispatcher at once, as a crash would, but for the sockets that it closes.
+// Kill ends a dispatcher immediately, as a crash would, except that it closes its sockets.
 func (s *Service) Kill() { s.close(false) }
 
+// close stops all parts in order and closes the audit trail.
 func (s *Service) close(orderly bool) {
 	s.poller.stop()
 	for _, f := range s.frontends {
@@ -236,18 +248,22 @@
 	s.closeTrail(orderly)
 }
 
-// sendPermits asks the guard alone: nothing of attempts outlives this kind of process.
+// sendPermits implements outbound.Permits with the safety guard alone. It records nothing, because this kind of dispatcher
+// keeps no ledger.
 type sendPermits struct{ guard *safety.Guard }
 
+// Write asks the guard whether an attempt may be written now.
 func (p sendPermits) Write(now control.Time, a *engine.Attempt) error {
 	return p.guard.Write(now, a.Call())
 }
 
+// Record permits all attempts of a call.
 func (sendPermits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
 
+// TakenBack tells the guard that a permitted attempt was not written.
 func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.TakenBack(a.Call()) }
 
-// partnerProtocol speaks to each endpoint in the dialect of its partner's kind.
+// partnerProtocol builds requests and interprets responses in the dialect of each partner's kind.
 type partnerProtocol struct {
 	endpoints *endpointlist.Registry
 	resources []push.PartnerResource
@@ -256,11 +272,14 @@
 	wall      func() time.Time
 }
 
+// Address returns the address of an endpoint, or false if the endpoint is unknown.
 func (s *partnerProtocol) Address(ep control.Endpoint) (netip.AddrPort, bool) {
 	location, ok := s.endpoints.Lookup(ep)
 	return location.Addr, ok
 }
 
+// Request returns the header section of an attempt. If the settings name no authority for the partner, :authority is the
+// address of the endpoint.
 func (s *partnerProtocol) Request(a *engine.Attempt, remaining time.Duration) []h2.Field {
 	location, _ := s.endpoints.Lookup(a.Endpoint)
 	resource := s.resources[location.Partner]
@@ -270,6 +289,7 @@
 	return s.dialects[location.Kind].Request(resource, s.ids, a, remaining, s.wall())
 }
 
+// Answer converts a complete response into the end of an attempt. Retry-After and the reason count from status 300 on.
 func (s *partnerProtocol) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End {
 	location, _ := s.endpoints.Lookup(a.Endpoint)
 	status, _ := strconv.Atoi(h2.Value(fields, ":status"))
