--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,44 +24,73 @@
 	"whinrun/internal/pushfront"
 )
 
-// Config is a whole setup, checked.
+// Config is the complete configuration of a dispatcher. Parse returns it only if all settings are valid.
 type Config struct {
-	Control      control.Settings
-	Front        front.Config
-	Push         pushfront.Config
-	AMQP         front.Config // its address is empty where AMQP is off
-	AMQPConn     amqp.Config
-	Outbound     outbound.Config
+	// Control holds the settings of the decision library.
+	Control control.Settings
+	// Front configures the listener for HTTP/2 clients.
+	Front front.Config
+	// Push configures the sessions of HTTP/2 clients.
+	Push pushfront.Config
+	// AMQP configures the listener for AMQP clients. Its address is empty if AMQP is disabled.
+	AMQP front.Config
+	// AMQPConn configures the connections of AMQP clients.
+	AMQPConn amqp.Config
+	// Outbound configures the connections to partners.
+	Outbound outbound.Config
+	// EngineBounds limits what the engine holds.
 	EngineBounds engine.Bounds
-	Audit        audit.Config
-	Mailbox      mailbox.Limits
-	Admission    door.Limits
+	// Audit configures the audit trail. Its folder is empty if no trail is kept.
+	Audit audit.Config
+	// Mailbox limits the queues in which final answers wait.
+	Mailbox mailbox.Limits
+	// Admission holds the limits that all frontends share.
+	Admission door.Limits
 
-	BackgroundShare   float64 // share of a core
-	GCPercent         int     // percent, as of debug.SetGCPercent
-	LogLevel          string
+	// BackgroundShare is the share of one core that background tasks may use.
+	BackgroundShare float64
+	// GCPercent is the argument of debug.SetGCPercent.
+	GCPercent int
+	// LogLevel is the lowest level that is logged, as a name of zerolog.
+	LogLevel string
+	// LogLinesPerSecond is the highest sustained rate of log lines.
 	LogLinesPerSecond float64
-	StopTimeout       time.Duration
+	// StopTimeout is how long a graceful stop may wait for the answers to accepted messages.
+	StopTimeout time.Duration
 
-	Intake           intake.Setup
-	Classes          []string
-	Partners         []endpointlist.Partner
-	PartnerResources []push.PartnerResource // by partner
-	Dialects         []push.Dialect
-	Endpoints        []endpointlist.Endpoint // endpoints of the partner sections
-	ListFile         string
-	ListInterval     time.Duration
+	// Intake configures the rules for incoming messages.
+	Intake intake.Setup
+	// Classes holds the names of the message classes, by class number.
+	Classes []string
+	// Partners holds the partners, by destination number.
+	Partners []endpointlist.Partner
+	// PartnerResources holds the push resource of each partner, by destination number.
+	PartnerResources []push.PartnerResource
+	// Dialects holds the dialect of each kind of partner, by kind.
+	Dialects []push.Dialect
+	// Endpoints holds the endpoints of the partner sections.
+	Endpoints []endpointlist.Endpoint
+	// ListFile is the file of the endpoint list. If it is empty, Endpoints is the list.
+	ListFile string
+	// ListInterval is how often the list file is checked for changes.
+	ListInterval time.Duration
 }
 
+// duration returns the value of a duration key.
 func (s *section) duration(key string) time.Duration {
 	return time.Duration(s.numbers[key] * float64(time.Second))
 }
+
+// controlTime returns the value of a duration key in the unit of the decision library.
 func (s *section) controlTime(key string) control.Time {
 	return control.Time(s.numbers[key] * float64(control.Second))
 }
+
+// integer returns the value of a count or size key.
 func (s *section) integer(key string) int { return int(s.numbers[key]) }
 
-// singleSection returns a section that stands once at most; its defaults where it does not stand.
+// singleSection returns the section of a kind that occurs at most once. If the file does not have it, all its keys have
+// their defaults.
 func (p *parser) singleSection(name string) *section {
 	for _, s := range p.sections {
 		if s.spec.name == name {
@@ -74,6 +103,7 @@
 	return s
 }
 
+// allSections returns all sections of a kind in the order of the file, and the index of each by its name.
 func (p *parser) allSections(name string) (all []*section, index map[string]int) {
 	index = map[string]int{}
 	for _, s := range p.sections {
@@ -85,7 +115,7 @@
 	return all, index
 }
 
-// resolve finds what a key names.
+// resolve returns the index of the section that a key refers to. It reports a problem if there is no such section.
 func (p *parser) resolve(s *section, key string, index map[string]int) int {
 	i, ok := index[s.values[key]]
 	if !ok {
@@ -94,12 +124,14 @@
 	return i
 }
 
+// build converts the parsed sections into a Config. It reports problems that concern more than one key.
 func (p *parser) build() *Config {
 	cfg := &Config{}
 	dispatcher, limits, outboundSection := p.singleSection("dispatcher"), p.singleSection("limits"), p.singleSection("outbound")
 	cfg.LogLevel, cfg.LogLinesPerSecond, cfg.StopTimeout = dispatcher.values["log"], dispatcher.numbers["log-lines"], dispatcher.duration("stop-within")
 	cfg.GCPercent, cfg.BackgroundShare = dispatcher.integer("garbage"), dispatcher.numbers["background"]
 	cfg.Intake.MaxBody = limits.integer("body")
+	// The flow-control window of a stream is as large as the largest body, but at least 64 KiB and at most 1 MiB.
 	streamWindow := uint32(min(max(64<<10, cfg.Intake.MaxBody), 1<<20))
 	h2Config := h2.Config{MaxStreams: uint32(limits.integer("streams")), MaxHeaderList: limits.integer("headers"), StreamWindow: streamWindow,
 		ConnWindow: 4 << 20, Handshake: limits.duration("handshake"), Stall: limits.duration("stall"),
@@ -111,6 +143,7 @@
 		Policy: plan.Policy{SyncWithin: auditSection.duration("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(auditSection.numbers["segment"]),
 			KeepFor: auditSection.duration("keep-for"), KeepBytes: int64(auditSection.numbers["keep-bytes"]), RetryEvery: time.Second}}
 	cfg.Push = pushfront.Config{IdleTimeout: limits.duration("client-idle"), H2: h2Config}
+	// Connections to partners use the same limits as client connections, with smaller flow-control windows.
 	h2Config.MaxStreams, h2Config.StreamWindow, h2Config.ConnWindow = 1, 64<<10, 1<<20
 	cfg.Outbound = outbound.Config{Loops: dispatcher.integer("loops"), Conns: outboundSection.integer("connections"), Streams: outboundSection.integer("streams"),
 		ConnectTimeout: outboundSection.duration("connect-timeout"),
@@ -122,6 +155,7 @@
 	return cfg
 }
 
+// buildAMQP fills the settings of the AMQP listener and of the answer queues.
 func (p *parser) buildAMQP(cfg *Config, dispatcher, limits *section) {
 	amqpSection := p.singleSection("amqp")
 	cfg.AMQP = front.Config{Address: amqpSection.values["listen"], Loops: dispatcher.integer("loops"), Unread: max(limits.integer("unread"), 2*cfg.Intake.MaxBody)}
@@ -134,6 +168,7 @@
 	}
 }
 
+// buildList fills the settings of the endpoint list and checks that the list file exists.
 func (p *parser) buildList(cfg *Config) {
 	s := p.singleSection("list")
 	cfg.ListFile, cfg.ListInterval = s.values["file"], s.duration("every")
@@ -144,6 +179,7 @@
 	}
 }
 
+// buildClasses fills the message classes and the tenants.
 func (p *parser) buildClasses(cfg *Config) {
 	classes, _ := p.allSections("class")
 	if len(classes) == 0 {
@@ -180,6 +216,7 @@
 	}
 }
 
+// buildPartners fills the kinds, the partners, their endpoints, the push resources and the exchanges.
 func (p *parser) buildPartners(cfg *Config) {
 	kinds, kindIndex := p.allSections("kind")
 	for _, s := range kinds {
@@ -224,12 +261,13 @@
 	}
 }
 
-// classLimits are what a class lays down for its messages.
+// classLimits returns whether messages of a class are ordered and how long they may live.
 func (c *Config) classLimits(class int) (inOrder bool, life time.Duration) {
 	settings := c.Control.Classes[class]
 	return settings.InOrder, time.Duration(settings.Deadline) * time.Microsecond
 }
 
+// buildEndpoints adds the endpoints of a partner section to the list. Each address may occur once per partner.
 func (p *parser) buildEndpoints(cfg *Config, s *section) {
 	seen := map[netip.AddrPort]bool{}
 	add := func(key string, health control.Health) {
@@ -249,7 +287,8 @@
 	}
 }
 
-// buildControl fills the module's settings; bounds that are not set come from the partners listed.
+// buildControl fills the settings of the decision library, the engine and admission control. Limits that are not set are
+// derived from the configured partners.
 func (p *parser) buildControl(cfg *Config, limits, outboundSection *section) {
 	rules := p.singleSection("rules")
 	settings := &cfg.Control
@@ -291,7 +330,8 @@
 	}
 }
 
-// defaultSlots is 32 calls for each endpoint, or one second's calls where a partner's rate is listed as more.
+// defaultSlots returns the default number of concurrent calls. For each partner it allows 32 calls per endpoint, or the
+// calls of one second at the partner's rate if that is more. The sum is limited to the range from 16 to 8192.
 func defaultSlots(cfg *Config) int {
 	const each, least, most = 32, 16, 8192
 	slots := map[string]float64{}
@@ -305,7 +345,7 @@
 	return int(min(max(sum, least), most))
 }
 
-// Describe tells in a line what a setup is.
+// Describe summarizes a configuration in one line.
 func (c *Config) Describe() string {
 	return fmt.Sprintf("%d partners, %d endpoints, %d classes, %d tenants, %d push resources; %d slots, %d messages held at most",
 		len(c.Partners), len(c.Endpoints), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Control.Slots, c.Control.MaxOpen)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// Everything that is wrong is told in one go, with file, line and key; nothing of it panics or is passed over.
+// Each kind of error in a settings file is reported with its file, line and key. None of them causes a panic or is ignored.
 func TestProblemsNameFileLineAndKey(t *testing.T) {
 	good, err := os.ReadFile("../../examples/quickstart.ini")
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The reference page is the program's own.
+// The reference page in docs is identical to the one that the program generates.
 func TestReferencePage(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	if err != nil {
--- a/internal/config/parser.go
+++ b/internal/config/parser.go
@@ -1,5 +1,5 @@
-// Package config reads the settings: an INI file, checked key by key. What is wrong comes back as problems that name
-// file, line and key.
+// Package config reads the settings of a dispatcher from an INI file and checks each key. Errors name the file, the line
+// and the key.
 package config
 
 import (
@@ -11,14 +11,19 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one thing that is wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
+	// File is the name of the settings file.
 	File string
-	Line int // 0 where it is of no line
-	Key  string
+	// Line is the line number, counted from 1. It is 0 if the problem does not belong to a line.
+	Line int
+	// Key is the name of the key, or of the section in brackets. It is empty if the problem belongs to neither.
+	Key string
+	// Text describes the problem.
 	Text string
 }
 
+// Error returns the problem as "file:line: key: text".
 func (p Problem) Error() string {
 	position := p.File
 	if p.Line > 0 {
@@ -30,11 +35,13 @@
 	return position + ": " + p.Text
 }
 
-// Problems are all that is wrong with a file, in the order of its lines.
+// Problems holds all errors in a settings file, in the order of the lines.
 type Problems []Problem
 
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
-	const most = 50 // one slip in a file made by a program can make thousands
+	// A single mistake in a generated file can cause thousands of problems.
+	const most = 50
 	var lines []string
 	for i, problem := range p {
 		if i == most {
@@ -46,28 +53,34 @@
 	return strings.Join(lines, "\n")
 }
 
-// section is one section of the file with its values.
+// section is a section of the file with its values.
 type section struct {
-	spec    *sectionSpec
-	name    string // of a named section
-	line    int
-	values  map[string]string
+	spec *sectionSpec
+	// name is the second word of a named section's header.
+	name string
+	// line is the line of the header. It is 0 if the file does not have the section.
+	line int
+	// values holds the text of each key that is set or has a default.
+	values map[string]string
+	// numbers holds the numeric value of each key in the base unit of its kind.
 	numbers map[string]float64
-	lines   map[string]int
+	// lines holds the line of each key that the file sets.
+	lines map[string]int
 }
 
-// parser gathers sections and problems.
+// parser collects the sections and the problems of a file.
 type parser struct {
 	file     string
 	problems Problems
 	sections []*section
 }
 
+// addProblem records a problem with a formatted text.
 func (p *parser) addProblem(line int, key, format string, a ...any) {
 	p.problems = append(p.problems, Problem{p.file, line, key, fmt.Sprintf(format, a...)})
 }
 
-// Load reads a settings file. The error is Problems where the file could be read.
+// Load reads and checks a settings file. An error is of type Problems.
 func Load(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -76,7 +89,7 @@
 	return Parse(file, text)
 }
 
-// Parse reads settings; file is how problems name them.
+// Parse reads and checks settings. file is the file name in problems. An error is of type Problems.
 func Parse(file string, text []byte) (*Config, error) {
 	p := &parser{file: file}
 	if len(text) > 16<<20 {
@@ -98,11 +111,11 @@
 	return cfg, nil
 }
 
-// position is where a section or a key stands.
+// position identifies a section, or a key in a section.
 type position struct{ section, key string }
 
-// indexLines finds the lines of sections and keys, which the INI library does not tell, and what it would merge silently:
-// duplicates. Values are the library's.
+// indexLines returns the line number of each section and key, because the INI library does not report line numbers. It
+// also reports duplicate sections and keys, which the library would merge silently. The values come from the library.
 func (p *parser) indexLines(text string) map[position]int {
 	lines := map[position]int{}
 	section := ""
@@ -140,7 +153,7 @@
 	return lines
 }
 
-// parseSections reads all sections and checks each key by its spec.
+// parseSections reads all sections and checks each key against its specification.
 func (p *parser) parseSections(text []byte, lines map[position]int) {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, IgnoreInlineComment: true, KeyValueDelimiters: "=",
 		SkipUnrecognizableLines: false, PreserveSurroundedQuote: true}, text)
@@ -170,7 +183,7 @@
 	}
 }
 
-// findSection splits "kind name" and finds its spec.
+// findSection splits a section header "kind name" and returns the specification of the kind and the name.
 func findSection(full string) (*sectionSpec, string, bool) {
 	kind, name, _ := strings.Cut(full, " ")
 	for i := range schema {
@@ -181,6 +194,8 @@
 	return nil, "", false
 }
 
+// validSectionName reports whether a name is valid for a kind of section. The name of a push section is a path. It may end
+// in "/*" and may not contain "*" elsewhere.
 func validSectionName(kind, name string) bool {
 	if kind == "push" {
 		return len(name) > 1 && name[0] == '/' && len(name) < 256 && !strings.ContainsAny(name, " ?#%\"\\") && !strings.Contains(name, "..") &&
@@ -189,6 +204,7 @@
 	return namePattern.MatchString(name)
 }
 
+// parseKey checks the value of a key and stores it.
 func (p *parser) parseKey(s *section, key, value string, line int) {
 	for i := range s.spec.keys {
 		k := &s.spec.keys[i]
@@ -207,6 +223,7 @@
 	p.addProblem(line, key, "no such key in [%s]", s.spec.name)
 }
 
+// applyDefaults sets the keys that the file does not set to their defaults and reports missing required keys.
 func (p *parser) applyDefaults(s *section) {
 	for i := range s.spec.keys {
 		k := &s.spec.keys[i]
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -10,47 +10,72 @@
 	"time"
 )
 
-// valueKind is the type of a value.
+// valueKind is the type of a key's value.
 type valueKind uint8
 
+// These are the kinds of values.
 const (
+	// kindText is any text.
 	kindText valueKind = iota
+	// kindCount is a whole number.
 	kindCount
+	// kindSize is a number of bytes with a unit.
 	kindSize
+	// kindDuration is a duration in the syntax of time.ParseDuration.
 	kindDuration
+	// kindRate is a number per second.
 	kindRate
+	// kindNumber is a decimal number without a unit.
 	kindNumber
+	// kindYesNo is "yes" or "no", with the numeric value 1 or 0.
 	kindYesNo
+	// kindAddress is one literal IP address with a port.
 	kindAddress
+	// kindAddresses is a comma-separated list of such addresses.
 	kindAddresses
+	// kindChoice is one of the choices of the key.
 	kindChoice
+	// kindName is the name of another section.
 	kindName
 )
 
+// kindNames are the names of the kinds on the reference page.
 var kindNames = map[valueKind]string{kindText: "text", kindCount: "count", kindSize: "size", kindDuration: "duration", kindRate: "rate", kindNumber: "number",
 	kindYesNo: "yes or no", kindAddress: "address", kindAddresses: "addresses", kindChoice: "choice", kindName: "name"}
 
-// keySpec describes one key: the reference page is made from it.
+// keySpec specifies one key. The parser checks values against it, and the reference page is generated from it.
 type keySpec struct {
-	name         string
-	kind         valueKind
-	defaultValue string // as it would be written; empty: none, or derived as the doc says
+	name string
+	kind valueKind
+	// defaultValue is the default as the file would state it. It is empty if there is none, or if the default is derived
+	// as the doc says.
+	defaultValue string
 	required     bool
-	min, max     float64 // in the kind's base unit: pieces, bytes, seconds, a second; 0, 0 is no bound
-	choices      string  // names apart by blanks; for name: the section it refers to
-	doc          string
+	// min and max bound a numeric value, in the base unit of the kind: a count, bytes, seconds, or a rate per second. There
+	// is no bound if both are 0.
+	min, max float64
+	// choices holds the valid choices, separated by blanks. For kindName it holds the kind of section that the name refers
+	// to.
+	choices string
+	// doc explains the key on the reference page.
+	doc string
 }
 
-// sectionSpec describes a kind of section.
+// sectionSpec specifies a kind of section.
 type sectionSpec struct {
-	name  string
-	named bool // [name SOMETHING], any number of times
-	doc   string
-	keys  []keySpec
+	name string
+	// named means that the header has a name after the kind, as in [class status], and that the file may have any number of
+	// such sections.
+	named bool
+	// doc explains the section on the reference page.
+	doc  string
+	keys []keySpec
 }
 
+// maxDurationSeconds is the upper bound of keys with long durations: 30 days.
 const maxDurationSeconds = 30 * 24 * 3600
 
+// schema specifies all sections and keys, in the order of the reference page.
 var schema = []sectionSpec{
 	{"dispatcher", false, "The program itself.", []keySpec{
 		{"listen", kindAddress, "127.0.0.1:8420", false, 0, 0, "", "where clients connect, by HTTP/2 in clear text with prior knowledge"},
@@ -168,11 +193,14 @@
 	}},
 }
 
+// namePattern matches the names of sections other than push sections.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
+// sizeUnits maps the units of sizes to bytes.
 var sizeUnits = map[string]float64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30, "kB": 1e3, "MB": 1e6, "GB": 1e9}
 
-// parse reads a value by its spec; a number comes back in the kind's base unit.
+// parse checks a value against the specification. It returns a number in the base unit of the kind, and 0 for kinds that
+// are not numeric.
 func (k *keySpec) parse(value string) (num float64, err error) {
 	switch k.kind {
 	case kindText:
@@ -239,7 +267,7 @@
 	return num, nil
 }
 
-// format writes a bound in the kind's unit.
+// format formats a bound in a unit that the settings use for the kind.
 func (k *keySpec) format(value float64) string {
 	switch k.kind {
 	case kindDuration:
@@ -257,7 +285,8 @@
 	return strconv.FormatFloat(value, 'f', -1, 64)
 }
 
-// parseAddresses reads literal addresses: names are not looked up, so that no decision ever waits for a resolver.
+// parseAddresses parses a comma-separated list of literal addresses. Host names are not allowed, so that no decision ever
+// waits for a DNS resolver. If single is true, the list must have exactly one address.
 func parseAddresses(list string, single bool) ([]netip.AddrPort, error) {
 	var addrs []netip.AddrPort
 	for _, part := range strings.Split(list, ",") {
@@ -277,7 +306,8 @@
 	return addrs, nil
 }
 
-// Reference is the reference page of all settings, made from what the program checks them by.
+// Reference returns the reference page of all settings in Markdown. It is generated from the specification that the program
+// checks settings against.
 func Reference() string {
 	var page strings.Builder
 	page.WriteString("# Settings\n\nThis page is made from the program: `whinrun reference` prints it.\n\n" +
