--- a/cmd/whinrun/audit.go
+++ b/cmd/whinrun/audit.go
@@ -14,6 +14,7 @@
 	"whinrun/internal/logstore"
 )
 
+// auditCmd groups the commands that read the audit trail.
 type auditCmd struct {
 	Verify auditVerifyCmd `cmd:"" help:"Check every record, link and seal of the trail; exit 1 if anything is wrong."`
 	Show   auditShowCmd   `cmd:"" help:"Show all that happened to one message."`
@@ -21,11 +22,12 @@
 	Report auditReportCmd `cmd:"" help:"Write a page of outcomes over time, waits and attempts."`
 }
 
-// trailFolder is the folder of [audit]; the dispatcher may be running.
+// trailFolder is the flag for the folder of the audit trail. The dispatcher may be running while the trail is read.
 type trailFolder struct {
 	Folder string `required:"" type:"existingdir" help:"Folder of the trail, as in [audit]."`
 }
 
+// open opens the trail for reading and prints the problems that it finds to standard error.
 func (f *trailFolder) open() (*logstore.Store, error) {
 	store, rep, err := audit.OpenReader(f.Folder)
 	if err != nil {
@@ -37,12 +39,14 @@
 	return store, nil
 }
 
+// auditVerifyCmd verifies the records, links and seals of the audit trail.
 type auditVerifyCmd struct {
 	trailFolder
 	Keys string `type:"existingdir" help:"Folder of the public keys (*.pub.pem), kept apart from the trail. Default: the trail's own."`
 }
 
-// Run verifies. Keys from elsewhere are what makes it proof: who can write the trail's folder can write keys there, too.
+// Run verifies the trail. It is a proof only with public keys that are kept elsewhere, because anybody who can write to the
+// folder of the trail can also replace the keys in it.
 func (c *auditVerifyCmd) Run() error {
 	store, err := c.open()
 	if err != nil {
@@ -71,18 +75,20 @@
 		fmt.Println("WRONG", p)
 	}
 	if len(v.Problems) > 0 {
-		return errors.New("the trail is not as it was written")
+		return errors.New("the trail failed verification")
 	}
 	fmt.Println("well: all records link, all seals are good")
 	return nil
 }
 
+// auditShowCmd prints all records of one message.
 type auditShowCmd struct {
 	trailFolder
 	JSON bool   `help:"JSON lines."`
 	ID   string `arg:"" help:"The dispatcher's name of the message (whinrun-message)."`
 }
 
+// Run prints the records of the message as a table or as JSON lines.
 func (c *auditShowCmd) Run() error {
 	store, err := c.open()
 	if err != nil {
@@ -107,6 +113,7 @@
 	return errors.Join(err, w.Flush())
 }
 
+// printJSON prints a value as one line of JSON, or the error if it cannot be encoded.
 func printJSON(v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -115,6 +122,7 @@
 	fmt.Println(string(b))
 }
 
+// auditFindCmd lists messages by partner, tenant, outcome and time.
 type auditFindCmd struct {
 	trailFolder
 	Partner string        `help:"Only to this partner."`
@@ -125,6 +133,7 @@
 	JSON    bool          `help:"JSON lines."`
 }
 
+// Run prints the messages as a table or as JSON lines.
 func (c *auditFindCmd) Run() error {
 	store, err := c.open()
 	if err != nil {
@@ -154,12 +163,14 @@
 	return errors.Join(err, w.Flush())
 }
 
+// auditReportCmd writes a report of the recent outcomes.
 type auditReportCmd struct {
 	trailFolder
 	Since time.Duration `default:"24h" help:"How far back."`
 	Out   string        `required:"" type:"path" help:"File to write, HTML in one piece."`
 }
 
+// Run writes the report to an HTML file.
 func (c *auditReportCmd) Run() error {
 	store, err := c.open()
 	if err != nil {
--- a/cmd/whinrun/main.go
+++ b/cmd/whinrun/main.go
@@ -1,4 +1,4 @@
-// Command whinrun is the dispatcher: it takes messages over HTTP/2 push and AMQP and carries them to partners.
+// Command whinrun is the dispatcher. It accepts messages over HTTP/2 push and AMQP and delivers them to partners.
 package main
 
 import (
@@ -19,6 +19,7 @@
 	"whinrun/internal/service"
 )
 
+// cli holds the commands and their flags. kong derives their names from the field names.
 var cli struct {
 	Serve     serveCmd     `cmd:"" help:"Run the dispatcher."`
 	Node      nodeCmd      `cmd:"" help:"Run the dispatcher on the platform: all is told by EDGE_CONFIG and its kin."`
@@ -30,21 +31,26 @@
 	Version   versionCmd   `cmd:"" help:"Print the version."`
 }
 
+// serveCmd runs the dispatcher with a settings file.
 type serveCmd struct {
 	Config string `required:"" type:"path" help:"Settings file (INI)."`
 }
 
+// checkCmd checks a settings file.
 type checkCmd struct {
 	Config string `required:"" type:"path" help:"Settings file (INI)."`
 }
 
 type (
-	demoCmd      struct{}
+	// demoCmd runs the demonstration.
+	demoCmd struct{}
+	// referenceCmd prints the reference of all settings.
 	referenceCmd struct{}
-	versionCmd   struct{}
+	// versionCmd prints the version.
+	versionCmd struct{}
 )
 
-// usageError ends with 2: what was asked for can't be done as it stands.
+// usageError is an error in the settings or the configuration. The program exits with status 2.
 type usageError struct{ error }
 
 func main() {
@@ -62,9 +68,10 @@
 	}
 }
 
-// singleLine is an error as one line: those that are joined stand on several.
+// singleLine formats an error on one line. Joined errors have a line break between them.
 func singleLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
 
+// Run checks the settings and prints a summary of them, or one line for each problem.
 func (c *checkCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
@@ -74,6 +81,7 @@
 	return nil
 }
 
+// Run serves until the first SIGTERM or interrupt and then stops gracefully. A second signal ends it at once.
 func (c *serveCmd) Run() error {
 	cfg, err := config.Load(c.Config)
 	if err != nil {
@@ -86,7 +94,7 @@
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(cfg.GCPercent)
 	}
-	// Before anything is taken: a signal that comes while starting counts, too.
+	// Signals are registered before the start, so that a signal that arrives during the start is not lost.
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	s, err := service.Start(cfg, log, nil)
@@ -101,25 +109,28 @@
 	select {
 	case all := <-stopped:
 		if !all {
-			return errors.New("stopped with messages that have no answer")
+			return errors.New("stopped before all messages were answered")
 		}
 		return nil
 	case <-signals:
-		return errors.New("ended at once by a second signal")
+		return errors.New("terminated by a second signal before the stop was complete")
 	}
 }
 
+// Run runs the demonstration until it ends or a signal arrives.
 func (demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return demo.Run(ctx, os.Stdout)
 }
 
+// Run prints the reference page.
 func (referenceCmd) Run() error {
 	_, err := fmt.Print(config.Reference())
 	return err
 }
 
+// Run prints the module version, or "development" if the build has none.
 func (versionCmd) Run() error {
 	version := "development"
 	if b, ok := debug.ReadBuildInfo(); ok && b.Main.Version != "" && b.Main.Version != "(devel)" {
--- a/cmd/whinrun/node.go
+++ b/cmd/whinrun/node.go
@@ -11,16 +11,21 @@
 	"whinrun/internal/platform"
 )
 
+// nodeCmd runs the dispatcher on the platform. Its configuration comes from environment variables.
 type nodeCmd struct{}
 
-// Settings of the program itself on the platform. Threads that wait for a socket must not keep others from running: so
-// there are more of them than cores.
+// These are settings of the program itself on the platform.
 const (
-	nodeThreads   = 4
-	nodeLogLines  = 20    // a second
-	traceLogLines = 10000 // a second, with WHINRUN_TRACE set
+	// nodeThreads is the value of GOMAXPROCS. It is larger than the number of cores, so that threads that wait for a socket
+	// do not keep others from running.
+	nodeThreads = 4
+	// nodeLogLines is the highest rate of log lines per second.
+	nodeLogLines = 20
+	// traceLogLines is the highest rate of log lines per second if WHINRUN_TRACE is set.
+	traceLogLines = 10000
 )
 
+// Run runs the node until SIGTERM or an interrupt and then stops gracefully. SIGHUP reloads the configuration.
 func (nodeCmd) Run() error {
 	cfg, err := platform.Load(os.Getenv)
 	if err != nil {
@@ -36,19 +41,21 @@
 	}
 	runtime.GOMAXPROCS(nodeThreads)
 	debug.SetMemoryLimit(cfg.Limits.HeapLimit())
-	// Before anything is taken: a signal that comes while starting counts, too.
+	// Signals are registered before the start, so that a signal that arrives during the start is not lost.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
 	n, err := platform.Start(cfg, log)
 	if err != nil {
 		return err
 	}
-	var stopped chan struct{} // nil until it stops
+	// stopped is nil until the stop begins.
+	var stopped chan struct{}
 	for {
 		select {
 		case s := <-signals:
 			switch {
-			case s == syscall.SIGHUP: // also while stopping: notices are still owed
+			// SIGHUP also works during a stop, because notices still have to be delivered.
+			case s == syscall.SIGHUP:
 				reload(n, log)
 			case stopped == nil:
 				stopped = make(chan struct{})
@@ -63,7 +70,7 @@
 	}
 }
 
-// reload has a new configuration take effect, or leaves the old one in force.
+// reload applies the new configuration. If it cannot be loaded, the old one stays in use.
 func reload(n *platform.Node, log *logs.Logger) {
 	cfg, err := platform.Load(os.Getenv)
 	if err != nil {
--- a/cmd/whinrun/receipt.go
+++ b/cmd/whinrun/receipt.go
@@ -9,15 +9,18 @@
 	"whinrun/internal/receipt"
 )
 
+// receiptCmd groups the commands for signed receipts.
 type receiptCmd struct {
 	Verify receiptVerifyCmd `cmd:"" help:"Check a signed receipt and print what it says; exit 1 if it is not as it was signed."`
 }
 
+// receiptVerifyCmd verifies a signed receipt.
 type receiptVerifyCmd struct {
 	Keys string `required:"" type:"existingdir" help:"Folder of the public keys (*.pub.pem)."`
 	File string `arg:"" default:"-" help:"The signed receipt, - for standard input."`
 }
 
+// Run verifies the signature of the receipt and prints its content.
 func (c *receiptVerifyCmd) Run() error {
 	in := os.Stdin
 	if c.File != "-" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -143,7 +143,8 @@
 		Policy: plan.Policy{SyncWithin: auditSection.duration("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(auditSection.numbers["segment"]),
 			KeepFor: auditSection.duration("keep-for"), KeepBytes: int64(auditSection.numbers["keep-bytes"]), RetryEvery: time.Second}}
 	cfg.Push = pushfront.Config{IdleTimeout: limits.duration("client-idle"), H2: h2Config}
-	// Connections to partners use the same limits as client connections, with smaller flow-control windows.
+	// Connections to partners use the limits of client connections, except for the number of streams that the peer may open
+	// and the flow-control windows.
 	h2Config.MaxStreams, h2Config.StreamWindow, h2Config.ConnWindow = 1, 64<<10, 1<<20
 	cfg.Outbound = outbound.Config{Loops: dispatcher.integer("loops"), Conns: outboundSection.integer("connections"), Streams: outboundSection.integer("streams"),
 		ConnectTimeout: outboundSection.duration("connect-timeout"),
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo shows the dispatcher at work in one process: stand-in partners, a short load, and what came of it.
+// Package demo runs a short demonstration in one process: a dispatcher, stand-in partners, a short load, and a summary of
+// the results.
 package demo
 
 import (
@@ -16,7 +17,8 @@
 	"whinrun/internal/service"
 )
 
-// Settings returns the settings of the quickstart with its addresses replaced: the dispatcher's and the partners'.
+// Settings returns the settings of the quickstart with other addresses. listen is the address of the dispatcher, and
+// endpoints holds one endpoint for each of the three partners.
 func Settings(listen string, endpoints []string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[dispatcher]\nlisten = %s\n\n", listen)
@@ -31,6 +33,7 @@
 	return text.String()
 }
 
+// commonSettings holds the sections that do not depend on addresses.
 const commonSettings = `[class status]
 effect = safe
 aim = 1500ms
@@ -60,7 +63,7 @@
 dialect = push
 `
 
-// Run runs the demonstration and writes what comes of it.
+// Run runs the demonstration and writes the results to w.
 func Run(ctx context.Context, w io.Writer) error {
 	fmt.Fprintln(w, "Three stand-in partners and a dispatcher on loopback; 600 messages in three seconds.")
 	fmt.Fprintln(w, "The tracker is silent from 0.8 s to 1.8 s, the mirror loses one answer in five after applying it.")
@@ -122,6 +125,7 @@
 	return ctx.Err()
 }
 
+// messages returns the load: 600 messages, one every 5 ms, spread over the partners and classes.
 func messages() []load.Message {
 	var all []load.Message
 	partners, classes := []string{"archive", "tracker", "mirror"}, []string{"status", "sync", "upload"}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The demonstration answers every message and applies no upload twice, with a silent partner and lost answers.
+// The demonstration answers every message and applies no upload twice, although one partner falls silent and another loses
+// answers.
 func TestDemo(t *testing.T) {
 	var b strings.Builder
 	if err := Run(context.Background(), &b); err != nil {
