--- a/cmd/whinrun/audit.go
+++ b/cmd/whinrun/audit.go
@@ -29,11 +29,11 @@
 
 // open opens the trail for reading and prints the problems that it finds to standard error.
 func (f *trailFolder) open() (*logstore.Store, error) {
-	store, rep, err := audit.OpenReader(f.Folder)
+	store, report, err := audit.OpenReader(f.Folder)
 	if err != nil {
 		return nil, err
 	}
-	for _, p := range rep.Problems {
+	for _, p := range report.Problems {
 		fmt.Fprintln(os.Stderr, "whinrun:", p)
 	}
 	return store, nil
@@ -59,22 +59,22 @@
 	if err != nil {
 		return err
 	}
-	v, err := audit.Verify(store, keys)
+	result, err := audit.Verify(store, keys)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d records, %d seals, %d records after the last seal", v.Records, v.Seals, v.Unsealed)
-	if v.Records > 0 {
-		fmt.Printf("; from %s to %s", v.From.Format(time.RFC3339), v.To.Format(time.RFC3339))
+	fmt.Printf("%d records, %d seals, %d records after the last seal", result.Records, result.Seals, result.Unsealed)
+	if result.Records > 0 {
+		fmt.Printf("; from %s to %s", result.From.Format(time.RFC3339), result.To.Format(time.RFC3339))
 	}
 	fmt.Println()
-	if v.Lost > 0 {
-		fmt.Printf("%d records were lost to a failing disk, as the trail itself tells\n", v.Lost)
+	if result.Lost > 0 {
+		fmt.Printf("%d records were lost to a failing disk, as the trail itself tells\n", result.Lost)
 	}
-	for _, p := range v.Problems {
+	for _, p := range result.Problems {
 		fmt.Println("WRONG", p)
 	}
-	if len(v.Problems) > 0 {
+	if len(result.Problems) > 0 {
 		return errors.New("the trail failed verification")
 	}
 	fmt.Println("well: all records link, all seals are good")
@@ -94,12 +94,12 @@
 	if err != nil {
 		return err
 	}
-	lines, err := audit.Show(store, c.ID)
-	if err == nil && len(lines) == 0 {
+	records, err := audit.Show(store, c.ID)
+	if err == nil && len(records) == 0 {
 		err = fmt.Errorf("no message %s in the trail", c.ID)
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	for _, r := range lines {
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	for _, r := range records {
 		if c.JSON {
 			printJSON(struct {
 				At   string `json:"at"`
@@ -108,9 +108,9 @@
 			}{r.Time().Format(time.RFC3339Nano), r.Kind.String(), r})
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\n", r.Time().Format("2006-01-02 15:04:05.000"), r.Kind, r.Text())
+		fmt.Fprintf(table, "%s\t%s\t%s\n", r.Time().Format("2006-01-02 15:04:05.000"), r.Kind, r.Text())
 	}
-	return errors.Join(err, w.Flush())
+	return errors.Join(err, table.Flush())
 }
 
 // printJSON prints a value as one line of JSON, or the error if it cannot be encoded.
@@ -139,28 +139,28 @@
 	if err != nil {
 		return err
 	}
-	q := audit.Query{Partner: c.Partner, Tenant: c.Tenant, Outcome: c.Outcome, Most: c.Most}
+	query := audit.Query{Partner: c.Partner, Tenant: c.Tenant, Outcome: c.Outcome, Most: c.Most}
 	if c.Since > 0 {
-		q.Since = clock.Wall().Add(-c.Since)
+		query.Since = clock.Wall().Add(-c.Since)
 	}
-	all, err := audit.Find(store, q)
-	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	messages, err := audit.Find(store, query)
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	if !c.JSON {
-		fmt.Fprintln(w, "taken\tmessage\ttenant\tclass\tpartner\toutcome\tattempts\ttook\treason")
+		fmt.Fprintln(table, "taken\tmessage\ttenant\tclass\tpartner\toutcome\tattempts\ttook\treason")
 	}
-	for _, m := range all {
+	for _, m := range messages {
 		if c.JSON {
 			printJSON(m)
 			continue
 		}
-		took, outcome := "-", "-"
+		duration, outcome := "-", "-"
 		if !m.Answered.IsZero() {
-			took, outcome = m.Answered.Sub(m.Taken).Round(time.Millisecond).String(), m.Outcome
+			duration, outcome = m.Answered.Sub(m.Taken).Round(time.Millisecond).String(), m.Outcome
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Taken.Format("2006-01-02 15:04:05.000"), m.Name, m.Tenant, m.Class, m.Partner,
-			outcome, m.Attempts, took, m.Reason)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", m.Taken.Format("2006-01-02 15:04:05.000"), m.Name, m.Tenant, m.Class, m.Partner,
+			outcome, m.Attempts, duration, m.Reason)
 	}
-	return errors.Join(err, w.Flush())
+	return errors.Join(err, table.Flush())
 }
 
 // auditReportCmd writes a report of the recent outcomes.
@@ -176,13 +176,13 @@
 	if err != nil {
 		return err
 	}
-	rep, err := audit.Summarize(store, clock.Wall().Add(-c.Since), clock.Wall())
+	report, err := audit.Summarize(store, clock.Wall().Add(-c.Since), clock.Wall())
 	if err != nil {
 		return err
 	}
-	f, err := os.Create(filepath.Clean(c.Out))
+	file, err := os.Create(filepath.Clean(c.Out))
 	if err != nil {
 		return err
 	}
-	return errors.Join(rep.Write(f), f.Close())
+	return errors.Join(report.Write(file), file.Close())
 }
--- a/cmd/whinrun/main.go
+++ b/cmd/whinrun/main.go
@@ -54,9 +54,9 @@
 type usageError struct{ error }
 
 func main() {
-	k := kong.Parse(&cli, kong.Name("whinrun"), kong.Description("Delivers messages to partners over HTTP/2 push, and answers each exactly once."),
+	app := kong.Parse(&cli, kong.Name("whinrun"), kong.Description("Delivers messages to partners over HTTP/2 push, and answers each exactly once."),
 		kong.UsageOnError())
-	err := k.Run()
+	err := app.Run()
 	var usage usageError
 	switch {
 	case errors.As(err, &usage):
@@ -107,8 +107,8 @@
 	stopped := make(chan bool, 1)
 	go func() { stopped <- s.Stop(ctx) }()
 	select {
-	case all := <-stopped:
-		if !all {
+	case answered := <-stopped:
+		if !answered {
 			return errors.New("stopped before all messages were answered")
 		}
 		return nil
--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -32,7 +32,7 @@
 }
 
 // startServe starts the program with a partner that calls block, and returns it with its address.
-func startServe(t *testing.T, bin string, handle http.HandlerFunc, more ...string) (cmd *exec.Cmd, addr string) {
+func startServe(t *testing.T, bin string, handle http.HandlerFunc, extraSections ...string) (cmd *exec.Cmd, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	settings := strings.NewReplacer("listen = 127.0.0.1:8420", "listen = 127.0.0.1:0\nstop-within = 1s", "127.0.0.1:8431", ln.Addr().String()).Replace(string(text))
-	settings += strings.Join(more, "")
+	settings += strings.Join(extraSections, "")
 	file := filepath.Join(t.TempDir(), "w.ini")
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -87,11 +87,11 @@
 		arrived <- struct{}{}
 		<-block
 	})
-	c := load.NewClient(addr, 1)
-	defer c.Close()
+	client := load.NewClient(addr, 1)
+	defer client.Close()
 	answer := make(chan int, 1)
 	go func() {
-		status, _, _, _ := c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		status, _, _, _ := client.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 		answer <- status
 	}()
 	<-arrived
@@ -114,10 +114,10 @@
 		arrived <- struct{}{}
 		<-block
 	})
-	c := load.NewClient(addr, 1)
-	defer c.Close()
+	client := load.NewClient(addr, 1)
+	defer client.Close()
 	go func() {
-		_, _, _, _ = c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		_, _, _, _ = client.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 	}()
 	<-arrived
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -139,11 +139,11 @@
 	if err := os.WriteFile(file, []byte("[dispatcher]\nlisten = here\nlags = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, verb := range []string{"check", "serve"} {
-		out, err := exec.Command(bin, verb, "--config", file).CombinedOutput()
+	for _, command := range []string{"check", "serve"} {
+		out, err := exec.Command(bin, command, "--config", file).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || strings.Count(string(out), "\n") != 2 || !strings.Contains(string(out), "w.ini:3: lags: no such key") {
-			t.Errorf("%s: %v\n%s", verb, err, out)
+			t.Errorf("%s: %v\n%s", command, err, out)
 		}
 	}
 	if out, err := exec.Command(bin, "check", "--config", "../../examples/quickstart.ini").CombinedOutput(); err != nil {
@@ -160,11 +160,11 @@
 	}
 	var mu sync.Mutex
 	type call struct{ message, attempt string }
-	came := map[call]time.Time{}
+	received := map[call]time.Time{}
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		came[call{r.Header.Get("Whinrun-Message"), r.Header.Get("Whinrun-Attempt")}] = time.Now()
-		n := len(came)
+		received[call{r.Header.Get("Whinrun-Message"), r.Header.Get("Whinrun-Attempt")}] = time.Now()
+		n := len(received)
 		mu.Unlock()
 		if n%7 == 0 {
 			w.WriteHeader(500)
@@ -175,13 +175,13 @@
 	bin, folder, rng := buildProgram(t), t.TempDir(), rand.New(rand.NewPCG(5, 5))
 	for range kills {
 		cmd, addr := startServe(t, bin, handle, "\n[audit]\nfolder = "+folder+"\nsegment = 64KiB\n")
-		c := load.NewClient(addr, 1)
+		client := load.NewClient(addr, 1)
 		ctx, stop := context.WithCancel(context.Background())
-		var all sync.WaitGroup
+		var clients sync.WaitGroup
 		for i := range 8 {
-			all.Go(func() {
+			clients.Go(func() {
 				for ctx.Err() == nil {
-					_, _, _, _ = c.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
+					_, _, _, _ = client.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
 				}
 			})
 		}
@@ -189,8 +189,8 @@
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		stop()
-		all.Wait()
-		c.Close()
+		clients.Wait()
+		client.Close()
 	}
 	store, rep, err := audit.OpenReader(folder)
 	if err != nil {
@@ -200,40 +200,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := audit.Verify(store, keys)
-	if err != nil || len(v.Problems) > 0 {
-		t.Fatal(v.Problems, err)
+	verified, err := audit.Verify(store, keys)
+	if err != nil || len(verified.Problems) > 0 {
+		t.Fatal(verified.Problems, err)
 	}
 	records, err := audit.All(store)
 	if err != nil {
 		t.Fatal(err)
 	}
 	epoch := func(m string) string { return m[:max(0, strings.LastIndexByte(m, '-'))] }
-	last, started := map[string]time.Time{}, map[call]bool{}
+	lastRecord, started := map[string]time.Time{}, map[call]bool{}
 	for _, r := range records {
 		if r.Message == "" {
 			continue
 		}
-		last[epoch(r.Message)] = r.Time()
+		lastRecord[epoch(r.Message)] = r.Time()
 		k := call{r.Message, strconv.Itoa(r.Attempt - 1)}
 		if r.Kind == audit.Started {
 			started[k] = true
 		}
-		if _, ok := came[k]; r.Kind == audit.Ended && r.Status > 0 && !ok {
+		if _, ok := received[k]; r.Kind == audit.Ended && r.Status > 0 && !ok {
 			t.Errorf("attempt %v has an answer, and no partner saw it", k)
 		}
 	}
 	lost := 0
-	for k, at := range came {
+	for k, at := range received {
 		if !started[k] {
-			if lost++; at.Before(last[epoch(k.message)].Add(-time.Millisecond)) {
+			if lost++; at.Before(lastRecord[epoch(k.message)].Add(-time.Millisecond)) {
 				t.Errorf("attempt %v is missing, with later ones there", k)
 			}
 		}
 	}
-	t.Logf("%d kills, %d attempts seen, %d lost with the ends that kills took; %d records, %d seals, %v", kills, len(came), lost, v.Records, v.Seals,
+	t.Logf("%d kills, %d attempts seen, %d lost with the ends that kills took; %d records, %d seals, %v", kills, len(received), lost, verified.Records, verified.Seals,
 		rep.Problems)
-	if len(came) == 0 || kills > 2 && v.Seals == 0 {
+	if len(received) == 0 || kills > 2 && verified.Seals == 0 {
 		t.Error("nothing was tried")
 	}
 }
--- a/cmd/whinrun/node.go
+++ b/cmd/whinrun/node.go
@@ -44,7 +44,7 @@
 	// Signals are registered before the start, so that a signal that arrives during the start is not lost.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
-	n, err := platform.Start(cfg, log)
+	node, err := platform.Start(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -56,11 +56,11 @@
 			switch {
 			// SIGHUP also works during a stop, because notices still have to be delivered.
 			case s == syscall.SIGHUP:
-				reload(n, log)
+				reload(node, log)
 			case stopped == nil:
 				stopped = make(chan struct{})
 				go func() {
-					n.Stop()
+					node.Stop()
 					close(stopped)
 				}()
 			}
@@ -71,11 +71,11 @@
 }
 
 // reload applies the new configuration. If it cannot be loaded, the old one stays in use.
-func reload(n *platform.Node, log *logs.Logger) {
+func reload(node *platform.Node, log *logs.Logger) {
 	cfg, err := platform.Load(os.Getenv)
 	if err != nil {
 		log.Warn("node", "the old settings stay in force: %v", err)
 		return
 	}
-	n.Reload(cfg)
+	node.Reload(cfg)
 }
--- a/cmd/whinrun/node_test.go
+++ b/cmd/whinrun/node_test.go
@@ -29,7 +29,7 @@
 	transform  func(configuration []byte) []byte // changes the configuration, nil for as it is
 }
 
-func newNodeProcess(t *testing.T, s *testbed.Testbed) *nodeProcess {
+func newNodeProcess(t *testing.T, bed *testbed.Testbed) *nodeProcess {
 	t.Helper()
 	addr, err := testbed.FreeAddr()
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 	dir := t.TempDir()
 	n := &nodeProcess{t: t, bin: buildProgram(t), addr: addr, configFile: filepath.Join(dir, "config.json"), stateDir: filepath.Join(dir, "state")}
-	if n.agent, err = s.Agent(); err != nil {
+	if n.agent, err = bed.Agent(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.agent.Close)
@@ -72,7 +72,7 @@
 // waitUntilListening waits until it takes connections.
 func (n *nodeProcess) waitUntilListening() {
 	n.t.Helper()
-	for over := time.Now().Add(10 * time.Second); time.Now().Before(over); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", n.addr); err == nil {
 			_ = c.Close()
 			return
@@ -100,33 +100,33 @@
 
 // The program killed again and again in load: every message taken has its end, no upload is sent twice.
 func TestNodeKilledInLoad(t *testing.T) {
-	s := testbed.New()
-	n := newNodeProcess(t, s)
-	e, err := s.Endpoint("a", 1, "", func(c testbed.Call) testbed.Reply {
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	endpoint, err := bed.Endpoint("a", 1, "", func(c testbed.Call) testbed.Reply {
 		return testbed.Reply{Status: []int{200, 200, 500, 503}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%11 == 0}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	n.agent.Set(testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
+	defer endpoint.Close()
+	node.agent.Set(testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
 	var mu sync.Mutex
 	var names []string
 	for round := range 5 {
-		n.start()
+		node.start()
 		stop := make(chan struct{})
-		var all sync.WaitGroup
-		for w := range 4 {
-			all.Go(func() {
+		var clients sync.WaitGroup
+		for worker := range 4 {
+			clients.Go(func() {
 				for i := 0; ; i++ {
 					select {
 					case <-stop:
 						return
 					default:
 					}
-					name := fmt.Sprintf("r%d-w%d-%d", round, w, i)
+					name := fmt.Sprintf("r%d-w%d-%d", round, worker, i)
 					class := []string{"status", "upload"}[i%2]
-					if s.Hand(n.addr, testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: 1, Left: 3 * time.Second, Body: name}) == 202 {
+					if bed.Hand(node.addr, testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: 1, Left: 3 * time.Second, Body: name}) == 202 {
 						mu.Lock()
 						names = append(names, name)
 						mu.Unlock()
@@ -134,17 +134,17 @@
 				}
 			})
 		}
-		had := len(s.Events())
-		s.Await(5*time.Second, func(ev []testbed.Event) bool { return len(ev) > had+150+37*round })
-		_ = n.cmd.Process.Signal(syscall.SIGKILL)
-		_ = n.cmd.Wait()
-		s.Note(testbed.Event{Kind: testbed.Restarted})
+		eventsBefore := len(bed.Events())
+		bed.Await(5*time.Second, func(ev []testbed.Event) bool { return len(ev) > eventsBefore+150+37*round })
+		_ = node.cmd.Process.Signal(syscall.SIGKILL)
+		_ = node.cmd.Wait()
+		bed.Note(testbed.Event{Kind: testbed.Restarted})
 		close(stop)
-		all.Wait()
+		clients.Wait()
 	}
-	n.start()
-	s.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
-	for _, f := range testbed.Check(s.Events(), testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
+	node.start()
+	bed.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
+	for _, f := range testbed.Check(bed.Events(), testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
 		WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}, time.Now()) {
 		t.Error(f)
 	}
@@ -156,51 +156,51 @@
 // startWithFailingEndpoint starts the program beside an endpoint that answers errors.
 func startWithFailingEndpoint(t *testing.T) (*testbed.Testbed, *nodeProcess, testbed.Host) {
 	t.Helper()
-	s := testbed.New()
-	n := newNodeProcess(t, s)
-	e, err := s.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return testbed.Reply{Status: 500} })
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	endpoint, err := bed.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return testbed.Reply{Status: 500} })
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(e.Close)
-	host := testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"}
-	n.agent.Set(host)
-	n.start()
-	return s, n, host
+	t.Cleanup(endpoint.Close)
+	host := testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"}
+	node.agent.Set(host)
+	node.start()
+	return bed, node, host
 }
 
 // SIGHUP never ends it, whatever the file holds; SIGTERM ends it in order, with 0, before 3.7 s.
 func TestNodeSignals(t *testing.T) {
-	s, n, host := startWithFailingEndpoint(t)
-	if err := os.WriteFile(n.configFile, []byte("no configuration"), 0o600); err != nil {
+	bed, node, host := startWithFailingEndpoint(t)
+	if err := os.WriteFile(node.configFile, []byte("no configuration"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_ = n.cmd.Process.Signal(syscall.SIGHUP)
-	old := n.agent
+	_ = node.cmd.Process.Signal(syscall.SIGHUP)
+	old := node.agent
 	var err error
-	if n.agent, err = s.Agent(); err != nil {
+	if node.agent, err = bed.Agent(); err != nil {
 		t.Fatal(err)
 	}
-	defer n.agent.Close()
-	n.agent.Set(host)
-	n.configure()
-	_ = n.cmd.Process.Signal(syscall.SIGHUP)
+	defer node.agent.Close()
+	node.agent.Set(host)
+	node.configure()
+	_ = node.cmd.Process.Signal(syscall.SIGHUP)
 	old.Close()
-	if status := s.Hand(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
+	if status := bed.Hand(node.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
 		t.Error("no notice at the new address")
 	}
 	start := time.Now()
-	_ = n.cmd.Process.Signal(syscall.SIGTERM)
-	if err := n.cmd.Wait(); err != nil {
+	_ = node.cmd.Process.Signal(syscall.SIGTERM)
+	if err := node.cmd.Wait(); err != nil {
 		t.Error("exit:", err)
 	}
 	if took := time.Since(start); took > 3700*time.Millisecond {
 		t.Errorf("the stop took %v", took)
 	}
-	if out := n.output.String(); !strings.Contains(out, "stopped: 1 taken") || strings.Contains(out, `"level":"error"`) {
+	if out := node.output.String(); !strings.Contains(out, "stopped: 1 taken") || strings.Contains(out, `"level":"error"`) {
 		t.Errorf("log: %s", out)
 	}
 }
@@ -208,31 +208,31 @@
 // A stop with a notice that nobody takes: a second SIGTERM changes nothing, a new address by SIGHUP counts, and the notice that is
 // owed goes there.
 func TestNodeReloadedWhileItStops(t *testing.T) {
-	s, n, _ := startWithFailingEndpoint(t)
-	n.agent.Fail(503)
-	if status := s.Hand(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
+	bed, node, _ := startWithFailingEndpoint(t)
+	node.agent.Fail(503)
+	if status := bed.Hand(node.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") > 0 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") > 0 }) {
 		t.Fatal("no call")
 	}
 	var err error
-	if n.agent, err = s.Agent(); err != nil {
+	if node.agent, err = bed.Agent(); err != nil {
 		t.Fatal(err)
 	}
-	defer n.agent.Close()
-	n.configure()
+	defer node.agent.Close()
+	node.configure()
 	start := time.Now()
-	_ = n.cmd.Process.Signal(syscall.SIGTERM)
-	for n.readyStatus() == 200 { // until it stops: signals that are pending together come in no order
+	_ = node.cmd.Process.Signal(syscall.SIGTERM)
+	for node.readyStatus() == 200 { // until it stops: signals that are pending together come in no order
 	}
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-		_ = n.cmd.Process.Signal(sig)
+		_ = node.cmd.Process.Signal(sig)
 	}
-	if !s.Await(3*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
+	if !bed.Await(3*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
 		t.Error("no notice at the new address")
 	}
-	if err := n.cmd.Wait(); err != nil {
+	if err := node.cmd.Wait(); err != nil {
 		t.Error("exit:", err)
 	}
 	if took := time.Since(start); took > 3700*time.Millisecond {
@@ -242,22 +242,22 @@
 
 // SIGTERM that comes while the program starts ends it in order, and what its ledger owes is kept.
 func TestNodeStoppedBeforeItIsReady(t *testing.T) {
-	s := testbed.New()
-	n := newNodeProcess(t, s)
-	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
-	n.agent.Mute(true) // the start waits for discovery's first answer
-	n.configure()
-	n.cmd = n.command()
-	if err := n.cmd.Start(); err != nil {
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	node.agent.Mute(true) // the start waits for discovery's first answer
+	node.configure()
+	node.cmd = node.command()
+	if err := node.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = n.cmd.Process.Kill() }()
-	if !s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Watched, "") > 0 }) {
+	defer func() { _ = node.cmd.Process.Kill() }()
+	if !bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Watched, "") > 0 }) {
 		t.Fatal("discovery is not asked")
 	}
 	start := time.Now()
-	_ = n.cmd.Process.Signal(syscall.SIGTERM)
-	if err := n.cmd.Wait(); err != nil {
+	_ = node.cmd.Process.Signal(syscall.SIGTERM)
+	if err := node.cmd.Wait(); err != nil {
 		t.Error("exit:", err)
 	}
 	if took := time.Since(start); took > 4200*time.Millisecond { // the start's half second beside the stop's time
--- a/cmd/whinrun/receipt.go
+++ b/cmd/whinrun/receipt.go
@@ -22,16 +22,16 @@
 
 // Run verifies the signature of the receipt and prints its content.
 func (c *receiptVerifyCmd) Run() error {
-	in := os.Stdin
+	input := os.Stdin
 	if c.File != "-" {
-		f, err := os.Open(c.File)
+		file, err := os.Open(c.File)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }()
-		in = f
+		defer func() { _ = file.Close() }()
+		input = file
 	}
-	text, err := io.ReadAll(io.LimitReader(in, 1<<20))
+	text, err := io.ReadAll(io.LimitReader(input, 1<<20))
 	if err != nil {
 		return err
 	}
@@ -39,10 +39,10 @@
 	if err != nil {
 		return err
 	}
-	r, err := receipt.Verify(string(text), keys)
+	verified, err := receipt.Verify(string(text), keys)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("well signed\n%s\n", r.JSON())
+	fmt.Printf("well signed\n%s\n", verified.JSON())
 	return nil
 }
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -25,10 +25,10 @@
 }
 
 // kill ends the process as SIGKILL does.
-func (n *nodeProcess) kill(s *testbed.Testbed) {
+func (n *nodeProcess) kill(bed *testbed.Testbed) {
 	_ = n.cmd.Process.Signal(syscall.SIGKILL)
 	_ = n.cmd.Wait()
-	s.Note(testbed.Event{Kind: testbed.Restarted})
+	bed.Note(testbed.Event{Kind: testbed.Restarted})
 }
 
 // callTimes returns when the calls of a message began.
@@ -44,43 +44,43 @@
 // A call is out when a first process is killed. What a second process learns of its own calls, each turned away unrun, says
 // nothing of that one: a third process must not repeat the message once partners have forgotten its key.
 func TestSecondRestartRemembersFirstCall(t *testing.T) {
-	s := testbed.New()
-	n := newNodeProcess(t, s)
-	n.shortenDedupWindow()
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	node.shortenDedupWindow()
 	var reply atomic.Pointer[testbed.Reply]
 	reply.Store(&testbed.Reply{Hang: true})
-	e, err := s.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return *reply.Load() })
+	endpoint, err := bed.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return *reply.Load() })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	n.agent.Set(testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
-	n.start()
-	m := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, Key: "key-m", Left: 4 * time.Second}
-	if status := s.Hand(n.addr, m); status != 202 {
+	defer endpoint.Close()
+	node.agent.Set(testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
+	node.start()
+	message := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, Key: "key-m", Left: 4 * time.Second}
+	if status := bed.Hand(node.addr, message); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "m") == 1 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "m") == 1 }) {
 		t.Fatal("no call by the first process")
 	}
-	n.kill(s)
+	node.kill(bed)
 	reply.Store(&testbed.Reply{Status: 429, Wait: dedupWindow / 4}) // the second process makes one call before it is killed
-	n.start()
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
+	node.start()
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
 		t.Fatal("no call by the second process")
 	}
-	n.kill(s)
+	node.kill(bed)
 	reply.Store(&testbed.Reply{Status: 200})
-	time.Sleep(time.Until(callTimes(s.Events(), "m")[0].Add(dedupWindow))) // the window is a span of real time
-	n.start()
-	if !s.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, []string{"m"}) }) {
+	time.Sleep(time.Until(callTimes(bed.Events(), "m")[0].Add(dedupWindow))) // the window is a span of real time
+	node.start()
+	if !bed.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, []string{"m"}) }) {
 		t.Error("no end")
 	}
-	for _, f := range testbed.Check(s.Events(), nodeRules(), time.Now()) {
+	for _, f := range testbed.Check(bed.Events(), nodeRules(), time.Now()) {
 		t.Error(f)
 	}
 	if t.Failed() {
-		t.Logf("log: %s", n.output.String())
+		t.Logf("log: %s", node.output.String())
 	}
 }
 
@@ -103,21 +103,21 @@
 
 // A folder that can't be used ends the start with one line and exit 1; one that another process still has is waited for.
 func TestNodeStateFolder(t *testing.T) {
-	s := testbed.New()
-	n := newNodeProcess(t, s)
-	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
-	folder := n.stateDir
-	n.stateDir = filepath.Join(n.configFile, "state") // below a file
-	n.configure()
-	cmd := n.command()
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	folder := node.stateDir
+	node.stateDir = filepath.Join(node.configFile, "state") // below a file
+	node.configure()
+	cmd := node.command()
 	out, err := cmd.CombinedOutput()
-	if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), n.configFile) {
+	if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), node.configFile) {
 		t.Errorf("%v, %q", err, out)
 	}
-	n.stateDir = folder
-	n.start()
-	first := n.cmd
-	second := n.command()
+	node.stateDir = folder
+	node.start()
+	first := node.cmd
+	second := node.command()
 	var log bytes.Buffer
 	second.Stdout = &log
 	if err := second.Start(); err != nil {
@@ -127,7 +127,7 @@
 	time.Sleep(300 * time.Millisecond) // it finds the folder taken
 	_ = first.Process.Kill()
 	_ = first.Wait()
-	n.waitUntilListening()
+	node.waitUntilListening()
 	_ = second.Process.Signal(syscall.SIGTERM)
 	if err := second.Wait(); err != nil || !strings.Contains(log.String(), "in use by another process") {
 		t.Errorf("%v, log %s", err, log.String())
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -334,16 +334,16 @@
 // defaultSlots returns the default number of concurrent calls. For each partner it allows 32 calls per endpoint, or the
 // calls of one second at the partner's rate if that is more. The sum is limited to the range from 16 to 8192.
 func defaultSlots(cfg *Config) int {
-	const each, least, most = 32, 16, 8192
+	const perEndpoint, minSlots, maxSlots = 32, 16, 8192
 	slots := map[string]float64{}
 	for _, l := range cfg.Endpoints {
-		slots[l.Partner] += each
+		slots[l.Partner] += perEndpoint
 	}
 	sum := 0.0
 	for _, p := range cfg.Partners {
-		sum += max(slots[p.Name], p.Rate, each)
+		sum += max(slots[p.Name], p.Rate, perEndpoint)
 	}
-	return int(min(max(sum, least), most))
+	return int(min(max(sum, minSlots), maxSlots))
 }
 
 // Describe summarizes a configuration in one line.
--- a/internal/config/parser.go
+++ b/internal/config/parser.go
@@ -41,11 +41,11 @@
 // Error returns the problems, one per line.
 func (p Problems) Error() string {
 	// A single mistake in a generated file can cause thousands of problems.
-	const most = 50
+	const maxShown = 50
 	var lines []string
 	for i, problem := range p {
-		if i == most {
-			lines = append(lines, fmt.Sprintf("%s: and %d more", problem.File, len(p)-most))
+		if i == maxShown {
+			lines = append(lines, fmt.Sprintf("%s: and %d more", problem.File, len(p)-maxShown))
 			break
 		}
 		lines = append(lines, problem.Error())
@@ -171,15 +171,15 @@
 			p.addProblem(line, "["+s.Name()+"]", "no such section")
 			continue
 		}
-		sec := &section{spec: spec, name: name, line: line, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
+		parsed := &section{spec: spec, name: name, line: line, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
 		if spec.named && !validSectionName(spec.name, name) {
 			p.addProblem(line, "["+s.Name()+"]", "%q is no name for it", name)
 		}
 		for _, k := range s.Keys() {
-			p.parseKey(sec, k.Name(), strings.TrimSpace(k.Value()), lines[position{s.Name(), k.Name()}])
+			p.parseKey(parsed, k.Name(), strings.TrimSpace(k.Value()), lines[position{s.Name(), k.Name()}])
 		}
-		p.applyDefaults(sec)
-		p.sections = append(p.sections, sec)
+		p.applyDefaults(parsed)
+		p.sections = append(p.sections, parsed)
 	}
 }
 
--- a/internal/push/request.go
+++ b/internal/push/request.go
@@ -42,9 +42,9 @@
 
 // Read converts the header section of a request into a message without a body. If the request is invalid, Read returns
 // a Problem and no message.
-func (d *RequestParser) Read(fields []h2.Field) (*engine.Message, *Problem) {
+func (parser *RequestParser) Read(fields []h2.Field) (*engine.Message, *Problem) {
 	path, _, _ := strings.Cut(h2.Value(fields, ":path"), "?")
-	resource, target := d.rules.Find(path)
+	resource, target := parser.rules.Find(path)
 	if resource == nil {
 		return nil, newProblem(404, "no push resource at this path")
 	}
@@ -53,17 +53,17 @@
 		p.ExtraFields = []h2.Field{{Name: "allow", Value: "POST"}}
 		return nil, p
 	}
-	if p := d.Authorize(resource.Tenant, h2.Value(fields, "authorization")); p != nil {
+	if p := parser.Authorize(resource.Tenant, h2.Value(fields, "authorization")); p != nil {
 		return nil, p
 	}
 	if n := h2.Value(fields, "content-length"); n != "" {
-		if size, err := strconv.ParseUint(n, 10, 62); err == nil && size > uint64(d.MaxBody()) {
-			return nil, d.BodyTooLarge()
+		if size, err := strconv.ParseUint(n, 10, 62); err == nil && size > uint64(parser.MaxBody()) {
+			return nil, parser.BodyTooLarge()
 		}
 	}
 	msg := &engine.Message{Class: resource.Class, Tenant: resource.Tenant, Dest: resource.Dest, Target: target,
 		Type: h2.Value(fields, "content-type"), Coding: h2.Value(fields, "content-encoding")}
-	if p := d.parseLifetime(msg, resource, fields); p != nil {
+	if p := parser.parseLifetime(msg, resource, fields); p != nil {
 		return nil, p
 	}
 	if p := parseKeys(msg, resource, fields); p != nil {
@@ -73,24 +73,24 @@
 }
 
 // BodyTooLarge returns the problem for a body that exceeds MaxBody.
-func (d *RequestParser) BodyTooLarge() *Problem {
-	return newProblem(413, "body above %d bytes", d.MaxBody())
+func (parser *RequestParser) BodyTooLarge() *Problem {
+	return newProblem(413, "body above %d bytes", parser.MaxBody())
 }
 
 // MaxBody returns the largest accepted body in bytes.
-func (d *RequestParser) MaxBody() int { return d.rules.MaxBody() }
+func (parser *RequestParser) MaxBody() int { return parser.rules.MaxBody() }
 
 // Rules returns the intake rules that the parser applies.
-func (d *RequestParser) Rules() *intake.Book { return d.rules }
+func (parser *RequestParser) Rules() *intake.Book { return parser.rules }
 
 // Authorize checks the bearer token (RFC 6750) of a request for a tenant. A missing or unknown token gives status 401,
 // and the token of another tenant gives 403. A tenant without a token is open to everybody.
-func (d *RequestParser) Authorize(tenant int, authorization string) *Problem {
-	if d.rules.Open(tenant) {
+func (parser *RequestParser) Authorize(tenant int, authorization string) *Problem {
+	if parser.rules.Open(tenant) {
 		return nil
 	}
 	scheme, secret, _ := strings.Cut(authorization, " ")
-	standing := d.rules.Check(tenant, strings.TrimSpace(secret))
+	standing := parser.rules.Check(tenant, strings.TrimSpace(secret))
 	switch {
 	case !strings.EqualFold(scheme, "Bearer") || standing == intake.Unknown:
 		p := newProblem(401, "a bearer token of the tenant is needed")
@@ -103,7 +103,7 @@
 }
 
 // parseLifetime reads the TTL and Urgency fields (RFC 8030 sections 5.2 and 5.3).
-func (d *RequestParser) parseLifetime(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
+func (parser *RequestParser) parseLifetime(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
 	value := h2.Value(fields, "ttl")
 	switch {
 	case value == "":
@@ -116,7 +116,7 @@
 	if n, err := strconv.ParseUint(value, 10, 31); err == nil {
 		requested = time.Duration(n) * time.Second
 	}
-	msg.Life = d.rules.Life(resource.Life, requested)
+	msg.Life = parser.rules.Life(resource.Life, requested)
 	if msg.Urgency = h2.Value(fields, "urgency"); !intake.Urgency(msg.Urgency) {
 		return newProblem(400, "Urgency %q (RFC 8030 section 5.3)", intake.Printable(msg.Urgency))
 	}
--- a/internal/push/request_test.go
+++ b/internal/push/request_test.go
@@ -18,10 +18,10 @@
 		MaxBody: 1000, LeastLife: time.Second}))
 }
 
-func request(path string, more ...string) []h2.Field {
+func request(path string, extraFields ...string) []h2.Field {
 	f := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path}}
-	for i := 0; i < len(more); i += 2 {
-		f = append(f, h2.Field{Name: more[i], Value: more[i+1]})
+	for i := 0; i < len(extraFields); i += 2 {
+		f = append(f, h2.Field{Name: extraFields[i], Value: extraFields[i+1]})
 	}
 	return f
 }
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -27,9 +27,9 @@
 `
 
 // dialAMQP connects with the client library in common use.
-func dialAMQP(t *testing.T, s *Service) (*amqp.Connection, *amqp.Channel) {
+func dialAMQP(t *testing.T, dispatcher *Service) (*amqp.Connection, *amqp.Channel) {
 	t.Helper()
-	c, err := amqp.Dial(fmt.Sprintf("amqp://t:secret@%v/", s.AMQPAddr()))
+	c, err := amqp.Dial(fmt.Sprintf("amqp://t:secret@%v/", dispatcher.AMQPAddr()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,9 +65,9 @@
 			w.WriteHeader(201)
 		}
 	})
-	s := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
-	defer s.Kill()
-	_, ch := dialAMQP(t, s)
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
+	defer dispatcher.Kill()
+	_, ch := dialAMQP(t, dispatcher)
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
@@ -75,14 +75,14 @@
 	if err := ch.ExchangeDeclarePassive("uploads", "direct", true, false, false, false, nil); err != nil {
 		t.Fatal(err)
 	}
-	q, err := ch.QueueDeclare("", false, false, true, false, nil)
+	queue, err := ch.QueueDeclare("", false, false, true, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := ch.Qos(1, 0, false); err != nil {
 		t.Fatal(err)
 	}
-	answers, err := ch.Consume(q.Name, "", false, false, false, false, nil)
+	answers, err := ch.Consume(queue.Name, "", false, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		ack, back    bool
 	}{{"ok" + big[2:], "served", true, false}, {"no", "failed", false, false}, {"full", "refused", false, true}} {
 		ctx := testContext(t)
-		d, err := ch.PublishWithDeferredConfirmWithContext(ctx, "uploads", "p", false, false, amqp.Publishing{Body: []byte(c.body), ReplyTo: q.Name,
+		d, err := ch.PublishWithDeferredConfirmWithContext(ctx, "uploads", "p", false, false, amqp.Publishing{Body: []byte(c.body), ReplyTo: queue.Name,
 			MessageId: "id-" + c.body[:2], CorrelationId: "c-" + c.body[:2], Priority: 9, ContentType: "text/x", Expiration: "900",
 			Headers: amqp.Table{"x-order-key": "k1", "more": amqp.Table{"a": int32(1)}}})
 		if err != nil {
@@ -126,8 +126,8 @@
 			}
 		}
 	}
-	u := s.Admission().Usage()
-	if side := s.Admission().Sides()[1]; u.Held != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Unheard.Load() != 0 {
+	u := dispatcher.Admission().Usage()
+	if side := dispatcher.Admission().Sides()[1]; u.Held != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Unheard.Load() != 0 {
 		t.Errorf("%+v, served %d refused %d failed %d", u, side.Served.Load(), side.Refused.Load(), side.Failed.Load())
 	}
 }
@@ -144,28 +144,28 @@
 		time.Sleep(d)
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, amqpSettings)
-	defer s.Kill()
-	p := load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
-	defer p.Close()
+	dispatcher := startService(t, addr, amqpSettings)
+	defer dispatcher.Kill()
+	publisher := load.NewPublisher(dispatcher.AMQPAddr().String(), "t", "secret", 1)
+	defer publisher.Close()
 	ctx := testContext(t)
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 500 {
-		all.Go(func() {
+		clients.Go(func() {
 			m := load.Message{Test: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
-			if status, _, _, err := p.Post(ctx, &m); status != 201 || err != nil {
+			if status, _, _, err := publisher.Post(ctx, &m); status != 201 || err != nil {
 				t.Errorf("message %d: %d, %v", i, status, err)
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 }
 
 // What is wrong closes the channel or the connection with the specified code, and says why.
 func TestAMQPRefusals(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
-	defer s.Kill()
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
+	defer dispatcher.Kill()
 	publish := func(exchange, key string, p amqp.Publishing) func(*amqp.Channel) error {
 		return func(ch *amqp.Channel) error {
 			return ch.PublishWithContext(testContext(t), exchange, key, false, false, p)
@@ -197,7 +197,7 @@
 		"bind to the default": {func(ch *amqp.Channel) error { return ch.QueueBind("q", "k", "", false, nil) }, 404},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, ch := dialAMQP(t, s)
+			conn, ch := dialAMQP(t, dispatcher)
 			closed := ch.NotifyClose(make(chan *amqp.Error, 1))
 			if err := c.do(ch); err != nil {
 				t.Log(err)
@@ -216,7 +216,7 @@
 		})
 	}
 	for _, url := range []string{"amqp://t:wrong@%v/", "amqp://u:secret@%v/", "amqp://t:secret@%v/other"} {
-		if c, err := amqp.Dial(fmt.Sprintf(url, s.AMQPAddr())); err == nil {
+		if c, err := amqp.Dial(fmt.Sprintf(url, dispatcher.AMQPAddr())); err == nil {
 			_ = c.Close()
 			t.Errorf("%s was let in", url)
 		}
@@ -225,15 +225,15 @@
 
 // A publish is a hand-over: with its connection lost it is carried on, and its answer waits in the queue it names.
 func TestAMQPConnectionLost(t *testing.T) {
-	arrived, go_ := make(chan struct{}, 300), make(chan struct{})
+	arrived, release := make(chan struct{}, 300), make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, amqpSettings)
-	defer s.Kill()
-	conn, ch := dialAMQP(t, s)
+	dispatcher := startService(t, addr, amqpSettings)
+	defer dispatcher.Kill()
+	conn, ch := dialAMQP(t, dispatcher)
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
@@ -248,12 +248,12 @@
 		}
 	}
 	<-arrived
-	for s.Admission().Usage().Held < n {
+	for dispatcher.Admission().Usage().Held < n {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
-	close(go_)
-	_, ch = dialAMQP(t, s)
+	close(release)
+	_, ch = dialAMQP(t, dispatcher)
 	answers, err := ch.Consume("mine", "", false, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -277,14 +277,14 @@
 
 // Publishers are asked to stop when the hold fills, what comes all the same is returned, and they are let go on.
 func TestAMQPConnectionBlocked(t *testing.T) {
-	go_ := make(chan struct{})
+	release := make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
-	defer s.Kill()
-	conn, ch := dialAMQP(t, s)
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
+	defer dispatcher.Kill()
+	conn, ch := dialAMQP(t, dispatcher)
 	blocked := conn.NotifyBlocked(make(chan amqp.Blocking, 4))
 	returns := ch.NotifyReturn(make(chan amqp.Return, 100))
 	if err := ch.Confirm(false); err != nil {
@@ -309,7 +309,7 @@
 			t.Fatalf("%d returned while the partner answers nothing", n)
 		}
 	}
-	close(go_)
+	close(release)
 	acks, nacks := 0, 0
 	for _, d := range confirms {
 		if ok, err := d.WaitContext(testContext(t)); err != nil {
@@ -330,14 +330,14 @@
 
 // An orderly stop answers what was taken and closes connections with 320.
 func TestAMQPStop(t *testing.T) {
-	arrived, go_ := make(chan struct{}, 10), make(chan struct{})
+	arrived, release := make(chan struct{}, 10), make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, amqpSettings)
-	conn, ch := dialAMQP(t, s)
+	dispatcher := startService(t, addr, amqpSettings)
+	conn, ch := dialAMQP(t, dispatcher)
 	closed := conn.NotifyClose(make(chan *amqp.Error, 1))
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
@@ -348,8 +348,8 @@
 	}
 	<-arrived
 	stopped := make(chan bool, 1)
-	go func() { stopped <- s.Stop(testContext(t)) }()
-	close(go_)
+	go func() { stopped <- dispatcher.Stop(testContext(t)) }()
+	close(release)
 	if ok, err := d.WaitContext(testContext(t)); !ok || err != nil {
 		t.Error("not answered at the stop:", ok, err)
 	}
@@ -368,12 +368,12 @@
 		keys <- r.Header.Get("Idempotency-Key") + r.Header.Get("Topic")
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, amqpSettings)
-	defer s.Kill()
-	c, p := load.NewClient(s.Addr().String(), 1), load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
-	defer c.Close()
-	defer p.Close()
-	for _, by := range []load.Poster{c, p} {
+	dispatcher := startService(t, addr, amqpSettings)
+	defer dispatcher.Kill()
+	client, publisher := load.NewClient(dispatcher.Addr().String(), 1), load.NewPublisher(dispatcher.AMQPAddr().String(), "t", "secret", 1)
+	defer client.Close()
+	defer publisher.Close()
+	for _, by := range []load.Poster{client, publisher} {
 		m := load.Message{Test: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, Repeat: "one", Key: "k"}
 		if status, _, _, err := by.Post(testContext(t), &m); status != 201 || err != nil {
 			t.Fatal(status, err)
@@ -388,9 +388,9 @@
 // and none of its answers is lost.
 func TestAMQPSlowConsumer(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := startService(t, addr, amqpSettings+"[answers]\nqueue-length = 5\n")
-	defer s.Kill()
-	_, ch := dialAMQP(t, s)
+	dispatcher := startService(t, addr, amqpSettings+"[answers]\nqueue-length = 5\n")
+	defer dispatcher.Kill()
+	_, ch := dialAMQP(t, dispatcher)
 	returns := ch.NotifyReturn(make(chan amqp.Return, 10))
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
@@ -446,9 +446,9 @@
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	})
-	s := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
-	defer s.Kill()
-	c, err := net.Dial("tcp", s.AMQPAddr().String())
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
+	defer dispatcher.Kill()
+	c, err := net.Dial("tcp", dispatcher.AMQPAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -113,23 +113,23 @@
 			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false)
 		}
 	}
-	for _, receipt := range pending {
-		tenant, ok := rules.Tenant(receipt.Tenant)
+	for _, promised := range pending {
+		tenant, ok := rules.Tenant(promised.Tenant)
 		if !ok {
 			continue
 		}
-		reservation, err := mailboxes.Promise(tenant, receipt.Queue, "", "")
+		reservation, err := mailboxes.Promise(tenant, promised.Queue, "", "")
 		if err != nil {
-			s.log.Warn("audit", "the receipt of %s is not put back: %v", receipt.Accepted.Message, err)
+			s.log.Warn("audit", "the receipt of %s is not put back: %v", promised.Accepted.Message, err)
 			continue
 		}
-		if receipt.Answered == nil {
-			receipt.Answered = &audit.Record{Kind: audit.Answered, Message: receipt.Accepted.Message, Partner: receipt.Accepted.Partner, Tenant: receipt.Tenant,
-				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: receipt.Queue}
+		if promised.Answered == nil {
+			promised.Answered = &audit.Record{Kind: audit.Answered, Message: promised.Accepted.Message, Partner: promised.Accepted.Partner, Tenant: promised.Tenant,
+				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: promised.Queue}
 			// From now on, the recorded answer is the final one.
-			s.auditLog.Put(receipt.Answered)
+			s.auditLog.Put(promised.Answered)
 		}
-		reservation.Fill(s.now(), newReceipt(receipt.Answered))
+		reservation.Fill(s.now(), newReceipt(promised.Answered))
 		restored++
 	}
 	if restored > 0 {
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -21,13 +21,13 @@
 )
 
 // doRequest sends one request over HTTP/2.
-func doRequest(t *testing.T, s *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
+func doRequest(t *testing.T, dispatcher *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
 	t.Helper()
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	tr := &http.Transport{Protocols: &p}
 	defer tr.CloseIdleConnections() // the connection goes: what was handed in asynchronously must not
-	req, err := http.NewRequestWithContext(testContext(t), method, "http://"+s.Addr().String()+path, bytes.NewReader([]byte(body)))
+	req, err := http.NewRequestWithContext(testContext(t), method, "http://"+dispatcher.Addr().String()+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,10 +49,10 @@
 
 // RFC 8030 section 5.1: 202 once taken, the final answer as a signed receipt in the subscription, until it is taken out.
 func TestReceipts(t *testing.T) {
-	go_ := make(chan struct{})
+	release := make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		<-go_
+		<-release
 		if strings.HasPrefix(string(b), "no") {
 			w.WriteHeader(500)
 			return
@@ -60,15 +60,15 @@
 		w.WriteHeader(201)
 	})
 	folder := t.TempDir()
-	s := startService(t, addr, amqpSettings+"[audit]\nfolder = "+folder+"\n[tenant other]\ntoken = others\n[answers]\nqueue-length = 3\n")
-	defer s.Kill()
-	res, _ := doRequest(t, s, "POST", "/receipts/t", "")
+	dispatcher := startService(t, addr, amqpSettings+"[audit]\nfolder = "+folder+"\n[tenant other]\ntoken = others\n[answers]\nqueue-length = 3\n")
+	defer dispatcher.Kill()
+	res, _ := doRequest(t, dispatcher, "POST", "/receipts/t", "")
 	sub := res.Header.Get("Location")
 	if res.StatusCode != 201 || !strings.HasPrefix(sub, "/receipts/t/") {
 		t.Fatal(res.Status, sub)
 	}
 	post := func(body, to string, more ...string) *http.Response {
-		res, _ := doRequest(t, s, "POST", "/p/upload", body, append([]string{"TTL", "4", "Push-Receipt", to}, more...)...)
+		res, _ := doRequest(t, dispatcher, "POST", "/p/upload", body, append([]string{"TTL", "4", "Push-Receipt", to}, more...)...)
 		return res
 	}
 	async := []string{"Prefer", "wait=5, respond-async"}
@@ -80,7 +80,7 @@
 		}
 		names[res.Header.Get("Whinrun-Message")] = want
 	}
-	if res, _ := doRequest(t, s, "GET", sub, ""); res.StatusCode != 204 {
+	if res, _ := doRequest(t, dispatcher, "GET", sub, ""); res.StatusCode != 204 {
 		t.Error("a receipt before the answer:", res.Status)
 	}
 	for want, res := range map[int]*http.Response{400: post("x", sub), 404: post("x", "/receipts/t/none", async...)} {
@@ -97,10 +97,10 @@
 	if res := post("x", sub, async...); res.StatusCode != 503 {
 		t.Error("a fourth place of three:", res.Status)
 	}
-	if res, _ := doRequest(t, s, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
+	if res, _ := doRequest(t, dispatcher, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
 		t.Error("another tenant's receipts are shown")
 	}
-	close(go_)
+	close(release)
 	keys, err := audit.PublicKeys(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 		Signed  string
 	}
 	for len(got) < 3 {
-		if _, b := doRequest(t, s, "GET", sub, ""); len(b) > 0 {
+		if _, b := doRequest(t, dispatcher, "GET", sub, ""); len(b) > 0 {
 			if err := json.Unmarshal(b, &got); err != nil {
 				t.Fatal(err)
 			}
@@ -126,23 +126,23 @@
 		if want, ok := names[g.Receipt.Message]; ok && (g.Receipt.Answer != want || !strings.HasPrefix(g.Receipt.MessageID, "k-")) {
 			t.Errorf("%+v, want %s", g.Receipt, want)
 		}
-		if res, _ := doRequest(t, s, "DELETE", sub+"/"+formatNumber(g.No), ""); res.StatusCode != 204 {
+		if res, _ := doRequest(t, dispatcher, "DELETE", sub+"/"+formatNumber(g.No), ""); res.StatusCode != 204 {
 			t.Error(res.Status)
 		}
 	}
-	if res, _ := doRequest(t, s, "GET", sub, ""); res.StatusCode != 204 {
+	if res, _ := doRequest(t, dispatcher, "GET", sub, ""); res.StatusCode != 204 {
 		t.Error("taken out, and still there:", res.Status)
 	}
-	_, ch := dialAMQP(t, s)
-	q, err := ch.QueueDeclare("", false, false, true, false, nil)
+	_, ch := dialAMQP(t, dispatcher)
+	queue, err := ch.QueueDeclare("", false, false, true, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answers, err := ch.Consume(q.Name, "", true, false, false, false, nil)
+	answers, err := ch.Consume(queue.Name, "", true, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := ch.PublishWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("yes"), ReplyTo: q.Name}); err != nil {
+	if err := ch.PublishWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("yes"), ReplyTo: queue.Name}); err != nil {
 		t.Fatal(err)
 	}
 	a := <-answers
@@ -156,13 +156,13 @@
 
 // While the trail's disk is full nothing new is taken, what is held is answered, and it goes on when there is room.
 func TestFullDisk(t *testing.T) {
-	arrived, go_ := make(chan struct{}, 1), make(chan struct{})
+	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case arrived <- struct{}{}:
 		default:
 		}
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
 	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1) + "[audit]\nfolder = " + t.TempDir() + "\n"
@@ -173,13 +173,13 @@
 	fs := disk.NewMemory()
 	cfg.Audit.FS, cfg.Audit.Policy.RetryEvery = fs, 10*time.Millisecond
 	log, _ := logs.New(io.Discard, "info", 100)
-	s, err := Start(cfg, log, nil)
+	dispatcher, err := Start(cfg, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Kill()
+	defer dispatcher.Kill()
 	post := func() int {
-		res, _ := doRequest(t, s, "POST", "/p/status", "x", "TTL", "4")
+		res, _ := doRequest(t, dispatcher, "POST", "/p/status", "x", "TTL", "4")
 		return res.StatusCode
 	}
 	held := make(chan int, 1)
@@ -193,14 +193,14 @@
 		}
 		return nil
 	})
-	s.auditLog.Put(&audit.Record{Kind: audit.Begin})
-	for s.auditLog.Failing() == nil {
+	dispatcher.auditLog.Put(&audit.Record{Kind: audit.Begin})
+	for dispatcher.auditLog.Failing() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	for post() != 503 { // the door is shut a moment after the failure is known
 		t.Log("taken")
 	}
-	close(go_)
+	close(release)
 	if status := <-held; status != 201 {
 		t.Error("held, and not answered:", status)
 	}
@@ -215,22 +215,22 @@
 // Receipts that were not fetched are there again after a crash, those fetched are not; a message without its final
 // answer by then is failed, since it may have been sent.
 func TestReceiptsAfterACrash(t *testing.T) {
-	go_ := make(chan struct{})
-	defer close(go_)
+	release := make(chan struct{})
+	defer close(release)
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		if b, _ := io.ReadAll(r.Body); string(b) == "hang" {
-			<-go_
+			<-release
 		}
 		w.WriteHeader(201)
 	})
 	folder := t.TempDir()
 	more := "[audit]\nfolder = " + folder + "\n"
-	s := startService(t, addr, more)
-	res, _ := doRequest(t, s, "POST", "/receipts/t", "")
+	dispatcher := startService(t, addr, more)
+	res, _ := doRequest(t, dispatcher, "POST", "/receipts/t", "")
 	sub := res.Header.Get("Location")
 	var names []string
 	for _, body := range []string{"one", "two", "hang"} {
-		res, _ := doRequest(t, s, "POST", "/p/upload", body, "TTL", "4", "Prefer", "respond-async", "Push-Receipt", sub)
+		res, _ := doRequest(t, dispatcher, "POST", "/p/upload", body, "TTL", "4", "Prefer", "respond-async", "Push-Receipt", sub)
 		names = append(names, res.Header.Get("Whinrun-Message"))
 	}
 	read := func(want int) (all []struct {
@@ -238,14 +238,14 @@
 		Receipt receipt.Receipt
 	}) {
 		for len(all) != want {
-			if _, b := doRequest(t, s, "GET", sub, ""); len(b) > 0 {
+			if _, b := doRequest(t, dispatcher, "GET", sub, ""); len(b) > 0 {
 				_ = json.Unmarshal(b, &all)
 			}
 		}
 		return all
 	}
 	first := read(2)[0]
-	doRequest(t, s, "DELETE", sub+"/"+formatNumber(first.No), "")
+	doRequest(t, dispatcher, "DELETE", sub+"/"+formatNumber(first.No), "")
 	for owed := 3; owed != 2; time.Sleep(time.Millisecond) { // until the trail on disk knows of the fetched one
 		store, _, err := audit.OpenReader(folder)
 		if err != nil {
@@ -255,9 +255,9 @@
 			owed = len(all)
 		}
 	}
-	s.Kill()
-	s = startService(t, addr, more)
-	defer s.Kill()
+	dispatcher.Kill()
+	dispatcher = startService(t, addr, more)
+	defer dispatcher.Kill()
 	got := map[string]string{}
 	for _, e := range read(2) {
 		got[e.Receipt.Message] = e.Receipt.Answer
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -111,10 +111,10 @@
 type engineAdapter struct{ s *Service }
 
 // Submit hands a message over to the engine.
-func (i engineAdapter) Submit(m *engine.Message) error { return i.s.loop.Submit(m) }
+func (a engineAdapter) Submit(m *engine.Message) error { return a.s.loop.Submit(m) }
 
 // Withdraw cancels a message.
-func (i engineAdapter) Withdraw(id control.MessageID) { i.s.loop.Withdraw(id) }
+func (a engineAdapter) Withdraw(id control.MessageID) { a.s.loop.Withdraw(id) }
 
 // openTrail opens the audit trail. While the trail cannot be written, no new messages are accepted, but the messages in
 // progress still get their answers.
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -46,23 +46,23 @@
 `
 
 // startService starts a dispatcher with one partner at addr and further settings.
-func startService(t *testing.T, addr, more string) *Service {
+func startService(t *testing.T, partnerAddr, extraSections string) *Service {
 	t.Helper()
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1) + more
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(baseSettings, "ADDRESS", partnerAddr, 1) + extraSections
 	cfg, err := config.Parse("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	log, _ := logs.New(io.Discard, "info", 100)
-	s, err := Start(cfg, log, nil)
+	dispatcher, err := Start(cfg, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return dispatcher
 }
 
 // startHTTP2Partner is a partner that we did not write: net/http's HTTP/2 server.
-func startHTTP2Partner(t *testing.T, h http.HandlerFunc) (addr string, srv *http.Server) {
+func startHTTP2Partner(t *testing.T, handler http.HandlerFunc) (addr string, srv *http.Server) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
-	srv = &http.Server{Handler: h, Protocols: &p}
+	srv = &http.Server{Handler: handler, Protocols: &p}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return ln.Addr().String(), srv
@@ -103,24 +103,24 @@
 		w.Header().Set("Location", "/d/1")
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, "")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 3)
-	defer c.Close()
-	var all sync.WaitGroup
+	dispatcher := startService(t, addr, "")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 3)
+	defer client.Close()
+	var clients sync.WaitGroup
 	var bad atomic.Int64
 	for i := range 200 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			size := 100 + (i%5)*50000
-			if status, err := postMessage(c, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
+			if status, err := postMessage(client, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
 				bad.Add(1)
 				t.Log(status, err)
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	if bad.Load() > 0 || len(sizes) != 5 || sizes[200100] != 40 {
 		t.Errorf("%d bad, sizes %v", bad.Load(), sizes)
 	}
@@ -134,19 +134,19 @@
 		served.Add(1)
 		w.WriteHeader(201)
 	})
-	s := startService(t, addr, "")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	var all sync.WaitGroup
+	dispatcher := startService(t, addr, "")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	var clients sync.WaitGroup
 	var ok atomic.Int64
 	first := make(chan struct{})
 	var once sync.Once
 	for range 50 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			if status, _ := postMessage(c, "/p/upload"); status == 201 {
+			defer clients.Done()
+			if status, _ := postMessage(client, "/p/upload"); status == 201 {
 				ok.Add(1)
 			}
 			once.Do(func() { close(first) })
@@ -154,7 +154,7 @@
 	}
 	<-first
 	_ = srv.Shutdown(context.Background())
-	all.Wait()
+	clients.Wait()
 	if ok.Load() != served.Load() {
 		t.Errorf("%d served by the peer, %d answered as served", served.Load(), ok.Load())
 	}
@@ -183,35 +183,35 @@
 		t.Fatal(err)
 	}
 	log, _ := logs.New(io.Discard, "info", 100)
-	s, err := Start(cfg, log, nil)
+	dispatcher, err := Start(cfg, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
 	for range 10 { // more in a row than make an endpoint suspect
-		if status, err := postMessage(c, "/p/status/gone"); status != 502 {
+		if status, err := postMessage(client, "/p/status/gone"); status != 502 {
 			t.Error("gone:", status, err)
 		}
 	}
-	if status, err := postMessage(c, "/p/status/here"); status != 201 {
+	if status, err := postMessage(client, "/p/status/here"); status != 201 {
 		t.Error("here:", status, err)
 	}
 }
 
 // Every limit at the door has its answer.
 func TestAdmissionLimits(t *testing.T) {
-	block := make(chan struct{})
+	release := make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
-		<-block
+		<-release
 		w.WriteHeader(201)
 	})
-	defer close(block)
-	s := startService(t, addr, "[limits]\nhold = 16\nbody = 64KiB\nheaders = 4KiB\nhold-bytes = 128KiB\n")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 2)
-	defer c.Close()
+	defer close(release)
+	dispatcher := startService(t, addr, "[limits]\nhold = 16\nbody = 64KiB\nheaders = 4KiB\nhold-bytes = 128KiB\n")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 2)
+	defer client.Close()
 	for _, k := range []struct {
 		name   string
 		status int
@@ -222,38 +222,38 @@
 		{"no such resource", 404, func(m *load.Message) { m.Path = "/q" }},
 		{"bad topic", 400, func(m *load.Message) { m.Key = "no topic" }},
 	} {
-		if status, err := postMessage(c, "/p/status", k.change); status != k.status {
+		if status, err := postMessage(client, "/p/status", k.change); status != k.status {
 			t.Errorf("%s: %d %v, want %d", k.name, status, err, k.status)
 		}
 	}
-	if got := sendLargeHeaders(t, s.Addr().String()); got != "431" {
+	if got := sendLargeHeaders(t, dispatcher.Addr().String()); got != "431" {
 		t.Errorf("headers above the limit: %s", got)
 	}
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	var full atomic.Int64
 	for range 60 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			if status, _ := postMessage(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
+			defer clients.Done()
+			if status, _ := postMessage(client, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
 				full.Add(1)
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	if full.Load() != 60 {
 		t.Errorf("%d of 60 refused or failed at a partner that answers nothing", full.Load())
 	}
-	if n := s.Admission().Usage().Bytes; n != 0 {
+	if n := dispatcher.Admission().Usage().Bytes; n != 0 {
 		t.Errorf("%d bytes are still reserved", n)
 	}
 }
 
 // sendLargeHeaders sends a header section above what the dispatcher's SETTINGS allow, which a polite client does not.
 func sendLargeHeaders(t *testing.T, addr string) (status string) {
-	r := dialRawClient(t, addr)
-	defer r.conn.Close()
-	if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+	client := dialRawClient(t, addr)
+	defer client.conn.Close()
+	if err := client.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 		t.Fatal(err)
 	}
 	var block bytes.Buffer
@@ -261,12 +261,12 @@
 	for _, f := range append(requestFields("/p/status"), h2.Field{Name: "x", Value: strings.Repeat("x", 5000)}) {
 		_ = enc.WriteField(f)
 	}
-	if _, err := r.h2conn.Request(0, requestFields("/p/status"), nil); err != nil { // opens stream 1 in the client's books
+	if _, err := client.h2conn.Request(0, requestFields("/p/status"), nil); err != nil { // opens stream 1 in the client's books
 		t.Fatal(err)
 	}
-	r.h2conn.Output()
-	_, _ = r.conn.Write(h2.AppendFrame(nil, h2.FrameHeaders, h2.FlagEndHeaders|h2.FlagEndStream, 1, block.Bytes()))
-	if err := r.readUntil(func(e h2.Event) bool {
+	client.h2conn.Output()
+	_, _ = client.conn.Write(h2.AppendFrame(nil, h2.FrameHeaders, h2.FlagEndHeaders|h2.FlagEndStream, 1, block.Bytes()))
+	if err := client.readUntil(func(e h2.Event) bool {
 		status = h2.Value(e.Fields, ":status")
 		return e.Kind == h2.Headers
 	}); err != nil {
@@ -320,11 +320,11 @@
 }
 
 // expectOtherClientServed checks that another client has its answer all the same.
-func expectOtherClientServed(t *testing.T, s *Service, want int) {
+func expectOtherClientServed(t *testing.T, dispatcher *Service, want int) {
 	t.Helper()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	if status, err := postMessage(c, "/p/status"); status != want {
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	if status, err := postMessage(client, "/p/status"); status != want {
 		t.Error("another client:", status, err)
 	}
 }
@@ -332,34 +332,34 @@
 // A client that keeps its window shut while answers wait is cut off; others go on.
 func TestClientThatReadsNoAnswers(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
-	s := startService(t, addr, "[limits]\nstall = 300ms\n")
-	defer s.Kill()
-	r := dialRawClient(t, s.Addr().String())
-	defer r.conn.Close()
-	if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+	dispatcher := startService(t, addr, "[limits]\nstall = 300ms\n")
+	defer dispatcher.Kill()
+	client := dialRawClient(t, dispatcher.Addr().String())
+	defer client.conn.Close()
+	if err := client.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 		t.Fatal(err)
 	}
 	shut := h2.AppendFrame(nil, h2.FrameSettings, 0, 0, []byte{0, 4, 0, 0, 0, 0}) // SETTINGS_INITIAL_WINDOW_SIZE 0
-	_, _ = r.conn.Write(shut)
-	if _, err := r.h2conn.Request(0, requestFields("/p/status"), []byte("x")); err != nil {
+	_, _ = client.conn.Write(shut)
+	if _, err := client.h2conn.Request(0, requestFields("/p/status"), []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	away := false
-	err := r.readUntil(func(e h2.Event) bool {
+	err := client.readUntil(func(e h2.Event) bool {
 		away = away || e.Kind == h2.PeerGoAway && e.Code == h2.FlowControlError
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
 		t.Errorf("the connection is not ended: %v, GOAWAY %v", err, away)
 	}
-	expectOtherClientServed(t, s, 502)
+	expectOtherClientServed(t, dispatcher, 502)
 }
 
 // A preface that does not come, garbage, and a flood of resets end their connections and nothing else.
 func TestAbuseClosesItsConnection(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := startService(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
-	defer s.Kill()
+	dispatcher := startService(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
+	defer dispatcher.Kill()
 	for name, send := range map[string]func(*rawClient) error{
 		"nothing": func(r *rawClient) error { return nil },
 		"HTTP/1": func(r *rawClient) error {
@@ -381,59 +381,59 @@
 			return err
 		},
 	} {
-		r := dialRawClient(t, s.Addr().String())
+		client := dialRawClient(t, dispatcher.Addr().String())
 		if name != "resets" {
-			r.h2conn = h2.NewClient(h2.Config{}, 0)
-			r.h2conn.Output()
+			client.h2conn = h2.NewClient(h2.Config{}, 0)
+			client.h2conn.Output()
 		}
-		if err := send(r); err != nil {
+		if err := send(client); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		_ = r.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if _, err := io.Copy(io.Discard, r.conn); err != nil && strings.Contains(err.Error(), "timeout") {
+		_ = client.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if _, err := io.Copy(io.Discard, client.conn); err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%s: the connection is still open", name)
 		}
-		_ = r.conn.Close()
+		_ = client.conn.Close()
 	}
-	expectOtherClientServed(t, s, 201)
+	expectOtherClientServed(t, dispatcher, 201)
 }
 
 // Clients above the limit of connections are turned away, those there are served.
 func TestConnectionLimit(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := startService(t, addr, "[limits]\nconnections = 1\n")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	if status, err := postMessage(c, "/p/status"); status != 201 {
+	dispatcher := startService(t, addr, "[limits]\nconnections = 1\n")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	if status, err := postMessage(client, "/p/status"); status != 201 {
 		t.Fatal(status, err)
 	}
-	r := dialRawClient(t, s.Addr().String())
-	defer r.conn.Close()
-	if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
+	excess := dialRawClient(t, dispatcher.Addr().String())
+	defer excess.conn.Close()
+	if err := excess.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
 		t.Error("a second connection is served")
 	}
-	if status, err := postMessage(c, "/p/status"); status != 201 {
+	if status, err := postMessage(client, "/p/status"); status != 201 {
 		t.Error(status, err)
 	}
 }
 
 // An orderly stop answers what was taken, also where the partner answers nothing, and then ends.
 func TestGracefulStop(t *testing.T) {
-	block := make(chan struct{})
+	release := make(chan struct{})
 	arrived := make(chan struct{}, 100)
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-block
+		<-release
 	})
-	defer close(block)
-	s := startService(t, addr, "")
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
+	defer close(release)
+	dispatcher := startService(t, addr, "")
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
 	answers := make(chan int, 10)
 	for range 10 {
 		go func() {
-			status, _ := postMessage(c, "/p/upload")
+			status, _ := postMessage(client, "/p/upload")
 			answers <- status
 		}()
 	}
@@ -442,7 +442,7 @@
 	}
 	ctx, done := context.WithTimeout(context.Background(), 20*time.Second)
 	defer done()
-	if !s.Stop(ctx) {
+	if !dispatcher.Stop(ctx) {
 		t.Error("stopped without all answers")
 	}
 	for range 10 {
