--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -21,7 +21,7 @@
 	"whinrun/internal/load"
 )
 
-// buildProgram makes the program once for the tests that need a process of its own.
+// buildProgram builds the program for a test that runs it as a process.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "whinrun")
@@ -31,7 +31,8 @@
 	return bin
 }
 
-// startServe starts the program with a partner that calls block, and returns it with its address.
+// startServe starts the program with the quickstart settings and one HTTP/2 partner that calls handle. It returns the process
+// and the address that clients connect to.
 func startServe(t *testing.T, bin string, handle http.HandlerFunc, extraSections ...string) (cmd *exec.Cmd, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,12 +75,12 @@
 		}
 	}()
 	if addr == "" {
-		t.Fatal("the program does not say where it listens")
+		t.Fatal("the program did not log its listening address")
 	}
 	return cmd, addr
 }
 
-// SIGTERM: what was taken is answered within the time set, then the program exits with 0.
+// After SIGTERM, the program answers the accepted messages within stop-within and exits with status 0.
 func TestTerminate(t *testing.T) {
 	block, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(block)
@@ -106,7 +107,7 @@
 	}
 }
 
-// A second signal ends the program at once, with 1.
+// A second signal ends the program at once, with exit status 1.
 func TestTerminateTwice(t *testing.T) {
 	block, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(block)
@@ -122,7 +123,9 @@
 	<-arrived
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	start := time.Now()
-	for cmd.ProcessState == nil && time.Since(start) < 500*time.Millisecond { // the first is to be seen as one of its own
+	for cmd.ProcessState == nil && time.Since(start) < 500*time.Millisecond {
+		// Signals that are pending at the same time merge into one, so the test waits before it sends the second one. It
+		// repeats the second one for half a second.
 		time.Sleep(50 * time.Millisecond)
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 	}
@@ -132,7 +135,7 @@
 	}
 }
 
-// A broken setup: one line each, exit code 2, for check and for serve.
+// With invalid settings, check and serve print one line for each problem and exit with status 2.
 func TestCheckExits(t *testing.T) {
 	bin := buildProgram(t)
 	file := filepath.Join(t.TempDir(), "w.ini")
@@ -151,8 +154,9 @@
 	}
 }
 
-// The program is killed again and again at random moments in load: its trail verifies, no attempt that a partner saw is
-// missing but at the end that a kill took, and none is invented. WHINRUN_KILLS sets how often, 5 where it is not set.
+// The program is killed repeatedly at random moments under load. Afterwards the audit trail verifies. It lacks attempts that a
+// partner received only at its end, where a kill can lose the last records, and it has no attempt that no partner received.
+// WHINRUN_KILLS sets the number of kills. The default is 5.
 func TestKilled(t *testing.T) {
 	kills := 5
 	if n, err := strconv.Atoi(os.Getenv("WHINRUN_KILLS")); err == nil {
@@ -220,20 +224,20 @@
 			started[k] = true
 		}
 		if _, ok := received[k]; r.Kind == audit.Ended && r.Status > 0 && !ok {
-			t.Errorf("attempt %v has an answer, and no partner saw it", k)
+			t.Errorf("attempt %v has an answer, but no partner received it", k)
 		}
 	}
 	lost := 0
 	for k, at := range received {
 		if !started[k] {
 			if lost++; at.Before(lastRecord[epoch(k.message)].Add(-time.Millisecond)) {
-				t.Errorf("attempt %v is missing, with later ones there", k)
+				t.Errorf("attempt %v is missing, although later records exist", k)
 			}
 		}
 	}
-	t.Logf("%d kills, %d attempts seen, %d lost with the ends that kills took; %d records, %d seals, %v", kills, len(received), lost, verified.Records, verified.Seals,
+	t.Logf("%d kills, %d attempts received, %d of them lost at the end of a process; %d records, %d seals, %v", kills, len(received), lost, verified.Records, verified.Seals,
 		rep.Problems)
 	if len(received) == 0 || kills > 2 && verified.Seals == 0 {
-		t.Error("nothing was tried")
+		t.Error("no attempts were made, or no seals were written")
 	}
 }
--- a/cmd/whinrun/node_test.go
+++ b/cmd/whinrun/node_test.go
@@ -16,7 +16,7 @@
 	"whinrun/internal/testbed"
 )
 
-// nodeProcess is the program on a test bed, in a process of its own.
+// nodeProcess runs the program as a process against a testbed.
 type nodeProcess struct {
 	t          *testing.T
 	bin        string
@@ -26,9 +26,11 @@
 	agent      *testbed.Agent
 	cmd        *exec.Cmd
 	output     bytes.Buffer
-	transform  func(configuration []byte) []byte // changes the configuration, nil for as it is
+	// transform changes the configuration before it is written. It is nil if nothing changes.
+	transform func(configuration []byte) []byte
 }
 
+// newNodeProcess prepares a process with a free address, a state folder and an agent, but does not start it.
 func newNodeProcess(t *testing.T, bed *testbed.Testbed) *nodeProcess {
 	t.Helper()
 	addr, err := testbed.FreeAddr()
@@ -44,11 +46,13 @@
 	return n
 }
 
+// configure writes the configuration for the current agent.
 func (n *nodeProcess) configure() {
 	n.t.Helper()
 	n.writeConfig(testbed.Configuration(n.addr, n.agent))
 }
 
+// start writes the configuration, starts the process and waits until it listens.
 func (n *nodeProcess) start() {
 	n.t.Helper()
 	n.configure()
@@ -62,14 +66,14 @@
 	n.waitUntilListening()
 }
 
-// command is the program as a node of this configuration.
+// command returns the command that runs the program with this configuration and state folder.
 func (n *nodeProcess) command() *exec.Cmd {
 	cmd := exec.Command(n.bin, "node")
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.configFile, "EDGE_STATE="+n.stateDir)
 	return cmd
 }
 
-// waitUntilListening waits until it takes connections.
+// waitUntilListening waits until the program accepts connections.
 func (n *nodeProcess) waitUntilListening() {
 	n.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -78,10 +82,10 @@
 			return
 		}
 	}
-	n.t.Fatal("it does not listen")
+	n.t.Fatal("the program does not listen")
 }
 
-// readyStatus asks for its state and returns the status.
+// readyStatus requests /ready and returns the status code.
 func (n *nodeProcess) readyStatus() int {
 	n.t.Helper()
 	c, err := net.DialTimeout("tcp", n.addr, time.Second)
@@ -98,7 +102,7 @@
 	return status
 }
 
-// The program killed again and again in load: every message taken has its end, no upload is sent twice.
+// The program is killed repeatedly under load. Every accepted message still ends, and no upload is sent twice.
 func TestNodeKilledInLoad(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
@@ -149,11 +153,11 @@
 		t.Error(f)
 	}
 	if len(names) < 50 {
-		t.Errorf("only %d taken", len(names))
+		t.Errorf("only %d messages were accepted", len(names))
 	}
 }
 
-// startWithFailingEndpoint starts the program beside an endpoint that answers errors.
+// startWithFailingEndpoint starts the program with one endpoint, which answers every call with status 500.
 func startWithFailingEndpoint(t *testing.T) (*testbed.Testbed, *nodeProcess, testbed.Host) {
 	t.Helper()
 	bed := testbed.New()
@@ -169,7 +173,8 @@
 	return bed, node, host
 }
 
-// SIGHUP never ends it, whatever the file holds; SIGTERM ends it in order, with 0, before 3.7 s.
+// SIGHUP never ends the program, even if the configuration is invalid. SIGTERM ends it gracefully with exit status 0 within
+// 3.7 s.
 func TestNodeSignals(t *testing.T) {
 	bed, node, host := startWithFailingEndpoint(t)
 	if err := os.WriteFile(node.configFile, []byte("no configuration"), 0o600); err != nil {
@@ -205,8 +210,8 @@
 	}
 }
 
-// A stop with a notice that nobody takes: a second SIGTERM changes nothing, a new address by SIGHUP counts, and the notice that is
-// owed goes there.
+// The program stops while a notice is pending that the agent rejects. A second SIGTERM changes nothing. SIGHUP during the stop
+// applies a new agent address, and the pending notice is delivered there.
 func TestNodeReloadedWhileItStops(t *testing.T) {
 	bed, node, _ := startWithFailingEndpoint(t)
 	node.agent.Fail(503)
@@ -224,7 +229,8 @@
 	node.configure()
 	start := time.Now()
 	_ = node.cmd.Process.Signal(syscall.SIGTERM)
-	for node.readyStatus() == 200 { // until it stops: signals that are pending together come in no order
+	// The program must have begun to stop before more signals are sent, because pending signals arrive in no fixed order.
+	for node.readyStatus() == 200 {
 	}
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		_ = node.cmd.Process.Signal(sig)
@@ -240,12 +246,13 @@
 	}
 }
 
-// SIGTERM that comes while the program starts ends it in order, and what its ledger owes is kept.
+// SIGTERM during the start ends the program gracefully, and its ledger keeps the unfinished messages.
 func TestNodeStoppedBeforeItIsReady(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
 	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
-	node.agent.Mute(true) // the start waits for discovery's first answer
+	// The start waits for the first answer of discovery.
+	node.agent.Mute(true)
 	node.configure()
 	node.cmd = node.command()
 	if err := node.cmd.Start(); err != nil {
@@ -253,19 +260,19 @@
 	}
 	defer func() { _ = node.cmd.Process.Kill() }()
 	if !bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Watched, "") > 0 }) {
-		t.Fatal("discovery is not asked")
+		t.Fatal("the program sent no request to discovery")
 	}
 	start := time.Now()
 	_ = node.cmd.Process.Signal(syscall.SIGTERM)
 	if err := node.cmd.Wait(); err != nil {
 		t.Error("exit:", err)
 	}
-	if took := time.Since(start); took > 4200*time.Millisecond { // the start's half second beside the stop's time
+	if took := time.Since(start); took > 4200*time.Millisecond { // the stop may take 3.7 s, and the start another 0.5 s
 		t.Errorf("the stop took %v", took)
 	}
 }
 
-// A fault of the configuration is one line that names file and key.
+// A configuration error is reported in one line that names the file and the key.
 func TestNodeInvalidConfiguration(t *testing.T) {
 	bin := buildProgram(t)
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -13,10 +13,10 @@
 	"whinrun/internal/testbed"
 )
 
-// dedupWindow is how long partners drop repeats of a keyed message, where a test shortens the settings' own window.
+// dedupWindow is the deduplication window of partners in tests that shorten the window of the settings.
 const dedupWindow = 2 * time.Second
 
-// shortenDedupWindow has the next process started with a window of keyWindow.
+// shortenDedupWindow makes the next process start with a deduplication window of dedupWindow.
 func (n *nodeProcess) shortenDedupWindow() {
 	n.t.Helper()
 	n.transform = func(text []byte) []byte {
@@ -24,14 +24,14 @@
 	}
 }
 
-// kill ends the process as SIGKILL does.
+// kill ends the process with SIGKILL and notes the restart.
 func (n *nodeProcess) kill(bed *testbed.Testbed) {
 	_ = n.cmd.Process.Signal(syscall.SIGKILL)
 	_ = n.cmd.Wait()
 	bed.Note(testbed.Event{Kind: testbed.Restarted})
 }
 
-// callTimes returns when the calls of a message began.
+// callTimes returns the start times of the calls for a message.
 func callTimes(events []testbed.Event, name string) (at []time.Time) {
 	for _, e := range events {
 		if e.Kind == testbed.Called && e.Name == name {
@@ -41,8 +41,9 @@
 	return at
 }
 
-// A call is out when a first process is killed. What a second process learns of its own calls, each turned away unrun, says
-// nothing of that one: a third process must not repeat the message once partners have forgotten its key.
+// A process is killed while a call is in flight. A second process makes a call that the partner rejects without executing it,
+// which says nothing about the first call. A third process must not repeat the message after the deduplication window of
+// the first call has ended.
 func TestSecondRestartRemembersFirstCall(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
@@ -64,17 +65,17 @@
 		t.Fatal("no call by the first process")
 	}
 	node.kill(bed)
-	reply.Store(&testbed.Reply{Status: 429, Wait: dedupWindow / 4}) // the second process makes one call before it is killed
+	reply.Store(&testbed.Reply{Status: 429, Wait: dedupWindow / 4}) // the wait lets the second process make one call only
 	node.start()
 	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
 		t.Fatal("no call by the second process")
 	}
 	node.kill(bed)
 	reply.Store(&testbed.Reply{Status: 200})
-	time.Sleep(time.Until(callTimes(bed.Events(), "m")[0].Add(dedupWindow))) // the window is a span of real time
+	time.Sleep(time.Until(callTimes(bed.Events(), "m")[0].Add(dedupWindow))) // the window is real time
 	node.start()
 	if !bed.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, []string{"m"}) }) {
-		t.Error("no end")
+		t.Error("the message has not ended")
 	}
 	for _, f := range testbed.Check(bed.Events(), nodeRules(), time.Now()) {
 		t.Error(f)
@@ -84,13 +85,14 @@
 	}
 }
 
-// nodeRules are the figures of testbed.Settings with windows shortened to keyWindow, for processes that share a machine with others.
+// nodeRules returns the rules for the settings of the testbed with deduplication windows of dedupWindow. The tolerances allow
+// for a machine that also runs other processes.
 func nodeRules() testbed.Rules {
 	return testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
 		Windows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
 }
 
-// writeConfig puts a configuration in place.
+// writeConfig writes the configuration file.
 func (n *nodeProcess) writeConfig(text []byte) {
 	n.t.Helper()
 	if n.transform != nil {
@@ -101,13 +103,14 @@
 	}
 }
 
-// A folder that can't be used ends the start with one line and exit 1; one that another process still has is waited for.
+// With an unusable state folder, the program prints one line and exits with status 1. If another process still uses the folder,
+// the program waits for it.
 func TestNodeStateFolder(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
 	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
 	folder := node.stateDir
-	node.stateDir = filepath.Join(node.configFile, "state") // below a file
+	node.stateDir = filepath.Join(node.configFile, "state") // a path below a file cannot be a folder
 	node.configure()
 	cmd := node.command()
 	out, err := cmd.CombinedOutput()
@@ -124,7 +127,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = second.Process.Kill() }()
-	time.Sleep(300 * time.Millisecond) // it finds the folder taken
+	time.Sleep(300 * time.Millisecond) // the second process finds the folder in use
 	_ = first.Process.Kill()
 	_ = first.Wait()
 	node.waitUntilListening()
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -19,6 +19,7 @@
 	"whinrun/internal/load"
 )
 
+// amqpSettings enables AMQP and adds an exchange.
 const amqpSettings = `[amqp]
 listen = 127.0.0.1:0
 [exchange uploads]
@@ -26,7 +27,7 @@
 tenant = t
 `
 
-// dialAMQP connects with the client library in common use.
+// dialAMQP connects with the common client library and opens a channel.
 func dialAMQP(t *testing.T, dispatcher *Service) (*amqp.Connection, *amqp.Channel) {
 	t.Helper()
 	c, err := amqp.Dial(fmt.Sprintf("amqp://t:secret@%v/", dispatcher.AMQPAddr()))
@@ -41,13 +42,14 @@
 	return c, ch
 }
 
+// testContext returns a context that ends after 20 s or with the test.
 func testContext(t *testing.T) context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(stop)
 	return ctx
 }
 
-// Interop: served, refused and failed each arrive in their documented form, and in full in the queue of answers.
+// The answers served, refused and failed arrive in their documented form, both as confirms and returns and in the answer queue.
 func TestAMQPAnswers(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -86,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	big := strings.Repeat("x", 300000) // three frames
+	big := strings.Repeat("x", 300000) // the body takes three frames
 	for _, c := range []struct {
 		body, answer string
 		ack, back    bool
@@ -112,7 +114,7 @@
 				t.Error(err)
 			}
 		case <-ctx.Done():
-			t.Fatalf("%s: no answer in the queue", c.answer)
+			t.Fatalf("%s: the queue has no answer", c.answer)
 		}
 		select {
 		case r := <-returns:
@@ -132,7 +134,7 @@
 	}
 }
 
-// Hundreds of publishes on one channel, answered in any order, are each confirmed once.
+// Hundreds of messages on one channel that are answered out of order are each confirmed once.
 func TestAMQPConfirmsOutOfOrder(t *testing.T) {
 	var n int
 	var mu sync.Mutex
@@ -161,7 +163,7 @@
 	clients.Wait()
 }
 
-// What is wrong closes the channel or the connection with the specified code, and says why.
+// Each kind of invalid request closes the channel or the connection with the specified code.
 func TestAMQPRefusals(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	dispatcher := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
@@ -218,12 +220,12 @@
 	for _, url := range []string{"amqp://t:wrong@%v/", "amqp://u:secret@%v/", "amqp://t:secret@%v/other"} {
 		if c, err := amqp.Dial(fmt.Sprintf(url, dispatcher.AMQPAddr())); err == nil {
 			_ = c.Close()
-			t.Errorf("%s was let in", url)
+			t.Errorf("%s was accepted", url)
 		}
 	}
 }
 
-// A publish is a hand-over: with its connection lost it is carried on, and its answer waits in the queue it names.
+// A published message is delivered even if its connection ends. The answer waits in the queue that the message names.
 func TestAMQPConnectionLost(t *testing.T) {
 	arrived, release := make(chan struct{}, 300), make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -263,7 +265,7 @@
 		select {
 		case a := <-answers:
 			if seen[a.CorrelationId] || a.Type != "served" {
-				t.Errorf("%s %s again: %v", a.CorrelationId, a.Type, seen[a.CorrelationId])
+				t.Errorf("%s: type %s, duplicate %v", a.CorrelationId, a.Type, seen[a.CorrelationId])
 			}
 			seen[a.CorrelationId] = true
 		case <-testContext(t).Done():
@@ -275,7 +277,8 @@
 	}
 }
 
-// Publishers are asked to stop when the hold fills, what comes all the same is returned, and they are let go on.
+// When the dispatcher holds too many messages, it sends connection.blocked. Messages that arrive nevertheless are returned. When
+// enough have been answered, it sends connection.unblocked.
 func TestAMQPConnectionBlocked(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -301,12 +304,13 @@
 	if b := <-blocked; !b.Active || b.Reason == "" {
 		t.Errorf("%+v", b)
 	}
-	// The partner answers only when the hold is full and the rest has come back: else room is made while they still come.
+	// The partner answers only after the excess messages were returned. Otherwise its answers would make room while messages
+	// are still arriving.
 	for n := range 20 {
 		select {
 		case <-returns:
 		case <-testContext(t).Done():
-			t.Fatalf("%d returned while the partner answers nothing", n)
+			t.Fatalf("only %d messages were returned before the partner answered", n)
 		}
 	}
 	close(release)
@@ -328,7 +332,7 @@
 	}
 }
 
-// An orderly stop answers what was taken and closes connections with 320.
+// A graceful stop answers the accepted messages and closes connections with code 320.
 func TestAMQPStop(t *testing.T) {
 	arrived, release := make(chan struct{}, 10), make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -351,17 +355,17 @@
 	go func() { stopped <- dispatcher.Stop(testContext(t)) }()
 	close(release)
 	if ok, err := d.WaitContext(testContext(t)); !ok || err != nil {
-		t.Error("not answered at the stop:", ok, err)
+		t.Error("the message was not confirmed during the stop:", ok, err)
 	}
 	if e := <-closed; e == nil || e.Code != 320 {
 		t.Errorf("closed with %v", e)
 	}
 	if !<-stopped {
-		t.Error("the stop left something")
+		t.Error("the stop left messages without an answer")
 	}
 }
 
-// One message-id is one key, whichever front it comes by: partners that drop repeats see the same.
+// A message ID gives the same idempotency key on both frontends, so that partners drop repeats across them.
 func TestSameKeyOnBothFronts(t *testing.T) {
 	keys := make(chan string, 2)
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -384,8 +388,8 @@
 	}
 }
 
-// A reader that acknowledges nothing fills its queue; then messages that name it are returned before they are taken,
-// and none of its answers is lost.
+// A consumer that acknowledges nothing fills its queue. Messages whose answers would go there are then returned before they are
+// accepted, and no answer is lost.
 func TestAMQPSlowConsumer(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	dispatcher := startService(t, addr, amqpSettings+"[answers]\nqueue-length = 5\n")
@@ -432,16 +436,16 @@
 	for i := range 5 {
 		a, ok, err := ch.Get("mine", true)
 		if !ok || err != nil || a.CorrelationId != fmt.Sprint("m", i) || a.Redelivered != (i < 2) {
-			t.Errorf("answer %d: %s, %v %v, again %v", i, a.CorrelationId, ok, err, a.Redelivered)
+			t.Errorf("answer %d: %s, %v %v, redelivered %v", i, a.CorrelationId, ok, err, a.Redelivered)
 		}
 	}
 	if _, ok, _ := ch.Get("mine", true); ok {
-		t.Error("a sixth answer")
+		t.Error("the queue has a sixth answer")
 	}
 }
 
-// A client whose library does not know connection.blocked is asked by channel.flow. What it publishes without confirms
-// above the limits closes its channel: nothing else would tell it.
+// A client that does not support connection.blocked gets channel.flow instead. If it publishes without confirms beyond the
+// limits, its channel is closed, because it has no other way to learn of the rejection.
 func TestAMQPChannelFlow(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -469,7 +473,7 @@
 		for !bytes.Contains(got, want[7:min(len(want), 13)]) {
 			n, err := c.Read(buf)
 			if err != nil {
-				t.Fatalf("%T never came: %v", m, err)
+				t.Fatalf("%T did not arrive: %v", m, err)
 			}
 			got = append(got, buf[:n]...)
 		}
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -20,13 +20,13 @@
 	"whinrun/internal/receipt"
 )
 
-// doRequest sends one request over HTTP/2.
+// doRequest sends a request on an HTTP/2 connection of its own and returns the response and its body.
 func doRequest(t *testing.T, dispatcher *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
 	t.Helper()
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	tr := &http.Transport{Protocols: &p}
-	defer tr.CloseIdleConnections() // the connection goes: what was handed in asynchronously must not
+	defer tr.CloseIdleConnections() // a message with a receipt must survive the end of its connection
 	req, err := http.NewRequestWithContext(testContext(t), method, "http://"+dispatcher.Addr().String()+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,8 @@
 	return res, b
 }
 
-// RFC 8030 section 5.1: 202 once taken, the final answer as a signed receipt in the subscription, until it is taken out.
+// A message with a receipt subscription gets status 202 when it is accepted (RFC 8030 section 5.1). Its final answer is a signed
+// receipt in the subscription until a client deletes it.
 func TestReceipts(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -81,7 +82,7 @@
 		names[res.Header.Get("Whinrun-Message")] = want
 	}
 	if res, _ := doRequest(t, dispatcher, "GET", sub, ""); res.StatusCode != 204 {
-		t.Error("a receipt before the answer:", res.Status)
+		t.Error("the subscription has a receipt before the final answer:", res.Status)
 	}
 	for want, res := range map[int]*http.Response{400: post("x", sub), 404: post("x", "/receipts/t/none", async...)} {
 		if res.StatusCode != want {
@@ -89,16 +90,16 @@
 		}
 	}
 	if res := post("x", sub, "Prefer", "respond-async", "Push-Receipt", sub); res.StatusCode != 400 {
-		t.Error("two receipts for one message:", res.Status)
+		t.Error("a message with two receipt subscriptions was not rejected:", res.Status)
 	}
 	if res := post("x", sub, async...); res.StatusCode != 202 {
 		t.Error(res.Status)
 	}
 	if res := post("x", sub, async...); res.StatusCode != 503 {
-		t.Error("a fourth place of three:", res.Status)
+		t.Error("a message was accepted although the subscription is full:", res.Status)
 	}
 	if res, _ := doRequest(t, dispatcher, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
-		t.Error("another tenant's receipts are shown")
+		t.Error("the receipts of another tenant were returned")
 	}
 	close(release)
 	keys, err := audit.PublicKeys(folder)
@@ -131,7 +132,7 @@
 		}
 	}
 	if res, _ := doRequest(t, dispatcher, "GET", sub, ""); res.StatusCode != 204 {
-		t.Error("taken out, and still there:", res.Status)
+		t.Error("receipts remain after they were deleted:", res.Status)
 	}
 	_, ch := dialAMQP(t, dispatcher)
 	queue, err := ch.QueueDeclare("", false, false, true, false, nil)
@@ -148,13 +149,15 @@
 	a := <-answers
 	signed, _ := a.Headers["x-receipt"].(string)
 	if r, err := receipt.Verify(signed, keys); err != nil || r.Answer != "served" || r.Message != a.MessageId {
-		t.Errorf("by AMQP: %+v, %v", r, err)
+		t.Errorf("receipt over AMQP: %+v, %v", r, err)
 	}
 }
 
+// formatNumber formats a receipt number.
 func formatNumber(n uint64) string { b, _ := json.Marshal(n); return string(b) }
 
-// While the trail's disk is full nothing new is taken, what is held is answered, and it goes on when there is room.
+// While the disk of the audit trail is full, new messages are rejected and accepted ones are still answered. Messages are
+// accepted again when the disk has space.
 func TestFullDisk(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -197,23 +200,23 @@
 	for dispatcher.auditLog.Failing() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	for post() != 503 { // the door is shut a moment after the failure is known
-		t.Log("taken")
+	for post() != 503 { // admission closes a moment after the failure is known
+		t.Log("accepted")
 	}
 	close(release)
 	if status := <-held; status != 201 {
-		t.Error("held, and not answered:", status)
+		t.Error("the accepted message was not answered:", status)
 	}
 	full.Store(false)
 	for deadline := time.Now().Add(10 * time.Second); post() != 201; {
 		if time.Now().After(deadline) {
-			t.Fatal("not taken again with room on the disk")
+			t.Fatal("messages are still rejected although the disk has space")
 		}
 	}
 }
 
-// Receipts that were not fetched are there again after a crash, those fetched are not; a message without its final
-// answer by then is failed, since it may have been sent.
+// After a crash, receipts that were not fetched are restored, and fetched ones are not. A message without a final answer gets the
+// answer failed, because it may have been sent.
 func TestReceiptsAfterACrash(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -246,7 +249,7 @@
 	}
 	first := read(2)[0]
 	doRequest(t, dispatcher, "DELETE", sub+"/"+formatNumber(first.No), "")
-	for owed := 3; owed != 2; time.Sleep(time.Millisecond) { // until the trail on disk knows of the fetched one
+	for owed := 3; owed != 2; time.Sleep(time.Millisecond) { // wait until the trail on disk has the fetched receipt
 		store, _, err := audit.OpenReader(folder)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -21,6 +21,7 @@
 	"whinrun/internal/logs"
 )
 
+// baseSettings holds two classes, a tenant and a partner with two push resources.
 const baseSettings = `[class status]
 effect = safe
 aim = 1s
@@ -45,7 +46,7 @@
 tenant = t
 `
 
-// startService starts a dispatcher with one partner at addr and further settings.
+// startService starts a dispatcher with one partner at partnerAddr and extra settings.
 func startService(t *testing.T, partnerAddr, extraSections string) *Service {
 	t.Helper()
 	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(baseSettings, "ADDRESS", partnerAddr, 1) + extraSections
@@ -61,7 +62,7 @@
 	return dispatcher
 }
 
-// startHTTP2Partner is a partner that we did not write: net/http's HTTP/2 server.
+// startHTTP2Partner starts a partner that uses the HTTP/2 server of net/http, an independent implementation.
 func startHTTP2Partner(t *testing.T, handler http.HandlerFunc) (addr string, srv *http.Server) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,6 +77,7 @@
 	return ln.Addr().String(), srv
 }
 
+// postMessage posts a message and returns the status of the response.
 func postMessage(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
 	m := load.Message{Test: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
 	for _, f := range more {
@@ -87,7 +89,7 @@
 	return status, err
 }
 
-// Interop on both sides with net/http: bodies large and small arrive whole, with what the protocol asks for.
+// Client and partner are net/http. Small and large bodies arrive complete, with the header fields that the protocol requires.
 func TestBetweenNetHTTPPeers(t *testing.T) {
 	var mu sync.Mutex
 	sizes := map[int]int{}
@@ -126,7 +128,7 @@
 	}
 }
 
-// A peer of net/http that shuts down sends GOAWAY: nothing that was out is lost, and nothing is sent twice.
+// A partner that shuts down under load sends GOAWAY. No message in flight is lost, and none is sent twice.
 func TestPartnerShutsDownUnderLoad(t *testing.T) {
 	var served atomic.Int64
 	addr, srv := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -156,12 +158,12 @@
 	_ = srv.Shutdown(context.Background())
 	clients.Wait()
 	if ok.Load() != served.Load() {
-		t.Errorf("%d served by the peer, %d answered as served", served.Load(), ok.Load())
+		t.Errorf("the partner served %d messages, %d were answered as served", served.Load(), ok.Load())
 	}
 }
 
-// The device dialect: a path per device, refusals with a reason in JSON; a device that is gone says nothing of the
-// partner, so that others are served on.
+// In the device dialect each device has a path. A device that answers 410 says nothing about the health of the partner, so
+// other devices are still served.
 func TestDeviceDialect(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		switch {
@@ -190,7 +192,7 @@
 	defer dispatcher.Kill()
 	client := load.NewClient(dispatcher.Addr().String(), 1)
 	defer client.Close()
-	for range 10 { // more in a row than make an endpoint suspect
+	for range 10 { // more consecutive failures than outlier detection tolerates
 		if status, err := postMessage(client, "/p/status/gone"); status != 502 {
 			t.Error("gone:", status, err)
 		}
@@ -200,7 +202,7 @@
 	}
 }
 
-// Every limit at the door has its answer.
+// Each admission limit has its own status, and no bytes stay reserved afterwards.
 func TestAdmissionLimits(t *testing.T) {
 	release := make(chan struct{})
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
@@ -242,14 +244,15 @@
 	}
 	clients.Wait()
 	if full.Load() != 60 {
-		t.Errorf("%d of 60 refused or failed at a partner that answers nothing", full.Load())
+		t.Errorf("%d of 60 messages were refused or failed at a partner that does not answer", full.Load())
 	}
 	if n := dispatcher.Admission().Usage().Bytes; n != 0 {
 		t.Errorf("%d bytes are still reserved", n)
 	}
 }
 
-// sendLargeHeaders sends a header section above what the dispatcher's SETTINGS allow, which a polite client does not.
+// sendLargeHeaders sends a header section larger than the dispatcher's SETTINGS allow. A client that respects SETTINGS would
+// not send it. It returns the status of the response.
 func sendLargeHeaders(t *testing.T, addr string) (status string) {
 	client := dialRawClient(t, addr)
 	defer client.conn.Close()
@@ -261,7 +264,7 @@
 	for _, f := range append(requestFields("/p/status"), h2.Field{Name: "x", Value: strings.Repeat("x", 5000)}) {
 		_ = enc.WriteField(f)
 	}
-	if _, err := client.h2conn.Request(0, requestFields("/p/status"), nil); err != nil { // opens stream 1 in the client's books
+	if _, err := client.h2conn.Request(0, requestFields("/p/status"), nil); err != nil { // opens stream 1 in the client's state
 		t.Fatal(err)
 	}
 	client.h2conn.Output()
@@ -275,13 +278,14 @@
 	return status
 }
 
-// rawClient is a client on a bare socket, for what net/http would not do.
+// rawClient is a client on a raw socket, which can do things that net/http does not do.
 type rawClient struct {
 	t      *testing.T
 	conn   net.Conn
 	h2conn *h2.Conn
 }
 
+// dialRawClient connects a rawClient.
 func dialRawClient(t *testing.T, addr string) *rawClient {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -290,7 +294,7 @@
 	return &rawClient{t, nc, h2.NewClient(h2.Config{}, 0)}
 }
 
-// readUntil reads until an event is found, or the connection ends.
+// readUntil reads until found returns true for an event, or until the connection ends.
 func (r *rawClient) readUntil(found func(h2.Event) bool) error {
 	buf := make([]byte, 1<<16)
 	for {
@@ -314,12 +318,13 @@
 	}
 }
 
+// requestFields returns the header section of a valid request.
 func requestFields(path string) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: "authorization", Value: "Bearer secret"}, {Name: "ttl", Value: "3"}}
 }
 
-// expectOtherClientServed checks that another client has its answer all the same.
+// expectOtherClientServed checks that another client still gets its answer, with the given status.
 func expectOtherClientServed(t *testing.T, dispatcher *Service, want int) {
 	t.Helper()
 	client := load.NewClient(dispatcher.Addr().String(), 1)
@@ -329,9 +334,9 @@
 	}
 }
 
-// A client that keeps its window shut while answers wait is cut off; others go on.
+// A client that keeps its flow-control window at zero while answers wait is disconnected. Other clients are not affected.
 func TestClientThatReadsNoAnswers(t *testing.T) {
-	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // the dispatcher's 502 responses have bodies
 	dispatcher := startService(t, addr, "[limits]\nstall = 300ms\n")
 	defer dispatcher.Kill()
 	client := dialRawClient(t, dispatcher.Addr().String())
@@ -350,12 +355,12 @@
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
-		t.Errorf("the connection is not ended: %v, GOAWAY %v", err, away)
+		t.Errorf("the connection was not closed: %v, GOAWAY %v", err, away)
 	}
 	expectOtherClientServed(t, dispatcher, 502)
 }
 
-// A preface that does not come, garbage, and a flood of resets end their connections and nothing else.
+// A missing preface, a request in another protocol and a flood of resets close their connections and affect no other client.
 func TestAbuseClosesItsConnection(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	dispatcher := startService(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
@@ -398,7 +403,7 @@
 	expectOtherClientServed(t, dispatcher, 201)
 }
 
-// Clients above the limit of connections are turned away, those there are served.
+// Connections above the limit are rejected. Clients that are already connected are still served.
 func TestConnectionLimit(t *testing.T) {
 	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	dispatcher := startService(t, addr, "[limits]\nconnections = 1\n")
@@ -411,14 +416,14 @@
 	excess := dialRawClient(t, dispatcher.Addr().String())
 	defer excess.conn.Close()
 	if err := excess.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
-		t.Error("a second connection is served")
+		t.Error("a second connection was accepted")
 	}
 	if status, err := postMessage(client, "/p/status"); status != 201 {
 		t.Error(status, err)
 	}
 }
 
-// An orderly stop answers what was taken, also where the partner answers nothing, and then ends.
+// A graceful stop answers all accepted messages and then ends, even if the partner does not answer.
 func TestGracefulStop(t *testing.T) {
 	release := make(chan struct{})
 	arrived := make(chan struct{}, 100)
@@ -443,7 +448,7 @@
 	ctx, done := context.WithTimeout(context.Background(), 20*time.Second)
 	defer done()
 	if !dispatcher.Stop(ctx) {
-		t.Error("stopped without all answers")
+		t.Error("the stop left messages without an answer")
 	}
 	for range 10 {
 		if status := <-answers; status != 502 && status != 504 {
@@ -452,7 +457,7 @@
 	}
 }
 
-// The list file: one bad line voids it, the list before it stays valid.
+// One invalid line makes a list file invalid.
 func TestParseList(t *testing.T) {
 	lines, err := ParseList("f", []byte("# list\np 127.0.0.1:1 ready\n\np 127.0.0.1:2 draining\n"))
 	if err != nil || len(lines) != 2 {
@@ -470,7 +475,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) { _, _ = ParseList("f", b) })
 }
 
-// Logs are bounded: what a fault would flood is counted instead.
+// The rate of log lines is limited, so that a fault cannot flood the log.
 func TestLogRateIsLimited(t *testing.T) {
 	var b bytes.Buffer
 	l, err := logs.New(&b, "info", 5)
@@ -484,6 +489,6 @@
 		t.Error(n, "lines of 1000")
 	}
 	if _, err := logs.New(&b, "loud", 5); err == nil {
-		t.Error(fmt.Sprint("level loud is taken"))
+		t.Error(fmt.Sprint("log level loud was accepted"))
 	}
 }
