--- a/cmd/whinrun/audit.go
+++ b/cmd/whinrun/audit.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	records, err := audit.Show(store, c.ID)
+	records, err := audit.MessageRecords(store, c.ID)
 	if err == nil && len(records) == 0 {
 		err = fmt.Errorf("no message %s in the trail", c.ID)
 	}
@@ -139,11 +139,11 @@
 	if err != nil {
 		return err
 	}
-	query := audit.Query{Partner: c.Partner, Tenant: c.Tenant, Outcome: c.Outcome, Most: c.Most}
+	query := audit.Query{Partner: c.Partner, Tenant: c.Tenant, Outcome: c.Outcome, Limit: c.Most}
 	if c.Since > 0 {
 		query.Since = clock.Wall().Add(-c.Since)
 	}
-	messages, err := audit.Find(store, query)
+	messages, err := audit.FindMessages(store, query)
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	if !c.JSON {
 		fmt.Fprintln(table, "taken\tmessage\ttenant\tclass\tpartner\toutcome\tattempts\ttook\treason")
--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -208,7 +208,7 @@
 	if err != nil || len(verified.Problems) > 0 {
 		t.Fatal(verified.Problems, err)
 	}
-	records, err := audit.All(store)
+	records, err := audit.AllRecords(store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -220,10 +220,10 @@
 		}
 		lastRecord[epoch(r.Message)] = r.Time()
 		k := call{r.Message, strconv.Itoa(r.Attempt - 1)}
-		if r.Kind == audit.Started {
+		if r.Kind == audit.AttemptStarted {
 			started[k] = true
 		}
-		if _, ok := received[k]; r.Kind == audit.Ended && r.Status > 0 && !ok {
+		if _, ok := received[k]; r.Kind == audit.AttemptEnded && r.Status > 0 && !ok {
 			t.Errorf("attempt %v has an answer, but no partner received it", k)
 		}
 	}
--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -224,7 +224,7 @@
 	defer stop()
 	var done, bad atomic.Int64
 	var all sync.WaitGroup
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	for i := range o.Concurrency {
 		all.Add(1)
 		go func() {
@@ -258,7 +258,7 @@
 	for i := range msgs {
 		msgs[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), Test: "h", Class: "status", Path: "/p/status", TTL: 20, Size: o.Size}
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	for i, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
 		if r.Status == 201 && i > n/10 { // the first tenth warms connections up
 			_ = t.latency.RecordValue(max(1, (r.Done - r.At).Microseconds()))
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -55,7 +55,7 @@
 		msgs[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), Test: fmt.Sprint("f", i), Class: "status",
 			Path: "/p/status", TTL: 3, Size: o.Size, AMQP: i%2 == 1}
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	var got [2]int
 	for _, r := range load.Run(ctx, load.Fronts{Push: client, AMQP: publisher}, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
 		if r.Status == 201 && r.Done-r.At <= time.Second {
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -107,7 +107,7 @@
 		}
 	}
 	h = hdrhistogram.New(1, 60e6, 3)
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	for _, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
 		switch {
 		case r.Partner != "busy":
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -35,8 +35,8 @@
 	}
 	time.Sleep(time.Second) // closed files are compressed
 	open, packed := sizes(folder)
-	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", on.Stats().Taken,
-		float64(open+packed)/float64(max(1, on.Stats().Taken)), open>>20, packed>>20)
+	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", on.Stats().Accepted,
+		float64(open+packed)/float64(max(1, on.Stats().Accepted)), open>>20, packed>>20)
 	return nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,9 +8,10 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
-	"whinrun/internal/door"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
@@ -18,7 +19,6 @@
 	"whinrun/internal/intake"
 	"whinrun/internal/logstore/plan"
 	"whinrun/internal/mailbox"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
@@ -39,13 +39,13 @@
 	// Outbound configures the connections to partners.
 	Outbound outbound.Config
 	// EngineBounds limits what the engine holds.
-	EngineBounds engine.Bounds
+	EngineBounds engine.Limits
 	// Audit configures the audit trail. Its folder is empty if no trail is kept.
 	Audit audit.Config
 	// Mailbox limits the queues in which final answers wait.
 	Mailbox mailbox.Limits
 	// Admission holds the limits that all frontends share.
-	Admission door.Limits
+	Admission admission.Limits
 
 	// BackgroundShare is the share of one core that background tasks may use.
 	BackgroundShare float64
@@ -59,7 +59,7 @@
 	StopTimeout time.Duration
 
 	// Intake configures the rules for incoming messages.
-	Intake intake.Setup
+	Intake intake.Config
 	// Classes holds the names of the message classes, by class number.
 	Classes []string
 	// Partners holds the partners, by destination number.
@@ -134,9 +134,9 @@
 	// The flow-control window of a stream is as large as the largest body, but at least 64 KiB and at most 1 MiB.
 	streamWindow := uint32(min(max(64<<10, cfg.Intake.MaxBody), 1<<20))
 	h2Config := h2.Config{MaxStreams: uint32(limits.integer("streams")), MaxHeaderList: limits.integer("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: limits.duration("handshake"), Stall: limits.duration("stall"),
+		ConnWindow: 4 << 20, Handshake: limits.duration("handshake"), StallTimeout: limits.duration("stall"),
 		AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
-	cfg.Front = front.Config{Address: dispatcher.values["listen"], Loops: dispatcher.integer("loops"), Unread: limits.integer("unread")}
+	cfg.Front = front.Config{Address: dispatcher.values["listen"], Loops: dispatcher.integer("loops"), MaxUnread: limits.integer("unread")}
 	p.buildAMQP(cfg, dispatcher, limits)
 	auditSection := p.singleSection("audit")
 	cfg.Audit = audit.Config{Folder: auditSection.values["folder"], Buffer: auditSection.integer("buffer"), SealEvery: auditSection.duration("seal-every"),
@@ -146,9 +146,9 @@
 	// Connections to partners use the limits of client connections, except for the number of streams that the peer may open
 	// and the flow-control windows.
 	h2Config.MaxStreams, h2Config.StreamWindow, h2Config.ConnWindow = 1, 64<<10, 1<<20
-	cfg.Outbound = outbound.Config{Loops: dispatcher.integer("loops"), Conns: outboundSection.integer("connections"), Streams: outboundSection.integer("streams"),
+	cfg.Outbound = outbound.Config{Loops: dispatcher.integer("loops"), MaxConnsPerEndpoint: outboundSection.integer("connections"), MaxStreams: outboundSection.integer("streams"),
 		ConnectTimeout: outboundSection.duration("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: outboundSection.numbers["handshakes"], Opening: outboundSection.integer("opening"), Total: outboundSection.integer("total")}, Idle: outboundSection.duration("idle"), MaxAnswer: outboundSection.integer("answer"), H2: h2Config}
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: outboundSection.numbers["handshakes"], MaxHandshakes: outboundSection.integer("opening"), MaxConns: outboundSection.integer("total")}, IdleTimeout: outboundSection.duration("idle"), MaxAnswerBytes: outboundSection.integer("answer"), H2: h2Config}
 	p.buildList(cfg)
 	p.buildClasses(cfg)
 	p.buildPartners(cfg)
@@ -159,11 +159,11 @@
 // buildAMQP fills the settings of the AMQP listener and of the answer queues.
 func (p *parser) buildAMQP(cfg *Config, dispatcher, limits *section) {
 	amqpSection := p.singleSection("amqp")
-	cfg.AMQP = front.Config{Address: amqpSection.values["listen"], Loops: dispatcher.integer("loops"), Unread: max(limits.integer("unread"), 2*cfg.Intake.MaxBody)}
+	cfg.AMQP = front.Config{Address: amqpSection.values["listen"], Loops: dispatcher.integer("loops"), MaxUnread: max(limits.integer("unread"), 2*cfg.Intake.MaxBody)}
 	cfg.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(amqpSection.integer("channels")), FrameMax: amqpSection.integer("frame"), Heartbeat: amqpSection.duration("heartbeat"),
-		Handshake: limits.duration("handshake"), Stall: limits.duration("stall"), AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
+		Handshake: limits.duration("handshake"), BodyStallTimeout: limits.duration("stall"), AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
 	answers := p.singleSection("answers")
-	cfg.Mailbox = mailbox.Limits{Queues: answers.integer("queues"), Length: answers.integer("queue-length"), Idle: answers.duration("queue-idle"), Keep: answers.duration("keep")}
+	cfg.Mailbox = mailbox.Limits{QueuesPerTenant: answers.integer("queues"), QueueLength: answers.integer("queue-length"), Idle: answers.duration("queue-idle"), Keep: answers.duration("keep")}
 	if heartbeat := cfg.AMQPConn.Heartbeat; heartbeat%time.Second != 0 {
 		p.addProblem(amqpSection.lines["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
@@ -186,14 +186,14 @@
 	if len(classes) == 0 {
 		p.addProblem(0, "", "no [class NAME] section: at least one is needed")
 	}
-	effects := map[string]control.Effect{"safe": control.Free, "keyed": control.Guarded, "unsafe": control.SingleShot}
+	effects := map[string]control.RepeatEffect{"safe": control.Idempotent, "keyed": control.Deduplicated, "unsafe": control.AtMostOnce}
 	for _, s := range classes {
-		class := control.Class{Name: s.name, Effect: effects[s.values["effect"]], Window: s.controlTime("window"), Aim: s.controlTime("aim"),
-			Deadline: s.controlTime("deadline"), Worth: s.numbers["worth"], LateWorth: s.numbers["late-worth"], InOrder: s.numbers["order"] == 1}
-		if class.Deadline < class.Aim {
+		class := control.Class{Name: s.name, Effect: effects[s.values["effect"]], DedupWindow: s.controlTime("window"), Target: s.controlTime("aim"),
+			Deadline: s.controlTime("deadline"), Value: s.numbers["worth"], LateValue: s.numbers["late-worth"], InOrder: s.numbers["order"] == 1}
+		if class.Deadline < class.Target {
 			p.addProblem(s.lines["deadline"], "deadline", "is shorter than the aim")
 		}
-		if (class.Effect == control.Guarded) != (class.Window > 0) {
+		if (class.Effect == control.Deduplicated) != (class.DedupWindow > 0) {
 			p.addProblem(max(s.lines["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
 		cfg.Classes = append(cfg.Classes, s.name)
@@ -221,7 +221,7 @@
 func (p *parser) buildPartners(cfg *Config) {
 	kinds, kindIndex := p.allSections("kind")
 	for _, s := range kinds {
-		cfg.Control.Kinds = append(cfg.Control.Kinds, control.Kind{Name: s.name, Batch: s.integer("batch"), RoutesApart: s.numbers["routes-apart"] == 1})
+		cfg.Control.DestinationKinds = append(cfg.Control.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.integer("batch"), PerEndpointLimits: s.numbers["routes-apart"] == 1})
 		cfg.Dialects = append(cfg.Dialects, push.Dialects[s.values["dialect"]])
 	}
 	partners, partnerIndex := p.allSections("partner")
@@ -248,7 +248,7 @@
 		resource := intake.Resource{Path: s.name, Dest: p.resolve(s, "partner", partnerIndex), Class: p.resolve(s, "class", classIndex),
 			Tenant: p.resolve(s, "tenant", tenantIndex)}
 		if len(p.problems) == 0 {
-			resource.InOrder, resource.Life = cfg.classLimits(resource.Class)
+			resource.InOrder, resource.MaxLifetime = cfg.classLimits(resource.Class)
 			cfg.Intake.Resources = append(cfg.Intake.Resources, resource)
 		}
 	}
@@ -256,7 +256,7 @@
 	for _, s := range exchanges {
 		exchange := intake.Exchange{Name: s.name, Class: p.resolve(s, "class", classIndex), Tenant: p.resolve(s, "tenant", tenantIndex)}
 		if len(p.problems) == 0 {
-			exchange.InOrder, exchange.Life = cfg.classLimits(exchange.Class)
+			exchange.InOrder, exchange.MaxLifetime = cfg.classLimits(exchange.Class)
 			cfg.Intake.Exchanges = append(cfg.Intake.Exchanges, exchange)
 		}
 	}
@@ -296,25 +296,25 @@
 	settings.Instances = 1
 	settings.Tick = rules.controlTime("tick")
 	settings.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
-		"rough": control.WeightRough}[rules.values["weights"]]
-	settings.OverShare = rules.numbers["over-share"]
-	settings.ReportLeft, settings.ReportLimit = -1, -1
-	settings.MaxTries = limits.integer("tries")
+		"rough": control.WeightApproximate}[rules.values["weights"]]
+	settings.OverQuotaFactor = rules.numbers["over-share"]
+	settings.ReportRemainingIndex, settings.ReportLimitIndex = -1, -1
+	settings.MaxAttempts = limits.integer("tries")
 	settings.MayCancel, settings.RetryAfter = true, true
 	settings.MaxRetryAfter = rules.controlTime("longest-wait")
-	settings.ConnIdle, settings.ConnectTimeout = outboundSection.controlTime("idle"), outboundSection.controlTime("connect-timeout")
+	settings.ConnIdleTimeout, settings.ConnectTimeout = outboundSection.controlTime("idle"), outboundSection.controlTime("connect-timeout")
 	settings.StreamsPerConn = outboundSection.integer("streams")
 	settings.StopSendingWithin = rules.controlTime("drain-grace")
-	settings.ColdFrom, settings.WarmUp = rules.numbers["cold-from"], rules.controlTime("warm-up")
-	settings.TipMultiple, settings.OverloadFor = rules.numbers["tip-multiple"], rules.controlTime("overload-for")
-	settings.SettleAfterDoubt = rules.controlTime("settle-after-doubt")
+	settings.ColdCapacity, settings.WarmUp = rules.numbers["cold-from"], rules.controlTime("warm-up")
+	settings.CollapseMultiple, settings.MaxOverload = rules.numbers["tip-multiple"], rules.controlTime("overload-for")
+	settings.SettleTime = rules.controlTime("settle-after-doubt")
 	if settings.Slots = limits.integer("slots"); settings.Slots == 0 {
 		settings.Slots = defaultSlots(cfg)
 	}
 	if settings.MaxOpen = limits.integer("hold"); settings.MaxOpen == 0 {
 		settings.MaxOpen = max(1000, 40*settings.Slots)
 	}
-	cfg.Intake.LeastLife = rules.duration("least-life")
+	cfg.Intake.MinLifetime = rules.duration("least-life")
 	if settings.StopSendingWithin < 2*settings.Tick {
 		p.addProblem(rules.lines["drain-grace"], "drain-grace", "is shorter than two ticks")
 	}
@@ -323,9 +323,9 @@
 			p.addProblem(0, "", "class %s: its deadline is shorter than four ticks", cfg.Classes[i])
 		}
 	}
-	cfg.EngineBounds = engine.Bounds{Queue: limits.integer("queue"), Hold: settings.MaxOpen}
-	cfg.Admission = door.Limits{Conns: limits.integer("connections"), Channels: limits.integer("channels"), Bytes: int64(limits.numbers["hold-bytes"]),
-		TenantBytes: int64(limits.numbers["tenant-bytes"]), Hold: settings.MaxOpen, BlockAt: limits.numbers["block-at"], UnblockAt: limits.numbers["unblock-at"]}
+	cfg.EngineBounds = engine.Limits{MaxQueued: limits.integer("queue"), MaxHeld: settings.MaxOpen}
+	cfg.Admission = admission.Limits{Conns: limits.integer("connections"), Channels: limits.integer("channels"), Bytes: int64(limits.numbers["hold-bytes"]),
+		TenantBytes: int64(limits.numbers["tenant-bytes"]), Messages: settings.MaxOpen, BlockAt: limits.numbers["block-at"], UnblockAt: limits.numbers["unblock-at"]}
 	if cfg.Admission.UnblockAt >= cfg.Admission.BlockAt {
 		p.addProblem(max(limits.lines["unblock-at"], limits.lines["block-at"]), "unblock-at", "is not below block-at")
 	}
--- a/internal/day/check.go
+++ b/internal/day/check.go
@@ -214,12 +214,12 @@
 				doubt = a
 			}
 		}
-		if class.Effect == control.SingleShot && applied > 1 {
+		if class.Effect == control.AtMostOnce && applied > 1 {
 			c.breach(2, all[len(all)-1].arrived.At, test, all[len(all)-1].where(), "applied %d times, its class must not repeat", applied)
 		}
 	}
 	for _, o := range c.r.Outcomes {
-		if load.Final(o.Status) != "refused" || c.classes[o.Class].Effect != control.SingleShot {
+		if load.Final(o.Status) != "refused" || c.classes[o.Class].Effect != control.AtMostOnce {
 			continue
 		}
 		for _, a := range c.byTest[o.Test] {
@@ -257,10 +257,10 @@
 		return
 	}
 	switch class.Effect {
-	case control.SingleShot:
+	case control.AtMostOnce:
 		c.breach(2, a.arrived.At, test, a.where(), "sent again after the attempt at %v, which may have run", doubt.arrived.Endpoint)
-	case control.Guarded:
-		if late := a.arrived.At - doubt.arrived.At - time.Duration(class.Window)*time.Microsecond; late > Slack {
+	case control.Deduplicated:
+		if late := a.arrived.At - doubt.arrived.At - time.Duration(class.DedupWindow)*time.Microsecond; late > Slack {
 			c.breach(2, a.arrived.At, test, a.where(), "sent again %v after partners forgot its key", late)
 		}
 	}
@@ -342,7 +342,7 @@
 // order is rule 5: messages of a key go one at a time, in the order in which they were handed in, and the key rests
 // after an attempt whose end is not known.
 func (c *checker) order() {
-	settle := time.Duration(c.r.Rules.SettleAfterDoubt) * time.Microsecond
+	settle := time.Duration(c.r.Rules.SettleTime) * time.Microsecond
 	keys := map[string][]*attempt{}
 	for _, a := range c.attempts {
 		if c.classes[a.arrived.Class].InOrder && a.arrived.Key != "-" {
--- a/internal/day/check_test.go
+++ b/internal/day/check_test.go
@@ -19,9 +19,9 @@
 // quiet is a record in which no rule is broken.
 func quiet() *Record {
 	s := &Script{Scale: 1, Partners: []PartnerSpec{{Config: partner.Config{Name: "p", Rate: 10, ColdFrom: 0.2, WarmUp: 4 * second, Tip: 2, TipFor: second}}}}
-	return &Record{Script: s, Lives: []Life{{From: 0}}, Rules: control.Settings{StopSendingWithin: control.Second, SettleAfterDoubt: control.Second,
-		Classes: []control.Class{{Name: "safe", Deadline: 4 * control.Second}, {Name: "upload", Effect: control.SingleShot, Deadline: 4 * control.Second},
-			{Name: "keyed", Effect: control.Guarded, Window: 2 * control.Second, Deadline: 8 * control.Second},
+	return &Record{Script: s, Lives: []Life{{From: 0}}, Rules: control.Settings{StopSendingWithin: control.Second, SettleTime: control.Second,
+		Classes: []control.Class{{Name: "safe", Deadline: 4 * control.Second}, {Name: "upload", Effect: control.AtMostOnce, Deadline: 4 * control.Second},
+			{Name: "keyed", Effect: control.Deduplicated, DedupWindow: 2 * control.Second, Deadline: 8 * control.Second},
 			{Name: "ordered", Deadline: 8 * control.Second, InOrder: true}}}}
 }
 
@@ -168,7 +168,7 @@
 	rec := func(kind audit.Kind, attempt int) *audit.Record {
 		return &audit.Record{Kind: kind, Message: "ma", Attempt: attempt, Endpoint: ep1.String(), Status: 201}
 	}
-	well := []*audit.Record{rec(audit.Accepted, 0), rec(audit.Started, 1), rec(audit.Ended, 1), rec(audit.Answered, 0)}
+	well := []*audit.Record{rec(audit.Accepted, 0), rec(audit.AttemptStarted, 1), rec(audit.AttemptEnded, 1), rec(audit.Answered, 0)}
 	late := rec(audit.Accepted, 0) // of the same dispatcher: the trail goes on after what is missing
 	late.Message, late.At = "mb", (5 * second).Microseconds()
 	for _, c := range []struct {
@@ -178,11 +178,11 @@
 		{"well", "", well},
 		{"a hole before a kill", "is not in the trail", []*audit.Record{well[0], well[3], late}},
 		{"an attempt is missing", "is not in the trail", []*audit.Record{well[0], well[3]}},
-		{"an attempt is invented", "which no stand-in saw", append(well[:3:3], rec(audit.Started, 2), rec(audit.Ended, 2), well[3])},
-		{"two at once", "while 1 was", []*audit.Record{well[0], well[1], rec(audit.Started, 2), rec(audit.Ended, 2), well[3]}},
-		{"after the answer", "after the final answer", append(well[:4:4], rec(audit.Started, 2))},
+		{"an attempt is invented", "which no stand-in saw", append(well[:3:3], rec(audit.AttemptStarted, 2), rec(audit.AttemptEnded, 2), well[3])},
+		{"two at once", "while 1 was", []*audit.Record{well[0], well[1], rec(audit.AttemptStarted, 2), rec(audit.AttemptEnded, 2), well[3]}},
+		{"after the answer", "after the final answer", append(well[:4:4], rec(audit.AttemptStarted, 2))},
 		{"two answers", "a second final answer", append(well[:4:4], well[3])},
-		{"another endpoint", "the trail has", []*audit.Record{well[0], {Kind: audit.Started, Message: "ma", Attempt: 1, Endpoint: "x"}, well[2], well[3]}},
+		{"another endpoint", "the trail has", []*audit.Record{well[0], {Kind: audit.AttemptStarted, Message: "ma", Attempt: 1, Endpoint: "x"}, well[2], well[3]}},
 	} {
 		r := quiet()
 		r.call(1*second, "a", "safe", "-", ep1, 1, ev(2*second, partner.Applied, 0), ev(2*second, partner.Answer, 201))
--- a/internal/day/trail.go
+++ b/internal/day/trail.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	all, err = audit.All(store)
+	all, err = audit.AllRecords(store)
 	return all, append(rep.Problems, v.Problems...), err
 }
 
@@ -43,7 +43,7 @@
 	out, answered := map[string]int{}, map[string]bool{}
 	for _, r := range c.r.Trail {
 		switch r.Kind {
-		case audit.Started:
+		case audit.AttemptStarted:
 			if out[r.Message] != 0 {
 				c.breachTrail("message %s: attempt %d went out while %d was", r.Message, r.Attempt, out[r.Message])
 			}
@@ -52,7 +52,7 @@
 			}
 			out[r.Message] = r.Attempt
 			started[call{r.Message, r.Attempt}] = r
-		case audit.Ended:
+		case audit.AttemptEnded:
 			if out[r.Message] != r.Attempt {
 				c.breachTrail("message %s: attempt %d ended, %d was out", r.Message, r.Attempt, out[r.Message])
 			}
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, r := range c.r.Trail {
-		if k := (call{r.Message, r.Attempt}); r.Kind == audit.Ended && r.Status >= 200 && !seen[k] {
+		if k := (call{r.Message, r.Attempt}); r.Kind == audit.AttemptEnded && r.Status >= 200 && !seen[k] {
 			c.breachTrail("message %s: the trail has an answer to attempt %d, which no stand-in saw", k.message, k.attempt)
 		}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -100,7 +100,7 @@
 
 	client := load.NewClient(dispatcher.Addr().String(), 2)
 	defer client.Close()
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	outcomes := load.Run(ctx, client, messages(), func() time.Duration { return start.Elapsed() }, 1000)
 	load.Write(w, load.Report(outcomes), start.Elapsed())
 	stopCtx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
@@ -119,7 +119,7 @@
 		}
 	}
 	stats := dispatcher.Stats()
-	fmt.Fprintf(w, "%d taken, %d final answers, %d attempts; uploads applied: %d, twice: %d.\n", stats.Taken, stats.Served+stats.Refused+stats.Failed,
+	fmt.Fprintf(w, "%d taken, %d final answers, %d attempts; uploads applied: %d, twice: %d.\n", stats.Accepted, stats.Served+stats.Refused+stats.Failed,
 		stats.Attempts, len(applied), duplicates)
 	fmt.Fprintln(w, "served: a partner took it. refused: handing it in again is harmless. failed: nothing is promised.")
 	return ctx.Err()
--- a/internal/endpointlist/registry.go
+++ b/internal/endpointlist/registry.go
@@ -59,17 +59,17 @@
 	byName   map[string]int
 
 	mu        sync.RWMutex
-	ids       map[locationKey]control.Endpoint
+	ids       map[locationKey]control.EndpointID
 	locations []Location
 
 	// current is the list that the last call of Replace or ApplyDelta left.
-	current map[control.Endpoint]control.Entry
+	current map[control.EndpointID]control.Entry
 }
 
 // New returns a Registry for the given partners. It sets the Dest of each partner to its index.
 func New(partners []Partner) *Registry {
-	registry := &Registry{partners: slices.Clone(partners), byName: map[string]int{}, ids: map[locationKey]control.Endpoint{},
-		locations: make([]Location, 1), current: map[control.Endpoint]control.Entry{}}
+	registry := &Registry{partners: slices.Clone(partners), byName: map[string]int{}, ids: map[locationKey]control.EndpointID{},
+		locations: make([]Location, 1), current: map[control.EndpointID]control.Entry{}}
 	for i := range registry.partners {
 		registry.partners[i].Dest = i
 		registry.byName[registry.partners[i].Name] = i
@@ -78,13 +78,13 @@
 }
 
 // EndpointID returns the number of a partner's endpoint. It assigns a number on the first call and never changes it.
-func (r *Registry) EndpointID(dest int, addr netip.AddrPort) control.Endpoint {
+func (r *Registry) EndpointID(dest int, addr netip.AddrPort) control.EndpointID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := locationKey{dest, addr}
 	id, ok := r.ids[key]
 	if !ok {
-		id = control.Endpoint(len(r.locations))
+		id = control.EndpointID(len(r.locations))
 		r.ids[key] = id
 		r.locations = append(r.locations, Location{Partner: dest, Kind: r.partners[dest].Kind, Addr: addr})
 	}
@@ -92,7 +92,7 @@
 }
 
 // Lookup returns the location of an endpoint. It returns false if the number was never assigned.
-func (r *Registry) Lookup(ep control.Endpoint) (Location, bool) {
+func (r *Registry) Lookup(ep control.EndpointID) (Location, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if ep == 0 || int(ep) >= len(r.locations) {
@@ -114,7 +114,7 @@
 // skipped with a warning. If an endpoint is listed twice, a health other than ready takes precedence, so that a drain is
 // never lost.
 func (r *Registry) Replace(endpoints []Endpoint) Diff {
-	next := make(map[control.Endpoint]control.Entry, len(endpoints))
+	next := make(map[control.EndpointID]control.Entry, len(endpoints))
 	var diff Diff
 	for _, endpoint := range endpoints {
 		entry, ok := r.toEntry(endpoint, &diff)
@@ -156,7 +156,7 @@
 
 // movedEndpoints returns warnings for addresses that were removed from one partner and added to another, which is often a
 // mistake in the list. The decision library sees two different endpoints, so neither statistics nor a drain carry over.
-func (r *Registry) movedEndpoints(next map[control.Endpoint]control.Entry, removedAddrs map[netip.AddrPort]int) (warnings []string) {
+func (r *Registry) movedEndpoints(next map[control.EndpointID]control.Entry, removedAddrs map[netip.AddrPort]int) (warnings []string) {
 	for ep, entry := range next {
 		if _, known := r.current[ep]; known {
 			continue
@@ -202,5 +202,5 @@
 		return entry, false
 	}
 	partner := r.partners[dest]
-	return control.Entry{Endpoint: r.EndpointID(dest, endpoint.Addr), Dest: dest, Zone: endpoint.Zone, Kind: partner.Kind, Health: endpoint.Health, Weight: partner.Rate}, true
+	return control.Entry{Endpoint: r.EndpointID(dest, endpoint.Addr), Dest: dest, Zone: endpoint.Zone, DestinationKind: partner.Kind, Health: endpoint.Health, Weight: partner.Rate}, true
 }
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -126,7 +126,7 @@
 func (c *conn) take(p []byte) bool {
 	c.mu.Lock()
 	now := c.now()
-	if reap := c.e.p.cfg.IdleReap; reap > 0 && len(c.calls) == 0 && now-c.used > reap && c.h.Settled() {
+	if reap := c.e.p.cfg.IdleReap; reap > 0 && len(c.calls) == 0 && now-c.used > reap && c.h.SettingsReceived() {
 		c.mu.Unlock()
 		c.drain() // dropped unseen: whoever writes here hears nothing
 		return false
@@ -276,7 +276,7 @@
 		k.event(Mute, 0, 0)
 	case p.chance(f.Reset):
 		k.c.do(func(now time.Duration) {
-			_ = k.c.h.Begin(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
+			_ = k.c.h.BeginResponse(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
 		})
 		k.cut(h2.InternalError)
 	case p.chance(f.Garble):
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -101,10 +101,10 @@
 }
 
 // NewLog starts a log that keeps so many events at most.
-func NewLog(most int) *Log { return &Log{start: clock.Start(), most: most} }
+func NewLog(most int) *Log { return &Log{start: clock.StartStopwatch(), most: most} }
 
 // Began is the start of the log.
-func (l *Log) Began() time.Time { return l.start.Began() }
+func (l *Log) Began() time.Time { return l.start.StartedAt() }
 
 // Now is the time since the start of the log.
 func (l *Log) Now() time.Duration { return l.start.Elapsed() }
@@ -293,7 +293,7 @@
 	conns := e.list()
 	e.mu.Unlock()
 	for _, c := range conns {
-		c.do(func(now time.Duration) { c.h.Limit(now, n) })
+		c.do(func(now time.Duration) { c.h.SetMaxStreams(now, n) })
 	}
 }
 
--- a/internal/push/dialect.go
+++ b/internal/push/dialect.go
@@ -70,10 +70,10 @@
 // Request returns a request for message delivery (RFC 8030 section 5). It adds an Idempotency-Key field so that the
 // partner can drop repeated attempts.
 func (Standard) Request(resource PartnerResource, ids ExternalIDs, attempt *engine.Attempt, remaining time.Duration, _ time.Time) []h2.Field {
-	msg := attempt.Msg
+	msg := attempt.Message
 	path := resource.Path
-	if msg.Target != "" {
-		path = strings.TrimSuffix(resource.Path, "/") + msg.Target
+	if msg.TargetPath != "" {
+		path = strings.TrimSuffix(resource.Path, "/") + msg.TargetPath
 	}
 	fields := make([]h2.Field, 0, 14)
 	fields = append(fields, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
@@ -93,8 +93,8 @@
 
 // idempotencyKey returns the key that the sender supplied, or the external message ID if it supplied none.
 func idempotencyKey(ids ExternalIDs, msg *engine.Message) string {
-	if msg.Repeat != "" {
-		return msg.Repeat
+	if msg.IdempotencyKey != "" {
+		return msg.IdempotencyKey
 	}
 	return ids.Format(msg.ID)
 }
@@ -109,12 +109,12 @@
 
 // appendCommon appends the fields that all dialects share.
 func appendCommon(fields []h2.Field, ids ExternalIDs, attempt *engine.Attempt) []h2.Field {
-	msg := attempt.Msg
-	fields = appendNonEmpty(fields, "content-type", msg.Type)
-	fields = appendNonEmpty(fields, "content-encoding", msg.Coding)
+	msg := attempt.Message
+	fields = appendNonEmpty(fields, "content-type", msg.ContentType)
+	fields = appendNonEmpty(fields, "content-encoding", msg.ContentEncoding)
 	return append(fields, h2.Field{Name: "content-length", Value: strconv.Itoa(len(msg.Body))},
 		h2.Field{Name: FieldMessageID, Value: ids.Format(msg.ID), Sensitive: true},
-		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(attempt.N)})
+		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(attempt.Number)})
 }
 
 // Device implements the format of the published provider interfaces for device notifications. Each device has its own
@@ -126,7 +126,7 @@
 
 // Request returns a notification request whose path names the device.
 func (Device) Request(resource PartnerResource, ids ExternalIDs, attempt *engine.Attempt, remaining time.Duration, wall time.Time) []h2.Field {
-	msg := attempt.Msg
+	msg := attempt.Message
 	priority := "5"
 	if msg.Urgency == "high" {
 		priority = "10"
@@ -134,7 +134,7 @@
 	topic := resource.Topic
 	fields := make([]h2.Field, 0, 14)
 	fields = append(fields, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
-		h2.Field{Name: ":authority", Value: resource.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(resource.Path, "/") + msg.Target},
+		h2.Field{Name: ":authority", Value: resource.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(resource.Path, "/") + msg.TargetPath},
 		h2.Field{Name: "apns-id", Value: uuidFor(ids.Format(msg.ID)), Sensitive: true},
 		h2.Field{Name: "apns-expiration", Value: strconv.FormatInt(wall.Add(remaining).Unix(), 10)},
 		h2.Field{Name: "apns-priority", Value: priority})
--- a/internal/push/request.go
+++ b/internal/push/request.go
@@ -14,10 +14,10 @@
 )
 
 // RequestParser converts push requests into messages and applies the intake rules to them.
-type RequestParser struct{ rules *intake.Book }
+type RequestParser struct{ rules *intake.Registry }
 
 // NewRequestParser returns a RequestParser that applies the given intake rules.
-func NewRequestParser(rules *intake.Book) *RequestParser { return &RequestParser{rules} }
+func NewRequestParser(rules *intake.Registry) *RequestParser { return &RequestParser{rules} }
 
 // Problem describes why a request is rejected (RFC 9457). The message of a rejected request was never accepted.
 type Problem struct {
@@ -61,8 +61,8 @@
 			return nil, parser.BodyTooLarge()
 		}
 	}
-	msg := &engine.Message{Class: resource.Class, Tenant: resource.Tenant, Dest: resource.Dest, Target: target,
-		Type: h2.Value(fields, "content-type"), Coding: h2.Value(fields, "content-encoding")}
+	msg := &engine.Message{Class: resource.Class, Tenant: resource.Tenant, Dest: resource.Dest, TargetPath: target,
+		ContentType: h2.Value(fields, "content-type"), ContentEncoding: h2.Value(fields, "content-encoding")}
 	if p := parser.parseLifetime(msg, resource, fields); p != nil {
 		return nil, p
 	}
@@ -81,22 +81,22 @@
 func (parser *RequestParser) MaxBody() int { return parser.rules.MaxBody() }
 
 // Rules returns the intake rules that the parser applies.
-func (parser *RequestParser) Rules() *intake.Book { return parser.rules }
+func (parser *RequestParser) Rules() *intake.Registry { return parser.rules }
 
 // Authorize checks the bearer token (RFC 6750) of a request for a tenant. A missing or unknown token gives status 401,
 // and the token of another tenant gives 403. A tenant without a token is open to everybody.
 func (parser *RequestParser) Authorize(tenant int, authorization string) *Problem {
-	if parser.rules.Open(tenant) {
+	if parser.rules.IsOpen(tenant) {
 		return nil
 	}
 	scheme, secret, _ := strings.Cut(authorization, " ")
-	standing := parser.rules.Check(tenant, strings.TrimSpace(secret))
+	standing := parser.rules.CheckSecret(tenant, strings.TrimSpace(secret))
 	switch {
-	case !strings.EqualFold(scheme, "Bearer") || standing == intake.Unknown:
+	case !strings.EqualFold(scheme, "Bearer") || standing == intake.UnknownSecret:
 		p := newProblem(401, "a bearer token of the tenant is needed")
 		p.ExtraFields = []h2.Field{{Name: "www-authenticate", Value: `Bearer realm="push"`}}
 		return p
-	case standing == intake.Another:
+	case standing == intake.OtherTenant:
 		return newProblem(403, "that is another tenant's")
 	}
 	return nil
@@ -116,8 +116,8 @@
 	if n, err := strconv.ParseUint(value, 10, 31); err == nil {
 		requested = time.Duration(n) * time.Second
 	}
-	msg.Life = parser.rules.Life(resource.Life, requested)
-	if msg.Urgency = h2.Value(fields, "urgency"); !intake.Urgency(msg.Urgency) {
+	msg.Lifetime = parser.rules.Lifetime(resource.MaxLifetime, requested)
+	if msg.Urgency = h2.Value(fields, "urgency"); !intake.ValidUrgency(msg.Urgency) {
 		return newProblem(400, "Urgency %q (RFC 8030 section 5.3)", intake.Printable(msg.Urgency))
 	}
 	return nil
@@ -126,7 +126,7 @@
 // parseKeys reads the Topic and Idempotency-Key fields. Topic is also the order key if the class is ordered.
 func parseKeys(msg *engine.Message, resource *intake.Resource, fields []h2.Field) *Problem {
 	topic := h2.Value(fields, "topic")
-	if err := intake.Order(msg, resource.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
+	if err := intake.SetTopic(msg, resource.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
 		return newProblem(400, "Topic %q: one key of at most 32 characters (RFC 8030 section 5.4)", intake.Printable(topic))
 	}
 	value := h2.Value(fields, "idempotency-key")
@@ -138,8 +138,8 @@
 		// Many clients omit the quotes that a structured field string requires.
 		key = value
 	}
-	if err := intake.Repeat(msg, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
-		return newProblem(400, "Idempotency-Key: %v", intake.ErrRepeat)
+	if err := intake.SetIdempotencyKey(msg, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
+		return newProblem(400, "Idempotency-Key: %v", intake.ErrInvalidIdempotencyKey)
 	}
 	return nil
 }
@@ -156,19 +156,19 @@
 // answer.
 func Response(ids ExternalIDs, msg *engine.Message, answer engine.Answer) Reply {
 	id := ids.Format(msg.ID)
-	switch answer.Final {
+	switch answer.Kind {
 	case engine.Served:
 		return Reply{Fields: []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: "/m/" + id},
-			{Name: "ttl", Value: strconv.Itoa(int(msg.Life / control.Second))}, {Name: FieldMessageID, Value: id, Sensitive: true}}}
+			{Name: "ttl", Value: strconv.Itoa(int(msg.Lifetime / control.Second))}, {Name: FieldMessageID, Value: id, Sensitive: true}}}
 	case engine.Refused:
 		p := newProblem(503, "refused: nothing has taken effect beyond what the class allows to repeat")
 		if answer.Status == 429 {
 			p.Status = 429
 		}
-		p.RetryAfter = time.Duration(answer.Wait) * time.Microsecond
+		p.RetryAfter = time.Duration(answer.RetryAfter) * time.Microsecond
 		return p.replyFor(id, answer)
 	}
-	if answer.Late {
+	if answer.DeadlineExceeded {
 		return newProblem(504, "failed: its time ended; whether it took effect is not known").replyFor(id, answer)
 	}
 	return newProblem(502, "failed: whether it took effect is not known").replyFor(id, answer)
@@ -190,7 +190,7 @@
 // replyFor converts the problem into a response. It includes the external message ID and the details of the answer if
 // the request became a message.
 func (p *Problem) replyFor(id string, answer engine.Answer) Reply {
-	body, _ := json.Marshal(problemBody{p.Title, p.Status, answer.Why, id, answer.Tries, answer.Status})
+	body, _ := json.Marshal(problemBody{p.Title, p.Status, answer.AttemptDetail, id, answer.Attempts, answer.Status})
 	reply := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
 		{Name: "content-type", Value: "application/problem+json"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}}
 	if p.Status == 429 || p.Status == 503 {
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -7,7 +7,7 @@
 	"errors"
 	"time"
 
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -25,7 +25,7 @@
 
 // SessionFactory returns a function that creates the session of a new client connection. now returns the dispatcher's
 // monotonic time.
-func SessionFactory(cfg Config, parser *push.RequestParser, ids push.ExternalIDs, admitter *door.Side, mailboxes *mailbox.Room, now func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+func SessionFactory(cfg Config, parser *push.RequestParser, ids push.ExternalIDs, admitter *admission.Frontend, mailboxes *mailbox.SharedBroker, now func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, started time.Duration) front.Session {
 		return &session{cfg: &cfg, parser: parser, ids: ids, admitter: admitter, mailboxes: mailboxes, now: now, conn: c, h2conn: h2.NewServer(cfg.H2, started), requests: map[uint32]*request{},
 			idleSince: started}
@@ -37,8 +37,8 @@
 	cfg       *Config
 	parser    *push.RequestParser
 	ids       push.ExternalIDs
-	admitter  *door.Side
-	mailboxes *mailbox.Room
+	admitter  *admission.Frontend
+	mailboxes *mailbox.SharedBroker
 	now       func() time.Duration
 	conn      *front.Conn
 	h2conn    *h2.Conn
@@ -51,12 +51,12 @@
 	session  *session
 	stream   uint32
 	msg      *engine.Message
-	ticket   door.Ticket
+	ticket   admission.Reservation
 	complete bool
 	answer   engine.Answer
 
 	// reservation is the reserved place for the receipt. It is nil if the client waits for the answer on the stream.
-	reservation *mailbox.Place
+	reservation *mailbox.Reservation
 	// subscriptionURI is the receipt subscription that the client named.
 	subscriptionURI string
 	// resourcePath is the path that the message was posted to. It is set if the client wants a receipt.
@@ -106,7 +106,7 @@
 
 // Owes reports whether requests or streams are open, or the handshake is not complete.
 func (s *session) Owes() bool {
-	return len(s.requests) > 0 || !s.h2conn.Settled() || s.h2conn.Open() > 0
+	return len(s.requests) > 0 || !s.h2conn.SettingsReceived() || s.h2conn.OpenStreams() > 0
 }
 
 // Done reports whether all streams have ended after a GOAWAY.
@@ -131,7 +131,7 @@
 	switch e.Kind {
 	case h2.Headers:
 		s.handleHeaders(e, now)
-	case h2.TooLarge:
+	case h2.HeadersTooLarge:
 		s.admitter.Rejected.Add(1)
 		s.reply(e.Stream, &push.Problem{Status: 431, Title: "header section too large"}, now)
 	case h2.Data:
@@ -165,7 +165,7 @@
 		s.reply(e.Stream, problem, now)
 		return
 	}
-	r := &request{session: s, stream: e.Stream, msg: msg, ticket: s.admitter.Ticket(msg.Tenant)}
+	r := &request{session: s, stream: e.Stream, msg: msg, ticket: s.admitter.NewReservation(msg.Tenant)}
 	msg.Origin = r
 	if subscriptionURI != "" {
 		r.resourcePath = h2.Value(e.Fields, ":path")
@@ -192,7 +192,7 @@
 		s.reject(r, s.parser.BodyTooLarge(), now)
 		return
 	}
-	if err := r.ticket.Grow(len(e.Data)); err != nil {
+	if err := r.ticket.Reserve(len(e.Data)); err != nil {
 		s.reject(r, rejectionProblem(err), now)
 		return
 	}
@@ -228,7 +228,7 @@
 // reject ends a request whose message was not accepted and sends the problem.
 func (s *session) reject(r *request, problem *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
-	r.ticket.Turn()
+	r.ticket.Reject()
 	r.releaseReceipt(now)
 	s.reply(r.stream, problem, now)
 }
@@ -239,8 +239,8 @@
 	_ = s.h2conn.Respond(now, stream, reply.Fields, reply.Body)
 }
 
-// Final implements engine.Origin. It runs on the engine's goroutine and posts the answer to the connection.
-func (r *request) Final(_ *engine.Message, a engine.Answer) {
+// Answer implements engine.Origin. It runs on the engine's goroutine and posts the answer to the connection.
+func (r *request) Answer(_ *engine.Message, a engine.Answer) {
 	r.answer = a
 	if r.reservation != nil {
 		r.storeReceipt(&a)
@@ -256,11 +256,11 @@
 // Open runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
 // the client wanted a receipt, Final has stored it, and Open only counts the answer.
 func (r *request) Open(now time.Duration) {
-	if r.ticket.Over() {
-		r.session.admitter.Unheard.Add(1)
+	if r.ticket.Ended() {
+		r.session.admitter.Undelivered.Add(1)
 		return
 	}
-	r.ticket.Answered(r.answer.Final, true)
+	r.ticket.Complete(r.answer.Kind, true)
 	if r.reservation != nil {
 		return
 	}
@@ -272,8 +272,8 @@
 // Lost counts an answer whose connection is closed. A receipt was stored before and counts as heard.
 func (r *request) Lost() {
 	if r.reservation != nil {
-		r.ticket.Answered(r.answer.Final, true)
+		r.ticket.Complete(r.answer.Kind, true)
 		return
 	}
-	r.session.admitter.Unheard.Add(1)
+	r.session.admitter.Undelivered.Add(1)
 }
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -57,7 +57,7 @@
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	}
 	s.mailboxes.Lock()
-	reservation, err := s.mailboxes.Promise(tenant, name, "", "")
+	reservation, err := s.mailboxes.Reserve(tenant, name, "", "")
 	s.mailboxes.Unlock()
 	switch {
 	case errors.Is(err, mailbox.ErrNotFound):
@@ -65,7 +65,7 @@
 	case err != nil:
 		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	}
-	r.reservation, r.subscriptionURI, r.msg.Receipt = reservation, uri, name
+	r.reservation, r.subscriptionURI, r.msg.ReceiptSubscription = reservation, uri, name
 	return nil
 }
 
@@ -73,7 +73,7 @@
 func (r *request) releaseReceipt(now time.Duration) {
 	if r.reservation != nil {
 		r.session.mailboxes.Lock()
-		r.reservation.Drop(now)
+		r.reservation.Release(now)
 		r.session.mailboxes.Unlock()
 		r.reservation = nil
 	}
@@ -92,7 +92,7 @@
 func (r *request) storeReceipt(a *engine.Answer) {
 	rec := receipt.New(r.session.ids.Format(r.msg.ID), a, clock.Wall())
 	rec.Path = r.resourcePath
-	if _, key, ok := strings.Cut(r.msg.Repeat, "/"); ok {
+	if _, key, ok := strings.Cut(r.msg.IdempotencyKey, "/"); ok {
 		rec.MessageID = key
 	}
 	r.session.mailboxes.Lock()
@@ -153,7 +153,7 @@
 		taken, err := s.mailboxes.Take(now, tenant, segments[1], number)
 		s.mailboxes.Unlock()
 		if r, ok := taken.(*receipt.Receipt); ok {
-			s.mailboxes.Tell(tenant, segments[1], r)
+			s.mailboxes.NotifyChange(tenant, segments[1], r)
 		}
 		return s.respondNoContent(e, err, now)
 	}
@@ -163,12 +163,12 @@
 // createSubscription creates a receipt subscription and responds with its path.
 func (s *session) createSubscription(e *h2.Event, tenant int, tenantName string, now time.Duration) *push.Problem {
 	s.mailboxes.Lock()
-	name, _, _, err := s.mailboxes.Declare(now, tenant, mailbox.Spec{}, false)
+	name, _, _, err := s.mailboxes.Declare(now, tenant, mailbox.QueueSpec{}, false)
 	s.mailboxes.Unlock()
 	if err != nil {
 		return &push.Problem{Status: 503, Title: err.Error(), RetryAfter: time.Minute}
 	}
-	s.mailboxes.Tell(tenant, name, nil)
+	s.mailboxes.NotifyChange(tenant, name, nil)
 	_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + tenantName + "/" + name}}, nil)
 	return nil
 }
@@ -193,7 +193,7 @@
 	entries := make([]receiptEntry, len(waiting))
 	for i, w := range waiting {
 		r := w.Payload.(*receipt.Receipt)
-		entries[i] = receiptEntry{No: w.No, Receipt: r}
+		entries[i] = receiptEntry{No: w.Sequence, Receipt: r}
 		if s.mailboxes.Key != nil {
 			entries[i].Signed = r.Sign(s.mailboxes.Key)
 		}
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -129,7 +129,7 @@
 		}
 	}
 	u := dispatcher.Admission().Usage()
-	if side := dispatcher.Admission().Sides()[1]; u.Held != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Unheard.Load() != 0 {
+	if side := dispatcher.Admission().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
 		t.Errorf("%+v, served %d refused %d failed %d", u, side.Served.Load(), side.Refused.Load(), side.Failed.Load())
 	}
 }
@@ -250,7 +250,7 @@
 		}
 	}
 	<-arrived
-	for dispatcher.Admission().Usage().Held < n {
+	for dispatcher.Admission().Usage().Messages < n {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -18,7 +18,7 @@
 // auditTrail implements engine.Trail. It records what the engine does, with the names of partners, tenants and classes in
 // place of their numbers.
 type auditTrail struct {
-	log       *audit.Keeper
+	log       *audit.Recorder
 	cfg       *config.Config
 	endpoints *endpointlist.Registry
 	ids       push.ExternalIDs
@@ -26,7 +26,7 @@
 
 // resultNames are the names of results in the audit trail.
 var resultNames = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
-	control.Full: "full", control.Errored: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.Moot: "moot"}
+	control.LimitExceeded: "full", control.ErrorResponse: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.NotExecuted: "moot"}
 
 // healthNames are the names of health states in the audit trail.
 var healthNames = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
@@ -39,53 +39,53 @@
 // setAttempt adds the number of an attempt, counted from 1, and its endpoint to a record.
 func (t *auditTrail) setAttempt(r *audit.Record, a *engine.Attempt) *audit.Record {
 	p, _ := t.endpoints.Lookup(a.Endpoint)
-	r.Attempt, r.Endpoint = a.N+1, p.Addr.String()
+	r.Attempt, r.Endpoint = a.Number+1, p.Addr.String()
 	return r
 }
 
 // Accepted records that the engine accepted a message.
 func (t *auditTrail) Accepted(m *engine.Message) {
 	r := t.newRecord(audit.Accepted, m)
-	r.Tenant, r.Class, r.Life, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Life), len(m.Body)
-	r.Receipt = m.Receipt
-	t.log.Put(r)
+	r.Tenant, r.Class, r.LifetimeMicros, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Lifetime), len(m.Body)
+	r.Receipt = m.ReceiptSubscription
+	t.log.Enqueue(r)
 }
 
-// Started records the start of an attempt.
-func (t *auditTrail) Started(a *engine.Attempt) {
-	t.log.Put(t.setAttempt(t.newRecord(audit.Started, a.Msg), a))
+// AttemptStarted records the start of an attempt.
+func (t *auditTrail) AttemptStarted(a *engine.Attempt) {
+	t.log.Enqueue(t.setAttempt(t.newRecord(audit.AttemptStarted, a.Message), a))
 }
 
-// Ended records the end of an attempt and its verdict. late means that the message had its final answer before.
-func (t *auditTrail) Ended(a *engine.Attempt, e *engine.End, verdict engine.Verdict, late bool) {
-	r := t.setAttempt(t.newRecord(audit.Ended, a.Msg), a)
-	r.Result, r.Ran, r.Status, r.Wait, r.Why, r.After = resultNames[verdict.Result], verdict.Ran, e.Status, int64(e.Wait), verdict.Why, late
-	r.Took = max(0, t.log.Now().Microseconds()-int64(a.Sent))
-	t.log.Put(r)
+// AttemptEnded records the end of an attempt and its verdict. late means that the message had its final answer before.
+func (t *auditTrail) AttemptEnded(a *engine.Attempt, e *engine.Outcome, verdict engine.Classification, late bool) {
+	r := t.setAttempt(t.newRecord(audit.AttemptEnded, a.Message), a)
+	r.Result, r.PossiblyExecuted, r.Status, r.WaitMicros, r.Detail, r.AfterAnswer = resultNames[verdict.Result], verdict.PossiblyExecuted, e.Status, int64(e.RetryAfter), verdict.Reason, late
+	r.TookMicros = max(0, t.log.Now().Microseconds()-int64(a.StartedAt))
+	t.log.Enqueue(r)
 }
 
 // Withdrawn records that the sender canceled a message.
 func (t *auditTrail) Withdrawn(m *engine.Message) {
 	r := t.newRecord(audit.Withdrawn, m)
 	r.Tenant = t.cfg.Intake.Tenants[m.Tenant]
-	t.log.Put(r)
+	t.log.Enqueue(r)
 }
 
 // Answered records the final answer to a message.
 func (t *auditTrail) Answered(m *engine.Message, a *engine.Answer) {
 	r := t.newRecord(audit.Answered, m)
-	r.Tenant, r.Result, r.Status, r.Wait, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Final.String(), a.Status, int64(a.Wait), a.Tries
-	r.Why, r.Reason, r.Receipt = a.Why, a.Reason, m.Receipt
-	t.log.Put(r)
+	r.Tenant, r.Result, r.Status, r.WaitMicros, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Kind.String(), a.Status, int64(a.RetryAfter), a.Attempts
+	r.Detail, r.Reason, r.Receipt = a.AttemptDetail, a.Reason, m.ReceiptSubscription
+	t.log.Enqueue(r)
 }
 
-// Learned records the health of an endpoint as the endpoint list reports it.
-func (t *auditTrail) Learned(e *control.Entry) {
+// EndpointChanged records the health of an endpoint as the endpoint list reports it.
+func (t *auditTrail) EndpointChanged(e *control.Entry) {
 	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: healthNames[e.Health]}
 	if p, ok := t.endpoints.Lookup(e.Endpoint); ok {
 		r.Endpoint = p.Addr.String()
 	}
-	t.log.Put(r)
+	t.log.Enqueue(r)
 }
 
 // receiptChanged records that a receipt subscription was created, if taken is nil, or that a receipt was fetched.
@@ -94,14 +94,14 @@
 	if taken != nil {
 		r.Kind, r.Message = audit.Fetched, taken.Message
 	}
-	t.log.Put(r)
+	t.log.Enqueue(r)
 }
 
 // restoreReceipts restores the receipts that an earlier process promised and that were not fetched. A message without a
 // final answer gets the answer failed, because it may have been sent.
-func (s *Service) restoreReceipts(mailboxes *mailbox.Room, rules *intake.Book) error {
+func (s *Service) restoreReceipts(mailboxes *mailbox.SharedBroker, rules *intake.Registry) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
-	subscriptions, pending, err := s.auditLog.Unfetched(since)
+	subscriptions, pending, err := s.auditLog.UnfetchedReceipts(since)
 	if err != nil {
 		return fmt.Errorf("reading the receipts of earlier processes: %w", err)
 	}
@@ -110,7 +110,7 @@
 		if tenant, ok := rules.Tenant(r.Tenant); ok {
 			// Declare fails if the tenant already has as many queues as allowed. The subscription is then not restored, and
 			// Promise fails below for each of its receipts.
-			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false)
+			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.QueueSpec{Name: r.Receipt}, false)
 		}
 	}
 	for _, promised := range pending {
@@ -118,7 +118,7 @@
 		if !ok {
 			continue
 		}
-		reservation, err := mailboxes.Promise(tenant, promised.Queue, "", "")
+		reservation, err := mailboxes.Reserve(tenant, promised.Queue, "", "")
 		if err != nil {
 			s.log.Warn("audit", "the receipt of %s is not put back: %v", promised.Accepted.Message, err)
 			continue
@@ -127,7 +127,7 @@
 			promised.Answered = &audit.Record{Kind: audit.Answered, Message: promised.Accepted.Message, Partner: promised.Accepted.Partner, Tenant: promised.Tenant,
 				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: promised.Queue}
 			// From now on, the recorded answer is the final one.
-			s.auditLog.Put(promised.Answered)
+			s.auditLog.Enqueue(promised.Answered)
 		}
 		reservation.Fill(s.now(), newReceipt(promised.Answered))
 		restored++
@@ -140,6 +140,6 @@
 
 // newReceipt converts the record of a final answer into a receipt.
 func newReceipt(answer *audit.Record) *receipt.Receipt {
-	return &receipt.Receipt{Message: answer.Message, Answer: answer.Result, At: answer.Time(), Detail: answer.Why, Reason: answer.Reason, Attempts: answer.Attempts,
-		Partner: answer.Status, RetryAfter: answer.Wait / 1000}
+	return &receipt.Receipt{Message: answer.Message, Answer: answer.Result, At: answer.Time(), Detail: answer.Detail, Reason: answer.Reason, Attempts: answer.Attempts,
+		PartnerStatus: answer.Status, RetryAfterMillis: answer.WaitMicros / 1000}
 }
--- a/internal/service/background.go
+++ b/internal/service/background.go
@@ -4,14 +4,14 @@
 	"sync"
 	"time"
 
-	"whinrun/internal/chores"
 	"whinrun/internal/mailbox"
+	"whinrun/internal/maintenance"
 )
 
 // backgroundTasks runs the periodic background tasks one at a time on a goroutine of their own. The planner decides which
 // task runs when.
 type backgroundTasks struct {
-	planner  *chores.Planner
+	planner  *maintenance.Scheduler
 	tasks    []func() (more bool, err error)
 	stopping chan struct{}
 	done     sync.WaitGroup
@@ -19,9 +19,9 @@
 
 // startBackground starts the background tasks. They expire unread answers and, if an audit trail is kept, seal it, compress
 // and drop old segments, and verify old records.
-func (s *Service) startBackground(mailboxes *mailbox.Room) {
+func (s *Service) startBackground(mailboxes *mailbox.SharedBroker) {
 	background := &backgroundTasks{stopping: make(chan struct{})}
-	tasks := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
+	tasks := []maintenance.Task{{Name: "expire answers", Priority: 1, Interval: 5 * time.Second, MaxDelay: time.Minute}}
 	background.tasks = append(background.tasks, func() (bool, error) {
 		mailboxes.Lock()
 		defer mailboxes.Unlock()
@@ -29,12 +29,12 @@
 		return false, nil
 	})
 	if auditLog := s.auditLog; auditLog != nil {
-		tasks = append(tasks, chores.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
-			chores.Chore{Name: "compress and drop", Class: 2, Every: 500 * time.Millisecond, Deadline: time.Minute},
-			chores.Chore{Name: "verify", Class: 3, Every: 30 * time.Second})
-		background.tasks = append(background.tasks, func() (bool, error) { return false, auditLog.SealNow() }, auditLog.Tend, auditLog.VerifyNext)
+		tasks = append(tasks, maintenance.Task{Name: "seal", Priority: 0, Interval: s.cfg.Audit.SealEvery, MaxDelay: s.cfg.Audit.SealEvery},
+			maintenance.Task{Name: "compress and drop", Priority: 2, Interval: 500 * time.Millisecond, MaxDelay: time.Minute},
+			maintenance.Task{Name: "verify", Priority: 3, Interval: 30 * time.Second})
+		background.tasks = append(background.tasks, func() (bool, error) { return false, auditLog.SealNow() }, auditLog.Maintain, auditLog.VerifyNext)
 	}
-	background.planner = chores.New(chores.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, tasks, s.now())
+	background.planner = maintenance.New(maintenance.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, tasks, s.now())
 	s.background = background
 	background.done.Go(func() {
 		timer := time.NewTimer(0)
@@ -62,7 +62,7 @@
 // pressure returns the load of the engine. It is 1 if a round of the engine takes half a tick, which is when events begin to
 // wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.RoundTime()) / float64(time.Duration(s.cfg.Control.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Control.Tick)*time.Microsecond)
 }
 
 // stop ends the background tasks and waits for a running one. It does nothing if b is nil.
--- a/internal/service/endpoint_poller.go
+++ b/internal/service/endpoint_poller.go
@@ -113,7 +113,7 @@
 	source    ListSource
 	endpoints *endpointlist.Registry
 	log       *logs.Logger
-	deliver   func(engine.List)
+	deliver   func(engine.ListUpdate)
 	stopping  chan struct{}
 	done      sync.WaitGroup
 	version   string
@@ -163,7 +163,7 @@
 	for _, warning := range diff.Warnings {
 		l.log.Warn("list", "%s", warning)
 	}
-	l.deliver(engine.List{Kind: kind, Entries: diff.Entries})
+	l.deliver(engine.ListUpdate{Kind: kind, Entries: diff.Entries})
 }
 
 // stop ends polling and waits for the goroutine.
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -196,7 +196,7 @@
 		}
 		return nil
 	})
-	dispatcher.auditLog.Put(&audit.Record{Kind: audit.Begin})
+	dispatcher.auditLog.Enqueue(&audit.Record{Kind: audit.DispatcherStarted})
 	for dispatcher.auditLog.Failing() == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -254,7 +254,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, all, err := audit.Unfetched(store, time.Time{}); err == nil {
+		if _, all, err := audit.UnfetchedReceipts(store, time.Time{}); err == nil {
 			owed = len(all)
 		}
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqpfront"
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
-	"whinrun/internal/door"
 	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
@@ -40,12 +40,12 @@
 	endpoints *endpointlist.Registry
 	loop      *engine.Loop
 	pool      *outbound.Pool
-	admission *door.Door
+	admission *admission.Controller
 	// frontends holds the push frontend and, if AMQP is enabled, the AMQP frontend after it.
 	frontends []*front.Front
 	poller    *listPoller
 	// auditLog is nil if no audit trail is kept.
-	auditLog *audit.Keeper
+	auditLog *audit.Recorder
 	trail    *auditTrail
 
 	background *backgroundTasks
@@ -64,8 +64,8 @@
 	protocol := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: ids, wall: clock.Wall}
 	guard := safety.NewGuard(cfg.Control)
 	poolConfig := cfg.Outbound
-	poolConfig.Permits = sendPermits{guard}
-	s.pool, err = outbound.New(poolConfig, outbound.NewHTTP2(protocol), s.clock, func(e engine.End) { s.loop.Put(engine.Input{End: &e}) })
+	poolConfig.Admission = sendPermits{guard}
+	s.pool, err = outbound.New(poolConfig, outbound.NewHTTP2(protocol), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
 	if err != nil {
 		return nil, err
 	}
@@ -77,8 +77,8 @@
 		source = newListSource(cfg)
 	}
 	s.poller = &listPoller{source: source, endpoints: s.endpoints, log: log, stopping: make(chan struct{})}
-	s.admission = door.New(cfg.Admission, len(cfg.Intake.Tenants), engineAdapter{s})
-	policy := engine.Policy{Settings: cfg.Control, OwnPath: pathPerMessage, Guard: guard}
+	s.admission = admission.New(cfg.Admission, len(cfg.Intake.Tenants), engineAdapter{s})
+	policy := engine.Options{Settings: cfg.Control, PathPerMessage: pathPerMessage, Guard: guard}
 	if cfg.Audit.Folder != "" {
 		if policy.Trail, err = s.openTrail(ids); err != nil {
 			s.pool.Close()
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	s.loop = engine.NewLoop(core, s.clock, cfg.EngineBounds)
-	s.poller.deliver = func(l engine.List) { s.loop.Put(engine.Input{List: &l}) }
+	s.poller.deliver = func(l engine.ListUpdate) { s.loop.Enqueue(engine.Input{List: &l}) }
 	s.poller.start(cfg.ListInterval)
 	go s.loop.Run()
 	if err := s.listen(ids); err != nil {
@@ -123,14 +123,14 @@
 		if err != nil {
 			err = errors.New("the audit trail can't be written")
 		}
-		s.admission.Shut(err)
+		s.admission.Suspend(err)
 	}
 	var err error
 	s.auditLog, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, onWriteError)
 	if err != nil {
 		return nil, err
 	}
-	s.auditLog.Put(&audit.Record{Kind: audit.Begin, Why: "epoch " + ids.Epoch})
+	s.auditLog.Enqueue(&audit.Record{Kind: audit.DispatcherStarted, Detail: "epoch " + ids.Epoch})
 	s.trail = &auditTrail{s.auditLog, s.cfg, s.endpoints, ids}
 	return s.trail, nil
 }
@@ -151,27 +151,27 @@
 
 // listen opens the frontends. They share one admission control, which applies the same limits to all of them.
 func (s *Service) listen(ids push.ExternalIDs) error {
-	cfg, rules := s.cfg, intake.NewBook(s.cfg.Intake)
-	listenOn := func(name string, frontConfig front.Config, admitter *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
+	cfg, rules := s.cfg, intake.NewRegistry(s.cfg.Intake)
+	listenOn := func(name string, frontConfig front.Config, admitter *admission.Frontend, open func(*front.Conn, time.Duration) front.Session) error {
 		frontend, err := front.New(frontConfig, admitter, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
 		if err == nil {
 			s.frontends = append(s.frontends, frontend)
 		}
 		return err
 	}
-	mailboxes := &mailbox.Room{Box: mailbox.New(cfg.Mailbox)}
+	mailboxes := &mailbox.SharedBroker{Broker: mailbox.New(cfg.Mailbox)}
 	if s.auditLog != nil {
-		mailboxes.Key, mailboxes.Changed = s.auditLog.Key(), s.trail.receiptChanged
+		mailboxes.Key, mailboxes.OnChange = s.auditLog.Key(), s.trail.receiptChanged
 		if err := s.restoreReceipts(mailboxes, rules); err != nil {
 			return err
 		}
 	}
 	s.startBackground(mailboxes)
-	admitter := s.admission.Side("push")
+	admitter := s.admission.AddFrontend("push")
 	if err := listenOn("push", cfg.Front, admitter, pushfront.SessionFactory(cfg.Push, push.NewRequestParser(rules), ids, admitter, mailboxes, s.now)); err != nil || cfg.AMQP.Address == "" {
 		return err
 	}
-	admitter = s.admission.Side("amqp")
+	admitter = s.admission.AddFrontend("amqp")
 	return listenOn("amqp", cfg.AMQP, admitter, amqpfront.New(cfg.AMQPConn, rules, ids, admitter, mailboxes, s.now).Open)
 }
 
@@ -190,22 +190,22 @@
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
 // Admission returns the admission control, for measurements and tests.
-func (s *Service) Admission() *door.Door { return s.admission }
+func (s *Service) Admission() *admission.Controller { return s.admission }
 
 // now returns the monotonic time of the dispatcher's clock.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
 
-// Note implements engine.Log. It also writes the text to the audit trail, because the text reports what the decision library
+// Info implements engine.Log. It also writes the text to the audit trail, because the text reports what the decision library
 // has learned about partners, such as their recovery from an outage.
-func (s *Service) Note(text string) {
+func (s *Service) Info(text string) {
 	s.log.Info("module", "%s", text)
 	if s.auditLog != nil {
-		s.auditLog.Put(&audit.Record{Kind: audit.Learned, Why: text})
+		s.auditLog.Enqueue(&audit.Record{Kind: audit.Learned, Detail: text})
 	}
 }
 
-// Fault implements engine.Log.
-func (s *Service) Fault(text string) { s.log.Error("engine", "%s", text) }
+// InternalError implements engine.Log.
+func (s *Service) InternalError(text string) { s.log.Error("engine", "%s", text) }
 
 // Stop shuts a dispatcher down gracefully. It sends GOAWAY to clients, rejects new messages, waits for the answers to the
 // accepted ones and closes everything. It reports whether all messages were answered. If ctx ends first, the remaining
@@ -228,7 +228,7 @@
 	}
 	s.close(true)
 	stats := s.Stats()
-	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", stats.Taken, stats.Served,
+	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", stats.Accepted, stats.Served,
 		stats.Refused, stats.Failed, stats.Withdrawn, stats.Open)
 	return answered
 }
@@ -254,14 +254,14 @@
 
 // Write asks the guard whether an attempt may be written now.
 func (p sendPermits) Write(now control.Time, a *engine.Attempt) error {
-	return p.guard.Write(now, a.Call())
+	return p.guard.Write(now, a.SafetyCall())
 }
 
 // Record permits all attempts of a call.
 func (sendPermits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
 
 // TakenBack tells the guard that a permitted attempt was not written.
-func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.TakenBack(a.Call()) }
+func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
 
 // partnerProtocol builds requests and interprets responses in the dialect of each partner's kind.
 type partnerProtocol struct {
@@ -273,7 +273,7 @@
 }
 
 // Address returns the address of an endpoint, or false if the endpoint is unknown.
-func (s *partnerProtocol) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+func (s *partnerProtocol) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	location, ok := s.endpoints.Lookup(ep)
 	return location.Addr, ok
 }
@@ -290,12 +290,12 @@
 }
 
 // Answer converts a complete response into the end of an attempt. Retry-After and the reason count from status 300 on.
-func (s *partnerProtocol) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.End {
+func (s *partnerProtocol) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome {
 	location, _ := s.endpoints.Lookup(a.Endpoint)
 	status, _ := strconv.Atoi(h2.Value(fields, ":status"))
-	end := engine.End{Kind: engine.Answered, Status: status}
+	end := engine.Outcome{Kind: engine.Answered, Status: status}
 	if status >= 300 {
-		end.Wait = control.Time(push.RetryAfter(fields, s.wall()) / time.Microsecond)
+		end.RetryAfter = control.Time(push.RetryAfter(fields, s.wall()) / time.Microsecond)
 		end.Detail = s.dialects[location.Kind].Reason(body)
 	}
 	return end
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -351,7 +351,7 @@
 	}
 	away := false
 	err := client.readUntil(func(e h2.Event) bool {
-		away = away || e.Kind == h2.PeerGoAway && e.Code == h2.FlowControlError
+		away = away || e.Kind == h2.GoAwayReceived && e.Code == h2.FlowControlError
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
