--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -21,8 +21,8 @@
 	"whinrun/internal/load"
 )
 
-// build makes the program once for the tests that need a process of its own.
-func build(t *testing.T) string {
+// buildProgram builds the program for a test that runs it as a process.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "whinrun")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -31,8 +31,9 @@
 	return bin
 }
 
-// serve starts the program with a partner that calls block, and returns it with its address.
-func serve(t *testing.T, bin string, handle http.HandlerFunc, more ...string) (cmd *exec.Cmd, addr string) {
+// startServe starts the program with the quickstart settings and one HTTP/2 partner that calls handle. It returns the process
+// and the address that clients connect to.
+func startServe(t *testing.T, bin string, handle http.HandlerFunc, extraSections ...string) (cmd *exec.Cmd, addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 		t.Fatal(err)
 	}
 	settings := strings.NewReplacer("listen = 127.0.0.1:8420", "listen = 127.0.0.1:0\nstop-within = 1s", "127.0.0.1:8431", ln.Addr().String()).Replace(string(text))
-	settings += strings.Join(more, "")
+	settings += strings.Join(extraSections, "")
 	file := filepath.Join(t.TempDir(), "w.ini")
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
@@ -74,24 +75,24 @@
 		}
 	}()
 	if addr == "" {
-		t.Fatal("the program does not say where it listens")
+		t.Fatal("the program did not log its listening address")
 	}
 	return cmd, addr
 }
 
-// SIGTERM: what was taken is answered within the time set, then the program exits with 0.
+// After SIGTERM, the program answers the accepted messages within stop-within and exits with status 0.
 func TestTerminate(t *testing.T) {
 	block, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(block)
-	cmd, addr := serve(t, build(t), func(http.ResponseWriter, *http.Request) {
+	cmd, addr := startServe(t, buildProgram(t), func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
 		<-block
 	})
-	c := load.NewClient(addr, 1)
-	defer c.Close()
+	client := load.NewClient(addr, 1)
+	defer client.Close()
 	answer := make(chan int, 1)
 	go func() {
-		status, _, _, _ := c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		status, _, _, _ := client.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 		answer <- status
 	}()
 	<-arrived
@@ -106,23 +107,25 @@
 	}
 }
 
-// A second signal ends the program at once, with 1.
+// A second signal ends the program at once, with exit status 1.
 func TestTerminateTwice(t *testing.T) {
 	block, arrived := make(chan struct{}), make(chan struct{}, 1)
 	defer close(block)
-	cmd, addr := serve(t, build(t), func(http.ResponseWriter, *http.Request) {
+	cmd, addr := startServe(t, buildProgram(t), func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
 		<-block
 	})
-	c := load.NewClient(addr, 1)
-	defer c.Close()
+	client := load.NewClient(addr, 1)
+	defer client.Close()
 	go func() {
-		_, _, _, _ = c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		_, _, _, _ = client.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 	}()
 	<-arrived
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	start := time.Now()
-	for cmd.ProcessState == nil && time.Since(start) < 500*time.Millisecond { // the first is to be seen as one of its own
+	for cmd.ProcessState == nil && time.Since(start) < 500*time.Millisecond {
+		// Signals that are pending at the same time merge into one, so the test waits before it sends the second one. It
+		// repeats the second one for half a second.
 		time.Sleep(50 * time.Millisecond)
 		_ = cmd.Process.Signal(syscall.SIGTERM)
 	}
@@ -132,18 +135,18 @@
 	}
 }
 
-// A broken setup: one line each, exit code 2, for check and for serve.
+// With invalid settings, check and serve print one line for each problem and exit with status 2.
 func TestCheckExits(t *testing.T) {
-	bin := build(t)
+	bin := buildProgram(t)
 	file := filepath.Join(t.TempDir(), "w.ini")
 	if err := os.WriteFile(file, []byte("[dispatcher]\nlisten = here\nlags = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, verb := range []string{"check", "serve"} {
-		out, err := exec.Command(bin, verb, "--config", file).CombinedOutput()
+	for _, command := range []string{"check", "serve"} {
+		out, err := exec.Command(bin, command, "--config", file).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || strings.Count(string(out), "\n") != 2 || !strings.Contains(string(out), "w.ini:3: lags: no such key") {
-			t.Errorf("%s: %v\n%s", verb, err, out)
+			t.Errorf("%s: %v\n%s", command, err, out)
 		}
 	}
 	if out, err := exec.Command(bin, "check", "--config", "../../examples/quickstart.ini").CombinedOutput(); err != nil {
@@ -151,8 +154,9 @@
 	}
 }
 
-// The program is killed again and again at random moments in load: its trail verifies, no attempt that a partner saw is
-// missing but at the end that a kill took, and none is invented. WHINRUN_KILLS sets how often, 5 where it is not set.
+// The program is killed repeatedly at random moments under load. Afterwards the audit trail verifies. It lacks attempts that a
+// partner received only at its end, where a kill can lose the last records, and it has no attempt that no partner received.
+// WHINRUN_KILLS sets the number of kills. The default is 5.
 func TestKilled(t *testing.T) {
 	kills := 5
 	if n, err := strconv.Atoi(os.Getenv("WHINRUN_KILLS")); err == nil {
@@ -160,11 +164,11 @@
 	}
 	var mu sync.Mutex
 	type call struct{ message, attempt string }
-	came := map[call]time.Time{}
+	received := map[call]time.Time{}
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		came[call{r.Header.Get("Whinrun-Message"), r.Header.Get("Whinrun-Attempt")}] = time.Now()
-		n := len(came)
+		received[call{r.Header.Get("Whinrun-Message"), r.Header.Get("Whinrun-Attempt")}] = time.Now()
+		n := len(received)
 		mu.Unlock()
 		if n%7 == 0 {
 			w.WriteHeader(500)
@@ -172,16 +176,16 @@
 		}
 		w.WriteHeader(201)
 	}
-	bin, folder, rng := build(t), t.TempDir(), rand.New(rand.NewPCG(5, 5))
+	bin, folder, rng := buildProgram(t), t.TempDir(), rand.New(rand.NewPCG(5, 5))
 	for range kills {
-		cmd, addr := serve(t, bin, handle, "\n[audit]\nfolder = "+folder+"\nsegment = 64KiB\n")
-		c := load.NewClient(addr, 1)
+		cmd, addr := startServe(t, bin, handle, "\n[audit]\nfolder = "+folder+"\nsegment = 64KiB\n")
+		client := load.NewClient(addr, 1)
 		ctx, stop := context.WithCancel(context.Background())
-		var all sync.WaitGroup
+		var clients sync.WaitGroup
 		for i := range 8 {
-			all.Go(func() {
+			clients.Go(func() {
 				for ctx.Err() == nil {
-					_, _, _, _ = c.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
+					_, _, _, _ = client.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
 				}
 			})
 		}
@@ -189,8 +193,8 @@
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 		stop()
-		all.Wait()
-		c.Close()
+		clients.Wait()
+		client.Close()
 	}
 	store, rep, err := audit.OpenReader(folder)
 	if err != nil {
@@ -200,40 +204,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v, err := audit.Verify(store, keys)
-	if err != nil || len(v.Problems) > 0 {
-		t.Fatal(v.Problems, err)
+	verified, err := audit.Verify(store, keys)
+	if err != nil || len(verified.Problems) > 0 {
+		t.Fatal(verified.Problems, err)
 	}
 	records, err := audit.AllRecords(store)
 	if err != nil {
 		t.Fatal(err)
 	}
 	epoch := func(m string) string { return m[:max(0, strings.LastIndexByte(m, '-'))] }
-	last, started := map[string]time.Time{}, map[call]bool{}
+	lastRecord, started := map[string]time.Time{}, map[call]bool{}
 	for _, r := range records {
 		if r.Message == "" {
 			continue
 		}
-		last[epoch(r.Message)] = r.Time()
+		lastRecord[epoch(r.Message)] = r.Time()
 		k := call{r.Message, strconv.Itoa(r.Attempt - 1)}
 		if r.Kind == audit.AttemptStarted {
 			started[k] = true
 		}
-		if _, ok := came[k]; r.Kind == audit.AttemptEnded && r.Status > 0 && !ok {
-			t.Errorf("attempt %v has an answer, and no partner saw it", k)
+		if _, ok := received[k]; r.Kind == audit.AttemptEnded && r.Status > 0 && !ok {
+			t.Errorf("attempt %v has an answer, but no partner received it", k)
 		}
 	}
 	lost := 0
-	for k, at := range came {
+	for k, at := range received {
 		if !started[k] {
-			if lost++; at.Before(last[epoch(k.message)].Add(-time.Millisecond)) {
-				t.Errorf("attempt %v is missing, with later ones there", k)
+			if lost++; at.Before(lastRecord[epoch(k.message)].Add(-time.Millisecond)) {
+				t.Errorf("attempt %v is missing, although later records exist", k)
 			}
 		}
 	}
-	t.Logf("%d kills, %d attempts seen, %d lost with the ends that kills took; %d records, %d seals, %v", kills, len(came), lost, v.Records, v.Seals,
+	t.Logf("%d kills, %d attempts received, %d of them lost at the end of a process; %d records, %d seals, %v", kills, len(received), lost, verified.Records, verified.Seals,
 		rep.Problems)
-	if len(came) == 0 || kills > 2 && v.Seals == 0 {
-		t.Error("nothing was tried")
+	if len(received) == 0 || kills > 2 && verified.Seals == 0 {
+		t.Error("no attempts were made, or no seals were written")
 	}
 }
--- a/cmd/whinrun/node.go
+++ b/cmd/whinrun/node.go
@@ -11,20 +11,25 @@
 	"whinrun/internal/platform"
 )
 
+// nodeCmd runs the dispatcher on the platform. Its configuration comes from environment variables.
 type nodeCmd struct{}
 
-// Settings of the program itself on the platform. Threads that wait for a socket must not keep others from running: so
-// there are more of them than cores.
+// These are settings of the program itself on the platform.
 const (
-	nodeThreads   = 4
-	nodeLogLines  = 20    // a second
-	traceLogLines = 10000 // a second, with WHINRUN_TRACE set
+	// nodeThreads is the value of GOMAXPROCS. It is larger than the number of cores, so that threads that wait for a socket
+	// do not keep others from running.
+	nodeThreads = 4
+	// nodeLogLines is the highest rate of log lines per second.
+	nodeLogLines = 20
+	// traceLogLines is the highest rate of log lines per second if WHINRUN_TRACE is set.
+	traceLogLines = 10000
 )
 
+// Run runs the node until SIGTERM or an interrupt and then stops gracefully. SIGHUP reloads the configuration.
 func (nodeCmd) Run() error {
 	cfg, err := platform.Load(os.Getenv)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	level, lines := "info", float64(nodeLogLines)
 	if cfg.Trace = os.Getenv("WHINRUN_TRACE") != ""; cfg.Trace {
@@ -32,28 +37,30 @@
 	}
 	log, err := logs.New(os.Stdout, level, lines)
 	if err != nil {
-		return errUsage{err}
+		return usageError{err}
 	}
 	runtime.GOMAXPROCS(nodeThreads)
 	debug.SetMemoryLimit(cfg.Limits.HeapLimit())
-	// Before anything is taken: a signal that comes while starting counts, too.
+	// Signals are registered before the start, so that a signal that arrives during the start is not lost.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP, os.Interrupt)
-	n, err := platform.Start(cfg, log)
+	node, err := platform.Start(cfg, log)
 	if err != nil {
 		return err
 	}
-	var stopped chan struct{} // nil until it stops
+	// stopped is nil until the stop begins.
+	var stopped chan struct{}
 	for {
 		select {
 		case s := <-signals:
 			switch {
-			case s == syscall.SIGHUP: // also while stopping: notices are still owed
-				reload(n, log)
+			// SIGHUP also works during a stop, because notices still have to be delivered.
+			case s == syscall.SIGHUP:
+				reload(node, log)
 			case stopped == nil:
 				stopped = make(chan struct{})
 				go func() {
-					n.Stop()
+					node.Stop()
 					close(stopped)
 				}()
 			}
@@ -63,12 +70,12 @@
 	}
 }
 
-// reload has a new configuration take effect, or leaves the old one in force.
-func reload(n *platform.Node, log *logs.Logger) {
+// reload applies the new configuration. If it cannot be loaded, the old one stays in use.
+func reload(node *platform.Node, log *logs.Logger) {
 	cfg, err := platform.Load(os.Getenv)
 	if err != nil {
 		log.Warn("node", "the old settings stay in force: %v", err)
 		return
 	}
-	n.Reload(cfg)
+	node.Reload(cfg)
 }
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -13,26 +13,26 @@
 	"whinrun/internal/testbed"
 )
 
-// keyWindow is how long partners drop repeats of a keyed message, where a test shortens the settings' own window.
-const keyWindow = 2 * time.Second
+// dedupWindow is the deduplication window of partners in tests that shorten the window of the settings.
+const dedupWindow = 2 * time.Second
 
-// shortenWindow has the next process started with a window of keyWindow.
-func (n *node) shortenWindow() {
+// shortenDedupWindow makes the next process start with a deduplication window of dedupWindow.
+func (n *nodeProcess) shortenDedupWindow() {
 	n.t.Helper()
-	n.adapt = func(text []byte) []byte {
+	n.transform = func(text []byte) []byte {
 		return bytes.ReplaceAll(text, []byte(`"window":4000000`), []byte(`"window":2000000`))
 	}
 }
 
-// kill ends the process as SIGKILL does.
-func (n *node) kill(s *testbed.Testbed) {
+// kill ends the process with SIGKILL and notes the restart.
+func (n *nodeProcess) kill(bed *testbed.Testbed) {
 	_ = n.cmd.Process.Signal(syscall.SIGKILL)
 	_ = n.cmd.Wait()
-	s.Note(testbed.Event{Kind: testbed.Restarted})
+	bed.Note(testbed.Event{Kind: testbed.Restarted})
 }
 
-// calls returns when the calls of a message began.
-func calls(events []testbed.Event, name string) (at []time.Time) {
+// callTimes returns the start times of the calls for a message.
+func callTimes(events []testbed.Event, name string) (at []time.Time) {
 	for _, e := range events {
 		if e.Kind == testbed.Called && e.Name == name {
 			at = append(at, e.At)
@@ -41,93 +41,96 @@
 	return at
 }
 
-// A call is out when a first process is killed. What a second process learns of its own calls, each turned away unrun, says
-// nothing of that one: a third process must not repeat the message once partners have forgotten its key.
-func TestSecondRestartKnowsTheFirstCall(t *testing.T) {
-	s := testbed.New()
-	n := newNode(t, s)
-	n.shortenWindow()
+// A process is killed while a call is in flight. A second process makes a call that the partner rejects without executing it,
+// which says nothing about the first call. A third process must not repeat the message after the deduplication window of
+// the first call has ended.
+func TestSecondRestartRemembersFirstCall(t *testing.T) {
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	node.shortenDedupWindow()
 	var reply atomic.Pointer[testbed.Reply]
 	reply.Store(&testbed.Reply{Hang: true})
-	e, err := s.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return *reply.Load() })
+	endpoint, err := bed.Endpoint("a", 1, "", func(testbed.Call) testbed.Reply { return *reply.Load() })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer e.Close()
-	n.agent.Set(testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
-	n.start()
-	m := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, Key: "key-m", Left: 4 * time.Second}
-	if status := s.Hand(n.addr, m); status != 202 {
+	defer endpoint.Close()
+	node.agent.Set(testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
+	node.start()
+	message := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, Key: "key-m", Left: 4 * time.Second}
+	if status := bed.Hand(node.addr, message); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "m") == 1 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "m") == 1 }) {
 		t.Fatal("no call by the first process")
 	}
-	n.kill(s)
-	reply.Store(&testbed.Reply{Status: 429, Wait: keyWindow / 4}) // the second process makes one call before it is killed
-	n.start()
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
+	node.kill(bed)
+	reply.Store(&testbed.Reply{Status: 429, Wait: dedupWindow / 4}) // the wait lets the second process make one call only
+	node.start()
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
 		t.Fatal("no call by the second process")
 	}
-	n.kill(s)
+	node.kill(bed)
 	reply.Store(&testbed.Reply{Status: 200})
-	time.Sleep(time.Until(calls(s.Events(), "m")[0].Add(keyWindow))) // the window is a span of real time
-	n.start()
-	if !s.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, []string{"m"}) }) {
-		t.Error("no end")
+	time.Sleep(time.Until(callTimes(bed.Events(), "m")[0].Add(dedupWindow))) // the window is real time
+	node.start()
+	if !bed.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, []string{"m"}) }) {
+		t.Error("the message has not ended")
 	}
-	for _, f := range testbed.Check(s.Events(), nodeRules(), time.Now()) {
+	for _, f := range testbed.Check(bed.Events(), nodeRules(), time.Now()) {
 		t.Error(f)
 	}
 	if t.Failed() {
-		t.Logf("log: %s", n.out.String())
+		t.Logf("log: %s", node.output.String())
 	}
 }
 
-// nodeRules are the figures of testbed.Settings with windows shortened to keyWindow, for processes that share a machine with others.
+// nodeRules returns the rules for the settings of the testbed with deduplication windows of dedupWindow. The tolerances allow
+// for a machine that also runs other processes.
 func nodeRules() testbed.Rules {
 	return testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
-		Windows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
+		Windows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
 }
 
-// write puts a configuration in place.
-func (n *node) write(text []byte) {
+// writeConfig writes the configuration file.
+func (n *nodeProcess) writeConfig(text []byte) {
 	n.t.Helper()
-	if n.adapt != nil {
-		text = n.adapt(text)
+	if n.transform != nil {
+		text = n.transform(text)
 	}
-	if err := os.WriteFile(n.file, text, 0o600); err != nil {
+	if err := os.WriteFile(n.configFile, text, 0o600); err != nil {
 		n.t.Fatal(err)
 	}
 }
 
-// A folder that can't be used ends the start with one line and exit 1; one that another process still has is waited for.
-func TestNodeFolder(t *testing.T) {
-	s := testbed.New()
-	n := newNode(t, s)
-	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
-	folder := n.state
-	n.state = filepath.Join(n.file, "state") // below a file
-	n.configure()
-	cmd := n.command()
+// With an unusable state folder, the program prints one line and exits with status 1. If another process still uses the folder,
+// the program waits for it.
+func TestNodeStateFolder(t *testing.T) {
+	bed := testbed.New()
+	node := newNodeProcess(t, bed)
+	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	folder := node.stateDir
+	node.stateDir = filepath.Join(node.configFile, "state") // a path below a file cannot be a folder
+	node.configure()
+	cmd := node.command()
 	out, err := cmd.CombinedOutput()
-	if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), n.file) {
+	if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), node.configFile) {
 		t.Errorf("%v, %q", err, out)
 	}
-	n.state = folder
-	n.start()
-	first := n.cmd
-	second := n.command()
+	node.stateDir = folder
+	node.start()
+	first := node.cmd
+	second := node.command()
 	var log bytes.Buffer
 	second.Stdout = &log
 	if err := second.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = second.Process.Kill() }()
-	time.Sleep(300 * time.Millisecond) // it finds the folder taken
+	time.Sleep(300 * time.Millisecond) // the second process finds the folder in use
 	_ = first.Process.Kill()
 	_ = first.Wait()
-	n.awaitListening()
+	node.waitUntilListening()
 	_ = second.Process.Signal(syscall.SIGTERM)
 	if err := second.Wait(); err != nil || !strings.Contains(log.String(), "in use by another process") {
 		t.Errorf("%v, log %s", err, log.String())
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -20,7 +20,7 @@
 type Server struct {
 	cfg       amqp.Config
 	catalog   *intake.Registry
-	names     push.Names
+	names     push.ExternalIDs
 	admission *admission.Frontend
 	now       func() time.Duration
 	// lastOwner is the owner number of the latest session. It names the session to the answer queues.
@@ -33,7 +33,7 @@
 // New returns a Server with the protocol limits cfg. catalog holds resources and tenants, names converts message
 // numbers to message names, admission admits messages and channels, answers holds the answer queues, and now is the
 // clock of the sessions.
-func New(cfg amqp.Config, catalog *intake.Registry, names push.Names, admission *admission.Frontend, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
+func New(cfg amqp.Config, catalog *intake.Registry, names push.ExternalIDs, admission *admission.Frontend, answers *mailbox.SharedBroker, now func() time.Duration) *Server {
 	return &Server{cfg: cfg, catalog: catalog, names: names, admission: admission, now: now, answers: answers}
 }
 
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -259,7 +259,7 @@
 	if p.message != nil {
 		body = p.message.Body
 		if p.message.ID != 0 {
-			props.Headers = props.Headers.Set(HeaderMessageName, s.server.names.Of(p.message.ID))
+			props.Headers = props.Headers.Set(HeaderMessageName, s.server.names.Format(p.message.ID))
 		}
 	}
 	if p.tag > 0 {
@@ -306,7 +306,7 @@
 
 // receipt returns the full final answer for the answer queue.
 func (p *publish) receipt() *receipt.Receipt {
-	r := receipt.New(p.session.server.names.Of(p.message.ID), &p.answer, clock.Wall())
+	r := receipt.New(p.session.server.names.Format(p.message.ID), &p.answer, clock.Wall())
 	r.MessageID, r.CorrelationID, r.Exchange, r.RoutingKey = p.props.MessageID, p.props.CorrelationID, p.method.Exchange, p.method.Key
 	return r
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,6 +12,7 @@
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
 	"whinrun/internal/dialscheduler"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -21,62 +22,91 @@
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
-	"whinrun/internal/roster"
 )
 
-// Config is a whole setup, checked.
+// Config is the complete configuration of a dispatcher. Parse returns it only if all settings are valid.
 type Config struct {
-	Module   control.Settings
-	Front    front.Config
-	Push     pushfront.Config
-	AMQP     front.Config // its address is empty where AMQP is off
+	// Control holds the settings of the decision library.
+	Control control.Settings
+	// Front configures the listener for HTTP/2 clients.
+	Front front.Config
+	// Push configures the sessions of HTTP/2 clients.
+	Push pushfront.Config
+	// AMQP configures the listener for AMQP clients. Its address is empty if AMQP is disabled.
+	AMQP front.Config
+	// AMQPConn configures the connections of AMQP clients.
 	AMQPConn amqp.Config
+	// Outbound configures the connections to partners.
 	Outbound outbound.Config
-	Bounds   engine.Limits
-	Audit    audit.Config
-	Mailbox  mailbox.Limits
-	Door     admission.Limits
+	// EngineBounds limits what the engine holds.
+	EngineBounds engine.Limits
+	// Audit configures the audit trail. Its folder is empty if no trail is kept.
+	Audit audit.Config
+	// Mailbox limits the queues in which final answers wait.
+	Mailbox mailbox.Limits
+	// Admission holds the limits that all frontends share.
+	Admission admission.Limits
 
-	Background float64 // share of a core
-	Garbage    int     // percent, as of debug.SetGCPercent
-	LogLevel   string
-	LogLines   float64
-	StopWithin time.Duration
+	// BackgroundShare is the share of one core that background tasks may use.
+	BackgroundShare float64
+	// GCPercent is the argument of debug.SetGCPercent.
+	GCPercent int
+	// LogLevel is the lowest level that is logged, as a name of zerolog.
+	LogLevel string
+	// LogLinesPerSecond is the highest sustained rate of log lines.
+	LogLinesPerSecond float64
+	// StopTimeout is how long a graceful stop may wait for the answers to accepted messages.
+	StopTimeout time.Duration
 
-	Intake    intake.Config
-	Classes   []string
-	Partners  []roster.Partner
-	Sites     []push.Site // by partner
-	Dialects  []push.Dialect
-	Lines     []roster.Line // endpoints of the partner sections
-	ListFile  string
-	ListEvery time.Duration
+	// Intake configures the rules for incoming messages.
+	Intake intake.Config
+	// Classes holds the names of the message classes, by class number.
+	Classes []string
+	// Partners holds the partners, by destination number.
+	Partners []endpointlist.Partner
+	// PartnerResources holds the push resource of each partner, by destination number.
+	PartnerResources []push.PartnerResource
+	// Dialects holds the dialect of each kind of partner, by kind.
+	Dialects []push.Dialect
+	// Endpoints holds the endpoints of the partner sections.
+	Endpoints []endpointlist.Endpoint
+	// ListFile is the file of the endpoint list. If it is empty, Endpoints is the list.
+	ListFile string
+	// ListInterval is how often the list file is checked for changes.
+	ListInterval time.Duration
 }
 
-func (s *section) span(key string) time.Duration {
-	return time.Duration(s.num[key] * float64(time.Second))
+// duration returns the value of a duration key.
+func (s *section) duration(key string) time.Duration {
+	return time.Duration(s.numbers[key] * float64(time.Second))
 }
-func (s *section) time(key string) control.Time {
-	return control.Time(s.num[key] * float64(control.Second))
+
+// controlTime returns the value of a duration key in the unit of the decision library.
+func (s *section) controlTime(key string) control.Time {
+	return control.Time(s.numbers[key] * float64(control.Second))
 }
-func (s *section) int(key string) int { return int(s.num[key]) }
 
-// single returns a section that stands once at most; its defaults where it does not stand.
-func (r *reader) single(name string) *section {
-	for _, s := range r.sections {
+// integer returns the value of a count or size key.
+func (s *section) integer(key string) int { return int(s.numbers[key]) }
+
+// singleSection returns the section of a kind that occurs at most once. If the file does not have it, all its keys have
+// their defaults.
+func (p *parser) singleSection(name string) *section {
+	for _, s := range p.sections {
 		if s.spec.name == name {
 			return s
 		}
 	}
 	spec, _, _ := findSection(name)
-	s := &section{spec: spec, raw: map[string]string{}, num: map[string]float64{}, at: map[string]int{}}
-	r.defaults(s)
+	s := &section{spec: spec, values: map[string]string{}, numbers: map[string]float64{}, lines: map[string]int{}}
+	p.applyDefaults(s)
 	return s
 }
 
-func (r *reader) all(name string) (all []*section, index map[string]int) {
+// allSections returns all sections of a kind in the order of the file, and the index of each by its name.
+func (p *parser) allSections(name string) (all []*section, index map[string]int) {
 	index = map[string]int{}
-	for _, s := range r.sections {
+	for _, s := range p.sections {
 		if s.spec.name == name {
 			index[s.name] = len(all)
 			all = append(all, s)
@@ -85,228 +115,239 @@
 	return all, index
 }
 
-// ref finds what a key names.
-func (r *reader) ref(s *section, key string, index map[string]int) int {
-	i, ok := index[s.raw[key]]
+// resolve returns the index of the section that a key refers to. It reports a problem if there is no such section.
+func (p *parser) resolve(s *section, key string, index map[string]int) int {
+	i, ok := index[s.values[key]]
 	if !ok {
-		r.bad(s.at[key], key, "there is no [%s %s]", key, s.raw[key])
+		p.addProblem(s.lines[key], key, "there is no [%s %s]", key, s.values[key])
 	}
 	return i
 }
 
-func (r *reader) build() *Config {
-	c := &Config{}
-	d, l, o := r.single("dispatcher"), r.single("limits"), r.single("outbound")
-	c.LogLevel, c.LogLines, c.StopWithin = d.raw["log"], d.num["log-lines"], d.span("stop-within")
-	c.Garbage, c.Background = d.int("garbage"), d.num["background"]
-	c.Intake.MaxBody = l.int("body")
-	streamWindow := uint32(min(max(64<<10, c.Intake.MaxBody), 1<<20))
-	bounds := h2.Config{MaxStreams: uint32(l.int("streams")), MaxHeaderList: l.int("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: l.span("handshake"), StallTimeout: l.span("stall"),
-		AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), MaxUnread: l.int("unread")}
-	r.amqp(c, d, l)
-	a := r.single("audit")
-	c.Audit = audit.Config{Folder: a.raw["folder"], Buffer: a.int("buffer"), SealEvery: a.span("seal-every"),
-		Policy: plan.Policy{SyncWithin: a.span("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(a.num["segment"]),
-			KeepFor: a.span("keep-for"), KeepBytes: int64(a.num["keep-bytes"]), RetryEvery: time.Second}}
-	c.Push = pushfront.Config{Idle: l.span("client-idle"), H2: bounds}
-	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.int("loops"), MaxConnsPerEndpoint: o.int("connections"), MaxStreams: o.int("streams"),
-		ConnectTimeout: o.span("connect-timeout"),
-		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: o.num["handshakes"], MaxHandshakes: o.int("opening"), MaxConns: o.int("total")}, IdleTimeout: o.span("idle"), MaxAnswerBytes: o.int("answer"), H2: bounds}
-	r.list(c)
-	r.classes(c)
-	r.partners(c)
-	r.module(c, l, o)
-	return c
+// build converts the parsed sections into a Config. It reports problems that concern more than one key.
+func (p *parser) build() *Config {
+	cfg := &Config{}
+	dispatcher, limits, outboundSection := p.singleSection("dispatcher"), p.singleSection("limits"), p.singleSection("outbound")
+	cfg.LogLevel, cfg.LogLinesPerSecond, cfg.StopTimeout = dispatcher.values["log"], dispatcher.numbers["log-lines"], dispatcher.duration("stop-within")
+	cfg.GCPercent, cfg.BackgroundShare = dispatcher.integer("garbage"), dispatcher.numbers["background"]
+	cfg.Intake.MaxBody = limits.integer("body")
+	// The flow-control window of a stream is as large as the largest body, but at least 64 KiB and at most 1 MiB.
+	streamWindow := uint32(min(max(64<<10, cfg.Intake.MaxBody), 1<<20))
+	h2Config := h2.Config{MaxStreams: uint32(limits.integer("streams")), MaxHeaderList: limits.integer("headers"), StreamWindow: streamWindow,
+		ConnWindow: 4 << 20, Handshake: limits.duration("handshake"), StallTimeout: limits.duration("stall"),
+		AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
+	cfg.Front = front.Config{Address: dispatcher.values["listen"], Loops: dispatcher.integer("loops"), MaxUnread: limits.integer("unread")}
+	p.buildAMQP(cfg, dispatcher, limits)
+	auditSection := p.singleSection("audit")
+	cfg.Audit = audit.Config{Folder: auditSection.values["folder"], Buffer: auditSection.integer("buffer"), SealEvery: auditSection.duration("seal-every"),
+		Policy: plan.Policy{SyncWithin: auditSection.duration("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(auditSection.numbers["segment"]),
+			KeepFor: auditSection.duration("keep-for"), KeepBytes: int64(auditSection.numbers["keep-bytes"]), RetryEvery: time.Second}}
+	cfg.Push = pushfront.Config{IdleTimeout: limits.duration("client-idle"), H2: h2Config}
+	// Connections to partners use the limits of client connections, except for the number of streams that the peer may open
+	// and the flow-control windows.
+	h2Config.MaxStreams, h2Config.StreamWindow, h2Config.ConnWindow = 1, 64<<10, 1<<20
+	cfg.Outbound = outbound.Config{Loops: dispatcher.integer("loops"), MaxConnsPerEndpoint: outboundSection.integer("connections"), MaxStreams: outboundSection.integer("streams"),
+		ConnectTimeout: outboundSection.duration("connect-timeout"),
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: outboundSection.numbers["handshakes"], MaxHandshakes: outboundSection.integer("opening"), MaxConns: outboundSection.integer("total")}, IdleTimeout: outboundSection.duration("idle"), MaxAnswerBytes: outboundSection.integer("answer"), H2: h2Config}
+	p.buildList(cfg)
+	p.buildClasses(cfg)
+	p.buildPartners(cfg)
+	p.buildControl(cfg, limits, outboundSection)
+	return cfg
 }
 
-func (r *reader) amqp(c *Config, d, l *section) {
-	a := r.single("amqp")
-	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), MaxUnread: max(l.int("unread"), 2*c.Intake.MaxBody)}
-	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.int("channels")), FrameMax: a.int("frame"), Heartbeat: a.span("heartbeat"),
-		Handshake: l.span("handshake"), BodyStallTimeout: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	q := r.single("answers")
-	c.Mailbox = mailbox.Limits{QueuesPerTenant: q.int("queues"), QueueLength: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
-	if h := c.AMQPConn.Heartbeat; h%time.Second != 0 {
-		r.bad(a.at["heartbeat"], "heartbeat", "is not in whole seconds")
+// buildAMQP fills the settings of the AMQP listener and of the answer queues.
+func (p *parser) buildAMQP(cfg *Config, dispatcher, limits *section) {
+	amqpSection := p.singleSection("amqp")
+	cfg.AMQP = front.Config{Address: amqpSection.values["listen"], Loops: dispatcher.integer("loops"), MaxUnread: max(limits.integer("unread"), 2*cfg.Intake.MaxBody)}
+	cfg.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(amqpSection.integer("channels")), FrameMax: amqpSection.integer("frame"), Heartbeat: amqpSection.duration("heartbeat"),
+		Handshake: limits.duration("handshake"), BodyStallTimeout: limits.duration("stall"), AbuseBurst: limits.numbers["abuse-burst"], AbuseRate: limits.numbers["abuse-rate"]}
+	answers := p.singleSection("answers")
+	cfg.Mailbox = mailbox.Limits{QueuesPerTenant: answers.integer("queues"), QueueLength: answers.integer("queue-length"), Idle: answers.duration("queue-idle"), Keep: answers.duration("keep")}
+	if heartbeat := cfg.AMQPConn.Heartbeat; heartbeat%time.Second != 0 {
+		p.addProblem(amqpSection.lines["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
 }
 
-func (r *reader) list(c *Config) {
-	s := r.single("list")
-	c.ListFile, c.ListEvery = s.raw["file"], s.span("every")
-	if c.ListFile != "" {
-		if _, err := os.Stat(c.ListFile); err != nil {
-			r.bad(s.at["file"], "file", "%v", err)
+// buildList fills the settings of the endpoint list and checks that the list file exists.
+func (p *parser) buildList(cfg *Config) {
+	s := p.singleSection("list")
+	cfg.ListFile, cfg.ListInterval = s.values["file"], s.duration("every")
+	if cfg.ListFile != "" {
+		if _, err := os.Stat(cfg.ListFile); err != nil {
+			p.addProblem(s.lines["file"], "file", "%v", err)
 		}
 	}
 }
 
-func (r *reader) classes(c *Config) {
-	classes, _ := r.all("class")
+// buildClasses fills the message classes and the tenants.
+func (p *parser) buildClasses(cfg *Config) {
+	classes, _ := p.allSections("class")
 	if len(classes) == 0 {
-		r.bad(0, "", "no [class NAME] section: at least one is needed")
+		p.addProblem(0, "", "no [class NAME] section: at least one is needed")
 	}
 	effects := map[string]control.RepeatEffect{"safe": control.Idempotent, "keyed": control.Deduplicated, "unsafe": control.AtMostOnce}
 	for _, s := range classes {
-		k := control.Class{Name: s.name, Effect: effects[s.raw["effect"]], DedupWindow: s.time("window"), Target: s.time("aim"),
-			Deadline: s.time("deadline"), Value: s.num["worth"], LateValue: s.num["late-worth"], InOrder: s.num["order"] == 1}
-		if k.Deadline < k.Target {
-			r.bad(s.at["deadline"], "deadline", "is shorter than the aim")
+		class := control.Class{Name: s.name, Effect: effects[s.values["effect"]], DedupWindow: s.controlTime("window"), Target: s.controlTime("aim"),
+			Deadline: s.controlTime("deadline"), Value: s.numbers["worth"], LateValue: s.numbers["late-worth"], InOrder: s.numbers["order"] == 1}
+		if class.Deadline < class.Target {
+			p.addProblem(s.lines["deadline"], "deadline", "is shorter than the aim")
 		}
-		if (k.Effect == control.Deduplicated) != (k.DedupWindow > 0) {
-			r.bad(max(s.at["window"], s.line), "window", "is needed for keyed classes, and only there")
+		if (class.Effect == control.Deduplicated) != (class.DedupWindow > 0) {
+			p.addProblem(max(s.lines["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
-		c.Classes = append(c.Classes, s.name)
-		c.Module.Classes = append(c.Module.Classes, k)
+		cfg.Classes = append(cfg.Classes, s.name)
+		cfg.Control.Classes = append(cfg.Control.Classes, class)
 	}
-	tenants, _ := r.all("tenant")
+	tenants, _ := p.allSections("tenant")
 	tokens := map[string]string{}
 	for i, s := range tenants {
-		c.Intake.Tenants = append(c.Intake.Tenants, s.name)
-		c.Module.Tenants = append(c.Module.Tenants, control.Tenant{Name: s.name, Quota: s.num["quota"]})
-		if t, ok := s.raw["token"]; ok {
-			if t == "" || strings.ContainsAny(t, " \t") {
-				r.bad(s.at["token"], "token", "is empty or has blanks in it")
+		cfg.Intake.Tenants = append(cfg.Intake.Tenants, s.name)
+		cfg.Control.Tenants = append(cfg.Control.Tenants, control.Tenant{Name: s.name, Quota: s.numbers["quota"]})
+		if token, ok := s.values["token"]; ok {
+			if token == "" || strings.ContainsAny(token, " \t") {
+				p.addProblem(s.lines["token"], "token", "is empty or has blanks in it")
 			}
-			if o := tokens[t]; o != "" {
-				r.bad(s.at["token"], "token", "is that of tenant %s, too", o)
+			if owner := tokens[token]; owner != "" {
+				p.addProblem(s.lines["token"], "token", "is that of tenant %s, too", owner)
 			}
-			tokens[t] = s.name
-			c.Intake.Tokens = append(c.Intake.Tokens, intake.NewToken(t, i))
+			tokens[token] = s.name
+			cfg.Intake.Tokens = append(cfg.Intake.Tokens, intake.NewToken(token, i))
 		}
 	}
 }
 
-func (r *reader) partners(c *Config) {
-	kinds, kindAt := r.all("kind")
+// buildPartners fills the kinds, the partners, their endpoints, the push resources and the exchanges.
+func (p *parser) buildPartners(cfg *Config) {
+	kinds, kindIndex := p.allSections("kind")
 	for _, s := range kinds {
-		c.Module.DestinationKinds = append(c.Module.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.int("batch"), PerEndpointLimits: s.num["routes-apart"] == 1})
-		c.Dialects = append(c.Dialects, push.Dialects[s.raw["dialect"]])
+		cfg.Control.DestinationKinds = append(cfg.Control.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.integer("batch"), PerEndpointLimits: s.numbers["routes-apart"] == 1})
+		cfg.Dialects = append(cfg.Dialects, push.Dialects[s.values["dialect"]])
 	}
-	partners, partnerAt := r.all("partner")
+	partners, partnerIndex := p.allSections("partner")
 	if len(partners) == 0 {
-		r.bad(0, "", "no [partner NAME] section: at least one is needed")
+		p.addProblem(0, "", "no [partner NAME] section: at least one is needed")
 	}
-	c.Intake.Partners = partnerAt
+	cfg.Intake.Partners = partnerIndex
 	for i, s := range partners {
-		k := r.ref(s, "kind", kindAt)
-		c.Partners = append(c.Partners, roster.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.num["rate"]})
-		c.Sites = append(c.Sites, push.Site{Authority: s.raw["authority"], Path: s.raw["path"], Topic: s.raw["topic"]})
-		if !strings.HasPrefix(s.raw["path"], "/") {
-			r.bad(s.at["path"], "path", "%q does not begin with a slash", s.raw["path"])
+		kind := p.resolve(s, "kind", kindIndex)
+		cfg.Partners = append(cfg.Partners, endpointlist.Partner{Name: s.name, Dest: i, Kind: kind, Rate: s.numbers["rate"]})
+		cfg.PartnerResources = append(cfg.PartnerResources, push.PartnerResource{Authority: s.values["authority"], Path: s.values["path"], Topic: s.values["topic"]})
+		if !strings.HasPrefix(s.values["path"], "/") {
+			p.addProblem(s.lines["path"], "path", "%q does not begin with a slash", s.values["path"])
 		}
-		r.endpoints(c, s)
+		p.buildEndpoints(cfg, s)
 	}
-	_, classAt := r.all("class")
-	_, tenantAt := r.all("tenant")
-	resources, _ := r.all("push")
+	_, classIndex := p.allSections("class")
+	_, tenantIndex := p.allSections("tenant")
+	resources, _ := p.allSections("push")
 	if len(resources) == 0 {
-		r.bad(0, "", "no [push PATH] section: clients could hand in nothing")
+		p.addProblem(0, "", "no [push PATH] section: clients could hand in nothing")
 	}
 	for _, s := range resources {
-		res := intake.Resource{Path: s.name, Dest: r.ref(s, "partner", partnerAt), Class: r.ref(s, "class", classAt),
-			Tenant: r.ref(s, "tenant", tenantAt)}
-		if len(r.problems) == 0 {
-			res.InOrder, res.MaxLifetime = c.limits(res.Class)
-			c.Intake.Resources = append(c.Intake.Resources, res)
+		resource := intake.Resource{Path: s.name, Dest: p.resolve(s, "partner", partnerIndex), Class: p.resolve(s, "class", classIndex),
+			Tenant: p.resolve(s, "tenant", tenantIndex)}
+		if len(p.problems) == 0 {
+			resource.InOrder, resource.MaxLifetime = cfg.classLimits(resource.Class)
+			cfg.Intake.Resources = append(cfg.Intake.Resources, resource)
 		}
 	}
-	exchanges, _ := r.all("exchange")
+	exchanges, _ := p.allSections("exchange")
 	for _, s := range exchanges {
-		x := intake.Exchange{Name: s.name, Class: r.ref(s, "class", classAt), Tenant: r.ref(s, "tenant", tenantAt)}
-		if len(r.problems) == 0 {
-			x.InOrder, x.MaxLifetime = c.limits(x.Class)
-			c.Intake.Exchanges = append(c.Intake.Exchanges, x)
+		exchange := intake.Exchange{Name: s.name, Class: p.resolve(s, "class", classIndex), Tenant: p.resolve(s, "tenant", tenantIndex)}
+		if len(p.problems) == 0 {
+			exchange.InOrder, exchange.MaxLifetime = cfg.classLimits(exchange.Class)
+			cfg.Intake.Exchanges = append(cfg.Intake.Exchanges, exchange)
 		}
 	}
 }
 
-// limits are what a class lays down for its messages.
-func (c *Config) limits(class int) (inOrder bool, life time.Duration) {
-	k := c.Module.Classes[class]
-	return k.InOrder, time.Duration(k.Deadline) * time.Microsecond
+// classLimits returns whether messages of a class are ordered and how long they may live.
+func (c *Config) classLimits(class int) (inOrder bool, life time.Duration) {
+	settings := c.Control.Classes[class]
+	return settings.InOrder, time.Duration(settings.Deadline) * time.Microsecond
 }
 
-func (r *reader) endpoints(c *Config, s *section) {
+// buildEndpoints adds the endpoints of a partner section to the list. Each address may occur once per partner.
+func (p *parser) buildEndpoints(cfg *Config, s *section) {
 	seen := map[netip.AddrPort]bool{}
 	add := func(key string, health control.Health) {
-		all, _ := parseAddresses(s.raw[key], false)
-		for _, a := range all {
-			if seen[a] {
-				r.bad(s.at[key], key, "%v stands twice", a)
+		addrs, _ := parseAddresses(s.values[key], false)
+		for _, addr := range addrs {
+			if seen[addr] {
+				p.addProblem(s.lines[key], key, "%v stands twice", addr)
 			}
-			seen[a] = true
-			c.Lines = append(c.Lines, roster.Line{Partner: s.name, Addr: a, Health: health})
+			seen[addr] = true
+			cfg.Endpoints = append(cfg.Endpoints, endpointlist.Endpoint{Partner: s.name, Addr: addr, Health: health})
 		}
 	}
 	add("endpoints", control.Ready)
 	add("draining", control.Draining)
-	if len(seen) == 0 && c.ListFile == "" {
-		r.bad(s.line, "endpoints", "partner %s has none, and there is no list file", s.name)
+	if len(seen) == 0 && cfg.ListFile == "" {
+		p.addProblem(s.line, "endpoints", "partner %s has none, and there is no list file", s.name)
 	}
 }
 
-// module fills the module's settings; bounds that are not set come from the partners listed.
-func (r *reader) module(c *Config, l, o *section) {
-	rules := r.single("rules")
-	m := &c.Module
-	m.Instances = 1
-	m.Tick = rules.time("tick")
-	m.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
-		"rough": control.WeightApproximate}[rules.raw["weights"]]
-	m.OverQuotaFactor = rules.num["over-share"]
-	m.ReportRemainingIndex, m.ReportLimitIndex = -1, -1
-	m.MaxAttempts = l.int("tries")
-	m.MayCancel, m.RetryAfter = true, true
-	m.MaxRetryAfter = rules.time("longest-wait")
-	m.ConnIdleTimeout, m.ConnectTimeout = o.time("idle"), o.time("connect-timeout")
-	m.StreamsPerConn = o.int("streams")
-	m.StopSendingWithin = rules.time("drain-grace")
-	m.ColdCapacity, m.WarmUp = rules.num["cold-from"], rules.time("warm-up")
-	m.CollapseMultiple, m.MaxOverload = rules.num["tip-multiple"], rules.time("overload-for")
-	m.SettleTime = rules.time("settle-after-doubt")
-	if m.Slots = l.int("slots"); m.Slots == 0 {
-		m.Slots = defaultSlots(c)
+// buildControl fills the settings of the decision library, the engine and admission control. Limits that are not set are
+// derived from the configured partners.
+func (p *parser) buildControl(cfg *Config, limits, outboundSection *section) {
+	rules := p.singleSection("rules")
+	settings := &cfg.Control
+	settings.Instances = 1
+	settings.Tick = rules.controlTime("tick")
+	settings.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
+		"rough": control.WeightApproximate}[rules.values["weights"]]
+	settings.OverQuotaFactor = rules.numbers["over-share"]
+	settings.ReportRemainingIndex, settings.ReportLimitIndex = -1, -1
+	settings.MaxAttempts = limits.integer("tries")
+	settings.MayCancel, settings.RetryAfter = true, true
+	settings.MaxRetryAfter = rules.controlTime("longest-wait")
+	settings.ConnIdleTimeout, settings.ConnectTimeout = outboundSection.controlTime("idle"), outboundSection.controlTime("connect-timeout")
+	settings.StreamsPerConn = outboundSection.integer("streams")
+	settings.StopSendingWithin = rules.controlTime("drain-grace")
+	settings.ColdCapacity, settings.WarmUp = rules.numbers["cold-from"], rules.controlTime("warm-up")
+	settings.CollapseMultiple, settings.MaxOverload = rules.numbers["tip-multiple"], rules.controlTime("overload-for")
+	settings.SettleTime = rules.controlTime("settle-after-doubt")
+	if settings.Slots = limits.integer("slots"); settings.Slots == 0 {
+		settings.Slots = defaultSlots(cfg)
 	}
-	if m.MaxOpen = l.int("hold"); m.MaxOpen == 0 {
-		m.MaxOpen = max(1000, 40*m.Slots)
+	if settings.MaxOpen = limits.integer("hold"); settings.MaxOpen == 0 {
+		settings.MaxOpen = max(1000, 40*settings.Slots)
 	}
-	c.Intake.MinLifetime = rules.span("least-life")
-	if m.StopSendingWithin < 2*m.Tick {
-		r.bad(rules.at["drain-grace"], "drain-grace", "is shorter than two ticks")
+	cfg.Intake.MinLifetime = rules.duration("least-life")
+	if settings.StopSendingWithin < 2*settings.Tick {
+		p.addProblem(rules.lines["drain-grace"], "drain-grace", "is shorter than two ticks")
 	}
-	for i, k := range m.Classes {
-		if k.Deadline < 4*m.Tick {
-			r.bad(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
+	for i, class := range settings.Classes {
+		if class.Deadline < 4*settings.Tick {
+			p.addProblem(0, "", "class %s: its deadline is shorter than four ticks", cfg.Classes[i])
 		}
 	}
-	c.Bounds = engine.Limits{MaxQueued: l.int("queue"), MaxHeld: m.MaxOpen}
-	c.Door = admission.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
-		TenantBytes: int64(l.num["tenant-bytes"]), Messages: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
-	if c.Door.UnblockAt >= c.Door.BlockAt {
-		r.bad(max(l.at["unblock-at"], l.at["block-at"]), "unblock-at", "is not below block-at")
+	cfg.EngineBounds = engine.Limits{MaxQueued: limits.integer("queue"), MaxHeld: settings.MaxOpen}
+	cfg.Admission = admission.Limits{Conns: limits.integer("connections"), Channels: limits.integer("channels"), Bytes: int64(limits.numbers["hold-bytes"]),
+		TenantBytes: int64(limits.numbers["tenant-bytes"]), Messages: settings.MaxOpen, BlockAt: limits.numbers["block-at"], UnblockAt: limits.numbers["unblock-at"]}
+	if cfg.Admission.UnblockAt >= cfg.Admission.BlockAt {
+		p.addProblem(max(limits.lines["unblock-at"], limits.lines["block-at"]), "unblock-at", "is not below block-at")
 	}
 }
 
-// defaultSlots is 32 calls for each endpoint, or one second's calls where a partner's rate is listed as more.
-func defaultSlots(c *Config) int {
-	const each, least, most = 32, 16, 8192
-	n := map[string]float64{}
-	for _, l := range c.Lines {
-		n[l.Partner] += each
+// defaultSlots returns the default number of concurrent calls. For each partner it allows 32 calls per endpoint, or the
+// calls of one second at the partner's rate if that is more. The sum is limited to the range from 16 to 8192.
+func defaultSlots(cfg *Config) int {
+	const perEndpoint, minSlots, maxSlots = 32, 16, 8192
+	slots := map[string]float64{}
+	for _, l := range cfg.Endpoints {
+		slots[l.Partner] += perEndpoint
 	}
 	sum := 0.0
-	for _, p := range c.Partners {
-		sum += max(n[p.Name], p.Rate, each)
+	for _, p := range cfg.Partners {
+		sum += max(slots[p.Name], p.Rate, perEndpoint)
 	}
-	return int(min(max(sum, least), most))
+	return int(min(max(sum, minSlots), maxSlots))
 }
 
-// Describe tells in a line what a setup is.
+// Describe summarizes a configuration in one line.
 func (c *Config) Describe() string {
 	return fmt.Sprintf("%d partners, %d endpoints, %d classes, %d tenants, %d push resources; %d slots, %d messages held at most",
-		len(c.Partners), len(c.Lines), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Module.Slots, c.Module.MaxOpen)
+		len(c.Partners), len(c.Endpoints), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Control.Slots, c.Control.MaxOpen)
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes structured lines with zerolog, and bounds how many: a fault that makes a line for each message
-// must not flood the disk of the machine it shows on.
+// Package logs writes structured log lines with zerolog and limits their rate. Without the limit, a fault that logs one
+// line per message could fill the disk of the machine.
 package logs
 
 import (
@@ -13,73 +13,76 @@
 	"github.com/rs/zerolog"
 )
 
-// Logger is a zerolog logger with a bound on lines a second. Lines left out are counted, and the count is told.
+// Logger is a zerolog logger with a token bucket that limits the lines per second. It counts the lines that it drops, and
+// the next line that it writes carries the count in the field left-out. A Logger is safe for concurrent use.
 type Logger struct {
-	z     zerolog.Logger
-	mu    sync.Mutex
-	rate  float64
-	room  float64
-	at    time.Time
-	left  int
-	clock func() time.Time
+	logger     zerolog.Logger
+	mu         sync.Mutex
+	rate       float64
+	tokens     float64
+	refilledAt time.Time
+	dropped    int
+	now        func() time.Time
 }
 
-// New returns a Logger that writes JSON lines of that level and above to w.
+// New returns a Logger that writes JSON lines of the given level and above to w. The token bucket holds the lines of two
+// seconds, so a burst of 2*linesPerSecond is possible. New returns an error if the level is unknown.
 func New(w io.Writer, level string, linesPerSecond float64) (*Logger, error) {
-	l, err := zerolog.ParseLevel(level)
+	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: %w", level, err)
 	}
-	return &Logger{z: zerolog.New(w).Level(l).With().Timestamp().Logger(), rate: linesPerSecond, room: 2 * linesPerSecond,
-		at: clock.Wall(), clock: clock.Wall}, nil
+	return &Logger{logger: zerolog.New(w).Level(minLevel).With().Timestamp().Logger(), rate: linesPerSecond, tokens: 2 * linesPerSecond,
+		refilledAt: clock.Wall(), now: clock.Wall}, nil
 }
 
-// allow tells whether a line may go out, and how many were left out before it.
-func (l *Logger) allow() (ok bool, left int) {
+// allow takes a token from the bucket. It reports whether a line may be written and how many were dropped before it.
+func (l *Logger) allow() (ok bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.clock()
-	l.room = min(2*l.rate, l.room+l.rate*max(0, now.Sub(l.at).Seconds()))
-	l.at = now
-	if l.room < 1 {
-		l.left++
+	now := l.now()
+	l.tokens = min(2*l.rate, l.tokens+l.rate*max(0, now.Sub(l.refilledAt).Seconds()))
+	l.refilledAt = now
+	if l.tokens < 1 {
+		l.dropped++
 		return false, 0
 	}
-	l.room--
-	left, l.left = l.left, 0
-	return true, left
+	l.tokens--
+	dropped, l.dropped = l.dropped, 0
+	return true, dropped
 }
 
-func (l *Logger) write(e *zerolog.Event, part, text string) {
-	if e == nil {
+// write completes an event and writes it, unless the rate limit drops it. The event is nil if its level is disabled.
+func (l *Logger) write(event *zerolog.Event, component, message string) {
+	if event == nil {
 		return
 	}
-	ok, left := l.allow()
+	ok, dropped := l.allow()
 	if !ok {
 		return
 	}
-	if left > 0 {
-		e = e.Int("left-out", left)
+	if dropped > 0 {
+		event = event.Int("left-out", dropped)
 	}
-	e.Str("part", part).Msg(text)
+	event.Str("part", component).Msg(message)
 }
 
-// Info logs what operators want to know.
-func (l *Logger) Info(part, format string, a ...any) {
-	l.write(l.z.Info(), part, fmt.Sprintf(format, a...))
+// Info logs an event of normal operation.
+func (l *Logger) Info(component, format string, args ...any) {
+	l.write(l.logger.Info(), component, fmt.Sprintf(format, args...))
 }
 
-// Warn logs what may need an operator.
-func (l *Logger) Warn(part, format string, a ...any) {
-	l.write(l.z.Warn(), part, fmt.Sprintf(format, a...))
+// Warn logs a condition that may need the attention of an operator.
+func (l *Logger) Warn(component, format string, args ...any) {
+	l.write(l.logger.Warn(), component, fmt.Sprintf(format, args...))
 }
 
-// Error logs what must not happen.
-func (l *Logger) Error(part, format string, a ...any) {
-	l.write(l.z.Error(), part, fmt.Sprintf(format, a...))
+// Error logs a violated invariant or a failed operation.
+func (l *Logger) Error(component, format string, args ...any) {
+	l.write(l.logger.Error(), component, fmt.Sprintf(format, args...))
 }
 
-// Debug logs single events.
-func (l *Logger) Debug(part, format string, a ...any) {
-	l.write(l.z.Debug(), part, fmt.Sprintf(format, a...))
+// Debug logs a single event for troubleshooting.
+func (l *Logger) Debug(component, format string, args ...any) {
+	l.write(l.logger.Debug(), component, fmt.Sprintf(format, args...))
 }
--- a/internal/push/push_test.go
+++ b/internal/push/push_test.go
@@ -11,22 +11,22 @@
 	"whinrun/internal/intake"
 )
 
-func desk() *Desk {
-	return NewDesk(intake.NewRegistry(intake.Config{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, MaxLifetime: 10 * time.Second},
+func testParser() *RequestParser {
+	return NewRequestParser(intake.NewRegistry(intake.Config{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, MaxLifetime: 10 * time.Second},
 		{Path: "/a/open", Class: 1, Tenant: 2, MaxLifetime: 10 * time.Second}, {Path: "/d/*", Tenant: 1, MaxLifetime: 10 * time.Second, Target: ""}},
 		Tokens: []intake.Token{intake.NewToken("one", 0), intake.NewToken("two", 1)}, Tenants: []string{"x", "y", "z"},
 		MaxBody: 1000, MinLifetime: time.Second}))
 }
 
-func request(path string, more ...string) []h2.Field {
+func request(path string, extraFields ...string) []h2.Field {
 	f := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path}}
-	for i := 0; i < len(more); i += 2 {
-		f = append(f, h2.Field{Name: more[i], Value: more[i+1]})
+	for i := 0; i < len(extraFields); i += 2 {
+		f = append(f, h2.Field{Name: extraFields[i], Value: extraFields[i+1]})
 	}
 	return f
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejects(t *testing.T) {
 	auth := []string{"authorization", "Bearer one"}
 	with := func(more ...string) []string { return append(append([]string(nil), auth...), more...) }
 	for _, c := range []struct {
@@ -57,14 +57,14 @@
 		{"blank in the device", request("/d/a b", "ttl", "5", "authorization", "Bearer two"), 404},
 		{"deeper", request("/d/a/b", "ttl", "5", "authorization", "Bearer two"), 404},
 	} {
-		_, p := desk().Read(c.fields)
+		_, p := testParser().Read(c.fields)
 		if got := statusOf(p); got != c.status {
 			t.Errorf("%s: %d, want %d (%v)", c.name, got, c.status, p)
 		}
 	}
 	get := request("/a/status", with("ttl", "5")...)
 	get[0].Value = "GET"
-	if _, p := desk().Read(get); statusOf(p) != 405 {
+	if _, p := testParser().Read(get); statusOf(p) != 405 {
 		t.Errorf("GET: %v", p)
 	}
 }
@@ -76,33 +76,33 @@
 	return p.Status
 }
 
-func TestReadMeaning(t *testing.T) {
-	m, p := desk().Read(request("/a/status", "authorization", "bearer one", "ttl", "3", "topic", "t1", "idempotency-key", `"k1"`, "urgency", "high"))
+func TestReadSetsMessageFields(t *testing.T) {
+	m, p := testParser().Read(request("/a/status", "authorization", "bearer one", "ttl", "3", "topic", "t1", "idempotency-key", `"k1"`, "urgency", "high"))
 	if p != nil {
 		t.Fatal(p)
 	}
 	if m.Lifetime != 3*control.Second || m.OrderKey == 0 || m.IdempotencyKey != "0/k1" || m.Dest != 1 || m.Urgency != "high" {
 		t.Errorf("%+v", m)
 	}
-	bare, _ := desk().Read(request("/a/status", "authorization", "Bearer one", "ttl", "0", "topic", "t1", "idempotency-key", "k1"))
+	bare, _ := testParser().Read(request("/a/status", "authorization", "Bearer one", "ttl", "0", "topic", "t1", "idempotency-key", "k1"))
 	if bare.Lifetime != control.Second || bare.OrderKey != m.OrderKey || bare.IdempotencyKey != m.IdempotencyKey {
 		t.Errorf("TTL 0, bare key: %+v", bare)
 	}
-	d, _ := desk().Read(request("/d/token9", "authorization", "Bearer two", "ttl", "100"))
+	d, _ := testParser().Read(request("/d/token9", "authorization", "Bearer two", "ttl", "100"))
 	if d.TargetPath != "/token9" || d.Lifetime != 10*control.Second {
 		t.Errorf("%+v", d)
 	}
 }
 
-// Retry-After as seconds and as a date; a date counts from the answer's own Date, so that clocks which differ or step
-// change no wait.
+// Retry-After can hold seconds or a date. A date is compared with the Date field of the response, so that clock skew and
+// clock steps do not change the wait.
 func TestRetryAfter(t *testing.T) {
 	wall := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	for _, c := range []struct {
 		value, date string
 		want        time.Duration
 	}{
-		{"", "", 0}, {"7", "", 7 * time.Second}, {"-7", "", 0}, {"soon", "", 0}, {"99999999999999999999", "", mostWait}, {"9999999999", "", mostWait},
+		{"", "", 0}, {"7", "", 7 * time.Second}, {"-7", "", 0}, {"soon", "", 0}, {"99999999999999999999", "", maxRetryAfter}, {"9999999999", "", maxRetryAfter},
 		{"Fri, 02 Jan 2026 03:04:15 GMT", "", 10 * time.Second},
 		{"Fri, 02 Jan 2026 03:04:00 GMT", "", 0},
 		{"Fri, 02 Jan 2026 08:00:30 GMT", "Fri, 02 Jan 2026 08:00:00 GMT", 30 * time.Second},
@@ -117,20 +117,20 @@
 	}
 }
 
-// What attempts look like in both dialects; the id is the same on every attempt.
+// Both dialects send the documented header fields. The message ID is the same on every attempt.
 func TestDialects(t *testing.T) {
 	m := &engine.Message{ID: 40, Topic: "t", Urgency: "high", TargetPath: "/device9", Body: []byte("abc"), ContentType: "text/plain"}
 	a := &engine.Attempt{Message: m, Number: 2}
-	n := Names{Epoch: "e"}
+	n := ExternalIDs{Epoch: "e"}
 	wall := time.Unix(1000, 0)
-	f := Standard{}.Request(Site{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
-	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessage: "e-14",
+	f := Standard{}.Request(PartnerResource{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
+	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessageID: "e-14",
 		FieldAttempt: "2", "idempotency-key": `"e-14"`, "content-length": "3", ":authority": "h:1"} {
 		if got := h2.Value(f, name); got != want {
 			t.Errorf("push %s: %q, want %q", name, got, want)
 		}
 	}
-	f = Device{}.Request(Site{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
+	f = Device{}.Request(PartnerResource{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
 	for name, want := range map[string]string{":path": "/3/device/device9", "apns-expiration": "1003", "apns-priority": "10", "apns-topic": "app",
 		"apns-collapse-id": "t"} {
 		if got := h2.Value(f, name); got != want {
@@ -138,7 +138,7 @@
 		}
 	}
 	id := h2.Value(f, "apns-id")
-	again := Device{}.Request(Site{}, n, &engine.Attempt{Message: m, Number: 3}, 0, wall)
+	again := Device{}.Request(PartnerResource{}, n, &engine.Attempt{Message: m, Number: 3}, 0, wall)
 	if len(id) != 36 || h2.Value(again, "apns-id") != id {
 		t.Errorf("apns-id %q, then %q", id, h2.Value(again, "apns-id"))
 	}
@@ -150,7 +150,7 @@
 	}
 }
 
-// Each final answer's form; a refusal always tells a wait.
+// Each final answer has its documented status, and a refusal always has a Retry-After field.
 func TestResponse(t *testing.T) {
 	m := &engine.Message{ID: 40, Lifetime: 3 * control.Second}
 	for _, c := range []struct {
@@ -164,7 +164,7 @@
 		{engine.Answer{Kind: engine.Failed}, "502", ""},
 		{engine.Answer{Kind: engine.Failed, DeadlineExceeded: true}, "504", ""},
 	} {
-		r := Response(Names{"e"}, m, c.a)
+		r := Response(ExternalIDs{"e"}, m, c.a)
 		if got := h2.Value(r.Fields, ":status"); got != c.status {
 			t.Errorf("%+v: status %s", c.a, got)
 		}
@@ -177,9 +177,9 @@
 func FuzzRead(f *testing.F) {
 	f.Add("/a/status", "Bearer one", "5", "t", `"k"`)
 	f.Fuzz(func(t *testing.T, path, auth, ttl, topic, key string) {
-		m, p := desk().Read(request(path, "authorization", auth, "ttl", ttl, "topic", topic, "idempotency-key", key))
+		m, p := testParser().Read(request(path, "authorization", auth, "ttl", ttl, "topic", topic, "idempotency-key", key))
 		if (m == nil) == (p == nil) {
-			t.Error("neither a message nor a problem, or both")
+			t.Error("Read must return either a message or a problem")
 		}
 		if m != nil && (m.Lifetime < control.Second || m.Lifetime > 10*control.Second) {
 			t.Errorf("life %d", m.Lifetime)
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -1,5 +1,6 @@
-// Package pushfront is the HTTP/2 side towards clients: messages come by push (RFC 8030), final answers go back on
-// their streams. It decides nothing about messages: what it refuses at the door was never taken.
+// Package pushfront serves clients over HTTP/2. Clients hand in messages by push (RFC 8030), and the final answer to a
+// message is the response on its stream. The package makes no delivery decisions. A message that it rejects was never
+// accepted.
 package pushfront
 
 import (
@@ -14,120 +15,128 @@
 	"whinrun/internal/push"
 )
 
-// Config is of all sessions.
+// Config is the configuration of all sessions.
 type Config struct {
-	Idle time.Duration // a connection without requests is sent away after this, 0 for never
-	H2   h2.Config
+	// IdleTimeout is how long a connection may have no requests before it gets GOAWAY. 0 means no limit.
+	IdleTimeout time.Duration
+	// H2 is the HTTP/2 configuration of the connections.
+	H2 h2.Config
 }
 
-// Opener makes sessions.
-func Opener(cfg Config, desk *push.Desk, names push.Names, side *admission.Frontend, room *mailbox.SharedBroker, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
-	return func(c *front.Conn, now time.Duration) front.Session {
-		return &session{cfg: &cfg, desk: desk, names: names, side: side, room: room, now: clock, conn: c, h: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
-			idleFrom: now}
+// SessionFactory returns a function that creates the session of a new client connection. now returns the dispatcher's
+// monotonic time.
+func SessionFactory(cfg Config, parser *push.RequestParser, ids push.ExternalIDs, admitter *admission.Frontend, mailboxes *mailbox.SharedBroker, now func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+	return func(c *front.Conn, started time.Duration) front.Session {
+		return &session{cfg: &cfg, parser: parser, ids: ids, admitter: admitter, mailboxes: mailboxes, now: now, conn: c, h2conn: h2.NewServer(cfg.H2, started), requests: map[uint32]*request{},
+			idleSince: started}
 	}
 }
 
-// session is one client connection.
+// session serves one client connection. All methods run on the event loop of the connection.
 type session struct {
-	cfg      *Config
-	desk     *push.Desk
-	names    push.Names
-	side     *admission.Frontend
-	room     *mailbox.SharedBroker
-	now      func() time.Duration
-	conn     *front.Conn
-	h        *h2.Conn
-	requests map[uint32]*request
-	idleFrom time.Duration
+	cfg       *Config
+	parser    *push.RequestParser
+	ids       push.ExternalIDs
+	admitter  *admission.Frontend
+	mailboxes *mailbox.SharedBroker
+	now       func() time.Duration
+	conn      *front.Conn
+	h2conn    *h2.Conn
+	requests  map[uint32]*request
+	idleSince time.Duration
 }
 
-// request is one stream from its header section to its answer.
+// request is a message that a client sends on a stream, from its header section to its final answer.
 type request struct {
-	s      *session
-	stream uint32
-	msg    *engine.Message
-	ticket admission.Reservation
-	whole  bool
-	answer engine.Answer
+	session  *session
+	stream   uint32
+	msg      *engine.Message
+	ticket   admission.Reservation
+	complete bool
+	answer   engine.Answer
 
-	place    *mailbox.Reservation // of the receipt, where one is wanted
-	receipts string               // the subscription it goes to
-	path     string
+	// reservation is the reserved place for the receipt. It is nil if the client waits for the answer on the stream.
+	reservation *mailbox.Reservation
+	// subscriptionURI is the receipt subscription that the client named.
+	subscriptionURI string
+	// resourcePath is the path that the message was posted to. It is set if the client wants a receipt.
+	resourcePath string
 }
 
-// Receive takes bytes of the client.
+// Receive processes bytes from the client.
 func (s *session) Receive(now time.Duration, b []byte) error {
-	events, err := s.h.Receive(now, b)
+	events, err := s.h2conn.Receive(now, b)
 	for i := range events {
-		s.event(&events[i], now)
+		s.handleEvent(&events[i], now)
 	}
 	return err
 }
 
-// Check sends an idle client away and holds the protocol's time limits.
+// Check sends GOAWAY to an idle client and enforces the time limits of the protocol.
 func (s *session) Check(now time.Duration) error {
 	if len(s.requests) > 0 {
-		s.idleFrom = now
+		s.idleSince = now
 	}
-	if s.cfg.Idle > 0 && now-s.idleFrom > s.cfg.Idle {
-		s.h.GoAway(now, h2.NoError)
+	if s.cfg.IdleTimeout > 0 && now-s.idleSince > s.cfg.IdleTimeout {
+		s.h2conn.GoAway(now, h2.NoError)
 	}
-	return s.h.Check(now)
+	return s.h2conn.Check(now)
 }
 
-// Due is soon while something moves, else when the client has been idle for long.
+// Due returns when Check must run next. That is in a second while requests, streams or the handshake are open, and
+// otherwise when the idle timeout ends. It is 0 if there is no idle timeout.
 func (s *session) Due(now time.Duration) time.Duration {
 	switch {
 	case s.Owes():
 		return now + time.Second
-	case s.cfg.Idle > 0:
-		return s.idleFrom + s.cfg.Idle + time.Millisecond
+	case s.cfg.IdleTimeout > 0:
+		return s.idleSince + s.cfg.IdleTimeout + time.Millisecond
 	}
 	return 0
 }
 
-// GoAway tells the client to open no further streams.
-func (s *session) GoAway(now time.Duration) { s.h.GoAway(now, h2.NoError) }
+// GoAway tells the client not to open further streams.
+func (s *session) GoAway(now time.Duration) { s.h2conn.GoAway(now, h2.NoError) }
 
-// Finish has nothing to add to GOAWAY.
+// Finish does nothing, because GOAWAY already ends an HTTP/2 connection in order.
 func (s *session) Finish(time.Duration) {}
 
-// Output returns what is to be written.
-func (s *session) Output() []byte { return s.h.Output() }
+// Output returns the bytes to write to the client and clears them.
+func (s *session) Output() []byte { return s.h2conn.Output() }
 
-// Owes tells whether requests are open, or the handshake is not over.
+// Owes reports whether requests or streams are open, or the handshake is not complete.
 func (s *session) Owes() bool {
-	return len(s.requests) > 0 || !s.h.SettingsReceived() || s.h.OpenStreams() > 0
+	return len(s.requests) > 0 || !s.h2conn.SettingsReceived() || s.h2conn.OpenStreams() > 0
 }
 
-// Done tells whether all streams are over after a GOAWAY.
-func (s *session) Done() bool { return s.h.Done() }
+// Done reports whether all streams have ended after a GOAWAY.
+func (s *session) Done() bool { return s.h2conn.Done() }
 
-// Lost withdraws what the client waited for.
+// Lost cancels the requests whose answers the client was waiting for.
 func (s *session) Lost() {
 	for _, r := range s.requests {
-		r.withdraw()
+		r.cancel()
 	}
 	s.requests = nil
 }
 
-// withdraw ends a request that nobody waits for.
-func (r *request) withdraw() {
+// cancel cancels a request whose client no longer waits for the answer.
+func (r *request) cancel() {
 	r.ticket.Withdraw()
-	r.unpromise(r.s.now())
+	r.releaseReceipt(r.session.now())
 }
 
-func (s *session) event(e *h2.Event, now time.Duration) {
+// handleEvent handles an event of the HTTP/2 connection.
+func (s *session) handleEvent(e *h2.Event, now time.Duration) {
 	switch e.Kind {
 	case h2.Headers:
-		s.begin(e, now)
+		s.handleHeaders(e, now)
 	case h2.HeadersTooLarge:
-		s.side.Rejected.Add(1)
+		s.admitter.Rejected.Add(1)
 		s.reply(e.Stream, &push.Problem{Status: 431, Title: "header section too large"}, now)
 	case h2.Data:
 		if r := s.requests[e.Stream]; r != nil {
-			s.body(r, e, now)
+			s.handleData(r, e, now)
 		}
 	case h2.Trailers:
 		if r := s.requests[e.Stream]; r != nil {
@@ -136,53 +145,55 @@
 	case h2.StreamReset:
 		if r := s.requests[e.Stream]; r != nil {
 			delete(s.requests, e.Stream)
-			r.withdraw()
+			r.cancel()
 		}
 	}
 }
 
-func (s *session) begin(e *h2.Event, now time.Duration) {
-	if s.receiptCall(e, now) {
+// handleHeaders starts a request, or rejects it.
+func (s *session) handleHeaders(e *h2.Event, now time.Duration) {
+	if s.handleReceiptRequest(e, now) {
 		return
 	}
-	m, p := s.desk.Read(e.Fields)
-	uri := ""
-	if p == nil {
-		uri, p = wanted(e.Fields)
+	msg, problem := s.parser.Read(e.Fields)
+	subscriptionURI := ""
+	if problem == nil {
+		subscriptionURI, problem = requestedSubscription(e.Fields)
 	}
-	if p != nil {
-		s.side.Rejected.Add(1)
-		s.reply(e.Stream, p, now)
+	if problem != nil {
+		s.admitter.Rejected.Add(1)
+		s.reply(e.Stream, problem, now)
 		return
 	}
-	r := &request{s: s, stream: e.Stream, msg: m, ticket: s.side.NewReservation(m.Tenant)}
-	m.Origin = r
-	if uri != "" {
-		r.path = h2.Value(e.Fields, ":path")
-		if p := s.promise(r, uri); p != nil {
-			s.refuse(r, p, now)
+	r := &request{session: s, stream: e.Stream, msg: msg, ticket: s.admitter.NewReservation(msg.Tenant)}
+	msg.Origin = r
+	if subscriptionURI != "" {
+		r.resourcePath = h2.Value(e.Fields, ":path")
+		if p := s.reserveReceipt(r, subscriptionURI); p != nil {
+			s.reject(r, p, now)
 			return
 		}
 	}
 	s.requests[e.Stream] = r
 	if h2.Value(e.Fields, "expect") == "100-continue" && !e.End {
-		_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "100"}}, nil)
+		_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "100"}}, nil)
 	}
 	if e.End {
 		s.submit(r, now)
 	}
 }
 
-func (s *session) body(r *request, e *h2.Event, now time.Duration) {
-	if r.whole {
+// handleData appends a part of the body to the message and rejects a body that exceeds a limit.
+func (s *session) handleData(r *request, e *h2.Event, now time.Duration) {
+	if r.complete {
 		return
 	}
-	if len(r.msg.Body)+len(e.Data) > s.desk.MaxBody() {
-		s.refuse(r, s.desk.TooLong(), now)
+	if len(r.msg.Body)+len(e.Data) > s.parser.MaxBody() {
+		s.reject(r, s.parser.BodyTooLarge(), now)
 		return
 	}
 	if err := r.ticket.Reserve(len(e.Data)); err != nil {
-		s.refuse(r, notTaken(err), now)
+		s.reject(r, rejectionProblem(err), now)
 		return
 	}
 	r.msg.Body = append(r.msg.Body, e.Data...)
@@ -191,74 +202,78 @@
 	}
 }
 
-// submit hands a message over that is here in full.
+// submit hands a complete message over to the engine.
 func (s *session) submit(r *request, now time.Duration) {
-	if r.whole {
+	if r.complete {
 		return
 	}
-	r.whole = true
+	r.complete = true
 	if err := r.ticket.Submit(r.msg); err != nil {
-		s.refuse(r, notTaken(err), now)
-	} else if r.place != nil {
-		s.accepted(r, now)
+		s.reject(r, rejectionProblem(err), now)
+	} else if r.reservation != nil {
+		s.respondAccepted(r, now)
 	}
 }
 
-// notTaken is the answer to a message that the door or the engine does not take.
-func notTaken(err error) *push.Problem {
-	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
-	if errors.Is(err, engine.ErrStopping) {
-		p.Wait = 5 * time.Second
+// rejectionProblem returns the problem for a message that admission or the engine rejects. A dispatcher that is stopping
+// needs longer until it can accept messages again than one that is overloaded.
+func rejectionProblem(cause error) *push.Problem {
+	p := &push.Problem{Status: 503, Title: "not taken: " + cause.Error(), RetryAfter: time.Second}
+	if errors.Is(cause, engine.ErrStopping) {
+		p.RetryAfter = 5 * time.Second
 	}
 	return p
 }
 
-// refuse answers a request that never became a message.
-func (s *session) refuse(r *request, p *push.Problem, now time.Duration) {
+// reject ends a request whose message was not accepted and sends the problem.
+func (s *session) reject(r *request, problem *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
 	r.ticket.Reject()
-	r.unpromise(now)
-	s.reply(r.stream, p, now)
+	r.releaseReceipt(now)
+	s.reply(r.stream, problem, now)
 }
 
-func (s *session) reply(stream uint32, p *push.Problem, now time.Duration) {
-	reply := p.Reply()
-	_ = s.h.Respond(now, stream, reply.Fields, reply.Body)
+// reply sends a problem as the response on a stream. An error of Respond is ignored: the stream is then closed already.
+func (s *session) reply(stream uint32, problem *push.Problem, now time.Duration) {
+	reply := problem.Reply()
+	_ = s.h2conn.Respond(now, stream, reply.Fields, reply.Body)
 }
 
-// Answer is engine.Origin: it runs on the engine's goroutine and posts the answer to the connection.
+// Answer implements engine.Origin. It runs on the engine's goroutine and posts the answer to the connection.
 func (r *request) Answer(_ *engine.Message, a engine.Answer) {
 	r.answer = a
-	if r.place != nil {
-		r.fill(&a)
-		if !r.s.conn.Post(r) {
+	if r.reservation != nil {
+		r.storeReceipt(&a)
+		if !r.session.conn.Post(r) {
 			r.Lost()
 		}
 		return
 	}
-	r.s.conn.Post(r) // where the connection is gone its session has withdrawn the message
+	// If the connection is closed, its session has already canceled the message.
+	r.session.conn.Post(r)
 }
 
-// Open writes the final answer, unless the client has withdrawn the message meanwhile.
+// Open runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
+// the client wanted a receipt, Final has stored it, and Open only counts the answer.
 func (r *request) Open(now time.Duration) {
 	if r.ticket.Ended() {
-		r.s.side.Undelivered.Add(1)
+		r.session.admitter.Undelivered.Add(1)
 		return
 	}
 	r.ticket.Complete(r.answer.Kind, true)
-	if r.place != nil {
+	if r.reservation != nil {
 		return
 	}
-	delete(r.s.requests, r.stream)
-	reply := push.Response(r.s.names, r.msg, r.answer)
-	_ = r.s.h.Respond(now, r.stream, reply.Fields, reply.Body)
+	delete(r.session.requests, r.stream)
+	reply := push.Response(r.session.ids, r.msg, r.answer)
+	_ = r.session.h2conn.Respond(now, r.stream, reply.Fields, reply.Body)
 }
 
-// Lost counts an answer that comes too late; a receipt is in its place already.
+// Lost counts an answer whose connection is closed. A receipt was stored before and counts as heard.
 func (r *request) Lost() {
-	if r.place != nil {
+	if r.reservation != nil {
 		r.ticket.Complete(r.answer.Kind, true)
 		return
 	}
-	r.s.side.Undelivered.Add(1)
+	r.session.admitter.Undelivered.Add(1)
 }
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -16,20 +16,22 @@
 	"whinrun/internal/receipt"
 )
 
-// Receipts (RFC 8030 section 5.1): a message with "Prefer: respond-async" and a Push-Receipt field is answered 202 once
-// it is taken, and its final answer goes to the receipt subscription. Where the standard pushes receipts to a waiting
-// GET, which clients no longer support, a subscription here is read: GET returns what is there, DELETE takes one out.
+// receiptsPath is the path prefix of receipt subscriptions (RFC 8030 section 5.1). A message with "Prefer: respond-async"
+// and a Push-Receipt field gets status 202 as soon as it is accepted, and its final answer goes to the subscription. The
+// standard delivers receipts by server push to a waiting GET, which clients no longer support. Here, clients poll a
+// subscription with GET and remove receipts with DELETE.
 //
-//	POST   /receipts/TENANT          makes a subscription: 201, Location
-//	GET    /receipts/TENANT/NAME     the oldest receipts, a JSON array; 204 where there is none
-//	DELETE /receipts/TENANT/NAME/NO  takes one out
+//	POST   /receipts/TENANT          creates a subscription: 201 with Location
+//	GET    /receipts/TENANT/NAME     returns the oldest receipts as a JSON array, or 204 if there are none
+//	DELETE /receipts/TENANT/NAME/NO  removes a receipt
 const receiptsPath = "/receipts/"
 
-// mostReceipts are returned by one GET.
-const mostReceipts = 100
+// maxReceiptsPerGet is the largest number of receipts in one GET response.
+const maxReceiptsPerGet = 100
 
-// wanted returns the subscription that a message's final answer is to go to, empty where its sender waits for it.
-func wanted(fields []h2.Field) (name string, p *push.Problem) {
+// requestedSubscription returns the URI of the receipt subscription that a request names. It is empty if the client waits
+// for the final answer on the stream.
+func requestedSubscription(fields []h2.Field) (name string, p *push.Problem) {
 	async := false
 	for _, f := range fields {
 		if f.Name == "prefer" {
@@ -38,171 +40,178 @@
 			}
 		}
 	}
-	n := h2.Count(fields, "push-receipt")
+	count := h2.Count(fields, "push-receipt")
 	switch {
-	case !async && n == 0:
+	case !async && count == 0:
 		return "", nil
-	case !async || n != 1:
+	case !async || count != 1:
 		return "", &push.Problem{Status: 400, Title: "a receipt needs one Push-Receipt field and Prefer: respond-async (RFC 8030 section 5.1)"}
 	}
 	return h2.Value(fields, "push-receipt"), nil
 }
 
-// promise has a place kept for the receipt of a message.
-func (s *session) promise(r *request, uri string) *push.Problem {
-	tenant, name, ok := s.subscription(uri)
+// reserveReceipt reserves a place for the receipt of a message, so that the answer cannot be lost to a full queue.
+func (s *session) reserveReceipt(r *request, uri string) *push.Problem {
+	tenant, name, ok := s.parseSubscription(uri)
 	if !ok || tenant != r.msg.Tenant {
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	}
-	s.room.Lock()
-	place, err := s.room.Reserve(tenant, name, "", "")
-	s.room.Unlock()
+	s.mailboxes.Lock()
+	reservation, err := s.mailboxes.Reserve(tenant, name, "", "")
+	s.mailboxes.Unlock()
 	switch {
 	case errors.Is(err, mailbox.ErrNotFound):
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	case err != nil:
-		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
+		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	}
-	r.place, r.receipts, r.msg.ReceiptSubscription = place, uri, name
+	r.reservation, r.subscriptionURI, r.msg.ReceiptSubscription = reservation, uri, name
 	return nil
 }
 
-// unpromise gives the place of a message back that was not taken.
-func (r *request) unpromise(now time.Duration) {
-	if r.place != nil {
-		r.s.room.Lock()
-		r.place.Release(now)
-		r.s.room.Unlock()
-		r.place = nil
+// releaseReceipt releases the reserved place of a message that was not accepted or was canceled.
+func (r *request) releaseReceipt(now time.Duration) {
+	if r.reservation != nil {
+		r.session.mailboxes.Lock()
+		r.reservation.Release(now)
+		r.session.mailboxes.Unlock()
+		r.reservation = nil
 	}
 }
 
-// accepted answers a message whose receipt goes elsewhere: its stream is over, and no longer withdraws it.
-func (s *session) accepted(r *request, now time.Duration) {
+// respondAccepted sends status 202 for a message with a receipt subscription. From then on, the end of its stream or of
+// the connection no longer cancels the message.
+func (s *session) respondAccepted(r *request, now time.Duration) {
 	delete(s.requests, r.stream)
-	id := s.names.Of(r.msg.ID)
-	_ = s.h.Respond(now, r.stream, []h2.Field{{Name: ":status", Value: "202"}, {Name: "location", Value: "/m/" + id},
-		{Name: "link", Value: "<" + r.receipts + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessage, Value: id, Sensitive: true}}, nil)
+	id := s.ids.Format(r.msg.ID)
+	_ = s.h2conn.Respond(now, r.stream, []h2.Field{{Name: ":status", Value: "202"}, {Name: "location", Value: "/m/" + id},
+		{Name: "link", Value: "<" + r.subscriptionURI + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessageID, Value: id, Sensitive: true}}, nil)
 }
 
-// fill puts the final answer into its place; it runs on the engine's goroutine.
-func (r *request) fill(a *engine.Answer) {
-	rec := receipt.New(r.s.names.Of(r.msg.ID), a, clock.Wall())
-	rec.Path = r.path
+// storeReceipt stores the final answer in the reserved place. It runs on the engine's goroutine.
+func (r *request) storeReceipt(a *engine.Answer) {
+	rec := receipt.New(r.session.ids.Format(r.msg.ID), a, clock.Wall())
+	rec.Path = r.resourcePath
 	if _, key, ok := strings.Cut(r.msg.IdempotencyKey, "/"); ok {
 		rec.MessageID = key
 	}
-	r.s.room.Lock()
-	r.place.Fill(r.s.now(), rec)
-	r.s.room.Unlock()
+	r.session.mailboxes.Lock()
+	r.reservation.Fill(r.session.now(), rec)
+	r.session.mailboxes.Unlock()
 }
 
-// subscription splits a receipt subscription's path, or a URI with it, into tenant and name.
-func (s *session) subscription(uri string) (tenant int, name string, ok bool) {
+// parseSubscription splits the path or the URI of a receipt subscription into its tenant and its name.
+func (s *session) parseSubscription(uri string) (tenant int, name string, ok bool) {
 	if i := strings.Index(uri, "://"); i >= 0 {
 		_, rest, _ := strings.Cut(uri[i+3:], "/")
 		uri = "/" + rest
 	}
-	who, name, _ := strings.Cut(strings.TrimPrefix(uri, receiptsPath), "/")
-	tenant, ok = s.desk.Book().Tenant(who)
+	tenantName, name, _ := strings.Cut(strings.TrimPrefix(uri, receiptsPath), "/")
+	tenant, ok = s.parser.Rules().Tenant(tenantName)
 	return tenant, name, ok && strings.HasPrefix(uri, receiptsPath) && name != "" && !strings.Contains(name, "/")
 }
 
-// receiptCall takes a request about receipts; false where the path is not one.
-func (s *session) receiptCall(e *h2.Event, now time.Duration) bool {
+// handleReceiptRequest handles a request for receipts. It returns false if the path is not below receiptsPath, or if a push
+// resource is configured at that path.
+func (s *session) handleReceiptRequest(e *h2.Event, now time.Duration) bool {
 	path := h2.Value(e.Fields, ":path")
 	if !strings.HasPrefix(path, receiptsPath) {
 		return false
 	}
-	if r, _ := s.desk.Book().Find(path); r != nil {
+	if r, _ := s.parser.Rules().Find(path); r != nil {
 		return false
 	}
-	if p := s.receiptReply(e, path, now); p != nil {
-		s.side.Rejected.Add(1)
+	if p := s.serveReceiptRequest(e, path, now); p != nil {
+		s.admitter.Rejected.Add(1)
 		s.reply(e.Stream, p, now)
 	}
 	return true
 }
 
-func (s *session) receiptReply(e *h2.Event, path string, now time.Duration) *push.Problem {
-	part := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
-	tenant, ok := s.desk.Book().Tenant(part[0])
-	if !ok || len(part) > 3 {
+// serveReceiptRequest checks a request for receipts and dispatches it by its path and method.
+func (s *session) serveReceiptRequest(e *h2.Event, path string, now time.Duration) *push.Problem {
+	segments := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
+	tenant, ok := s.parser.Rules().Tenant(segments[0])
+	if !ok || len(segments) > 3 {
 		return &push.Problem{Status: 404, Title: "no receipts at this path"}
 	}
-	if p := s.desk.Allowed(tenant, h2.Value(e.Fields, "authorization")); p != nil {
+	if p := s.parser.Authorize(tenant, h2.Value(e.Fields, "authorization")); p != nil {
 		return p
 	}
 	method := h2.Value(e.Fields, ":method")
 	switch {
-	case len(part) == 1 && method == "POST":
-		return s.subscribe(e, tenant, part[0], now)
-	case len(part) == 2 && method == "GET":
-		return s.read(e, tenant, part[1], now)
-	case len(part) == 3 && method == "DELETE":
-		no, err := strconv.ParseUint(part[2], 10, 64)
+	case len(segments) == 1 && method == "POST":
+		return s.createSubscription(e, tenant, segments[0], now)
+	case len(segments) == 2 && method == "GET":
+		return s.listReceipts(e, tenant, segments[1], now)
+	case len(segments) == 3 && method == "DELETE":
+		number, err := strconv.ParseUint(segments[2], 10, 64)
 		if err != nil {
 			return &push.Problem{Status: 404, Title: "no such receipt"}
 		}
-		s.room.Lock()
-		taken, err := s.room.Take(now, tenant, part[1], no)
-		s.room.Unlock()
+		s.mailboxes.Lock()
+		taken, err := s.mailboxes.Take(now, tenant, segments[1], number)
+		s.mailboxes.Unlock()
 		if r, ok := taken.(*receipt.Receipt); ok {
-			s.room.NotifyChange(tenant, part[1], r)
+			s.mailboxes.NotifyChange(tenant, segments[1], r)
 		}
-		return s.over(e, err, now)
+		return s.respondNoContent(e, err, now)
 	}
 	return &push.Problem{Status: 405, Title: "POST makes a subscription, GET reads it, DELETE takes a receipt out"}
 }
 
-func (s *session) subscribe(e *h2.Event, tenant int, who string, now time.Duration) *push.Problem {
-	s.room.Lock()
-	name, _, _, err := s.room.Declare(now, tenant, mailbox.QueueSpec{}, false)
-	s.room.Unlock()
+// createSubscription creates a receipt subscription and responds with its path.
+func (s *session) createSubscription(e *h2.Event, tenant int, tenantName string, now time.Duration) *push.Problem {
+	s.mailboxes.Lock()
+	name, _, _, err := s.mailboxes.Declare(now, tenant, mailbox.QueueSpec{}, false)
+	s.mailboxes.Unlock()
 	if err != nil {
-		return &push.Problem{Status: 503, Title: err.Error(), Wait: time.Minute}
+		return &push.Problem{Status: 503, Title: err.Error(), RetryAfter: time.Minute}
 	}
-	s.room.NotifyChange(tenant, name, nil)
-	_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + who + "/" + name}}, nil)
+	s.mailboxes.NotifyChange(tenant, name, nil)
+	_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + tenantName + "/" + name}}, nil)
 	return nil
 }
 
-// entry is one receipt as it is read.
-type entry struct {
+// receiptEntry is a receipt in the response to a GET.
+type receiptEntry struct {
+	// No is the number that the DELETE path of the receipt ends in.
 	No      uint64           `json:"no"`
 	Receipt *receipt.Receipt `json:"receipt"`
-	Signed  string           `json:"signed,omitempty"` // JWS (RFC 7515), where the dispatcher has a key
+	// Signed is the receipt as a JWS (RFC 7515). It is empty if the dispatcher has no signing key.
+	Signed string `json:"signed,omitempty"`
 }
 
-func (s *session) read(e *h2.Event, tenant int, name string, now time.Duration) *push.Problem {
-	s.room.Lock()
-	all, err := s.room.Peek(now, tenant, name, mostReceipts)
-	s.room.Unlock()
-	if err != nil || len(all) == 0 {
-		return s.over(e, err, now)
+// listReceipts responds with the oldest receipts of a subscription.
+func (s *session) listReceipts(e *h2.Event, tenant int, name string, now time.Duration) *push.Problem {
+	s.mailboxes.Lock()
+	waiting, err := s.mailboxes.Peek(now, tenant, name, maxReceiptsPerGet)
+	s.mailboxes.Unlock()
+	if err != nil || len(waiting) == 0 {
+		return s.respondNoContent(e, err, now)
 	}
-	entries := make([]entry, len(all))
-	for i, w := range all {
+	entries := make([]receiptEntry, len(waiting))
+	for i, w := range waiting {
 		r := w.Payload.(*receipt.Receipt)
-		entries[i] = entry{No: w.Sequence, Receipt: r}
-		if s.room.Key != nil {
-			entries[i].Signed = r.Sign(s.room.Key)
+		entries[i] = receiptEntry{No: w.Sequence, Receipt: r}
+		if s.mailboxes.Key != nil {
+			entries[i].Signed = r.Sign(s.mailboxes.Key)
 		}
 	}
 	body, err := json.Marshal(entries)
 	if err != nil {
 		return &push.Problem{Status: 500, Title: err.Error()}
 	}
-	_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/json"},
+	_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "200"}, {Name: "content-type", Value: "application/json"},
 		{Name: "content-length", Value: fmt.Sprint(len(body))}}, body)
 	return nil
 }
 
-// over answers 204, or 404 for what is not there.
-func (s *session) over(e *h2.Event, err error, now time.Duration) *push.Problem {
+// respondNoContent sends status 204, or returns a problem with status 404 if err is not nil.
+func (s *session) respondNoContent(e *h2.Event, err error, now time.Duration) *push.Problem {
 	if err != nil {
 		return &push.Problem{Status: 404, Title: err.Error()}
 	}
-	_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "204"}}, nil)
+	_ = s.h2conn.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "204"}}, nil)
 	return nil
 }
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -19,17 +19,18 @@
 	"whinrun/internal/load"
 )
 
-const withAMQP = `[amqp]
+// amqpSettings enables AMQP and adds an exchange.
+const amqpSettings = `[amqp]
 listen = 127.0.0.1:0
 [exchange uploads]
 class = upload
 tenant = t
 `
 
-// dial connects with the client library in common use.
-func dial(t *testing.T, s *Service) (*amqp.Connection, *amqp.Channel) {
+// dialAMQP connects with the common client library and opens a channel.
+func dialAMQP(t *testing.T, dispatcher *Service) (*amqp.Connection, *amqp.Channel) {
 	t.Helper()
-	c, err := amqp.Dial(fmt.Sprintf("amqp://t:secret@%v/", s.AMQPAddr()))
+	c, err := amqp.Dial(fmt.Sprintf("amqp://t:secret@%v/", dispatcher.AMQPAddr()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,15 +42,16 @@
 	return c, ch
 }
 
-func within(t *testing.T) context.Context {
+// testContext returns a context that ends after 20 s or with the test.
+func testContext(t *testing.T) context.Context {
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(stop)
 	return ctx
 }
 
-// Interop: served, refused and failed each arrive in their documented form, and in full in the queue of answers.
+// The answers served, refused and failed arrive in their documented form, both as confirms and returns and in the answer queue.
 func TestAMQPAnswers(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		switch {
 		case strings.HasPrefix(string(b), "no"):
@@ -65,9 +67,9 @@
 			w.WriteHeader(201)
 		}
 	})
-	s := start(t, addr, withAMQP+"[limits]\nbody = 1MiB\n")
-	defer s.Kill()
-	_, ch := dial(t, s)
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
+	defer dispatcher.Kill()
+	_, ch := dialAMQP(t, dispatcher)
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
@@ -75,24 +77,24 @@
 	if err := ch.ExchangeDeclarePassive("uploads", "direct", true, false, false, false, nil); err != nil {
 		t.Fatal(err)
 	}
-	q, err := ch.QueueDeclare("", false, false, true, false, nil)
+	queue, err := ch.QueueDeclare("", false, false, true, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := ch.Qos(1, 0, false); err != nil {
 		t.Fatal(err)
 	}
-	answers, err := ch.Consume(q.Name, "", false, false, false, false, nil)
+	answers, err := ch.Consume(queue.Name, "", false, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	big := strings.Repeat("x", 300000) // three frames
+	big := strings.Repeat("x", 300000) // the body takes three frames
 	for _, c := range []struct {
 		body, answer string
 		ack, back    bool
 	}{{"ok" + big[2:], "served", true, false}, {"no", "failed", false, false}, {"full", "refused", false, true}} {
-		ctx := within(t)
-		d, err := ch.PublishWithDeferredConfirmWithContext(ctx, "uploads", "p", false, false, amqp.Publishing{Body: []byte(c.body), ReplyTo: q.Name,
+		ctx := testContext(t)
+		d, err := ch.PublishWithDeferredConfirmWithContext(ctx, "uploads", "p", false, false, amqp.Publishing{Body: []byte(c.body), ReplyTo: queue.Name,
 			MessageId: "id-" + c.body[:2], CorrelationId: "c-" + c.body[:2], Priority: 9, ContentType: "text/x", Expiration: "900",
 			Headers: amqp.Table{"x-order-key": "k1", "more": amqp.Table{"a": int32(1)}}})
 		if err != nil {
@@ -112,7 +114,7 @@
 				t.Error(err)
 			}
 		case <-ctx.Done():
-			t.Fatalf("%s: no answer in the queue", c.answer)
+			t.Fatalf("%s: the queue has no answer", c.answer)
 		}
 		select {
 		case r := <-returns:
@@ -126,17 +128,17 @@
 			}
 		}
 	}
-	u := s.Door().Usage()
-	if side := s.Door().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
+	u := dispatcher.Admission().Usage()
+	if side := dispatcher.Admission().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
 		t.Errorf("%+v, served %d refused %d failed %d", u, side.Served.Load(), side.Refused.Load(), side.Failed.Load())
 	}
 }
 
-// Hundreds of publishes on one channel, answered in any order, are each confirmed once.
+// Hundreds of messages on one channel that are answered out of order are each confirmed once.
 func TestAMQPConfirmsOutOfOrder(t *testing.T) {
 	var n int
 	var mu sync.Mutex
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		n++
 		d := time.Duration(n*7%20) * time.Millisecond
@@ -144,30 +146,32 @@
 		time.Sleep(d)
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
-	defer s.Kill()
-	p := load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
-	defer p.Close()
-	ctx := within(t)
-	var all sync.WaitGroup
+	dispatcher := startService(t, addr, amqpSettings)
+	defer dispatcher.Kill()
+	publisher := load.NewPublisher(dispatcher.AMQPAddr().String(), "t", "secret", 1)
+	defer publisher.Close()
+	ctx := testContext(t)
+	var clients sync.WaitGroup
 	for i := range 500 {
-		all.Go(func() {
+		clients.Go(func() {
 			m := load.Message{Test: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
-			if status, _, _, err := p.Post(ctx, &m); status != 201 || err != nil {
+			if status, _, _, err := publisher.Post(ctx, &m); status != 201 || err != nil {
 				t.Errorf("message %d: %d, %v", i, status, err)
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 }
 
-// What is wrong closes the channel or the connection with the specified code, and says why.
+// Each kind of invalid request closes the channel or the connection with the specified code.
 func TestAMQPRefusals(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, withAMQP+"[limits]\nbody = 1MiB\n")
-	defer s.Kill()
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nbody = 1MiB\n")
+	defer dispatcher.Kill()
 	publish := func(exchange, key string, p amqp.Publishing) func(*amqp.Channel) error {
-		return func(ch *amqp.Channel) error { return ch.PublishWithContext(within(t), exchange, key, false, false, p) }
+		return func(ch *amqp.Channel) error {
+			return ch.PublishWithContext(testContext(t), exchange, key, false, false, p)
+		}
 	}
 	for name, c := range map[string]struct {
 		do   func(*amqp.Channel) error
@@ -179,7 +183,7 @@
 		"order key":            {publish("uploads", "p", amqp.Publishing{Headers: amqp.Table{"x-order-key": "not a key"}}), 406},
 		"user-id":              {publish("uploads", "p", amqp.Publishing{UserId: "u"}), 406},
 		"immediate": {func(ch *amqp.Channel) error {
-			return ch.PublishWithContext(within(t), "uploads", "p", false, true, amqp.Publishing{})
+			return ch.PublishWithContext(testContext(t), "uploads", "p", false, true, amqp.Publishing{})
 		}, 540},
 		"transaction": {func(ch *amqp.Channel) error { return ch.Tx() }, 540},
 		"durable queue": {func(ch *amqp.Channel) error {
@@ -195,7 +199,7 @@
 		"bind to the default": {func(ch *amqp.Channel) error { return ch.QueueBind("q", "k", "", false, nil) }, 404},
 	} {
 		t.Run(name, func(t *testing.T) {
-			conn, ch := dial(t, s)
+			conn, ch := dialAMQP(t, dispatcher)
 			closed := ch.NotifyClose(make(chan *amqp.Error, 1))
 			if err := c.do(ch); err != nil {
 				t.Log(err)
@@ -205,7 +209,7 @@
 				if e == nil || e.Code != c.code {
 					t.Errorf("closed with %v, want %d", e, c.code)
 				}
-			case <-within(t).Done():
+			case <-testContext(t).Done():
 				t.Fatal("not closed")
 			}
 			if soft := c.code < 500; soft == conn.IsClosed() {
@@ -214,24 +218,24 @@
 		})
 	}
 	for _, url := range []string{"amqp://t:wrong@%v/", "amqp://u:secret@%v/", "amqp://t:secret@%v/other"} {
-		if c, err := amqp.Dial(fmt.Sprintf(url, s.AMQPAddr())); err == nil {
+		if c, err := amqp.Dial(fmt.Sprintf(url, dispatcher.AMQPAddr())); err == nil {
 			_ = c.Close()
-			t.Errorf("%s was let in", url)
+			t.Errorf("%s was accepted", url)
 		}
 	}
 }
 
-// A publish is a hand-over: with its connection lost it is carried on, and its answer waits in the queue it names.
+// A published message is delivered even if its connection ends. The answer waits in the queue that the message names.
 func TestAMQPConnectionLost(t *testing.T) {
-	arrived, go_ := make(chan struct{}, 300), make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	arrived, release := make(chan struct{}, 300), make(chan struct{})
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
-	defer s.Kill()
-	conn, ch := dial(t, s)
+	dispatcher := startService(t, addr, amqpSettings)
+	defer dispatcher.Kill()
+	conn, ch := dialAMQP(t, dispatcher)
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
@@ -240,18 +244,18 @@
 	}
 	const n = 200
 	for i := range n {
-		if err := ch.PublishWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x"), ReplyTo: "mine",
+		if err := ch.PublishWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x"), ReplyTo: "mine",
 			MessageId: fmt.Sprint(i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	<-arrived
-	for s.Door().Usage().Messages < n {
+	for dispatcher.Admission().Usage().Messages < n {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
-	close(go_)
-	_, ch = dial(t, s)
+	close(release)
+	_, ch = dialAMQP(t, dispatcher)
 	answers, err := ch.Consume("mine", "", false, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -261,10 +265,10 @@
 		select {
 		case a := <-answers:
 			if seen[a.CorrelationId] || a.Type != "served" {
-				t.Errorf("%s %s again: %v", a.CorrelationId, a.Type, seen[a.CorrelationId])
+				t.Errorf("%s: type %s, duplicate %v", a.CorrelationId, a.Type, seen[a.CorrelationId])
 			}
 			seen[a.CorrelationId] = true
-		case <-within(t).Done():
+		case <-testContext(t).Done():
 			t.Fatalf("%d of %d answers", len(seen), n)
 		}
 	}
@@ -273,16 +277,17 @@
 	}
 }
 
-// Publishers are asked to stop when the hold fills, what comes all the same is returned, and they are let go on.
-func TestAMQPBlocked(t *testing.T) {
-	go_ := make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
-		<-go_
+// When the dispatcher holds too many messages, it sends connection.blocked. Messages that arrive nevertheless are returned. When
+// enough have been answered, it sends connection.unblocked.
+func TestAMQPConnectionBlocked(t *testing.T) {
+	release := make(chan struct{})
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
+		<-release
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP+"[limits]\nhold = 16\n")
-	defer s.Kill()
-	conn, ch := dial(t, s)
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
+	defer dispatcher.Kill()
+	conn, ch := dialAMQP(t, dispatcher)
 	blocked := conn.NotifyBlocked(make(chan amqp.Blocking, 4))
 	returns := ch.NotifyReturn(make(chan amqp.Return, 100))
 	if err := ch.Confirm(false); err != nil {
@@ -290,7 +295,7 @@
 	}
 	var confirms []*amqp.DeferredConfirmation
 	for range 40 {
-		d, err := ch.PublishWithDeferredConfirmWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x")})
+		d, err := ch.PublishWithDeferredConfirmWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("x")})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -299,18 +304,19 @@
 	if b := <-blocked; !b.Active || b.Reason == "" {
 		t.Errorf("%+v", b)
 	}
-	// The partner answers only when the hold is full and the rest has come back: else room is made while they still come.
+	// The partner answers only after the excess messages were returned. Otherwise its answers would make room while messages
+	// are still arriving.
 	for n := range 20 {
 		select {
 		case <-returns:
-		case <-within(t).Done():
-			t.Fatalf("%d returned while the partner answers nothing", n)
+		case <-testContext(t).Done():
+			t.Fatalf("only %d messages were returned before the partner answered", n)
 		}
 	}
-	close(go_)
+	close(release)
 	acks, nacks := 0, 0
 	for _, d := range confirms {
-		if ok, err := d.WaitContext(within(t)); err != nil {
+		if ok, err := d.WaitContext(testContext(t)); err != nil {
 			t.Fatal(err)
 		} else if ok {
 			acks++
@@ -326,54 +332,54 @@
 	}
 }
 
-// An orderly stop answers what was taken and closes connections with 320.
+// A graceful stop answers the accepted messages and closes connections with code 320.
 func TestAMQPStop(t *testing.T) {
-	arrived, go_ := make(chan struct{}, 10), make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	arrived, release := make(chan struct{}, 10), make(chan struct{})
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
-	conn, ch := dial(t, s)
+	dispatcher := startService(t, addr, amqpSettings)
+	conn, ch := dialAMQP(t, dispatcher)
 	closed := conn.NotifyClose(make(chan *amqp.Error, 1))
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
 	}
-	d, err := ch.PublishWithDeferredConfirmWithContext(within(t), "", "/p/upload", false, false, amqp.Publishing{Body: []byte("x")})
+	d, err := ch.PublishWithDeferredConfirmWithContext(testContext(t), "", "/p/upload", false, false, amqp.Publishing{Body: []byte("x")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	<-arrived
 	stopped := make(chan bool, 1)
-	go func() { stopped <- s.Stop(within(t)) }()
-	close(go_)
-	if ok, err := d.WaitContext(within(t)); !ok || err != nil {
-		t.Error("not answered at the stop:", ok, err)
+	go func() { stopped <- dispatcher.Stop(testContext(t)) }()
+	close(release)
+	if ok, err := d.WaitContext(testContext(t)); !ok || err != nil {
+		t.Error("the message was not confirmed during the stop:", ok, err)
 	}
 	if e := <-closed; e == nil || e.Code != 320 {
 		t.Errorf("closed with %v", e)
 	}
 	if !<-stopped {
-		t.Error("the stop left something")
+		t.Error("the stop left messages without an answer")
 	}
 }
 
-// One message-id is one key, whichever front it comes by: partners that drop repeats see the same.
+// A message ID gives the same idempotency key on both frontends, so that partners drop repeats across them.
 func TestSameKeyOnBothFronts(t *testing.T) {
 	keys := make(chan string, 2)
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		keys <- r.Header.Get("Idempotency-Key") + r.Header.Get("Topic")
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, withAMQP)
-	defer s.Kill()
-	c, p := load.NewClient(s.Addr().String(), 1), load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
-	defer c.Close()
-	defer p.Close()
-	for _, by := range []load.Poster{c, p} {
+	dispatcher := startService(t, addr, amqpSettings)
+	defer dispatcher.Kill()
+	client, publisher := load.NewClient(dispatcher.Addr().String(), 1), load.NewPublisher(dispatcher.AMQPAddr().String(), "t", "secret", 1)
+	defer client.Close()
+	defer publisher.Close()
+	for _, by := range []load.Poster{client, publisher} {
 		m := load.Message{Test: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, Repeat: "one", Key: "k"}
-		if status, _, _, err := by.Post(within(t), &m); status != 201 || err != nil {
+		if status, _, _, err := by.Post(testContext(t), &m); status != 201 || err != nil {
 			t.Fatal(status, err)
 		}
 	}
@@ -382,13 +388,13 @@
 	}
 }
 
-// A reader that acknowledges nothing fills its queue; then messages that name it are returned before they are taken,
-// and none of its answers is lost.
-func TestAMQPReaderBehind(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, withAMQP+"[answers]\nqueue-length = 5\n")
-	defer s.Kill()
-	_, ch := dial(t, s)
+// A consumer that acknowledges nothing fills its queue. Messages whose answers would go there are then returned before they are
+// accepted, and no answer is lost.
+func TestAMQPSlowConsumer(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	dispatcher := startService(t, addr, amqpSettings+"[answers]\nqueue-length = 5\n")
+	defer dispatcher.Kill()
+	_, ch := dialAMQP(t, dispatcher)
 	returns := ch.NotifyReturn(make(chan amqp.Return, 10))
 	if err := ch.Confirm(false); err != nil {
 		t.Fatal(err)
@@ -407,11 +413,11 @@
 		t.Fatal(err)
 	}
 	for i := range 7 {
-		d, err := ch.PublishWithDeferredConfirmWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{MessageId: fmt.Sprint("m", i)})
+		d, err := ch.PublishWithDeferredConfirmWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{MessageId: fmt.Sprint("m", i)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if ok, err := d.WaitContext(within(t)); ok != (i < 5) || err != nil {
+		if ok, err := d.WaitContext(testContext(t)); ok != (i < 5) || err != nil {
 			t.Errorf("message %d: %v %v", i, ok, err)
 		}
 	}
@@ -430,23 +436,23 @@
 	for i := range 5 {
 		a, ok, err := ch.Get("mine", true)
 		if !ok || err != nil || a.CorrelationId != fmt.Sprint("m", i) || a.Redelivered != (i < 2) {
-			t.Errorf("answer %d: %s, %v %v, again %v", i, a.CorrelationId, ok, err, a.Redelivered)
+			t.Errorf("answer %d: %s, %v %v, redelivered %v", i, a.CorrelationId, ok, err, a.Redelivered)
 		}
 	}
 	if _, ok, _ := ch.Get("mine", true); ok {
-		t.Error("a sixth answer")
+		t.Error("the queue has a sixth answer")
 	}
 }
 
-// A client whose library does not know connection.blocked is asked by channel.flow. What it publishes without confirms
-// above the limits closes its channel: nothing else would tell it.
-func TestAMQPFlow(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+// A client that does not support connection.blocked gets channel.flow instead. If it publishes without confirms beyond the
+// limits, its channel is closed, because it has no other way to learn of the rejection.
+func TestAMQPChannelFlow(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	})
-	s := start(t, addr, withAMQP+"[limits]\nhold = 16\n")
-	defer s.Kill()
-	c, err := net.Dial("tcp", s.AMQPAddr().String())
+	dispatcher := startService(t, addr, amqpSettings+"[limits]\nhold = 16\n")
+	defer dispatcher.Kill()
+	c, err := net.Dial("tcp", dispatcher.AMQPAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -467,7 +473,7 @@
 		for !bytes.Contains(got, want[7:min(len(want), 13)]) {
 			n, err := c.Read(buf)
 			if err != nil {
-				t.Fatalf("%T never came: %v", m, err)
+				t.Fatalf("%T did not arrive: %v", m, err)
 			}
 			got = append(got, buf[:n]...)
 		}
--- /dev/null
+++ b/internal/service/audit_trail.go
@@ -0,0 +1,145 @@
+package service
+
+import (
+	"fmt"
+
+	"whinrun/control"
+	"whinrun/internal/audit"
+	"whinrun/internal/clock"
+	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
+	"whinrun/internal/engine"
+	"whinrun/internal/intake"
+	"whinrun/internal/mailbox"
+	"whinrun/internal/push"
+	"whinrun/internal/receipt"
+)
+
+// auditTrail implements engine.Trail. It records what the engine does, with the names of partners, tenants and classes in
+// place of their numbers.
+type auditTrail struct {
+	log       *audit.Recorder
+	cfg       *config.Config
+	endpoints *endpointlist.Registry
+	ids       push.ExternalIDs
+}
+
+// resultNames are the names of results in the audit trail.
+var resultNames = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
+	control.LimitExceeded: "full", control.ErrorResponse: "error", control.TimedOut: "timed out", control.Cancelled: "cancelled", control.NotExecuted: "moot"}
+
+// healthNames are the names of health states in the audit trail.
+var healthNames = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
+
+// newRecord returns a record about a message.
+func (t *auditTrail) newRecord(kind audit.Kind, m *engine.Message) *audit.Record {
+	return &audit.Record{Kind: kind, Message: t.ids.Format(m.ID), Partner: t.cfg.Partners[m.Dest].Name}
+}
+
+// setAttempt adds the number of an attempt, counted from 1, and its endpoint to a record.
+func (t *auditTrail) setAttempt(r *audit.Record, a *engine.Attempt) *audit.Record {
+	p, _ := t.endpoints.Lookup(a.Endpoint)
+	r.Attempt, r.Endpoint = a.Number+1, p.Addr.String()
+	return r
+}
+
+// Accepted records that the engine accepted a message.
+func (t *auditTrail) Accepted(m *engine.Message) {
+	r := t.newRecord(audit.Accepted, m)
+	r.Tenant, r.Class, r.LifetimeMicros, r.Size = t.cfg.Intake.Tenants[m.Tenant], t.cfg.Classes[m.Class], int64(m.Lifetime), len(m.Body)
+	r.Receipt = m.ReceiptSubscription
+	t.log.Enqueue(r)
+}
+
+// AttemptStarted records the start of an attempt.
+func (t *auditTrail) AttemptStarted(a *engine.Attempt) {
+	t.log.Enqueue(t.setAttempt(t.newRecord(audit.AttemptStarted, a.Message), a))
+}
+
+// AttemptEnded records the end of an attempt and its verdict. late means that the message had its final answer before.
+func (t *auditTrail) AttemptEnded(a *engine.Attempt, e *engine.Outcome, verdict engine.Classification, late bool) {
+	r := t.setAttempt(t.newRecord(audit.AttemptEnded, a.Message), a)
+	r.Result, r.PossiblyExecuted, r.Status, r.WaitMicros, r.Detail, r.AfterAnswer = resultNames[verdict.Result], verdict.PossiblyExecuted, e.Status, int64(e.RetryAfter), verdict.Reason, late
+	r.TookMicros = max(0, t.log.Now().Microseconds()-int64(a.StartedAt))
+	t.log.Enqueue(r)
+}
+
+// Withdrawn records that the sender canceled a message.
+func (t *auditTrail) Withdrawn(m *engine.Message) {
+	r := t.newRecord(audit.Withdrawn, m)
+	r.Tenant = t.cfg.Intake.Tenants[m.Tenant]
+	t.log.Enqueue(r)
+}
+
+// Answered records the final answer to a message.
+func (t *auditTrail) Answered(m *engine.Message, a *engine.Answer) {
+	r := t.newRecord(audit.Answered, m)
+	r.Tenant, r.Result, r.Status, r.WaitMicros, r.Attempts = t.cfg.Intake.Tenants[m.Tenant], a.Kind.String(), a.Status, int64(a.RetryAfter), a.Attempts
+	r.Detail, r.Reason, r.Receipt = a.AttemptDetail, a.Reason, m.ReceiptSubscription
+	t.log.Enqueue(r)
+}
+
+// EndpointChanged records the health of an endpoint as the endpoint list reports it.
+func (t *auditTrail) EndpointChanged(e *control.Entry) {
+	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: healthNames[e.Health]}
+	if p, ok := t.endpoints.Lookup(e.Endpoint); ok {
+		r.Endpoint = p.Addr.String()
+	}
+	t.log.Enqueue(r)
+}
+
+// receiptChanged records that a receipt subscription was created, if taken is nil, or that a receipt was fetched.
+func (t *auditTrail) receiptChanged(tenant int, name string, taken *receipt.Receipt) {
+	r := &audit.Record{Kind: audit.Subscribed, Tenant: t.cfg.Intake.Tenants[tenant], Receipt: name}
+	if taken != nil {
+		r.Kind, r.Message = audit.Fetched, taken.Message
+	}
+	t.log.Enqueue(r)
+}
+
+// restoreReceipts restores the receipts that an earlier process promised and that were not fetched. A message without a
+// final answer gets the answer failed, because it may have been sent.
+func (s *Service) restoreReceipts(mailboxes *mailbox.SharedBroker, rules *intake.Registry) error {
+	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
+	subscriptions, pending, err := s.auditLog.UnfetchedReceipts(since)
+	if err != nil {
+		return fmt.Errorf("reading the receipts of earlier processes: %w", err)
+	}
+	restored := 0
+	for _, r := range subscriptions {
+		if tenant, ok := rules.Tenant(r.Tenant); ok {
+			// Declare fails if the tenant already has as many queues as allowed. The subscription is then not restored, and
+			// Promise fails below for each of its receipts.
+			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.QueueSpec{Name: r.Receipt}, false)
+		}
+	}
+	for _, promised := range pending {
+		tenant, ok := rules.Tenant(promised.Tenant)
+		if !ok {
+			continue
+		}
+		reservation, err := mailboxes.Reserve(tenant, promised.Queue, "", "")
+		if err != nil {
+			s.log.Warn("audit", "the receipt of %s is not put back: %v", promised.Accepted.Message, err)
+			continue
+		}
+		if promised.Answered == nil {
+			promised.Answered = &audit.Record{Kind: audit.Answered, Message: promised.Accepted.Message, Partner: promised.Accepted.Partner, Tenant: promised.Tenant,
+				Result: engine.Failed.String(), Reason: "the dispatcher ended before a final answer; it may have been sent", Receipt: promised.Queue}
+			// From now on, the recorded answer is the final one.
+			s.auditLog.Enqueue(promised.Answered)
+		}
+		reservation.Fill(s.now(), newReceipt(promised.Answered))
+		restored++
+	}
+	if restored > 0 {
+		s.log.Info("audit", "%d receipts of before are put back", restored)
+	}
+	return nil
+}
+
+// newReceipt converts the record of a final answer into a receipt.
+func newReceipt(answer *audit.Record) *receipt.Receipt {
+	return &receipt.Receipt{Message: answer.Message, Answer: answer.Result, At: answer.Time(), Detail: answer.Detail, Reason: answer.Reason, Attempts: answer.Attempts,
+		PartnerStatus: answer.Status, RetryAfterMillis: answer.WaitMicros / 1000}
+}
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -20,14 +20,14 @@
 	"whinrun/internal/receipt"
 )
 
-// ask sends one request over HTTP/2.
-func ask(t *testing.T, s *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
+// doRequest sends a request on an HTTP/2 connection of its own and returns the response and its body.
+func doRequest(t *testing.T, dispatcher *Service, method, path, body string, fields ...string) (*http.Response, []byte) {
 	t.Helper()
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
 	tr := &http.Transport{Protocols: &p}
-	defer tr.CloseIdleConnections() // the connection goes: what was handed in asynchronously must not
-	req, err := http.NewRequestWithContext(within(t), method, "http://"+s.Addr().String()+path, bytes.NewReader([]byte(body)))
+	defer tr.CloseIdleConnections() // a message with a receipt must survive the end of its connection
+	req, err := http.NewRequestWithContext(testContext(t), method, "http://"+dispatcher.Addr().String()+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,12 +47,13 @@
 	return res, b
 }
 
-// RFC 8030 section 5.1: 202 once taken, the final answer as a signed receipt in the subscription, until it is taken out.
+// A message with a receipt subscription gets status 202 when it is accepted (RFC 8030 section 5.1). Its final answer is a signed
+// receipt in the subscription until a client deletes it.
 func TestReceipts(t *testing.T) {
-	go_ := make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	release := make(chan struct{})
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
-		<-go_
+		<-release
 		if strings.HasPrefix(string(b), "no") {
 			w.WriteHeader(500)
 			return
@@ -60,15 +61,15 @@
 		w.WriteHeader(201)
 	})
 	folder := t.TempDir()
-	s := start(t, addr, withAMQP+"[audit]\nfolder = "+folder+"\n[tenant other]\ntoken = others\n[answers]\nqueue-length = 3\n")
-	defer s.Kill()
-	res, _ := ask(t, s, "POST", "/receipts/t", "")
+	dispatcher := startService(t, addr, amqpSettings+"[audit]\nfolder = "+folder+"\n[tenant other]\ntoken = others\n[answers]\nqueue-length = 3\n")
+	defer dispatcher.Kill()
+	res, _ := doRequest(t, dispatcher, "POST", "/receipts/t", "")
 	sub := res.Header.Get("Location")
 	if res.StatusCode != 201 || !strings.HasPrefix(sub, "/receipts/t/") {
 		t.Fatal(res.Status, sub)
 	}
 	post := func(body, to string, more ...string) *http.Response {
-		res, _ := ask(t, s, "POST", "/p/upload", body, append([]string{"TTL", "4", "Push-Receipt", to}, more...)...)
+		res, _ := doRequest(t, dispatcher, "POST", "/p/upload", body, append([]string{"TTL", "4", "Push-Receipt", to}, more...)...)
 		return res
 	}
 	async := []string{"Prefer", "wait=5, respond-async"}
@@ -80,8 +81,8 @@
 		}
 		names[res.Header.Get("Whinrun-Message")] = want
 	}
-	if res, _ := ask(t, s, "GET", sub, ""); res.StatusCode != 204 {
-		t.Error("a receipt before the answer:", res.Status)
+	if res, _ := doRequest(t, dispatcher, "GET", sub, ""); res.StatusCode != 204 {
+		t.Error("the subscription has a receipt before the final answer:", res.Status)
 	}
 	for want, res := range map[int]*http.Response{400: post("x", sub), 404: post("x", "/receipts/t/none", async...)} {
 		if res.StatusCode != want {
@@ -89,18 +90,18 @@
 		}
 	}
 	if res := post("x", sub, "Prefer", "respond-async", "Push-Receipt", sub); res.StatusCode != 400 {
-		t.Error("two receipts for one message:", res.Status)
+		t.Error("a message with two receipt subscriptions was not rejected:", res.Status)
 	}
 	if res := post("x", sub, async...); res.StatusCode != 202 {
 		t.Error(res.Status)
 	}
 	if res := post("x", sub, async...); res.StatusCode != 503 {
-		t.Error("a fourth place of three:", res.Status)
+		t.Error("a message was accepted although the subscription is full:", res.Status)
 	}
-	if res, _ := ask(t, s, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
-		t.Error("another tenant's receipts are shown")
+	if res, _ := doRequest(t, dispatcher, "GET", sub, "", "Authorization", "Bearer others"); res.StatusCode != 403 {
+		t.Error("the receipts of another tenant were returned")
 	}
-	close(go_)
+	close(release)
 	keys, err := audit.PublicKeys(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +112,7 @@
 		Signed  string
 	}
 	for len(got) < 3 {
-		if _, b := ask(t, s, "GET", sub, ""); len(b) > 0 {
+		if _, b := doRequest(t, dispatcher, "GET", sub, ""); len(b) > 0 {
 			if err := json.Unmarshal(b, &got); err != nil {
 				t.Fatal(err)
 			}
@@ -126,46 +127,48 @@
 		if want, ok := names[g.Receipt.Message]; ok && (g.Receipt.Answer != want || !strings.HasPrefix(g.Receipt.MessageID, "k-")) {
 			t.Errorf("%+v, want %s", g.Receipt, want)
 		}
-		if res, _ := ask(t, s, "DELETE", sub+"/"+jsonNumber(g.No), ""); res.StatusCode != 204 {
+		if res, _ := doRequest(t, dispatcher, "DELETE", sub+"/"+formatNumber(g.No), ""); res.StatusCode != 204 {
 			t.Error(res.Status)
 		}
 	}
-	if res, _ := ask(t, s, "GET", sub, ""); res.StatusCode != 204 {
-		t.Error("taken out, and still there:", res.Status)
+	if res, _ := doRequest(t, dispatcher, "GET", sub, ""); res.StatusCode != 204 {
+		t.Error("receipts remain after they were deleted:", res.Status)
 	}
-	_, ch := dial(t, s)
-	q, err := ch.QueueDeclare("", false, false, true, false, nil)
+	_, ch := dialAMQP(t, dispatcher)
+	queue, err := ch.QueueDeclare("", false, false, true, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answers, err := ch.Consume(q.Name, "", true, false, false, false, nil)
+	answers, err := ch.Consume(queue.Name, "", true, false, false, false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := ch.PublishWithContext(within(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("yes"), ReplyTo: q.Name}); err != nil {
+	if err := ch.PublishWithContext(testContext(t), "uploads", "p", false, false, amqp.Publishing{Body: []byte("yes"), ReplyTo: queue.Name}); err != nil {
 		t.Fatal(err)
 	}
 	a := <-answers
 	signed, _ := a.Headers["x-receipt"].(string)
 	if r, err := receipt.Verify(signed, keys); err != nil || r.Answer != "served" || r.Message != a.MessageId {
-		t.Errorf("by AMQP: %+v, %v", r, err)
+		t.Errorf("receipt over AMQP: %+v, %v", r, err)
 	}
 }
 
-func jsonNumber(n uint64) string { b, _ := json.Marshal(n); return string(b) }
+// formatNumber formats a receipt number.
+func formatNumber(n uint64) string { b, _ := json.Marshal(n); return string(b) }
 
-// While the trail's disk is full nothing new is taken, what is held is answered, and it goes on when there is room.
+// While the disk of the audit trail is full, new messages are rejected and accepted ones are still answered. Messages are
+// accepted again when the disk has space.
 func TestFullDisk(t *testing.T) {
-	arrived, go_ := make(chan struct{}, 1), make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	arrived, release := make(chan struct{}, 1), make(chan struct{})
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case arrived <- struct{}{}:
 		default:
 		}
-		<-go_
+		<-release
 		w.WriteHeader(201)
 	})
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(base, "ADDRESS", addr, 1) + "[audit]\nfolder = " + t.TempDir() + "\n"
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1) + "[audit]\nfolder = " + t.TempDir() + "\n"
 	cfg, err := config.Parse("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -173,13 +176,13 @@
 	fs := disk.NewMemory()
 	cfg.Audit.FS, cfg.Audit.Policy.RetryEvery = fs, 10*time.Millisecond
 	log, _ := logs.New(io.Discard, "info", 100)
-	s, err := Start(cfg, log, nil)
+	dispatcher, err := Start(cfg, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Kill()
+	defer dispatcher.Kill()
 	post := func() int {
-		res, _ := ask(t, s, "POST", "/p/status", "x", "TTL", "4")
+		res, _ := doRequest(t, dispatcher, "POST", "/p/status", "x", "TTL", "4")
 		return res.StatusCode
 	}
 	held := make(chan int, 1)
@@ -193,44 +196,44 @@
 		}
 		return nil
 	})
-	s.keeper.Enqueue(&audit.Record{Kind: audit.DispatcherStarted})
-	for s.keeper.Failing() == nil {
+	dispatcher.auditLog.Enqueue(&audit.Record{Kind: audit.DispatcherStarted})
+	for dispatcher.auditLog.Failing() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	for post() != 503 { // the door is shut a moment after the failure is known
-		t.Log("taken")
+	for post() != 503 { // admission closes a moment after the failure is known
+		t.Log("accepted")
 	}
-	close(go_)
+	close(release)
 	if status := <-held; status != 201 {
-		t.Error("held, and not answered:", status)
+		t.Error("the accepted message was not answered:", status)
 	}
 	full.Store(false)
 	for deadline := time.Now().Add(10 * time.Second); post() != 201; {
 		if time.Now().After(deadline) {
-			t.Fatal("not taken again with room on the disk")
+			t.Fatal("messages are still rejected although the disk has space")
 		}
 	}
 }
 
-// Receipts that were not fetched are there again after a crash, those fetched are not; a message without its final
-// answer by then is failed, since it may have been sent.
+// After a crash, receipts that were not fetched are restored, and fetched ones are not. A message without a final answer gets the
+// answer failed, because it may have been sent.
 func TestReceiptsAfterACrash(t *testing.T) {
-	go_ := make(chan struct{})
-	defer close(go_)
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	release := make(chan struct{})
+	defer close(release)
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		if b, _ := io.ReadAll(r.Body); string(b) == "hang" {
-			<-go_
+			<-release
 		}
 		w.WriteHeader(201)
 	})
 	folder := t.TempDir()
 	more := "[audit]\nfolder = " + folder + "\n"
-	s := start(t, addr, more)
-	res, _ := ask(t, s, "POST", "/receipts/t", "")
+	dispatcher := startService(t, addr, more)
+	res, _ := doRequest(t, dispatcher, "POST", "/receipts/t", "")
 	sub := res.Header.Get("Location")
 	var names []string
 	for _, body := range []string{"one", "two", "hang"} {
-		res, _ := ask(t, s, "POST", "/p/upload", body, "TTL", "4", "Prefer", "respond-async", "Push-Receipt", sub)
+		res, _ := doRequest(t, dispatcher, "POST", "/p/upload", body, "TTL", "4", "Prefer", "respond-async", "Push-Receipt", sub)
 		names = append(names, res.Header.Get("Whinrun-Message"))
 	}
 	read := func(want int) (all []struct {
@@ -238,15 +241,15 @@
 		Receipt receipt.Receipt
 	}) {
 		for len(all) != want {
-			if _, b := ask(t, s, "GET", sub, ""); len(b) > 0 {
+			if _, b := doRequest(t, dispatcher, "GET", sub, ""); len(b) > 0 {
 				_ = json.Unmarshal(b, &all)
 			}
 		}
 		return all
 	}
 	first := read(2)[0]
-	ask(t, s, "DELETE", sub+"/"+jsonNumber(first.No), "")
-	for owed := 3; owed != 2; time.Sleep(time.Millisecond) { // until the trail on disk knows of the fetched one
+	doRequest(t, dispatcher, "DELETE", sub+"/"+formatNumber(first.No), "")
+	for owed := 3; owed != 2; time.Sleep(time.Millisecond) { // wait until the trail on disk has the fetched receipt
 		store, _, err := audit.OpenReader(folder)
 		if err != nil {
 			t.Fatal(err)
@@ -255,9 +258,9 @@
 			owed = len(all)
 		}
 	}
-	s.Kill()
-	s = start(t, addr, more)
-	defer s.Kill()
+	dispatcher.Kill()
+	dispatcher = startService(t, addr, more)
+	defer dispatcher.Kill()
 	got := map[string]string{}
 	for _, e := range read(2) {
 		got[e.Receipt.Message] = e.Receipt.Answer
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,5 @@
-// Package service puts a dispatcher together from its settings: front, engine, module, back end and endpoint list.
+// Package service assembles a dispatcher from its settings: frontends, engine, decision library, outbound connections,
+// endpoint list, audit trail and background tasks.
 package service
 
 import (
@@ -18,6 +19,7 @@
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -27,71 +29,73 @@
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
-	"whinrun/internal/roster"
 	"whinrun/internal/safety"
 )
 
 // Service is a running dispatcher.
 type Service struct {
-	cfg    *config.Config
-	log    *logs.Logger
-	clock  clock.Clock
-	roster *roster.Roster
-	loop   *engine.Loop
-	pool   *outbound.Pool
-	door   *admission.Controller
-	fronts []*front.Front // push, then AMQP where it is on
-	lists  *lists
-	keeper *audit.Recorder // nil where no trail is kept
-	trail  *trail
+	cfg       *config.Config
+	log       *logs.Logger
+	clock     clock.Clock
+	endpoints *endpointlist.Registry
+	loop      *engine.Loop
+	pool      *outbound.Pool
+	admission *admission.Controller
+	// frontends holds the push frontend and, if AMQP is enabled, the AMQP frontend after it.
+	frontends []*front.Front
+	poller    *listPoller
+	// auditLog is nil if no audit trail is kept.
+	auditLog *audit.Recorder
+	trail    *auditTrail
 
-	background *background
+	background *backgroundTasks
 }
 
-// Start starts a dispatcher. source may be nil: then the list is that of the settings, or of the list file.
+// Start starts a dispatcher. If source is nil, the endpoint list comes from the list file or, if none is configured, from
+// the settings.
 func Start(cfg *config.Config, log *logs.Logger, source ListSource) (*Service, error) {
-	s := &Service{cfg: cfg, log: log, clock: clock.New(), roster: roster.New(cfg.Partners)}
+	s := &Service{cfg: cfg, log: log, clock: clock.New(), endpoints: endpointlist.New(cfg.Partners)}
 	var seed [16]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("random seed: %w", err)
 	}
-	names := push.Names{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
+	ids := push.ExternalIDs{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
 	var err error
-	speech := &speech{roster: s.roster, sites: cfg.Sites, dialects: cfg.Dialects, names: names, wall: clock.Wall}
-	guard := safety.NewGuard(cfg.Module)
-	pool := cfg.Outbound
-	pool.Admission = permits{guard}
-	s.pool, err = outbound.New(pool, outbound.NewHTTP2(speech), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
+	protocol := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: ids, wall: clock.Wall}
+	guard := safety.NewGuard(cfg.Control)
+	poolConfig := cfg.Outbound
+	poolConfig.Admission = sendPermits{guard}
+	s.pool, err = outbound.New(poolConfig, outbound.NewHTTP2(protocol), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
 	if err != nil {
 		return nil, err
 	}
-	own := make([]bool, len(cfg.Dialects))
+	pathPerMessage := make([]bool, len(cfg.Dialects))
 	for i, d := range cfg.Dialects {
-		own[i] = d.OwnPath()
+		pathPerMessage[i] = d.PathPerMessage()
 	}
 	if source == nil {
-		source = sourceOf(cfg)
+		source = newListSource(cfg)
 	}
-	s.lists = &lists{source: source, roster: s.roster, log: log, quit: make(chan struct{})}
-	s.door = admission.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
-	policy := engine.Options{Settings: cfg.Module, PathPerMessage: own, Guard: guard}
+	s.poller = &listPoller{source: source, endpoints: s.endpoints, log: log, stopping: make(chan struct{})}
+	s.admission = admission.New(cfg.Admission, len(cfg.Intake.Tenants), engineAdapter{s})
+	policy := engine.Options{Settings: cfg.Control, PathPerMessage: pathPerMessage, Guard: guard}
 	if cfg.Audit.Folder != "" {
-		if policy.Trail, err = s.keep(names); err != nil {
+		if policy.Trail, err = s.openTrail(ids); err != nil {
 			s.pool.Close()
 			return nil, err
 		}
 	}
-	core, err := engine.NewCore(policy, binary.LittleEndian.Uint64(seed[:]), s.pool, s.lists, s)
+	core, err := engine.NewCore(policy, binary.LittleEndian.Uint64(seed[:]), s.pool, s.poller, s)
 	if err != nil {
 		s.pool.Close()
-		s.endTrail(true)
+		s.closeTrail(true)
 		return nil, err
 	}
-	s.loop = engine.NewLoop(core, s.clock, cfg.Bounds)
-	s.lists.put = func(l engine.ListUpdate) { s.loop.Enqueue(engine.Input{List: &l}) }
-	s.lists.start(cfg.ListEvery)
+	s.loop = engine.NewLoop(core, s.clock, cfg.EngineBounds)
+	s.poller.deliver = func(l engine.ListUpdate) { s.loop.Enqueue(engine.Input{List: &l}) }
+	s.poller.start(cfg.ListInterval)
 	go s.loop.Run()
-	if err := s.listen(names); err != nil {
+	if err := s.listen(ids); err != nil {
 		s.Kill()
 		return nil, err
 	}
@@ -102,181 +106,197 @@
 	return s, nil
 }
 
-// inner is the engine as the door sees it; the door is there first, as the trail may have it shut.
-type inner struct{ s *Service }
+// engineAdapter passes calls of the admission control on to the engine. Admission control is created before the engine,
+// because the audit trail must be able to close it as soon as the trail is open.
+type engineAdapter struct{ s *Service }
 
-func (i inner) Submit(m *engine.Message) error { return i.s.loop.Submit(m) }
-func (i inner) Withdraw(id control.MessageID)  { i.s.loop.Withdraw(id) }
+// Submit hands a message over to the engine.
+func (a engineAdapter) Submit(m *engine.Message) error { return a.s.loop.Submit(m) }
 
-// keep opens the trail. While its disk fails nothing new is taken; what is held is answered.
-func (s *Service) keep(names push.Names) (engine.Trail, error) {
-	bad := func(err error) {
+// Withdraw cancels a message.
+func (a engineAdapter) Withdraw(id control.MessageID) { a.s.loop.Withdraw(id) }
+
+// openTrail opens the audit trail. While the trail cannot be written, no new messages are accepted, but the messages in
+// progress still get their answers.
+func (s *Service) openTrail(ids push.ExternalIDs) (engine.Trail, error) {
+	onWriteError := func(err error) {
 		if err != nil {
 			err = errors.New("the audit trail can't be written")
 		}
-		s.door.Suspend(err)
+		s.admission.Suspend(err)
 	}
 	var err error
-	s.keeper, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, bad)
+	s.auditLog, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, onWriteError)
 	if err != nil {
 		return nil, err
 	}
-	s.keeper.Enqueue(&audit.Record{Kind: audit.DispatcherStarted, Detail: "epoch " + names.Epoch})
-	s.trail = &trail{s.keeper, s.cfg, s.roster, names}
+	s.auditLog.Enqueue(&audit.Record{Kind: audit.DispatcherStarted, Detail: "epoch " + ids.Epoch})
+	s.trail = &auditTrail{s.auditLog, s.cfg, s.endpoints, ids}
 	return s.trail, nil
 }
 
-// endTrail closes the trail, in order or as a crash would.
-func (s *Service) endTrail(orderly bool) {
+// closeTrail closes the audit trail. If orderly is false, it leaves the trail as a crash would.
+func (s *Service) closeTrail(orderly bool) {
 	switch {
-	case s.keeper == nil:
+	case s.auditLog == nil:
 	case !orderly:
-		s.keeper.Kill()
+		s.auditLog.Kill()
 	default:
-		if err := s.keeper.Close(); err != nil {
+		if err := s.auditLog.Close(); err != nil {
 			s.log.Error("audit", "%v", err)
 		}
 	}
-	s.keeper = nil
+	s.auditLog = nil
 }
 
-// listen opens the fronts. They are equals: each gets its side of the one door.
-func (s *Service) listen(names push.Names) error {
-	cfg, book := s.cfg, intake.NewRegistry(s.cfg.Intake)
-	add := func(name string, c front.Config, side *admission.Frontend, open func(*front.Conn, time.Duration) front.Session) error {
-		f, err := front.New(c, side, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
+// listen opens the frontends. They share one admission control, which applies the same limits to all of them.
+func (s *Service) listen(ids push.ExternalIDs) error {
+	cfg, rules := s.cfg, intake.NewRegistry(s.cfg.Intake)
+	listenOn := func(name string, frontConfig front.Config, admitter *admission.Frontend, open func(*front.Conn, time.Duration) front.Session) error {
+		frontend, err := front.New(frontConfig, admitter, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
 		if err == nil {
-			s.fronts = append(s.fronts, f)
+			s.frontends = append(s.frontends, frontend)
 		}
 		return err
 	}
-	room := &mailbox.SharedBroker{Broker: mailbox.New(cfg.Mailbox)}
-	if s.keeper != nil {
-		room.Key, room.OnChange = s.keeper.Key(), s.trail.changed
-		if err := s.restore(room, book); err != nil {
+	mailboxes := &mailbox.SharedBroker{Broker: mailbox.New(cfg.Mailbox)}
+	if s.auditLog != nil {
+		mailboxes.Key, mailboxes.OnChange = s.auditLog.Key(), s.trail.receiptChanged
+		if err := s.restoreReceipts(mailboxes, rules); err != nil {
 			return err
 		}
 	}
-	s.startChores(room)
-	side := s.door.AddFrontend("push")
-	if err := add("push", cfg.Front, side, pushfront.Opener(cfg.Push, push.NewDesk(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
+	s.startBackground(mailboxes)
+	admitter := s.admission.AddFrontend("push")
+	if err := listenOn("push", cfg.Front, admitter, pushfront.SessionFactory(cfg.Push, push.NewRequestParser(rules), ids, admitter, mailboxes, s.now)); err != nil || cfg.AMQP.Address == "" {
 		return err
 	}
-	side = s.door.AddFrontend("amqp")
-	return add("amqp", cfg.AMQP, side, amqpfront.New(cfg.AMQPConn, book, names, side, room, s.now).Open)
+	admitter = s.admission.AddFrontend("amqp")
+	return listenOn("amqp", cfg.AMQP, admitter, amqpfront.New(cfg.AMQPConn, rules, ids, admitter, mailboxes, s.now).Open)
 }
 
-// Addr is where clients connect by HTTP/2.
-func (s *Service) Addr() net.Addr { return s.fronts[0].Addr() }
+// Addr returns the address that HTTP/2 clients connect to.
+func (s *Service) Addr() net.Addr { return s.frontends[0].Addr() }
 
-// AMQPAddr is where clients connect by AMQP, nil where that is off.
+// AMQPAddr returns the address that AMQP clients connect to. It is nil if AMQP is disabled.
 func (s *Service) AMQPAddr() net.Addr {
-	if len(s.fronts) < 2 {
+	if len(s.frontends) < 2 {
 		return nil
 	}
-	return s.fronts[1].Addr()
+	return s.frontends[1].Addr()
 }
 
-// Stats returns the engine's counts.
+// Stats returns the counters of the engine.
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
-// Door gives access to what clients have handed in, for measurements and tests.
-func (s *Service) Door() *admission.Controller { return s.door }
+// Admission returns the admission control, for measurements and tests.
+func (s *Service) Admission() *admission.Controller { return s.admission }
 
-// now is the dispatcher's clock as a duration.
+// now returns the monotonic time of the dispatcher's clock.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
 
-// Info is engine.Log. What the module tells of partners, returns among it, goes into the trail, too.
+// Info implements engine.Log. It also writes the text to the audit trail, because the text reports what the decision library
+// has learned about partners, such as their recovery from an outage.
 func (s *Service) Info(text string) {
 	s.log.Info("module", "%s", text)
-	if s.keeper != nil {
-		s.keeper.Enqueue(&audit.Record{Kind: audit.Learned, Detail: text})
+	if s.auditLog != nil {
+		s.auditLog.Enqueue(&audit.Record{Kind: audit.Learned, Detail: text})
 	}
 }
 
-// InternalError is engine.Log.
+// InternalError implements engine.Log.
 func (s *Service) InternalError(text string) { s.log.Error("engine", "%s", text) }
 
-// Stop ends a dispatcher in order: GOAWAY to clients, no new messages, answers for those taken, then all is closed.
-// It tells whether every message had its answer; when ctx ends first the rest is cut off.
+// Stop shuts a dispatcher down gracefully. It sends GOAWAY to clients, rejects new messages, waits for the answers to the
+// accepted ones and closes everything. It reports whether all messages were answered. If ctx ends first, the remaining
+// messages get no answer.
 func (s *Service) Stop(ctx context.Context) bool {
 	s.log.Info("service", "stopping: no new messages")
-	for _, f := range s.fronts {
+	for _, f := range s.frontends {
 		f.GoAway()
 	}
 	answered := false
 	select {
-	case <-s.loop.Stop(s.cfg.StopWithin):
+	case <-s.loop.Stop(s.cfg.StopTimeout):
 		answered = true
 	case <-ctx.Done():
 	}
 	if answered {
-		for _, f := range s.fronts {
+		for _, f := range s.frontends {
 			f.Flush(ctx)
 		}
 	}
-	s.end(true)
-	st := s.Stats()
-	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", st.Accepted, st.Served,
-		st.Refused, st.Failed, st.Withdrawn, st.Open)
+	s.close(true)
+	stats := s.Stats()
+	s.log.Info("service", "stopped: %d taken, %d served, %d refused, %d failed, %d withdrawn, %d without an answer", stats.Accepted, stats.Served,
+		stats.Refused, stats.Failed, stats.Withdrawn, stats.Open)
 	return answered
 }
 
-// Kill ends a dispatcher at once, as a crash would, but for the sockets that it closes.
-func (s *Service) Kill() { s.end(false) }
+// Kill ends a dispatcher immediately, as a crash would, except that it closes its sockets.
+func (s *Service) Kill() { s.close(false) }
 
-func (s *Service) end(orderly bool) {
-	s.lists.stop()
-	for _, f := range s.fronts {
+// close stops all parts in order and closes the audit trail.
+func (s *Service) close(orderly bool) {
+	s.poller.stop()
+	for _, f := range s.frontends {
 		f.Close()
 	}
 	s.background.stop()
 	s.loop.Close()
 	s.pool.Close()
-	s.endTrail(orderly)
+	s.closeTrail(orderly)
 }
 
-// permits asks the guard alone: nothing of attempts outlives this kind of process.
-type permits struct{ guard *safety.Guard }
+// sendPermits implements outbound.Permits with the safety guard alone. It records nothing, because this kind of dispatcher
+// keeps no ledger.
+type sendPermits struct{ guard *safety.Guard }
 
-func (p permits) Write(now control.Time, a *engine.Attempt) error {
+// Write asks the guard whether an attempt may be written now.
+func (p sendPermits) Write(now control.Time, a *engine.Attempt) error {
 	return p.guard.Write(now, a.SafetyCall())
 }
 
-func (permits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
+// Record permits all attempts of a call.
+func (sendPermits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
 
-func (p permits) TakenBack(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
+// TakenBack tells the guard that a permitted attempt was not written.
+func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
 
-// speech speaks to each endpoint in the dialect of its partner's kind.
-type speech struct {
-	roster   *roster.Roster
-	sites    []push.Site
-	dialects []push.Dialect
-	names    push.Names
-	wall     func() time.Time
+// partnerProtocol builds requests and interprets responses in the dialect of each partner's kind.
+type partnerProtocol struct {
+	endpoints *endpointlist.Registry
+	resources []push.PartnerResource
+	dialects  []push.Dialect
+	ids       push.ExternalIDs
+	wall      func() time.Time
 }
 
-func (s *speech) Address(ep control.EndpointID) (netip.AddrPort, bool) {
-	p, ok := s.roster.Place(ep)
-	return p.Addr, ok
+// Address returns the address of an endpoint, or false if the endpoint is unknown.
+func (s *partnerProtocol) Address(ep control.EndpointID) (netip.AddrPort, bool) {
+	location, ok := s.endpoints.Lookup(ep)
+	return location.Addr, ok
 }
 
-func (s *speech) Request(a *engine.Attempt, left time.Duration) []h2.Field {
-	p, _ := s.roster.Place(a.Endpoint)
-	site := s.sites[p.Partner]
-	if site.Authority == "" {
-		site.Authority = p.Addr.String()
+// Request returns the header section of an attempt. If the settings name no authority for the partner, :authority is the
+// address of the endpoint.
+func (s *partnerProtocol) Request(a *engine.Attempt, remaining time.Duration) []h2.Field {
+	location, _ := s.endpoints.Lookup(a.Endpoint)
+	resource := s.resources[location.Partner]
+	if resource.Authority == "" {
+		resource.Authority = location.Addr.String()
 	}
-	return s.dialects[p.Kind].Request(site, s.names, a, left, s.wall())
+	return s.dialects[location.Kind].Request(resource, s.ids, a, remaining, s.wall())
 }
 
-func (s *speech) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome {
-	p, _ := s.roster.Place(a.Endpoint)
+// Answer converts a complete response into the end of an attempt. Retry-After and the reason count from status 300 on.
+func (s *partnerProtocol) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome {
+	location, _ := s.endpoints.Lookup(a.Endpoint)
 	status, _ := strconv.Atoi(h2.Value(fields, ":status"))
-	e := engine.Outcome{Kind: engine.Answered, Status: status}
+	end := engine.Outcome{Kind: engine.Answered, Status: status}
 	if status >= 300 {
-		e.RetryAfter = control.Time(push.RetryAfter(fields, s.wall()) / time.Microsecond)
-		e.Detail = s.dialects[p.Kind].Reason(body)
+		end.RetryAfter = control.Time(push.RetryAfter(fields, s.wall()) / time.Microsecond)
+		end.Detail = s.dialects[location.Kind].Reason(body)
 	}
-	return e
+	return end
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -21,7 +21,8 @@
 	"whinrun/internal/logs"
 )
 
-const base = `[class status]
+// baseSettings holds two classes, a tenant and a partner with two push resources.
+const baseSettings = `[class status]
 effect = safe
 aim = 1s
 deadline = 4s
@@ -45,24 +46,24 @@
 tenant = t
 `
 
-// start starts a dispatcher with one partner at addr and further settings.
-func start(t *testing.T, addr, more string) *Service {
+// startService starts a dispatcher with one partner at partnerAddr and extra settings.
+func startService(t *testing.T, partnerAddr, extraSections string) *Service {
 	t.Helper()
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(base, "ADDRESS", addr, 1) + more
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\nstop-within = 1s\n" + strings.Replace(baseSettings, "ADDRESS", partnerAddr, 1) + extraSections
 	cfg, err := config.Parse("test", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	log, _ := logs.New(io.Discard, "info", 100)
-	s, err := Start(cfg, log, nil)
+	dispatcher, err := Start(cfg, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return dispatcher
 }
 
-// peer is a partner that we did not write: net/http's HTTP/2 server.
-func peer(t *testing.T, h http.HandlerFunc) (addr string, srv *http.Server) {
+// startHTTP2Partner starts a partner that uses the HTTP/2 server of net/http, an independent implementation.
+func startHTTP2Partner(t *testing.T, handler http.HandlerFunc) (addr string, srv *http.Server) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,13 +71,14 @@
 	}
 	var p http.Protocols
 	p.SetUnencryptedHTTP2(true)
-	srv = &http.Server{Handler: h, Protocols: &p}
+	srv = &http.Server{Handler: handler, Protocols: &p}
 	go func() { _ = srv.Serve(ln) }()
 	t.Cleanup(func() { _ = srv.Close() })
 	return ln.Addr().String(), srv
 }
 
-func post(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
+// postMessage posts a message and returns the status of the response.
+func postMessage(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
 	m := load.Message{Test: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
 	for _, f := range more {
 		f(&m)
@@ -87,11 +89,11 @@
 	return status, err
 }
 
-// Interop on both sides with net/http: bodies large and small arrive whole, with what the protocol asks for.
+// Client and partner are net/http. Small and large bodies arrive complete, with the header fields that the protocol requires.
 func TestBetweenNetHTTPPeers(t *testing.T) {
 	var mu sync.Mutex
 	sizes := map[int]int{}
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
 		mu.Lock()
 		defer mu.Unlock()
@@ -103,50 +105,50 @@
 		w.Header().Set("Location", "/d/1")
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, "")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 3)
-	defer c.Close()
-	var all sync.WaitGroup
+	dispatcher := startService(t, addr, "")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 3)
+	defer client.Close()
+	var clients sync.WaitGroup
 	var bad atomic.Int64
 	for i := range 200 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			size := 100 + (i%5)*50000
-			if status, err := post(c, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
+			if status, err := postMessage(client, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
 				bad.Add(1)
 				t.Log(status, err)
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	if bad.Load() > 0 || len(sizes) != 5 || sizes[200100] != 40 {
 		t.Errorf("%d bad, sizes %v", bad.Load(), sizes)
 	}
 }
 
-// A peer of net/http that shuts down sends GOAWAY: nothing that was out is lost, and nothing is sent twice.
-func TestPeerShutsDownInLoad(t *testing.T) {
+// A partner that shuts down under load sends GOAWAY. No message in flight is lost, and none is sent twice.
+func TestPartnerShutsDownUnderLoad(t *testing.T) {
 	var served atomic.Int64
-	addr, srv := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, srv := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
 		served.Add(1)
 		w.WriteHeader(201)
 	})
-	s := start(t, addr, "")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	var all sync.WaitGroup
+	dispatcher := startService(t, addr, "")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	var clients sync.WaitGroup
 	var ok atomic.Int64
 	first := make(chan struct{})
 	var once sync.Once
 	for range 50 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			if status, _ := post(c, "/p/upload"); status == 201 {
+			defer clients.Done()
+			if status, _ := postMessage(client, "/p/upload"); status == 201 {
 				ok.Add(1)
 			}
 			once.Do(func() { close(first) })
@@ -154,16 +156,16 @@
 	}
 	<-first
 	_ = srv.Shutdown(context.Background())
-	all.Wait()
+	clients.Wait()
 	if ok.Load() != served.Load() {
-		t.Errorf("%d served by the peer, %d answered as served", served.Load(), ok.Load())
+		t.Errorf("the partner served %d messages, %d were answered as served", served.Load(), ok.Load())
 	}
 }
 
-// The device dialect: a path per device, refusals with a reason in JSON; a device that is gone says nothing of the
-// partner, so that others are served on.
+// In the device dialect each device has a path. A device that answers 410 says nothing about the health of the partner, so
+// other devices are still served.
 func TestDeviceDialect(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Header.Get("Apns-Id") == "" || r.Header.Get("Apns-Expiration") == "":
 			w.WriteHeader(500)
@@ -174,7 +176,7 @@
 			w.WriteHeader(500)
 		}
 	})
-	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(base, "ADDRESS", addr, 1)
+	text := "[dispatcher]\nlisten = 127.0.0.1:0\n" + strings.Replace(baseSettings, "ADDRESS", addr, 1)
 	text = strings.Replace(text, "[kind k]", "[kind k]\ndialect = device", 1)
 	text = strings.Replace(text, "endpoints =", "path = /3/device\nendpoints =", 1)
 	text = strings.ReplaceAll(text, "[push /p/status]", "[push /p/status/*]")
@@ -183,35 +185,35 @@
 		t.Fatal(err)
 	}
 	log, _ := logs.New(io.Discard, "info", 100)
-	s, err := Start(cfg, log, nil)
+	dispatcher, err := Start(cfg, log, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	for range 10 { // more in a row than make an endpoint suspect
-		if status, err := post(c, "/p/status/gone"); status != 502 {
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	for range 10 { // more consecutive failures than outlier detection tolerates
+		if status, err := postMessage(client, "/p/status/gone"); status != 502 {
 			t.Error("gone:", status, err)
 		}
 	}
-	if status, err := post(c, "/p/status/here"); status != 201 {
+	if status, err := postMessage(client, "/p/status/here"); status != 201 {
 		t.Error("here:", status, err)
 	}
 }
 
-// Every limit at the door has its answer.
-func TestDoor(t *testing.T) {
-	block := make(chan struct{})
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
-		<-block
+// Each admission limit has its own status, and no bytes stay reserved afterwards.
+func TestAdmissionLimits(t *testing.T) {
+	release := make(chan struct{})
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
+		<-release
 		w.WriteHeader(201)
 	})
-	defer close(block)
-	s := start(t, addr, "[limits]\nhold = 16\nbody = 64KiB\nheaders = 4KiB\nhold-bytes = 128KiB\n")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 2)
-	defer c.Close()
+	defer close(release)
+	dispatcher := startService(t, addr, "[limits]\nhold = 16\nbody = 64KiB\nheaders = 4KiB\nhold-bytes = 128KiB\n")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 2)
+	defer client.Close()
 	for _, k := range []struct {
 		name   string
 		status int
@@ -222,51 +224,52 @@
 		{"no such resource", 404, func(m *load.Message) { m.Path = "/q" }},
 		{"bad topic", 400, func(m *load.Message) { m.Key = "no topic" }},
 	} {
-		if status, err := post(c, "/p/status", k.change); status != k.status {
+		if status, err := postMessage(client, "/p/status", k.change); status != k.status {
 			t.Errorf("%s: %d %v, want %d", k.name, status, err, k.status)
 		}
 	}
-	if got := largeHeaders(t, s.Addr().String()); got != "431" {
+	if got := sendLargeHeaders(t, dispatcher.Addr().String()); got != "431" {
 		t.Errorf("headers above the limit: %s", got)
 	}
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	var full atomic.Int64
 	for range 60 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			if status, _ := post(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
+			defer clients.Done()
+			if status, _ := postMessage(client, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
 				full.Add(1)
 			}
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	if full.Load() != 60 {
-		t.Errorf("%d of 60 refused or failed at a partner that answers nothing", full.Load())
+		t.Errorf("%d of 60 messages were refused or failed at a partner that does not answer", full.Load())
 	}
-	if n := s.Door().Usage().Bytes; n != 0 {
+	if n := dispatcher.Admission().Usage().Bytes; n != 0 {
 		t.Errorf("%d bytes are still reserved", n)
 	}
 }
 
-// largeHeaders sends a header section above what the dispatcher's SETTINGS allow, which a polite client does not.
-func largeHeaders(t *testing.T, addr string) (status string) {
-	r := dialRaw(t, addr)
-	defer r.nc.Close()
-	if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+// sendLargeHeaders sends a header section larger than the dispatcher's SETTINGS allow. A client that respects SETTINGS would
+// not send it. It returns the status of the response.
+func sendLargeHeaders(t *testing.T, addr string) (status string) {
+	client := dialRawClient(t, addr)
+	defer client.conn.Close()
+	if err := client.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 		t.Fatal(err)
 	}
 	var block bytes.Buffer
 	enc := hpack.NewEncoder(&block)
-	for _, f := range append(fields("/p/status"), h2.Field{Name: "x", Value: strings.Repeat("x", 5000)}) {
+	for _, f := range append(requestFields("/p/status"), h2.Field{Name: "x", Value: strings.Repeat("x", 5000)}) {
 		_ = enc.WriteField(f)
 	}
-	if _, err := r.h.Request(0, fields("/p/status"), nil); err != nil { // opens stream 1 in the client's books
+	if _, err := client.h2conn.Request(0, requestFields("/p/status"), nil); err != nil { // opens stream 1 in the client's state
 		t.Fatal(err)
 	}
-	r.h.Output()
-	_, _ = r.nc.Write(h2.AppendFrame(nil, h2.FrameHeaders, h2.FlagEndHeaders|h2.FlagEndStream, 1, block.Bytes()))
-	if err := r.until(func(e h2.Event) bool {
+	client.h2conn.Output()
+	_, _ = client.conn.Write(h2.AppendFrame(nil, h2.FrameHeaders, h2.FlagEndHeaders|h2.FlagEndStream, 1, block.Bytes()))
+	if err := client.readUntil(func(e h2.Event) bool {
 		status = h2.Value(e.Fields, ":status")
 		return e.Kind == h2.Headers
 	}); err != nil {
@@ -275,34 +278,35 @@
 	return status
 }
 
-// raw is a client on a bare socket, for what net/http would not do.
-type raw struct {
-	t  *testing.T
-	nc net.Conn
-	h  *h2.Conn
+// rawClient is a client on a raw socket, which can do things that net/http does not do.
+type rawClient struct {
+	t      *testing.T
+	conn   net.Conn
+	h2conn *h2.Conn
 }
 
-func dialRaw(t *testing.T, addr string) *raw {
+// dialRawClient connects a rawClient.
+func dialRawClient(t *testing.T, addr string) *rawClient {
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &raw{t, nc, h2.NewClient(h2.Config{}, 0)}
+	return &rawClient{t, nc, h2.NewClient(h2.Config{}, 0)}
 }
 
-// until reads until an event is found, or the connection ends.
-func (r *raw) until(found func(h2.Event) bool) error {
+// readUntil reads until found returns true for an event, or until the connection ends.
+func (r *rawClient) readUntil(found func(h2.Event) bool) error {
 	buf := make([]byte, 1<<16)
 	for {
-		if _, err := r.nc.Write(r.h.Output()); err != nil {
+		if _, err := r.conn.Write(r.h2conn.Output()); err != nil {
 			return err
 		}
-		_ = r.nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-		n, err := r.nc.Read(buf)
+		_ = r.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		n, err := r.conn.Read(buf)
 		if err != nil {
 			return err
 		}
-		events, err := r.h.Receive(0, buf[:n])
+		events, err := r.h2conn.Receive(0, buf[:n])
 		for _, e := range events {
 			if found(e) {
 				return nil
@@ -314,126 +318,127 @@
 	}
 }
 
-func fields(path string) []h2.Field {
+// requestFields returns the header section of a valid request.
+func requestFields(path string) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: path},
 		{Name: "authorization", Value: "Bearer secret"}, {Name: "ttl", Value: "3"}}
 }
 
-// others checks that another client has its answer all the same.
-func others(t *testing.T, s *Service, want int) {
+// expectOtherClientServed checks that another client still gets its answer, with the given status.
+func expectOtherClientServed(t *testing.T, dispatcher *Service, want int) {
 	t.Helper()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	if status, err := post(c, "/p/status"); status != want {
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	if status, err := postMessage(client, "/p/status"); status != want {
 		t.Error("another client:", status, err)
 	}
 }
 
-// A client that keeps its window shut while answers wait is cut off; others go on.
-func TestClientThatTakesNoAnswers(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
-	s := start(t, addr, "[limits]\nstall = 300ms\n")
-	defer s.Kill()
-	r := dialRaw(t, s.Addr().String())
-	defer r.nc.Close()
-	if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+// A client that keeps its flow-control window at zero while answers wait is disconnected. Other clients are not affected.
+func TestClientThatReadsNoAnswers(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // the dispatcher's 502 responses have bodies
+	dispatcher := startService(t, addr, "[limits]\nstall = 300ms\n")
+	defer dispatcher.Kill()
+	client := dialRawClient(t, dispatcher.Addr().String())
+	defer client.conn.Close()
+	if err := client.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 		t.Fatal(err)
 	}
 	shut := h2.AppendFrame(nil, h2.FrameSettings, 0, 0, []byte{0, 4, 0, 0, 0, 0}) // SETTINGS_INITIAL_WINDOW_SIZE 0
-	_, _ = r.nc.Write(shut)
-	if _, err := r.h.Request(0, fields("/p/status"), []byte("x")); err != nil {
+	_, _ = client.conn.Write(shut)
+	if _, err := client.h2conn.Request(0, requestFields("/p/status"), []byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	away := false
-	err := r.until(func(e h2.Event) bool {
+	err := client.readUntil(func(e h2.Event) bool {
 		away = away || e.Kind == h2.GoAwayReceived && e.Code == h2.FlowControlError
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
-		t.Errorf("the connection is not ended: %v, GOAWAY %v", err, away)
+		t.Errorf("the connection was not closed: %v, GOAWAY %v", err, away)
 	}
-	others(t, s, 502)
+	expectOtherClientServed(t, dispatcher, 502)
 }
 
-// A preface that does not come, garbage, and a flood of resets end their connections and nothing else.
-func TestAbuseEndsItsConnection(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
-	defer s.Kill()
-	for name, send := range map[string]func(*raw) error{
-		"nothing": func(r *raw) error { return nil },
-		"HTTP/1": func(r *raw) error {
-			_, err := io.WriteString(r.nc, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+// A missing preface, a request in another protocol and a flood of resets close their connections and affect no other client.
+func TestAbuseClosesItsConnection(t *testing.T) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	dispatcher := startService(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
+	defer dispatcher.Kill()
+	for name, send := range map[string]func(*rawClient) error{
+		"nothing": func(r *rawClient) error { return nil },
+		"HTTP/1": func(r *rawClient) error {
+			_, err := io.WriteString(r.conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 			return err
 		},
-		"resets": func(r *raw) error {
-			if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
+		"resets": func(r *rawClient) error {
+			if err := r.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err != nil {
 				return err
 			}
 			for range 100 {
-				id, err := r.h.Request(0, fields("/p/status"), []byte("x"))
+				id, err := r.h2conn.Request(0, requestFields("/p/status"), []byte("x"))
 				if err != nil {
 					break
 				}
-				r.h.Reset(0, id, h2.Cancel)
+				r.h2conn.Reset(0, id, h2.Cancel)
 			}
-			_, err := r.nc.Write(r.h.Output())
+			_, err := r.conn.Write(r.h2conn.Output())
 			return err
 		},
 	} {
-		r := dialRaw(t, s.Addr().String())
+		client := dialRawClient(t, dispatcher.Addr().String())
 		if name != "resets" {
-			r.h = h2.NewClient(h2.Config{}, 0)
-			r.h.Output()
+			client.h2conn = h2.NewClient(h2.Config{}, 0)
+			client.h2conn.Output()
 		}
-		if err := send(r); err != nil {
+		if err := send(client); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		_ = r.nc.SetReadDeadline(time.Now().Add(20 * time.Second))
-		if _, err := io.Copy(io.Discard, r.nc); err != nil && strings.Contains(err.Error(), "timeout") {
+		_ = client.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		if _, err := io.Copy(io.Discard, client.conn); err != nil && strings.Contains(err.Error(), "timeout") {
 			t.Errorf("%s: the connection is still open", name)
 		}
-		_ = r.nc.Close()
+		_ = client.conn.Close()
 	}
-	others(t, s, 201)
+	expectOtherClientServed(t, dispatcher, 201)
 }
 
-// Clients above the limit of connections are turned away, those there are served.
+// Connections above the limit are rejected. Clients that are already connected are still served.
 func TestConnectionLimit(t *testing.T) {
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
-	s := start(t, addr, "[limits]\nconnections = 1\n")
-	defer s.Kill()
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
-	if status, err := post(c, "/p/status"); status != 201 {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
+	dispatcher := startService(t, addr, "[limits]\nconnections = 1\n")
+	defer dispatcher.Kill()
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
+	if status, err := postMessage(client, "/p/status"); status != 201 {
 		t.Fatal(status, err)
 	}
-	r := dialRaw(t, s.Addr().String())
-	defer r.nc.Close()
-	if err := r.until(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
-		t.Error("a second connection is served")
+	excess := dialRawClient(t, dispatcher.Addr().String())
+	defer excess.conn.Close()
+	if err := excess.readUntil(func(e h2.Event) bool { return e.Kind == h2.Ready }); err == nil {
+		t.Error("a second connection was accepted")
 	}
-	if status, err := post(c, "/p/status"); status != 201 {
+	if status, err := postMessage(client, "/p/status"); status != 201 {
 		t.Error(status, err)
 	}
 }
 
-// An orderly stop answers what was taken, also where the partner answers nothing, and then ends.
-func TestStopInOrder(t *testing.T) {
-	block := make(chan struct{})
+// A graceful stop answers all accepted messages and then ends, even if the partner does not answer.
+func TestGracefulStop(t *testing.T) {
+	release := make(chan struct{})
 	arrived := make(chan struct{}, 100)
-	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr, _ := startHTTP2Partner(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
-		<-block
+		<-release
 	})
-	defer close(block)
-	s := start(t, addr, "")
-	c := load.NewClient(s.Addr().String(), 1)
-	defer c.Close()
+	defer close(release)
+	dispatcher := startService(t, addr, "")
+	client := load.NewClient(dispatcher.Addr().String(), 1)
+	defer client.Close()
 	answers := make(chan int, 10)
 	for range 10 {
 		go func() {
-			status, _ := post(c, "/p/upload")
+			status, _ := postMessage(client, "/p/upload")
 			answers <- status
 		}()
 	}
@@ -442,8 +447,8 @@
 	}
 	ctx, done := context.WithTimeout(context.Background(), 20*time.Second)
 	defer done()
-	if !s.Stop(ctx) {
-		t.Error("stopped without all answers")
+	if !dispatcher.Stop(ctx) {
+		t.Error("the stop left messages without an answer")
 	}
 	for range 10 {
 		if status := <-answers; status != 502 && status != 504 {
@@ -452,7 +457,7 @@
 	}
 }
 
-// The list file: one bad line voids it, the list before it stays valid.
+// One invalid line makes a list file invalid.
 func TestParseList(t *testing.T) {
 	lines, err := ParseList("f", []byte("# list\np 127.0.0.1:1 ready\n\np 127.0.0.1:2 draining\n"))
 	if err != nil || len(lines) != 2 {
@@ -470,8 +475,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) { _, _ = ParseList("f", b) })
 }
 
-// Logs are bounded: what a fault would flood is counted instead.
-func TestLogsAreBounded(t *testing.T) {
+// The rate of log lines is limited, so that a fault cannot flood the log.
+func TestLogRateIsLimited(t *testing.T) {
 	var b bytes.Buffer
 	l, err := logs.New(&b, "info", 5)
 	if err != nil {
@@ -484,6 +489,6 @@
 		t.Error(n, "lines of 1000")
 	}
 	if _, err := logs.New(&b, "loud", 5); err == nil {
-		t.Error(fmt.Sprint("level loud is taken"))
+		t.Error(fmt.Sprint("log level loud was accepted"))
 	}
 }
