--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -18,9 +18,9 @@
 
 	"whinrun/internal/clock"
 	"whinrun/internal/compare"
-	"whinrun/internal/day"
 	"whinrun/internal/load"
 	"whinrun/internal/partner"
+	"whinrun/internal/scenario"
 	"whinrun/internal/soak"
 )
 
@@ -211,7 +211,7 @@
 		e.Streams(uint32(k))
 		return nil
 	}
-	f, err := day.ParseFault(words[1:])
+	f, err := scenario.ParseFault(words[1:])
 	if err != nil {
 		return err
 	}
@@ -266,7 +266,7 @@
 	if err != nil {
 		return false, err
 	}
-	s, err := day.Parse(file, string(text))
+	s, err := scenario.Parse(file, string(text))
 	if err != nil {
 		return false, err
 	}
@@ -283,12 +283,12 @@
 		lines = os.Stderr
 	}
 	start := clock.Start()
-	r, err := day.Run(ctx, s, lines)
+	r, err := scenario.Run(ctx, s, lines)
 	if err != nil {
 		return false, err
 	}
 	load.Write(os.Stdout, load.Report(r.Outcomes), start.Elapsed())
-	sum := day.Sum(r)
+	sum := scenario.Sum(r)
 	sum.Write(os.Stdout)
 	if share := float64(sum.Served) / float64(max(1, sum.Messages)); share < s.Served {
 		fmt.Printf("served %.3f, expected %.3f\n", share, s.Served)
--- a/internal/day/check_test.go
+++ b/internal/scenario/check_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"net/netip"
--- a/internal/day/script.go
+++ b/internal/scenario/script.go
@@ -1,7 +1,7 @@
-// Package day rehearses bad days: a script of load and trouble is played through a real dispatcher on loopback, and
+// Package scenario rehearses bad days: a script of load and trouble is played through a real dispatcher on loopback, and
 // a checker holds what clients and stand-ins saw on their sockets against the six rules. docs/days.md is the page of
 // the language.
-package day
+package scenario
 
 import (
 	"errors"
