--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -39,7 +39,7 @@
 	Rate        float64 // at which latency is measured; 0 is half of what the slowest bears
 }
 
-const settings = `[dispatcher]
+const settingsTemplate = `[dispatcher]
 listen = 127.0.0.1:0
 log = error
 [limits]
@@ -77,7 +77,7 @@
 
 // Run measures all three and writes the table.
 func Run(ctx context.Context, w io.Writer, o Options) error {
-	direct, s, stop, err := standIn(partner.Config{Pace: o.Pace}, settings)
+	direct, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
 	if err != nil {
 		return err
 	}
@@ -88,15 +88,15 @@
 	}
 	defer stopProxy()
 	targets := []*target{{name: "direct", addr: direct}, {name: "ReverseProxy", addr: proxy}, {name: "whinrun", addr: s.Addr().String()}}
-	if err := inTurns(ctx, w, o, targets); err != nil {
+	if err := measureInTurns(ctx, w, o, targets); err != nil {
 		return err
 	}
-	return memory(ctx, w, o)
+	return measureMemory(ctx, w, o)
 }
 
-// standIn starts a stand-in that talks to many at once, and a dispatcher in front of it; %s in the settings is its address.
-func standIn(cfg partner.Config, text string) (addr string, s *service.Service, stop func(), err error) {
-	cfg.Name, cfg.Streams, cfg.Seed = "p", 1000, 1
+// startStandIn starts a stand-in that talks to many at once, and a dispatcher in front of it; %s in the settings is its address.
+func startStandIn(cfg partner.Config, text string) (addr string, s *service.Service, stop func(), err error) {
+	cfg.Name, cfg.MaxStreams, cfg.Seed = "p", 1000, 1
 	p := partner.New(cfg, partner.NewLog(0))
 	e, err := p.Listen("127.0.0.1:0")
 	if err != nil {
@@ -109,15 +109,15 @@
 	return e.Addr().String(), s, func() { s.Kill(); p.Close() }, nil
 }
 
-// inTurns measures all targets and writes the table.
-func inTurns(ctx context.Context, w io.Writer, o Options, targets []*target) error {
+// measureInTurns measures all targets and writes the table.
+func measureInTurns(ctx context.Context, w io.Writer, o Options, targets []*target) error {
 	for _, t := range targets {
 		t.latency = hdrhistogram.New(1, 60e6, 3)
 	}
 	for round := range o.Rounds {
 		for i := range targets {
 			t := targets[(i+round)%len(targets)]
-			if err := t.saturate(ctx, o); err != nil {
+			if err := t.measureThroughput(ctx, o); err != nil {
 				return err
 			}
 		}
@@ -130,7 +130,7 @@
 	for round := range o.Rounds {
 		for i := range targets {
 			t := targets[(i+round)%len(targets)]
-			t.halfLoad(ctx, o, rate)
+			t.measureLatency(ctx, o, rate)
 		}
 	}
 	fmt.Fprintf(w, "stand-in pace %v, bodies of %d bytes, %d connections, %d at once; %d rounds of %v in turns; %d cores\n", o.Pace, o.Size, o.Conns,
@@ -156,17 +156,17 @@
 	return service.Start(cfg, lines, nil)
 }
 
-// memory measures what a held message takes beside its body: many are held for a partner that answers nothing.
-func memory(ctx context.Context, w io.Writer, o Options) error {
+// measureMemory measures what a held message takes beside its body: many are held for a partner that answers nothing.
+func measureMemory(ctx context.Context, w io.Writer, o Options) error {
 	const held = 20000
-	text := strings.Replace(settings, "slots = 4096", "slots = 16", 1)
+	text := strings.Replace(settingsTemplate, "slots = 4096", "slots = 16", 1)
 	s, err := startDispatcher(fmt.Sprintf(text, "127.0.0.1:1"))
 	if err != nil {
 		return err
 	}
 	defer s.Kill()
-	before := heapNow()
-	conns, err := holdRaw(s.Addr().String(), held, o.Size)
+	before := heapInUse()
+	conns, err := openHeldMessages(s.Addr().String(), held, o.Size)
 	defer closeAll(conns)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	after := heapNow()
+	after := heapInUse()
 	n := s.Stats().Open
 	fmt.Fprintf(w, "memory: %d messages held for a partner that is down: %d bytes each beside the body, its stream's share with it\n", n,
 		(after-before)/n-o.Size)
@@ -206,8 +206,8 @@
 	return ln.Addr().String(), func() { _ = srv.Close() }, nil
 }
 
-// client connects to the target, in its protocol.
-func (t *target) client(conns int) (load.Poster, func()) {
+// newSender connects to the target, in its protocol.
+func (t *target) newSender(conns int) (load.Sender, func()) {
 	if t.amqp {
 		p := load.NewPublisher(t.addr, "t", "-", conns)
 		return p, p.Close
@@ -216,9 +216,9 @@
 	return c, c.Close
 }
 
-// saturate measures throughput at a fixed number of messages out.
-func (t *target) saturate(ctx context.Context, o Options) error {
-	c, shut := t.client(o.Conns)
+// measureThroughput measures throughput at a fixed number of messages out.
+func (t *target) measureThroughput(ctx context.Context, o Options) error {
+	c, shut := t.newSender(o.Conns)
 	defer shut()
 	ctx, stop := context.WithTimeout(ctx, o.For)
 	defer stop()
@@ -229,9 +229,9 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			m := load.Message{Test: fmt.Sprint("w", i), Class: "status", Path: "/p/status", TTL: 20, Size: o.Size}
+			m := load.Message{CorrelationID: fmt.Sprint("w", i), Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 			for ctx.Err() == nil {
-				status, _, _, err := c.Post(ctx, &m)
+				status, _, _, err := c.Send(ctx, &m)
 				switch {
 				case err == nil && status == 201:
 					done.Add(1)
@@ -249,14 +249,14 @@
 	return nil
 }
 
-// halfLoad measures latency at a fixed rate, from when each message was due.
-func (t *target) halfLoad(ctx context.Context, o Options, rate float64) {
-	c, shut := t.client(o.Conns)
+// measureLatency measures latency at a fixed rate, from when each message was due.
+func (t *target) measureLatency(ctx context.Context, o Options, rate float64) {
+	c, shut := t.newSender(o.Conns)
 	defer shut()
 	n := int(rate * o.For.Seconds())
 	msgs := make([]load.Message, n)
 	for i := range msgs {
-		msgs[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), Test: "h", Class: "status", Path: "/p/status", TTL: 20, Size: o.Size}
+		msgs[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), CorrelationID: "h", Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 	}
 	start := clock.Start()
 	for i, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -16,32 +16,32 @@
 	"whinrun/internal/partner"
 )
 
-const amqpSettings = settings + "[amqp]\nlisten = 127.0.0.1:0\n"
+const amqpSettingsTemplate = settingsTemplate + "[amqp]\nlisten = 127.0.0.1:0\n"
 
 // Fronts measures publish to confirm beside the HTTP/2 front on the same stand-in, fairness between the two under
 // overload, and what an idle connection and channel take.
 func Fronts(ctx context.Context, w io.Writer, o Options) error {
-	_, s, stop, err := standIn(partner.Config{Pace: o.Pace}, amqpSettings)
+	_, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, amqpSettingsTemplate)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	err = inTurns(ctx, w, o, []*target{{name: "HTTP/2", addr: s.Addr().String()}, {name: "AMQP", addr: s.AMQPAddr().String(), amqp: true}})
+	err = measureInTurns(ctx, w, o, []*target{{name: "HTTP/2", addr: s.Addr().String()}, {name: "AMQP", addr: s.AMQPAddr().String(), amqp: true}})
 	if err != nil {
 		return err
 	}
-	if err := idleAMQP(w, s.AMQPAddr().String()); err != nil {
+	if err := measureIdleAMQP(w, s.AMQPAddr().String()); err != nil {
 		return err
 	}
-	return fairness(ctx, w, o)
+	return measureFairness(ctx, w, o)
 }
 
-// fairness offers half of one and a half times what a partner takes by each front, and counts what each got served
+// measureFairness offers half of one and a half times what a partner takes by each front, and counts what each got served
 // within its aim.
-func fairness(ctx context.Context, w io.Writer, o Options) error {
+func measureFairness(ctx context.Context, w io.Writer, o Options) error {
 	const takes, offered = 600.0, 900.0
-	text := strings.Replace(strings.Replace(amqpSettings, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
-	_, s, stop, err := standIn(partner.Config{Pace: o.Pace, Limit: takes}, text)
+	text := strings.Replace(strings.Replace(amqpSettingsTemplate, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
+	_, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace, RateLimit: takes}, text)
 	if err != nil {
 		return err
 	}
@@ -52,12 +52,12 @@
 	length := 5 * o.For
 	msgs := make([]load.Message, int(offered*length.Seconds()))
 	for i := range msgs {
-		msgs[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), Test: fmt.Sprint("f", i), Class: "status",
-			Path: "/p/status", TTL: 3, Size: o.Size, AMQP: i%2 == 1}
+		msgs[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), CorrelationID: fmt.Sprint("f", i), Class: "status",
+			Path: "/p/status", TTL: 3, BodySize: o.Size, AMQP: i%2 == 1}
 	}
 	start := clock.Start()
 	var got [2]int
-	for _, r := range load.Run(ctx, load.Fronts{Push: client, AMQP: publisher}, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
+	for _, r := range load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
 		if r.Status == 201 && r.Done-r.At <= time.Second {
 			if r.AMQP {
 				got[1]++
@@ -72,24 +72,24 @@
 	return nil
 }
 
-// idleAMQP measures idle connections and channels, the client's socket with them.
-func idleAMQP(w io.Writer, addr string) error {
+// measureIdleAMQP measures idle connections and channels, the client's socket with them.
+func measureIdleAMQP(w io.Writer, addr string) error {
 	const conns, channels = 900, 100
-	before := heapNow()
+	before := heapInUse()
 	open, err := dialRaw(addr, conns, 1)
 	defer closeAll(open)
 	if err != nil {
 		return err
 	}
-	per := (heapNow() - before) / conns
+	per := (heapInUse() - before) / conns
 	closeAll(open)
-	before = heapNow()
+	before = heapInUse()
 	few, err := dialRaw(addr, 20, channels)
 	defer closeAll(few)
 	if err != nil {
 		return err
 	}
-	of := (heapNow() - before - 20*per) / (20 * (channels - 1))
+	of := (heapInUse() - before - 20*per) / (20 * (channels - 1))
 	fmt.Fprintf(w, "idle: %d bytes a connection with one channel, the client's socket with it; %d bytes a further channel\n", per, of)
 	runtime.KeepAlive(few)
 	return nil
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -8,9 +8,9 @@
 	"whinrun/internal/h2"
 )
 
-// holdRaw hands in many messages over few connections with as little memory of its own as can be: net/http's client
+// openHeldMessages hands in many messages over few connections with as little memory of its own as can be: net/http's client
 // would take more than what is to be measured. Its connections are to be closed also after an error.
-func holdRaw(addr string, n, size int) (conns []net.Conn, err error) {
+func openHeldMessages(addr string, n, size int) (conns []net.Conn, err error) {
 	const perConn = 1000
 	body := make([]byte, size)
 	for made := 0; made < n; made += perConn {
@@ -19,7 +19,7 @@
 			return conns, err
 		}
 		conns = append(conns, nc)
-		if err := hold(nc, perConn, body); err != nil {
+		if err := sendWithoutReading(nc, perConn, body); err != nil {
 			return conns, fmt.Errorf("connection %d: %w", len(conns), err)
 		}
 	}
@@ -32,8 +32,8 @@
 	}
 }
 
-// hold opens streams on one connection and forgets them; the answers are left to lie.
-func hold(nc net.Conn, n int, body []byte) error {
+// sendWithoutReading opens streams on one connection and forgets them; the answers are left to lie.
+func sendWithoutReading(nc net.Conn, n int, body []byte) error {
 	h := h2.NewClient(h2.Config{}, 0)
 	buf := make([]byte, 1<<16)
 	fields := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/p/status"},
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -40,7 +40,7 @@
 // Idle measures the delivery times of the busy partners with and without idle ones beside them, in alternated pairs.
 func Idle(ctx context.Context, w io.Writer, o IdleOptions) error {
 	log := partner.NewLog(0)
-	p := partner.New(partner.Config{Name: "all", Pace: 2 * time.Millisecond, Streams: 1000, Seed: 1}, log)
+	p := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
 	defer p.Close()
 	var addrs []string
 	for range 4 {
@@ -54,11 +54,11 @@
 	var bytes, served, woken int
 	fmt.Fprintf(w, "%-6s %22s %22s\n", "pair", "busy alone p50 p99 ms", "beside idle p50 p99 ms")
 	for pair := range o.Pairs {
-		a, _, _, err := o.run(ctx, o.Busy, 0, addrs)
+		a, _, _, err := o.measure(ctx, o.Busy, 0, addrs)
 		if err != nil {
 			return err
 		}
-		b, per, ok, err := o.run(ctx, o.Partners, o.Wake, addrs)
+		b, per, ok, err := o.measure(ctx, o.Partners, o.Wake, addrs)
 		if err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func heapNow() int {
+func heapInUse() int {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -84,25 +84,25 @@
 	return int(m.HeapAlloc)
 }
 
-// run is one run with so many partners, of which wake get one message each.
-func (o IdleOptions) run(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
-	before := heapNow()
+// measure is one run with so many partners, of which wake get one message each.
+func (o IdleOptions) measure(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
+	before := heapInUse()
 	s, err := startDispatcher(idleSettings(partners, addrs))
 	if err != nil {
 		return nil, 0, 0, err
 	}
 	defer s.Kill()
-	bytesEach = (heapNow() - before) / partners
+	bytesEach = (heapInUse() - before) / partners
 	c := load.NewClient(s.Addr().String(), 4)
 	defer c.Close()
 	n := int(o.Rate * o.For.Seconds())
 	var msgs []load.Message
 	for i := range n {
-		msgs = append(msgs, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), Test: "b", Class: "status",
-			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, Size: 128, Partner: "busy"})
+		msgs = append(msgs, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), CorrelationID: "b", Class: "status",
+			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, BodySize: 128, Partner: "busy"})
 		if k := i * wake / n; k != (i+1)*wake/n {
 			for j := k; j < (i+1)*wake/n; j++ {
-				msgs = append(msgs, load.Message{At: msgs[len(msgs)-1].At, Test: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, Size: 128})
+				msgs = append(msgs, load.Message{At: msgs[len(msgs)-1].At, CorrelationID: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, BodySize: 128})
 			}
 		}
 	}
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -19,30 +19,30 @@
 type Publisher struct {
 	url   string
 	next  atomic.Uint64
-	lines []*line
+	conns []*amqpConn
 }
 
-// line is one connection with one channel; it reconnects when it is next used.
-type line struct {
-	mu      sync.Mutex
-	conn    *amqp.Connection
-	ch      *amqp.Channel
-	returns chan amqp.Return
-	wait    map[string]int64 // told with a returned message, by its correlation-id
+// amqpConn is one connection with one channel; it reconnects when it is next used.
+type amqpConn struct {
+	mu         sync.Mutex
+	conn       *amqp.Connection
+	ch         *amqp.Channel
+	returns    chan amqp.Return
+	retryAfter map[string]int64 // told with a returned message, by its correlation-id
 }
 
 // NewPublisher makes a Publisher for a tenant, with so many connections.
 func NewPublisher(addr, tenant, password string, conns int) *Publisher {
 	p := &Publisher{url: fmt.Sprintf("amqp://%s:%s@%s/", tenant, password, addr)}
 	for range max(1, conns) {
-		p.lines = append(p.lines, &line{})
+		p.conns = append(p.conns, &amqpConn{})
 	}
 	return p
 }
 
 // Close closes the connections.
 func (p *Publisher) Close() {
-	for _, l := range p.lines {
+	for _, l := range p.conns {
 		l.mu.Lock()
 		if l.conn != nil {
 			_ = l.conn.Close()
@@ -51,8 +51,8 @@
 	}
 }
 
-// open returns the line's channel, made anew where it is closed.
-func (l *line) open(url string) (*amqp.Channel, error) {
+// openChannel returns the line's channel, made anew where it is closed.
+func (l *amqpConn) openChannel(url string) (*amqp.Channel, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ch != nil && !l.ch.IsClosed() {
@@ -73,13 +73,13 @@
 		return nil, err
 	}
 	// The library hands over a return before the nack that follows it; the buffer keeps it from waiting for us.
-	l.returns, l.wait = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
+	l.returns, l.retryAfter = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
 	l.ch = ch
 	return ch, nil
 }
 
 // returned tells whether a message came back, and the wait that was told, in milliseconds.
-func (l *line) returned(id string) (wait int64, ok bool) {
+func (l *amqpConn) returned(id string) (wait int64, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for {
@@ -87,7 +87,7 @@
 		case r, open := <-l.returns:
 			if open {
 				ms, _ := r.Headers["x-retry-after"].(int64)
-				l.wait[r.CorrelationId] = ms
+				l.retryAfter[r.CorrelationId] = ms
 				continue
 			}
 			l.returns = nil
@@ -95,24 +95,24 @@
 		}
 		break
 	}
-	wait, ok = l.wait[id]
-	delete(l.wait, id)
+	wait, ok = l.retryAfter[id]
+	delete(l.retryAfter, id)
 	return wait, ok
 }
 
-// Post publishes one message to the default exchange and waits for its confirm.
-func (p *Publisher) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
-	l := p.lines[p.next.Add(1)%uint64(len(p.lines))]
-	pub := amqp.Publishing{Body: m.body(), CorrelationId: m.Test, MessageId: m.Repeat, Expiration: strconv.Itoa(m.TTL * 1000)}
-	if m.Key != "" {
-		pub.Headers = amqp.Table{"x-order-key": m.Key}
+// Send publishes one message to the default exchange and waits for its confirm.
+func (p *Publisher) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+	l := p.conns[p.next.Add(1)%uint64(len(p.conns))]
+	pub := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
+	if m.OrderKey != "" {
+		pub.Headers = amqp.Table{"x-order-key": m.OrderKey}
 	}
 	var ch *amqp.Channel
 	var confirm *amqp.DeferredConfirmation
 	for { // a channel found closed has sent nothing
 		// A dispatcher killed within this process may leave a connection that it had just accepted open and mute: it
 		// is given up after its time, and made anew. Without that all messages of the line waited half a minute.
-		if ch, err = l.open(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+		if ch, err = l.openChannel(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			continue
 		} else if err != nil {
 			return 0, 0, "", err
@@ -132,7 +132,7 @@
 	case served:
 		return http.StatusCreated, 0, "", nil
 	}
-	if ms, ok := l.returned(m.Test); ok {
+	if ms, ok := l.returned(m.CorrelationID); ok {
 		return http.StatusServiceUnavailable, int((ms + 999) / 1000), "", nil
 	}
 	if ch.IsClosed() { // the library says no for all that a closed channel leaves open
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -12,40 +12,40 @@
 
 // conn is one connection from a dispatcher.
 type conn struct {
-	e  *Endpoint
-	nc net.Conn
-	id int
+	endpoint *Endpoint
+	netConn  net.Conn
+	id       int
 
-	mu    sync.Mutex
-	h     *h2.Conn
-	calls map[uint32]*call
-	used  time.Duration
-	dead  bool // reaped, or closed
+	mu       sync.Mutex
+	http2    *h2.Conn
+	calls    map[uint32]*call
+	lastUsed time.Duration
+	dead     bool // reaped, or closed
 }
 
 // call is one request.
 type call struct {
-	c       *conn
-	stream  uint32
-	fields  []h2.Field
-	body    []byte
-	log     Event
-	applied bool
+	conn      *conn
+	stream    uint32
+	fields    []h2.Field
+	body      []byte
+	baseEvent Event
+	applied   bool
 }
 
-func (c *conn) now() time.Duration { return c.e.p.log.Now() }
+func (c *conn) now() time.Duration { return c.endpoint.partner.log.Now() }
 
 func (c *conn) fault() Fault {
-	c.e.mu.Lock()
-	defer c.e.mu.Unlock()
-	return c.e.fault
+	c.endpoint.mu.Lock()
+	defer c.endpoint.mu.Unlock()
+	return c.endpoint.fault
 }
 
-// do uses the protocol state and writes what comes of it.
-func (c *conn) do(use func(now time.Duration)) {
+// update uses the protocol state and writes what comes of it.
+func (c *conn) update(use func(now time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.h == nil || c.dead {
+	if c.http2 == nil || c.dead {
 		return
 	}
 	use(c.now())
@@ -53,106 +53,106 @@
 }
 
 func (c *conn) write() {
-	if out := c.h.Output(); len(out) > 0 {
-		_ = c.nc.SetWriteDeadline(clock.After(2 * time.Second))
-		_, _ = c.nc.Write(out)
+	if out := c.http2.Output(); len(out) > 0 {
+		_ = c.netConn.SetWriteDeadline(clock.After(2 * time.Second))
+		_, _ = c.netConn.Write(out)
 	}
 }
 
 // close ends the connection; abrupt resets it.
 func (c *conn) close(abrupt bool) {
-	if t, ok := c.nc.(*net.TCPConn); ok && abrupt {
+	if t, ok := c.netConn.(*net.TCPConn); ok && abrupt {
 		_ = t.SetLinger(0)
 	}
-	_ = c.nc.Close()
+	_ = c.netConn.Close()
 }
 
 func (c *conn) serve() {
-	defer c.e.wg.Done()
+	defer c.endpoint.wg.Done()
 	defer func() {
-		c.e.mu.Lock()
-		delete(c.e.conns, c)
-		c.e.mu.Unlock()
+		c.endpoint.mu.Lock()
+		delete(c.endpoint.conns, c)
+		c.endpoint.mu.Unlock()
 		c.mu.Lock()
 		c.dead = true
 		for _, k := range c.calls {
-			k.event(Gone, 0, 0)
+			k.logEvent(PeerClosed, 0, 0)
 		}
 		c.mu.Unlock()
-		_ = c.nc.Close()
+		_ = c.netConn.Close()
 	}()
-	if d := c.e.p.cfg.Handshake; d > 0 {
+	if d := c.endpoint.partner.cfg.SettingsDelay; d > 0 {
 		time.Sleep(d)
 	}
-	if c.fault().Vanish { // takes the connection, and that is all
-		c.drain()
+	if c.fault().Blackhole { // takes the connection, and that is all
+		c.discard()
 		return
 	}
-	limit := c.e.p.cfg.Streams
+	limit := c.endpoint.partner.cfg.MaxStreams
 	c.mu.Lock()
-	c.used = c.now()
-	c.h = h2.NewServer(h2.Config{MaxStreams: limit, AbuseBurst: 1e6, AbuseRate: 1e6, Handshake: time.Hour, AckTimeout: time.Hour}, c.now())
+	c.lastUsed = c.now()
+	c.http2 = h2.NewServer(h2.Config{MaxStreams: limit, AbuseBurst: 1e6, AbuseRate: 1e6, Handshake: time.Hour, AckTimeout: time.Hour}, c.now())
 	c.write()
 	c.mu.Unlock()
 	buf := make([]byte, 16<<10)
 	for {
-		n, err := c.nc.Read(buf)
+		n, err := c.netConn.Read(buf)
 		if err != nil {
 			return
 		}
-		if c.fault().Vanish {
-			c.drain()
+		if c.fault().Blackhole {
+			c.discard()
 			return
 		}
-		if !c.take(buf[:n]) {
+		if !c.receive(buf[:n]) {
 			return
 		}
 	}
 }
 
-// drain reads and drops until the connection ends.
-func (c *conn) drain() {
+// discard reads and drops until the connection ends.
+func (c *conn) discard() {
 	c.mu.Lock()
 	c.dead = true
 	c.mu.Unlock()
 	buf := make([]byte, 4<<10)
 	for {
-		if _, err := c.nc.Read(buf); err != nil {
+		if _, err := c.netConn.Read(buf); err != nil {
 			return
 		}
 	}
 }
 
-func (c *conn) take(p []byte) bool {
+func (c *conn) receive(p []byte) bool {
 	c.mu.Lock()
 	now := c.now()
-	if reap := c.e.p.cfg.IdleReap; reap > 0 && len(c.calls) == 0 && now-c.used > reap && c.h.Settled() {
+	if reap := c.endpoint.partner.cfg.IdleTimeout; reap > 0 && len(c.calls) == 0 && now-c.lastUsed > reap && c.http2.Settled() {
 		c.mu.Unlock()
-		c.drain() // dropped unseen: whoever writes here hears nothing
+		c.discard() // dropped unseen: whoever writes here hears nothing
 		return false
 	}
-	events, err := c.h.Receive(now, p)
+	events, err := c.http2.Receive(now, p)
 	var whole []*call
 	for i := range events {
-		if k := c.event(&events[i]); k != nil {
+		if k := c.handleEvent(&events[i]); k != nil {
 			whole = append(whole, k)
 		}
 	}
-	c.used = now
+	c.lastUsed = now
 	c.write()
 	c.mu.Unlock()
 	for _, k := range whole {
-		k.arrive()
+		k.handle()
 	}
 	return err == nil
 }
 
 // event takes one event, and returns a call that is here in full.
-func (c *conn) event(v *h2.Event) *call {
+func (c *conn) handleEvent(v *h2.Event) *call {
 	k := c.calls[v.Stream]
 	switch v.Kind {
 	case h2.Headers:
-		k = &call{c: c, stream: v.Stream, fields: v.Fields}
+		k = &call{conn: c, stream: v.Stream, fields: v.Fields}
 		c.calls[v.Stream] = k
 	case h2.Data:
 		if k != nil && len(k.body) < 1<<20 {
@@ -161,7 +161,7 @@
 	case h2.StreamReset:
 		if k != nil {
 			delete(c.calls, v.Stream)
-			k.event(Gone, 0, 0)
+			k.logEvent(PeerClosed, 0, 0)
 		}
 		return nil
 	}
@@ -171,44 +171,44 @@
 	return nil
 }
 
-func (k *call) event(kind EventKind, status int, wait time.Duration) {
-	v := k.log
-	v.At, v.Kind, v.Status, v.Wait = 0, kind, status, wait
-	k.c.e.event(v)
+func (k *call) logEvent(kind EventKind, status int, wait time.Duration) {
+	v := k.baseEvent
+	v.At, v.Kind, v.Status, v.RetryAfter = 0, kind, status, wait
+	k.conn.endpoint.logEvent(v)
 }
 
-// arrive decides what becomes of a call.
-func (k *call) arrive() {
-	c, e := k.c, k.c.e
+// handle decides what becomes of a call.
+func (k *call) handle() {
+	c, e := k.conn, k.conn.endpoint
 	now := c.now()
-	test, class, key := words(k.body)
-	k.log = Event{Conn: c.id, Stream: k.stream, Path: h2.Value(k.fields, ":path"), Message: h2.Value(k.fields, "whinrun-message"),
-		Attempt: h2.Value(k.fields, "whinrun-attempt"), Test: test, Class: class, Key: key}
-	k.event(Arrived, 0, 0)
+	test, class, key := parseBody(k.body)
+	k.baseEvent = Event{Conn: c.id, Stream: k.stream, Path: h2.Value(k.fields, ":path"), MessageID: h2.Value(k.fields, "whinrun-message"),
+		Attempt: h2.Value(k.fields, "whinrun-attempt"), CorrelationID: test, Class: class, OrderKey: key}
+	k.logEvent(RequestReceived, 0, 0)
 	f := c.fault()
-	fell, first := e.p.tip(now)
+	fell, first := e.partner.checkOverload(now)
 	if first {
-		e.event(Event{Kind: Tipped})
+		e.logEvent(Event{Kind: Overloaded})
 	}
-	over, wait := e.p.above(now)
+	over, wait := e.partner.overRateLimit(now)
 	switch {
 	case fell:
-		k.cut(h2.InternalError)
+		k.reset(h2.InternalError)
 	case f.Hang:
-		k.event(Mute, 0, 0)
-	case f.Shut:
-		if f.Opens > now {
-			wait = (f.Opens - now + time.Second - 1).Truncate(time.Second)
+		k.logEvent(NoResponse, 0, 0)
+	case f.Unavailable:
+		if f.AvailableAt > now {
+			wait = (f.AvailableAt - now + time.Second - 1).Truncate(time.Second)
 		}
-		k.answer(503, max(wait, time.Second))
+		k.respond(503, max(wait, time.Second))
 	case over:
-		k.answer(429, wait)
-	case e.p.chance(f.Refuse):
-		k.cut(h2.RefusedStream)
-	case e.p.chance(f.Missing):
-		k.answer(404, 0)
-	case (f.Class == "" || f.Class == class) && e.p.chance(f.Error):
-		k.answer(500, 0)
+		k.respond(429, wait)
+	case e.partner.chance(f.RefusalRate):
+		k.reset(h2.RefusedStream)
+	case e.partner.chance(f.NotFoundRate):
+		k.respond(404, 0)
+	case (f.ErrorClass == "" || f.ErrorClass == class) && e.partner.chance(f.Error):
+		k.respond(500, 0)
 	default:
 		e.enqueue(k)
 	}
@@ -217,123 +217,123 @@
 // enqueue has a call wait for one of the endpoint's servers.
 func (e *Endpoint) enqueue(k *call) {
 	e.mu.Lock()
-	if e.p.cfg.Servers > 0 && e.busy >= e.p.cfg.Servers {
+	if e.partner.cfg.Concurrency > 0 && e.active >= e.partner.cfg.Concurrency {
 		e.queue = append(e.queue, k)
 		e.mu.Unlock()
 		return
 	}
-	e.busy++
+	e.active++
 	e.mu.Unlock()
-	e.work(k)
+	e.process(k)
 }
 
-func (e *Endpoint) work(k *call) {
-	time.AfterFunc(e.takes(), func() {
-		k.done()
+func (e *Endpoint) process(k *call) {
+	time.AfterFunc(e.serviceTime(), func() {
+		k.finish()
 		e.mu.Lock()
 		var next *call
 		if len(e.queue) > 0 {
 			next, e.queue = e.queue[0], e.queue[1:]
 		} else {
-			e.busy--
+			e.active--
 		}
 		e.mu.Unlock()
 		if next != nil {
-			e.work(next)
+			e.process(next)
 		}
 	})
 }
 
-// takes is how long a call takes now: half to one and a half of the pace, longer when slow or in a pause.
-func (e *Endpoint) takes() time.Duration {
+// serviceTime is how long a call takes now: half to one and a half of the pace, longer when slow or in a pause.
+func (e *Endpoint) serviceTime() time.Duration {
 	e.mu.Lock()
 	f := e.fault
 	e.mu.Unlock()
-	e.p.mu.Lock()
-	d := time.Duration(float64(e.p.cfg.Pace) * (0.5 + e.p.rng.Float64()))
-	e.p.mu.Unlock()
-	if f.Slow > 0 {
-		d = time.Duration(float64(d) * f.Slow)
+	e.partner.mu.Lock()
+	d := time.Duration(float64(e.partner.cfg.ServiceTime) * (0.5 + e.partner.rng.Float64()))
+	e.partner.mu.Unlock()
+	if f.SlowFactor > 0 {
+		d = time.Duration(float64(d) * f.SlowFactor)
 	}
-	if f.Every > 0 {
-		if at := e.p.log.Now() % f.Every; at < f.Pause {
+	if f.PauseInterval > 0 {
+		if at := e.partner.log.Now() % f.PauseInterval; at < f.Pause {
 			d += f.Pause - at
 		}
 	}
 	return d
 }
 
-// done applies a call and answers it, or not.
-func (k *call) done() {
-	p := k.c.e.p
-	f := k.c.fault()
-	if f.Crash || f.Vanish {
+// finish applies a call and answers it, or not.
+func (k *call) finish() {
+	p := k.conn.endpoint.partner
+	f := k.conn.fault()
+	if f.Crash || f.Blackhole {
 		return // died with it
 	}
 	k.apply()
 	switch {
-	case f.Hang || p.chance(f.Lose):
-		k.event(Mute, 0, 0)
-	case p.chance(f.Reset):
-		k.c.do(func(now time.Duration) {
-			_ = k.c.h.Begin(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
+	case f.Hang || p.chance(f.LostResponseRate):
+		k.logEvent(NoResponse, 0, 0)
+	case p.chance(f.ResetRate):
+		k.conn.update(func(now time.Duration) {
+			_ = k.conn.http2.Begin(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
 		})
-		k.cut(h2.InternalError)
-	case p.chance(f.Garble):
-		k.event(Cut, 0, 0)
-		k.c.do(func(time.Duration) { // DATA of 2 bytes, padded by 200
-			_, _ = k.c.nc.Write(h2.AppendFrame(nil, h2.FrameData, h2.FlagPadded, k.stream, []byte{200, 0}))
+		k.reset(h2.InternalError)
+	case p.chance(f.MalformedRate):
+		k.logEvent(StreamReset, 0, 0)
+		k.conn.update(func(time.Duration) { // DATA of 2 bytes, padded by 200
+			_, _ = k.conn.netConn.Write(h2.AppendFrame(nil, h2.FrameData, h2.FlagPadded, k.stream, []byte{200, 0}))
 		})
-	case f.Late > 0:
-		time.AfterFunc(f.Late, func() { k.answer(201, 0) })
+	case f.ResponseDelay > 0:
+		time.AfterFunc(f.ResponseDelay, func() { k.respond(201, 0) })
 	default:
-		k.answer(201, 0)
+		k.respond(201, 0)
 	}
 }
 
 // apply has the call take effect, once for a key.
 func (k *call) apply() {
-	p := k.c.e.p
+	p := k.conn.endpoint.partner
 	key := h2.Value(k.fields, "idempotency-key")
-	keyed := k.log.Class == "keyed" // other classes' repeats take effect again: that is what the checker looks for
+	keyed := k.baseEvent.Class == "keyed" // other classes' repeats take effect again: that is what the checker looks for
 	p.mu.Lock()
-	again := keyed && p.effects[key]
-	if keyed && len(p.effects) < 1<<20 {
-		p.effects[key] = true
+	again := keyed && p.appliedKeys[key]
+	if keyed && len(p.appliedKeys) < 1<<20 {
+		p.appliedKeys[key] = true
 	}
 	p.mu.Unlock()
 	if again {
-		k.event(Repeat, 0, 0)
+		k.logEvent(Deduplicated, 0, 0)
 		return
 	}
 	k.applied = true
-	k.event(Applied, 0, 0)
+	k.logEvent(Applied, 0, 0)
 }
 
-func (k *call) answer(status int, wait time.Duration) {
+func (k *call) respond(status int, wait time.Duration) {
 	fields := []h2.Field{{Name: ":status", Value: strconv.Itoa(status)}}
 	if wait > 0 {
 		fields = append(fields, h2.Field{Name: "retry-after", Value: strconv.Itoa(int(wait / time.Second))})
 	}
 	if status == 201 {
-		fields = append(fields, h2.Field{Name: "location", Value: "/d/" + k.log.Test})
+		fields = append(fields, h2.Field{Name: "location", Value: "/d/" + k.baseEvent.CorrelationID})
 	}
-	c := k.c
+	c := k.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dead || c.calls[k.stream] != k {
 		return // the caller is gone
 	}
-	k.event(Answer, status, wait) // before it is written: nobody sees it earlier than the log
+	k.logEvent(Responded, status, wait) // before it is written: nobody sees it earlier than the log
 	delete(c.calls, k.stream)
-	_ = c.h.Respond(c.now(), k.stream, fields, nil)
+	_ = c.http2.Respond(c.now(), k.stream, fields, nil)
 	c.write()
 }
 
-func (k *call) cut(code h2.ErrCode) {
-	k.event(Cut, int(code), 0)
-	k.c.do(func(now time.Duration) {
-		delete(k.c.calls, k.stream)
-		k.c.h.Reset(now, k.stream, code)
+func (k *call) reset(code h2.ErrCode) {
+	k.logEvent(StreamReset, int(code), 0)
+	k.conn.update(func(now time.Duration) {
+		delete(k.conn.calls, k.stream)
+		k.conn.http2.Reset(now, k.stream, code)
 	})
 }
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -18,41 +18,41 @@
 
 // Config says what a partner is like when all is well.
 type Config struct {
-	Name      string
-	Pace      time.Duration // mean time that a call takes
-	Servers   int           // calls worked on at once at an endpoint; more wait. 0 is no bound
-	Rate      float64       // calls a second that it can do with all endpoints, for cold starts. 0: it does not tip
-	Limit     float64       // calls a second that it takes; more get 429. 0 is no limit
-	TellWait  bool          // with a Retry-After
-	ColdFrom  float64       // part of Rate after an outage ...
-	WarmUp    time.Duration // ... rising to all of it over this
-	Tip       float64       // pushed with more than this multiple ...
-	TipFor    time.Duration // ... for this long, it falls over for good
-	Conns     int           // connections that an endpoint takes; 0 is no bound
-	Streams   uint32        // streams on a connection; 0 is 100
-	IdleReap  time.Duration // a connection idle for longer is dead, unseen by its other side. 0: never
-	Handshake time.Duration // time before its SETTINGS are sent
-	Seed      uint64
+	Name           string
+	ServiceTime    time.Duration // mean time that a call takes
+	Concurrency    int           // calls worked on at once at an endpoint; more wait. 0 is no bound
+	Capacity       float64       // calls a second that it can do with all endpoints, for cold starts. 0: it does not tip
+	RateLimit      float64       // calls a second that it takes; more get 429. 0 is no limit
+	SendRetryAfter bool          // with a Retry-After
+	ColdShare      float64       // part of Rate after an outage ...
+	WarmUp         time.Duration // ... rising to all of it over this
+	OverloadFactor float64       // pushed with more than this multiple ...
+	OverloadWindow time.Duration // ... for this long, it falls over for good
+	MaxConns       int           // connections that an endpoint takes; 0 is no bound
+	MaxStreams     uint32        // streams on a connection; 0 is 100
+	IdleTimeout    time.Duration // a connection idle for longer is dead, unseen by its other side. 0: never
+	SettingsDelay  time.Duration // time before its SETTINGS are sent
+	Seed           uint64
 }
 
 // Fault is what an endpoint does wrong, until it is healed. The zero value is none.
 type Fault struct {
-	Crash   bool          // connections are reset, new ones refused
-	Vanish  bool          // nothing is read or written any more
-	Hang    bool          // streams are taken, none is answered
-	Shut    bool          // all calls get 503 with a wait until the time of opening, where that is told
-	Slow    float64       // calls take so many times longer
-	Pause   time.Duration // stands still for so long every Every
-	Every   time.Duration
-	Lose    float64       // share of calls that are applied and never answered
-	Error   float64       // share of calls that get 500 at once, not applied
-	Reset   float64       // share of calls applied and reset in mid-answer
-	Refuse  float64       // share of streams reset with REFUSED_STREAM
-	Late    time.Duration // answers are applied at once and sent so much later
-	Garble  float64       // share of calls answered with a malformed frame, after being applied
-	Missing float64       // share of calls that get 404
-	Class   string        // only messages of this class are hit by Error
-	Opens   time.Duration // with Shut: when it opens, since the start of the log
+	Crash            bool          // connections are reset, new ones refused
+	Blackhole        bool          // nothing is read or written any more
+	Hang             bool          // streams are taken, none is answered
+	Unavailable      bool          // all calls get 503 with a wait until the time of opening, where that is told
+	SlowFactor       float64       // calls take so many times longer
+	Pause            time.Duration // stands still for so long every Every
+	PauseInterval    time.Duration
+	LostResponseRate float64       // share of calls that are applied and never answered
+	Error            float64       // share of calls that get 500 at once, not applied
+	ResetRate        float64       // share of calls applied and reset in mid-answer
+	RefusalRate      float64       // share of streams reset with REFUSED_STREAM
+	ResponseDelay    time.Duration // answers are applied at once and sent so much later
+	MalformedRate    float64       // share of calls answered with a malformed frame, after being applied
+	NotFoundRate     float64       // share of calls that get 404
+	ErrorClass       string        // only messages of this class are hit by Error
+	AvailableAt      time.Duration // with Shut: when it opens, since the start of the log
 }
 
 // EventKind is what a stand-in saw or did.
@@ -60,62 +60,62 @@
 
 // Kinds of event.
 const (
-	Arrived  EventKind = "arrived"  // a whole call came
-	Applied  EventKind = "applied"  // it took effect
-	Repeat   EventKind = "repeat"   // its key had taken effect before: dropped, answered as done
-	Answer   EventKind = "answer"   // a status went out
-	Mute     EventKind = "mute"     // no answer will go out
-	Cut      EventKind = "cut"      // reset, in one way or another
-	Gone     EventKind = "gone"     // the caller reset the stream, or the connection is gone
-	Refused  EventKind = "refused"  // a connection turned away
-	Tipped   EventKind = "tipped"   // fell over when cold
-	Returned EventKind = "returned" // up again, cold
-	Down     EventKind = "down"     // an outage began
-	Blind    EventKind = "blind"    // from now on it reads nothing: ends of attempts don't show
+	RequestReceived EventKind = "arrived"  // a whole call came
+	Applied         EventKind = "applied"  // it took effect
+	Deduplicated    EventKind = "repeat"   // its key had taken effect before: dropped, answered as done
+	Responded       EventKind = "answer"   // a status went out
+	NoResponse      EventKind = "mute"     // no answer will go out
+	StreamReset     EventKind = "cut"      // reset, in one way or another
+	PeerClosed      EventKind = "gone"     // the caller reset the stream, or the connection is gone
+	ConnRefused     EventKind = "refused"  // a connection turned away
+	Overloaded      EventKind = "tipped"   // fell over when cold
+	Recovered       EventKind = "returned" // up again, cold
+	OutageStarted   EventKind = "down"     // an outage began
+	ReadingStopped  EventKind = "blind"    // from now on it reads nothing: ends of attempts don't show
 )
 
 // Event is one line of the log.
 type Event struct {
-	At       time.Duration
-	Kind     EventKind
-	Partner  string
-	Endpoint netip.AddrPort
-	Conn     int
-	Stream   uint32
-	Path     string // of the request: partners of a wave share a stand-in and differ in it
-	Message  string // the dispatcher's name of the message
-	Attempt  string
-	Test     string // the client's name of the message, first word of its body
-	Class    string // second word
-	Key      string // third word: the order key, or -
-	Status   int
-	Wait     time.Duration // told to wait, 0 for none
+	At            time.Duration
+	Kind          EventKind
+	Partner       string
+	Endpoint      netip.AddrPort
+	Conn          int
+	Stream        uint32
+	Path          string // of the request: partners of a wave share a stand-in and differ in it
+	MessageID     string // the dispatcher's name of the message
+	Attempt       string
+	CorrelationID string // the client's name of the message, first word of its body
+	Class         string // second word
+	OrderKey      string // third word: the order key, or -
+	Status        int
+	RetryAfter    time.Duration // told to wait, 0 for none
 }
 
 // Log gathers what all stand-ins of a run saw, in one order and on one clock.
 type Log struct {
-	mu     sync.Mutex
-	start  clock.Stopwatch
-	events []Event
-	most   int
+	mu        sync.Mutex
+	stopwatch clock.Stopwatch
+	events    []Event
+	maxEvents int
 }
 
 // NewLog starts a log that keeps so many events at most.
-func NewLog(most int) *Log { return &Log{start: clock.Start(), most: most} }
+func NewLog(most int) *Log { return &Log{stopwatch: clock.Start(), maxEvents: most} }
 
-// Began is the start of the log.
-func (l *Log) Began() time.Time { return l.start.Began() }
+// StartTime is the start of the log.
+func (l *Log) StartTime() time.Time { return l.stopwatch.Began() }
 
 // Now is the time since the start of the log.
-func (l *Log) Now() time.Duration { return l.start.Elapsed() }
+func (l *Log) Now() time.Duration { return l.stopwatch.Elapsed() }
 
 func (l *Log) add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e.At == 0 {
-		e.At = l.start.Elapsed()
+		e.At = l.stopwatch.Elapsed()
 	}
-	if len(l.events) < l.most {
+	if len(l.events) < l.maxEvents {
 		l.events = append(l.events, e)
 	}
 }
@@ -132,24 +132,24 @@
 	cfg Config
 	log *Log
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	endpoints []*Endpoint
-	effects   map[string]bool // idempotency keys that took effect
-	windowAt  time.Duration   // rate limit: window of a second
-	windowN   int
-	limit     float64
-	tellWait  bool
-	cold      time.Duration // when it came back, 0 never
-	tipped    bool
-	recent    []time.Duration // arrivals, for tipping
-	nextConn  int
+	mu             sync.Mutex
+	rng            *rand.Rand
+	endpoints      []*Endpoint
+	appliedKeys    map[string]bool // idempotency keys that took effect
+	windowStart    time.Duration   // rate limit: window of a second
+	windowCalls    int
+	rateLimit      float64
+	sendRetryAfter bool
+	recoveredAt    time.Duration // when it came back, 0 never
+	overloaded     bool
+	recentCalls    []time.Duration // arrivals, for tipping
+	lastConnID     int
 }
 
 // New makes a partner without endpoints.
 func New(cfg Config, log *Log) *Partner {
-	return &Partner{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), effects: map[string]bool{}, limit: cfg.Limit,
-		tellWait: cfg.TellWait}
+	return &Partner{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), appliedKeys: map[string]bool{}, rateLimit: cfg.RateLimit,
+		sendRetryAfter: cfg.SendRetryAfter}
 }
 
 // Name is the partner's name.
@@ -166,22 +166,22 @@
 func (p *Partner) SetLimit(perSecond float64, tell bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.limit, p.tellWait = perSecond, tell
+	p.rateLimit, p.sendRetryAfter = perSecond, tell
 }
 
 // Endpoint is one address of a partner.
 type Endpoint struct {
-	p    *Partner
-	addr netip.AddrPort
-
-	mu     sync.Mutex
-	ln     net.Listener
-	conns  map[*conn]bool
-	fault  Fault
-	busy   int
-	queue  []*call
-	closed bool
-	wg     sync.WaitGroup
+	partner *Partner
+	addr    netip.AddrPort
+
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[*conn]bool
+	fault    Fault
+	active   int
+	queue    []*call
+	closed   bool
+	wg       sync.WaitGroup
 }
 
 // Listen adds an endpoint at an address; port 0 takes a free one.
@@ -190,7 +190,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("partner %s: %w", p.cfg.Name, err)
 	}
-	e := &Endpoint{p: p, addr: ln.Addr().(*net.TCPAddr).AddrPort(), ln: ln, conns: map[*conn]bool{}}
+	e := &Endpoint{partner: p, addr: ln.Addr().(*net.TCPAddr).AddrPort(), listener: ln, conns: map[*conn]bool{}}
 	p.mu.Lock()
 	p.endpoints = append(p.endpoints, e)
 	p.mu.Unlock()
@@ -206,10 +206,10 @@
 func (e *Endpoint) Close() {
 	e.mu.Lock()
 	e.closed = true
-	if e.ln != nil {
-		_ = e.ln.Close()
+	if e.listener != nil {
+		_ = e.listener.Close()
 	}
-	conns := e.list()
+	conns := e.connList()
 	e.mu.Unlock()
 	for _, c := range conns {
 		c.close(false)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (e *Endpoint) list() []*conn {
+func (e *Endpoint) connList() []*conn {
 	var all []*conn
 	for c := range e.conns {
 		all = append(all, c)
@@ -232,47 +232,49 @@
 	return all
 }
 
-// outage tells whether a fault is an outage, from which a partner comes back cold.
-func (f Fault) outage() bool { return f.Crash || f.Vanish || f.Hang || f.Shut || f.Error >= 0.5 }
+// isOutage tells whether a fault is an outage, from which a partner comes back cold.
+func (f Fault) isOutage() bool {
+	return f.Crash || f.Blackhole || f.Hang || f.Unavailable || f.Error >= 0.5
+}
 
-// Set puts a fault in force; the zero Fault heals. After an outage of all its endpoints the partner is cold.
-func (e *Endpoint) Set(f Fault) error {
+// SetFault puts a fault in force; the zero Fault heals. After an outage of all its endpoints the partner is cold.
+func (e *Endpoint) SetFault(f Fault) error {
 	e.mu.Lock()
 	old := e.fault
 	e.fault = f
-	conns := e.list()
+	conns := e.connList()
 	var err error
 	switch {
-	case f.Crash && e.ln != nil:
-		_ = e.ln.Close()
-		e.ln = nil
-	case !f.Crash && e.ln == nil && !e.closed:
-		if e.ln, err = net.Listen("tcp", e.addr.String()); err == nil {
+	case f.Crash && e.listener != nil:
+		_ = e.listener.Close()
+		e.listener = nil
+	case !f.Crash && e.listener == nil && !e.closed:
+		if e.listener, err = net.Listen("tcp", e.addr.String()); err == nil {
 			e.wg.Add(1)
-			go e.accept(e.ln)
+			go e.accept(e.listener)
 		}
 	}
 	e.mu.Unlock()
-	if f.Crash || old.Vanish && !f.Vanish {
+	if f.Crash || old.Blackhole && !f.Blackhole {
 		for _, c := range conns { // who vanished and is back knows nothing of its connections
 			c.close(true)
 		}
 	}
-	if f.Vanish {
-		e.event(Event{Kind: Blind})
+	if f.Blackhole {
+		e.logEvent(Event{Kind: ReadingStopped})
 	}
 	switch {
-	case f.outage() && !old.outage():
-		e.event(Event{Kind: Down})
-	case old.outage() && !f.outage():
-		e.p.mu.Lock()
-		e.p.cold = e.p.log.Now()
-		e.p.recent = nil
-		e.p.mu.Unlock()
-		e.event(Event{Kind: Returned})
+	case f.isOutage() && !old.isOutage():
+		e.logEvent(Event{Kind: OutageStarted})
+	case old.isOutage() && !f.isOutage():
+		e.partner.mu.Lock()
+		e.partner.recoveredAt = e.partner.log.Now()
+		e.partner.recentCalls = nil
+		e.partner.mu.Unlock()
+		e.logEvent(Event{Kind: Recovered})
 	}
 	if err != nil {
-		return fmt.Errorf("partner %s: %w", e.p.cfg.Name, err)
+		return fmt.Errorf("partner %s: %w", e.partner.cfg.Name, err)
 	}
 	return nil
 }
@@ -280,26 +282,26 @@
 // GoAway has all connections drain.
 func (e *Endpoint) GoAway() {
 	e.mu.Lock()
-	conns := e.list()
+	conns := e.connList()
 	e.mu.Unlock()
 	for _, c := range conns {
-		c.do(func(now time.Duration) { c.h.GoAway(now, h2.NoError) })
+		c.update(func(now time.Duration) { c.http2.GoAway(now, h2.NoError) })
 	}
 }
 
 // Streams changes how many streams connections take.
-func (e *Endpoint) Streams(n uint32) {
+func (e *Endpoint) SetMaxStreams(n uint32) {
 	e.mu.Lock()
-	conns := e.list()
+	conns := e.connList()
 	e.mu.Unlock()
 	for _, c := range conns {
-		c.do(func(now time.Duration) { c.h.Limit(now, n) })
+		c.update(func(now time.Duration) { c.http2.Limit(now, n) })
 	}
 }
 
-func (e *Endpoint) event(v Event) {
-	v.Partner, v.Endpoint = e.p.cfg.Name, e.addr
-	e.p.log.add(v)
+func (e *Endpoint) logEvent(v Event) {
+	v.Partner, v.Endpoint = e.partner.cfg.Name, e.addr
+	e.partner.log.add(v)
 }
 
 func (e *Endpoint) accept(ln net.Listener) {
@@ -310,19 +312,19 @@
 			return
 		}
 		e.mu.Lock()
-		full := e.p.cfg.Conns > 0 && len(e.conns) >= e.p.cfg.Conns || e.closed
-		e.p.mu.Lock()
-		e.p.nextConn++
-		id := e.p.nextConn
-		e.p.mu.Unlock()
-		c := &conn{e: e, nc: nc, id: id, calls: map[uint32]*call{}}
+		full := e.partner.cfg.MaxConns > 0 && len(e.conns) >= e.partner.cfg.MaxConns || e.closed
+		e.partner.mu.Lock()
+		e.partner.lastConnID++
+		id := e.partner.lastConnID
+		e.partner.mu.Unlock()
+		c := &conn{endpoint: e, netConn: nc, id: id, calls: map[uint32]*call{}}
 		if !full {
 			e.conns[c] = true
 			e.wg.Add(1)
 		}
 		e.mu.Unlock()
 		if full {
-			e.event(Event{Kind: Refused, Conn: id})
+			e.logEvent(Event{Kind: ConnRefused, Conn: id})
 			_ = nc.Close()
 			continue
 		}
@@ -330,57 +332,57 @@
 	}
 }
 
-// warmth is the part of its capacity that the partner has now; guarded by Partner.mu.
-func (p *Partner) warmth(now time.Duration) float64 {
-	if p.cold == 0 || p.cfg.WarmUp <= 0 || now-p.cold >= p.cfg.WarmUp {
+// capacityShare is the part of its capacity that the partner has now; guarded by Partner.mu.
+func (p *Partner) capacityShare(now time.Duration) float64 {
+	if p.recoveredAt == 0 || p.cfg.WarmUp <= 0 || now-p.recoveredAt >= p.cfg.WarmUp {
 		return 1
 	}
-	return p.cfg.ColdFrom + (1-p.cfg.ColdFrom)*float64(now-p.cold)/float64(p.cfg.WarmUp)
+	return p.cfg.ColdShare + (1-p.cfg.ColdShare)*float64(now-p.recoveredAt)/float64(p.cfg.WarmUp)
 }
 
-// tip counts a call against what a cold partner can do, and tells whether it has fallen over. A window holds the
+// checkOverload counts a call against what a cold partner can do, and tells whether it has fallen over. A window holds the
 // calls of TipFor; it is allowed Tip times the capacity in it, and four standard deviations for chance.
-func (p *Partner) tip(now time.Duration) (fell, first bool) {
+func (p *Partner) checkOverload(now time.Duration) (fell, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.tipped || p.cfg.Rate <= 0 || p.warmth(now) >= 1 {
-		return p.tipped, false
+	if p.overloaded || p.cfg.Capacity <= 0 || p.capacityShare(now) >= 1 {
+		return p.overloaded, false
 	}
-	for len(p.recent) > 0 && now-p.recent[0] > p.cfg.TipFor {
-		p.recent = p.recent[1:]
+	for len(p.recentCalls) > 0 && now-p.recentCalls[0] > p.cfg.OverloadWindow {
+		p.recentCalls = p.recentCalls[1:]
 	}
-	p.recent = append(p.recent, now)
-	if float64(len(p.recent)) > p.bound(now) {
-		p.tipped = true
+	p.recentCalls = append(p.recentCalls, now)
+	if float64(len(p.recentCalls)) > p.overloadLimit(now) {
+		p.overloaded = true
 		return true, true
 	}
 	return false, false
 }
 
-func (p *Partner) bound(now time.Duration) float64 {
-	return TipBound(p.cfg.Rate*p.warmth(now), p.cfg.Tip, p.cfg.TipFor)
+func (p *Partner) overloadLimit(now time.Duration) float64 {
+	return OverloadLimit(p.cfg.Capacity*p.capacityShare(now), p.cfg.OverloadFactor, p.cfg.OverloadWindow)
 }
 
-// TipBound is how many calls in a window of that length a partner stands that can do rate calls a second.
-func TipBound(rate, tip float64, window time.Duration) float64 {
+// OverloadLimit is how many calls in a window of that length a partner stands that can do rate calls a second.
+func OverloadLimit(rate, tip float64, window time.Duration) float64 {
 	mean := tip * rate * window.Seconds()
 	return mean + 4*math.Sqrt(mean) + 4
 }
 
-// above counts a call against the limit and tells whether it is above it, and how long until there is room.
-func (p *Partner) above(now time.Duration) (over bool, wait time.Duration) {
+// overRateLimit counts a call against the limit and tells whether it is above it, and how long until there is room.
+func (p *Partner) overRateLimit(now time.Duration) (over bool, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.limit <= 0 {
+	if p.rateLimit <= 0 {
 		return false, 0
 	}
-	if now-p.windowAt >= time.Second {
-		p.windowAt, p.windowN = now, 0
+	if now-p.windowStart >= time.Second {
+		p.windowStart, p.windowCalls = now, 0
 	}
-	if p.windowN++; float64(p.windowN) <= p.limit {
+	if p.windowCalls++; float64(p.windowCalls) <= p.rateLimit {
 		return false, 0
 	}
-	if p.tellWait {
+	if p.sendRetryAfter {
 		wait = time.Second // Retry-After knows whole seconds
 	}
 	return true, wait
@@ -395,8 +397,8 @@
 	return p.rng.Float64() < share
 }
 
-// words splits a body into the client's name, class and key of the message.
-func words(body []byte) (test, class, key string) {
+// parseBody splits a body into the client's name, class and key of the message.
+func parseBody(body []byte) (test, class, key string) {
 	head := body[:min(len(body), 200)]
 	part := strings.Fields(string(head))
 	for len(part) < 3 {
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -12,8 +12,8 @@
 	"whinrun/internal/partner"
 )
 
-// Breach is one rule broken, with the message and the connection that show it.
-type Breach struct {
+// Violation is one rule broken, with the message and the connection that show it.
+type Violation struct {
 	Rule    int
 	At      time.Duration
 	Message string
@@ -21,94 +21,96 @@
 	Text    string
 }
 
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f s: message %s, %s: %s", b.Rule, b.At.Seconds(), b.Message, b.Where, b.Text)
 }
 
-// Slack is what sockets and a busy machine may take beyond a figure of a rule, before that counts as broken.
-const Slack = 300 * time.Millisecond
+// Tolerance is what sockets and a busy machine may take beyond a figure of a rule, before that counts as broken.
+const Tolerance = 300 * time.Millisecond
 
 // attempt is one call as a stand-in saw it.
 type attempt struct {
-	arrived partner.Event
-	end     time.Duration // answer, cut or gone; 0 where it had none
-	endKind partner.EventKind
-	status  int
-	wait    time.Duration
-	applied bool
+	received   partner.Event
+	end        time.Duration // answer, cut or gone; 0 where it had none
+	endKind    partner.EventKind
+	status     int
+	retryAfter time.Duration
+	applied    bool
 }
 
 func (a *attempt) where() string {
-	return fmt.Sprintf("%s %v connection %d stream %d", a.arrived.Partner, a.arrived.Endpoint, a.arrived.Conn, a.arrived.Stream)
+	return fmt.Sprintf("%s %v connection %d stream %d", a.received.Partner, a.received.Endpoint, a.received.Conn, a.received.Stream)
 }
 
-// proved tells that what the stand-in answered proves to the dispatcher that the attempt has not run.
-func (a *attempt) proved() bool {
+// provenNotExecuted tells that what the stand-in answered proves to the dispatcher that the attempt has not run.
+func (a *attempt) provenNotExecuted() bool {
 	switch a.endKind {
-	case partner.Answer:
-		return a.status == 429 || a.status == 503 && a.wait > 0
-	case partner.Cut:
+	case partner.Responded:
+		return a.status == 429 || a.status == 503 && a.retryAfter > 0
+	case partner.StreamReset:
 		return a.status == 7 // REFUSED_STREAM
 	}
 	return false
 }
 
-// doubtful tells that the dispatcher can't know whether the attempt has run, and that no answer came.
-func (a *attempt) doubtful() bool { return a.endKind == partner.Gone || a.endKind == partner.Mute }
+// endUnknown tells that the dispatcher can't know whether the attempt has run, and that no answer came.
+func (a *attempt) endUnknown() bool {
+	return a.endKind == partner.PeerClosed || a.endKind == partner.NoResponse
+}
 
 // checker holds a record against the rules.
 type checker struct {
-	r        *Record
-	classes  map[string]control.Class
-	attempts []*attempt
-	byTest   map[string][]*attempt
-	blind    []partner.Event // endpoints that read nothing from then on
-	breaches []Breach
+	recording       *Recording
+	classes         map[string]control.Class
+	attempts        []*attempt
+	byCorrelationID map[string][]*attempt
+	readingStopped  []partner.Event // endpoints that read nothing from then on
+	violations      []Violation
 }
 
 // Check returns the breaches of all six rules that the record shows.
-func Check(r *Record) []Breach {
-	c := &checker{r: r, classes: map[string]control.Class{}, byTest: map[string][]*attempt{}}
-	for _, k := range r.Rules.Classes {
+func Check(r *Recording) []Violation {
+	c := &checker{recording: r, classes: map[string]control.Class{}, byCorrelationID: map[string][]*attempt{}}
+	for _, k := range r.Settings.Classes {
 		c.classes[k.Name] = k
 	}
-	c.gather()
-	c.answers()
-	c.effects()
-	c.drains()
-	c.returns()
-	c.order()
-	c.waits()
-	if r.Trailed {
-		c.trail()
-	}
-	sort.SliceStable(c.breaches, func(i, j int) bool { return c.breaches[i].At < c.breaches[j].At })
-	return c.breaches
+	c.collectAttempts()
+	c.checkAnswers()
+	c.checkEffects()
+	c.checkDrains()
+	c.checkColdPartners()
+	c.checkOrder()
+	c.checkToldWaits()
+	if r.HasAuditTrail {
+		c.checkAuditTrail()
+	}
+	sort.SliceStable(c.violations, func(i, j int) bool { return c.violations[i].At < c.violations[j].At })
+	return c.violations
 }
 
-func (c *checker) breach(rule int, at time.Duration, message, where, format string, a ...any) {
-	c.breaches = append(c.breaches, Breach{rule, at, message, where, fmt.Sprintf(format, a...)})
+func (c *checker) report(rule int, at time.Duration, message, where, format string, a ...any) {
+	c.violations = append(c.violations, Violation{rule, at, message, where, fmt.Sprintf(format, a...)})
 }
 
-// gather puts the events of each call together.
-func (c *checker) gather() {
+// collectAttempts puts the events of each call together.
+func (c *checker) collectAttempts() {
 	type call struct {
 		ep     netip.AddrPort
 		conn   int
 		stream uint32
 	}
 	open := map[call]*attempt{}
-	for _, e := range c.r.Events {
+	for _, e := range c.recording.Events {
 		k := call{e.Endpoint, e.Conn, e.Stream}
-		if e.Kind == partner.Arrived {
-			a := &attempt{arrived: e}
+		if e.Kind == partner.RequestReceived {
+			a := &attempt{received: e}
 			open[k] = a
 			c.attempts = append(c.attempts, a)
-			c.byTest[e.Test] = append(c.byTest[e.Test], a)
+			c.byCorrelationID[e.CorrelationID] = append(c.byCorrelationID[e.CorrelationID], a)
 			continue
 		}
-		if e.Kind == partner.Blind {
-			c.blind = append(c.blind, e)
+		if e.Kind == partner.ReadingStopped {
+			c.readingStopped = append(c.readingStopped, e)
 		}
 		a := open[k]
 		if a == nil || e.Stream == 0 {
@@ -117,21 +119,21 @@
 		switch e.Kind {
 		case partner.Applied:
 			a.applied = true
-		case partner.Answer, partner.Cut, partner.Gone:
+		case partner.Responded, partner.StreamReset, partner.PeerClosed:
 			if a.end == 0 {
-				a.end, a.endKind, a.status, a.wait = e.At, e.Kind, e.Status, e.Wait
+				a.end, a.endKind, a.status, a.retryAfter = e.At, e.Kind, e.Status, e.RetryAfter
 			}
-		case partner.Mute:
+		case partner.NoResponse:
 			if a.end == 0 {
-				a.endKind = partner.Mute
+				a.endKind = partner.NoResponse
 			}
 		}
 	}
 }
 
-// alive tells whether one dispatcher ran all the time between two moments, not stopping.
-func (c *checker) alive(from, to time.Duration) bool {
-	for _, l := range c.r.Lives {
+// sameDispatcher tells whether one dispatcher ran all the time between two moments, not stopping.
+func (c *checker) sameDispatcher(from, to time.Duration) bool {
+	for _, l := range c.recording.Runs {
 		if from >= l.From && (l.To == 0 || to <= l.To) {
 			return true
 		}
@@ -139,143 +141,143 @@
 	return false
 }
 
-// answers is rule 1: one final answer before the time ends, and nothing sent after it.
-func (c *checker) answers() {
-	if c.r.Unclean {
-		c.breach(1, 0, "-", "dispatcher", "an orderly stop left messages without an answer")
+// checkAnswers is rule 1: one final answer before the time ends, and nothing sent after it.
+func (c *checker) checkAnswers() {
+	if c.recording.UncleanStop {
+		c.report(1, 0, "-", "dispatcher", "an orderly stop left messages without an answer")
 	}
-	for _, o := range c.r.Outcomes {
+	for _, o := range c.recording.Outcomes {
 		k := c.classes[o.Class]
 		life := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(o.TTL)*time.Second)
-		over := o.Sent + life + Slack
+		over := o.Sent + life + Tolerance
 		switch {
-		case o.Withdrawn:
-		case o.Status == 0 && c.lost(&o):
+		case o.Canceled:
+		case o.Status == 0 && c.answerImpossible(&o):
 		case o.Status == 0:
-			c.breach(1, o.Done, o.Test, "client", "no final answer: %s", o.Err)
+			c.report(1, o.Done, o.CorrelationID, "client", "no final answer: %s", o.Err)
 		case o.Done > over:
-			c.breach(1, o.Done, o.Test, "client", "final answer %d after %v, its time is %v", o.Status, o.Done-o.Sent, life)
+			c.report(1, o.Done, o.CorrelationID, "client", "final answer %d after %v, its time is %v", o.Status, o.Done-o.Sent, life)
 		}
 		if o.Status == 0 {
 			continue
 		}
-		for _, a := range c.byTest[o.Test] {
-			if a.arrived.At > o.Done+Slack {
-				c.breach(1, a.arrived.At, o.Test, a.where(), "sent %v after its final answer %d", a.arrived.At-o.Done, o.Status)
+		for _, a := range c.byCorrelationID[o.CorrelationID] {
+			if a.received.At > o.Done+Tolerance {
+				c.report(1, a.received.At, o.CorrelationID, a.where(), "sent %v after its final answer %d", a.received.At-o.Done, o.Status)
 			}
 		}
-		if load.Final(o.Status) == "served" && !c.taken(o.Test) {
-			c.breach(1, o.Done, o.Test, "client", "served, and no stand-in took it")
+		if load.AnswerKind(o.Status) == "served" && !c.servedByPartner(o.CorrelationID) {
+			c.report(1, o.Done, o.CorrelationID, "client", "served, and no stand-in took it")
 		}
 	}
 }
 
-// lost tells that no answer could come: no dispatcher ran when the message was sent, it was killed before the end, or
+// answerImpossible tells that no answer could come: no dispatcher ran when the message was sent, it was killed before the end, or
 // the message came as it was stopping. What was on its way before an orderly stop must be answered.
-func (c *checker) lost(o *load.Outcome) bool {
-	for _, l := range c.r.Lives {
+func (c *checker) answerImpossible(o *load.Outcome) bool {
+	for _, l := range c.recording.Runs {
 		if o.Sent < l.From || l.To != 0 && o.Sent > l.To {
 			continue
 		}
-		if l.Stopping > 0 {
-			return o.Sent >= l.Stopping-Slack/3
+		if l.StopRequested > 0 {
+			return o.Sent >= l.StopRequested-Tolerance/3
 		}
 		return l.To != 0 && o.Done >= l.To
 	}
 	return true
 }
 
-func (c *checker) taken(test string) bool {
-	for _, a := range c.byTest[test] {
-		if a.endKind == partner.Answer && a.status < 300 {
+func (c *checker) servedByPartner(test string) bool {
+	for _, a := range c.byCorrelationID[test] {
+		if a.endKind == partner.Responded && a.status < 300 {
 			return true
 		}
 	}
 	return false
 }
 
-// effects is rule 2: no effect twice, one attempt out at a time, refused is harmless.
-func (c *checker) effects() {
-	for test, all := range c.byTest {
-		class := c.classes[all[0].arrived.Class]
+// checkEffects is rule 2: no effect twice, one attempt out at a time, refused is harmless.
+func (c *checker) checkEffects() {
+	for test, all := range c.byCorrelationID {
+		class := c.classes[all[0].received.Class]
 		applied := 0
 		var doubt *attempt
 		for i, a := range all {
-			if i > 0 && all[i-1].arrived.Message == a.arrived.Message {
-				c.alone(all[i-1], a, test)
+			if i > 0 && all[i-1].received.MessageID == a.received.MessageID {
+				c.checkOneInFlight(all[i-1], a, test)
 			}
 			if doubt != nil {
-				c.again(doubt, a, test, class)
+				c.checkResend(doubt, a, test, class)
 			}
 			if a.applied {
 				applied++
 			}
-			if doubt == nil && !a.proved() {
+			if doubt == nil && !a.provenNotExecuted() {
 				doubt = a
 			}
 		}
 		if class.Effect == control.SingleShot && applied > 1 {
-			c.breach(2, all[len(all)-1].arrived.At, test, all[len(all)-1].where(), "applied %d times, its class must not repeat", applied)
+			c.report(2, all[len(all)-1].received.At, test, all[len(all)-1].where(), "applied %d times, its class must not repeat", applied)
 		}
 	}
-	for _, o := range c.r.Outcomes {
-		if load.Final(o.Status) != "refused" || c.classes[o.Class].Effect != control.SingleShot {
+	for _, o := range c.recording.Outcomes {
+		if load.AnswerKind(o.Status) != "refused" || c.classes[o.Class].Effect != control.SingleShot {
 			continue
 		}
-		for _, a := range c.byTest[o.Test] {
-			if a.applied || !a.proved() && a.endKind != "" {
-				c.breach(2, o.Done, o.Test, a.where(), "refused to the client, and this attempt may have run")
+		for _, a := range c.byCorrelationID[o.CorrelationID] {
+			if a.applied || !a.provenNotExecuted() && a.endKind != "" {
+				c.report(2, o.Done, o.CorrelationID, a.where(), "refused to the client, and this attempt may have run")
 			}
 		}
 	}
 }
 
-// alone checks that an attempt was sent after the end of the one before.
-func (c *checker) alone(old, a *attempt, test string) {
-	if c.unseen(old, a.arrived.At) {
+// checkOneInFlight checks that an attempt was sent after the end of the one before.
+func (c *checker) checkOneInFlight(old, a *attempt, test string) {
+	if c.endUnobservable(old, a.received.At) {
 		return
 	}
-	if old.end == 0 && old.endKind == "" || old.end > a.arrived.At+Slack {
-		c.breach(2, a.arrived.At, test, a.where(), "sent while the attempt at %v is out", old.arrived.Endpoint)
+	if old.end == 0 && old.endKind == "" || old.end > a.received.At+Tolerance {
+		c.report(2, a.received.At, test, a.where(), "sent while the attempt at %v is out", old.received.Endpoint)
 	}
 }
 
-// unseen tells that the end of an attempt can't show: its endpoint read nothing any more, so neither the reset by which
+// endUnobservable tells that the end of an attempt can't show: its endpoint read nothing any more, so neither the reset by which
 // the dispatcher gave it up.
-func (c *checker) unseen(old *attempt, by time.Duration) bool {
-	for _, e := range c.blind {
-		if e.Endpoint == old.arrived.Endpoint && e.At <= by && (old.end == 0 || old.end > e.At) {
+func (c *checker) endUnobservable(old *attempt, by time.Duration) bool {
+	for _, e := range c.readingStopped {
+		if e.Endpoint == old.received.Endpoint && e.At <= by && (old.end == 0 || old.end > e.At) {
 			return true
 		}
 	}
 	return false
 }
 
-// again checks an attempt sent after one that may have run.
-func (c *checker) again(doubt, a *attempt, test string, class control.Class) {
-	if a.arrived.Message != doubt.arrived.Message {
+// checkResend checks an attempt sent after one that may have run.
+func (c *checker) checkResend(doubt, a *attempt, test string, class control.Class) {
+	if a.received.MessageID != doubt.received.MessageID {
 		return
 	}
 	switch class.Effect {
 	case control.SingleShot:
-		c.breach(2, a.arrived.At, test, a.where(), "sent again after the attempt at %v, which may have run", doubt.arrived.Endpoint)
+		c.report(2, a.received.At, test, a.where(), "sent again after the attempt at %v, which may have run", doubt.received.Endpoint)
 	case control.Guarded:
-		if late := a.arrived.At - doubt.arrived.At - time.Duration(class.Window)*time.Microsecond; late > Slack {
-			c.breach(2, a.arrived.At, test, a.where(), "sent again %v after partners forgot its key", late)
+		if late := a.received.At - doubt.received.At - time.Duration(class.Window)*time.Microsecond; late > Tolerance {
+			c.report(2, a.received.At, test, a.where(), "sent again %v after partners forgot its key", late)
 		}
 	}
 }
 
-// drains is rule 3: nothing new later than the grace after a drain or departure was told. Partners of a wave share
+// checkDrains is rule 3: nothing new later than the grace after a drain or departure was told. Partners of a wave share
 // endpoints, of which one list tells the same for each: it is checked once, a rebuild tells tens of thousands.
-func (c *checker) drains() {
-	grace := time.Duration(c.r.Rules.StopSendingWithin) * time.Microsecond
+func (c *checker) checkDrains() {
+	grace := time.Duration(c.recording.Settings.StopSendingWithin) * time.Microsecond
 	tried := map[netip.AddrPort][]*attempt{}
 	for _, a := range c.attempts {
-		tried[a.arrived.Endpoint] = append(tried[a.arrived.Endpoint], a)
+		tried[a.received.Endpoint] = append(tried[a.received.Endpoint], a)
 	}
-	told := map[netip.AddrPort][]Told{}
-	for _, t := range c.r.Told {
+	told := map[netip.AddrPort][]HealthChange{}
+	for _, t := range c.recording.HealthChanges {
 		of := told[t.Endpoint]
 		if n := len(of); n == 0 || of[n-1].At != t.At || of[n-1].Health != t.Health {
 			told[t.Endpoint] = append(of, t)
@@ -293,36 +295,36 @@
 				}
 			}
 			for _, a := range tried[at] {
-				if a.arrived.At > t.At+grace+Slack && a.arrived.At < until {
-					c.breach(3, a.arrived.At, a.arrived.Test, a.where(), "sent %v after the endpoint was told to drain or be gone",
-						a.arrived.At-t.At)
+				if a.received.At > t.At+grace+Tolerance && a.received.At < until {
+					c.report(3, a.received.At, a.received.CorrelationID, a.where(), "sent %v after the endpoint was told to drain or be gone",
+						a.received.At-t.At)
 				}
 			}
 		}
 	}
 }
 
-// returns is rule 4: a partner back from an outage is not pushed over while it is cold.
-func (c *checker) returns() {
-	for _, spec := range c.r.Script.Partners {
+// checkColdPartners is rule 4: a partner back from an outage is not pushed over while it is cold.
+func (c *checker) checkColdPartners() {
+	for _, spec := range c.recording.Script.Partners {
 		k := spec.Config
-		rate := k.Rate * c.r.Script.Scale
+		rate := k.Capacity * c.recording.Script.RateScale
 		if rate <= 0 {
 			continue
 		}
-		for _, back := range c.returnsOf(k.Name) {
+		for _, back := range c.recoveriesOf(k.Name) {
 			var window []*attempt
 			for _, a := range c.attempts {
-				if a.arrived.Partner != k.Name || a.arrived.At < back || a.arrived.At > back+k.WarmUp {
+				if a.received.Partner != k.Name || a.received.At < back || a.received.At > back+k.WarmUp {
 					continue
 				}
 				window = append(window, a)
-				for window[0].arrived.At < a.arrived.At-k.TipFor {
+				for window[0].received.At < a.received.At-k.OverloadWindow {
 					window = window[1:]
 				}
-				warm := k.ColdFrom + (1-k.ColdFrom)*float64(a.arrived.At-back)/float64(k.WarmUp)
-				if most := partner.TipBound(rate*warm, k.Tip, k.TipFor); float64(len(window)) > most {
-					c.breach(4, a.arrived.At, a.arrived.Test, a.where(), "%d calls within %v on a cold partner that stands %.0f", len(window), k.TipFor, most)
+				warm := k.ColdShare + (1-k.ColdShare)*float64(a.received.At-back)/float64(k.WarmUp)
+				if most := partner.OverloadLimit(rate*warm, k.OverloadFactor, k.OverloadWindow); float64(len(window)) > most {
+					c.report(4, a.received.At, a.received.CorrelationID, a.where(), "%d calls within %v on a cold partner that stands %.0f", len(window), k.OverloadWindow, most)
 					break
 				}
 			}
@@ -330,94 +332,94 @@
 	}
 }
 
-func (c *checker) returnsOf(name string) (all []time.Duration) {
-	for _, e := range c.r.Events {
-		if e.Kind == partner.Returned && e.Partner == name {
+func (c *checker) recoveriesOf(name string) (all []time.Duration) {
+	for _, e := range c.recording.Events {
+		if e.Kind == partner.Recovered && e.Partner == name {
 			all = append(all, e.At)
 		}
 	}
 	return all
 }
 
-// order is rule 5: messages of a key go one at a time, in the order in which they were handed in, and the key rests
+// checkOrder is rule 5: messages of a key go one at a time, in the order in which they were handed in, and the key rests
 // after an attempt whose end is not known.
-func (c *checker) order() {
-	settle := time.Duration(c.r.Rules.SettleAfterDoubt) * time.Microsecond
+func (c *checker) checkOrder() {
+	settle := time.Duration(c.recording.Settings.SettleAfterDoubt) * time.Microsecond
 	keys := map[string][]*attempt{}
 	for _, a := range c.attempts {
-		if c.classes[a.arrived.Class].InOrder && a.arrived.Key != "-" {
-			keys[a.arrived.Key] = append(keys[a.arrived.Key], a)
+		if c.classes[a.received.Class].InOrder && a.received.OrderKey != "-" {
+			keys[a.received.OrderKey] = append(keys[a.received.OrderKey], a)
 		}
 	}
 	sent := map[string]load.Outcome{}
-	for _, o := range c.r.Outcomes {
-		sent[o.Test] = o
+	for _, o := range c.recording.Outcomes {
+		sent[o.CorrelationID] = o
 	}
 	for key, all := range keys {
 		for i, a := range all {
-			if i == 0 || all[i-1].arrived.Test == a.arrived.Test {
+			if i == 0 || all[i-1].received.CorrelationID == a.received.CorrelationID {
 				continue
 			}
 			old := all[i-1]
-			if !c.alive(old.arrived.At, a.arrived.At) {
+			if !c.sameDispatcher(old.received.At, a.received.At) {
 				continue // a new dispatcher knows nothing of the one before
 			}
-			if c.unseen(old, a.arrived.At) {
+			if c.endUnobservable(old, a.received.At) {
 				continue
 			}
-			if old.end == 0 || old.end > a.arrived.At+Slack/3 {
-				c.breach(5, a.arrived.At, a.arrived.Test, a.where(), "key %s: sent while %s is out", key, old.arrived.Test)
-			} else if old.doubtful() && a.arrived.At < old.end+settle-Slack/10 {
-				c.breach(5, a.arrived.At, a.arrived.Test, a.where(), "key %s: sent %v after a doubtful end of %s, its rest is %v", key,
-					a.arrived.At-old.end, old.arrived.Test, settle)
+			if old.end == 0 || old.end > a.received.At+Tolerance/3 {
+				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent while %s is out", key, old.received.CorrelationID)
+			} else if old.endUnknown() && a.received.At < old.end+settle-Tolerance/10 {
+				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent %v after a doubtful end of %s, its rest is %v", key,
+					a.received.At-old.end, old.received.CorrelationID, settle)
 			}
 			// A message that was handed in before a kill came again later: its client's library repeated it.
-			if x, y := sent[old.arrived.Test], sent[a.arrived.Test]; x.Sent > y.Sent+Slack/3 && c.alive(y.Sent, a.arrived.At) {
-				c.breach(5, a.arrived.At, a.arrived.Test, a.where(), "key %s: sent after %s, which was handed in %v later", key,
-					old.arrived.Test, x.Sent-y.Sent)
+			if x, y := sent[old.received.CorrelationID], sent[a.received.CorrelationID]; x.Sent > y.Sent+Tolerance/3 && c.sameDispatcher(y.Sent, a.received.At) {
+				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent after %s, which was handed in %v later", key,
+					old.received.CorrelationID, x.Sent-y.Sent)
 			}
 		}
 	}
 }
 
-// waits is rule 6: while a told wait lasts nothing goes to the partner, or to the one route. What was under way when
+// checkToldWaits is rule 6: while a told wait lasts nothing goes to the partner, or to the one route. What was under way when
 // the wait was told is excused.
-func (c *checker) waits() {
+func (c *checker) checkToldWaits() {
 	apart := map[string]bool{}
-	for _, p := range c.r.Script.Partners {
-		apart[p.Config.Name] = p.Apart
+	for _, p := range c.recording.Script.Partners {
+		apart[p.Config.Name] = p.PerRouteWaits
 	}
 	by := map[string][]*attempt{}
 	for _, a := range c.attempts {
-		who := a.arrived.Partner + a.arrived.Path
+		who := a.received.Partner + a.received.Path
 		by[who] = append(by[who], a)
 	}
-	for _, e := range c.r.Events {
-		if e.Kind != partner.Answer || e.Wait == 0 || e.Status != 429 && e.Status != 503 {
+	for _, e := range c.recording.Events {
+		if e.Kind != partner.Responded || e.RetryAfter == 0 || e.Status != 429 && e.Status != 503 {
 			continue
 		}
 		for _, a := range by[e.Partner+e.Path] {
-			at := a.arrived.At
-			if at < e.At+Slack || at > e.At+e.Wait-Slack/30 || apart[e.Partner] && a.arrived.Endpoint != e.Endpoint || !c.alive(e.At, at) {
+			at := a.received.At
+			if at < e.At+Tolerance || at > e.At+e.RetryAfter-Tolerance/30 || apart[e.Partner] && a.received.Endpoint != e.Endpoint || !c.sameDispatcher(e.At, at) {
 				continue
 			}
-			c.breach(6, at, a.arrived.Test, a.where(), "sent %v after a wait of %v was told", at-e.At, e.Wait)
+			c.report(6, at, a.received.CorrelationID, a.where(), "sent %v after a wait of %v was told", at-e.At, e.RetryAfter)
 		}
 	}
 }
 
 // Summary is what a day comes to.
 type Summary struct {
-	Messages, Served, Refused, Failed, Withdrawn, NoAnswer int
-	Attempts, Applied, Twice                               int
-	Breaches                                               []Breach
+	Messages, Served, Refused, Failed, Canceled, NoAnswer int
+	Attempts, Applied, AppliedTwice                       int
+	Violations                                            []Violation
 }
 
-// Sum counts a record from both ends.
-func Sum(r *Record) Summary {
-	s := Summary{Messages: len(r.Outcomes), Breaches: Check(r)}
+// Summarize counts a record from both ends.
+func Summarize(r *Recording) Summary {
+	s := Summary{Messages: len(r.Outcomes), Violations: Check(r)}
 	for _, o := range r.Outcomes {
-		switch load.Final(o.Status) {
+		switch load.AnswerKind(o.Status) {
 		case "served":
 			s.Served++
 		case "refused":
@@ -425,8 +427,8 @@
 		case "failed":
 			s.Failed++
 		default:
-			if o.Withdrawn {
-				s.Withdrawn++
+			if o.Canceled {
+				s.Canceled++
 			} else {
 				s.NoAnswer++
 			}
@@ -435,13 +437,13 @@
 	applied := map[string]int{}
 	for _, e := range r.Events {
 		switch e.Kind {
-		case partner.Arrived:
+		case partner.RequestReceived:
 			s.Attempts++
 		case partner.Applied:
 			s.Applied++
 			if e.Class == "upload" {
-				if applied[e.Test]++; applied[e.Test] == 2 {
-					s.Twice++
+				if applied[e.CorrelationID]++; applied[e.CorrelationID] == 2 {
+					s.AppliedTwice++
 				}
 			}
 		}
@@ -452,16 +454,16 @@
 // Write prints a summary.
 func (s Summary) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d messages: %d served, %d refused, %d failed, %d withdrawn by their clients, %d without an answer (no dispatcher ran)\n",
-		s.Messages, s.Served, s.Refused, s.Failed, s.Withdrawn, s.NoAnswer)
-	fmt.Fprintf(w, "%d attempts seen by the stand-ins, %d applied, %d unsafe ones applied twice\n", s.Attempts, s.Applied, s.Twice)
-	for i, b := range s.Breaches {
+		s.Messages, s.Served, s.Refused, s.Failed, s.Canceled, s.NoAnswer)
+	fmt.Fprintf(w, "%d attempts seen by the stand-ins, %d applied, %d unsafe ones applied twice\n", s.Attempts, s.Applied, s.AppliedTwice)
+	for i, b := range s.Violations {
 		if i == 20 {
-			fmt.Fprintf(w, "... and %d more\n", len(s.Breaches)-20)
+			fmt.Fprintf(w, "... and %d more\n", len(s.Violations)-20)
 			break
 		}
 		fmt.Fprintln(w, "BREACH", b)
 	}
-	if len(s.Breaches) == 0 {
+	if len(s.Violations) == 0 {
 		fmt.Fprintln(w, "all six rules kept")
 	}
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -26,129 +26,129 @@
 )
 
 // Told is a change of the endpoint list, as the dispatcher was told it.
-type Told struct {
+type HealthChange struct {
 	At       time.Duration
 	Partner  string
 	Endpoint netip.AddrPort
 	Health   control.Health
 }
 
-// Life is a time in which a dispatcher ran; Stopping is when it was told to stop in order, 0 where it was killed.
-type Life struct{ From, Stopping, To time.Duration }
-
-// Record is all that was seen of a day, on one clock.
-type Record struct {
-	Script   *Script
-	Outcomes []load.Outcome
-	Events   []partner.Event
-	Told     []Told
-	Lives    []Life
-	Rules    control.Settings
-	Unclean  bool // an orderly stop left messages without an answer
-
-	Began         time.Time // when the day's clock was 0
-	Trailed       bool      // a trail was kept
-	Trail         []*audit.Record
-	TrailProblems []string
+// DispatcherRun is a time in which a dispatcher ran; Stopping is when it was told to stop in order, 0 where it was killed.
+type DispatcherRun struct{ From, StopRequested, To time.Duration }
+
+// Recording is all that was seen of a day, on one clock.
+type Recording struct {
+	Script        *Script
+	Outcomes      []load.Outcome
+	Events        []partner.Event
+	HealthChanges []HealthChange
+	Runs          []DispatcherRun
+	Settings      control.Settings
+	UncleanStop   bool // an orderly stop left messages without an answer
+
+	StartTime     time.Time // when the day's clock was 0
+	HasAuditTrail bool      // a trail was kept
+	AuditTrail    []*audit.Record
+	AuditProblems []string
 }
 
 // list is the endpoint list of a day: what stands in it, and what the dispatcher sees of that.
-type list struct {
+type endpointList struct {
 	mu          sync.Mutex
 	now         func() time.Duration
 	lag         time.Duration
-	lines       []roster.Line
-	history     []snapshot // not yet seen, oldest first
-	seen        snapshot
+	current     []roster.Line
+	pending     []snapshot // not yet seen, oldest first
+	visible     snapshot
 	stale       bool
 	unreachable bool
-	told        []Told
-	known       map[string]control.Health
+	changes     []HealthChange
+	lastHealth  map[string]control.Health
 }
 
 type snapshot struct {
-	at      time.Duration
-	version int
-	lines   []roster.Line
+	visibleAt time.Duration
+	version   int
+	lines     []roster.Line
 }
 
-// change alters the list; it is seen after the lag.
-func (l *list) change(alter func([]roster.Line) []roster.Line) {
+// update alters the list; it is seen after the lag.
+func (l *endpointList) update(alter func([]roster.Line) []roster.Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lines = alter(slices.Clone(l.lines))
-	version := l.seen.version
-	if n := len(l.history); n > 0 {
-		version = l.history[n-1].version
+	l.current = alter(slices.Clone(l.current))
+	version := l.visible.version
+	if n := len(l.pending); n > 0 {
+		version = l.pending[n-1].version
 	}
-	l.history = append(l.history, snapshot{l.now() + l.lag, version + 1, l.lines})
+	l.pending = append(l.pending, snapshot{l.now() + l.lag, version + 1, l.current})
 }
 
 // Load is service.ListSource. What it returns is noted as told.
-func (l *list) Load(known string) ([]roster.Line, string, error) {
+func (l *endpointList) Load(known string) ([]roster.Line, string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable && known != "" {
 		return nil, "", errors.New("the list is out of reach")
 	}
 	now := l.now()
-	for !l.stale && len(l.history) > 0 && l.history[0].at <= now {
-		l.seen, l.history = l.history[0], l.history[1:]
+	for !l.stale && len(l.pending) > 0 && l.pending[0].visibleAt <= now {
+		l.visible, l.pending = l.pending[0], l.pending[1:]
 	}
-	version := strconv.Itoa(l.seen.version)
+	version := strconv.Itoa(l.visible.version)
 	if version == known {
 		return nil, version, nil
 	}
-	l.note(now)
-	return l.seen.lines, version, nil
+	l.recordChanges(now)
+	return l.visible.lines, version, nil
 }
 
-func (l *list) note(now time.Duration) {
+func (l *endpointList) recordChanges(now time.Duration) {
 	next := map[string]control.Health{}
-	for _, e := range l.seen.lines {
+	for _, e := range l.visible.lines {
 		k := e.Partner + " " + e.Addr.String()
 		next[k] = e.Health
-		if old, ok := l.known[k]; !ok || old != e.Health {
-			l.told = append(l.told, Told{now, e.Partner, e.Addr, e.Health})
+		if old, ok := l.lastHealth[k]; !ok || old != e.Health {
+			l.changes = append(l.changes, HealthChange{now, e.Partner, e.Addr, e.Health})
 		}
 	}
-	for k := range l.known {
+	for k := range l.lastHealth {
 		if _, ok := next[k]; !ok {
 			name, addr, _ := strings.Cut(k, " ")
-			l.told = append(l.told, Told{now, name, netip.MustParseAddrPort(addr), control.Gone})
+			l.changes = append(l.changes, HealthChange{now, name, netip.MustParseAddrPort(addr), control.Gone})
 		}
 	}
-	l.known = next
+	l.lastHealth = next
 }
 
 // runner plays one day.
 type runner struct {
-	s        *Script
-	log      *partner.Log
-	partners map[string]*partner.Partner
-	list     *list
-	cfg      *config.Config
-	logger   *logs.Logger
-	addr     string
-	amqpAddr string
-	folder   string // of the audit trail
-
-	mu    sync.Mutex
-	svc   *service.Service
-	lives []Life
-	rec   Record
-	errs  []error
+	script      *Script
+	log         *partner.Log
+	partners    map[string]*partner.Partner
+	endpoints   *endpointList
+	cfg         *config.Config
+	logger      *logs.Logger
+	addr        string
+	amqpAddr    string
+	auditFolder string // of the audit trail
+
+	mu        sync.Mutex
+	svc       *service.Service
+	runs      []DispatcherRun
+	recording Recording
+	errs      []error
 }
 
 // Run plays a day and returns what was seen. lines takes the dispatcher's own log.
-func Run(ctx context.Context, s *Script, lines io.Writer) (*Record, error) {
-	r := &runner{s: s, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
-	r.list = &list{now: r.log.Now, lag: s.Lag}
+func Run(ctx context.Context, s *Script, lines io.Writer) (*Recording, error) {
+	r := &runner{script: s, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
+	r.endpoints = &endpointList{now: r.log.Now, lag: s.DiscoveryLag}
 	var err error
-	if r.folder, err = os.MkdirTemp("", "whinrun-day"); err != nil {
+	if r.auditFolder, err = os.MkdirTemp("", "whinrun-day"); err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(r.folder) }()
+	defer func() { _ = os.RemoveAll(r.auditFolder) }()
 	if err := r.setUp(lines); err != nil {
 		return nil, err
 	}
@@ -163,34 +163,34 @@
 	client, publisher := load.NewClient(r.addr, 4), load.NewPublisher(r.amqpAddr, "day", "day", 4)
 	defer client.Close()
 	defer publisher.Close()
-	msgs := r.messages()
+	msgs := r.buildMessages()
 	base := r.log.Now()
 	var timeline sync.WaitGroup
 	timeline.Add(1)
 	go func() {
 		defer timeline.Done()
-		r.play(ctx, base)
+		r.runTimeline(ctx, base)
 	}()
 	for i := range msgs {
 		msgs[i].At += base
 	}
-	out := load.Run(ctx, load.Fronts{Push: client, AMQP: publisher}, msgs, r.log.Now, 20000)
+	out := load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, msgs, r.log.Now, 20000)
 	timeline.Wait()
 	r.stop(true)
-	r.rec.Script, r.rec.Outcomes, r.rec.Events = s, out, r.log.Events()
-	r.rec.Told, r.rec.Lives, r.rec.Rules = r.list.told, r.lives, r.cfg.Module
-	r.rec.Trailed, r.rec.Began = true, r.log.Began()
-	if r.rec.Trail, r.rec.TrailProblems, err = readTrail(r.folder); err != nil {
+	r.recording.Script, r.recording.Outcomes, r.recording.Events = s, out, r.log.Events()
+	r.recording.HealthChanges, r.recording.Runs, r.recording.Settings = r.endpoints.changes, r.runs, r.cfg.Module
+	r.recording.HasAuditTrail, r.recording.StartTime = true, r.log.StartTime()
+	if r.recording.AuditTrail, r.recording.AuditProblems, err = readAuditTrail(r.auditFolder); err != nil {
 		r.errs = append(r.errs, err)
 	}
-	return &r.rec, errors.Join(append(r.errs, ctx.Err())...)
+	return &r.recording, errors.Join(append(r.errs, ctx.Err())...)
 }
 
 func (r *runner) setUp(lines io.Writer) error {
-	for i, spec := range r.s.Partners {
-		spec.Config.Seed = r.s.Seed*100 + uint64(i)
-		spec.Config.Rate *= r.s.Scale
-		spec.Config.Limit *= r.s.Scale
+	for i, spec := range r.script.Partners {
+		spec.Config.Seed = r.script.Seed*100 + uint64(i)
+		spec.Config.Capacity *= r.script.RateScale
+		spec.Config.RateLimit *= r.script.RateScale
 		p := partner.New(spec.Config, r.log)
 		r.partners[p.Name()] = p
 		for range spec.Endpoints {
@@ -198,17 +198,17 @@
 			if err != nil {
 				return err
 			}
-			r.list.lines = append(r.list.lines, roster.Line{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
+			r.endpoints.current = append(r.endpoints.current, roster.Line{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
 		}
 	}
-	for k, w := range r.s.Wakes {
-		for i := range r.count(w) {
+	for k, w := range r.script.Wakes {
+		for i := range r.waveSize(w) {
 			for _, e := range r.partners[w.Partner].Endpoints() {
-				r.list.lines = append(r.list.lines, roster.Line{Partner: sleeper(k, w, i), Addr: e.Addr(), Health: control.Ready})
+				r.endpoints.current = append(r.endpoints.current, roster.Line{Partner: wavePartnerName(k, w, i), Addr: e.Addr(), Health: control.Ready})
 			}
 		}
 	}
-	r.list.seen = snapshot{version: 1, lines: r.list.lines}
+	r.endpoints.visible = snapshot{version: 1, lines: r.endpoints.current}
 	var err error
 	if r.cfg, err = config.Parse("settings of the day", []byte(r.settings())); err != nil {
 		return err
@@ -221,8 +221,8 @@
 func (r *runner) settings() string {
 	by := map[string]map[string]string{"dispatcher": {"listen": "127.0.0.1:0", "stop-within": "4s"}, "list": {"every": "20ms"},
 		"rules": {"cold-from": "0.2", "warm-up": "3s", "tip-multiple": "2", "overload-for": "1s", "drain-grace": "1s", "settle-after-doubt": "500ms"},
-		"audit": {"folder": r.folder}, "amqp": {"listen": "127.0.0.1:0", "heartbeat": "1s"}, "limits": {}, "outbound": {"connect-timeout": "500ms"}}
-	for k, v := range r.s.Settings {
+		"audit": {"folder": r.auditFolder}, "amqp": {"listen": "127.0.0.1:0", "heartbeat": "1s"}, "limits": {}, "outbound": {"connect-timeout": "500ms"}}
+	for k, v := range r.script.Settings {
 		section, key, _ := strings.Cut(k, ".")
 		if by[section] == nil {
 			by[section] = map[string]string{}
@@ -230,13 +230,13 @@
 		by[section][key] = v
 	}
 	var b strings.Builder
-	for _, section := range sorted(by) {
+	for _, section := range sortedKeys(by) {
 		fmt.Fprintf(&b, "[%s]\n", section)
-		for _, k := range sorted(by[section]) {
+		for _, k := range sortedKeys(by[section]) {
 			fmt.Fprintf(&b, "%s = %s\n", k, by[section][k])
 		}
 	}
-	for _, c := range r.s.Classes {
+	for _, c := range r.script.Classes {
 		fmt.Fprintf(&b, "[class %s]\neffect = %s\naim = %v\ndeadline = %v\nworth = %s\n", c.Name, c.Effect, c.Aim, c.Deadline, c.Worth)
 		if c.Window > 0 {
 			fmt.Fprintf(&b, "window = %v\n", c.Window)
@@ -245,42 +245,44 @@
 			b.WriteString("order = yes\n")
 		}
 	}
-	for _, t := range r.s.Tenants {
-		fmt.Fprintf(&b, "[tenant %s]\ntoken = %s\nquota = %g/s\n", t.Name, t.Name, t.Quota*r.s.Scale)
+	for _, t := range r.script.Tenants {
+		fmt.Fprintf(&b, "[tenant %s]\ntoken = %s\nquota = %g/s\n", t.Name, t.Name, t.Quota*r.script.RateScale)
 	}
-	for _, p := range r.s.Partners {
+	for _, p := range r.script.Partners {
 		apart, rate := "no", ""
-		if p.Apart {
+		if p.PerRouteWaits {
 			apart = "yes"
 		}
-		if p.Config.Rate > 0 {
-			rate = fmt.Sprintf("rate = %g/s\n", p.Config.Rate*r.s.Scale)
+		if p.Config.Capacity > 0 {
+			rate = fmt.Sprintf("rate = %g/s\n", p.Config.Capacity*r.script.RateScale)
 		}
 		fmt.Fprintf(&b, "[kind of-%s]\nbatch = %d\nroutes-apart = %s\n", p.Config.Name, max(1, p.Batch), apart)
 		fmt.Fprintf(&b, "[partner %s]\nkind = of-%s\n%sendpoints = 127.0.0.1:1\n", p.Config.Name, p.Config.Name, rate)
-		for _, c := range r.s.Classes {
-			for _, t := range r.s.Tenants {
-				fmt.Fprintf(&b, "[push %s]\npartner = %s\nclass = %s\ntenant = %s\n", path(p.Config.Name, c.Name, t.Name), p.Config.Name, c.Name, t.Name)
+		for _, c := range r.script.Classes {
+			for _, t := range r.script.Tenants {
+				fmt.Fprintf(&b, "[push %s]\npartner = %s\nclass = %s\ntenant = %s\n", pushPath(p.Config.Name, c.Name, t.Name), p.Config.Name, c.Name, t.Name)
 			}
 		}
 	}
-	for k, w := range r.s.Wakes {
-		for i := range r.count(w) {
-			name := sleeper(k, w, i)
+	for k, w := range r.script.Wakes {
+		for i := range r.waveSize(w) {
+			name := wavePartnerName(k, w, i)
 			fmt.Fprintf(&b, "[partner %s]\nkind = of-%s\npath = /w/%s\nendpoints = 127.0.0.1:1\n", name, w.Partner, name)
-			fmt.Fprintf(&b, "[push %s]\npartner = %s\nclass = %s\ntenant = day\n", path(name, w.Class, "day"), name, w.Class)
+			fmt.Fprintf(&b, "[push %s]\npartner = %s\nclass = %s\ntenant = day\n", pushPath(name, w.Class, "day"), name, w.Class)
 		}
 	}
 	return b.String()
 }
 
-// count is how many partners a wave has at the scale of the run.
-func (r *runner) count(w WakeSpec) int { return int(float64(w.Count) * r.s.Scale) }
+// waveSize is how many partners a wave has at the scale of the run.
+func (r *runner) waveSize(w WakeSpec) int { return int(float64(w.Count) * r.script.RateScale) }
 
-// sleeper names one partner of a wave.
-func sleeper(wave int, w WakeSpec, i int) string { return fmt.Sprintf("%s-w%d-%d", w.Partner, wave, i) }
+// wavePartnerName names one partner of a wave.
+func wavePartnerName(wave int, w WakeSpec, i int) string {
+	return fmt.Sprintf("%s-w%d-%d", w.Partner, wave, i)
+}
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -297,7 +299,7 @@
 	}
 	var err error
 	for range 50 { // the port of the one before may still be closing
-		if r.svc, err = service.Start(r.cfg, r.logger, r.list); err == nil {
+		if r.svc, err = service.Start(r.cfg, r.logger, r.endpoints); err == nil {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -306,7 +308,7 @@
 		return err
 	}
 	r.addr, r.amqpAddr = r.svc.Addr().String(), r.svc.AMQPAddr().String()
-	r.lives = append(r.lives, Life{From: r.log.Now()})
+	r.runs = append(r.runs, DispatcherRun{From: r.log.Now()})
 	return nil
 }
 
@@ -317,14 +319,14 @@
 	if r.svc == nil {
 		return
 	}
-	life := &r.lives[len(r.lives)-1]
+	life := &r.runs[len(r.runs)-1]
 	life.To = r.log.Now()
 	if orderly {
-		life.Stopping = life.To
+		life.StopRequested = life.To
 		ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
 		if !r.svc.Stop(ctx) {
-			r.rec.Unclean = true
+			r.recording.UncleanStop = true
 		}
 		life.To = r.log.Now()
 	} else {
@@ -333,17 +335,17 @@
 	r.svc = nil
 }
 
-// act is one thing to do at a time.
-type act struct {
+// action is one thing to do at a time.
+type action struct {
 	at time.Duration
 	do func() error
 }
 
-// play does what the script says, at its times.
-func (r *runner) play(ctx context.Context, base time.Duration) {
-	var acts []act
-	for i := range r.s.Steps {
-		acts = append(acts, r.acts(&r.s.Steps[i], base)...)
+// runTimeline does what the script says, at its times.
+func (r *runner) runTimeline(ctx context.Context, base time.Duration) {
+	var acts []action
+	for i := range r.script.Steps {
+		acts = append(acts, r.actions(&r.script.Steps[i], base)...)
 	}
 	sort.SliceStable(acts, func(i, j int) bool { return acts[i].at < acts[j].at })
 	for _, a := range acts {
@@ -358,13 +360,13 @@
 	}
 }
 
-// acts turns a step into what is done at its beginning and its end.
-func (r *runner) acts(st *Step, base time.Duration) []act {
-	end := st.At + st.For
-	both := func(on func(bool)) []act {
-		all := []act{{st.At, func() error { on(true); return nil }}}
-		if st.For > 0 {
-			all = append(all, act{end, func() error { on(false); return nil }})
+// actions turns a step into what is done at its beginning and its end.
+func (r *runner) actions(st *Step, base time.Duration) []action {
+	end := st.At + st.Duration
+	both := func(on func(bool)) []action {
+		all := []action{{st.At, func() error { on(true); return nil }}}
+		if st.Duration > 0 {
+			all = append(all, action{end, func() error { on(false); return nil }})
 		}
 		return all
 	}
@@ -373,27 +375,27 @@
 		return nil // its messages are made beforehand
 	case "list":
 		return both(func(on bool) {
-			r.list.mu.Lock()
-			defer r.list.mu.Unlock()
-			if st.Word == "stale" {
-				r.list.stale = on
+			r.endpoints.mu.Lock()
+			defer r.endpoints.mu.Unlock()
+			if st.Action == "stale" {
+				r.endpoints.stale = on
 			} else {
-				r.list.unreachable = on
+				r.endpoints.unreachable = on
 			}
 		})
 	case "dispatcher":
-		all := []act{{st.At, func() error { r.stop(st.Word == "stop"); return nil }}}
-		if st.For > 0 {
-			all = append(all, act{end, r.startDispatcher})
+		all := []action{{st.At, func() error { r.stop(st.Action == "stop"); return nil }}}
+		if st.Duration > 0 {
+			all = append(all, action{end, r.startDispatcher})
 		}
 		return all
 	}
 	name, no, _ := strings.Cut(st.Target, ".")
-	return r.partnerActs(st, base, r.partners[name], no)
+	return r.partnerActions(st, base, r.partners[name], no)
 }
 
-func (r *runner) partnerActs(st *Step, base time.Duration, p *partner.Partner, no string) []act {
-	end := st.At + st.For
+func (r *runner) partnerActions(st *Step, base time.Duration, p *partner.Partner, no string) []action {
+	end := st.At + st.Duration
 	each := func(do func(*partner.Endpoint) error) func() error {
 		return func() error {
 			var err error
@@ -409,42 +411,42 @@
 			return err
 		}
 	}
-	switch st.Word {
+	switch st.Action {
 	case "goaway":
-		return []act{{st.At, each(func(e *partner.Endpoint) error { e.GoAway(); return nil })}}
+		return []action{{st.At, each(func(e *partner.Endpoint) error { e.GoAway(); return nil })}}
 	case "streams":
 		n, _ := strconv.Atoi(st.Args[0])
-		return []act{{st.At, each(func(e *partner.Endpoint) error { e.Streams(uint32(n)); return nil })}}
+		return []action{{st.At, each(func(e *partner.Endpoint) error { e.SetMaxStreams(uint32(n)); return nil })}}
 	case "limit":
 		var limit float64
-		_ = scan(st.Args[0], &limit)
+		_ = parseValue(st.Args[0], &limit)
 		told := len(st.Args) > 1 && st.Args[1] == "told"
-		acts := []act{{st.At, func() error { p.SetLimit(limit*r.s.Scale, told); return nil }}}
-		if st.For > 0 {
-			acts = append(acts, act{end, func() error { p.SetLimit(0, told); return nil }})
+		acts := []action{{st.At, func() error { p.SetLimit(limit*r.script.RateScale, told); return nil }}}
+		if st.Duration > 0 {
+			acts = append(acts, action{end, func() error { p.SetLimit(0, told); return nil }})
 		}
 		return acts
 	case "drain":
-		return []act{{st.At, each(func(e *partner.Endpoint) error { r.relist(e, control.Draining); return nil })}}
+		return []action{{st.At, each(func(e *partner.Endpoint) error { r.setHealth(e, control.Draining); return nil })}}
 	case "replace":
-		return []act{{st.At, func() error { return r.replace(p) }}}
+		return []action{{st.At, func() error { return r.replaceEndpoints(p) }}}
 	}
 	f, _ := st.fault(base + end)
-	acts := []act{{st.At, each(func(e *partner.Endpoint) error { return e.Set(f) })}}
-	if st.Word == "preempt" { // it dies, then the list says so and names another
-		acts = append(acts, act{st.At + 300*time.Millisecond, each(func(e *partner.Endpoint) error {
-			r.relist(e, control.Gone)
-			return r.join(p)
+	acts := []action{{st.At, each(func(e *partner.Endpoint) error { return e.SetFault(f) })}}
+	if st.Action == "preempt" { // it dies, then the list says so and names another
+		acts = append(acts, action{st.At + 300*time.Millisecond, each(func(e *partner.Endpoint) error {
+			r.setHealth(e, control.Gone)
+			return r.addEndpoint(p)
 		})})
-	} else if st.For > 0 {
-		acts = append(acts, act{end, each(func(e *partner.Endpoint) error { return e.Set(partner.Fault{}) })})
+	} else if st.Duration > 0 {
+		acts = append(acts, action{end, each(func(e *partner.Endpoint) error { return e.SetFault(partner.Fault{}) })})
 	}
 	return acts
 }
 
-// relist changes the standing of an endpoint in the list.
-func (r *runner) relist(e *partner.Endpoint, h control.Health) {
-	r.list.change(func(lines []roster.Line) []roster.Line {
+// setHealth changes the standing of an endpoint in the list.
+func (r *runner) setHealth(e *partner.Endpoint, h control.Health) {
+	r.endpoints.update(func(lines []roster.Line) []roster.Line {
 		var out []roster.Line
 		for _, l := range lines {
 			if l.Addr == e.Addr() {
@@ -459,13 +461,13 @@
 	})
 }
 
-// join adds an endpoint to a partner.
-func (r *runner) join(p *partner.Partner) error {
+// addEndpoint adds an endpoint to a partner.
+func (r *runner) addEndpoint(p *partner.Partner) error {
 	e, err := p.Listen("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	r.list.change(func(lines []roster.Line) []roster.Line {
+	r.endpoints.update(func(lines []roster.Line) []roster.Line {
 		seen := map[string]bool{}
 		for _, l := range lines { // the partners of a wave behind it, too
 			if l.Partner == p.Name() || strings.HasPrefix(l.Partner, p.Name()+"-w") {
@@ -473,7 +475,7 @@
 			}
 		}
 		seen[p.Name()] = true
-		for _, name := range sorted(seen) {
+		for _, name := range sortedKeys(seen) {
 			lines = append(lines, roster.Line{Partner: name, Addr: e.Addr(), Health: control.Ready})
 		}
 		return lines
@@ -481,70 +483,72 @@
 	return nil
 }
 
-// replace drains all endpoints of a partner and adds as many new ones.
-func (r *runner) replace(p *partner.Partner) error {
+// replaceEndpoints drains all endpoints of a partner and adds as many new ones.
+func (r *runner) replaceEndpoints(p *partner.Partner) error {
 	for _, e := range p.Endpoints() {
-		if err := r.join(p); err != nil {
+		if err := r.addEndpoint(p); err != nil {
 			return err
 		}
-		r.relist(e, control.Draining)
+		r.setHealth(e, control.Draining)
 	}
 	return nil
 }
 
-// path is the push resource of a partner, class and tenant.
-func path(partner, class, tenant string) string { return "/" + partner + "/" + class + "/" + tenant }
+// pushPath is the push resource of a partner, class and tenant.
+func pushPath(partner, class, tenant string) string {
+	return "/" + partner + "/" + class + "/" + tenant
+}
 
-// messages makes the load of the day from its seed.
-func (r *runner) messages() []load.Message {
-	rng := rand.New(rand.NewPCG(r.s.Seed, 3))
+// buildMessages makes the load of the day from its seed.
+func (r *runner) buildMessages() []load.Message {
+	rng := rand.New(rand.NewPCG(r.script.Seed, 3))
 	var all []load.Message
-	for i, l := range r.s.Loads {
+	for i, l := range r.script.Loads {
 		to := l.To
 		if to == 0 {
-			to = r.s.Length
+			to = r.script.Duration
 		}
 		at := l.From.Seconds()
 		for n := 0; ; n++ {
-			rate, name, hot := r.rate(&l, time.Duration(at*float64(time.Second)))
-			at += rng.ExpFloat64() / max(rate*r.s.Scale, 1e-3)
+			rate, name, hot := r.rateAt(&l, time.Duration(at*float64(time.Second)))
+			at += rng.ExpFloat64() / max(rate*r.script.RateScale, 1e-3)
 			when := time.Duration(at * float64(time.Second))
 			if when >= to {
 				break
 			}
-			m := load.Message{At: when, Test: fmt.Sprintf("%d-%d", i, n), Class: l.Class, Path: path(name, l.Class, l.Tenant), Token: l.Tenant,
-				TTL: l.TTL, Size: l.Size, Partner: name, Patience: r.patience(l.Class)}
+			m := load.Message{At: when, CorrelationID: fmt.Sprintf("%d-%d", i, n), Class: l.Class, Path: pushPath(name, l.Class, l.Tenant), Token: l.Tenant,
+				TTL: l.TTL, BodySize: l.BodySize, Partner: name, Timeout: r.clientTimeout(l.Class)}
 			if l.Keys > 0 {
-				m.Key = fmt.Sprintf("%s-k%d", name, rng.IntN(l.Keys))
+				m.OrderKey = fmt.Sprintf("%s-k%d", name, rng.IntN(l.Keys))
 				if hot {
-					m.Key = name + "-k0"
+					m.OrderKey = name + "-k0"
 				}
 			}
-			if rng.Float64() < l.Withdraw {
-				m.Withdraw = time.Duration(float64(l.After) * (0.5 + rng.Float64()))
+			if rng.Float64() < l.CancelShare {
+				m.CancelAfter = time.Duration(float64(l.CancelAfter) * (0.5 + rng.Float64()))
 			}
 			all = append(all, m)
 		}
 	}
-	for k, w := range r.s.Wakes {
-		for i := range r.count(w) {
+	for k, w := range r.script.Wakes {
+		for i := range r.waveSize(w) {
 			at := w.From + time.Duration(rng.Float64()*float64(w.To-w.From))
-			all = append(all, load.Message{At: at, Test: fmt.Sprintf("w%d-%d", k, i), Class: w.Class, Path: path(sleeper(k, w, i), w.Class, "day"),
-				Token: "day", TTL: 60, Partner: sleeper(k, w, i), Patience: r.patience(w.Class)})
+			all = append(all, load.Message{At: at, CorrelationID: fmt.Sprintf("w%d-%d", k, i), Class: w.Class, Path: pushPath(wavePartnerName(k, w, i), w.Class, "day"),
+				Token: "day", TTL: 60, Partner: wavePartnerName(k, w, i), Timeout: r.clientTimeout(w.Class)})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
-	by := rand.New(rand.NewPCG(r.s.Seed, 4)) // apart: the messages are the same whichever front they come by
+	by := rand.New(rand.NewPCG(r.script.Seed, 4)) // apart: the messages are the same whichever front they come by
 	for i := range all {
 		m := &all[i]
-		m.AMQP = by.Float64() < r.s.AMQP && m.Withdraw == 0 && m.Token == "day" // publishes can't be withdrawn
+		m.AMQP = by.Float64() < r.script.AMQPShare && m.CancelAfter == 0 && m.Token == "day" // publishes can't be withdrawn
 	}
 	return all
 }
 
-// patience is how long a client waits for the answer that is due: well past the deadline of the class.
-func (r *runner) patience(class string) time.Duration {
-	for _, c := range r.s.Classes {
+// clientTimeout is how long a client waits for the answer that is due: well past the deadline of the class.
+func (r *runner) clientTimeout(class string) time.Duration {
+	for _, c := range r.script.Classes {
 		if c.Name == class {
 			return c.Deadline + 3*time.Second
 		}
@@ -552,17 +556,17 @@
 	return time.Minute
 }
 
-// rate is the rate of a load at a time, with the bursts and shifts of the script, and where it goes.
-func (r *runner) rate(l *LoadSpec, at time.Duration) (rate float64, name string, hot bool) {
+// rateAt is the rate of a load at a time, with the bursts and shifts of the script, and where it goes.
+func (r *runner) rateAt(l *LoadSpec, at time.Duration) (rate float64, name string, hot bool) {
 	rate, name = l.Rate, l.Partner
-	for _, st := range r.s.Steps {
-		if st.Target != "load" || at < st.At || st.For > 0 && at >= st.At+st.For || len(st.Args) == 0 || st.Args[0] != l.Partner {
+	for _, st := range r.script.Steps {
+		if st.Target != "load" || at < st.At || st.Duration > 0 && at >= st.At+st.Duration || len(st.Args) == 0 || st.Args[0] != l.Partner {
 			continue
 		}
-		switch st.Word {
+		switch st.Action {
 		case "burst":
 			var x float64
-			_ = scan(st.Args[1], &x)
+			_ = parseValue(st.Args[1], &x)
 			rate *= x
 		case "shift":
 			name = st.Args[1]
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -15,20 +15,20 @@
 
 // Script is a day as written.
 type Script struct {
-	Name     string
-	Seed     uint64
-	Length   time.Duration
-	Partners []PartnerSpec
-	Loads    []LoadSpec
-	Wakes    []WakeSpec
-	Steps    []Step
-	Settings map[string]string // keys of [rules], [limits], [outbound], [dispatcher] of the dispatcher, "section.key"
-	Classes  []ClassSpec
-	Tenants  []TenantSpec
-	Lag      time.Duration // of the endpoint list
-	Served   float64       // least share served that the day expects
-	Scale    float64       // factor on all rates, for a smaller machine
-	AMQP     float64       // share of the messages that is handed in by AMQP
+	Name         string
+	Seed         uint64
+	Duration     time.Duration
+	Partners     []PartnerSpec
+	Loads        []LoadSpec
+	Wakes        []WakeSpec
+	Steps        []Step
+	Settings     map[string]string // keys of [rules], [limits], [outbound], [dispatcher] of the dispatcher, "section.key"
+	Classes      []ClassSpec
+	Tenants      []TenantSpec
+	DiscoveryLag time.Duration // of the endpoint list
+	MinServed    float64       // least share served that the day expects
+	RateScale    float64       // factor on all rates, for a smaller machine
+	AMQPShare    float64       // share of the messages that is handed in by AMQP
 }
 
 // ClassSpec is a class of message of the day.
@@ -50,10 +50,10 @@
 
 // PartnerSpec is a stand-in.
 type PartnerSpec struct {
-	Endpoints int
-	Apart     bool
-	Batch     int
-	Config    partner.Config
+	Endpoints     int
+	PerRouteWaits bool
+	Batch         int
+	Config        partner.Config
 }
 
 // LoadSpec is a stream of messages.
@@ -63,9 +63,9 @@
 	Rate           float64
 	Keys           int
 	TTL            int
-	Withdraw       float64 // share of messages that the client withdraws ...
-	After          time.Duration
-	Size           int
+	CancelShare    float64 // share of messages that the client withdraws ...
+	CancelAfter    time.Duration
+	BodySize       int
 	From, To       time.Duration
 }
 
@@ -78,20 +78,20 @@
 
 // Step is something that happens at a time.
 type Step struct {
-	Line   int
-	At     time.Duration
-	For    time.Duration // 0: for the rest of the day
-	Target string        // partner, partner.endpoint, list, dispatcher or load
-	Word   string
-	Args   []string
+	Line     int
+	At       time.Duration
+	Duration time.Duration // 0: for the rest of the day
+	Target   string        // partner, partner.endpoint, list, dispatcher or load
+	Action   string
+	Args     []string
 }
 
 // words of trouble, with how many arguments each takes at least.
-var endpointWords = map[string]int{"crash": 0, "vanish": 0, "hang": 0, "shut": 0, "slow": 1, "pauses": 2, "lose": 1, "error": 1,
+var endpointActions = map[string]int{"crash": 0, "vanish": 0, "hang": 0, "shut": 0, "slow": 1, "pauses": 2, "lose": 1, "error": 1,
 	"reset": 1, "refuse": 1, "late": 1, "garble": 1, "missing": 1, "goaway": 0, "streams": 1, "limit": 1, "drain": 0, "replace": 0,
 	"preempt": 0}
 
-var otherWords = map[string]map[string]int{
+var otherActions = map[string]map[string]int{
 	"list":       {"stale": 0, "unreachable": 0},
 	"dispatcher": {"kill": 0, "stop": 0},
 	"load":       {"burst": 2, "shift": 2, "hotkey": 1},
@@ -99,7 +99,7 @@
 
 // Parse reads a script; what is wrong is told with file and line.
 func Parse(file, text string) (*Script, error) {
-	s := &Script{Seed: 1, Length: 10 * time.Second, Settings: map[string]string{}, Scale: 1, Classes: defaultClasses(),
+	s := &Script{Seed: 1, Duration: 10 * time.Second, Settings: map[string]string{}, RateScale: 1, Classes: defaultClasses(),
 		Tenants: []TenantSpec{{Name: "day"}}}
 	var wrong []error
 	for i, line := range strings.Split(text, "\n") {
@@ -108,12 +108,12 @@
 		if len(f) == 0 {
 			continue
 		}
-		if err := s.line(i+1, f); err != nil {
+		if err := s.parseLine(i+1, f); err != nil {
 			wrong = append(wrong, fmt.Errorf("%s:%d: %s: %w", file, i+1, f[0], err))
 		}
 	}
 	if len(wrong) == 0 {
-		wrong = s.check(file)
+		wrong = s.validate(file)
 	}
 	return s, errors.Join(wrong...)
 }
@@ -127,21 +127,21 @@
 	}
 }
 
-func (s *Script) line(n int, f []string) error {
+func (s *Script) parseLine(n int, f []string) error {
 	switch f[0] {
 	case "day":
 		s.Name = strings.Join(f[1:], " ")
 		return nil
 	case "seed":
-		return pairs(f, map[string]any{"seed": &s.Seed})
+		return parsePairs(f, map[string]any{"seed": &s.Seed})
 	case "length":
-		return pairs(f, map[string]any{"length": &s.Length})
+		return parsePairs(f, map[string]any{"length": &s.Duration})
 	case "amqp":
-		return pairs(f, map[string]any{"amqp": &s.AMQP})
+		return parsePairs(f, map[string]any{"amqp": &s.AMQPShare})
 	case "lag":
-		return pairs(f, map[string]any{"lag": &s.Lag})
+		return parsePairs(f, map[string]any{"lag": &s.DiscoveryLag})
 	case "expect":
-		return pairs(f[1:], map[string]any{"served": &s.Served})
+		return parsePairs(f[1:], map[string]any{"served": &s.MinServed})
 	case "set":
 		if len(f) != 3 || strings.Count(f[1], ".") != 1 {
 			return errors.New("set SECTION.KEY VALUE")
@@ -153,32 +153,32 @@
 			return errors.New("tenant NAME [quota RATE]")
 		}
 		t := TenantSpec{Name: f[1]}
-		err := pairs(f[2:], map[string]any{"quota": &t.Quota})
+		err := parsePairs(f[2:], map[string]any{"quota": &t.Quota})
 		s.Tenants = append(s.Tenants, t)
 		return err
 	case "partner":
-		return s.partner(f[1:])
+		return s.parsePartner(f[1:])
 	case "load":
-		return s.load(f[1:])
+		return s.parseLoad(f[1:])
 	case "wake":
-		w := WakeSpec{Class: "status", To: s.Length}
+		w := WakeSpec{Class: "status", To: s.Duration}
 		if len(f) < 2 {
 			return errors.New("wake COUNT partner NAME")
 		}
-		if err := scan(f[1], &w.Count); err != nil || w.Count > 50000 {
+		if err := parseValue(f[1], &w.Count); err != nil || w.Count > 50000 {
 			return errors.New("wake COUNT, 50000 at most")
 		}
-		err := pairs(f[2:], map[string]any{"partner": &w.Partner, "class": &w.Class, "from": &w.From, "to": &w.To})
+		err := parsePairs(f[2:], map[string]any{"partner": &w.Partner, "class": &w.Class, "from": &w.From, "to": &w.To})
 		s.Wakes = append(s.Wakes, w)
 		return err
 	case "at":
-		return s.step(n, f[1:])
+		return s.parseStep(n, f[1:])
 	}
 	return errors.New("no such word")
 }
 
-// pairs reads "name value" pairs into what they name.
-func pairs(f []string, into map[string]any) error {
+// parsePairs reads "name value" pairs into what they name.
+func parsePairs(f []string, into map[string]any) error {
 	for len(f) > 0 {
 		dst, ok := into[f[0]]
 		if !ok {
@@ -192,7 +192,7 @@
 		if len(f) < 2 {
 			return fmt.Errorf("%s needs a value", f[0])
 		}
-		if err := scan(f[1], dst); err != nil {
+		if err := parseValue(f[1], dst); err != nil {
 			return fmt.Errorf("%s: %w", f[0], err)
 		}
 		f = f[2:]
@@ -200,7 +200,7 @@
 	return nil
 }
 
-func scan(v string, dst any) (err error) {
+func parseValue(v string, dst any) (err error) {
 	switch d := dst.(type) {
 	case *uint64:
 		*d, err = strconv.ParseUint(v, 10, 64)
@@ -229,16 +229,16 @@
 	return err
 }
 
-func (s *Script) partner(f []string) error {
+func (s *Script) parsePartner(f []string) error {
 	if len(f) == 0 || strings.ContainsAny(f[0], "./") {
 		return errors.New("needs a name without dots")
 	}
-	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: f[0], Pace: 10 * time.Millisecond, ColdFrom: 0.2,
-		WarmUp: 3 * time.Second, Tip: 2, TipFor: time.Second, TellWait: true}}
+	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: f[0], ServiceTime: 10 * time.Millisecond, ColdShare: 0.2,
+		WarmUp: 3 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second, SendRetryAfter: true}}
 	c := &p.Config
-	err := pairs(f[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.Apart, "batch": &p.Batch, "pace": &c.Pace, "servers": &c.Servers,
-		"rate": &c.Rate, "limit": &c.Limit, "conns": &c.Conns, "streams": &c.Streams, "reap": &c.IdleReap, "handshake": &c.Handshake,
-		"cold": &c.ColdFrom, "warm-up": &c.WarmUp, "tip": &c.Tip, "tip-for": &c.TipFor})
+	err := parsePairs(f[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.PerRouteWaits, "batch": &p.Batch, "pace": &c.ServiceTime, "servers": &c.Concurrency,
+		"rate": &c.Capacity, "limit": &c.RateLimit, "conns": &c.MaxConns, "streams": &c.MaxStreams, "reap": &c.IdleTimeout, "handshake": &c.SettingsDelay,
+		"cold": &c.ColdShare, "warm-up": &c.WarmUp, "tip": &c.OverloadFactor, "tip-for": &c.OverloadWindow})
 	if p.Endpoints < 1 || p.Endpoints > 64 {
 		return errors.New("endpoints: 1 to 64")
 	}
@@ -246,46 +246,46 @@
 	return err
 }
 
-func (s *Script) load(f []string) error {
+func (s *Script) parseLoad(f []string) error {
 	if len(f) < 3 {
 		return errors.New("load PARTNER CLASS RATE ...")
 	}
-	l := LoadSpec{Partner: f[0], Class: f[1], TTL: 60, Tenant: "day", After: 200 * time.Millisecond}
-	if err := scan(f[2], &l.Rate); err != nil {
+	l := LoadSpec{Partner: f[0], Class: f[1], TTL: 60, Tenant: "day", CancelAfter: 200 * time.Millisecond}
+	if err := parseValue(f[2], &l.Rate); err != nil {
 		return err
 	}
-	err := pairs(f[3:], map[string]any{"keys": &l.Keys, "ttl": &l.TTL, "tenant": &l.Tenant, "withdraw": &l.Withdraw, "after": &l.After, "size": &l.Size,
+	err := parsePairs(f[3:], map[string]any{"keys": &l.Keys, "ttl": &l.TTL, "tenant": &l.Tenant, "withdraw": &l.CancelShare, "after": &l.CancelAfter, "size": &l.BodySize,
 		"from": &l.From, "to": &l.To})
 	s.Loads = append(s.Loads, l)
 	return err
 }
 
-func (s *Script) step(n int, f []string) error {
+func (s *Script) parseStep(n int, f []string) error {
 	if len(f) < 3 {
 		return errors.New("at TIME TARGET WORD ...")
 	}
-	st := Step{Line: n, Target: f[1], Word: f[2]}
-	if err := scan(f[0], &st.At); err != nil {
+	st := Step{Line: n, Target: f[1], Action: f[2]}
+	if err := parseValue(f[0], &st.At); err != nil {
 		return err
 	}
 	rest := f[3:]
 	if k := len(rest); k >= 2 && rest[k-2] == "for" {
-		if err := scan(rest[k-1], &st.For); err != nil {
+		if err := parseValue(rest[k-1], &st.Duration); err != nil {
 			return err
 		}
 		rest = rest[:k-2]
 	}
 	st.Args = rest
-	known := endpointWords
-	if w, ok := otherWords[st.Target]; ok {
+	known := endpointActions
+	if w, ok := otherActions[st.Target]; ok {
 		known = w
 	}
-	need, ok := known[st.Word]
+	need, ok := known[st.Action]
 	if !ok {
-		return fmt.Errorf("%s can't %q", st.Target, st.Word)
+		return fmt.Errorf("%s can't %q", st.Target, st.Action)
 	}
 	if len(rest) < need {
-		return fmt.Errorf("%s needs %d values", st.Word, need)
+		return fmt.Errorf("%s needs %d values", st.Action, need)
 	}
 	if st.Target != "load" && st.Target != "list" && st.Target != "dispatcher" {
 		if _, err := st.fault(0); err != nil {
@@ -304,52 +304,52 @@
 	if words[0] == "heal" {
 		return partner.Fault{}, nil
 	}
-	st := Step{Word: words[0], Args: words[1:]}
-	need, ok := endpointWords[st.Word]
+	st := Step{Action: words[0], Args: words[1:]}
+	need, ok := endpointActions[st.Action]
 	if !ok || len(st.Args) < need {
-		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Word, need)
+		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Action, need)
 	}
 	return st.fault(0)
 }
 
 // fault is the fault that a step puts in force; ok words that are none give the zero Fault.
 func (st *Step) fault(until time.Duration) (f partner.Fault, err error) {
-	switch st.Word {
+	switch st.Action {
 	case "crash", "preempt":
 		f.Crash = true
 	case "vanish":
-		f.Vanish = true
+		f.Blackhole = true
 	case "hang":
 		f.Hang = true
 	case "shut":
-		f.Shut, f.Opens = true, until
+		f.Unavailable, f.AvailableAt = true, until
 	case "slow":
-		err = scan(st.Args[0], &f.Slow)
+		err = parseValue(st.Args[0], &f.SlowFactor)
 	case "pauses":
-		if err = scan(st.Args[0], &f.Pause); err == nil {
-			err = scan(st.Args[1], &f.Every)
+		if err = parseValue(st.Args[0], &f.Pause); err == nil {
+			err = parseValue(st.Args[1], &f.PauseInterval)
 		}
 	case "lose":
-		err = scan(st.Args[0], &f.Lose)
+		err = parseValue(st.Args[0], &f.LostResponseRate)
 	case "error":
-		if err = scan(st.Args[0], &f.Error); err == nil && len(st.Args) > 1 {
-			f.Class = st.Args[1]
+		if err = parseValue(st.Args[0], &f.Error); err == nil && len(st.Args) > 1 {
+			f.ErrorClass = st.Args[1]
 		}
 	case "reset":
-		err = scan(st.Args[0], &f.Reset)
+		err = parseValue(st.Args[0], &f.ResetRate)
 	case "refuse":
-		err = scan(st.Args[0], &f.Refuse)
+		err = parseValue(st.Args[0], &f.RefusalRate)
 	case "late":
-		err = scan(st.Args[0], &f.Late)
+		err = parseValue(st.Args[0], &f.ResponseDelay)
 	case "garble":
-		err = scan(st.Args[0], &f.Garble)
+		err = parseValue(st.Args[0], &f.MalformedRate)
 	case "missing":
-		err = scan(st.Args[0], &f.Missing)
+		err = parseValue(st.Args[0], &f.NotFoundRate)
 	}
 	return f, err
 }
 
-func (s *Script) check(file string) (wrong []error) {
+func (s *Script) validate(file string) (wrong []error) {
 	partners, classes := map[string]int{}, map[string]bool{}
 	for _, p := range s.Partners {
 		partners[p.Config.Name] = p.Endpoints
@@ -375,7 +375,7 @@
 		}
 	}
 	for _, st := range s.Steps {
-		if _, ok := otherWords[st.Target]; ok {
+		if _, ok := otherActions[st.Target]; ok {
 			continue
 		}
 		name, no, _ := strings.Cut(st.Target, ".")
--- a/internal/scenario/trail.go
+++ b/internal/scenario/trail.go
@@ -9,8 +9,8 @@
 	"whinrun/internal/audit"
 )
 
-// readTrail reads and verifies the trail of a day.
-func readTrail(folder string) (all []*audit.Record, problems []string, err error) {
+// readAuditTrail reads and verifies the trail of a day.
+func readAuditTrail(folder string) (all []*audit.Record, problems []string, err error) {
 	store, rep, err := audit.OpenReader(folder)
 	if err != nil {
 		return nil, nil, err
@@ -27,84 +27,86 @@
 	return all, append(rep.Problems, v.Problems...), err
 }
 
-// call names an attempt, as the dispatcher and the stand-ins both do.
-type call struct {
+// attemptID names an attempt, as the dispatcher and the stand-ins both do.
+type attemptID struct {
 	message string
 	attempt int
 }
 
-// trail holds the dispatcher's own trail against what stand-ins saw on their sockets: no attempt is missing, none that
+// checkAuditTrail holds the dispatcher's own trail against what stand-ins saw on their sockets: no attempt is missing, none that
 // was answered is invented, at most one is out for a message at any moment, one final answer for each, and nothing after.
-func (c *checker) trail() {
-	for _, p := range c.r.TrailProblems {
-		c.breachTrail("the trail: %s", p)
+func (c *checker) checkAuditTrail() {
+	for _, p := range c.recording.AuditProblems {
+		c.reportAuditTrail("the trail: %s", p)
 	}
-	started := map[call]*audit.Record{}
+	started := map[attemptID]*audit.Record{}
 	out, answered := map[string]int{}, map[string]bool{}
-	for _, r := range c.r.Trail {
+	for _, r := range c.recording.AuditTrail {
 		switch r.Kind {
 		case audit.Started:
 			if out[r.Message] != 0 {
-				c.breachTrail("message %s: attempt %d went out while %d was", r.Message, r.Attempt, out[r.Message])
+				c.reportAuditTrail("message %s: attempt %d went out while %d was", r.Message, r.Attempt, out[r.Message])
 			}
 			if answered[r.Message] {
-				c.breachTrail("message %s: attempt %d went out after the final answer", r.Message, r.Attempt)
+				c.reportAuditTrail("message %s: attempt %d went out after the final answer", r.Message, r.Attempt)
 			}
 			out[r.Message] = r.Attempt
-			started[call{r.Message, r.Attempt}] = r
+			started[attemptID{r.Message, r.Attempt}] = r
 		case audit.Ended:
 			if out[r.Message] != r.Attempt {
-				c.breachTrail("message %s: attempt %d ended, %d was out", r.Message, r.Attempt, out[r.Message])
+				c.reportAuditTrail("message %s: attempt %d ended, %d was out", r.Message, r.Attempt, out[r.Message])
 			}
 			out[r.Message] = 0
 		case audit.Answered, audit.Withdrawn:
 			if answered[r.Message] {
-				c.breachTrail("message %s: a second final answer", r.Message)
+				c.reportAuditTrail("message %s: a second final answer", r.Message)
 			}
 			answered[r.Message] = true
 		}
 	}
-	c.trailOfCalls(started)
+	c.checkAuditedAttempts(started)
 }
 
-// trailOfCalls compares attempts one by one.
-func (c *checker) trailOfCalls(started map[call]*audit.Record) {
+// checkAuditedAttempts compares attempts one by one.
+func (c *checker) checkAuditedAttempts(started map[attemptID]*audit.Record) {
 	// A kill loses the end of a trail and nothing before it: an attempt may be missing only if it came after all that
 	// the trail of its dispatcher has. How long the disk took does not matter.
-	seen, last := map[call]bool{}, map[string]time.Duration{}
-	for _, r := range c.r.Trail {
+	seen, last := map[attemptID]bool{}, map[string]time.Duration{}
+	for _, r := range c.recording.AuditTrail {
 		if r.Message != "" {
-			last[epoch(r.Message)] = r.Time().Sub(c.r.Began)
+			last[dispatcherPrefix(r.Message)] = r.Time().Sub(c.recording.StartTime)
 		}
 	}
 	for _, a := range c.attempts {
 		n := 0
-		_, _ = fmt.Sscan(a.arrived.Attempt, &n)
-		k := call{a.arrived.Message, n + 1}
+		_, _ = fmt.Sscan(a.received.Attempt, &n)
+		k := attemptID{a.received.MessageID, n + 1}
 		seen[k] = true
 		switch r := started[k]; {
-		case r == nil && !(c.killed() && a.arrived.At >= last[epoch(k.message)]-time.Millisecond):
-			c.breachTrail("message %s: attempt %d came to %v and is not in the trail", k.message, k.attempt, a.arrived.Endpoint)
-		case r != nil && r.Endpoint != a.arrived.Endpoint.String():
-			c.breachTrail("message %s: attempt %d came to %v, the trail has %s", k.message, k.attempt, a.arrived.Endpoint, r.Endpoint)
+		case r == nil && !(c.anyKilled() && a.received.At >= last[dispatcherPrefix(k.message)]-time.Millisecond):
+			c.reportAuditTrail("message %s: attempt %d came to %v and is not in the trail", k.message, k.attempt, a.received.Endpoint)
+		case r != nil && r.Endpoint != a.received.Endpoint.String():
+			c.reportAuditTrail("message %s: attempt %d came to %v, the trail has %s", k.message, k.attempt, a.received.Endpoint, r.Endpoint)
 		}
 	}
-	for _, r := range c.r.Trail {
-		if k := (call{r.Message, r.Attempt}); r.Kind == audit.Ended && r.Status >= 200 && !seen[k] {
-			c.breachTrail("message %s: the trail has an answer to attempt %d, which no stand-in saw", k.message, k.attempt)
+	for _, r := range c.recording.AuditTrail {
+		if k := (attemptID{r.Message, r.Attempt}); r.Kind == audit.Ended && r.Status >= 200 && !seen[k] {
+			c.reportAuditTrail("message %s: the trail has an answer to attempt %d, which no stand-in saw", k.message, k.attempt)
 		}
 	}
 }
 
-// killed tells that a dispatcher was killed at all.
-func (c *checker) killed() bool {
-	return slices.ContainsFunc(c.r.Lives, func(l Life) bool { return l.To > 0 && l.Stopping == 0 })
+// anyKilled tells that a dispatcher was killed at all.
+func (c *checker) anyKilled() bool {
+	return slices.ContainsFunc(c.recording.Runs, func(l DispatcherRun) bool { return l.To > 0 && l.StopRequested == 0 })
 }
 
-// epoch is what the names of one dispatcher's messages begin with.
-func epoch(message string) string {
+// dispatcherPrefix is what the names of one dispatcher's messages begin with.
+func dispatcherPrefix(message string) string {
 	return message[:max(0, strings.LastIndexByte(message, '-'))]
 }
 
-// breachTrail reports a trail that is not what happened, as rule 0.
-func (c *checker) breachTrail(format string, a ...any) { c.breach(0, 0, "-", "trail", format, a...) }
+// reportAuditTrail reports a trail that is not what happened, as rule 0.
+func (c *checker) reportAuditTrail(format string, a ...any) {
+	c.report(0, 0, "-", "trail", format, a...)
+}
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -152,8 +152,8 @@
 	var all sync.WaitGroup
 	for i := range 500 {
 		all.Go(func() {
-			m := load.Message{Test: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
-			if status, _, _, err := p.Post(ctx, &m); status != 201 || err != nil {
+			m := load.Message{CorrelationID: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
+			if status, _, _, err := p.Send(ctx, &m); status != 201 || err != nil {
 				t.Errorf("message %d: %d, %v", i, status, err)
 			}
 		})
@@ -371,9 +371,9 @@
 	c, p := load.NewClient(s.Addr().String(), 1), load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
 	defer c.Close()
 	defer p.Close()
-	for _, by := range []load.Poster{c, p} {
-		m := load.Message{Test: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, Repeat: "one", Key: "k"}
-		if status, _, _, err := by.Post(within(t), &m); status != 201 || err != nil {
+	for _, by := range []load.Sender{c, p} {
+		m := load.Message{CorrelationID: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, IdempotencyKey: "one", OrderKey: "k"}
+		if status, _, _, err := by.Send(within(t), &m); status != 201 || err != nil {
 			t.Fatal(status, err)
 		}
 	}
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -77,13 +77,13 @@
 }
 
 func post(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
-	m := load.Message{Test: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
+	m := load.Message{CorrelationID: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
 	for _, f := range more {
 		f(&m)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	status, _, _, err = c.Post(ctx, &m)
+	status, _, _, err = c.Send(ctx, &m)
 	return status, err
 }
 
@@ -114,7 +114,7 @@
 		go func() {
 			defer all.Done()
 			size := 100 + (i%5)*50000
-			if status, err := post(c, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
+			if status, err := post(c, "/p/upload", func(m *load.Message) { m.BodySize = size }); status != 201 || err != nil {
 				bad.Add(1)
 				t.Log(status, err)
 			}
@@ -217,10 +217,10 @@
 		status int
 		change func(*load.Message)
 	}{
-		{"body above the limit", 413, func(m *load.Message) { m.Size = 70000 }},
+		{"body above the limit", 413, func(m *load.Message) { m.BodySize = 70000 }},
 		{"wrong token", 401, func(m *load.Message) { m.Token = "wrong" }},
 		{"no such resource", 404, func(m *load.Message) { m.Path = "/q" }},
-		{"bad topic", 400, func(m *load.Message) { m.Key = "no topic" }},
+		{"bad topic", 400, func(m *load.Message) { m.OrderKey = "no topic" }},
 	} {
 		if status, err := post(c, "/p/status", k.change); status != k.status {
 			t.Errorf("%s: %d %v, want %d", k.name, status, err, k.status)
@@ -235,7 +235,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if status, _ := post(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
+			if status, _ := post(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.BodySize = 6000 }); status == 503 || status == 504 {
 				full.Add(1)
 			}
 		}()
--- a/internal/sitefile/sitefile.go
+++ b/internal/sitefile/sitefile.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Line returns one text of a deploy file.
-func Line(path, key string) (string, error) {
+// Text returns one text of a deploy file.
+func Text(path, key string) (string, error) {
 	all, err := read(path)
 	if err != nil {
 		return "", err
@@ -37,12 +37,12 @@
 	return all, nil
 }
 
-// beside are the files that are read from the folder of a site file.
-var beside = []string{"real.json", "wire.json", "unlock.txt"}
+// companionFiles are the files that are read from the folder of a site file.
+var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// Variant lays a site out in a folder: the site's file with the overrides of another file, and what belongs beside it. It
+// WriteVariant lays a site out in a folder: the site's file with the overrides of another file, and what belongs beside it. It
 // returns the path of the new site file, which has the name of the overrides' file.
-func Variant(site, overrides, folder string) (string, error) {
+func WriteVariant(site, overrides, folder string) (string, error) {
 	base, err := read(site)
 	if err != nil {
 		return "", err
@@ -62,7 +62,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return "", err
 	}
-	for _, name := range beside {
+	for _, name := range companionFiles {
 		b, err := os.ReadFile(filepath.Join(filepath.Dir(site), name))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(folder, name), b, 0o644)
@@ -86,7 +86,7 @@
 		}
 		for k, v := range o {
 			old, ok := b[k]
-			if !ok && !slices.ContainsFunc(beside, func(o any) bool { return has(o, k) }) {
+			if !ok && !slices.ContainsFunc(beside, func(o any) bool { return hasKey(o, k) }) {
 				return nil, fmt.Errorf("%s.%s: the site has no such key", at, k)
 			}
 			var err error
@@ -114,7 +114,7 @@
 	return over, nil
 }
 
-func has(table any, key string) bool {
+func hasKey(table any, key string) bool {
 	t, _ := table.(map[string]any)
 	_, ok := t[key]
 	return ok
--- a/internal/testgate/testgate.go
+++ b/internal/testgate/testgate.go
@@ -12,21 +12,21 @@
 	"strings"
 )
 
-// Most is how many tests may be on record.
-const Most = 3
+// MaxKnownFailures is how many tests may be on record.
+const MaxKnownFailures = 3
 
-// Known is a test on record as failing for a fault that is not mended yet.
-type Known struct {
+// KnownFailure is a test on record as failing for a fault that is not mended yet.
+type KnownFailure struct {
 	Package string // import path as go test prints it
 	Test    string
 	Cause   string
 	Issue   string
 }
 
-// ParseKnown reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
+// ParseKnownFailures reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
 // passed over.
-func ParseKnown(r io.Reader) ([]Known, error) {
-	var all []Known
+func ParseKnownFailures(r io.Reader) ([]KnownFailure, error) {
+	var all []KnownFailure
 	in := bufio.NewScanner(r)
 	for n := 1; in.Scan(); n++ {
 		text := strings.TrimSpace(in.Text())
@@ -44,103 +44,103 @@
 		if at < 0 {
 			return nil, fmt.Errorf("line %d: %q names no test", n, parts[0])
 		}
-		k := Known{parts[0][:at], parts[0][at+1:], parts[1], parts[2]}
-		if slices.ContainsFunc(all, func(o Known) bool { return o.Package == k.Package && o.Test == k.Test }) {
+		k := KnownFailure{parts[0][:at], parts[0][at+1:], parts[1], parts[2]}
+		if slices.ContainsFunc(all, func(o KnownFailure) bool { return o.Package == k.Package && o.Test == k.Test }) {
 			return nil, fmt.Errorf("line %d: %s is there twice", n, parts[0])
 		}
-		if all = append(all, k); len(all) > Most {
-			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, Most)
+		if all = append(all, k); len(all) > MaxKnownFailures {
+			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, MaxKnownFailures)
 		}
 	}
 	return all, in.Err()
 }
 
-// event is one line of go test -json.
-type event struct {
+// testEvent is one line of go test -json.
+type testEvent struct {
 	Action, Package, Test, Output string
 }
 
-type test struct{ pkg, name string }
+type testID struct{ pkg, name string }
 
-// Judge reads the output of go test -json, prints what failed and what became of the tests on record, and returns an
+// Evaluate reads the output of go test -json, prints what failed and what became of the tests on record, and returns an
 // error where the run does not pass.
-func Judge(in io.Reader, known []Known, out io.Writer) error {
-	r := run{ends: map[test]string{}, text: map[test][]string{}, pkgs: map[string]string{}}
+func Evaluate(in io.Reader, known []KnownFailure, out io.Writer) error {
+	r := testRun{outcomes: map[testID]string{}, output: map[testID][]string{}, packages: map[string]string{}}
 	dec := json.NewDecoder(in)
 	for {
-		var e event
+		var e testEvent
 		if err := dec.Decode(&e); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return fmt.Errorf("output of go test -json: %w", err)
 		}
-		r.take(e, out)
+		r.handle(e, out)
 	}
-	return r.verdict(known, out)
+	return r.evaluate(known, out)
 }
 
-// run is what the tests of a run did.
-type run struct {
-	ends map[test]string // pass, fail or skip
-	text map[test][]string
-	pkgs map[string]string
+// testRun is what the tests of a run did.
+type testRun struct {
+	outcomes map[testID]string // pass, fail or skip
+	output   map[testID][]string
+	packages map[string]string
 }
 
-func (r *run) take(e event, out io.Writer) {
-	t := test{e.Package, e.Test}
+func (r *testRun) handle(e testEvent, out io.Writer) {
+	t := testID{e.Package, e.Test}
 	switch e.Action {
 	case "output", "build-output":
-		r.text[t] = append(r.text[t], e.Output)
+		r.output[t] = append(r.output[t], e.Output)
 	case "pass", "fail", "skip":
 		if e.Test == "" {
-			r.pkgs[e.Package] = e.Action
+			r.packages[e.Package] = e.Action
 			_, _ = fmt.Fprintf(out, "%s\t%s\n", e.Action, e.Package)
 		} else {
-			r.ends[t] = e.Action
+			r.outcomes[t] = e.Action
 		}
 		if e.Action != "fail" {
-			delete(r.text, t)
+			delete(r.output, t)
 		}
 	case "build-fail":
-		r.pkgs[e.Package] = "fail"
+		r.packages[e.Package] = "fail"
 	}
 }
 
-// verdict tells whether all that failed is on record.
-func (r *run) verdict(known []Known, out io.Writer) error {
+// evaluate tells whether all that failed is on record.
+func (r *testRun) evaluate(known []KnownFailure, out io.Writer) error {
 	var faults []error
 	counts := map[string]int{}
 	excused := map[string]bool{} // packages in which a test on record failed
 	other := map[string]bool{}   // packages in which another one did
 	for _, t := range r.failed() {
-		if recorded(known, t) {
+		if isKnown(known, t) {
 			excused[t.pkg] = true
 			continue
 		}
 		other[t.pkg] = true
 		faults = append(faults, fmt.Errorf("%s.%s failed", t.pkg, t.name))
-		_, _ = fmt.Fprint(out, strings.Join(r.text[t], ""))
+		_, _ = fmt.Fprint(out, strings.Join(r.output[t], ""))
 	}
-	for t, end := range r.ends {
-		if end != "fail" || !recorded(known, t) {
+	for t, end := range r.outcomes {
+		if end != "fail" || !isKnown(known, t) {
 			counts[end]++
 		}
 	}
-	for pkg, end := range r.pkgs {
+	for pkg, end := range r.packages {
 		if end == "fail" && !excused[pkg] && !other[pkg] { // it did not build, or ended before its tests did
 			faults = append(faults, fmt.Errorf("%s failed", pkg))
-			_, _ = fmt.Fprint(out, strings.Join(r.text[test{pkg: pkg}], ""))
+			_, _ = fmt.Fprint(out, strings.Join(r.output[testID{pkg: pkg}], ""))
 		}
 	}
 	for _, k := range known {
-		end, ran := r.ends[test{k.Package, k.Test}]
+		end, ran := r.outcomes[testID{k.Package, k.Test}]
 		if !ran || end == "skip" {
 			faults = append(faults, fmt.Errorf("on record, but it did not run: %s.%s", k.Package, k.Test))
 			end = "did not run"
 		}
 		_, _ = fmt.Fprintf(out, "known red: %s.%s: %s this time (%s; issue %s)\n", k.Package, k.Test, end, k.Cause, k.Issue)
 	}
-	if len(r.ends) == 0 {
+	if len(r.outcomes) == 0 {
 		faults = append(faults, errors.New("no test ran"))
 	}
 	_, _ = fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", counts["pass"], counts["fail"], counts["skip"])
@@ -148,18 +148,18 @@
 }
 
 // failed are the tests that failed, in order.
-func (r *run) failed() (all []test) {
-	for t, end := range r.ends {
+func (r *testRun) failed() (all []testID) {
+	for t, end := range r.outcomes {
 		if end == "fail" {
 			all = append(all, t)
 		}
 	}
-	slices.SortFunc(all, func(a, b test) int { return strings.Compare(a.pkg+"."+a.name, b.pkg+"."+b.name) })
+	slices.SortFunc(all, func(a, b testID) int { return strings.Compare(a.pkg+"."+a.name, b.pkg+"."+b.name) })
 	return all
 }
 
-// recorded tells whether a test, or the one that it is a part of, is on record.
-func recorded(known []Known, t test) bool {
+// isKnown tells whether a test, or the one that it is a part of, is on record.
+func isKnown(known []KnownFailure, t testID) bool {
 	whole, _, _ := strings.Cut(t.name, "/")
-	return slices.ContainsFunc(known, func(k Known) bool { return k.Package == t.pkg && k.Test == whole })
+	return slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Package == t.pkg && k.Test == whole })
 }
