--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -95,14 +95,14 @@
 }
 
 // startStandIn starts a stand-in that talks to many at once, and a dispatcher in front of it; %s in the settings is its address.
-func startStandIn(cfg partner.Config, text string) (addr string, s *service.Service, stop func(), err error) {
+func startStandIn(cfg partner.Config, template string) (addr string, s *service.Service, stop func(), err error) {
 	cfg.Name, cfg.MaxStreams, cfg.Seed = "p", 1000, 1
 	p := partner.New(cfg, partner.NewLog(0))
 	e, err := p.Listen("127.0.0.1:0")
 	if err != nil {
 		return "", nil, nil, err
 	}
-	if s, err = startDispatcher(fmt.Sprintf(text, e.Addr())); err != nil {
+	if s, err = startDispatcher(fmt.Sprintf(template, e.Addr())); err != nil {
 		p.Close()
 		return "", nil, nil, err
 	}
@@ -137,30 +137,30 @@
 		o.Concurrency, o.Rounds, o.For, runtime.NumCPU())
 	fmt.Fprintf(w, "%-14s %14s %26s\n", "", "messages/s", fmt.Sprintf("at %.0f/s: p50 p99 p99.9 ms", rate))
 	for _, t := range targets {
-		q := func(x float64) float64 { return float64(t.latency.ValueAtQuantile(x)) / 1000 }
-		fmt.Fprintf(w, "%-14s %14.0f %10.2f %7.2f %7.2f\n", t.name, median(t.throughput), q(50), q(99), q(99.9))
+		quantileMs := func(x float64) float64 { return float64(t.latency.ValueAtQuantile(x)) / 1000 }
+		fmt.Fprintf(w, "%-14s %14.0f %10.2f %7.2f %7.2f\n", t.name, median(t.throughput), quantileMs(50), quantileMs(99), quantileMs(99.9))
 	}
 	return nil
 }
 
 // startDispatcher starts a dispatcher with the settings given.
-func startDispatcher(text string) (*service.Service, error) {
-	cfg, err := config.Parse("settings of the measurement", []byte(text))
+func startDispatcher(settings string) (*service.Service, error) {
+	cfg, err := config.Parse("settings of the measurement", []byte(settings))
 	if err != nil {
 		return nil, err
 	}
-	lines, err := logs.New(io.Discard, "error", 1)
+	logger, err := logs.New(io.Discard, "error", 1)
 	if err != nil {
 		return nil, err
 	}
-	return service.Start(cfg, lines, nil)
+	return service.Start(cfg, logger, nil)
 }
 
 // measureMemory measures what a held message takes beside its body: many are held for a partner that answers nothing.
 func measureMemory(ctx context.Context, w io.Writer, o Options) error {
 	const held = 20000
-	text := strings.Replace(settingsTemplate, "slots = 4096", "slots = 16", 1)
-	s, err := startDispatcher(fmt.Sprintf(text, "127.0.0.1:1"))
+	template := strings.Replace(settingsTemplate, "slots = 4096", "slots = 16", 1)
+	s, err := startDispatcher(fmt.Sprintf(template, "127.0.0.1:1"))
 	if err != nil {
 		return err
 	}
@@ -185,9 +185,9 @@
 	return nil
 }
 
-func median(x []float64) float64 {
-	s := slices.Sorted(slices.Values(x))
-	return s[len(s)/2]
+func median(values []float64) float64 {
+	ascending := slices.Sorted(slices.Values(values))
+	return ascending[len(ascending)/2]
 }
 
 // startProxy starts the reverse proxy, HTTP/2 in clear text on both sides.
@@ -218,48 +218,48 @@
 
 // measureThroughput measures throughput at a fixed number of messages out.
 func (t *target) measureThroughput(ctx context.Context, o Options) error {
-	c, shut := t.newSender(o.Conns)
-	defer shut()
+	sender, closeSender := t.newSender(o.Conns)
+	defer closeSender()
 	ctx, stop := context.WithTimeout(ctx, o.For)
 	defer stop()
-	var done, bad atomic.Int64
-	var all sync.WaitGroup
+	var served, failed atomic.Int64
+	var workers sync.WaitGroup
 	start := clock.Start()
 	for i := range o.Concurrency {
-		all.Add(1)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
+			defer workers.Done()
 			m := load.Message{CorrelationID: fmt.Sprint("w", i), Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 			for ctx.Err() == nil {
-				status, _, _, err := c.Send(ctx, &m)
+				status, _, _, err := sender.Send(ctx, &m)
 				switch {
 				case err == nil && status == 201:
-					done.Add(1)
+					served.Add(1)
 				case ctx.Err() == nil:
-					bad.Add(1)
+					failed.Add(1)
 				}
 			}
 		}()
 	}
-	all.Wait()
-	t.throughput = append(t.throughput, float64(done.Load())/start.Elapsed().Seconds())
-	if n := bad.Load(); n > done.Load()/1000 {
-		return fmt.Errorf("%s: %d of %d messages not served", t.name, n, n+done.Load())
+	workers.Wait()
+	t.throughput = append(t.throughput, float64(served.Load())/start.Elapsed().Seconds())
+	if n := failed.Load(); n > served.Load()/1000 {
+		return fmt.Errorf("%s: %d of %d messages not served", t.name, n, n+served.Load())
 	}
 	return nil
 }
 
 // measureLatency measures latency at a fixed rate, from when each message was due.
 func (t *target) measureLatency(ctx context.Context, o Options, rate float64) {
-	c, shut := t.newSender(o.Conns)
-	defer shut()
+	sender, closeSender := t.newSender(o.Conns)
+	defer closeSender()
 	n := int(rate * o.For.Seconds())
-	msgs := make([]load.Message, n)
-	for i := range msgs {
-		msgs[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), CorrelationID: "h", Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
+	messages := make([]load.Message, n)
+	for i := range messages {
+		messages[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), CorrelationID: "h", Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 	}
 	start := clock.Start()
-	for i, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
+	for i, r := range load.Run(ctx, sender, messages, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
 		if r.Status == 201 && i > n/10 { // the first tenth warms connections up
 			_ = t.latency.RecordValue(max(1, (r.Done - r.At).Microseconds()))
 		}
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -39,9 +39,9 @@
 // measureFairness offers half of one and a half times what a partner takes by each front, and counts what each got served
 // within its aim.
 func measureFairness(ctx context.Context, w io.Writer, o Options) error {
-	const takes, offered = 600.0, 900.0
-	text := strings.Replace(strings.Replace(amqpSettingsTemplate, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
-	_, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace, RateLimit: takes}, text)
+	const capacity, offered = 600.0, 900.0
+	template := strings.Replace(strings.Replace(amqpSettingsTemplate, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
+	_, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace, RateLimit: capacity}, template)
 	if err != nil {
 		return err
 	}
@@ -49,26 +49,26 @@
 	client, publisher := load.NewClient(s.Addr().String(), o.Conns), load.NewPublisher(s.AMQPAddr().String(), "t", "-", o.Conns)
 	defer client.Close()
 	defer publisher.Close()
-	length := 5 * o.For
-	msgs := make([]load.Message, int(offered*length.Seconds()))
-	for i := range msgs {
-		msgs[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), CorrelationID: fmt.Sprint("f", i), Class: "status",
+	duration := 5 * o.For
+	messages := make([]load.Message, int(offered*duration.Seconds()))
+	for i := range messages {
+		messages[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), CorrelationID: fmt.Sprint("f", i), Class: "status",
 			Path: "/p/status", TTL: 3, BodySize: o.Size, AMQP: i%2 == 1}
 	}
 	start := clock.Start()
-	var got [2]int
-	for _, r := range load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
+	var servedInAim [2]int
+	for _, r := range load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, messages, func() time.Duration { return start.Elapsed() }, 20000) {
 		if r.Status == 201 && r.Done-r.At <= time.Second {
 			if r.AMQP {
-				got[1]++
+				servedInAim[1]++
 			} else {
-				got[0]++
+				servedInAim[0]++
 			}
 		}
 	}
-	share := float64(got[1]) / float64(max(1, got[0]+got[1]))
+	amqpShare := float64(servedInAim[1]) / float64(max(1, servedInAim[0]+servedInAim[1]))
 	fmt.Fprintf(w, "overload: %.0f/s offered, %.0f/s taken by the stand-in, half by each front for %v: served in their aim HTTP/2 %d, AMQP %d; AMQP's part %.3f\n",
-		offered, takes, length, got[0], got[1], share)
+		offered, capacity, duration, servedInAim[0], servedInAim[1], amqpShare)
 	return nil
 }
 
@@ -76,54 +76,54 @@
 func measureIdleAMQP(w io.Writer, addr string) error {
 	const conns, channels = 900, 100
 	before := heapInUse()
-	open, err := dialRaw(addr, conns, 1)
-	defer closeAll(open)
+	single, err := dialRaw(addr, conns, 1)
+	defer closeAll(single)
 	if err != nil {
 		return err
 	}
-	per := (heapInUse() - before) / conns
-	closeAll(open)
+	bytesPerConn := (heapInUse() - before) / conns
+	closeAll(single)
 	before = heapInUse()
-	few, err := dialRaw(addr, 20, channels)
-	defer closeAll(few)
+	multi, err := dialRaw(addr, 20, channels)
+	defer closeAll(multi)
 	if err != nil {
 		return err
 	}
-	of := (heapInUse() - before - 20*per) / (20 * (channels - 1))
-	fmt.Fprintf(w, "idle: %d bytes a connection with one channel, the client's socket with it; %d bytes a further channel\n", per, of)
-	runtime.KeepAlive(few)
+	bytesPerChannel := (heapInUse() - before - 20*bytesPerConn) / (20 * (channels - 1))
+	fmt.Fprintf(w, "idle: %d bytes a connection with one channel, the client's socket with it; %d bytes a further channel\n", bytesPerConn, bytesPerChannel)
+	runtime.KeepAlive(multi)
 	return nil
 }
 
 // dialRaw opens connections with channels by bytes written beforehand: a client library would take more than what is
 // to be measured.
-func dialRaw(addr string, n, channels int) (all []net.Conn, err error) {
-	hello := []byte(amqp.ProtocolHeader)
-	hello = amqp.AppendMethod(hello, 0, &amqp.ConnectionStartOK{Mechanism: "PLAIN", Response: "\x00t\x00-"})
-	hello = amqp.AppendMethod(hello, 0, &amqp.ConnectionTuneOK{})
-	hello = amqp.AppendMethod(hello, 0, &amqp.ConnectionOpen{VHost: "/"})
+func dialRaw(addr string, n, channels int) (opened []net.Conn, err error) {
+	handshake := []byte(amqp.ProtocolHeader)
+	handshake = amqp.AppendMethod(handshake, 0, &amqp.ConnectionStartOK{Mechanism: "PLAIN", Response: "\x00t\x00-"})
+	handshake = amqp.AppendMethod(handshake, 0, &amqp.ConnectionTuneOK{})
+	handshake = amqp.AppendMethod(handshake, 0, &amqp.ConnectionOpen{VHost: "/"})
 	for id := 1; id <= channels; id++ {
-		hello = amqp.AppendMethod(hello, uint16(id), &amqp.ChannelOpen{})
+		handshake = amqp.AppendMethod(handshake, uint16(id), &amqp.ChannelOpen{})
 	}
-	last := amqp.AppendMethod(nil, uint16(channels), &amqp.ChannelOpenOK{})
+	lastReply := amqp.AppendMethod(nil, uint16(channels), &amqp.ChannelOpenOK{})
 	buf := make([]byte, 1<<16)
 	for range n {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
-			return all, err
+			return opened, err
 		}
-		all = append(all, c)
-		if _, err := c.Write(hello); err != nil {
-			return all, err
+		opened = append(opened, c)
+		if _, err := c.Write(handshake); err != nil {
+			return opened, err
 		}
-		var got []byte
-		for !bytes.HasSuffix(got, last) {
+		var received []byte
+		for !bytes.HasSuffix(received, lastReply) {
 			k, err := c.Read(buf)
 			if err != nil {
-				return all, fmt.Errorf("connection %d: %w", len(all), err)
+				return opened, fmt.Errorf("connection %d: %w", len(opened), err)
 			}
-			got = append(got, buf[:k]...)
+			received = append(received, buf[:k]...)
 		}
 	}
-	return all, nil
+	return opened, nil
 }
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -13,13 +13,13 @@
 func openHeldMessages(addr string, n, size int) (conns []net.Conn, err error) {
 	const perConn = 1000
 	body := make([]byte, size)
-	for made := 0; made < n; made += perConn {
-		nc, err := net.Dial("tcp", addr)
+	for opened := 0; opened < n; opened += perConn {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return conns, err
 		}
-		conns = append(conns, nc)
-		if err := sendWithoutReading(nc, perConn, body); err != nil {
+		conns = append(conns, conn)
+		if err := sendWithoutReading(conn, perConn, body); err != nil {
 			return conns, fmt.Errorf("connection %d: %w", len(conns), err)
 		}
 	}
@@ -33,17 +33,17 @@
 }
 
 // sendWithoutReading opens streams on one connection and forgets them; the answers are left to lie.
-func sendWithoutReading(nc net.Conn, n int, body []byte) error {
+func sendWithoutReading(conn net.Conn, n int, body []byte) error {
 	h := h2.NewClient(h2.Config{}, 0)
 	buf := make([]byte, 1<<16)
 	fields := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/p/status"},
 		{Name: "ttl", Value: "20"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}
 	for sent := 0; sent < n; {
-		if _, err := nc.Write(h.Output()); err != nil {
+		if _, err := conn.Write(h.Output()); err != nil {
 			return err
 		}
 		if h.Room() == 0 || h.Blocked() {
-			k, err := nc.Read(buf)
+			k, err := conn.Read(buf)
 			if err != nil {
 				return err
 			}
@@ -58,17 +58,17 @@
 		sent++
 	}
 	for h.Blocked() {
-		k, err := nc.Read(buf)
+		k, err := conn.Read(buf)
 		if err != nil {
 			return err
 		}
 		if _, err := h.Receive(0, buf[:k]); err != nil {
 			return err
 		}
-		if _, err := nc.Write(h.Output()); err != nil {
+		if _, err := conn.Write(h.Output()); err != nil {
 			return err
 		}
 	}
-	_, err := nc.Write(h.Output())
+	_, err := conn.Write(h.Output())
 	return err
 }
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -50,29 +50,29 @@
 		}
 		addrs = append(addrs, e.Addr().String())
 	}
-	alone, beside := hdrhistogram.New(1, 60e6, 3), hdrhistogram.New(1, 60e6, 3)
-	var bytes, served, woken int
+	alone, withIdle := hdrhistogram.New(1, 60e6, 3), hdrhistogram.New(1, 60e6, 3)
+	var idleBytes, served, woken int
 	fmt.Fprintf(w, "%-6s %22s %22s\n", "pair", "busy alone p50 p99 ms", "beside idle p50 p99 ms")
 	for pair := range o.Pairs {
-		a, _, _, err := o.measure(ctx, o.Busy, 0, addrs)
+		aloneRun, _, _, err := o.measure(ctx, o.Busy, 0, addrs)
 		if err != nil {
 			return err
 		}
-		b, per, ok, err := o.measure(ctx, o.Partners, o.Wake, addrs)
+		idleRun, bytesEach, wokenServed, err := o.measure(ctx, o.Partners, o.Wake, addrs)
 		if err != nil {
 			return err
 		}
-		alone.Merge(a)
-		beside.Merge(b)
-		bytes, served, woken = per, served+ok, woken+o.Wake
-		q := func(h *hdrhistogram.Histogram, x float64) float64 { return float64(h.ValueAtQuantile(x)) / 1000 }
-		fmt.Fprintf(w, "%-6d %14.2f %7.2f %14.2f %7.2f\n", pair+1, q(a, 50), q(a, 99), q(b, 50), q(b, 99))
+		alone.Merge(aloneRun)
+		withIdle.Merge(idleRun)
+		idleBytes, served, woken = bytesEach, served+wokenServed, woken+o.Wake
+		quantileMs := func(h *hdrhistogram.Histogram, x float64) float64 { return float64(h.ValueAtQuantile(x)) / 1000 }
+		fmt.Fprintf(w, "%-6d %14.2f %7.2f %14.2f %7.2f\n", pair+1, quantileMs(aloneRun, 50), quantileMs(aloneRun, 99), quantileMs(idleRun, 50), quantileMs(idleRun, 99))
 	}
 	ratio := func(x float64) float64 {
-		return float64(beside.ValueAtQuantile(x)) / float64(alone.ValueAtQuantile(x))
+		return float64(withIdle.ValueAtQuantile(x)) / float64(alone.ValueAtQuantile(x))
 	}
 	fmt.Fprintf(w, "all pairs: p50 x%.2f, p99 x%.2f; %d partners, %d busy, %d bytes for each idle one; %d of %d woken ones served\n",
-		ratio(50), ratio(99), o.Partners, o.Busy, bytes, served, woken)
+		ratio(50), ratio(99), o.Partners, o.Busy, idleBytes, served, woken)
 	return nil
 }
 
@@ -96,19 +96,19 @@
 	c := load.NewClient(s.Addr().String(), 4)
 	defer c.Close()
 	n := int(o.Rate * o.For.Seconds())
-	var msgs []load.Message
+	var messages []load.Message
 	for i := range n {
-		msgs = append(msgs, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), CorrelationID: "b", Class: "status",
+		messages = append(messages, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), CorrelationID: "b", Class: "status",
 			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, BodySize: 128, Partner: "busy"})
 		if k := i * wake / n; k != (i+1)*wake/n {
 			for j := k; j < (i+1)*wake/n; j++ {
-				msgs = append(msgs, load.Message{At: msgs[len(msgs)-1].At, CorrelationID: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, BodySize: 128})
+				messages = append(messages, load.Message{At: messages[len(messages)-1].At, CorrelationID: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, BodySize: 128})
 			}
 		}
 	}
 	h = hdrhistogram.New(1, 60e6, 3)
 	start := clock.Start()
-	for _, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
+	for _, r := range load.Run(ctx, c, messages, func() time.Duration { return start.Elapsed() }, 20000) {
 		switch {
 		case r.Partner != "busy":
 			if r.Status == 201 {
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -19,29 +19,29 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	addr, off, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
+	addr, withoutTrail, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	on, err := startDispatcher(fmt.Sprintf(settingsTemplate, addr) + "[audit]\nfolder = " + folder + "\n")
+	withTrail, err := startDispatcher(fmt.Sprintf(settingsTemplate, addr) + "[audit]\nfolder = " + folder + "\n")
 	if err != nil {
 		return err
 	}
-	defer on.Kill()
-	targets := []*target{{name: "without trail", addr: off.Addr().String()}, {name: "with trail", addr: on.Addr().String()}}
+	defer withTrail.Kill()
+	targets := []*target{{name: "without trail", addr: withoutTrail.Addr().String()}, {name: "with trail", addr: withTrail.Addr().String()}}
 	if err := measureInTurns(ctx, w, o, targets); err != nil {
 		return err
 	}
 	time.Sleep(time.Second) // closed files are compressed
-	open, packed := trailSizes(folder)
-	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", on.Stats().Taken,
-		float64(open+packed)/float64(max(1, on.Stats().Taken)), open>>20, packed>>20)
+	open, compressed := trailSizes(folder)
+	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", withTrail.Stats().Taken,
+		float64(open+compressed)/float64(max(1, withTrail.Stats().Taken)), open>>20, compressed>>20)
 	return nil
 }
 
 // trailSizes are the bytes of a trail's files, plain and compressed, the latter with their indexes.
-func trailSizes(folder string) (open, packed int64) {
+func trailSizes(folder string) (open, compressed int64) {
 	names, _ := filepath.Glob(filepath.Join(folder, "log-*"))
 	for _, name := range names {
 		st, err := os.Stat(name)
@@ -51,8 +51,8 @@
 		if filepath.Ext(name) == ".seg" {
 			open += st.Size()
 		} else {
-			packed += st.Size()
+			compressed += st.Size()
 		}
 	}
-	return open, packed
+	return open, compressed
 }
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -102,22 +102,22 @@
 
 // Send publishes one message to the default exchange and waits for its confirm.
 func (p *Publisher) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
-	l := p.conns[p.next.Add(1)%uint64(len(p.conns))]
-	pub := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
+	conn := p.conns[p.next.Add(1)%uint64(len(p.conns))]
+	publishing := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
 	if m.OrderKey != "" {
-		pub.Headers = amqp.Table{"x-order-key": m.OrderKey}
+		publishing.Headers = amqp.Table{"x-order-key": m.OrderKey}
 	}
 	var ch *amqp.Channel
 	var confirm *amqp.DeferredConfirmation
 	for { // a channel found closed has sent nothing
 		// A dispatcher killed within this process may leave a connection that it had just accepted open and mute: it
 		// is given up after its time, and made anew. Without that all messages of the line waited half a minute.
-		if ch, err = l.openChannel(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+		if ch, err = conn.openChannel(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			continue
 		} else if err != nil {
 			return 0, 0, "", err
 		}
-		confirm, err = ch.PublishWithDeferredConfirmWithContext(ctx, "", m.Path, false, false, pub)
+		confirm, err = ch.PublishWithDeferredConfirmWithContext(ctx, "", m.Path, false, false, publishing)
 		if err == nil {
 			break
 		}
@@ -125,15 +125,15 @@
 			return 0, 0, "", err
 		}
 	}
-	served, err := confirm.WaitContext(ctx)
+	acked, err := confirm.WaitContext(ctx)
 	switch {
 	case err != nil:
 		return 0, 0, "", err
-	case served:
+	case acked:
 		return http.StatusCreated, 0, "", nil
 	}
-	if ms, ok := l.returned(m.CorrelationID); ok {
-		return http.StatusServiceUnavailable, int((ms + 999) / 1000), "", nil
+	if waitMs, ok := conn.returned(m.CorrelationID); ok {
+		return http.StatusServiceUnavailable, int((waitMs + 999) / 1000), "", nil
 	}
 	if ch.IsClosed() { // the library says no for all that a closed channel leaves open
 		return 0, 0, "", errors.New("channel closed before an answer")
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -133,34 +133,34 @@
 // Run hands in all messages at their times, each on a goroutine of its own while it is out, and returns what became
 // of them, in their order. now is the clock of the run; most bounds how many are out at once: the rest wait, and
 // their latency counts.
-func Run(ctx context.Context, c Sender, msgs []Message, now func() time.Duration, most int) []Outcome {
-	out := make([]Outcome, len(msgs))
-	room := make(chan struct{}, max(1, most))
-	var all sync.WaitGroup
-	for i := range msgs {
-		if d := msgs[i].At - now(); d > 0 {
+func Run(ctx context.Context, sender Sender, messages []Message, now func() time.Duration, maxInFlight int) []Outcome {
+	outcomes := make([]Outcome, len(messages))
+	slots := make(chan struct{}, max(1, maxInFlight))
+	var pending sync.WaitGroup
+	for i := range messages {
+		if d := messages[i].At - now(); d > 0 {
 			select {
 			case <-time.After(d):
 			case <-ctx.Done():
 			}
 		}
 		if ctx.Err() != nil {
-			out = out[:i]
+			outcomes = outcomes[:i]
 			break
 		}
-		room <- struct{}{}
-		all.Add(1)
+		slots <- struct{}{}
+		pending.Add(1)
 		go func() {
-			defer all.Done()
-			out[i] = sendOne(ctx, c, msgs[i], now)
-			<-room
+			defer pending.Done()
+			outcomes[i] = sendOne(ctx, sender, messages[i], now)
+			<-slots
 		}()
 	}
-	all.Wait()
-	return out
+	pending.Wait()
+	return outcomes
 }
 
-func sendOne(ctx context.Context, c Sender, m Message, now func() time.Duration) Outcome {
+func sendOne(ctx context.Context, sender Sender, m Message, now func() time.Duration) Outcome {
 	o := Outcome{Message: m, Sent: now()}
 	if m.CancelAfter > 0 {
 		var stop context.CancelFunc
@@ -173,7 +173,7 @@
 		defer stop()
 	}
 	var err error
-	o.Status, o.RetryAfter, o.MessageID, err = c.Send(ctx, &m)
+	o.Status, o.RetryAfter, o.MessageID, err = sender.Send(ctx, &m)
 	o.Done = now()
 	if err != nil {
 		o.Err = err.Error()
@@ -206,15 +206,15 @@
 }
 
 // Summarize sums outcomes up by class, in order of first sight.
-func Summarize(out []Outcome) []*ClassReport {
-	var all []*ClassReport
-	by := map[string]*ClassReport{}
-	for _, o := range out {
-		r := by[o.Class]
+func Summarize(outcomes []Outcome) []*ClassReport {
+	var reports []*ClassReport
+	byClass := map[string]*ClassReport{}
+	for _, o := range outcomes {
+		r := byClass[o.Class]
 		if r == nil {
 			r = &ClassReport{Class: o.Class, Latency: hdrhistogram.New(1, 600e6, 3)}
-			by[o.Class] = r
-			all = append(all, r)
+			byClass[o.Class] = r
+			reports = append(reports, r)
 		}
 		r.Sent++
 		switch AnswerKind(o.Status) {
@@ -231,7 +231,7 @@
 			r.Unanswered++
 		}
 	}
-	return all
+	return reports
 }
 
 // Write prints reports as a table.
@@ -241,9 +241,9 @@
 	served := 0
 	for _, r := range reports {
 		served += r.Served
-		q := func(p float64) float64 { return float64(r.Latency.ValueAtQuantile(p)) / 1000 }
+		quantileMs := func(p float64) float64 { return float64(r.Latency.ValueAtQuantile(p)) / 1000 }
 		fmt.Fprintf(w, "%-10s %8d %8d %8d %8d %8d %8d %10.2f %10.2f %10.2f\n", r.Class, r.Sent, r.Served, r.Refused, r.Failed, r.Rejected, r.Unanswered,
-			q(50), q(99), q(99.9))
+			quantileMs(50), quantileMs(99), quantileMs(99.9))
 	}
 	fmt.Fprintf(w, "%.0f served a second over %.1f s\n", float64(served)/elapsed.Seconds(), elapsed.Seconds())
 }
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -42,13 +42,13 @@
 }
 
 // update uses the protocol state and writes what comes of it.
-func (c *conn) update(use func(now time.Duration)) {
+func (c *conn) update(apply func(now time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.http2 == nil || c.dead {
 		return
 	}
-	use(c.now())
+	apply(c.now())
 	c.write()
 }
 
@@ -61,8 +61,8 @@
 
 // close ends the connection; abrupt resets it.
 func (c *conn) close(abrupt bool) {
-	if t, ok := c.netConn.(*net.TCPConn); ok && abrupt {
-		_ = t.SetLinger(0)
+	if tcp, ok := c.netConn.(*net.TCPConn); ok && abrupt {
+		_ = tcp.SetLinger(0)
 	}
 	_ = c.netConn.Close()
 }
@@ -81,17 +81,17 @@
 		c.mu.Unlock()
 		_ = c.netConn.Close()
 	}()
-	if d := c.endpoint.partner.cfg.SettingsDelay; d > 0 {
-		time.Sleep(d)
+	if delay := c.endpoint.partner.cfg.SettingsDelay; delay > 0 {
+		time.Sleep(delay)
 	}
 	if c.fault().Blackhole { // takes the connection, and that is all
 		c.discard()
 		return
 	}
-	limit := c.endpoint.partner.cfg.MaxStreams
+	maxStreams := c.endpoint.partner.cfg.MaxStreams
 	c.mu.Lock()
 	c.lastUsed = c.now()
-	c.http2 = h2.NewServer(h2.Config{MaxStreams: limit, AbuseBurst: 1e6, AbuseRate: 1e6, Handshake: time.Hour, AckTimeout: time.Hour}, c.now())
+	c.http2 = h2.NewServer(h2.Config{MaxStreams: maxStreams, AbuseBurst: 1e6, AbuseRate: 1e6, Handshake: time.Hour, AckTimeout: time.Hour}, c.now())
 	c.write()
 	c.mu.Unlock()
 	buf := make([]byte, 16<<10)
@@ -123,91 +123,91 @@
 	}
 }
 
-func (c *conn) receive(p []byte) bool {
+func (c *conn) receive(data []byte) bool {
 	c.mu.Lock()
 	now := c.now()
-	if reap := c.endpoint.partner.cfg.IdleTimeout; reap > 0 && len(c.calls) == 0 && now-c.lastUsed > reap && c.http2.Settled() {
+	if timeout := c.endpoint.partner.cfg.IdleTimeout; timeout > 0 && len(c.calls) == 0 && now-c.lastUsed > timeout && c.http2.Settled() {
 		c.mu.Unlock()
 		c.discard() // dropped unseen: whoever writes here hears nothing
 		return false
 	}
-	events, err := c.http2.Receive(now, p)
-	var whole []*call
+	events, err := c.http2.Receive(now, data)
+	var complete []*call
 	for i := range events {
 		if k := c.handleEvent(&events[i]); k != nil {
-			whole = append(whole, k)
+			complete = append(complete, k)
 		}
 	}
 	c.lastUsed = now
 	c.write()
 	c.mu.Unlock()
-	for _, k := range whole {
+	for _, k := range complete {
 		k.handle()
 	}
 	return err == nil
 }
 
 // event takes one event, and returns a call that is here in full.
-func (c *conn) handleEvent(v *h2.Event) *call {
-	k := c.calls[v.Stream]
-	switch v.Kind {
+func (c *conn) handleEvent(event *h2.Event) *call {
+	k := c.calls[event.Stream]
+	switch event.Kind {
 	case h2.Headers:
-		k = &call{conn: c, stream: v.Stream, fields: v.Fields}
-		c.calls[v.Stream] = k
+		k = &call{conn: c, stream: event.Stream, fields: event.Fields}
+		c.calls[event.Stream] = k
 	case h2.Data:
 		if k != nil && len(k.body) < 1<<20 {
-			k.body = append(k.body, v.Data...)
+			k.body = append(k.body, event.Data...)
 		}
 	case h2.StreamReset:
 		if k != nil {
-			delete(c.calls, v.Stream)
+			delete(c.calls, event.Stream)
 			k.logEvent(PeerClosed, 0, 0)
 		}
 		return nil
 	}
-	if k != nil && v.End {
+	if k != nil && event.End {
 		return k
 	}
 	return nil
 }
 
 func (k *call) logEvent(kind EventKind, status int, wait time.Duration) {
-	v := k.baseEvent
-	v.At, v.Kind, v.Status, v.RetryAfter = 0, kind, status, wait
-	k.conn.endpoint.logEvent(v)
+	event := k.baseEvent
+	event.At, event.Kind, event.Status, event.RetryAfter = 0, kind, status, wait
+	k.conn.endpoint.logEvent(event)
 }
 
 // handle decides what becomes of a call.
 func (k *call) handle() {
 	c, e := k.conn, k.conn.endpoint
 	now := c.now()
-	test, class, key := parseBody(k.body)
+	correlationID, class, orderKey := parseBody(k.body)
 	k.baseEvent = Event{Conn: c.id, Stream: k.stream, Path: h2.Value(k.fields, ":path"), MessageID: h2.Value(k.fields, "whinrun-message"),
-		Attempt: h2.Value(k.fields, "whinrun-attempt"), CorrelationID: test, Class: class, OrderKey: key}
+		Attempt: h2.Value(k.fields, "whinrun-attempt"), CorrelationID: correlationID, Class: class, OrderKey: orderKey}
 	k.logEvent(RequestReceived, 0, 0)
-	f := c.fault()
-	fell, first := e.partner.checkOverload(now)
+	fault := c.fault()
+	overloaded, first := e.partner.checkOverload(now)
 	if first {
 		e.logEvent(Event{Kind: Overloaded})
 	}
-	over, wait := e.partner.overRateLimit(now)
+	limited, wait := e.partner.overRateLimit(now)
 	switch {
-	case fell:
+	case overloaded:
 		k.reset(h2.InternalError)
-	case f.Hang:
+	case fault.Hang:
 		k.logEvent(NoResponse, 0, 0)
-	case f.Unavailable:
-		if f.AvailableAt > now {
-			wait = (f.AvailableAt - now + time.Second - 1).Truncate(time.Second)
+	case fault.Unavailable:
+		if fault.AvailableAt > now {
+			wait = (fault.AvailableAt - now + time.Second - 1).Truncate(time.Second)
 		}
 		k.respond(503, max(wait, time.Second))
-	case over:
+	case limited:
 		k.respond(429, wait)
-	case e.partner.chance(f.RefusalRate):
+	case e.partner.chance(fault.RefusalRate):
 		k.reset(h2.RefusedStream)
-	case e.partner.chance(f.NotFoundRate):
+	case e.partner.chance(fault.NotFoundRate):
 		k.respond(404, 0)
-	case (f.ErrorClass == "" || f.ErrorClass == class) && e.partner.chance(f.Error):
+	case (fault.ErrorClass == "" || fault.ErrorClass == class) && e.partner.chance(fault.Error):
 		k.respond(500, 0)
 	default:
 		e.enqueue(k)
@@ -256,8 +256,8 @@
 		d = time.Duration(float64(d) * f.SlowFactor)
 	}
 	if f.PauseInterval > 0 {
-		if at := e.partner.log.Now() % f.PauseInterval; at < f.Pause {
-			d += f.Pause - at
+		if offset := e.partner.log.Now() % f.PauseInterval; offset < f.Pause {
+			d += f.Pause - offset
 		}
 	}
 	return d
@@ -266,26 +266,26 @@
 // finish applies a call and answers it, or not.
 func (k *call) finish() {
 	p := k.conn.endpoint.partner
-	f := k.conn.fault()
-	if f.Crash || f.Blackhole {
+	fault := k.conn.fault()
+	if fault.Crash || fault.Blackhole {
 		return // died with it
 	}
 	k.apply()
 	switch {
-	case f.Hang || p.chance(f.LostResponseRate):
+	case fault.Hang || p.chance(fault.LostResponseRate):
 		k.logEvent(NoResponse, 0, 0)
-	case p.chance(f.ResetRate):
+	case p.chance(fault.ResetRate):
 		k.conn.update(func(now time.Duration) {
 			_ = k.conn.http2.Begin(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
 		})
 		k.reset(h2.InternalError)
-	case p.chance(f.MalformedRate):
+	case p.chance(fault.MalformedRate):
 		k.logEvent(StreamReset, 0, 0)
 		k.conn.update(func(time.Duration) { // DATA of 2 bytes, padded by 200
 			_, _ = k.conn.netConn.Write(h2.AppendFrame(nil, h2.FrameData, h2.FlagPadded, k.stream, []byte{200, 0}))
 		})
-	case f.ResponseDelay > 0:
-		time.AfterFunc(f.ResponseDelay, func() { k.respond(201, 0) })
+	case fault.ResponseDelay > 0:
+		time.AfterFunc(fault.ResponseDelay, func() { k.respond(201, 0) })
 	default:
 		k.respond(201, 0)
 	}
@@ -297,12 +297,12 @@
 	key := h2.Value(k.fields, "idempotency-key")
 	keyed := k.baseEvent.Class == "keyed" // other classes' repeats take effect again: that is what the checker looks for
 	p.mu.Lock()
-	again := keyed && p.appliedKeys[key]
+	duplicate := keyed && p.appliedKeys[key]
 	if keyed && len(p.appliedKeys) < 1<<20 {
 		p.appliedKeys[key] = true
 	}
 	p.mu.Unlock()
-	if again {
+	if duplicate {
 		k.logEvent(Deduplicated, 0, 0)
 		return
 	}
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -101,7 +101,7 @@
 }
 
 // NewLog starts a log that keeps so many events at most.
-func NewLog(most int) *Log { return &Log{stopwatch: clock.Start(), maxEvents: most} }
+func NewLog(maxEvents int) *Log { return &Log{stopwatch: clock.Start(), maxEvents: maxEvents} }
 
 // StartTime is the start of the log.
 func (l *Log) StartTime() time.Time { return l.stopwatch.Began() }
@@ -163,10 +163,10 @@
 }
 
 // SetLimit changes its limit in calls a second, 0 for none, and whether refusals tell a wait.
-func (p *Partner) SetLimit(perSecond float64, tell bool) {
+func (p *Partner) SetLimit(perSecond float64, sendRetryAfter bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rateLimit, p.sendRetryAfter = perSecond, tell
+	p.rateLimit, p.sendRetryAfter = perSecond, sendRetryAfter
 }
 
 // Endpoint is one address of a partner.
@@ -186,16 +186,16 @@
 
 // Listen adds an endpoint at an address; port 0 takes a free one.
 func (p *Partner) Listen(addr string) (*Endpoint, error) {
-	ln, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("partner %s: %w", p.cfg.Name, err)
 	}
-	e := &Endpoint{partner: p, addr: ln.Addr().(*net.TCPAddr).AddrPort(), listener: ln, conns: map[*conn]bool{}}
+	e := &Endpoint{partner: p, addr: listener.Addr().(*net.TCPAddr).AddrPort(), listener: listener, conns: map[*conn]bool{}}
 	p.mu.Lock()
 	p.endpoints = append(p.endpoints, e)
 	p.mu.Unlock()
 	e.wg.Add(1)
-	go e.accept(ln)
+	go e.accept(listener)
 	return e, nil
 }
 
@@ -299,15 +299,15 @@
 	}
 }
 
-func (e *Endpoint) logEvent(v Event) {
-	v.Partner, v.Endpoint = e.partner.cfg.Name, e.addr
-	e.partner.log.add(v)
+func (e *Endpoint) logEvent(event Event) {
+	event.Partner, event.Endpoint = e.partner.cfg.Name, e.addr
+	e.partner.log.add(event)
 }
 
-func (e *Endpoint) accept(ln net.Listener) {
+func (e *Endpoint) accept(listener net.Listener) {
 	defer e.wg.Done()
 	for {
-		nc, err := ln.Accept()
+		netConn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -317,7 +317,7 @@
 		e.partner.lastConnID++
 		id := e.partner.lastConnID
 		e.partner.mu.Unlock()
-		c := &conn{endpoint: e, netConn: nc, id: id, calls: map[uint32]*call{}}
+		c := &conn{endpoint: e, netConn: netConn, id: id, calls: map[uint32]*call{}}
 		if !full {
 			e.conns[c] = true
 			e.wg.Add(1)
@@ -325,7 +325,7 @@
 		e.mu.Unlock()
 		if full {
 			e.logEvent(Event{Kind: ConnRefused, Conn: id})
-			_ = nc.Close()
+			_ = netConn.Close()
 			continue
 		}
 		go c.serve()
@@ -342,7 +342,7 @@
 
 // checkOverload counts a call against what a cold partner can do, and tells whether it has fallen over. A window holds the
 // calls of TipFor; it is allowed Tip times the capacity in it, and four standard deviations for chance.
-func (p *Partner) checkOverload(now time.Duration) (fell, first bool) {
+func (p *Partner) checkOverload(now time.Duration) (overloaded, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.overloaded || p.cfg.Capacity <= 0 || p.capacityShare(now) >= 1 {
@@ -364,13 +364,13 @@
 }
 
 // OverloadLimit is how many calls in a window of that length a partner stands that can do rate calls a second.
-func OverloadLimit(rate, tip float64, window time.Duration) float64 {
-	mean := tip * rate * window.Seconds()
+func OverloadLimit(capacity, factor float64, window time.Duration) float64 {
+	mean := factor * capacity * window.Seconds()
 	return mean + 4*math.Sqrt(mean) + 4
 }
 
 // overRateLimit counts a call against the limit and tells whether it is above it, and how long until there is room.
-func (p *Partner) overRateLimit(now time.Duration) (over bool, wait time.Duration) {
+func (p *Partner) overRateLimit(now time.Duration) (limited bool, retryAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rateLimit <= 0 {
@@ -383,9 +383,9 @@
 		return false, 0
 	}
 	if p.sendRetryAfter {
-		wait = time.Second // Retry-After knows whole seconds
+		retryAfter = time.Second // Retry-After knows whole seconds
 	}
-	return true, wait
+	return true, retryAfter
 }
 
 func (p *Partner) chance(share float64) bool {
@@ -398,11 +398,11 @@
 }
 
 // parseBody splits a body into the client's name, class and key of the message.
-func parseBody(body []byte) (test, class, key string) {
+func parseBody(body []byte) (correlationID, class, orderKey string) {
 	head := body[:min(len(body), 200)]
-	part := strings.Fields(string(head))
-	for len(part) < 3 {
-		part = append(part, "-")
+	words := strings.Fields(string(head))
+	for len(words) < 3 {
+		words = append(words, "-")
 	}
-	return part[0], part[1], part[2]
+	return words[0], words[1], words[2]
 }
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -147,16 +147,16 @@
 		c.report(1, 0, "-", "dispatcher", "an orderly stop left messages without an answer")
 	}
 	for _, o := range c.recording.Outcomes {
-		k := c.classes[o.Class]
-		life := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(o.TTL)*time.Second)
-		over := o.Sent + life + Tolerance
+		class := c.classes[o.Class]
+		lifetime := min(time.Duration(class.Deadline)*time.Microsecond, time.Duration(o.TTL)*time.Second)
+		latest := o.Sent + lifetime + Tolerance
 		switch {
 		case o.Canceled:
 		case o.Status == 0 && c.answerImpossible(&o):
 		case o.Status == 0:
 			c.report(1, o.Done, o.CorrelationID, "client", "no final answer: %s", o.Err)
-		case o.Done > over:
-			c.report(1, o.Done, o.CorrelationID, "client", "final answer %d after %v, its time is %v", o.Status, o.Done-o.Sent, life)
+		case o.Done > latest:
+			c.report(1, o.Done, o.CorrelationID, "client", "final answer %d after %v, its time is %v", o.Status, o.Done-o.Sent, lifetime)
 		}
 		if o.Status == 0 {
 			continue
@@ -187,8 +187,8 @@
 	return true
 }
 
-func (c *checker) servedByPartner(test string) bool {
-	for _, a := range c.byCorrelationID[test] {
+func (c *checker) servedByPartner(correlationID string) bool {
+	for _, a := range c.byCorrelationID[correlationID] {
 		if a.endKind == partner.Responded && a.status < 300 {
 			return true
 		}
@@ -198,26 +198,26 @@
 
 // checkEffects is rule 2: no effect twice, one attempt out at a time, refused is harmless.
 func (c *checker) checkEffects() {
-	for test, all := range c.byCorrelationID {
-		class := c.classes[all[0].received.Class]
+	for correlationID, attempts := range c.byCorrelationID {
+		class := c.classes[attempts[0].received.Class]
 		applied := 0
-		var doubt *attempt
-		for i, a := range all {
-			if i > 0 && all[i-1].received.MessageID == a.received.MessageID {
-				c.checkOneInFlight(all[i-1], a, test)
+		var uncertain *attempt
+		for i, a := range attempts {
+			if i > 0 && attempts[i-1].received.MessageID == a.received.MessageID {
+				c.checkOneInFlight(attempts[i-1], a, correlationID)
 			}
-			if doubt != nil {
-				c.checkResend(doubt, a, test, class)
+			if uncertain != nil {
+				c.checkResend(uncertain, a, correlationID, class)
 			}
 			if a.applied {
 				applied++
 			}
-			if doubt == nil && !a.provenNotExecuted() {
-				doubt = a
+			if uncertain == nil && !a.provenNotExecuted() {
+				uncertain = a
 			}
 		}
 		if class.Effect == control.SingleShot && applied > 1 {
-			c.report(2, all[len(all)-1].received.At, test, all[len(all)-1].where(), "applied %d times, its class must not repeat", applied)
+			c.report(2, attempts[len(attempts)-1].received.At, correlationID, attempts[len(attempts)-1].where(), "applied %d times, its class must not repeat", applied)
 		}
 	}
 	for _, o := range c.recording.Outcomes {
@@ -233,12 +233,12 @@
 }
 
 // checkOneInFlight checks that an attempt was sent after the end of the one before.
-func (c *checker) checkOneInFlight(old, a *attempt, test string) {
-	if c.endUnobservable(old, a.received.At) {
+func (c *checker) checkOneInFlight(previous, a *attempt, correlationID string) {
+	if c.endUnobservable(previous, a.received.At) {
 		return
 	}
-	if old.end == 0 && old.endKind == "" || old.end > a.received.At+Tolerance {
-		c.report(2, a.received.At, test, a.where(), "sent while the attempt at %v is out", old.received.Endpoint)
+	if previous.end == 0 && previous.endKind == "" || previous.end > a.received.At+Tolerance {
+		c.report(2, a.received.At, correlationID, a.where(), "sent while the attempt at %v is out", previous.received.Endpoint)
 	}
 }
 
@@ -272,32 +272,32 @@
 // endpoints, of which one list tells the same for each: it is checked once, a rebuild tells tens of thousands.
 func (c *checker) checkDrains() {
 	grace := time.Duration(c.recording.Settings.StopSendingWithin) * time.Microsecond
-	tried := map[netip.AddrPort][]*attempt{}
+	byEndpoint := map[netip.AddrPort][]*attempt{}
 	for _, a := range c.attempts {
-		tried[a.received.Endpoint] = append(tried[a.received.Endpoint], a)
+		byEndpoint[a.received.Endpoint] = append(byEndpoint[a.received.Endpoint], a)
 	}
-	told := map[netip.AddrPort][]HealthChange{}
+	changes := map[netip.AddrPort][]HealthChange{}
 	for _, t := range c.recording.HealthChanges {
-		of := told[t.Endpoint]
-		if n := len(of); n == 0 || of[n-1].At != t.At || of[n-1].Health != t.Health {
-			told[t.Endpoint] = append(of, t)
+		known := changes[t.Endpoint]
+		if n := len(known); n == 0 || known[n-1].At != t.At || known[n-1].Health != t.Health {
+			changes[t.Endpoint] = append(known, t)
 		}
 	}
-	for at, news := range told {
-		for i, t := range news {
-			if t.Health == control.Ready {
+	for endpoint, history := range changes {
+		for i, change := range history {
+			if change.Health == control.Ready {
 				continue
 			}
 			until := time.Duration(1 << 62)
-			for _, later := range news[i+1:] {
+			for _, later := range history[i+1:] {
 				if later.Health == control.Ready {
 					until = min(until, later.At)
 				}
 			}
-			for _, a := range tried[at] {
-				if a.received.At > t.At+grace+Tolerance && a.received.At < until {
+			for _, a := range byEndpoint[endpoint] {
+				if a.received.At > change.At+grace+Tolerance && a.received.At < until {
 					c.report(3, a.received.At, a.received.CorrelationID, a.where(), "sent %v after the endpoint was told to drain or be gone",
-						a.received.At-t.At)
+						a.received.At-change.At)
 				}
 			}
 		}
@@ -307,24 +307,24 @@
 // checkColdPartners is rule 4: a partner back from an outage is not pushed over while it is cold.
 func (c *checker) checkColdPartners() {
 	for _, spec := range c.recording.Script.Partners {
-		k := spec.Config
-		rate := k.Capacity * c.recording.Script.RateScale
-		if rate <= 0 {
+		cfg := spec.Config
+		capacity := cfg.Capacity * c.recording.Script.RateScale
+		if capacity <= 0 {
 			continue
 		}
-		for _, back := range c.recoveriesOf(k.Name) {
+		for _, recovered := range c.recoveriesOf(cfg.Name) {
 			var window []*attempt
 			for _, a := range c.attempts {
-				if a.received.Partner != k.Name || a.received.At < back || a.received.At > back+k.WarmUp {
+				if a.received.Partner != cfg.Name || a.received.At < recovered || a.received.At > recovered+cfg.WarmUp {
 					continue
 				}
 				window = append(window, a)
-				for window[0].received.At < a.received.At-k.OverloadWindow {
+				for window[0].received.At < a.received.At-cfg.OverloadWindow {
 					window = window[1:]
 				}
-				warm := k.ColdShare + (1-k.ColdShare)*float64(a.received.At-back)/float64(k.WarmUp)
-				if most := partner.OverloadLimit(rate*warm, k.OverloadFactor, k.OverloadWindow); float64(len(window)) > most {
-					c.report(4, a.received.At, a.received.CorrelationID, a.where(), "%d calls within %v on a cold partner that stands %.0f", len(window), k.OverloadWindow, most)
+				share := cfg.ColdShare + (1-cfg.ColdShare)*float64(a.received.At-recovered)/float64(cfg.WarmUp)
+				if limit := partner.OverloadLimit(capacity*share, cfg.OverloadFactor, cfg.OverloadWindow); float64(len(window)) > limit {
+					c.report(4, a.received.At, a.received.CorrelationID, a.where(), "%d calls within %v on a cold partner that stands %.0f", len(window), cfg.OverloadWindow, limit)
 					break
 				}
 			}
@@ -344,39 +344,39 @@
 // checkOrder is rule 5: messages of a key go one at a time, in the order in which they were handed in, and the key rests
 // after an attempt whose end is not known.
 func (c *checker) checkOrder() {
-	settle := time.Duration(c.recording.Settings.SettleAfterDoubt) * time.Microsecond
-	keys := map[string][]*attempt{}
+	rest := time.Duration(c.recording.Settings.SettleAfterDoubt) * time.Microsecond
+	byKey := map[string][]*attempt{}
 	for _, a := range c.attempts {
 		if c.classes[a.received.Class].InOrder && a.received.OrderKey != "-" {
-			keys[a.received.OrderKey] = append(keys[a.received.OrderKey], a)
+			byKey[a.received.OrderKey] = append(byKey[a.received.OrderKey], a)
 		}
 	}
-	sent := map[string]load.Outcome{}
+	outcomes := map[string]load.Outcome{}
 	for _, o := range c.recording.Outcomes {
-		sent[o.CorrelationID] = o
+		outcomes[o.CorrelationID] = o
 	}
-	for key, all := range keys {
-		for i, a := range all {
-			if i == 0 || all[i-1].received.CorrelationID == a.received.CorrelationID {
+	for key, attempts := range byKey {
+		for i, a := range attempts {
+			if i == 0 || attempts[i-1].received.CorrelationID == a.received.CorrelationID {
 				continue
 			}
-			old := all[i-1]
-			if !c.sameDispatcher(old.received.At, a.received.At) {
+			previous := attempts[i-1]
+			if !c.sameDispatcher(previous.received.At, a.received.At) {
 				continue // a new dispatcher knows nothing of the one before
 			}
-			if c.endUnobservable(old, a.received.At) {
+			if c.endUnobservable(previous, a.received.At) {
 				continue
 			}
-			if old.end == 0 || old.end > a.received.At+Tolerance/3 {
-				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent while %s is out", key, old.received.CorrelationID)
-			} else if old.endUnknown() && a.received.At < old.end+settle-Tolerance/10 {
+			if previous.end == 0 || previous.end > a.received.At+Tolerance/3 {
+				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent while %s is out", key, previous.received.CorrelationID)
+			} else if previous.endUnknown() && a.received.At < previous.end+rest-Tolerance/10 {
 				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent %v after a doubtful end of %s, its rest is %v", key,
-					a.received.At-old.end, old.received.CorrelationID, settle)
+					a.received.At-previous.end, previous.received.CorrelationID, rest)
 			}
 			// A message that was handed in before a kill came again later: its client's library repeated it.
-			if x, y := sent[old.received.CorrelationID], sent[a.received.CorrelationID]; x.Sent > y.Sent+Tolerance/3 && c.sameDispatcher(y.Sent, a.received.At) {
+			if earlier, later := outcomes[previous.received.CorrelationID], outcomes[a.received.CorrelationID]; earlier.Sent > later.Sent+Tolerance/3 && c.sameDispatcher(later.Sent, a.received.At) {
 				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent after %s, which was handed in %v later", key,
-					old.received.CorrelationID, x.Sent-y.Sent)
+					previous.received.CorrelationID, earlier.Sent-later.Sent)
 			}
 		}
 	}
@@ -385,22 +385,22 @@
 // checkToldWaits is rule 6: while a told wait lasts nothing goes to the partner, or to the one route. What was under way when
 // the wait was told is excused.
 func (c *checker) checkToldWaits() {
-	apart := map[string]bool{}
+	perRoute := map[string]bool{}
 	for _, p := range c.recording.Script.Partners {
-		apart[p.Config.Name] = p.PerRouteWaits
+		perRoute[p.Config.Name] = p.PerRouteWaits
 	}
-	by := map[string][]*attempt{}
+	byDestination := map[string][]*attempt{}
 	for _, a := range c.attempts {
-		who := a.received.Partner + a.received.Path
-		by[who] = append(by[who], a)
+		destination := a.received.Partner + a.received.Path
+		byDestination[destination] = append(byDestination[destination], a)
 	}
 	for _, e := range c.recording.Events {
 		if e.Kind != partner.Responded || e.RetryAfter == 0 || e.Status != 429 && e.Status != 503 {
 			continue
 		}
-		for _, a := range by[e.Partner+e.Path] {
+		for _, a := range byDestination[e.Partner+e.Path] {
 			at := a.received.At
-			if at < e.At+Tolerance || at > e.At+e.RetryAfter-Tolerance/30 || apart[e.Partner] && a.received.Endpoint != e.Endpoint || !c.sameDispatcher(e.At, at) {
+			if at < e.At+Tolerance || at > e.At+e.RetryAfter-Tolerance/30 || perRoute[e.Partner] && a.received.Endpoint != e.Endpoint || !c.sameDispatcher(e.At, at) {
 				continue
 			}
 			c.report(6, at, a.received.CorrelationID, a.where(), "sent %v after a wait of %v was told", at-e.At, e.RetryAfter)
--- a/internal/scenario/check_test.go
+++ b/internal/scenario/check_test.go
@@ -26,8 +26,8 @@
 }
 
 // addAttempt adds one attempt to a record: its arrival, and what became of it.
-func (r *Recording) addAttempt(at time.Duration, test, class, key string, ep netip.AddrPort, stream uint32, rest ...partner.Event) {
-	base := partner.Event{At: at, Kind: partner.RequestReceived, Partner: "p", Endpoint: ep, Conn: 1, Stream: stream, MessageID: "m" + test, CorrelationID: test, Class: class, OrderKey: key}
+func (r *Recording) addAttempt(at time.Duration, correlationID, class, orderKey string, ep netip.AddrPort, stream uint32, rest ...partner.Event) {
+	base := partner.Event{At: at, Kind: partner.RequestReceived, Partner: "p", Endpoint: ep, Conn: 1, Stream: stream, MessageID: "m" + correlationID, CorrelationID: correlationID, Class: class, OrderKey: orderKey}
 	r.Events = append(r.Events, base)
 	for _, e := range rest {
 		full := base
@@ -36,8 +36,8 @@
 	}
 }
 
-func (r *Recording) addOutcome(test, class string, sent, done time.Duration, status int) {
-	r.Outcomes = append(r.Outcomes, load.Outcome{Message: load.Message{CorrelationID: test, Class: class, TTL: 60}, Sent: sent, Done: done, Status: status})
+func (r *Recording) addOutcome(correlationID, class string, sent, done time.Duration, status int) {
+	r.Outcomes = append(r.Outcomes, load.Outcome{Message: load.Message{CorrelationID: correlationID, Class: class, TTL: 60}, Sent: sent, Done: done, Status: status})
 }
 
 func event(at time.Duration, kind partner.EventKind, status int) partner.Event {
@@ -168,21 +168,21 @@
 	rec := func(kind audit.Kind, attempt int) *audit.Record {
 		return &audit.Record{Kind: kind, Message: "ma", Attempt: attempt, Endpoint: ep1.String(), Status: 201}
 	}
-	well := []*audit.Record{rec(audit.Accepted, 0), rec(audit.Started, 1), rec(audit.Ended, 1), rec(audit.Answered, 0)}
+	intact := []*audit.Record{rec(audit.Accepted, 0), rec(audit.Started, 1), rec(audit.Ended, 1), rec(audit.Answered, 0)}
 	late := rec(audit.Accepted, 0) // of the same dispatcher: the trail goes on after what is missing
 	late.Message, late.At = "mb", (5 * second).Microseconds()
 	for _, c := range []struct {
 		name, want string
 		trail      []*audit.Record
 	}{
-		{"well", "", well},
-		{"a hole before a kill", "is not in the trail", []*audit.Record{well[0], well[3], late}},
-		{"an attempt is missing", "is not in the trail", []*audit.Record{well[0], well[3]}},
-		{"an attempt is invented", "which no stand-in saw", append(well[:3:3], rec(audit.Started, 2), rec(audit.Ended, 2), well[3])},
-		{"two at once", "while 1 was", []*audit.Record{well[0], well[1], rec(audit.Started, 2), rec(audit.Ended, 2), well[3]}},
-		{"after the answer", "after the final answer", append(well[:4:4], rec(audit.Started, 2))},
-		{"two answers", "a second final answer", append(well[:4:4], well[3])},
-		{"another endpoint", "the trail has", []*audit.Record{well[0], {Kind: audit.Started, Message: "ma", Attempt: 1, Endpoint: "x"}, well[2], well[3]}},
+		{"well", "", intact},
+		{"a hole before a kill", "is not in the trail", []*audit.Record{intact[0], intact[3], late}},
+		{"an attempt is missing", "is not in the trail", []*audit.Record{intact[0], intact[3]}},
+		{"an attempt is invented", "which no stand-in saw", append(intact[:3:3], rec(audit.Started, 2), rec(audit.Ended, 2), intact[3])},
+		{"two at once", "while 1 was", []*audit.Record{intact[0], intact[1], rec(audit.Started, 2), rec(audit.Ended, 2), intact[3]}},
+		{"after the answer", "after the final answer", append(intact[:4:4], rec(audit.Started, 2))},
+		{"two answers", "a second final answer", append(intact[:4:4], intact[3])},
+		{"another endpoint", "the trail has", []*audit.Record{intact[0], {Kind: audit.Started, Message: "ma", Attempt: 1, Endpoint: "x"}, intact[2], intact[3]}},
 	} {
 		r := cleanRecording()
 		r.addAttempt(1*second, "a", "safe", "-", ep1, 1, event(2*second, partner.Applied, 0), event(2*second, partner.Responded, 201))
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -73,10 +73,10 @@
 }
 
 // update alters the list; it is seen after the lag.
-func (l *endpointList) update(alter func([]roster.Line) []roster.Line) {
+func (l *endpointList) update(modify func([]roster.Line) []roster.Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.current = alter(slices.Clone(l.current))
+	l.current = modify(slices.Clone(l.current))
 	version := l.visible.version
 	if n := len(l.pending); n > 0 {
 		version = l.pending[n-1].version
@@ -85,10 +85,10 @@
 }
 
 // Load is service.ListSource. What it returns is noted as told.
-func (l *endpointList) Load(known string) ([]roster.Line, string, error) {
+func (l *endpointList) Load(knownVersion string) ([]roster.Line, string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.unreachable && known != "" {
+	if l.unreachable && knownVersion != "" {
 		return nil, "", errors.New("the list is out of reach")
 	}
 	now := l.now()
@@ -96,7 +96,7 @@
 		l.visible, l.pending = l.pending[0], l.pending[1:]
 	}
 	version := strconv.Itoa(l.visible.version)
-	if version == known {
+	if version == knownVersion {
 		return nil, version, nil
 	}
 	l.recordChanges(now)
@@ -141,7 +141,7 @@
 }
 
 // Run plays a day and returns what was seen. lines takes the dispatcher's own log.
-func Run(ctx context.Context, s *Script, lines io.Writer) (*Recording, error) {
+func Run(ctx context.Context, s *Script, logOutput io.Writer) (*Recording, error) {
 	r := &runner{script: s, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
 	r.endpoints = &endpointList{now: r.log.Now, lag: s.DiscoveryLag}
 	var err error
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(r.auditFolder) }()
-	if err := r.setUp(lines); err != nil {
+	if err := r.setUp(logOutput); err != nil {
 		return nil, err
 	}
 	defer func() {
@@ -163,21 +163,21 @@
 	client, publisher := load.NewClient(r.addr, 4), load.NewPublisher(r.amqpAddr, "day", "day", 4)
 	defer client.Close()
 	defer publisher.Close()
-	msgs := r.buildMessages()
-	base := r.log.Now()
+	messages := r.buildMessages()
+	start := r.log.Now()
 	var timeline sync.WaitGroup
 	timeline.Add(1)
 	go func() {
 		defer timeline.Done()
-		r.runTimeline(ctx, base)
+		r.runTimeline(ctx, start)
 	}()
-	for i := range msgs {
-		msgs[i].At += base
+	for i := range messages {
+		messages[i].At += start
 	}
-	out := load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, msgs, r.log.Now, 20000)
+	outcomes := load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, messages, r.log.Now, 20000)
 	timeline.Wait()
 	r.stop(true)
-	r.recording.Script, r.recording.Outcomes, r.recording.Events = s, out, r.log.Events()
+	r.recording.Script, r.recording.Outcomes, r.recording.Events = s, outcomes, r.log.Events()
 	r.recording.HealthChanges, r.recording.Runs, r.recording.Settings = r.endpoints.changes, r.runs, r.cfg.Module
 	r.recording.HasAuditTrail, r.recording.StartTime = true, r.log.StartTime()
 	if r.recording.AuditTrail, r.recording.AuditProblems, err = readAuditTrail(r.auditFolder); err != nil {
@@ -219,21 +219,21 @@
 
 // settings writes the dispatcher's settings for the day.
 func (r *runner) settings() string {
-	by := map[string]map[string]string{"dispatcher": {"listen": "127.0.0.1:0", "stop-within": "4s"}, "list": {"every": "20ms"},
+	sections := map[string]map[string]string{"dispatcher": {"listen": "127.0.0.1:0", "stop-within": "4s"}, "list": {"every": "20ms"},
 		"rules": {"cold-from": "0.2", "warm-up": "3s", "tip-multiple": "2", "overload-for": "1s", "drain-grace": "1s", "settle-after-doubt": "500ms"},
 		"audit": {"folder": r.auditFolder}, "amqp": {"listen": "127.0.0.1:0", "heartbeat": "1s"}, "limits": {}, "outbound": {"connect-timeout": "500ms"}}
 	for k, v := range r.script.Settings {
 		section, key, _ := strings.Cut(k, ".")
-		if by[section] == nil {
-			by[section] = map[string]string{}
+		if sections[section] == nil {
+			sections[section] = map[string]string{}
 		}
-		by[section][key] = v
+		sections[section][key] = v
 	}
 	var b strings.Builder
-	for _, section := range sortedKeys(by) {
+	for _, section := range sortedKeys(sections) {
 		fmt.Fprintf(&b, "[%s]\n", section)
-		for _, k := range sortedKeys(by[section]) {
-			fmt.Fprintf(&b, "%s = %s\n", k, by[section][k])
+		for _, k := range sortedKeys(sections[section]) {
+			fmt.Fprintf(&b, "%s = %s\n", k, sections[section][k])
 		}
 	}
 	for _, c := range r.script.Classes {
@@ -249,14 +249,14 @@
 		fmt.Fprintf(&b, "[tenant %s]\ntoken = %s\nquota = %g/s\n", t.Name, t.Name, t.Quota*r.script.RateScale)
 	}
 	for _, p := range r.script.Partners {
-		apart, rate := "no", ""
+		routesApart, rate := "no", ""
 		if p.PerRouteWaits {
-			apart = "yes"
+			routesApart = "yes"
 		}
 		if p.Config.Capacity > 0 {
 			rate = fmt.Sprintf("rate = %g/s\n", p.Config.Capacity*r.script.RateScale)
 		}
-		fmt.Fprintf(&b, "[kind of-%s]\nbatch = %d\nroutes-apart = %s\n", p.Config.Name, max(1, p.Batch), apart)
+		fmt.Fprintf(&b, "[kind of-%s]\nbatch = %d\nroutes-apart = %s\n", p.Config.Name, max(1, p.Batch), routesApart)
 		fmt.Fprintf(&b, "[partner %s]\nkind = of-%s\n%sendpoints = 127.0.0.1:1\n", p.Config.Name, p.Config.Name, rate)
 		for _, c := range r.script.Classes {
 			for _, t := range r.script.Tenants {
@@ -319,16 +319,16 @@
 	if r.svc == nil {
 		return
 	}
-	life := &r.runs[len(r.runs)-1]
-	life.To = r.log.Now()
+	run := &r.runs[len(r.runs)-1]
+	run.To = r.log.Now()
 	if orderly {
-		life.StopRequested = life.To
+		run.StopRequested = run.To
 		ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
 		if !r.svc.Stop(ctx) {
 			r.recording.UncleanStop = true
 		}
-		life.To = r.log.Now()
+		run.To = r.log.Now()
 	} else {
 		r.svc.Kill()
 	}
@@ -361,9 +361,9 @@
 }
 
 // actions turns a step into what is done at its beginning and its end.
-func (r *runner) actions(st *Step, base time.Duration) []action {
+func (r *runner) actions(st *Step, start time.Duration) []action {
 	end := st.At + st.Duration
-	both := func(on func(bool)) []action {
+	toggle := func(on func(bool)) []action {
 		all := []action{{st.At, func() error { on(true); return nil }}}
 		if st.Duration > 0 {
 			all = append(all, action{end, func() error { on(false); return nil }})
@@ -374,7 +374,7 @@
 	case "load":
 		return nil // its messages are made beforehand
 	case "list":
-		return both(func(on bool) {
+		return toggle(func(on bool) {
 			r.endpoints.mu.Lock()
 			defer r.endpoints.mu.Unlock()
 			if st.Action == "stale" {
@@ -390,22 +390,22 @@
 		}
 		return all
 	}
-	name, no, _ := strings.Cut(st.Target, ".")
-	return r.partnerActions(st, base, r.partners[name], no)
+	name, number, _ := strings.Cut(st.Target, ".")
+	return r.partnerActions(st, start, r.partners[name], number)
 }
 
-func (r *runner) partnerActions(st *Step, base time.Duration, p *partner.Partner, no string) []action {
+func (r *runner) partnerActions(st *Step, start time.Duration, p *partner.Partner, number string) []action {
 	end := st.At + st.Duration
-	each := func(do func(*partner.Endpoint) error) func() error {
+	forEach := func(do func(*partner.Endpoint) error) func() error {
 		return func() error {
 			var err error
-			hit := false
+			matched := false
 			for i, e := range p.Endpoints() {
-				if no == "" || strconv.Itoa(i+1) == no {
-					err, hit = errors.Join(err, do(e)), true
+				if number == "" || strconv.Itoa(i+1) == number {
+					err, matched = errors.Join(err, do(e)), true
 				}
 			}
-			if !hit {
+			if !matched {
 				err = fmt.Errorf("line %d of the script: there is no endpoint %s at that time", st.Line, st.Target)
 			}
 			return err
@@ -413,33 +413,33 @@
 	}
 	switch st.Action {
 	case "goaway":
-		return []action{{st.At, each(func(e *partner.Endpoint) error { e.GoAway(); return nil })}}
+		return []action{{st.At, forEach(func(e *partner.Endpoint) error { e.GoAway(); return nil })}}
 	case "streams":
 		n, _ := strconv.Atoi(st.Args[0])
-		return []action{{st.At, each(func(e *partner.Endpoint) error { e.SetMaxStreams(uint32(n)); return nil })}}
+		return []action{{st.At, forEach(func(e *partner.Endpoint) error { e.SetMaxStreams(uint32(n)); return nil })}}
 	case "limit":
 		var limit float64
 		_ = parseValue(st.Args[0], &limit)
-		told := len(st.Args) > 1 && st.Args[1] == "told"
-		acts := []action{{st.At, func() error { p.SetLimit(limit*r.script.RateScale, told); return nil }}}
+		sendRetryAfter := len(st.Args) > 1 && st.Args[1] == "told"
+		acts := []action{{st.At, func() error { p.SetLimit(limit*r.script.RateScale, sendRetryAfter); return nil }}}
 		if st.Duration > 0 {
-			acts = append(acts, action{end, func() error { p.SetLimit(0, told); return nil }})
+			acts = append(acts, action{end, func() error { p.SetLimit(0, sendRetryAfter); return nil }})
 		}
 		return acts
 	case "drain":
-		return []action{{st.At, each(func(e *partner.Endpoint) error { r.setHealth(e, control.Draining); return nil })}}
+		return []action{{st.At, forEach(func(e *partner.Endpoint) error { r.setHealth(e, control.Draining); return nil })}}
 	case "replace":
 		return []action{{st.At, func() error { return r.replaceEndpoints(p) }}}
 	}
-	f, _ := st.fault(base + end)
-	acts := []action{{st.At, each(func(e *partner.Endpoint) error { return e.SetFault(f) })}}
+	f, _ := st.fault(start + end)
+	acts := []action{{st.At, forEach(func(e *partner.Endpoint) error { return e.SetFault(f) })}}
 	if st.Action == "preempt" { // it dies, then the list says so and names another
-		acts = append(acts, action{st.At + 300*time.Millisecond, each(func(e *partner.Endpoint) error {
+		acts = append(acts, action{st.At + 300*time.Millisecond, forEach(func(e *partner.Endpoint) error {
 			r.setHealth(e, control.Gone)
 			return r.addEndpoint(p)
 		})})
 	} else if st.Duration > 0 {
-		acts = append(acts, action{end, each(func(e *partner.Endpoint) error { return e.SetFault(partner.Fault{}) })})
+		acts = append(acts, action{end, forEach(func(e *partner.Endpoint) error { return e.SetFault(partner.Fault{}) })})
 	}
 	return acts
 }
@@ -468,14 +468,14 @@
 		return err
 	}
 	r.endpoints.update(func(lines []roster.Line) []roster.Line {
-		seen := map[string]bool{}
+		names := map[string]bool{}
 		for _, l := range lines { // the partners of a wave behind it, too
 			if l.Partner == p.Name() || strings.HasPrefix(l.Partner, p.Name()+"-w") {
-				seen[l.Partner] = true
+				names[l.Partner] = true
 			}
 		}
-		seen[p.Name()] = true
-		for _, name := range sortedKeys(seen) {
+		names[p.Name()] = true
+		for _, name := range sortedKeys(names) {
 			lines = append(lines, roster.Line{Partner: name, Addr: e.Addr(), Health: control.Ready})
 		}
 		return lines
@@ -502,7 +502,7 @@
 // buildMessages makes the load of the day from its seed.
 func (r *runner) buildMessages() []load.Message {
 	rng := rand.New(rand.NewPCG(r.script.Seed, 3))
-	var all []load.Message
+	var messages []load.Message
 	for i, l := range r.script.Loads {
 		to := l.To
 		if to == 0 {
@@ -527,23 +527,23 @@
 			if rng.Float64() < l.CancelShare {
 				m.CancelAfter = time.Duration(float64(l.CancelAfter) * (0.5 + rng.Float64()))
 			}
-			all = append(all, m)
+			messages = append(messages, m)
 		}
 	}
 	for k, w := range r.script.Wakes {
 		for i := range r.waveSize(w) {
 			at := w.From + time.Duration(rng.Float64()*float64(w.To-w.From))
-			all = append(all, load.Message{At: at, CorrelationID: fmt.Sprintf("w%d-%d", k, i), Class: w.Class, Path: pushPath(wavePartnerName(k, w, i), w.Class, "day"),
+			messages = append(messages, load.Message{At: at, CorrelationID: fmt.Sprintf("w%d-%d", k, i), Class: w.Class, Path: pushPath(wavePartnerName(k, w, i), w.Class, "day"),
 				Token: "day", TTL: 60, Partner: wavePartnerName(k, w, i), Timeout: r.clientTimeout(w.Class)})
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
-	by := rand.New(rand.NewPCG(r.script.Seed, 4)) // apart: the messages are the same whichever front they come by
-	for i := range all {
-		m := &all[i]
-		m.AMQP = by.Float64() < r.script.AMQPShare && m.CancelAfter == 0 && m.Token == "day" // publishes can't be withdrawn
+	sort.SliceStable(messages, func(i, j int) bool { return messages[i].At < messages[j].At })
+	frontRNG := rand.New(rand.NewPCG(r.script.Seed, 4)) // apart: the messages are the same whichever front they come by
+	for i := range messages {
+		m := &messages[i]
+		m.AMQP = frontRNG.Float64() < r.script.AMQPShare && m.CancelAfter == 0 && m.Token == "day" // publishes can't be withdrawn
 	}
-	return all
+	return messages
 }
 
 // clientTimeout is how long a client waits for the answer that is due: well past the deadline of the class.
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -101,21 +101,21 @@
 func Parse(file, text string) (*Script, error) {
 	s := &Script{Seed: 1, Duration: 10 * time.Second, Settings: map[string]string{}, RateScale: 1, Classes: defaultClasses(),
 		Tenants: []TenantSpec{{Name: "day"}}}
-	var wrong []error
+	var errs []error
 	for i, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		f := strings.Fields(line)
-		if len(f) == 0 {
+		words := strings.Fields(line)
+		if len(words) == 0 {
 			continue
 		}
-		if err := s.parseLine(i+1, f); err != nil {
-			wrong = append(wrong, fmt.Errorf("%s:%d: %s: %w", file, i+1, f[0], err))
+		if err := s.parseLine(i+1, words); err != nil {
+			errs = append(errs, fmt.Errorf("%s:%d: %s: %w", file, i+1, words[0], err))
 		}
 	}
-	if len(wrong) == 0 {
-		wrong = s.validate(file)
+	if len(errs) == 0 {
+		errs = s.validate(file)
 	}
-	return s, errors.Join(wrong...)
+	return s, errors.Join(errs...)
 }
 
 func defaultClasses() []ClassSpec {
@@ -127,104 +127,104 @@
 	}
 }
 
-func (s *Script) parseLine(n int, f []string) error {
-	switch f[0] {
+func (s *Script) parseLine(lineNo int, words []string) error {
+	switch words[0] {
 	case "day":
-		s.Name = strings.Join(f[1:], " ")
+		s.Name = strings.Join(words[1:], " ")
 		return nil
 	case "seed":
-		return parsePairs(f, map[string]any{"seed": &s.Seed})
+		return parsePairs(words, map[string]any{"seed": &s.Seed})
 	case "length":
-		return parsePairs(f, map[string]any{"length": &s.Duration})
+		return parsePairs(words, map[string]any{"length": &s.Duration})
 	case "amqp":
-		return parsePairs(f, map[string]any{"amqp": &s.AMQPShare})
+		return parsePairs(words, map[string]any{"amqp": &s.AMQPShare})
 	case "lag":
-		return parsePairs(f, map[string]any{"lag": &s.DiscoveryLag})
+		return parsePairs(words, map[string]any{"lag": &s.DiscoveryLag})
 	case "expect":
-		return parsePairs(f[1:], map[string]any{"served": &s.MinServed})
+		return parsePairs(words[1:], map[string]any{"served": &s.MinServed})
 	case "set":
-		if len(f) != 3 || strings.Count(f[1], ".") != 1 {
+		if len(words) != 3 || strings.Count(words[1], ".") != 1 {
 			return errors.New("set SECTION.KEY VALUE")
 		}
-		s.Settings[f[1]] = f[2]
+		s.Settings[words[1]] = words[2]
 		return nil
 	case "tenant":
-		if len(f) < 2 {
+		if len(words) < 2 {
 			return errors.New("tenant NAME [quota RATE]")
 		}
-		t := TenantSpec{Name: f[1]}
-		err := parsePairs(f[2:], map[string]any{"quota": &t.Quota})
+		t := TenantSpec{Name: words[1]}
+		err := parsePairs(words[2:], map[string]any{"quota": &t.Quota})
 		s.Tenants = append(s.Tenants, t)
 		return err
 	case "partner":
-		return s.parsePartner(f[1:])
+		return s.parsePartner(words[1:])
 	case "load":
-		return s.parseLoad(f[1:])
+		return s.parseLoad(words[1:])
 	case "wake":
 		w := WakeSpec{Class: "status", To: s.Duration}
-		if len(f) < 2 {
+		if len(words) < 2 {
 			return errors.New("wake COUNT partner NAME")
 		}
-		if err := parseValue(f[1], &w.Count); err != nil || w.Count > 50000 {
+		if err := parseValue(words[1], &w.Count); err != nil || w.Count > 50000 {
 			return errors.New("wake COUNT, 50000 at most")
 		}
-		err := parsePairs(f[2:], map[string]any{"partner": &w.Partner, "class": &w.Class, "from": &w.From, "to": &w.To})
+		err := parsePairs(words[2:], map[string]any{"partner": &w.Partner, "class": &w.Class, "from": &w.From, "to": &w.To})
 		s.Wakes = append(s.Wakes, w)
 		return err
 	case "at":
-		return s.parseStep(n, f[1:])
+		return s.parseStep(lineNo, words[1:])
 	}
 	return errors.New("no such word")
 }
 
 // parsePairs reads "name value" pairs into what they name.
-func parsePairs(f []string, into map[string]any) error {
-	for len(f) > 0 {
-		dst, ok := into[f[0]]
+func parsePairs(words []string, targets map[string]any) error {
+	for len(words) > 0 {
+		dst, ok := targets[words[0]]
 		if !ok {
-			return fmt.Errorf("%q is not known here", f[0])
+			return fmt.Errorf("%q is not known here", words[0])
 		}
 		if flag, is := dst.(*bool); is {
 			*flag = true
-			f = f[1:]
+			words = words[1:]
 			continue
 		}
-		if len(f) < 2 {
-			return fmt.Errorf("%s needs a value", f[0])
+		if len(words) < 2 {
+			return fmt.Errorf("%s needs a value", words[0])
 		}
-		if err := parseValue(f[1], dst); err != nil {
-			return fmt.Errorf("%s: %w", f[0], err)
+		if err := parseValue(words[1], dst); err != nil {
+			return fmt.Errorf("%s: %w", words[0], err)
 		}
-		f = f[2:]
+		words = words[2:]
 	}
 	return nil
 }
 
-func parseValue(v string, dst any) (err error) {
+func parseValue(text string, dst any) (err error) {
 	switch d := dst.(type) {
 	case *uint64:
-		*d, err = strconv.ParseUint(v, 10, 64)
+		*d, err = strconv.ParseUint(text, 10, 64)
 	case *uint32:
 		var n uint64
-		n, err = strconv.ParseUint(v, 10, 32)
+		n, err = strconv.ParseUint(text, 10, 32)
 		*d = uint32(n)
 	case *int:
-		*d, err = strconv.Atoi(v)
+		*d, err = strconv.Atoi(text)
 		if err == nil && *d < 0 {
 			err = errors.New("is below zero")
 		}
 	case *float64:
-		*d, err = strconv.ParseFloat(strings.TrimPrefix(strings.TrimSuffix(v, "/s"), "x"), 64)
+		*d, err = strconv.ParseFloat(strings.TrimPrefix(strings.TrimSuffix(text, "/s"), "x"), 64)
 		if err == nil && !(*d >= 0 && *d < 1e9) {
 			err = errors.New("is out of range")
 		}
 	case *time.Duration:
-		*d, err = time.ParseDuration(v)
+		*d, err = time.ParseDuration(text)
 		if err == nil && *d < 0 {
 			err = errors.New("is below zero")
 		}
 	case *string:
-		*d = v
+		*d = text
 	}
 	return err
 }
@@ -260,15 +260,15 @@
 	return err
 }
 
-func (s *Script) parseStep(n int, f []string) error {
-	if len(f) < 3 {
+func (s *Script) parseStep(lineNo int, words []string) error {
+	if len(words) < 3 {
 		return errors.New("at TIME TARGET WORD ...")
 	}
-	st := Step{Line: n, Target: f[1], Action: f[2]}
-	if err := parseValue(f[0], &st.At); err != nil {
+	st := Step{Line: lineNo, Target: words[1], Action: words[2]}
+	if err := parseValue(words[0], &st.At); err != nil {
 		return err
 	}
-	rest := f[3:]
+	rest := words[3:]
 	if k := len(rest); k >= 2 && rest[k-2] == "for" {
 		if err := parseValue(rest[k-1], &st.Duration); err != nil {
 			return err
@@ -276,16 +276,16 @@
 		rest = rest[:k-2]
 	}
 	st.Args = rest
-	known := endpointActions
+	actions := endpointActions
 	if w, ok := otherActions[st.Target]; ok {
-		known = w
+		actions = w
 	}
-	need, ok := known[st.Action]
+	minArgs, ok := actions[st.Action]
 	if !ok {
 		return fmt.Errorf("%s can't %q", st.Target, st.Action)
 	}
-	if len(rest) < need {
-		return fmt.Errorf("%s needs %d values", st.Action, need)
+	if len(rest) < minArgs {
+		return fmt.Errorf("%s needs %d values", st.Action, minArgs)
 	}
 	if st.Target != "load" && st.Target != "list" && st.Target != "dispatcher" {
 		if _, err := st.fault(0); err != nil {
@@ -305,9 +305,9 @@
 		return partner.Fault{}, nil
 	}
 	st := Step{Action: words[0], Args: words[1:]}
-	need, ok := endpointActions[st.Action]
-	if !ok || len(st.Args) < need {
-		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Action, need)
+	minArgs, ok := endpointActions[st.Action]
+	if !ok || len(st.Args) < minArgs {
+		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Action, minArgs)
 	}
 	return st.fault(0)
 }
@@ -349,7 +349,7 @@
 	return f, err
 }
 
-func (s *Script) validate(file string) (wrong []error) {
+func (s *Script) validate(file string) (errs []error) {
 	partners, classes := map[string]int{}, map[string]bool{}
 	for _, p := range s.Partners {
 		partners[p.Config.Name] = p.Endpoints
@@ -358,7 +358,7 @@
 		classes[c.Name] = true
 	}
 	if len(s.Partners) == 0 || len(s.Loads) == 0 {
-		wrong = append(wrong, fmt.Errorf("%s: a day needs partners and load", file))
+		errs = append(errs, fmt.Errorf("%s: a day needs partners and load", file))
 	}
 	tenants := map[string]bool{}
 	for _, t := range s.Tenants {
@@ -366,23 +366,23 @@
 	}
 	for _, l := range s.Loads {
 		if partners[l.Partner] == 0 || !classes[l.Class] || !tenants[l.Tenant] {
-			wrong = append(wrong, fmt.Errorf("%s: load for %s %s %s: no such partner or class or tenant", file, l.Partner, l.Class, l.Tenant))
+			errs = append(errs, fmt.Errorf("%s: load for %s %s %s: no such partner or class or tenant", file, l.Partner, l.Class, l.Tenant))
 		}
 	}
 	for _, w := range s.Wakes {
 		if partners[w.Partner] == 0 || !classes[w.Class] || w.To <= w.From {
-			wrong = append(wrong, fmt.Errorf("%s: wake for %s %s: no such partner or class, or no time for it", file, w.Partner, w.Class))
+			errs = append(errs, fmt.Errorf("%s: wake for %s %s: no such partner or class, or no time for it", file, w.Partner, w.Class))
 		}
 	}
 	for _, st := range s.Steps {
 		if _, ok := otherActions[st.Target]; ok {
 			continue
 		}
-		name, no, _ := strings.Cut(st.Target, ".")
-		k, err := strconv.Atoi(no)
-		if partners[name] == 0 || no != "" && (err != nil || k < 1) { // replacing makes further endpoints
-			wrong = append(wrong, fmt.Errorf("%s:%d: no such partner or endpoint: %s", file, st.Line, st.Target))
+		name, number, _ := strings.Cut(st.Target, ".")
+		k, err := strconv.Atoi(number)
+		if partners[name] == 0 || number != "" && (err != nil || k < 1) { // replacing makes further endpoints
+			errs = append(errs, fmt.Errorf("%s:%d: no such partner or endpoint: %s", file, st.Line, st.Target))
 		}
 	}
-	return wrong
+	return errs
 }
--- a/internal/scenario/trail.go
+++ b/internal/scenario/trail.go
@@ -11,7 +11,7 @@
 
 // readAuditTrail reads and verifies the trail of a day.
 func readAuditTrail(folder string) (all []*audit.Record, problems []string, err error) {
-	store, rep, err := audit.OpenReader(folder)
+	store, report, err := audit.OpenReader(folder)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -19,12 +19,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	v, err := audit.Verify(store, keys)
+	verification, err := audit.Verify(store, keys)
 	if err != nil {
 		return nil, nil, err
 	}
 	all, err = audit.All(store)
-	return all, append(rep.Problems, v.Problems...), err
+	return all, append(report.Problems, verification.Problems...), err
 }
 
 // attemptID names an attempt, as the dispatcher and the stand-ins both do.
@@ -40,23 +40,23 @@
 		c.reportAuditTrail("the trail: %s", p)
 	}
 	started := map[attemptID]*audit.Record{}
-	out, answered := map[string]int{}, map[string]bool{}
+	inFlight, answered := map[string]int{}, map[string]bool{}
 	for _, r := range c.recording.AuditTrail {
 		switch r.Kind {
 		case audit.Started:
-			if out[r.Message] != 0 {
-				c.reportAuditTrail("message %s: attempt %d went out while %d was", r.Message, r.Attempt, out[r.Message])
+			if inFlight[r.Message] != 0 {
+				c.reportAuditTrail("message %s: attempt %d went out while %d was", r.Message, r.Attempt, inFlight[r.Message])
 			}
 			if answered[r.Message] {
 				c.reportAuditTrail("message %s: attempt %d went out after the final answer", r.Message, r.Attempt)
 			}
-			out[r.Message] = r.Attempt
+			inFlight[r.Message] = r.Attempt
 			started[attemptID{r.Message, r.Attempt}] = r
 		case audit.Ended:
-			if out[r.Message] != r.Attempt {
-				c.reportAuditTrail("message %s: attempt %d ended, %d was out", r.Message, r.Attempt, out[r.Message])
+			if inFlight[r.Message] != r.Attempt {
+				c.reportAuditTrail("message %s: attempt %d ended, %d was out", r.Message, r.Attempt, inFlight[r.Message])
 			}
-			out[r.Message] = 0
+			inFlight[r.Message] = 0
 		case audit.Answered, audit.Withdrawn:
 			if answered[r.Message] {
 				c.reportAuditTrail("message %s: a second final answer", r.Message)
@@ -71,10 +71,10 @@
 func (c *checker) checkAuditedAttempts(started map[attemptID]*audit.Record) {
 	// A kill loses the end of a trail and nothing before it: an attempt may be missing only if it came after all that
 	// the trail of its dispatcher has. How long the disk took does not matter.
-	seen, last := map[attemptID]bool{}, map[string]time.Duration{}
+	seen, lastRecord := map[attemptID]bool{}, map[string]time.Duration{}
 	for _, r := range c.recording.AuditTrail {
 		if r.Message != "" {
-			last[dispatcherPrefix(r.Message)] = r.Time().Sub(c.recording.StartTime)
+			lastRecord[dispatcherPrefix(r.Message)] = r.Time().Sub(c.recording.StartTime)
 		}
 	}
 	for _, a := range c.attempts {
@@ -83,7 +83,7 @@
 		k := attemptID{a.received.MessageID, n + 1}
 		seen[k] = true
 		switch r := started[k]; {
-		case r == nil && !(c.anyKilled() && a.received.At >= last[dispatcherPrefix(k.message)]-time.Millisecond):
+		case r == nil && !(c.anyKilled() && a.received.At >= lastRecord[dispatcherPrefix(k.message)]-time.Millisecond):
 			c.reportAuditTrail("message %s: attempt %d came to %v and is not in the trail", k.message, k.attempt, a.received.Endpoint)
 		case r != nil && r.Endpoint != a.received.Endpoint.String():
 			c.reportAuditTrail("message %s: attempt %d came to %v, the trail has %s", k.message, k.attempt, a.received.Endpoint, r.Endpoint)
--- a/internal/sitefile/sitefile.go
+++ b/internal/sitefile/sitefile.go
@@ -14,11 +14,11 @@
 
 // Text returns one text of a deploy file.
 func Text(path, key string) (string, error) {
-	all, err := read(path)
+	settings, err := read(path)
 	if err != nil {
 		return "", err
 	}
-	text, ok := all[key].(string)
+	text, ok := settings[key].(string)
 	if !ok {
 		return "", fmt.Errorf("%s: no text %s", path, key)
 	}
@@ -30,11 +30,11 @@
 	if err != nil {
 		return nil, err
 	}
-	var all map[string]any
-	if err := toml.Unmarshal(text, &all); err != nil {
+	var settings map[string]any
+	if err := toml.Unmarshal(text, &settings); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return all, nil
+	return settings, nil
 }
 
 // companionFiles are the files that are read from the folder of a site file.
@@ -47,11 +47,11 @@
 	if err != nil {
 		return "", err
 	}
-	over, err := read(overrides)
+	changes, err := read(overrides)
 	if err != nil {
 		return "", err
 	}
-	merged, err := merge(base, over, "")
+	merged, err := merge(base, changes, "")
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", overrides, err)
 	}
@@ -77,20 +77,20 @@
 
 // merge puts over into base: tables key by key, lists of tables by their places, all else as a whole. A key that neither the
 // site's table has nor, in a list, one of those beside it, is a mistake.
-func merge(base, over any, at string, beside ...any) (any, error) {
-	switch o := over.(type) {
+func merge(base, changes any, path string, siblings ...any) (any, error) {
+	switch o := changes.(type) {
 	case map[string]any:
 		b, ok := base.(map[string]any)
 		if !ok {
-			return nil, fmt.Errorf("%s: the site has no table there", at)
+			return nil, fmt.Errorf("%s: the site has no table there", path)
 		}
 		for k, v := range o {
 			old, ok := b[k]
-			if !ok && !slices.ContainsFunc(beside, func(o any) bool { return hasKey(o, k) }) {
-				return nil, fmt.Errorf("%s.%s: the site has no such key", at, k)
+			if !ok && !slices.ContainsFunc(siblings, func(o any) bool { return hasKey(o, k) }) {
+				return nil, fmt.Errorf("%s.%s: the site has no such key", path, k)
 			}
 			var err error
-			if b[k], err = merge(old, v, at+"."+k); err != nil {
+			if b[k], err = merge(old, v, path+"."+k); err != nil {
 				return nil, err
 			}
 		}
@@ -98,20 +98,20 @@
 	case []any:
 		b, ok := base.([]any)
 		if !ok || len(o) == 0 || !isTable(o[0]) {
-			return over, nil
+			return changes, nil
 		}
 		if len(o) > len(b) {
-			return nil, fmt.Errorf("%s: the site has %d of these", at, len(b))
+			return nil, fmt.Errorf("%s: the site has %d of these", path, len(b))
 		}
 		var errs []error
 		for i := range o {
 			var err error
-			b[i], err = merge(b[i], o[i], fmt.Sprintf("%s[%d]", at, i), b...)
+			b[i], err = merge(b[i], o[i], fmt.Sprintf("%s[%d]", path, i), b...)
 			errs = append(errs, err)
 		}
 		return b, errors.Join(errs...)
 	}
-	return over, nil
+	return changes, nil
 }
 
 func hasKey(table any, key string) bool {
--- a/internal/testgate/testgate.go
+++ b/internal/testgate/testgate.go
@@ -26,7 +26,7 @@
 // ParseKnownFailures reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
 // passed over.
 func ParseKnownFailures(r io.Reader) ([]KnownFailure, error) {
-	var all []KnownFailure
+	var known []KnownFailure
 	in := bufio.NewScanner(r)
 	for n := 1; in.Scan(); n++ {
 		text := strings.TrimSpace(in.Text())
@@ -40,19 +40,19 @@
 		if len(parts) != 3 || slices.Contains(parts, "") {
 			return nil, fmt.Errorf("line %d: want PACKAGE.TEST | cause | issue", n)
 		}
-		at := strings.LastIndex(parts[0], ".Test")
-		if at < 0 {
+		dot := strings.LastIndex(parts[0], ".Test")
+		if dot < 0 {
 			return nil, fmt.Errorf("line %d: %q names no test", n, parts[0])
 		}
-		k := KnownFailure{parts[0][:at], parts[0][at+1:], parts[1], parts[2]}
-		if slices.ContainsFunc(all, func(o KnownFailure) bool { return o.Package == k.Package && o.Test == k.Test }) {
+		k := KnownFailure{parts[0][:dot], parts[0][dot+1:], parts[1], parts[2]}
+		if slices.ContainsFunc(known, func(o KnownFailure) bool { return o.Package == k.Package && o.Test == k.Test }) {
 			return nil, fmt.Errorf("line %d: %s is there twice", n, parts[0])
 		}
-		if all = append(all, k); len(all) > MaxKnownFailures {
+		if known = append(known, k); len(known) > MaxKnownFailures {
 			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, MaxKnownFailures)
 		}
 	}
-	return all, in.Err()
+	return known, in.Err()
 }
 
 // testEvent is one line of go test -json.
@@ -108,17 +108,17 @@
 
 // evaluate tells whether all that failed is on record.
 func (r *testRun) evaluate(known []KnownFailure, out io.Writer) error {
-	var faults []error
+	var errs []error
 	counts := map[string]int{}
-	excused := map[string]bool{} // packages in which a test on record failed
-	other := map[string]bool{}   // packages in which another one did
+	withKnownFailure := map[string]bool{} // packages in which a test on record failed
+	unexpected := map[string]bool{}       // packages in which another one did
 	for _, t := range r.failed() {
 		if isKnown(known, t) {
-			excused[t.pkg] = true
+			withKnownFailure[t.pkg] = true
 			continue
 		}
-		other[t.pkg] = true
-		faults = append(faults, fmt.Errorf("%s.%s failed", t.pkg, t.name))
+		unexpected[t.pkg] = true
+		errs = append(errs, fmt.Errorf("%s.%s failed", t.pkg, t.name))
 		_, _ = fmt.Fprint(out, strings.Join(r.output[t], ""))
 	}
 	for t, end := range r.outcomes {
@@ -127,24 +127,24 @@
 		}
 	}
 	for pkg, end := range r.packages {
-		if end == "fail" && !excused[pkg] && !other[pkg] { // it did not build, or ended before its tests did
-			faults = append(faults, fmt.Errorf("%s failed", pkg))
+		if end == "fail" && !withKnownFailure[pkg] && !unexpected[pkg] { // it did not build, or ended before its tests did
+			errs = append(errs, fmt.Errorf("%s failed", pkg))
 			_, _ = fmt.Fprint(out, strings.Join(r.output[testID{pkg: pkg}], ""))
 		}
 	}
 	for _, k := range known {
 		end, ran := r.outcomes[testID{k.Package, k.Test}]
 		if !ran || end == "skip" {
-			faults = append(faults, fmt.Errorf("on record, but it did not run: %s.%s", k.Package, k.Test))
+			errs = append(errs, fmt.Errorf("on record, but it did not run: %s.%s", k.Package, k.Test))
 			end = "did not run"
 		}
 		_, _ = fmt.Fprintf(out, "known red: %s.%s: %s this time (%s; issue %s)\n", k.Package, k.Test, end, k.Cause, k.Issue)
 	}
 	if len(r.outcomes) == 0 {
-		faults = append(faults, errors.New("no test ran"))
+		errs = append(errs, errors.New("no test ran"))
 	}
 	_, _ = fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", counts["pass"], counts["fail"], counts["skip"])
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // failed are the tests that failed, in order.
@@ -160,6 +160,6 @@
 
 // isKnown tells whether a test, or the one that it is a part of, is on record.
 func isKnown(known []KnownFailure, t testID) bool {
-	whole, _, _ := strings.Cut(t.name, "/")
-	return slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Package == t.pkg && k.Test == whole })
+	topLevel, _, _ := strings.Cut(t.name, "/")
+	return slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Package == t.pkg && k.Test == topLevel })
 }
