--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -161,7 +161,7 @@
 }
 
 func sendOne(ctx context.Context, sender Sender, m Message, now func() time.Duration) Outcome {
-	o := Outcome{Message: m, Sent: now()}
+	outcome := Outcome{Message: m, Sent: now()}
 	if m.CancelAfter > 0 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, m.CancelAfter)
@@ -173,13 +173,13 @@
 		defer stop()
 	}
 	var err error
-	o.Status, o.RetryAfter, o.MessageID, err = sender.Send(ctx, &m)
-	o.Done = now()
+	outcome.Status, outcome.RetryAfter, outcome.MessageID, err = sender.Send(ctx, &m)
+	outcome.Done = now()
 	if err != nil {
-		o.Err = err.Error()
-		o.Canceled = m.CancelAfter > 0 && ctx.Err() != nil && o.Done-o.Sent >= m.CancelAfter
+		outcome.Err = err.Error()
+		outcome.Canceled = m.CancelAfter > 0 && ctx.Err() != nil && outcome.Done-outcome.Sent >= m.CancelAfter
 	}
-	return o
+	return outcome
 }
 
 // AnswerKind names the kind of final answer that a status is: served, refused, failed, or none.
@@ -210,25 +210,25 @@
 	var reports []*ClassReport
 	byClass := map[string]*ClassReport{}
 	for _, o := range outcomes {
-		r := byClass[o.Class]
-		if r == nil {
-			r = &ClassReport{Class: o.Class, Latency: hdrhistogram.New(1, 600e6, 3)}
-			byClass[o.Class] = r
-			reports = append(reports, r)
+		report := byClass[o.Class]
+		if report == nil {
+			report = &ClassReport{Class: o.Class, Latency: hdrhistogram.New(1, 600e6, 3)}
+			byClass[o.Class] = report
+			reports = append(reports, report)
 		}
-		r.Sent++
+		report.Sent++
 		switch AnswerKind(o.Status) {
 		case "served":
-			r.Served++
-			_ = r.Latency.RecordValue(max(1, (o.Done - o.At).Microseconds()))
+			report.Served++
+			_ = report.Latency.RecordValue(max(1, (o.Done - o.At).Microseconds()))
 		case "refused":
-			r.Refused++
+			report.Refused++
 		case "failed":
-			r.Failed++
+			report.Failed++
 		case "rejected":
-			r.Rejected++
+			report.Rejected++
 		default:
-			r.Unanswered++
+			report.Unanswered++
 		}
 	}
 	return reports
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -244,9 +244,9 @@
 
 // endUnobservable tells that the end of an attempt can't show: its endpoint read nothing any more, so neither the reset by which
 // the dispatcher gave it up.
-func (c *checker) endUnobservable(old *attempt, by time.Duration) bool {
+func (c *checker) endUnobservable(previous *attempt, by time.Duration) bool {
 	for _, e := range c.readingStopped {
-		if e.Endpoint == old.received.Endpoint && e.At <= by && (old.end == 0 || old.end > e.At) {
+		if e.Endpoint == previous.received.Endpoint && e.At <= by && (previous.end == 0 || previous.end > e.At) {
 			return true
 		}
 	}
@@ -254,16 +254,16 @@
 }
 
 // checkResend checks an attempt sent after one that may have run.
-func (c *checker) checkResend(doubt, a *attempt, test string, class control.Class) {
-	if a.received.MessageID != doubt.received.MessageID {
+func (c *checker) checkResend(uncertain, a *attempt, correlationID string, class control.Class) {
+	if a.received.MessageID != uncertain.received.MessageID {
 		return
 	}
 	switch class.Effect {
 	case control.SingleShot:
-		c.report(2, a.received.At, test, a.where(), "sent again after the attempt at %v, which may have run", doubt.received.Endpoint)
+		c.report(2, a.received.At, correlationID, a.where(), "sent again after the attempt at %v, which may have run", uncertain.received.Endpoint)
 	case control.Guarded:
-		if late := a.received.At - doubt.received.At - time.Duration(class.Window)*time.Microsecond; late > Tolerance {
-			c.report(2, a.received.At, test, a.where(), "sent again %v after partners forgot its key", late)
+		if late := a.received.At - uncertain.received.At - time.Duration(class.Window)*time.Microsecond; late > Tolerance {
+			c.report(2, a.received.At, correlationID, a.where(), "sent again %v after partners forgot its key", late)
 		}
 	}
 }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -186,7 +186,7 @@
 	return &r.recording, errors.Join(append(r.errs, ctx.Err())...)
 }
 
-func (r *runner) setUp(lines io.Writer) error {
+func (r *runner) setUp(logOutput io.Writer) error {
 	for i, spec := range r.script.Partners {
 		spec.Config.Seed = r.script.Seed*100 + uint64(i)
 		spec.Config.Capacity *= r.script.RateScale
@@ -213,7 +213,7 @@
 	if r.cfg, err = config.Parse("settings of the day", []byte(r.settings())); err != nil {
 		return err
 	}
-	r.logger, err = logs.New(lines, "info", 50)
+	r.logger, err = logs.New(logOutput, "info", 50)
 	return err
 }
 
@@ -342,15 +342,15 @@
 }
 
 // runTimeline does what the script says, at its times.
-func (r *runner) runTimeline(ctx context.Context, base time.Duration) {
+func (r *runner) runTimeline(ctx context.Context, start time.Duration) {
 	var acts []action
 	for i := range r.script.Steps {
-		acts = append(acts, r.actions(&r.script.Steps[i], base)...)
+		acts = append(acts, r.actions(&r.script.Steps[i], start)...)
 	}
 	sort.SliceStable(acts, func(i, j int) bool { return acts[i].at < acts[j].at })
 	for _, a := range acts {
 		select {
-		case <-time.After(base + a.at - r.log.Now()):
+		case <-time.After(start + a.at - r.log.Now()):
 		case <-ctx.Done():
 			return
 		}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -229,14 +229,14 @@
 	return err
 }
 
-func (s *Script) parsePartner(f []string) error {
-	if len(f) == 0 || strings.ContainsAny(f[0], "./") {
+func (s *Script) parsePartner(words []string) error {
+	if len(words) == 0 || strings.ContainsAny(words[0], "./") {
 		return errors.New("needs a name without dots")
 	}
-	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: f[0], ServiceTime: 10 * time.Millisecond, ColdShare: 0.2,
+	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: words[0], ServiceTime: 10 * time.Millisecond, ColdShare: 0.2,
 		WarmUp: 3 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second, SendRetryAfter: true}}
 	c := &p.Config
-	err := parsePairs(f[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.PerRouteWaits, "batch": &p.Batch, "pace": &c.ServiceTime, "servers": &c.Concurrency,
+	err := parsePairs(words[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.PerRouteWaits, "batch": &p.Batch, "pace": &c.ServiceTime, "servers": &c.Concurrency,
 		"rate": &c.Capacity, "limit": &c.RateLimit, "conns": &c.MaxConns, "streams": &c.MaxStreams, "reap": &c.IdleTimeout, "handshake": &c.SettingsDelay,
 		"cold": &c.ColdShare, "warm-up": &c.WarmUp, "tip": &c.OverloadFactor, "tip-for": &c.OverloadWindow})
 	if p.Endpoints < 1 || p.Endpoints > 64 {
@@ -246,15 +246,15 @@
 	return err
 }
 
-func (s *Script) parseLoad(f []string) error {
-	if len(f) < 3 {
+func (s *Script) parseLoad(words []string) error {
+	if len(words) < 3 {
 		return errors.New("load PARTNER CLASS RATE ...")
 	}
-	l := LoadSpec{Partner: f[0], Class: f[1], TTL: 60, Tenant: "day", CancelAfter: 200 * time.Millisecond}
-	if err := parseValue(f[2], &l.Rate); err != nil {
+	l := LoadSpec{Partner: words[0], Class: words[1], TTL: 60, Tenant: "day", CancelAfter: 200 * time.Millisecond}
+	if err := parseValue(words[2], &l.Rate); err != nil {
 		return err
 	}
-	err := parsePairs(f[3:], map[string]any{"keys": &l.Keys, "ttl": &l.TTL, "tenant": &l.Tenant, "withdraw": &l.CancelShare, "after": &l.CancelAfter, "size": &l.BodySize,
+	err := parsePairs(words[3:], map[string]any{"keys": &l.Keys, "ttl": &l.TTL, "tenant": &l.Tenant, "withdraw": &l.CancelShare, "after": &l.CancelAfter, "size": &l.BodySize,
 		"from": &l.From, "to": &l.To})
 	s.Loads = append(s.Loads, l)
 	return err
