--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -17,10 +17,10 @@
 	id       int
 
 	mu       sync.Mutex
-	http2    *h2.Conn
-	calls    map[uint32]*call
-	lastUsed time.Duration
-	dead     bool // reaped, or closed
+	http2    *h2.Conn         // protocol state, nil until SettingsDelay is over
+	calls    map[uint32]*call // open calls by stream
+	lastUsed time.Duration    // when data was last received
+	dead     bool             // the connection is closed, or is ignored because of IdleTimeout or Blackhole
 }
 
 // call is one request.
@@ -29,19 +29,21 @@
 	stream    uint32
 	fields    []h2.Field
 	body      []byte
-	baseEvent Event
-	applied   bool
+	baseEvent Event // the fields that all events of the call share
+	applied   bool  // the call took effect
 }
 
+// now returns the time since the start of the log.
 func (c *conn) now() time.Duration { return c.endpoint.partner.log.Now() }
 
+// fault returns the faults of the endpoint that are in force.
 func (c *conn) fault() Fault {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
 	return c.endpoint.fault
 }
 
-// update uses the protocol state and writes what comes of it.
+// update calls apply with the connection locked and writes the resulting frames. It does nothing on a dead connection.
 func (c *conn) update(apply func(now time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,6 +54,7 @@
 	c.write()
 }
 
+// write sends the frames that the protocol state has ready. conn.mu is held.
 func (c *conn) write() {
 	if out := c.http2.Output(); len(out) > 0 {
 		_ = c.netConn.SetWriteDeadline(clock.After(2 * time.Second))
@@ -59,7 +62,7 @@
 	}
 }
 
-// close ends the connection; abrupt resets it.
+// close closes the connection. With abrupt it sends a TCP reset.
 func (c *conn) close(abrupt bool) {
 	if tcp, ok := c.netConn.(*net.TCPConn); ok && abrupt {
 		_ = tcp.SetLinger(0)
@@ -67,6 +70,7 @@
 	_ = c.netConn.Close()
 }
 
+// serve reads and handles frames until the connection ends.
 func (c *conn) serve() {
 	defer c.endpoint.wg.Done()
 	defer func() {
@@ -84,7 +88,8 @@
 	if delay := c.endpoint.partner.cfg.SettingsDelay; delay > 0 {
 		time.Sleep(delay)
 	}
-	if c.fault().Blackhole { // takes the connection, and that is all
+	// A blackholed endpoint accepts the connection and does nothing else.
+	if c.fault().Blackhole {
 		c.discard()
 		return
 	}
@@ -110,7 +115,7 @@
 	}
 }
 
-// discard reads and drops until the connection ends.
+// discard marks the connection dead and drops all that is read until it ends.
 func (c *conn) discard() {
 	c.mu.Lock()
 	c.dead = true
@@ -123,12 +128,13 @@
 	}
 }
 
+// receive handles the bytes of one read. It reports whether the connection is still usable.
 func (c *conn) receive(data []byte) bool {
 	c.mu.Lock()
 	now := c.now()
 	if timeout := c.endpoint.partner.cfg.IdleTimeout; timeout > 0 && len(c.calls) == 0 && now-c.lastUsed > timeout && c.http2.Settled() {
 		c.mu.Unlock()
-		c.discard() // dropped unseen: whoever writes here hears nothing
+		c.discard() // The dispatcher gets no answer and no reset.
 		return false
 	}
 	events, err := c.http2.Receive(now, data)
@@ -147,7 +153,7 @@
 	return err == nil
 }
 
-// event takes one event, and returns a call that is here in full.
+// handleEvent handles one protocol event. It returns the call that the event completes, or nil.
 func (c *conn) handleEvent(event *h2.Event) *call {
 	k := c.calls[event.Stream]
 	switch event.Kind {
@@ -171,13 +177,14 @@
 	return nil
 }
 
+// logEvent logs an event of the call at the present time.
 func (k *call) logEvent(kind EventKind, status int, wait time.Duration) {
 	event := k.baseEvent
 	event.At, event.Kind, event.Status, event.RetryAfter = 0, kind, status, wait
 	k.conn.endpoint.logEvent(event)
 }
 
-// handle decides what becomes of a call.
+// handle logs a complete call, and rejects it, leaves it without an answer or queues it, as limits and faults say.
 func (k *call) handle() {
 	c, e := k.conn, k.conn.endpoint
 	now := c.now()
@@ -214,7 +221,7 @@
 	}
 }
 
-// enqueue has a call wait for one of the endpoint's servers.
+// enqueue processes a call at once, or queues it while Config.Concurrency calls are being processed.
 func (e *Endpoint) enqueue(k *call) {
 	e.mu.Lock()
 	if e.partner.cfg.Concurrency > 0 && e.active >= e.partner.cfg.Concurrency {
@@ -227,6 +234,7 @@
 	e.process(k)
 }
 
+// process finishes a call after its service time, and then starts the next call in the queue.
 func (e *Endpoint) process(k *call) {
 	time.AfterFunc(e.serviceTime(), func() {
 		k.finish()
@@ -244,7 +252,8 @@
 	})
 }
 
-// serviceTime is how long a call takes now: half to one and a half of the pace, longer when slow or in a pause.
+// serviceTime returns how long a call takes that starts now. The time is uniform between half and one and a half of
+// Config.ServiceTime. It is multiplied by SlowFactor, and extended by the rest of a pause.
 func (e *Endpoint) serviceTime() time.Duration {
 	e.mu.Lock()
 	f := e.fault
@@ -263,12 +272,12 @@
 	return d
 }
 
-// finish applies a call and answers it, or not.
+// finish applies a call and then answers it, unless a fault says otherwise.
 func (k *call) finish() {
 	p := k.conn.endpoint.partner
 	fault := k.conn.fault()
 	if fault.Crash || fault.Blackhole {
-		return // died with it
+		return // The endpoint crashed with the call unprocessed.
 	}
 	k.apply()
 	switch {
@@ -281,7 +290,8 @@
 		k.reset(h2.InternalError)
 	case p.chance(fault.MalformedRate):
 		k.logEvent(StreamReset, 0, 0)
-		k.conn.update(func(time.Duration) { // DATA of 2 bytes, padded by 200
+		// The DATA frame has 2 bytes and claims 200 bytes of padding.
+		k.conn.update(func(time.Duration) {
 			_, _ = k.conn.netConn.Write(h2.AppendFrame(nil, h2.FrameData, h2.FlagPadded, k.stream, []byte{200, 0}))
 		})
 	case fault.ResponseDelay > 0:
@@ -291,11 +301,12 @@
 	}
 }
 
-// apply has the call take effect, once for a key.
+// apply records the effect of a call. Calls of class "keyed" take effect once for each idempotency key.
 func (k *call) apply() {
 	p := k.conn.endpoint.partner
 	key := h2.Value(k.fields, "idempotency-key")
-	keyed := k.baseEvent.Class == "keyed" // other classes' repeats take effect again: that is what the checker looks for
+	// Repeated calls of other classes take effect again, so that the checker can find them.
+	keyed := k.baseEvent.Class == "keyed"
 	p.mu.Lock()
 	duplicate := keyed && p.appliedKeys[key]
 	if keyed && len(p.appliedKeys) < 1<<20 {
@@ -310,6 +321,7 @@
 	k.logEvent(Applied, 0, 0)
 }
 
+// respond sends a response with a status, and with a Retry-After if wait is not 0.
 func (k *call) respond(status int, wait time.Duration) {
 	fields := []h2.Field{{Name: ":status", Value: strconv.Itoa(status)}}
 	if wait > 0 {
@@ -322,14 +334,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.dead || c.calls[k.stream] != k {
-		return // the caller is gone
+		return // The stream or the connection has ended.
 	}
-	k.logEvent(Responded, status, wait) // before it is written: nobody sees it earlier than the log
+	// The event precedes the write, so the dispatcher never sees a response that is not logged yet.
+	k.logEvent(Responded, status, wait)
 	delete(c.calls, k.stream)
 	_ = c.http2.Respond(c.now(), k.stream, fields, nil)
 	c.write()
 }
 
+// reset resets the stream of a call with an HTTP/2 error code.
 func (k *call) reset(code h2.ErrCode) {
 	k.logEvent(StreamReset, int(code), 0)
 	k.conn.update(func(now time.Duration) {
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -1,5 +1,6 @@
-// Package partner is a stand-in for the partners that messages go to: push services with pace, capacity, limits, cold
-// starts and faults on command. It logs what it saw on its sockets. It is for demonstrations, rehearsals and tests.
+// Package partner provides stand-in partners: HTTP/2 servers with a configurable service time, concurrency, rate limit and
+// cold start, and with faults that are injected on command. Every stand-in logs what it saw on its sockets. The package
+// serves demonstrations, fault scenarios and tests.
 package partner
 
 import (
@@ -16,99 +17,157 @@
 	"whinrun/internal/h2"
 )
 
-// Config says what a partner is like when all is well.
+// Config describes a partner without faults.
 type Config struct {
-	Name           string
-	ServiceTime    time.Duration // mean time that a call takes
-	Concurrency    int           // calls worked on at once at an endpoint; more wait. 0 is no bound
-	Capacity       float64       // calls a second that it can do with all endpoints, for cold starts. 0: it does not tip
-	RateLimit      float64       // calls a second that it takes; more get 429. 0 is no limit
-	SendRetryAfter bool          // with a Retry-After
-	ColdShare      float64       // part of Rate after an outage ...
-	WarmUp         time.Duration // ... rising to all of it over this
-	OverloadFactor float64       // pushed with more than this multiple ...
-	OverloadWindow time.Duration // ... for this long, it falls over for good
-	MaxConns       int           // connections that an endpoint takes; 0 is no bound
-	MaxStreams     uint32        // streams on a connection; 0 is 100
-	IdleTimeout    time.Duration // a connection idle for longer is dead, unseen by its other side. 0: never
-	SettingsDelay  time.Duration // time before its SETTINGS are sent
-	Seed           uint64
+	// Name is the name under which events are logged.
+	Name string
+	// ServiceTime is the mean time that a call takes.
+	ServiceTime time.Duration
+	// Concurrency is how many calls an endpoint processes at once. Further calls are queued. 0 means no bound.
+	Concurrency int
+	// Capacity is how many calls a second all endpoints together can process when warm. It only matters for cold starts.
+	// 0 means that the partner is never overloaded.
+	Capacity float64
+	// RateLimit is how many calls a second the partner accepts. It answers further calls with 429. 0 means no limit.
+	RateLimit float64
+	// SendRetryAfter adds a Retry-After header to the 429 answers.
+	SendRetryAfter bool
+	// ColdShare is the share of Capacity that is available right after an outage.
+	ColdShare float64
+	// WarmUp is the time in which the available capacity rises linearly from ColdShare to all of Capacity.
+	WarmUp time.Duration
+	// OverloadFactor is the multiple of the available capacity above which a cold partner fails for good.
+	OverloadFactor float64
+	// OverloadWindow is the length of the sliding window in which calls are counted against OverloadFactor.
+	OverloadWindow time.Duration
+	// MaxConns is how many connections an endpoint accepts. 0 means no bound.
+	MaxConns int
+	// MaxStreams is the number of concurrent streams on a connection. 0 means 100.
+	MaxStreams uint32
+	// IdleTimeout is the idle time after which a connection silently stops answering. The dispatcher gets no sign of
+	// it. 0 means never.
+	IdleTimeout time.Duration
+	// SettingsDelay is the time between the accept of a connection and the partner's SETTINGS frame.
+	SettingsDelay time.Duration
+	// Seed seeds the random service times and fault decisions.
+	Seed uint64
 }
 
-// Fault is what an endpoint does wrong, until it is healed. The zero value is none.
+// Fault is a set of faults of an endpoint. They are in force until the next SetFault. The zero value is no fault.
 type Fault struct {
-	Crash            bool          // connections are reset, new ones refused
-	Blackhole        bool          // nothing is read or written any more
-	Hang             bool          // streams are taken, none is answered
-	Unavailable      bool          // all calls get 503 with a wait until the time of opening, where that is told
-	SlowFactor       float64       // calls take so many times longer
-	Pause            time.Duration // stands still for so long every Every
-	PauseInterval    time.Duration
-	LostResponseRate float64       // share of calls that are applied and never answered
-	Error            float64       // share of calls that get 500 at once, not applied
-	ResetRate        float64       // share of calls applied and reset in mid-answer
-	RefusalRate      float64       // share of streams reset with REFUSED_STREAM
-	ResponseDelay    time.Duration // answers are applied at once and sent so much later
-	MalformedRate    float64       // share of calls answered with a malformed frame, after being applied
-	NotFoundRate     float64       // share of calls that get 404
-	ErrorClass       string        // only messages of this class are hit by Error
-	AvailableAt      time.Duration // with Shut: when it opens, since the start of the log
+	// Crash resets all connections and refuses new ones.
+	Crash bool
+	// Blackhole ignores all that is read and writes nothing.
+	Blackhole bool
+	// Hang accepts streams and answers none.
+	Hang bool
+	// Unavailable answers all calls with 503 and a Retry-After. AvailableAt sets the time that it names.
+	Unavailable bool
+	// SlowFactor multiplies the service time. 0 leaves it as it is.
+	SlowFactor float64
+	// Pause is how long the endpoint stands still at the start of every PauseInterval.
+	Pause time.Duration
+	// PauseInterval is the time from the start of one pause to the start of the next. 0 means no pauses.
+	PauseInterval time.Duration
+	// LostResponseRate is the share of calls that are applied and never answered.
+	LostResponseRate float64
+	// Error is the share of calls that are answered with 500 at once and not applied.
+	Error float64
+	// ResetRate is the share of calls that are applied and whose stream is reset in the middle of the response.
+	ResetRate float64
+	// RefusalRate is the share of streams that are reset with REFUSED_STREAM.
+	RefusalRate float64
+	// ResponseDelay is the time between the effect of a call and its response.
+	ResponseDelay time.Duration
+	// MalformedRate is the share of calls that are applied and answered with a malformed frame.
+	MalformedRate float64
+	// NotFoundRate is the share of calls that are answered with 404.
+	NotFoundRate float64
+	// ErrorClass limits Error to messages of this class. The empty string means all classes.
+	ErrorClass string
+	// AvailableAt is when an Unavailable endpoint opens again, as time since the start of the log. The Retry-After of
+	// its 503 answers counts down to it.
+	AvailableAt time.Duration
 }
 
-// EventKind is what a stand-in saw or did.
+// EventKind says what a stand-in saw or did.
 type EventKind string
 
 // Kinds of event.
 const (
-	RequestReceived EventKind = "arrived"  // a whole call came
-	Applied         EventKind = "applied"  // it took effect
-	Deduplicated    EventKind = "repeat"   // its key had taken effect before: dropped, answered as done
-	Responded       EventKind = "answer"   // a status went out
-	NoResponse      EventKind = "mute"     // no answer will go out
-	StreamReset     EventKind = "cut"      // reset, in one way or another
-	PeerClosed      EventKind = "gone"     // the caller reset the stream, or the connection is gone
-	ConnRefused     EventKind = "refused"  // a connection turned away
-	Overloaded      EventKind = "tipped"   // fell over when cold
-	Recovered       EventKind = "returned" // up again, cold
-	OutageStarted   EventKind = "down"     // an outage began
-	ReadingStopped  EventKind = "blind"    // from now on it reads nothing: ends of attempts don't show
+	// RequestReceived means that a complete request was received.
+	RequestReceived EventKind = "arrived"
+	// Applied means that the call took effect.
+	Applied EventKind = "applied"
+	// Deduplicated means that the call's idempotency key had taken effect before. The call was dropped and answered as done.
+	Deduplicated EventKind = "repeat"
+	// Responded means that a response with a status was sent.
+	Responded EventKind = "answer"
+	// NoResponse means that the call will not be answered.
+	NoResponse EventKind = "mute"
+	// StreamReset means that the stand-in reset the stream or broke the connection with a malformed frame.
+	StreamReset EventKind = "cut"
+	// PeerClosed means that the dispatcher reset the stream, or the connection was closed.
+	PeerClosed EventKind = "gone"
+	// ConnRefused means that a connection was closed right after accept because of MaxConns.
+	ConnRefused EventKind = "refused"
+	// Overloaded means that a cold partner received too many calls and fails from then on.
+	Overloaded EventKind = "tipped"
+	// Recovered means that an outage ended and the partner is cold.
+	Recovered EventKind = "returned"
+	// OutageStarted means that an outage began.
+	OutageStarted EventKind = "down"
+	// ReadingStopped means that the endpoint reads nothing from then on, so the ends of its attempts are not logged.
+	ReadingStopped EventKind = "blind"
 )
 
-// Event is one line of the log.
+// Event is one entry of the log.
 type Event struct {
-	At            time.Duration
-	Kind          EventKind
-	Partner       string
-	Endpoint      netip.AddrPort
-	Conn          int
-	Stream        uint32
-	Path          string // of the request: partners of a wave share a stand-in and differ in it
-	MessageID     string // the dispatcher's name of the message
-	Attempt       string
-	CorrelationID string // the client's name of the message, first word of its body
-	Class         string // second word
-	OrderKey      string // third word: the order key, or -
-	Status        int
-	RetryAfter    time.Duration // told to wait, 0 for none
+	// At is the time since the start of the log.
+	At   time.Duration
+	Kind EventKind
+	// Partner is the name of the stand-in.
+	Partner  string
+	Endpoint netip.AddrPort
+	// Conn is the number of the connection. It is unique in a partner.
+	Conn   int
+	Stream uint32
+	// Path is the request path. The partners of a wave share a stand-in and differ in their paths.
+	Path string
+	// MessageID is the dispatcher's identifier of the message.
+	MessageID string
+	// Attempt is the dispatcher's identifier of the attempt.
+	Attempt string
+	// CorrelationID is the client's identifier of the message, the first word of the body.
+	CorrelationID string
+	// Class is the class of the message, the second word of the body.
+	Class string
+	// OrderKey is the order key, the third word of the body, or "-" without one.
+	OrderKey string
+	// Status is the HTTP status of a response, or the HTTP/2 error code of a reset.
+	Status int
+	// RetryAfter is the wait that the response named, 0 for none.
+	RetryAfter time.Duration
 }
 
-// Log gathers what all stand-ins of a run saw, in one order and on one clock.
+// Log collects the events of all stand-ins of a run in one order and on one clock.
 type Log struct {
 	mu        sync.Mutex
 	stopwatch clock.Stopwatch
 	events    []Event
-	maxEvents int
+	maxEvents int // further events are dropped
 }
 
-// NewLog starts a log that keeps so many events at most.
+// NewLog starts a log that keeps at most maxEvents events and drops all later ones.
 func NewLog(maxEvents int) *Log { return &Log{stopwatch: clock.Start(), maxEvents: maxEvents} }
 
-// StartTime is the start of the log.
+// StartTime returns the wall-clock time at which the log started.
 func (l *Log) StartTime() time.Time { return l.stopwatch.Began() }
 
-// Now is the time since the start of the log.
+// Now returns the time since the start of the log.
 func (l *Log) Now() time.Duration { return l.stopwatch.Elapsed() }
 
+// add appends an event. An event without a time gets the present one.
 func (l *Log) add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,14 +179,14 @@
 	}
 }
 
-// Events returns what was logged so far.
+// Events returns the events logged so far.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.events[:len(l.events):len(l.events)]
 }
 
-// Partner is one stand-in with its endpoints.
+// Partner is a stand-in with its endpoints.
 type Partner struct {
 	cfg Config
 	log *Log
@@ -136,40 +195,40 @@
 	rng            *rand.Rand
 	endpoints      []*Endpoint
 	appliedKeys    map[string]bool // idempotency keys that took effect
-	windowStart    time.Duration   // rate limit: window of a second
-	windowCalls    int
-	rateLimit      float64
+	windowStart    time.Duration   // start of the one-second window of the rate limit
+	windowCalls    int             // calls counted in that window
+	rateLimit      float64         // calls a second, 0 for no limit
 	sendRetryAfter bool
-	recoveredAt    time.Duration // when it came back, 0 never
-	overloaded     bool
-	recentCalls    []time.Duration // arrivals, for tipping
+	recoveredAt    time.Duration   // end of the last outage, 0 for none
+	overloaded     bool            // the partner has failed for good
+	recentCalls    []time.Duration // arrival times within OverloadWindow
 	lastConnID     int
 }
 
-// New makes a partner without endpoints.
+// New returns a partner without endpoints.
 func New(cfg Config, log *Log) *Partner {
 	return &Partner{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), appliedKeys: map[string]bool{}, rateLimit: cfg.RateLimit,
 		sendRetryAfter: cfg.SendRetryAfter}
 }
 
-// Name is the partner's name.
+// Name returns the partner's name.
 func (p *Partner) Name() string { return p.cfg.Name }
 
-// Endpoints returns its endpoints.
+// Endpoints returns the partner's endpoints in the order in which they were added.
 func (p *Partner) Endpoints() []*Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[:len(p.endpoints):len(p.endpoints)]
 }
 
-// SetLimit changes its limit in calls a second, 0 for none, and whether refusals tell a wait.
+// SetLimit changes the rate limit, in calls a second with 0 for none, and whether 429 answers carry a Retry-After.
 func (p *Partner) SetLimit(perSecond float64, sendRetryAfter bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rateLimit, p.sendRetryAfter = perSecond, sendRetryAfter
 }
 
-// Endpoint is one address of a partner.
+// Endpoint is one listening address of a partner.
 type Endpoint struct {
 	partner *Partner
 	addr    netip.AddrPort
@@ -178,13 +237,13 @@
 	listener net.Listener
 	conns    map[*conn]bool
 	fault    Fault
-	active   int
-	queue    []*call
+	active   int     // calls being processed
+	queue    []*call // calls waiting for a free place among Config.Concurrency
 	closed   bool
 	wg       sync.WaitGroup
 }
 
-// Listen adds an endpoint at an address; port 0 takes a free one.
+// Listen adds an endpoint that listens at an address. Port 0 takes a free port.
 func (p *Partner) Listen(addr string) (*Endpoint, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -199,10 +258,10 @@
 	return e, nil
 }
 
-// Addr is where the endpoint listens.
+// Addr returns the address at which the endpoint listens.
 func (e *Endpoint) Addr() netip.AddrPort { return e.addr }
 
-// Close ends the endpoint.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (e *Endpoint) Close() {
 	e.mu.Lock()
 	e.closed = true
@@ -217,13 +276,14 @@
 	e.wg.Wait()
 }
 
-// Close ends all endpoints.
+// Close closes all endpoints.
 func (p *Partner) Close() {
 	for _, e := range p.Endpoints() {
 		e.Close()
 	}
 }
 
+// connList returns the open connections. Endpoint.mu is held.
 func (e *Endpoint) connList() []*conn {
 	var all []*conn
 	for c := range e.conns {
@@ -232,12 +292,13 @@
 	return all
 }
 
-// isOutage tells whether a fault is an outage, from which a partner comes back cold.
+// isOutage reports whether the fault is an outage, after which the partner is cold.
 func (f Fault) isOutage() bool {
 	return f.Crash || f.Blackhole || f.Hang || f.Unavailable || f.Error >= 0.5
 }
 
-// SetFault puts a fault in force; the zero Fault heals. After an outage of all its endpoints the partner is cold.
+// SetFault replaces the endpoint's faults; the zero Fault removes them. When an outage of the endpoint ends, the whole partner
+// is cold again.
 func (e *Endpoint) SetFault(f Fault) error {
 	e.mu.Lock()
 	old := e.fault
@@ -256,7 +317,8 @@
 	}
 	e.mu.Unlock()
 	if f.Crash || old.Blackhole && !f.Blackhole {
-		for _, c := range conns { // who vanished and is back knows nothing of its connections
+		// An endpoint that returns from a blackhole has lost the state of its connections.
+		for _, c := range conns {
 			c.close(true)
 		}
 	}
@@ -279,7 +341,7 @@
 	return nil
 }
 
-// GoAway has all connections drain.
+// GoAway sends GOAWAY on all connections, so that they drain.
 func (e *Endpoint) GoAway() {
 	e.mu.Lock()
 	conns := e.connList()
@@ -289,7 +351,7 @@
 	}
 }
 
-// Streams changes how many streams connections take.
+// SetMaxStreams changes the number of concurrent streams on all open connections.
 func (e *Endpoint) SetMaxStreams(n uint32) {
 	e.mu.Lock()
 	conns := e.connList()
@@ -299,11 +361,13 @@
 	}
 }
 
+// logEvent logs an event of the endpoint.
 func (e *Endpoint) logEvent(event Event) {
 	event.Partner, event.Endpoint = e.partner.cfg.Name, e.addr
 	e.partner.log.add(event)
 }
 
+// accept serves new connections until the listener is closed.
 func (e *Endpoint) accept(listener net.Listener) {
 	defer e.wg.Done()
 	for {
@@ -332,7 +396,7 @@
 	}
 }
 
-// capacityShare is the part of its capacity that the partner has now; guarded by Partner.mu.
+// capacityShare returns the share of Config.Capacity that is available now. Partner.mu is held.
 func (p *Partner) capacityShare(now time.Duration) float64 {
 	if p.recoveredAt == 0 || p.cfg.WarmUp <= 0 || now-p.recoveredAt >= p.cfg.WarmUp {
 		return 1
@@ -340,8 +404,8 @@
 	return p.cfg.ColdShare + (1-p.cfg.ColdShare)*float64(now-p.recoveredAt)/float64(p.cfg.WarmUp)
 }
 
-// checkOverload counts a call against what a cold partner can do, and tells whether it has fallen over. A window holds the
-// calls of TipFor; it is allowed Tip times the capacity in it, and four standard deviations for chance.
+// checkOverload counts a call against the capacity of a cold partner. It reports whether the partner has failed, and whether
+// this call made it fail. The limit for the calls of one OverloadWindow is OverloadLimit.
 func (p *Partner) checkOverload(now time.Duration) (overloaded, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -359,17 +423,21 @@
 	return false, false
 }
 
+// overloadLimit returns the calls that the partner bears in one OverloadWindow now. Partner.mu is held.
 func (p *Partner) overloadLimit(now time.Duration) float64 {
 	return OverloadLimit(p.cfg.Capacity*p.capacityShare(now), p.cfg.OverloadFactor, p.cfg.OverloadWindow)
 }
 
-// OverloadLimit is how many calls in a window of that length a partner stands that can do rate calls a second.
+// OverloadLimit returns how many calls in a window a partner bears that can process capacity calls a second. The limit is
+// factor times the capacity, plus four standard deviations of a Poisson count and four calls, so that chance alone does not
+// exceed it.
 func OverloadLimit(capacity, factor float64, window time.Duration) float64 {
 	mean := factor * capacity * window.Seconds()
 	return mean + 4*math.Sqrt(mean) + 4
 }
 
-// overRateLimit counts a call against the limit and tells whether it is above it, and how long until there is room.
+// overRateLimit counts a call against the rate limit. It reports whether the call is above the limit, and the Retry-After to
+// send, 0 for none.
 func (p *Partner) overRateLimit(now time.Duration) (limited bool, retryAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -383,11 +451,12 @@
 		return false, 0
 	}
 	if p.sendRetryAfter {
-		retryAfter = time.Second // Retry-After knows whole seconds
+		retryAfter = time.Second // Retry-After has a resolution of one second.
 	}
 	return true, retryAfter
 }
 
+// chance reports true with the given probability.
 func (p *Partner) chance(share float64) bool {
 	if share <= 0 {
 		return false
@@ -397,7 +466,7 @@
 	return p.rng.Float64() < share
 }
 
-// parseBody splits a body into the client's name, class and key of the message.
+// parseBody returns the first three words of a body. A missing word is "-".
 func parseBody(body []byte) (correlationID, class, orderKey string) {
 	head := body[:min(len(body), 200)]
 	words := strings.Fields(string(head))
