--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -77,7 +77,7 @@
 
 // Run measures all three and writes the table.
 func Run(ctx context.Context, w io.Writer, o Options) error {
-	direct, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
+	direct, dispatcher, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer stopProxy()
-	targets := []*target{{name: "direct", addr: direct}, {name: "ReverseProxy", addr: proxy}, {name: "whinrun", addr: s.Addr().String()}}
+	targets := []*target{{name: "direct", addr: direct}, {name: "ReverseProxy", addr: proxy}, {name: "whinrun", addr: dispatcher.Addr().String()}}
 	if err := measureInTurns(ctx, w, o, targets); err != nil {
 		return err
 	}
@@ -95,18 +95,18 @@
 }
 
 // startStandIn starts a stand-in that talks to many at once, and a dispatcher in front of it; %s in the settings is its address.
-func startStandIn(cfg partner.Config, template string) (addr string, s *service.Service, stop func(), err error) {
+func startStandIn(cfg partner.Config, template string) (addr string, dispatcher *service.Service, stop func(), err error) {
 	cfg.Name, cfg.MaxStreams, cfg.Seed = "p", 1000, 1
-	p := partner.New(cfg, partner.NewLog(0))
-	e, err := p.Listen("127.0.0.1:0")
+	standIn := partner.New(cfg, partner.NewLog(0))
+	e, err := standIn.Listen("127.0.0.1:0")
 	if err != nil {
 		return "", nil, nil, err
 	}
-	if s, err = startDispatcher(fmt.Sprintf(template, e.Addr())); err != nil {
-		p.Close()
+	if dispatcher, err = startDispatcher(fmt.Sprintf(template, e.Addr())); err != nil {
+		standIn.Close()
 		return "", nil, nil, err
 	}
-	return e.Addr().String(), s, func() { s.Kill(); p.Close() }, nil
+	return e.Addr().String(), dispatcher, func() { dispatcher.Kill(); standIn.Close() }, nil
 }
 
 // measureInTurns measures all targets and writes the table.
@@ -160,18 +160,18 @@
 func measureMemory(ctx context.Context, w io.Writer, o Options) error {
 	const held = 20000
 	template := strings.Replace(settingsTemplate, "slots = 4096", "slots = 16", 1)
-	s, err := startDispatcher(fmt.Sprintf(template, "127.0.0.1:1"))
+	dispatcher, err := startDispatcher(fmt.Sprintf(template, "127.0.0.1:1"))
 	if err != nil {
 		return err
 	}
-	defer s.Kill()
+	defer dispatcher.Kill()
 	before := heapInUse()
-	conns, err := openHeldMessages(s.Addr().String(), held, o.Size)
+	conns, err := openHeldMessages(dispatcher.Addr().String(), held, o.Size)
 	defer closeAll(conns)
 	if err != nil {
 		return err
 	}
-	for s.Stats().Open < held*99/100 {
+	for dispatcher.Stats().Open < held*99/100 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -179,7 +179,7 @@
 		}
 	}
 	after := heapInUse()
-	n := s.Stats().Open
+	n := dispatcher.Stats().Open
 	fmt.Fprintf(w, "memory: %d messages held for a partner that is down: %d bytes each beside the body, its stream's share with it\n", n,
 		(after-before)/n-o.Size)
 	return nil
@@ -192,18 +192,18 @@
 
 // startProxy starts the reverse proxy, HTTP/2 in clear text on both sides.
 func startProxy(to string, conns int) (addr string, stop func(), err error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
-	var p http.Protocols
-	p.SetUnencryptedHTTP2(true)
-	h := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
-	h.Transport = &http.Transport{Protocols: &p, MaxConnsPerHost: conns}
-	h.ErrorLog = log.New(io.Discard, "", 0) // messages cut off at the end of a measurement are no news
-	srv := &http.Server{Handler: h, Protocols: &p, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 1000}}
-	go func() { _ = srv.Serve(ln) }()
-	return ln.Addr().String(), func() { _ = srv.Close() }, nil
+	var protocols http.Protocols
+	protocols.SetUnencryptedHTTP2(true)
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
+	proxy.Transport = &http.Transport{Protocols: &protocols, MaxConnsPerHost: conns}
+	proxy.ErrorLog = log.New(io.Discard, "", 0) // messages cut off at the end of a measurement are no news
+	server := &http.Server{Handler: proxy, Protocols: &protocols, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 1000}}
+	go func() { _ = server.Serve(listener) }()
+	return listener.Addr().String(), func() { _ = server.Close() }, nil
 }
 
 // newSender connects to the target, in its protocol.
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -21,16 +21,16 @@
 // Fronts measures publish to confirm beside the HTTP/2 front on the same stand-in, fairness between the two under
 // overload, and what an idle connection and channel take.
 func Fronts(ctx context.Context, w io.Writer, o Options) error {
-	_, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, amqpSettingsTemplate)
+	_, dispatcher, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, amqpSettingsTemplate)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	err = measureInTurns(ctx, w, o, []*target{{name: "HTTP/2", addr: s.Addr().String()}, {name: "AMQP", addr: s.AMQPAddr().String(), amqp: true}})
+	err = measureInTurns(ctx, w, o, []*target{{name: "HTTP/2", addr: dispatcher.Addr().String()}, {name: "AMQP", addr: dispatcher.AMQPAddr().String(), amqp: true}})
 	if err != nil {
 		return err
 	}
-	if err := measureIdleAMQP(w, s.AMQPAddr().String()); err != nil {
+	if err := measureIdleAMQP(w, dispatcher.AMQPAddr().String()); err != nil {
 		return err
 	}
 	return measureFairness(ctx, w, o)
@@ -41,12 +41,12 @@
 func measureFairness(ctx context.Context, w io.Writer, o Options) error {
 	const capacity, offered = 600.0, 900.0
 	template := strings.Replace(strings.Replace(amqpSettingsTemplate, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
-	_, s, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace, RateLimit: capacity}, template)
+	_, dispatcher, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace, RateLimit: capacity}, template)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	client, publisher := load.NewClient(s.Addr().String(), o.Conns), load.NewPublisher(s.AMQPAddr().String(), "t", "-", o.Conns)
+	client, publisher := load.NewClient(dispatcher.Addr().String(), o.Conns), load.NewPublisher(dispatcher.AMQPAddr().String(), "t", "-", o.Conns)
 	defer client.Close()
 	defer publisher.Close()
 	duration := 5 * o.For
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -34,41 +34,41 @@
 
 // sendWithoutReading opens streams on one connection and forgets them; the answers are left to lie.
 func sendWithoutReading(conn net.Conn, n int, body []byte) error {
-	h := h2.NewClient(h2.Config{}, 0)
+	client := h2.NewClient(h2.Config{}, 0)
 	buf := make([]byte, 1<<16)
 	fields := []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":path", Value: "/p/status"},
 		{Name: "ttl", Value: "20"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}
 	for sent := 0; sent < n; {
-		if _, err := conn.Write(h.Output()); err != nil {
+		if _, err := conn.Write(client.Output()); err != nil {
 			return err
 		}
-		if h.Room() == 0 || h.Blocked() {
+		if client.Room() == 0 || client.Blocked() {
 			k, err := conn.Read(buf)
 			if err != nil {
 				return err
 			}
-			if _, err := h.Receive(0, buf[:k]); err != nil {
+			if _, err := client.Receive(0, buf[:k]); err != nil {
 				return err
 			}
 			continue
 		}
-		if _, err := h.Request(0, fields, body); err != nil {
+		if _, err := client.Request(0, fields, body); err != nil {
 			return err
 		}
 		sent++
 	}
-	for h.Blocked() {
+	for client.Blocked() {
 		k, err := conn.Read(buf)
 		if err != nil {
 			return err
 		}
-		if _, err := h.Receive(0, buf[:k]); err != nil {
+		if _, err := client.Receive(0, buf[:k]); err != nil {
 			return err
 		}
-		if _, err := conn.Write(h.Output()); err != nil {
+		if _, err := conn.Write(client.Output()); err != nil {
 			return err
 		}
 	}
-	_, err := conn.Write(h.Output())
+	_, err := conn.Write(client.Output())
 	return err
 }
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -40,11 +40,11 @@
 // Idle measures the delivery times of the busy partners with and without idle ones beside them, in alternated pairs.
 func Idle(ctx context.Context, w io.Writer, o IdleOptions) error {
 	log := partner.NewLog(0)
-	p := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
-	defer p.Close()
+	standIn := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
+	defer standIn.Close()
 	var addrs []string
 	for range 4 {
-		e, err := p.Listen("127.0.0.1:0")
+		e, err := standIn.Listen("127.0.0.1:0")
 		if err != nil {
 			return err
 		}
@@ -87,28 +87,28 @@
 // measure is one run with so many partners, of which wake get one message each.
 func (o IdleOptions) measure(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
 	before := heapInUse()
-	s, err := startDispatcher(idleSettings(partners, addrs))
+	dispatcher, err := startDispatcher(idleSettings(partners, addrs))
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	defer s.Kill()
+	defer dispatcher.Kill()
 	bytesEach = (heapInUse() - before) / partners
-	c := load.NewClient(s.Addr().String(), 4)
-	defer c.Close()
-	n := int(o.Rate * o.For.Seconds())
+	client := load.NewClient(dispatcher.Addr().String(), 4)
+	defer client.Close()
+	total := int(o.Rate * o.For.Seconds())
 	var messages []load.Message
-	for i := range n {
+	for i := range total {
 		messages = append(messages, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), CorrelationID: "b", Class: "status",
 			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, BodySize: 128, Partner: "busy"})
-		if k := i * wake / n; k != (i+1)*wake/n {
-			for j := k; j < (i+1)*wake/n; j++ {
+		if k := i * wake / total; k != (i+1)*wake/total {
+			for j := k; j < (i+1)*wake/total; j++ {
 				messages = append(messages, load.Message{At: messages[len(messages)-1].At, CorrelationID: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, BodySize: 128})
 			}
 		}
 	}
 	h = hdrhistogram.New(1, 60e6, 3)
 	start := clock.Start()
-	for _, r := range load.Run(ctx, c, messages, func() time.Duration { return start.Elapsed() }, 20000) {
+	for _, r := range load.Run(ctx, client, messages, func() time.Duration { return start.Elapsed() }, 20000) {
 		switch {
 		case r.Partner != "busy":
 			if r.Status == 201 {
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -33,11 +33,11 @@
 
 // NewPublisher makes a Publisher for a tenant, with so many connections.
 func NewPublisher(addr, tenant, password string, conns int) *Publisher {
-	p := &Publisher{url: fmt.Sprintf("amqp://%s:%s@%s/", tenant, password, addr)}
+	publisher := &Publisher{url: fmt.Sprintf("amqp://%s:%s@%s/", tenant, password, addr)}
 	for range max(1, conns) {
-		p.conns = append(p.conns, &amqpConn{})
+		publisher.conns = append(publisher.conns, &amqpConn{})
 	}
-	return p
+	return publisher
 }
 
 // Close closes the connections.
@@ -52,20 +52,20 @@
 }
 
 // openChannel returns the line's channel, made anew where it is closed.
-func (l *amqpConn) openChannel(url string) (*amqp.Channel, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ch != nil && !l.ch.IsClosed() {
-		return l.ch, nil
+func (c *amqpConn) openChannel(url string) (*amqp.Channel, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ch != nil && !c.ch.IsClosed() {
+		return c.ch, nil
 	}
-	if l.conn == nil || l.conn.IsClosed() {
+	if c.conn == nil || c.conn.IsClosed() {
 		conn, err := amqp.DialConfig(url, amqp.Config{Heartbeat: 10 * time.Second, Vhost: "/", Dial: amqp.DefaultDial(2 * time.Second)})
 		if err != nil {
 			return nil, err
 		}
-		l.conn = conn
+		c.conn = conn
 	}
-	ch, err := l.conn.Channel()
+	ch, err := c.conn.Channel()
 	if err != nil {
 		return nil, err
 	}
@@ -73,35 +73,35 @@
 		return nil, err
 	}
 	// The library hands over a return before the nack that follows it; the buffer keeps it from waiting for us.
-	l.returns, l.retryAfter = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
-	l.ch = ch
+	c.returns, c.retryAfter = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
+	c.ch = ch
 	return ch, nil
 }
 
 // returned tells whether a message came back, and the wait that was told, in milliseconds.
-func (l *amqpConn) returned(id string) (wait int64, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *amqpConn) returned(id string) (wait int64, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for {
 		select {
-		case r, open := <-l.returns:
+		case r, open := <-c.returns:
 			if open {
 				ms, _ := r.Headers["x-retry-after"].(int64)
-				l.retryAfter[r.CorrelationId] = ms
+				c.retryAfter[r.CorrelationId] = ms
 				continue
 			}
-			l.returns = nil
+			c.returns = nil
 		default:
 		}
 		break
 	}
-	wait, ok = l.retryAfter[id]
-	delete(l.retryAfter, id)
+	wait, ok = c.retryAfter[id]
+	delete(c.retryAfter, id)
 	return wait, ok
 }
 
 // Send publishes one message to the default exchange and waits for its confirm.
-func (p *Publisher) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+func (p *Publisher) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	conn := p.conns[p.next.Add(1)%uint64(len(p.conns))]
 	publishing := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
 	if m.OrderKey != "" {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -47,18 +47,18 @@
 
 // Sender hands one message in and waits for its answer: a Client or a Publisher.
 type Sender interface {
-	Send(ctx context.Context, m *Message) (status, wait int, name string, err error)
+	Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error)
 }
 
 // MultiSender hands each message in by the front that it names.
 type MultiSender struct{ Push, AMQP Sender }
 
 // Send is Poster.
-func (f MultiSender) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+func (s MultiSender) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	if m.AMQP {
-		return f.AMQP.Send(ctx, m)
+		return s.AMQP.Send(ctx, m)
 	}
-	return f.Push.Send(ctx, m)
+	return s.Push.Send(ctx, m)
 }
 
 // Client is a set of connections to one dispatcher.
@@ -70,14 +70,14 @@
 
 // NewClient makes a client with so many connections; each reconnects by itself.
 func NewClient(addr string, conns int) *Client {
-	c := &Client{base: "http://" + addr}
+	client := &Client{base: "http://" + addr}
 	for range max(1, conns) {
-		var p http.Protocols
-		p.SetUnencryptedHTTP2(true)
-		c.clients = append(c.clients, &http.Client{Transport: &http.Transport{Protocols: &p, MaxConnsPerHost: 1,
+		var protocols http.Protocols
+		protocols.SetUnencryptedHTTP2(true)
+		client.clients = append(client.clients, &http.Client{Transport: &http.Transport{Protocols: &protocols, MaxConnsPerHost: 1,
 			HTTP2: &http.HTTP2Config{StrictMaxConcurrentRequests: true}}})
 	}
-	return c
+	return client
 }
 
 // Close closes the connections.
@@ -88,7 +88,7 @@
 }
 
 // Send hands one message in and waits for its answer.
-func (c *Client) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+func (c *Client) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+m.Path, bytes.NewReader(m.body()))
 	if err != nil {
 		return 0, 0, "", err
@@ -109,8 +109,8 @@
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
 	_ = res.Body.Close()
-	wait, _ = strconv.Atoi(res.Header.Get("Retry-After"))
-	return res.StatusCode, wait, res.Header.Get("Whinrun-Message"), nil
+	retryAfter, _ = strconv.Atoi(res.Header.Get("Retry-After"))
+	return res.StatusCode, retryAfter, res.Header.Get("Whinrun-Message"), nil
 }
 
 // body is what is sent: the words that the stand-ins go by, filled up to the size.
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -141,9 +141,9 @@
 }
 
 // Run plays a day and returns what was seen. lines takes the dispatcher's own log.
-func Run(ctx context.Context, s *Script, logOutput io.Writer) (*Recording, error) {
-	r := &runner{script: s, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
-	r.endpoints = &endpointList{now: r.log.Now, lag: s.DiscoveryLag}
+func Run(ctx context.Context, script *Script, logOutput io.Writer) (*Recording, error) {
+	r := &runner{script: script, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
+	r.endpoints = &endpointList{now: r.log.Now, lag: script.DiscoveryLag}
 	var err error
 	if r.auditFolder, err = os.MkdirTemp("", "whinrun-day"); err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 	outcomes := load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, messages, r.log.Now, 20000)
 	timeline.Wait()
 	r.stop(true)
-	r.recording.Script, r.recording.Outcomes, r.recording.Events = s, outcomes, r.log.Events()
+	r.recording.Script, r.recording.Outcomes, r.recording.Events = script, outcomes, r.log.Events()
 	r.recording.HealthChanges, r.recording.Runs, r.recording.Settings = r.endpoints.changes, r.runs, r.cfg.Module
 	r.recording.HasAuditTrail, r.recording.StartTime = true, r.log.StartTime()
 	if r.recording.AuditTrail, r.recording.AuditProblems, err = readAuditTrail(r.auditFolder); err != nil {
--- a/internal/scenario/trail.go
+++ b/internal/scenario/trail.go
@@ -10,7 +10,7 @@
 )
 
 // readAuditTrail reads and verifies the trail of a day.
-func readAuditTrail(folder string) (all []*audit.Record, problems []string, err error) {
+func readAuditTrail(folder string) (records []*audit.Record, problems []string, err error) {
 	store, report, err := audit.OpenReader(folder)
 	if err != nil {
 		return nil, nil, err
@@ -23,8 +23,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	all, err = audit.All(store)
-	return all, append(report.Problems, verification.Problems...), err
+	records, err = audit.All(store)
+	return records, append(report.Problems, verification.Problems...), err
 }
 
 // attemptID names an attempt, as the dispatcher and the stand-ins both do.
