--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -14,24 +14,24 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// Publisher hands messages in by AMQP 0-9-1, with the client library in common use. It gives answers as the statuses
-// that the HTTP/2 side has: ack is 201, a nack with the message returned is 503, a nack alone is 502.
+// Publisher sends messages over AMQP 0-9-1 with the rabbitmq/amqp091-go client. It reports answers as the HTTP statuses of the
+// push front: an ack is 201, a nack after a basic.return of the message is 503, and a nack alone is 502.
 type Publisher struct {
 	url   string
 	next  atomic.Uint64
 	conns []*amqpConn
 }
 
-// amqpConn is one connection with one channel; it reconnects when it is next used.
+// amqpConn is a connection with one channel. A closed connection is reopened at its next use.
 type amqpConn struct {
 	mu         sync.Mutex
 	conn       *amqp.Connection
 	ch         *amqp.Channel
 	returns    chan amqp.Return
-	retryAfter map[string]int64 // told with a returned message, by its correlation-id
+	retryAfter map[string]int64 // waits of returned messages in milliseconds, by correlation-id
 }
 
-// NewPublisher makes a Publisher for a tenant, with so many connections.
+// NewPublisher returns a Publisher for a tenant with at least one connection.
 func NewPublisher(addr, tenant, password string, conns int) *Publisher {
 	publisher := &Publisher{url: fmt.Sprintf("amqp://%s:%s@%s/", tenant, password, addr)}
 	for range max(1, conns) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// openChannel returns the line's channel, made anew where it is closed.
+// openChannel returns the open channel of the connection. It opens the connection and the channel if necessary.
 func (c *amqpConn) openChannel(url string) (*amqp.Channel, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,13 +72,13 @@
 	if err := ch.Confirm(false); err != nil {
 		return nil, err
 	}
-	// The library hands over a return before the nack that follows it; the buffer keeps it from waiting for us.
+	// The library delivers a return before the nack that follows it. The buffer keeps it from blocking on the channel.
 	c.returns, c.retryAfter = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
 	c.ch = ch
 	return ch, nil
 }
 
-// returned tells whether a message came back, and the wait that was told, in milliseconds.
+// returned reports whether a message was returned, and the wait that came with it in milliseconds.
 func (c *amqpConn) returned(id string) (wait int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +100,7 @@
 	return wait, ok
 }
 
-// Send publishes one message to the default exchange and waits for its confirm.
+// Send implements Sender. It publishes the message to the default exchange and waits for its confirm.
 func (p *Publisher) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	conn := p.conns[p.next.Add(1)%uint64(len(p.conns))]
 	publishing := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
@@ -109,9 +109,11 @@
 	}
 	var ch *amqp.Channel
 	var confirm *amqp.DeferredConfirmation
-	for { // a channel found closed has sent nothing
-		// A dispatcher killed within this process may leave a connection that it had just accepted open and mute: it
-		// is given up after its time, and made anew. Without that all messages of the line waited half a minute.
+	// A publish on a closed channel sends nothing, so it is safe to repeat it on a new channel.
+	for {
+		// A dispatcher that is killed within this process can leave a connection open that it had just accepted. Nobody
+		// answers there, and the handshake exceeds its deadline. The connection is then opened anew. Without that, all
+		// messages of the connection waited for half a minute.
 		if ch, err = conn.openChannel(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			continue
 		} else if err != nil {
@@ -135,7 +137,8 @@
 	if waitMs, ok := conn.returned(m.CorrelationID); ok {
 		return http.StatusServiceUnavailable, int((waitMs + 999) / 1000), "", nil
 	}
-	if ch.IsClosed() { // the library says no for all that a closed channel leaves open
+	// The library reports a nack for every publish that is unconfirmed when the channel closes.
+	if ch.IsClosed() {
 		return 0, 0, "", errors.New("channel closed before an answer")
 	}
 	return http.StatusBadGateway, 0, "", nil
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load hands messages to a dispatcher, as ordinary clients would: by net/http over HTTP/2, at moments laid
-// down before. Latency counts from the moment at which a message was due to be sent, so a stall of the dispatcher
-// shows on all that waited behind it (no coordinated omission).
+// Package load generates load: it sends messages to a dispatcher at times that are fixed beforehand, over HTTP/2 with net/http
+// or over AMQP. Latency is measured from the time at which a message was due to be sent. A stall of the dispatcher therefore
+// counts for all messages that waited behind it (no coordinated omission).
 package load
 
 import (
@@ -17,43 +17,63 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Message is one message to be handed in.
+// Message is a message to be sent.
 type Message struct {
-	At             time.Duration // when, since the start
-	CorrelationID  string        // its name, first word of the body
-	Class          string        // second word: what the stand-ins go by
-	OrderKey       string        // order key, sent as Topic
-	IdempotencyKey string        // sent as Idempotency-Key
-	Path           string
-	Token          string
-	TTL            int           // seconds
-	BodySize       int           // bytes of the body, at least what the words take
-	CancelAfter    time.Duration // the client gives up after this, 0 never
-	Timeout        time.Duration // the client gives up waiting after this, and that counts as no answer; 0 never
-	Partner        string
-	AMQP           bool // hand it in by AMQP, where there are both
+	// At is when the message is due, on the clock of the run.
+	At time.Duration
+	// CorrelationID is the client's identifier of the message. It is the first word of the body.
+	CorrelationID string
+	// Class is the second word of the body. The stand-in partners read it there.
+	Class string
+	// OrderKey is the order key, sent as Topic over HTTP/2 and as x-order-key over AMQP. The empty string means none.
+	OrderKey string
+	// IdempotencyKey is sent as Idempotency-Key over HTTP/2 and as message-id over AMQP. The empty string means none.
+	IdempotencyKey string
+	// Path is the push resource, and the routing key over AMQP.
+	Path string
+	// Token is the bearer token over HTTP/2. The empty string means none.
+	Token string
+	// TTL is the time to live in seconds.
+	TTL int
+	// BodySize is the size of the body in bytes. A body is never shorter than its first line.
+	BodySize int
+	// CancelAfter is the time after which the client cancels the message. 0 means never.
+	CancelAfter time.Duration
+	// Timeout is how long the client waits. A message that times out counts as unanswered. 0 means no timeout.
+	Timeout time.Duration
+	// Partner is the partner that the message goes to, for the evaluation of the run. It is not sent.
+	Partner string
+	// AMQP makes a MultiSender send the message over AMQP.
+	AMQP bool
 }
 
 // Outcome is what a client saw of a message.
 type Outcome struct {
 	Message
+	// Sent and Done are the times of the request and of its end, on the clock of the run.
 	Sent, Done time.Duration
-	Status     int    // 0: no answer
-	RetryAfter int    // Retry-After
-	MessageID  string // the dispatcher's name of it
-	Err        string
-	Canceled   bool
+	// Status is the HTTP status of the answer, 0 for none.
+	Status int
+	// RetryAfter is the Retry-After of the answer in seconds, 0 for none.
+	RetryAfter int
+	// MessageID is the dispatcher's identifier of the message. It is empty over AMQP.
+	MessageID string
+	// Err is the text of the error where there is no answer.
+	Err string
+	// Canceled reports that the client canceled the message after CancelAfter.
+	Canceled bool
 }
 
-// Sender hands one message in and waits for its answer: a Client or a Publisher.
+// Sender sends a message and waits for its answer. A Client and a Publisher are Senders. The result retryAfter is in seconds,
+// messageID is the dispatcher's identifier of the message.
 type Sender interface {
 	Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error)
 }
 
-// MultiSender hands each message in by the front that it names.
+// MultiSender sends each message over the front that Message.AMQP selects.
 type MultiSender struct{ Push, AMQP Sender }
 
-// Send is Poster.
+// Send implements Sender.
 func (s MultiSender) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	if m.AMQP {
 		return s.AMQP.Send(ctx, m)
@@ -61,14 +81,14 @@
 	return s.Push.Send(ctx, m)
 }
 
-// Client is a set of connections to one dispatcher.
+// Client sends messages over a set of HTTP/2 connections to one dispatcher.
 type Client struct {
 	base    string
 	clients []*http.Client
 	next    atomic.Uint64
 }
 
-// NewClient makes a client with so many connections; each reconnects by itself.
+// NewClient returns a client with at least one connection. Each connection reconnects by itself.
 func NewClient(addr string, conns int) *Client {
 	client := &Client{base: "http://" + addr}
 	for range max(1, conns) {
@@ -80,14 +100,14 @@
 	return client
 }
 
-// Close closes the connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	for _, h := range c.clients {
 		h.CloseIdleConnections()
 	}
 }
 
-// Send hands one message in and waits for its answer.
+// Send implements Sender.
 func (c *Client) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+m.Path, bytes.NewReader(m.body()))
 	if err != nil {
@@ -113,7 +133,7 @@
 	return res.StatusCode, retryAfter, res.Header.Get("Whinrun-Message"), nil
 }
 
-// body is what is sent: the words that the stand-ins go by, filled up to the size.
+// body returns the body to send: a line of words that the stand-in partners read, padded to BodySize.
 func (m *Message) body() []byte {
 	body := make([]byte, 0, max(m.BodySize, 64))
 	body = fmt.Appendf(body, "%s %s %s\n", m.CorrelationID, m.Class, orDash(m.OrderKey))
@@ -123,6 +143,7 @@
 	return body
 }
 
+// orDash replaces the empty string by "-".
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -130,9 +151,9 @@
 	return s
 }
 
-// Run hands in all messages at their times, each on a goroutine of its own while it is out, and returns what became
-// of them, in their order. now is the clock of the run; most bounds how many are out at once: the rest wait, and
-// their latency counts.
+// Run sends all messages at their times, each in a goroutine of its own, and returns their outcomes in the same order. The
+// messages are sorted by time. now is the clock of the run. At most maxInFlight messages are in flight. Further messages wait,
+// and the wait counts for their latency. Once ctx ends, no further message is sent and the outcomes end there.
 func Run(ctx context.Context, sender Sender, messages []Message, now func() time.Duration, maxInFlight int) []Outcome {
 	outcomes := make([]Outcome, len(messages))
 	slots := make(chan struct{}, max(1, maxInFlight))
@@ -160,6 +181,7 @@
 	return outcomes
 }
 
+// sendOne sends a message and returns its outcome.
 func sendOne(ctx context.Context, sender Sender, m Message, now func() time.Duration) Outcome {
 	outcome := Outcome{Message: m, Sent: now()}
 	if m.CancelAfter > 0 {
@@ -182,7 +204,7 @@
 	return outcome
 }
 
-// AnswerKind names the kind of final answer that a status is: served, refused, failed, or none.
+// AnswerKind classifies the status of a final answer as "served", "refused", "failed" or "rejected", or "none" for status 0.
 func AnswerKind(status int) string {
 	switch {
 	case status >= 200 && status < 300:
@@ -197,15 +219,19 @@
 	return "rejected"
 }
 
-// ClassReport is what became of the messages of one class.
+// ClassReport counts the outcomes of the messages of one class.
 type ClassReport struct {
-	Class                                         string
-	Sent                                          int
+	// Class is the name of the class.
+	Class string
+	// Sent is the number of messages.
+	Sent int
+	// Served, Refused, Failed, Rejected and Unanswered count the messages by AnswerKind.
 	Served, Refused, Failed, Rejected, Unanswered int
-	Latency                                       *hdrhistogram.Histogram // of those served, in microseconds, from when they were due
+	// Latency holds the latencies of the served messages in microseconds, from the times at which they were due.
+	Latency *hdrhistogram.Histogram
 }
 
-// Summarize sums outcomes up by class, in order of first sight.
+// Summarize counts outcomes by class. The reports are in the order in which the classes first occur.
 func Summarize(outcomes []Outcome) []*ClassReport {
 	var reports []*ClassReport
 	byClass := map[string]*ClassReport{}
@@ -234,7 +260,7 @@
 	return reports
 }
 
-// Write prints reports as a table.
+// Write prints reports as a table, and the rate of served messages over the elapsed time.
 func Write(w io.Writer, reports []*ClassReport, elapsed time.Duration) {
 	fmt.Fprintf(w, "%-10s %8s %8s %8s %8s %8s %8s %10s %10s %10s\n", "class", "sent", "served", "refused", "failed", "rejected", "none",
 		"p50 ms", "p99 ms", "p99.9 ms")
