--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -1,5 +1,6 @@
-// Package compare measures a dispatcher beside what a user would pick otherwise, httputil.ReverseProxy over HTTP/2,
-// and beside the stand-in called directly: in one run, on the same stand-ins, in turns.
+// Package compare benchmarks a dispatcher against the usual alternative, httputil.ReverseProxy over HTTP/2, and against direct
+// calls of the stand-in partner. All targets are measured in one run on the same stand-ins, in alternating order, so that a change of
+// the machine's load affects all of them.
 package compare
 
 import (
@@ -28,17 +29,26 @@
 	"whinrun/internal/service"
 )
 
-// Options of a comparison.
+// Options are the parameters of a comparison.
 type Options struct {
-	Conns       int
+	// Conns is the number of client connections.
+	Conns int
+	// Concurrency is the number of messages in flight while throughput is measured.
 	Concurrency int
-	For         time.Duration // of each measurement
-	Rounds      int
-	Pace        time.Duration // mean time of a call at the stand-in
-	Size        int
-	Rate        float64 // at which latency is measured; 0 is half of what the slowest bears
+	// For is the length of each measurement.
+	For time.Duration
+	// Rounds is how often each target is measured.
+	Rounds int
+	// Pace is the mean service time of a call at the stand-in.
+	Pace time.Duration
+	// Size is the body size in bytes.
+	Size int
+	// Rate is the rate in messages a second at which latency is measured. 0 means half of the median throughput of the
+	// slowest target.
+	Rate float64
 }
 
+// settingsTemplate holds the dispatcher's settings; %s is the address of the stand-in.
 const settingsTemplate = `[dispatcher]
 listen = 127.0.0.1:0
 log = error
@@ -66,16 +76,16 @@
 tenant = t
 `
 
-// target is one way to the stand-in.
+// target is a server under test that leads to the stand-in.
 type target struct {
 	name       string
 	addr       string
-	amqp       bool // by publish and confirm
-	throughput []float64
-	latency    *hdrhistogram.Histogram
+	amqp       bool                    // send over AMQP with publisher confirms
+	throughput []float64               // messages a second, one value a round
+	latency    *hdrhistogram.Histogram // microseconds
 }
 
-// Run measures all three and writes the table.
+// Run measures the stand-in, the reverse proxy and the dispatcher, then the dispatcher's memory, and writes the results.
 func Run(ctx context.Context, w io.Writer, o Options) error {
 	direct, dispatcher, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
 	if err != nil {
@@ -94,7 +104,8 @@
 	return measureMemory(ctx, w, o)
 }
 
-// startStandIn starts a stand-in that talks to many at once, and a dispatcher in front of it; %s in the settings is its address.
+// startStandIn starts a stand-in partner with 1000 streams a connection, and a dispatcher in front of it. The %s in the settings
+// template is replaced by the address of the stand-in. addr is that address, and stop ends both.
 func startStandIn(cfg partner.Config, template string) (addr string, dispatcher *service.Service, stop func(), err error) {
 	cfg.Name, cfg.MaxStreams, cfg.Seed = "p", 1000, 1
 	standIn := partner.New(cfg, partner.NewLog(0))
@@ -109,7 +120,8 @@
 	return e.Addr().String(), dispatcher, func() { dispatcher.Kill(); standIn.Close() }, nil
 }
 
-// measureInTurns measures all targets and writes the table.
+// measureInTurns measures throughput and then latency of all targets and writes the table. Each round starts with another
+// target.
 func measureInTurns(ctx context.Context, w io.Writer, o Options, targets []*target) error {
 	for _, t := range targets {
 		t.latency = hdrhistogram.New(1, 60e6, 3)
@@ -143,7 +155,7 @@
 	return nil
 }
 
-// startDispatcher starts a dispatcher with the settings given.
+// startDispatcher starts a dispatcher with the given settings and discards its log.
 func startDispatcher(settings string) (*service.Service, error) {
 	cfg, err := config.Parse("settings of the measurement", []byte(settings))
 	if err != nil {
@@ -156,7 +168,8 @@
 	return service.Start(cfg, logger, nil)
 }
 
-// measureMemory measures what a held message takes beside its body: many are held for a partner that answers nothing.
+// measureMemory measures the memory that a held message takes beside its body. It sends 20000 messages for a partner that cannot
+// be reached, so that the dispatcher holds them.
 func measureMemory(ctx context.Context, w io.Writer, o Options) error {
 	const held = 20000
 	template := strings.Replace(settingsTemplate, "slots = 4096", "slots = 16", 1)
@@ -185,12 +198,13 @@
 	return nil
 }
 
+// median returns the middle value, the upper one of an even number.
 func median(values []float64) float64 {
 	ascending := slices.Sorted(slices.Values(values))
 	return ascending[len(ascending)/2]
 }
 
-// startProxy starts the reverse proxy, HTTP/2 in clear text on both sides.
+// startProxy starts the reverse proxy with unencrypted HTTP/2 on both sides.
 func startProxy(to string, conns int) (addr string, stop func(), err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -200,13 +214,13 @@
 	protocols.SetUnencryptedHTTP2(true)
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
 	proxy.Transport = &http.Transport{Protocols: &protocols, MaxConnsPerHost: conns}
-	proxy.ErrorLog = log.New(io.Discard, "", 0) // messages cut off at the end of a measurement are no news
+	proxy.ErrorLog = log.New(io.Discard, "", 0) // Requests that the end of a measurement cancels would fill the log.
 	server := &http.Server{Handler: proxy, Protocols: &protocols, HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 1000}}
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), func() { _ = server.Close() }, nil
 }
 
-// newSender connects to the target, in its protocol.
+// newSender returns a sender for the protocol of the target, and a function that closes it.
 func (t *target) newSender(conns int) (load.Sender, func()) {
 	if t.amqp {
 		p := load.NewPublisher(t.addr, "t", "-", conns)
@@ -216,7 +230,8 @@
 	return c, c.Close
 }
 
-// measureThroughput measures throughput at a fixed number of messages out.
+// measureThroughput measures throughput with a fixed number of messages in flight. It fails if more than one message is not served
+// for a thousand that are.
 func (t *target) measureThroughput(ctx context.Context, o Options) error {
 	sender, closeSender := t.newSender(o.Conns)
 	defer closeSender()
@@ -249,7 +264,7 @@
 	return nil
 }
 
-// measureLatency measures latency at a fixed rate, from when each message was due.
+// measureLatency measures latency at a fixed rate, from the time at which each message was due.
 func (t *target) measureLatency(ctx context.Context, o Options, rate float64) {
 	sender, closeSender := t.newSender(o.Conns)
 	defer closeSender()
@@ -260,7 +275,8 @@
 	}
 	start := clock.Start()
 	for i, r := range load.Run(ctx, sender, messages, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
-		if r.Status == 201 && i > n/10 { // the first tenth warms connections up
+		// The first tenth of the messages warms up the connections and is not counted.
+		if r.Status == 201 && i > n/10 {
 			_ = t.latency.RecordValue(max(1, (r.Done - r.At).Microseconds()))
 		}
 	}
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -8,8 +8,8 @@
 	"whinrun/internal/h2"
 )
 
-// openHeldMessages hands in many messages over few connections with as little memory of its own as can be: net/http's client
-// would take more than what is to be measured. Its connections are to be closed also after an error.
+// openHeldMessages sends n messages, rounded up to 1000 on each connection, and uses little memory of its own. The client of net/http would take more
+// memory than the messages that are measured. The caller closes the connections, also after an error.
 func openHeldMessages(addr string, n, size int) (conns []net.Conn, err error) {
 	const perConn = 1000
 	body := make([]byte, size)
@@ -26,13 +26,15 @@
 	return conns, nil
 }
 
+// closeAll closes connections and ignores errors.
 func closeAll(conns []net.Conn) {
 	for _, c := range conns {
 		_ = c.Close()
 	}
 }
 
-// sendWithoutReading opens streams on one connection and forgets them; the answers are left to lie.
+// sendWithoutReading sends n requests on one connection. It reads only what flow control and the stream limit need, and leaves the
+// answers unread.
 func sendWithoutReading(conn net.Conn, n int, body []byte) error {
 	client := h2.NewClient(h2.Config{}, 0)
 	buf := make([]byte, 1<<16)
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -15,17 +15,24 @@
 	"whinrun/internal/partner"
 )
 
-// IdleOptions describe a measurement beside many idle destinations.
+// IdleOptions are the parameters of a measurement beside many idle partners.
 type IdleOptions struct {
-	Partners int           // in all
-	Busy     int           // of them, with all of the steady load
-	Rate     float64       // messages a second to the busy ones
-	Wake     int           // idle ones that get a message each, spread over a run
-	For      time.Duration // of each run
-	Pairs    int
+	// Partners is the number of all partners.
+	Partners int
+	// Busy is how many of the partners get the steady load.
+	Busy int
+	// Rate is the rate of the steady load in messages a second.
+	Rate float64
+	// Wake is how many idle partners get one message each. The messages are spread over a run.
+	Wake int
+	// For is the length of each run.
+	For time.Duration
+	// Pairs is the number of pairs of runs, one without and one with the idle partners.
+	Pairs int
 }
 
-// idleSettings are settings for n partners on the addresses given; connections to all of them are bounded.
+// idleSettings returns settings for n partners that share the given addresses. The total number of outbound connections is
+// bounded.
 func idleSettings(n int, addrs []string) string {
 	var b strings.Builder
 	b.WriteString("[dispatcher]\nlisten = 127.0.0.1:0\nlog = error\n[limits]\nslots = 512\nhold = 50000\n[outbound]\nconnections = 2\n" +
@@ -37,7 +44,7 @@
 	return b.String()
 }
 
-// Idle measures the delivery times of the busy partners with and without idle ones beside them, in alternated pairs.
+// Idle measures the latency of the busy partners with and without idle partners beside them, in alternating runs.
 func Idle(ctx context.Context, w io.Writer, o IdleOptions) error {
 	log := partner.NewLog(0)
 	standIn := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
@@ -76,6 +83,7 @@
 	return nil
 }
 
+// heapInUse returns the bytes of allocated heap objects after two garbage collections.
 func heapInUse() int {
 	runtime.GC()
 	runtime.GC()
@@ -84,7 +92,9 @@
 	return int(m.HeapAlloc)
 }
 
-// measure is one run with so many partners, of which wake get one message each.
+// measure does one run with the given number of partners, of which wake idle ones get one message each. It returns the latencies of
+// the busy partners in microseconds without the first tenth of the run, the heap bytes for each partner, and the number of served
+// messages to idle partners.
 func (o IdleOptions) measure(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
 	before := heapInUse()
 	dispatcher, err := startDispatcher(idleSettings(partners, addrs))
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -11,8 +11,8 @@
 	"whinrun/internal/partner"
 )
 
-// AuditTrail measures delivery with the audit trail on and off, in turns on the same stand-in, and what a message takes on
-// disk.
+// AuditTrail measures delivery with and without the audit trail, in turns on the same stand-in, and the bytes on disk for each
+// message.
 func AuditTrail(ctx context.Context, w io.Writer, o Options) error {
 	folder, err := os.MkdirTemp("", "whinrun-trail")
 	if err != nil {
@@ -33,14 +33,14 @@
 	if err := measureInTurns(ctx, w, o, targets); err != nil {
 		return err
 	}
-	time.Sleep(time.Second) // closed files are compressed
+	time.Sleep(time.Second) // Closed files are compressed in the background.
 	open, compressed := trailSizes(folder)
 	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", withTrail.Stats().Taken,
 		float64(open+compressed)/float64(max(1, withTrail.Stats().Taken)), open>>20, compressed>>20)
 	return nil
 }
 
-// trailSizes are the bytes of a trail's files, plain and compressed, the latter with their indexes.
+// trailSizes returns the bytes of the open files of a trail, and those of the compressed files with their indexes.
 func trailSizes(folder string) (open, compressed int64) {
 	names, _ := filepath.Glob(filepath.Join(folder, "log-*"))
 	for _, name := range names {
--- a/internal/sitefile/sitefile.go
+++ b/internal/sitefile/sitefile.go
@@ -1,5 +1,5 @@
-// Package sitefile reads the files by which the project is deployed: the lines of deploy/balancer.toml, and variants of a
-// given site file, laid out for runs with other classes, limits and costs than the site has.
+// Package sitefile reads deployment files such as deploy/balancer.toml, and writes variants of a given site file for runs with other
+// classes, limits and costs.
 package sitefile
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Text returns one text of a deploy file.
+// Text returns the string value of a top-level key of a TOML file. A key that is missing or has no string is an error.
 func Text(path, key string) (string, error) {
 	settings, err := read(path)
 	if err != nil {
@@ -20,11 +20,12 @@
 	}
 	text, ok := settings[key].(string)
 	if !ok {
-		return "", fmt.Errorf("%s: no text %s", path, key)
+		return "", fmt.Errorf("%s: key %q has no string value", path, key)
 	}
 	return text, nil
 }
 
+// read parses a TOML file.
 func read(path string) (map[string]any, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -40,8 +41,8 @@
 // companionFiles are the files that are read from the folder of a site file.
 var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// WriteVariant lays a site out in a folder: the site's file with the overrides of another file, and what belongs beside it. It
-// returns the path of the new site file, which has the name of the overrides' file.
+// WriteVariant writes a variant of a site to a folder: the site file merged with a file of overrides, and copies of the companion
+// files. It returns the path of the new site file, which has the base name of the overrides file.
 func WriteVariant(site, overrides, folder string) (string, error) {
 	base, err := read(site)
 	if err != nil {
@@ -75,8 +76,9 @@
 	return path, os.WriteFile(path, text, 0o644)
 }
 
-// merge puts over into base: tables key by key, lists of tables by their places, all else as a whole. A key that neither the
-// site's table has nor, in a list, one of those beside it, is a mistake.
+// merge merges changes into base and returns the result. Tables are merged key by key and lists of tables by index. Any other value
+// replaces the old one. path is the position in the file for error messages. siblings are the tables of the list that base belongs
+// to. A key that neither base nor one of its siblings has is an error.
 func merge(base, changes any, path string, siblings ...any) (any, error) {
 	switch o := changes.(type) {
 	case map[string]any:
@@ -114,12 +116,14 @@
 	return changes, nil
 }
 
+// hasKey reports whether a value is a table with the key.
 func hasKey(table any, key string) bool {
 	t, _ := table.(map[string]any)
 	_, ok := t[key]
 	return ok
 }
 
+// isTable reports whether a value is a table.
 func isTable(v any) bool {
 	_, ok := v.(map[string]any)
 	return ok
--- a/internal/sitefile/sitefile_test.go
+++ b/internal/sitefile/sitefile_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// write writes a file and the companion files to a new folder and returns the path of the file.
 func write(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -21,8 +22,10 @@
 	return path
 }
 
+// site is a small site file.
 const site = "name = \"x\"\n[load]\nquiet = [0.4, 0.5]\n[[class]]\nname = \"a\"\neffect = \"safe\"\nwindow = 5\n[[class]]\nname = \"b\"\neffect = \"unsafe\"\n"
 
+// TestVariant checks that overrides are merged by key and index, and that companion files are copied.
 func TestVariant(t *testing.T) {
 	base := write(t, "site.toml", site)
 	over := write(t, "other.toml", "[load]\nquiet = 0.3\n[[class]]\n[[class]]\neffect = \"keyed\"\nwindow = 7\n")
@@ -47,6 +50,7 @@
 	}
 }
 
+// TestVariantRefuses checks that overrides that do not fit the site are rejected with their position.
 func TestVariantRefuses(t *testing.T) {
 	base := write(t, "site.toml", site)
 	for text, says := range map[string]string{"[lod]\nquiet = 1\n": ".lod", "[load]\nquite = 1\n": ".load.quite", "[[class]]\n[[class]]\n[[class]]\n": ".class: the site has 2", "[[class]]\nwindw = 1\n": ".class[0].windw",
@@ -57,6 +61,7 @@
 	}
 }
 
+// TestLine checks that only string values are returned.
 func TestLine(t *testing.T) {
 	path := write(t, "deploy.toml", "build = \"go build\"\npackages = []\n")
 	if text, err := Text(path, "build"); text != "go build" || err != nil {
--- a/internal/testgate/testgate.go
+++ b/internal/testgate/testgate.go
@@ -1,5 +1,6 @@
-// Package testgate judges a run of the tests: it fails for any failing test but those on record as known to fail, which it
-// names in each run with what they did. The record is a file of three lines at most: test, cause, issue.
+// Package testgate decides whether a test run passes. Every failing test fails the run, except the tests recorded as known
+// failures. Each run reports the results of the known failures. The record is a file of at most three entries, each with a test,
+// a cause and an issue.
 package testgate
 
 import (
@@ -12,19 +13,19 @@
 	"strings"
 )
 
-// MaxKnownFailures is how many tests may be on record.
+// MaxKnownFailures is the largest number of recorded tests.
 const MaxKnownFailures = 3
 
-// KnownFailure is a test on record as failing for a fault that is not mended yet.
+// KnownFailure is a test recorded as failing because of a fault that is not fixed yet.
 type KnownFailure struct {
-	Package string // import path as go test prints it
+	Package string // import path, as go test prints it
 	Test    string
 	Cause   string
 	Issue   string
 }
 
-// ParseKnownFailures reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
-// passed over.
+// ParseKnownFailures reads a record. Each line has the form "PACKAGE.TEST | cause | issue". Empty lines and lines that begin with #
+// are skipped. Errors name the line.
 func ParseKnownFailures(r io.Reader) ([]KnownFailure, error) {
 	var known []KnownFailure
 	in := bufio.NewScanner(r)
@@ -38,7 +39,7 @@
 			parts[i] = strings.TrimSpace(parts[i])
 		}
 		if len(parts) != 3 || slices.Contains(parts, "") {
-			return nil, fmt.Errorf("line %d: want PACKAGE.TEST | cause | issue", n)
+			return nil, fmt.Errorf("line %d: expected PACKAGE.TEST | cause | issue", n)
 		}
 		dot := strings.LastIndex(parts[0], ".Test")
 		if dot < 0 {
@@ -46,24 +47,25 @@
 		}
 		k := KnownFailure{parts[0][:dot], parts[0][dot+1:], parts[1], parts[2]}
 		if slices.ContainsFunc(known, func(o KnownFailure) bool { return o.Package == k.Package && o.Test == k.Test }) {
-			return nil, fmt.Errorf("line %d: %s is there twice", n, parts[0])
+			return nil, fmt.Errorf("line %d: %s is recorded twice", n, parts[0])
 		}
 		if known = append(known, k); len(known) > MaxKnownFailures {
-			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, MaxKnownFailures)
+			return nil, fmt.Errorf("line %d: more than %d tests are recorded", n, MaxKnownFailures)
 		}
 	}
 	return known, in.Err()
 }
 
-// testEvent is one line of go test -json.
+// testEvent is one line of the output of go test -json.
 type testEvent struct {
 	Action, Package, Test, Output string
 }
 
+// testID identifies a test; the name is empty for the package itself.
 type testID struct{ pkg, name string }
 
-// Evaluate reads the output of go test -json, prints what failed and what became of the tests on record, and returns an
-// error where the run does not pass.
+// Evaluate reads the output of go test -json. It prints the failures and the results of the known failures, and returns an error if
+// the run does not pass.
 func Evaluate(in io.Reader, known []KnownFailure, out io.Writer) error {
 	r := testRun{outcomes: map[testID]string{}, output: map[testID][]string{}, packages: map[string]string{}}
 	dec := json.NewDecoder(in)
@@ -79,13 +81,14 @@
 	return r.evaluate(known, out)
 }
 
-// testRun is what the tests of a run did.
+// testRun collects the results of a run.
 type testRun struct {
 	outcomes map[testID]string // pass, fail or skip
 	output   map[testID][]string
 	packages map[string]string
 }
 
+// handle records an event. The result of a package is printed at once.
 func (r *testRun) handle(e testEvent, out io.Writer) {
 	t := testID{e.Package, e.Test}
 	switch e.Action {
@@ -106,12 +109,12 @@
 	}
 }
 
-// evaluate tells whether all that failed is on record.
+// evaluate prints the results and returns an error for each reason why the run does not pass.
 func (r *testRun) evaluate(known []KnownFailure, out io.Writer) error {
 	var errs []error
 	counts := map[string]int{}
-	withKnownFailure := map[string]bool{} // packages in which a test on record failed
-	unexpected := map[string]bool{}       // packages in which another one did
+	withKnownFailure := map[string]bool{} // packages in which a known failure failed
+	unexpected := map[string]bool{}       // packages in which another test failed
 	for _, t := range r.failed() {
 		if isKnown(known, t) {
 			withKnownFailure[t.pkg] = true
@@ -127,7 +130,8 @@
 		}
 	}
 	for pkg, end := range r.packages {
-		if end == "fail" && !withKnownFailure[pkg] && !unexpected[pkg] { // it did not build, or ended before its tests did
+		// A package that fails without a failing test did not build or ended before its tests did.
+		if end == "fail" && !withKnownFailure[pkg] && !unexpected[pkg] {
 			errs = append(errs, fmt.Errorf("%s failed", pkg))
 			_, _ = fmt.Fprint(out, strings.Join(r.output[testID{pkg: pkg}], ""))
 		}
@@ -135,7 +139,7 @@
 	for _, k := range known {
 		end, ran := r.outcomes[testID{k.Package, k.Test}]
 		if !ran || end == "skip" {
-			errs = append(errs, fmt.Errorf("on record, but it did not run: %s.%s", k.Package, k.Test))
+			errs = append(errs, fmt.Errorf("known failure did not run: %s.%s", k.Package, k.Test))
 			end = "did not run"
 		}
 		_, _ = fmt.Fprintf(out, "known red: %s.%s: %s this time (%s; issue %s)\n", k.Package, k.Test, end, k.Cause, k.Issue)
@@ -147,7 +151,7 @@
 	return errors.Join(errs...)
 }
 
-// failed are the tests that failed, in order.
+// failed returns the failed tests, sorted by package and name.
 func (r *testRun) failed() (all []testID) {
 	for t, end := range r.outcomes {
 		if end == "fail" {
@@ -158,7 +162,7 @@
 	return all
 }
 
-// isKnown tells whether a test, or the one that it is a part of, is on record.
+// isKnown reports whether a test or the top-level test that it belongs to is a known failure.
 func isKnown(known []KnownFailure, t testID) bool {
 	topLevel, _, _ := strings.Cut(t.name, "/")
 	return slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Package == t.pkg && k.Test == topLevel })
--- a/internal/testgate/testgate_test.go
+++ b/internal/testgate/testgate_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// lines makes the output of go test -json of "action package [test]".
+// lines returns the output of go test -json for events of the form "action package [test]".
 func lines(all ...string) string {
 	var b strings.Builder
 	for _, l := range all {
@@ -19,6 +19,7 @@
 	return b.String()
 }
 
+// TestJudge checks that only known failures are excused, that they are reported, and that they have to run.
 func TestJudge(t *testing.T) {
 	const rec = "m/a.TestRed | a cause | 33\n"
 	for name, c := range map[string]struct {
@@ -53,6 +54,7 @@
 	}
 }
 
+// TestParseKnown checks which records are accepted.
 func TestParseKnown(t *testing.T) {
 	three := "a.TestA | x | 1\na.TestB | x | 1\n# a note\n\na.TestC | x | 1\n"
 	for text, want := range map[string]int{"": 0, three: 3} {
