--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -385,9 +385,9 @@
 // checkToldWaits is rule 6: while a told wait lasts nothing goes to the partner, or to the one route. What was under way when
 // the wait was told is excused.
 func (c *checker) checkToldWaits() {
-	perRoute := map[string]bool{}
+	independent := map[string]bool{}
 	for _, p := range c.recording.Script.Partners {
-		perRoute[p.Config.Name] = p.PerRouteWaits
+		independent[p.Config.Name] = p.IndependentEndpoints
 	}
 	byDestination := map[string][]*attempt{}
 	for _, a := range c.attempts {
@@ -400,7 +400,7 @@
 		}
 		for _, a := range byDestination[e.Partner+e.Path] {
 			at := a.received.At
-			if at < e.At+Tolerance || at > e.At+e.RetryAfter-Tolerance/30 || perRoute[e.Partner] && a.received.Endpoint != e.Endpoint || !c.sameDispatcher(e.At, at) {
+			if at < e.At+Tolerance || at > e.At+e.RetryAfter-Tolerance/30 || independent[e.Partner] && a.received.Endpoint != e.Endpoint || !c.sameDispatcher(e.At, at) {
 				continue
 			}
 			c.report(6, at, a.received.CorrelationID, a.where(), "sent %v after a wait of %v was told", at-e.At, e.RetryAfter)
--- a/internal/scenario/check_test.go
+++ b/internal/scenario/check_test.go
@@ -124,7 +124,7 @@
 			r.addAttempt(2*second, "b", "safe", "-", ep2, 3, event(2*second, partner.Responded, 201))
 		}},
 		{"wait of another route", "", func(r *Recording) {
-			r.Script.Partners[0].PerRouteWaits = true
+			r.Script.Partners[0].IndependentEndpoints = true
 			r.addAttempt(1*second, "a", "safe", "-", ep1, 1, partner.Event{At: second, Kind: partner.Responded, Status: 429, RetryAfter: 2 * second})
 			r.addAttempt(2*second, "b", "safe", "-", ep2, 3, event(2*second, partner.Responded, 201))
 		}},
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -250,7 +250,7 @@
 	}
 	for _, p := range r.script.Partners {
 		routesApart, rate := "no", ""
-		if p.PerRouteWaits {
+		if p.IndependentEndpoints {
 			routesApart = "yes"
 		}
 		if p.Config.Capacity > 0 {
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -50,10 +50,10 @@
 
 // PartnerSpec is a stand-in.
 type PartnerSpec struct {
-	Endpoints     int
-	PerRouteWaits bool
-	Batch         int
-	Config        partner.Config
+	Endpoints            int
+	IndependentEndpoints bool
+	Batch                int
+	Config               partner.Config
 }
 
 // LoadSpec is a stream of messages.
@@ -236,7 +236,7 @@
 	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: words[0], ServiceTime: 10 * time.Millisecond, ColdShare: 0.2,
 		WarmUp: 3 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second, SendRetryAfter: true}}
 	c := &p.Config
-	err := parsePairs(words[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.PerRouteWaits, "batch": &p.Batch, "pace": &c.ServiceTime, "servers": &c.Concurrency,
+	err := parsePairs(words[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.IndependentEndpoints, "batch": &p.Batch, "pace": &c.ServiceTime, "servers": &c.Concurrency,
 		"rate": &c.Capacity, "limit": &c.RateLimit, "conns": &c.MaxConns, "streams": &c.MaxStreams, "reap": &c.IdleTimeout, "handshake": &c.SettingsDelay,
 		"cold": &c.ColdShare, "warm-up": &c.WarmUp, "tip": &c.OverloadFactor, "tip-for": &c.OverloadWindow})
 	if p.Endpoints < 1 || p.Endpoints > 64 {
