--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -1,6 +1,6 @@
-// Package compare benchmarks a dispatcher against the usual alternative, httputil.ReverseProxy over HTTP/2, and against direct
-// calls of the stand-in partner. All targets are measured in one run on the same stand-ins, in alternating order, so that a change of
-// the machine's load affects all of them.
+// Package compare benchmarks a dispatcher against the usual alternative, httputil.ReverseProxy over HTTP/2, and against
+// direct calls of the stand-in partner. All targets are measured in one run on the same stand-ins, in alternating
+// order, so that a change of the machine's load affects all of them.
 package compare
 
 import (
@@ -104,8 +104,8 @@
 	return measureMemory(ctx, w, o)
 }
 
-// startStandIn starts a stand-in partner with 1000 streams a connection, and a dispatcher in front of it. The %s in the settings
-// template is replaced by the address of the stand-in. addr is that address, and stop ends both.
+// startStandIn starts a stand-in partner with 1000 streams a connection, and a dispatcher in front of it. The %s in the
+// settings template is replaced by the address of the stand-in. addr is that address, and stop ends both.
 func startStandIn(cfg partner.Config, template string) (addr string, dispatcher *service.Service, stop func(), err error) {
 	cfg.Name, cfg.MaxStreams, cfg.Seed = "p", 1000, 1
 	standIn := partner.New(cfg, partner.NewLog(0))
@@ -168,8 +168,8 @@
 	return service.Start(cfg, logger, nil)
 }
 
-// measureMemory measures the memory that a held message takes beside its body. It sends 20000 messages for a partner that cannot
-// be reached, so that the dispatcher holds them.
+// measureMemory measures the memory that a held message takes beside its body. It sends 20000 messages for a partner
+// that cannot be reached, so that the dispatcher holds them.
 func measureMemory(ctx context.Context, w io.Writer, o Options) error {
 	const held = 20000
 	template := strings.Replace(settingsTemplate, "slots = 4096", "slots = 16", 1)
@@ -230,8 +230,8 @@
 	return c, c.Close
 }
 
-// measureThroughput measures throughput with a fixed number of messages in flight. It fails if more than one message is not served
-// for a thousand that are.
+// measureThroughput measures throughput with a fixed number of messages in flight. It fails if more than one message is
+// not served for a thousand that are.
 func (t *target) measureThroughput(ctx context.Context, o Options) error {
 	sender, closeSender := t.newSender(o.Conns)
 	defer closeSender()
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -19,8 +19,8 @@
 // amqpSettingsTemplate is settingsTemplate with the AMQP front.
 const amqpSettingsTemplate = settingsTemplate + "[amqp]\nlisten = 127.0.0.1:0\n"
 
-// Fronts compares the AMQP front, from publish to confirm, with the HTTP/2 front on the same stand-in. It also measures the memory
-// of idle AMQP connections and channels, and the fairness between the fronts under overload.
+// Fronts compares the AMQP front, from publish to confirm, with the HTTP/2 front on the same stand-in. It also measures
+// the memory of idle AMQP connections and channels, and the fairness between the fronts under overload.
 func Fronts(ctx context.Context, w io.Writer, o Options) error {
 	_, dispatcher, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, amqpSettingsTemplate)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return measureFairness(ctx, w, o)
 }
 
-// measureFairness offers one and a half times the rate that the partner accepts, half of it over each front. It counts the messages
-// that each front got served within their aim of 1 s.
+// measureFairness offers one and a half times the rate that the partner accepts, half of it over each front. It counts
+// the messages that each front got served within their aim of 1 s.
 func measureFairness(ctx context.Context, w io.Writer, o Options) error {
 	const capacity, offered = 600.0, 900.0
 	template := strings.Replace(strings.Replace(amqpSettingsTemplate, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// measureIdleAMQP measures the memory of idle connections and channels. The sockets of the clients are in the same process and
-// are included.
+// measureIdleAMQP measures the memory of idle connections and channels. The sockets of the clients are in the same
+// process and are included.
 func measureIdleAMQP(w io.Writer, addr string) error {
 	const conns, channels = 900, 100
 	before := heapInUse()
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// dialRaw opens connections with channels by sending a prepared handshake. A client library would take more memory than the
-// connections that are measured. The caller closes the connections, also after an error.
+// dialRaw opens connections with channels by sending a prepared handshake. A client library would take more memory than
+// the connections that are measured. The caller closes the connections, also after an error.
 func dialRaw(addr string, n, channels int) (opened []net.Conn, err error) {
 	handshake := []byte(amqp.ProtocolHeader)
 	handshake = amqp.AppendMethod(handshake, 0, &amqp.ConnectionStartOK{Mechanism: "PLAIN", Response: "\x00t\x00-"})
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -8,8 +8,9 @@
 	"whinrun/internal/h2"
 )
 
-// openHeldMessages sends n messages, rounded up to 1000 on each connection, and uses little memory of its own. The client of net/http would take more
-// memory than the messages that are measured. The caller closes the connections, also after an error.
+// openHeldMessages sends n messages, rounded up to 1000 on each connection, and uses little memory of its own. The
+// client of net/http would take more memory than the messages that are measured. The caller closes the connections,
+// also after an error.
 func openHeldMessages(addr string, n, size int) (conns []net.Conn, err error) {
 	const perConn = 1000
 	body := make([]byte, size)
@@ -33,8 +34,8 @@
 	}
 }
 
-// sendWithoutReading sends n requests on one connection. It reads only what flow control and the stream limit need, and leaves the
-// answers unread.
+// sendWithoutReading sends n requests on one connection. It reads only what flow control and the stream limit need, and
+// leaves the answers unread.
 func sendWithoutReading(conn net.Conn, n int, body []byte) error {
 	client := h2.NewClient(h2.Config{}, 0)
 	buf := make([]byte, 1<<16)
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -31,8 +31,8 @@
 	Pairs int
 }
 
-// idleSettings returns settings for n partners that share the given addresses. The total number of outbound connections is
-// bounded.
+// idleSettings returns settings for n partners that share the given addresses. The total number of outbound connections
+// is bounded.
 func idleSettings(n int, addrs []string) string {
 	var b strings.Builder
 	b.WriteString("[dispatcher]\nlisten = 127.0.0.1:0\nlog = error\n[limits]\nslots = 512\nhold = 50000\n[outbound]\nconnections = 2\n" +
@@ -92,9 +92,9 @@
 	return int(m.HeapAlloc)
 }
 
-// measure does one run with the given number of partners, of which wake idle ones get one message each. It returns the latencies of
-// the busy partners in microseconds without the first tenth of the run, the heap bytes for each partner, and the number of served
-// messages to idle partners.
+// measure does one run with the given number of partners, of which wake idle ones get one message each. It returns the
+// latencies of the busy partners in microseconds without the first tenth of the run, the heap bytes for each partner,
+// and the number of served messages to idle partners.
 func (o IdleOptions) measure(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
 	before := heapInUse()
 	dispatcher, err := startDispatcher(idleSettings(partners, addrs))
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -11,8 +11,8 @@
 	"whinrun/internal/partner"
 )
 
-// AuditTrail measures delivery with and without the audit trail, in turns on the same stand-in, and the bytes on disk for each
-// message.
+// AuditTrail measures delivery with and without the audit trail, in turns on the same stand-in, and the bytes on disk
+// for each message.
 func AuditTrail(ctx context.Context, w io.Writer, o Options) error {
 	folder, err := os.MkdirTemp("", "whinrun-trail")
 	if err != nil {
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -14,8 +14,8 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// Publisher sends messages over AMQP 0-9-1 with the rabbitmq/amqp091-go client. It reports answers as the HTTP statuses of the
-// push front: an ack is 201, a nack after a basic.return of the message is 503, and a nack alone is 502.
+// Publisher sends messages over AMQP 0-9-1 with the rabbitmq/amqp091-go client. It reports answers as the HTTP statuses
+// of the push front: an ack is 201, a nack after a basic.return of the message is 503, and a nack alone is 502.
 type Publisher struct {
 	url   string
 	next  atomic.Uint64
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load generates load: it sends messages to a dispatcher at times that are fixed beforehand, over HTTP/2 with net/http
-// or over AMQP. Latency is measured from the time at which a message was due to be sent. A stall of the dispatcher therefore
-// counts for all messages that waited behind it (no coordinated omission).
+// Package load generates load: it sends messages to a dispatcher at times that are fixed beforehand, over HTTP/2 with
+// net/http or over AMQP. Latency is measured from the time at which a message was due to be sent. A stall of the
+// dispatcher therefore counts for all messages that waited behind it (no coordinated omission).
 package load
 
 import (
@@ -64,8 +64,8 @@
 	Canceled bool
 }
 
-// Sender sends a message and waits for its answer. A Client and a Publisher are Senders. The result retryAfter is in seconds,
-// messageID is the dispatcher's identifier of the message.
+// Sender sends a message and waits for its answer. A Client and a Publisher are Senders. The result retryAfter is in
+// seconds, messageID is the dispatcher's identifier of the message.
 type Sender interface {
 	Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error)
 }
@@ -151,9 +151,10 @@
 	return s
 }
 
-// Run sends all messages at their times, each in a goroutine of its own, and returns their outcomes in the same order. The
-// messages are expected in the order of At. now is the clock of the run. At most maxInFlight messages are in flight. Further messages wait,
-// and the wait counts for their latency. Once ctx ends, no further message is sent and the outcomes end there.
+// Run sends all messages at their times, each in a goroutine of its own, and returns their outcomes in the same order.
+// The messages are expected in the order of At. now is the clock of the run. At most maxInFlight messages are in
+// flight. Further messages wait, and the wait counts for their latency. Once ctx ends, no further message is sent and
+// the outcomes end there.
 func Run(ctx context.Context, sender Sender, messages []Message, now func() time.Duration, maxInFlight int) []Outcome {
 	outcomes := make([]Outcome, len(messages))
 	slots := make(chan struct{}, max(1, maxInFlight))
@@ -204,7 +205,8 @@
 	return outcome
 }
 
-// AnswerKind classifies the status of a final answer as "served", "refused", "failed" or "rejected", or "none" for status 0.
+// AnswerKind classifies the status of a final answer as "served", "refused", "failed" or "rejected", or "none" for
+// status 0.
 func AnswerKind(status int) string {
 	switch {
 	case status >= 200 && status < 300:
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -1,6 +1,6 @@
-// Package partner provides stand-in partners: HTTP/2 servers with a configurable service time, concurrency, rate limit and
-// cold start, and with faults that are injected on command. Every stand-in logs what it saw on its sockets. The package
-// serves demonstrations, fault scenarios and tests.
+// Package partner provides stand-in partners: HTTP/2 servers with a configurable service time, concurrency, rate limit
+// and cold start, and with faults that are injected on command. Every stand-in logs what it saw on its sockets. The
+// package serves demonstrations, fault scenarios and tests.
 package partner
 
 import (
@@ -99,7 +99,8 @@
 	RequestReceived EventKind = "arrived"
 	// Applied means that the call took effect.
 	Applied EventKind = "applied"
-	// Deduplicated means that the call's idempotency key had taken effect before. The call was dropped and answered as done.
+	// Deduplicated means that the call's idempotency key had taken effect before. The call was dropped and answered as
+	// done.
 	Deduplicated EventKind = "repeat"
 	// Responded means that a response with a status was sent.
 	Responded EventKind = "answer"
@@ -297,8 +298,8 @@
 	return f.Crash || f.Blackhole || f.Hang || f.Unavailable || f.Error >= 0.5
 }
 
-// SetFault replaces the endpoint's faults; the zero Fault removes them. When an outage of the endpoint ends, the whole partner
-// is cold again.
+// SetFault replaces the endpoint's faults; the zero Fault removes them. When an outage of the endpoint ends, the whole
+// partner is cold again.
 func (e *Endpoint) SetFault(f Fault) error {
 	e.mu.Lock()
 	old := e.fault
@@ -404,8 +405,8 @@
 	return p.cfg.ColdShare + (1-p.cfg.ColdShare)*float64(now-p.recoveredAt)/float64(p.cfg.WarmUp)
 }
 
-// checkOverload counts a call against the capacity of a cold partner. It reports whether the partner has failed, and whether
-// this call made it fail. The limit for the calls of one OverloadWindow is OverloadLimit.
+// checkOverload counts a call against the capacity of a cold partner. It reports whether the partner has failed, and
+// whether this call made it fail. The limit for the calls of one OverloadWindow is OverloadLimit.
 func (p *Partner) checkOverload(now time.Duration) (overloaded, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -428,16 +429,16 @@
 	return OverloadLimit(p.cfg.Capacity*p.capacityShare(now), p.cfg.OverloadFactor, p.cfg.OverloadWindow)
 }
 
-// OverloadLimit returns how many calls in a window a partner bears that can process capacity calls a second. The limit is
-// factor times the capacity, plus four standard deviations of a Poisson count and four calls, so that chance alone does not
-// exceed it.
+// OverloadLimit returns how many calls in a window a partner bears that can process capacity calls a second. The limit
+// is factor times the capacity, plus four standard deviations of a Poisson count and four calls, so that chance alone
+// does not exceed it.
 func OverloadLimit(capacity, factor float64, window time.Duration) float64 {
 	mean := factor * capacity * window.Seconds()
 	return mean + 4*math.Sqrt(mean) + 4
 }
 
-// overRateLimit counts a call against the rate limit. It reports whether the call is above the limit, and the Retry-After to
-// send, 0 for none.
+// overRateLimit counts a call against the rate limit. It reports whether the call is above the limit, and the
+// Retry-After to send, 0 for none.
 func (p *Partner) overRateLimit(now time.Duration) (limited bool, retryAfter time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -12,37 +12,44 @@
 	"whinrun/internal/partner"
 )
 
-// Violation is one rule broken, with the message and the connection that show it.
+// Violation is a violation of a rule, with the message and the connection that show it.
 type Violation struct {
-	Rule    int
-	At      time.Duration
+	// Rule is the number of the rule, 1 to 6. 0 is a wrong audit trail.
+	Rule int
+	// At is the time on the clock of the log.
+	At time.Duration
+	// Message is the client's identifier of the message.
 	Message string
-	Where   string
-	Text    string
+	// Where is the connection and stream of the attempt, or the side that saw the violation.
+	Where string
+	// Text describes the violation.
+	Text string
 }
 
+// String formats the violation as one line.
 func (b Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f s: message %s, %s: %s", b.Rule, b.At.Seconds(), b.Message, b.Where, b.Text)
 }
 
-// Tolerance is what sockets and a busy machine may take beyond a figure of a rule, before that counts as broken.
+// Tolerance is the delay that sockets and a busy machine may add to a time limit of a rule before it counts as violated.
 const Tolerance = 300 * time.Millisecond
 
-// attempt is one call as a stand-in saw it.
+// attempt is one attempt as a stand-in saw it.
 type attempt struct {
 	received   partner.Event
-	end        time.Duration // answer, cut or gone; 0 where it had none
-	endKind    partner.EventKind
-	status     int
+	end        time.Duration     // time of the response, the reset or the close, 0 without one
+	endKind    partner.EventKind // kind of the end, empty without one
+	status     int               // HTTP status of a response, or HTTP/2 error code of a reset
 	retryAfter time.Duration
-	applied    bool
+	applied    bool // the attempt took effect
 }
 
+// where describes the connection and stream of the attempt.
 func (a *attempt) where() string {
 	return fmt.Sprintf("%s %v connection %d stream %d", a.received.Partner, a.received.Endpoint, a.received.Conn, a.received.Stream)
 }
 
-// provenNotExecuted tells that what the stand-in answered proves to the dispatcher that the attempt has not run.
+// provenNotExecuted reports whether the response proves to the dispatcher that the attempt was not executed.
 func (a *attempt) provenNotExecuted() bool {
 	switch a.endKind {
 	case partner.Responded:
@@ -53,22 +60,23 @@
 	return false
 }
 
-// endUnknown tells that the dispatcher can't know whether the attempt has run, and that no answer came.
+// endUnknown reports whether the attempt ended without a response, so that it was possibly executed.
 func (a *attempt) endUnknown() bool {
 	return a.endKind == partner.PeerClosed || a.endKind == partner.NoResponse
 }
 
-// checker holds a record against the rules.
+// checker checks a recording against the rules.
 type checker struct {
 	recording       *Recording
 	classes         map[string]control.Class
 	attempts        []*attempt
 	byCorrelationID map[string][]*attempt
-	readingStopped  []partner.Event // endpoints that read nothing from then on
+	readingStopped  []partner.Event // the ReadingStopped events
 	violations      []Violation
 }
 
-// Check returns the breaches of all six rules that the record shows.
+// Check returns the violations of the six rules that a recording shows, sorted by time. If there is an audit trail, it
+// is checked, too.
 func Check(r *Recording) []Violation {
 	c := &checker{recording: r, classes: map[string]control.Class{}, byCorrelationID: map[string][]*attempt{}}
 	for _, k := range r.Settings.Classes {
@@ -88,11 +96,12 @@
 	return c.violations
 }
 
+// report adds a violation.
 func (c *checker) report(rule int, at time.Duration, message, where, format string, a ...any) {
 	c.violations = append(c.violations, Violation{rule, at, message, where, fmt.Sprintf(format, a...)})
 }
 
-// collectAttempts puts the events of each call together.
+// collectAttempts groups the events into attempts.
 func (c *checker) collectAttempts() {
 	type call struct {
 		ep     netip.AddrPort
@@ -131,7 +140,8 @@
 	}
 }
 
-// sameDispatcher tells whether one dispatcher ran all the time between two moments, not stopping.
+// sameDispatcher reports whether one dispatcher ran during the whole time range. The time of its orderly stop counts as
+// running.
 func (c *checker) sameDispatcher(from, to time.Duration) bool {
 	for _, l := range c.recording.Runs {
 		if from >= l.From && (l.To == 0 || to <= l.To) {
@@ -141,7 +151,7 @@
 	return false
 }
 
-// checkAnswers is rule 1: one final answer before the time ends, and nothing sent after it.
+// checkAnswers checks rule 1: each message gets one final answer within its lifetime, and no attempt is sent after it.
 func (c *checker) checkAnswers() {
 	if c.recording.UncleanStop {
 		c.report(1, 0, "-", "dispatcher", "an orderly stop left messages without an answer")
@@ -172,8 +182,9 @@
 	}
 }
 
-// answerImpossible tells that no answer could come: no dispatcher ran when the message was sent, it was killed before the end, or
-// the message came as it was stopping. What was on its way before an orderly stop must be answered.
+// answerImpossible reports whether a missing answer is excused. It is if no dispatcher ran when the message was sent,
+// if the dispatcher was killed before the answer, or if the message was sent when the dispatcher was stopping. Messages
+// sent before an orderly stop must be answered.
 func (c *checker) answerImpossible(o *load.Outcome) bool {
 	for _, l := range c.recording.Runs {
 		if o.Sent < l.From || l.To != 0 && o.Sent > l.To {
@@ -187,6 +198,7 @@
 	return true
 }
 
+// servedByPartner reports whether a stand-in answered an attempt of the message with success.
 func (c *checker) servedByPartner(correlationID string) bool {
 	for _, a := range c.byCorrelationID[correlationID] {
 		if a.endKind == partner.Responded && a.status < 300 {
@@ -196,7 +208,8 @@
 	return false
 }
 
-// checkEffects is rule 2: no effect twice, one attempt out at a time, refused is harmless.
+// checkEffects checks rule 2: no unsafe message takes effect twice, a message has at most one attempt in flight, and a
+// refused unsafe message was not executed.
 func (c *checker) checkEffects() {
 	for correlationID, attempts := range c.byCorrelationID {
 		class := c.classes[attempts[0].received.Class]
@@ -232,7 +245,7 @@
 	}
 }
 
-// checkOneInFlight checks that an attempt was sent after the end of the one before.
+// checkOneInFlight checks that an attempt was sent after the end of the previous one.
 func (c *checker) checkOneInFlight(previous, a *attempt, correlationID string) {
 	if c.endUnobservable(previous, a.received.At) {
 		return
@@ -242,8 +255,8 @@
 	}
 }
 
-// endUnobservable tells that the end of an attempt can't show: its endpoint read nothing any more, so neither the reset by which
-// the dispatcher gave it up.
+// endUnobservable reports whether the end of an attempt cannot be seen. An endpoint that has stopped reading does not
+// see the reset with which the dispatcher gave up the attempt.
 func (c *checker) endUnobservable(previous *attempt, by time.Duration) bool {
 	for _, e := range c.readingStopped {
 		if e.Endpoint == previous.received.Endpoint && e.At <= by && (previous.end == 0 || previous.end > e.At) {
@@ -253,7 +266,7 @@
 	return false
 }
 
-// checkResend checks an attempt sent after one that may have run.
+// checkResend checks an attempt that was sent after one that was possibly executed.
 func (c *checker) checkResend(uncertain, a *attempt, correlationID string, class control.Class) {
 	if a.received.MessageID != uncertain.received.MessageID {
 		return
@@ -268,8 +281,9 @@
 	}
 }
 
-// checkDrains is rule 3: nothing new later than the grace after a drain or departure was told. Partners of a wave share
-// endpoints, of which one list tells the same for each: it is checked once, a rebuild tells tens of thousands.
+// checkDrains checks rule 3: no attempt is sent to an endpoint later than the grace period after its drain or removal
+// was announced. The partners of a wave share endpoints, and the list announces the same change for each of them, tens
+// of thousands for a rebuilt list. Each change is checked once.
 func (c *checker) checkDrains() {
 	grace := time.Duration(c.recording.Settings.StopSendingWithin) * time.Microsecond
 	byEndpoint := map[netip.AddrPort][]*attempt{}
@@ -304,7 +318,7 @@
 	}
 }
 
-// checkColdPartners is rule 4: a partner back from an outage is not pushed over while it is cold.
+// checkColdPartners checks rule 4: a partner is not overloaded while it is cold after an outage.
 func (c *checker) checkColdPartners() {
 	for _, spec := range c.recording.Script.Partners {
 		cfg := spec.Config
@@ -332,6 +346,7 @@
 	}
 }
 
+// recoveriesOf returns the times at which outages of a partner ended.
 func (c *checker) recoveriesOf(name string) (all []time.Duration) {
 	for _, e := range c.recording.Events {
 		if e.Kind == partner.Recovered && e.Partner == name {
@@ -341,8 +356,8 @@
 	return all
 }
 
-// checkOrder is rule 5: messages of a key go one at a time, in the order in which they were handed in, and the key rests
-// after an attempt whose end is not known.
+// checkOrder checks rule 5. Messages with the same order key are sent one at a time, in the order in which the clients
+// sent them. After an attempt with an unknown end, the key rests for Settings.SettleAfterDoubt.
 func (c *checker) checkOrder() {
 	rest := time.Duration(c.recording.Settings.SettleAfterDoubt) * time.Microsecond
 	byKey := map[string][]*attempt{}
@@ -362,7 +377,7 @@
 			}
 			previous := attempts[i-1]
 			if !c.sameDispatcher(previous.received.At, a.received.At) {
-				continue // a new dispatcher knows nothing of the one before
+				continue // A new dispatcher does not know the attempts of the previous one.
 			}
 			if c.endUnobservable(previous, a.received.At) {
 				continue
@@ -373,7 +388,7 @@
 				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent %v after a doubtful end of %s, its rest is %v", key,
 					a.received.At-previous.end, previous.received.CorrelationID, rest)
 			}
-			// A message that was handed in before a kill came again later: its client's library repeated it.
+			// Messages sent before a kill are exempt: the client library sent them again later.
 			if earlier, later := outcomes[previous.received.CorrelationID], outcomes[a.received.CorrelationID]; earlier.Sent > later.Sent+Tolerance/3 && c.sameDispatcher(later.Sent, a.received.At) {
 				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent after %s, which was handed in %v later", key,
 					previous.received.CorrelationID, earlier.Sent-later.Sent)
@@ -382,8 +397,8 @@
 	}
 }
 
-// checkToldWaits is rule 6: while a told wait lasts nothing goes to the partner, or to the one route. What was under way when
-// the wait was told is excused.
+// checkToldWaits checks rule 6: during a Retry-After no attempt is sent to the partner, or to the endpoint if the
+// partner's endpoints are independent. Attempts that were in flight when the wait was announced are exempt.
 func (c *checker) checkToldWaits() {
 	independent := map[string]bool{}
 	for _, p := range c.recording.Script.Partners {
@@ -408,14 +423,15 @@
 	}
 }
 
-// Summary is what a day comes to.
+// Summary is the result of a scenario: the messages by final answer, the attempts, the applied attempts, the unsafe
+// messages that were applied more than once, and the violations.
 type Summary struct {
 	Messages, Served, Refused, Failed, Canceled, NoAnswer int
 	Attempts, Applied, AppliedTwice                       int
 	Violations                                            []Violation
 }
 
-// Summarize counts a record from both ends.
+// Summarize counts the outcomes of the clients and the events of the stand-ins, and checks the rules.
 func Summarize(r *Recording) Summary {
 	s := Summary{Messages: len(r.Outcomes), Violations: Check(r)}
 	for _, o := range r.Outcomes {
@@ -451,7 +467,7 @@
 	return s
 }
 
-// Write prints a summary.
+// Write prints the summary with at most 20 violations.
 func (s Summary) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d messages: %d served, %d refused, %d failed, %d withdrawn by their clients, %d without an answer (no dispatcher ran)\n",
 		s.Messages, s.Served, s.Refused, s.Failed, s.Canceled, s.NoAnswer)
--- a/internal/scenario/check_test.go
+++ b/internal/scenario/check_test.go
@@ -12,11 +12,13 @@
 	"whinrun/internal/partner"
 )
 
+// second shortens the tables of the tests.
 const second = time.Second
 
+// ep1 and ep2 are two endpoints of the stand-in "p".
 var ep1, ep2 = netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
 
-// cleanRecording is a record in which no rule is broken.
+// cleanRecording returns a recording without violations.
 func cleanRecording() *Recording {
 	s := &Script{RateScale: 1, Partners: []PartnerSpec{{Config: partner.Config{Name: "p", Capacity: 10, ColdShare: 0.2, WarmUp: 4 * second, OverloadFactor: 2, OverloadWindow: second}}}}
 	return &Recording{Script: s, Runs: []DispatcherRun{{From: 0}}, Settings: control.Settings{StopSendingWithin: control.Second, SettleAfterDoubt: control.Second,
@@ -25,7 +27,7 @@
 			{Name: "ordered", Deadline: 8 * control.Second, InOrder: true}}}}
 }
 
-// addAttempt adds one attempt to a record: its arrival, and what became of it.
+// addAttempt adds an attempt: its arrival and the given further events.
 func (r *Recording) addAttempt(at time.Duration, correlationID, class, orderKey string, ep netip.AddrPort, stream uint32, rest ...partner.Event) {
 	base := partner.Event{At: at, Kind: partner.RequestReceived, Partner: "p", Endpoint: ep, Conn: 1, Stream: stream, MessageID: "m" + correlationID, CorrelationID: correlationID, Class: class, OrderKey: orderKey}
 	r.Events = append(r.Events, base)
@@ -36,15 +38,18 @@
 	}
 }
 
+// addOutcome adds what a client saw of a message.
 func (r *Recording) addOutcome(correlationID, class string, sent, done time.Duration, status int) {
 	r.Outcomes = append(r.Outcomes, load.Outcome{Message: load.Message{CorrelationID: correlationID, Class: class, TTL: 60}, Sent: sent, Done: done, Status: status})
 }
 
+// event returns an event without the fields that addAttempt fills in.
 func event(at time.Duration, kind partner.EventKind, status int) partner.Event {
 	return partner.Event{At: at, Kind: kind, Status: status}
 }
 
-// Each rule's check catches a planted breach of it, and names the rule; what is near it but within the rule passes.
+// TestCheckCatches plants one violation of a rule at a time and expects the check of that rule to report it. Similar
+// recordings without a violation must pass.
 func TestCheckCatches(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -141,7 +146,7 @@
 	}
 }
 
-// What is wrong with a script is told with file and line.
+// TestScriptErrors checks that the errors of a script name the file, and the line where there is one.
 func TestScriptErrors(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"partner a\nload a status 5/s\nat 1s a explode", "d:3: at: a can't \"explode\""},
@@ -158,18 +163,21 @@
 	}
 }
 
+// FuzzScript checks that no script makes Parse panic.
 func FuzzScript(f *testing.F) {
 	f.Add("partner a endpoints 2 rate 5\nload a status 5/s keys 3\nat 1s a.1 pauses 1s 2s for 3s\nat 2s load burst a x3")
 	f.Fuzz(func(t *testing.T, text string) { _, _ = Parse("d", text) })
 }
 
-// The comparer of trails catches a planted loss, an invention, two attempts at once, and what comes after the answer.
+// TestTrailCheckCatches plants a missing attempt, an invented attempt, two attempts at once and records after the final
+// answer in an audit trail. The check must report each of them.
 func TestTrailCheckCatches(t *testing.T) {
 	rec := func(kind audit.Kind, attempt int) *audit.Record {
 		return &audit.Record{Kind: kind, Message: "ma", Attempt: attempt, Endpoint: ep1.String(), Status: 201}
 	}
 	intact := []*audit.Record{rec(audit.Accepted, 0), rec(audit.Started, 1), rec(audit.Ended, 1), rec(audit.Answered, 0)}
-	late := rec(audit.Accepted, 0) // of the same dispatcher: the trail goes on after what is missing
+	// A later record of the same dispatcher shows that the trail goes on after the missing attempt.
+	late := rec(audit.Accepted, 0)
 	late.Message, late.At = "mb", (5 * second).Microseconds()
 	for _, c := range []struct {
 		name, want string
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -25,54 +25,71 @@
 	"whinrun/internal/service"
 )
 
-// Told is a change of the endpoint list, as the dispatcher was told it.
+// HealthChange is a change of an endpoint's health in the endpoint list that the dispatcher fetched.
 type HealthChange struct {
-	At       time.Duration
-	Partner  string
+	// At is when the dispatcher fetched the change.
+	At time.Duration
+	// Partner is the name of the partner in the list.
+	Partner string
+	// Endpoint is the address of the endpoint.
 	Endpoint netip.AddrPort
-	Health   control.Health
+	// Health is the new health. It is control.Gone when the endpoint left the list.
+	Health control.Health
 }
 
-// DispatcherRun is a time in which a dispatcher ran; Stopping is when it was told to stop in order, 0 where it was killed.
+// DispatcherRun is the lifetime of one dispatcher. From is its start. StopRequested is the start of its orderly stop, 0
+// if it was killed. To is its end, 0 while it runs.
 type DispatcherRun struct{ From, StopRequested, To time.Duration }
 
-// Recording is all that was seen of a day, on one clock.
+// Recording holds everything that was observed in a scenario. All times are on the clock of the log.
 type Recording struct {
-	Script        *Script
-	Outcomes      []load.Outcome
-	Events        []partner.Event
+	// Script is the scenario.
+	Script *Script
+	// Outcomes are what the clients saw.
+	Outcomes []load.Outcome
+	// Events are what the stand-ins saw.
+	Events []partner.Event
+	// HealthChanges are the changes of the endpoint list that the dispatcher fetched.
 	HealthChanges []HealthChange
-	Runs          []DispatcherRun
-	Settings      control.Settings
-	UncleanStop   bool // an orderly stop left messages without an answer
-
-	StartTime     time.Time // when the day's clock was 0
-	HasAuditTrail bool      // a trail was kept
-	AuditTrail    []*audit.Record
+	// Runs are the lifetimes of the dispatchers, in order.
+	Runs []DispatcherRun
+	// Settings are the rules that the dispatcher was configured with.
+	Settings control.Settings
+	// UncleanStop reports that an orderly stop left messages without an answer.
+	UncleanStop bool
+
+	// StartTime is the wall-clock time at which the clock of the log was 0.
+	StartTime time.Time
+	// HasAuditTrail reports that an audit trail was kept.
+	HasAuditTrail bool
+	// AuditTrail are the records of the audit trail.
+	AuditTrail []*audit.Record
+	// AuditProblems are the defects found while the trail was read and verified.
 	AuditProblems []string
 }
 
-// list is the endpoint list of a day: what stands in it, and what the dispatcher sees of that.
+// endpointList is the endpoint list of a scenario, with the part of its changes that the dispatcher can see.
 type endpointList struct {
 	mu          sync.Mutex
 	now         func() time.Duration
-	lag         time.Duration
-	current     []roster.Line
-	pending     []snapshot // not yet seen, oldest first
-	visible     snapshot
-	stale       bool
-	unreachable bool
-	changes     []HealthChange
-	lastHealth  map[string]control.Health
+	lag         time.Duration             // delay until a change is visible
+	current     []roster.Line             // the list with all changes
+	pending     []snapshot                // versions that are not visible yet, oldest first
+	visible     snapshot                  // the version that Load returns
+	stale       bool                      // new versions do not become visible
+	unreachable bool                      // Load fails
+	changes     []HealthChange            // changes that Load has returned
+	lastHealth  map[string]control.Health // health last returned, by "partner address"
 }
 
+// snapshot is one version of the list.
 type snapshot struct {
 	visibleAt time.Duration
 	version   int
 	lines     []roster.Line
 }
 
-// update alters the list; it is seen after the lag.
+// update modifies the list. The change becomes visible after the lag.
 func (l *endpointList) update(modify func([]roster.Line) []roster.Line) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,12 +101,12 @@
 	l.pending = append(l.pending, snapshot{l.now() + l.lag, version + 1, l.current})
 }
 
-// Load is service.ListSource. What it returns is noted as told.
+// Load implements service.ListSource. It records the changes that it returns.
 func (l *endpointList) Load(knownVersion string) ([]roster.Line, string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable && knownVersion != "" {
-		return nil, "", errors.New("the list is out of reach")
+		return nil, "", errors.New("the endpoint list is unreachable")
 	}
 	now := l.now()
 	for !l.stale && len(l.pending) > 0 && l.pending[0].visibleAt <= now {
@@ -103,6 +120,7 @@
 	return l.visible.lines, version, nil
 }
 
+// recordChanges records the differences between the visible list and the one returned before.
 func (l *endpointList) recordChanges(now time.Duration) {
 	next := map[string]control.Health{}
 	for _, e := range l.visible.lines {
@@ -121,7 +139,7 @@
 	l.lastHealth = next
 }
 
-// runner plays one day.
+// runner runs one scenario.
 type runner struct {
 	script      *Script
 	log         *partner.Log
@@ -131,7 +149,7 @@
 	logger      *logs.Logger
 	addr        string
 	amqpAddr    string
-	auditFolder string // of the audit trail
+	auditFolder string
 
 	mu        sync.Mutex
 	svc       *service.Service
@@ -140,7 +158,7 @@
 	errs      []error
 }
 
-// Run plays a day and returns what was seen. lines takes the dispatcher's own log.
+// Run runs a scenario and returns what was observed. logOutput receives the log of the dispatcher.
 func Run(ctx context.Context, script *Script, logOutput io.Writer) (*Recording, error) {
 	r := &runner{script: script, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
 	r.endpoints = &endpointList{now: r.log.Now, lag: script.DiscoveryLag}
@@ -186,6 +204,7 @@
 	return &r.recording, errors.Join(append(r.errs, ctx.Err())...)
 }
 
+// setUp starts the stand-ins, fills the endpoint list and prepares the settings and the logger of the dispatcher.
 func (r *runner) setUp(logOutput io.Writer) error {
 	for i, spec := range r.script.Partners {
 		spec.Config.Seed = r.script.Seed*100 + uint64(i)
@@ -217,7 +236,7 @@
 	return err
 }
 
-// settings writes the dispatcher's settings for the day.
+// settings returns the settings file of the dispatcher.
 func (r *runner) settings() string {
 	sections := map[string]map[string]string{"dispatcher": {"listen": "127.0.0.1:0", "stop-within": "4s"}, "list": {"every": "20ms"},
 		"rules": {"cold-from": "0.2", "warm-up": "3s", "tip-multiple": "2", "overload-for": "1s", "drain-grace": "1s", "settle-after-doubt": "500ms"},
@@ -274,14 +293,15 @@
 	return b.String()
 }
 
-// waveSize is how many partners a wave has at the scale of the run.
+// waveSize returns how many partners a wave has at the scale of the run.
 func (r *runner) waveSize(w WakeSpec) int { return int(float64(w.Count) * r.script.RateScale) }
 
-// wavePartnerName names one partner of a wave.
+// wavePartnerName returns the name of the partner with index i in a wave.
 func wavePartnerName(wave int, w WakeSpec, i int) string {
 	return fmt.Sprintf("%s-w%d-%d", w.Partner, wave, i)
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -291,6 +311,7 @@
 	return keys
 }
 
+// startDispatcher starts a dispatcher. A restarted dispatcher takes the addresses of the one before it.
 func (r *runner) startDispatcher() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -298,7 +319,8 @@
 		r.cfg.Front.Address, r.cfg.AMQP.Address = r.addr, r.amqpAddr
 	}
 	var err error
-	for range 50 { // the port of the one before may still be closing
+	// The listening sockets of the previous dispatcher may still be closing, so the start is retried for a second.
+	for range 50 {
 		if r.svc, err = service.Start(r.cfg, r.logger, r.endpoints); err == nil {
 			break
 		}
@@ -312,7 +334,7 @@
 	return nil
 }
 
-// stop ends the dispatcher, orderly or as a crash would.
+// stop stops the dispatcher in order, or kills it as a crash would.
 func (r *runner) stop(orderly bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -335,13 +357,13 @@
 	r.svc = nil
 }
 
-// action is one thing to do at a time.
+// action is a function to call at a time since the start of the scenario.
 type action struct {
 	at time.Duration
 	do func() error
 }
 
-// runTimeline does what the script says, at its times.
+// runTimeline performs the steps of the script at their times. start is the time of the log at which the scenario starts.
 func (r *runner) runTimeline(ctx context.Context, start time.Duration) {
 	var acts []action
 	for i := range r.script.Steps {
@@ -360,7 +382,7 @@
 	}
 }
 
-// actions turns a step into what is done at its beginning and its end.
+// actions returns the actions at the start and at the end of a step.
 func (r *runner) actions(st *Step, start time.Duration) []action {
 	end := st.At + st.Duration
 	toggle := func(on func(bool)) []action {
@@ -372,7 +394,7 @@
 	}
 	switch st.Target {
 	case "load":
-		return nil // its messages are made beforehand
+		return nil // Load steps are applied when the messages are built.
 	case "list":
 		return toggle(func(on bool) {
 			r.endpoints.mu.Lock()
@@ -394,6 +416,8 @@
 	return r.partnerActions(st, start, r.partners[name], number)
 }
 
+// partnerActions returns the actions of a step on a partner. number selects one endpoint, counted from 1; the empty
+// string means all of them.
 func (r *runner) partnerActions(st *Step, start time.Duration, p *partner.Partner, number string) []action {
 	end := st.At + st.Duration
 	forEach := func(do func(*partner.Endpoint) error) func() error {
@@ -406,7 +430,7 @@
 				}
 			}
 			if !matched {
-				err = fmt.Errorf("line %d of the script: there is no endpoint %s at that time", st.Line, st.Target)
+				err = fmt.Errorf("script line %d: endpoint %s does not exist at that time", st.Line, st.Target)
 			}
 			return err
 		}
@@ -433,7 +457,8 @@
 	}
 	f, _ := st.fault(start + end)
 	acts := []action{{st.At, forEach(func(e *partner.Endpoint) error { return e.SetFault(f) })}}
-	if st.Action == "preempt" { // it dies, then the list says so and names another
+	// A preempted endpoint crashes. 300 ms later the list replaces it by a new one.
+	if st.Action == "preempt" {
 		acts = append(acts, action{st.At + 300*time.Millisecond, forEach(func(e *partner.Endpoint) error {
 			r.setHealth(e, control.Gone)
 			return r.addEndpoint(p)
@@ -444,7 +469,7 @@
 	return acts
 }
 
-// setHealth changes the standing of an endpoint in the list.
+// setHealth changes the health of an endpoint in the list. control.Gone removes it.
 func (r *runner) setHealth(e *partner.Endpoint, h control.Health) {
 	r.endpoints.update(func(lines []roster.Line) []roster.Line {
 		var out []roster.Line
@@ -461,7 +486,7 @@
 	})
 }
 
-// addEndpoint adds an endpoint to a partner.
+// addEndpoint adds an endpoint to a partner and to the list.
 func (r *runner) addEndpoint(p *partner.Partner) error {
 	e, err := p.Listen("127.0.0.1:0")
 	if err != nil {
@@ -469,7 +494,8 @@
 	}
 	r.endpoints.update(func(lines []roster.Line) []roster.Line {
 		names := map[string]bool{}
-		for _, l := range lines { // the partners of a wave behind it, too
+		// The partners of a wave share the endpoints of the stand-in and get the new one, too.
+		for _, l := range lines {
 			if l.Partner == p.Name() || strings.HasPrefix(l.Partner, p.Name()+"-w") {
 				names[l.Partner] = true
 			}
@@ -483,7 +509,7 @@
 	return nil
 }
 
-// replaceEndpoints drains all endpoints of a partner and adds as many new ones.
+// replaceEndpoints drains all endpoints of a partner and adds a new one for each.
 func (r *runner) replaceEndpoints(p *partner.Partner) error {
 	for _, e := range p.Endpoints() {
 		if err := r.addEndpoint(p); err != nil {
@@ -494,12 +520,12 @@
 	return nil
 }
 
-// pushPath is the push resource of a partner, class and tenant.
+// pushPath returns the push resource of a partner, class and tenant.
 func pushPath(partner, class, tenant string) string {
 	return "/" + partner + "/" + class + "/" + tenant
 }
 
-// buildMessages makes the load of the day from its seed.
+// buildMessages returns the messages of the scenario, sorted by time. They depend on the script and its seed only.
 func (r *runner) buildMessages() []load.Message {
 	rng := rand.New(rand.NewPCG(r.script.Seed, 3))
 	var messages []load.Message
@@ -538,15 +564,18 @@
 		}
 	}
 	sort.SliceStable(messages, func(i, j int) bool { return messages[i].At < messages[j].At })
-	frontRNG := rand.New(rand.NewPCG(r.script.Seed, 4)) // apart: the messages are the same whichever front they come by
+	// A generator of its own keeps the messages the same for every AMQPShare.
+	frontRNG := rand.New(rand.NewPCG(r.script.Seed, 4))
 	for i := range messages {
 		m := &messages[i]
-		m.AMQP = frontRNG.Float64() < r.script.AMQPShare && m.CancelAfter == 0 && m.Token == "day" // publishes can't be withdrawn
+		// A published message cannot be canceled, and the publisher has the credentials of the tenant "day".
+		m.AMQP = frontRNG.Float64() < r.script.AMQPShare && m.CancelAfter == 0 && m.Token == "day"
 	}
 	return messages
 }
 
-// clientTimeout is how long a client waits for the answer that is due: well past the deadline of the class.
+// clientTimeout returns how long a client waits for an answer: 3 s beyond the deadline of the class, and a minute for
+// an unknown class.
 func (r *runner) clientTimeout(class string) time.Duration {
 	for _, c := range r.script.Classes {
 		if c.Name == class {
@@ -556,7 +585,8 @@
 	return time.Minute
 }
 
-// rateAt is the rate of a load at a time, with the bursts and shifts of the script, and where it goes.
+// rateAt returns the rate of a load at a time in messages a second, the partner that it goes to, and whether all its
+// messages have the same order key. Bursts, shifts and hot keys of the script are applied.
 func (r *runner) rateAt(l *LoadSpec, at time.Duration) (rate float64, name string, hot bool) {
 	rate, name = l.Rate, l.Partner
 	for _, st := range r.script.Steps {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -10,14 +10,15 @@
 	"testing"
 )
 
-// Days mostly wait: four at a time also where there are two cores.
+// TestMain runs four scenarios in parallel, also with fewer cores, because a scenario spends most of its time waiting.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("test.parallel", "4")
 	os.Exit(m.Run())
 }
 
-// Every day of days/, scaled down, through the real dispatcher on loopback: all six rules, from the sockets.
+// TestDays runs every script in days/ at a lower rate through a real dispatcher on loopback, and checks the six rules
+// from what the sockets showed.
 func TestDays(t *testing.T) {
 	files, err := filepath.Glob("../../days/*.day")
 	if err != nil || len(files) < 15 {
@@ -38,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.RateScale, s.AMQPShare = 0.3, 0.5 // half of the load on each front
+			s.RateScale, s.AMQPShare = 0.3, 0.5 // Each front gets half of the load.
 			r, err := Run(context.Background(), s, io.Discard)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -1,6 +1,6 @@
-// Package scenario rehearses bad days: a script of load and trouble is played through a real dispatcher on loopback, and
-// a checker holds what clients and stand-ins saw on their sockets against the six rules. docs/days.md is the page of
-// the language.
+// Package scenario plays scripted fault scenarios. A script of load and faults runs through a real dispatcher on
+// loopback. A checker then compares what clients and stand-in partners saw on their sockets with the six delivery
+// rules. docs/days.md describes the script language.
 package scenario
 
 import (
@@ -13,91 +13,138 @@
 	"whinrun/internal/partner"
 )
 
-// Script is a day as written.
+// Script is a parsed scenario.
 type Script struct {
-	Name         string
-	Seed         uint64
-	Duration     time.Duration
-	Partners     []PartnerSpec
-	Loads        []LoadSpec
-	Wakes        []WakeSpec
-	Steps        []Step
-	Settings     map[string]string // keys of [rules], [limits], [outbound], [dispatcher] of the dispatcher, "section.key"
-	Classes      []ClassSpec
-	Tenants      []TenantSpec
-	DiscoveryLag time.Duration // of the endpoint list
-	MinServed    float64       // least share served that the day expects
-	RateScale    float64       // factor on all rates, for a smaller machine
-	AMQPShare    float64       // share of the messages that is handed in by AMQP
+	// Name is the title of the scenario.
+	Name string
+	// Seed seeds the load and the stand-ins.
+	Seed uint64
+	// Duration is the length of the scenario.
+	Duration time.Duration
+	// Partners are the stand-in partners.
+	Partners []PartnerSpec
+	// Loads are the streams of messages.
+	Loads []LoadSpec
+	// Wakes are the waves of messages to idle partners.
+	Wakes []WakeSpec
+	// Steps are the faults and changes, in the order of the script.
+	Steps []Step
+	// Settings are settings of the dispatcher that the scenario overrides, by "section.key".
+	Settings map[string]string
+	// Classes are the message classes.
+	Classes []ClassSpec
+	// Tenants are the tenants that send messages.
+	Tenants []TenantSpec
+	// DiscoveryLag is the delay between a change of the endpoint list and the dispatcher seeing it.
+	DiscoveryLag time.Duration
+	// MinServed is the smallest share of served messages that the scenario expects.
+	MinServed float64
+	// RateScale is a factor on all rates, for smaller machines.
+	RateScale float64
+	// AMQPShare is the share of the messages that is sent over AMQP.
+	AMQPShare float64
 }
 
-// ClassSpec is a class of message of the day.
+// ClassSpec is a message class. Its fields have the meaning of the class settings of the same names.
 type ClassSpec struct {
-	Name     string
-	Effect   string
-	Aim      time.Duration
+	// Name is the name of the class.
+	Name string
+	// Effect is "safe", "keyed" or "unsafe".
+	Effect string
+	// Aim is the intended delivery time.
+	Aim time.Duration
+	// Deadline is the time by which a message gets its final answer.
 	Deadline time.Duration
-	Window   time.Duration
-	Order    bool
-	Worth    string
+	// Window is the deduplication window of a keyed class. 0 leaves the setting out.
+	Window time.Duration
+	// Order makes messages with the same order key go one after the other.
+	Order bool
+	// Worth is the value of the setting "worth".
+	Worth string
 }
 
-// TenantSpec is a customer; the first is "day", without a quota.
+// TenantSpec is a tenant. Every script has the tenant "day" without a quota.
 type TenantSpec struct {
-	Name  string
+	// Name is the name and the token of the tenant.
+	Name string
+	// Quota is the tenant's quota in messages a second. 0 means none.
 	Quota float64
 }
 
-// PartnerSpec is a stand-in.
+// PartnerSpec is a stand-in partner.
 type PartnerSpec struct {
-	Endpoints            int
+	// Endpoints is the number of endpoints at the start.
+	Endpoints int
+	// IndependentEndpoints gives each endpoint limits, waits and outages of its own (the setting "routes-apart").
 	IndependentEndpoints bool
-	Batch                int
-	Config               partner.Config
+	// Batch is the value of the setting "batch".
+	Batch int
+	// Config is the configuration of the stand-in.
+	Config partner.Config
 }
 
 // LoadSpec is a stream of messages.
 type LoadSpec struct {
+	// Partner and Class are the names of the partner and the class of the messages.
 	Partner, Class string
-	Tenant         string
-	Rate           float64
-	Keys           int
-	TTL            int
-	CancelShare    float64 // share of messages that the client withdraws ...
-	CancelAfter    time.Duration
-	BodySize       int
-	From, To       time.Duration
+	// Tenant is the name of the tenant that sends the messages.
+	Tenant string
+	// Rate is the mean rate in messages a second, before Script.RateScale. Arrivals are a Poisson process.
+	Rate float64
+	// Keys is the number of order keys. 0 means messages without order keys.
+	Keys int
+	// TTL is the time to live in seconds.
+	TTL int
+	// CancelShare is the share of messages that the client cancels.
+	CancelShare float64
+	// CancelAfter is the mean time after which the client cancels these messages.
+	CancelAfter time.Duration
+	// BodySize is the size of a body in bytes.
+	BodySize int
+	// From and To are the start and the end of the load. A To of 0 means the end of the scenario.
+	From, To time.Duration
 }
 
-// WakeSpec is a wave: many partners, idle until then, behind the endpoints of one stand-in, get one message each.
+// WakeSpec is a wave of messages to many partners that are idle until then. Each partner gets one message. All of them
+// share the endpoints of one stand-in.
 type WakeSpec struct {
-	Count          int
+	// Count is the number of partners, before Script.RateScale.
+	Count int
+	// Partner is the stand-in, Class the class of the messages.
 	Partner, Class string
-	From, To       time.Duration
+	// From and To are the time range in which the messages are due.
+	From, To time.Duration
 }
 
-// Step is something that happens at a time.
+// Step is a fault or a change at a given time.
 type Step struct {
-	Line     int
-	At       time.Duration
-	Duration time.Duration // 0: for the rest of the day
-	Target   string        // partner, partner.endpoint, list, dispatcher or load
-	Action   string
-	Args     []string
+	// Line is the line number in the script.
+	Line int
+	// At is the time since the start of the scenario.
+	At time.Duration
+	// Duration is how long the step lasts. 0 means until the end of the scenario.
+	Duration time.Duration
+	// Target is "list", "dispatcher", "load", a partner, or an endpoint of a partner as "partner.number".
+	Target string
+	// Action is the keyword of the step.
+	Action string
+	// Args are the values that follow the keyword.
+	Args []string
 }
 
-// words of trouble, with how many arguments each takes at least.
+// endpointActions are the actions on partners and their endpoints, with the minimal number of arguments.
 var endpointActions = map[string]int{"crash": 0, "vanish": 0, "hang": 0, "shut": 0, "slow": 1, "pauses": 2, "lose": 1, "error": 1,
 	"reset": 1, "refuse": 1, "late": 1, "garble": 1, "missing": 1, "goaway": 0, "streams": 1, "limit": 1, "drain": 0, "replace": 0,
 	"preempt": 0}
 
+// otherActions are the actions on the other targets, with the minimal number of arguments.
 var otherActions = map[string]map[string]int{
 	"list":       {"stale": 0, "unreachable": 0},
 	"dispatcher": {"kill": 0, "stop": 0},
 	"load":       {"burst": 2, "shift": 2, "hotkey": 1},
 }
 
-// Parse reads a script; what is wrong is told with file and line.
+// Parse parses a script. Syntax errors name the file and the line. All errors are joined.
 func Parse(file, text string) (*Script, error) {
 	s := &Script{Seed: 1, Duration: 10 * time.Second, Settings: map[string]string{}, RateScale: 1, Classes: defaultClasses(),
 		Tenants: []TenantSpec{{Name: "day"}}}
@@ -118,6 +165,7 @@
 	return s, errors.Join(errs...)
 }
 
+// defaultClasses returns the classes that every scenario has.
 func defaultClasses() []ClassSpec {
 	return []ClassSpec{
 		{Name: "status", Effect: "safe", Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Worth: "2"},
@@ -127,6 +175,7 @@
 	}
 }
 
+// parseLine parses one statement.
 func (s *Script) parseLine(lineNo int, words []string) error {
 	switch words[0] {
 	case "day":
@@ -144,13 +193,13 @@
 		return parsePairs(words[1:], map[string]any{"served": &s.MinServed})
 	case "set":
 		if len(words) != 3 || strings.Count(words[1], ".") != 1 {
-			return errors.New("set SECTION.KEY VALUE")
+			return errors.New("usage: set SECTION.KEY VALUE")
 		}
 		s.Settings[words[1]] = words[2]
 		return nil
 	case "tenant":
 		if len(words) < 2 {
-			return errors.New("tenant NAME [quota RATE]")
+			return errors.New("usage: tenant NAME [quota RATE]")
 		}
 		t := TenantSpec{Name: words[1]}
 		err := parsePairs(words[2:], map[string]any{"quota": &t.Quota})
@@ -163,10 +212,10 @@
 	case "wake":
 		w := WakeSpec{Class: "status", To: s.Duration}
 		if len(words) < 2 {
-			return errors.New("wake COUNT partner NAME")
+			return errors.New("usage: wake COUNT partner NAME ...")
 		}
 		if err := parseValue(words[1], &w.Count); err != nil || w.Count > 50000 {
-			return errors.New("wake COUNT, 50000 at most")
+			return errors.New("COUNT must be a number from 0 to 50000")
 		}
 		err := parsePairs(words[2:], map[string]any{"partner": &w.Partner, "class": &w.Class, "from": &w.From, "to": &w.To})
 		s.Wakes = append(s.Wakes, w)
@@ -177,12 +226,12 @@
 	return errors.New("no such word")
 }
 
-// parsePairs reads "name value" pairs into what they name.
+// parsePairs parses "name value" pairs into the targets of these names. A boolean target is set by its name alone.
 func parsePairs(words []string, targets map[string]any) error {
 	for len(words) > 0 {
 		dst, ok := targets[words[0]]
 		if !ok {
-			return fmt.Errorf("%q is not known here", words[0])
+			return fmt.Errorf("unknown option %q", words[0])
 		}
 		if flag, is := dst.(*bool); is {
 			*flag = true
@@ -200,6 +249,8 @@
 	return nil
 }
 
+// parseValue parses a value into the variable that dst points to. Numbers and durations must not be negative. A number
+// may have the prefix "x" or the suffix "/s".
 func parseValue(text string, dst any) (err error) {
 	switch d := dst.(type) {
 	case *uint64:
@@ -229,9 +280,10 @@
 	return err
 }
 
+// parsePartner parses the rest of a "partner" statement.
 func (s *Script) parsePartner(words []string) error {
 	if len(words) == 0 || strings.ContainsAny(words[0], "./") {
-		return errors.New("needs a name without dots")
+		return errors.New("needs a name without dots and slashes")
 	}
 	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: words[0], ServiceTime: 10 * time.Millisecond, ColdShare: 0.2,
 		WarmUp: 3 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second, SendRetryAfter: true}}
@@ -240,15 +292,16 @@
 		"rate": &c.Capacity, "limit": &c.RateLimit, "conns": &c.MaxConns, "streams": &c.MaxStreams, "reap": &c.IdleTimeout, "handshake": &c.SettingsDelay,
 		"cold": &c.ColdShare, "warm-up": &c.WarmUp, "tip": &c.OverloadFactor, "tip-for": &c.OverloadWindow})
 	if p.Endpoints < 1 || p.Endpoints > 64 {
-		return errors.New("endpoints: 1 to 64")
+		return errors.New("the number of endpoints must be from 1 to 64")
 	}
 	s.Partners = append(s.Partners, p)
 	return err
 }
 
+// parseLoad parses the rest of a "load" statement.
 func (s *Script) parseLoad(words []string) error {
 	if len(words) < 3 {
-		return errors.New("load PARTNER CLASS RATE ...")
+		return errors.New("usage: load PARTNER CLASS RATE ...")
 	}
 	l := LoadSpec{Partner: words[0], Class: words[1], TTL: 60, Tenant: "day", CancelAfter: 200 * time.Millisecond}
 	if err := parseValue(words[2], &l.Rate); err != nil {
@@ -260,9 +313,10 @@
 	return err
 }
 
+// parseStep parses the rest of an "at" statement.
 func (s *Script) parseStep(lineNo int, words []string) error {
 	if len(words) < 3 {
-		return errors.New("at TIME TARGET WORD ...")
+		return errors.New("usage: at TIME TARGET ACTION ...")
 	}
 	st := Step{Line: lineNo, Target: words[1], Action: words[2]}
 	if err := parseValue(words[0], &st.At); err != nil {
@@ -296,10 +350,10 @@
 	return nil
 }
 
-// ParseFault reads a word of trouble with its values, as in a script; "heal" is none.
+// ParseFault parses an action with its values, as in a script, into a fault. "heal" is the zero Fault.
 func ParseFault(words []string) (partner.Fault, error) {
 	if len(words) == 0 {
-		return partner.Fault{}, errors.New("no word of trouble")
+		return partner.Fault{}, errors.New("no action given")
 	}
 	if words[0] == "heal" {
 		return partner.Fault{}, nil
@@ -307,12 +361,13 @@
 	st := Step{Action: words[0], Args: words[1:]}
 	minArgs, ok := endpointActions[st.Action]
 	if !ok || len(st.Args) < minArgs {
-		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Action, minArgs)
+		return partner.Fault{}, fmt.Errorf("unknown action %q, or fewer than %d values", st.Action, minArgs)
 	}
 	return st.fault(0)
 }
 
-// fault is the fault that a step puts in force; ok words that are none give the zero Fault.
+// fault returns the fault that a step injects. Actions that inject none give the zero Fault. until is the end of the
+// step on the clock of the log, for Fault.AvailableAt.
 func (st *Step) fault(until time.Duration) (f partner.Fault, err error) {
 	switch st.Action {
 	case "crash", "preempt":
@@ -349,6 +404,7 @@
 	return f, err
 }
 
+// validate checks the names that statements refer to.
 func (s *Script) validate(file string) (errs []error) {
 	partners, classes := map[string]int{}, map[string]bool{}
 	for _, p := range s.Partners {
@@ -371,7 +427,7 @@
 	}
 	for _, w := range s.Wakes {
 		if partners[w.Partner] == 0 || !classes[w.Class] || w.To <= w.From {
-			errs = append(errs, fmt.Errorf("%s: wake for %s %s: no such partner or class, or no time for it", file, w.Partner, w.Class))
+			errs = append(errs, fmt.Errorf("%s: wake for %s %s: no such partner or class, or an empty time range", file, w.Partner, w.Class))
 		}
 	}
 	for _, st := range s.Steps {
@@ -380,7 +436,8 @@
 		}
 		name, number, _ := strings.Cut(st.Target, ".")
 		k, err := strconv.Atoi(number)
-		if partners[name] == 0 || number != "" && (err != nil || k < 1) { // replacing makes further endpoints
+		// The number may exceed the endpoints at the start, because replaced endpoints get new numbers.
+		if partners[name] == 0 || number != "" && (err != nil || k < 1) {
 			errs = append(errs, fmt.Errorf("%s:%d: no such partner or endpoint: %s", file, st.Line, st.Target))
 		}
 	}
--- a/internal/scenario/trail.go
+++ b/internal/scenario/trail.go
@@ -9,7 +9,7 @@
 	"whinrun/internal/audit"
 )
 
-// readAuditTrail reads and verifies the trail of a day.
+// readAuditTrail reads and verifies the audit trail of a run.
 func readAuditTrail(folder string) (records []*audit.Record, problems []string, err error) {
 	store, report, err := audit.OpenReader(folder)
 	if err != nil {
@@ -27,14 +27,15 @@
 	return records, append(report.Problems, verification.Problems...), err
 }
 
-// attemptID names an attempt, as the dispatcher and the stand-ins both do.
+// attemptID identifies an attempt in the audit trail and in the events of the stand-ins. Attempts are counted from 1.
 type attemptID struct {
 	message string
 	attempt int
 }
 
-// checkAuditTrail holds the dispatcher's own trail against what stand-ins saw on their sockets: no attempt is missing, none that
-// was answered is invented, at most one is out for a message at any moment, one final answer for each, and nothing after.
+// checkAuditTrail compares the audit trail of the dispatcher with what the stand-ins saw on their sockets. No attempt
+// may be missing, and no answered attempt may be invented. At most one attempt is in flight for a message at any time.
+// Each message has one final answer and no attempt after it.
 func (c *checker) checkAuditTrail() {
 	for _, p := range c.recording.AuditProblems {
 		c.reportAuditTrail("the trail: %s", p)
@@ -67,10 +68,10 @@
 	c.checkAuditedAttempts(started)
 }
 
-// checkAuditedAttempts compares attempts one by one.
+// checkAuditedAttempts compares the attempts one by one. started holds the attempts in the trail.
 func (c *checker) checkAuditedAttempts(started map[attemptID]*audit.Record) {
-	// A kill loses the end of a trail and nothing before it: an attempt may be missing only if it came after all that
-	// the trail of its dispatcher has. How long the disk took does not matter.
+	// A kill loses only the end of a trail. An attempt may therefore be missing only if it arrived after the last
+	// record of its dispatcher, with a tolerance of 1 ms. The delay of the disk does not matter.
 	seen, lastRecord := map[attemptID]bool{}, map[string]time.Duration{}
 	for _, r := range c.recording.AuditTrail {
 		if r.Message != "" {
@@ -96,17 +97,17 @@
 	}
 }
 
-// anyKilled tells that a dispatcher was killed at all.
+// anyKilled reports whether a dispatcher was killed in the run.
 func (c *checker) anyKilled() bool {
 	return slices.ContainsFunc(c.recording.Runs, func(l DispatcherRun) bool { return l.To > 0 && l.StopRequested == 0 })
 }
 
-// dispatcherPrefix is what the names of one dispatcher's messages begin with.
+// dispatcherPrefix returns the part of a message identifier that all messages of one dispatcher share.
 func dispatcherPrefix(message string) string {
 	return message[:max(0, strings.LastIndexByte(message, '-'))]
 }
 
-// reportAuditTrail reports a trail that is not what happened, as rule 0.
+// reportAuditTrail reports a difference between the trail and the observations as a violation of rule 0.
 func (c *checker) reportAuditTrail(format string, a ...any) {
 	c.report(0, 0, "-", "trail", format, a...)
 }
--- a/internal/sitefile/sitefile.go
+++ b/internal/sitefile/sitefile.go
@@ -1,5 +1,5 @@
-// Package sitefile reads deployment files such as deploy/balancer.toml, and writes variants of a given site file for runs with other
-// classes, limits and costs.
+// Package sitefile reads deployment files such as deploy/balancer.toml, and writes variants of a given site file for
+// runs with other classes, limits and costs.
 package sitefile
 
 import (
@@ -41,8 +41,8 @@
 // companionFiles are the files that are read from the folder of a site file.
 var companionFiles = []string{"real.json", "wire.json", "unlock.txt"}
 
-// WriteVariant writes a variant of a site to a folder: the site file merged with a file of overrides, and copies of the companion
-// files. It returns the path of the new site file, which has the base name of the overrides file.
+// WriteVariant writes a variant of a site to a folder: the site file merged with a file of overrides, and copies of the
+// companion files. It returns the path of the new site file, which has the base name of the overrides file.
 func WriteVariant(site, overrides, folder string) (string, error) {
 	base, err := read(site)
 	if err != nil {
@@ -76,9 +76,9 @@
 	return path, os.WriteFile(path, text, 0o644)
 }
 
-// merge merges changes into base and returns the result. Tables are merged key by key and lists of tables by index. Any other value
-// replaces the old one. path is the position in the file for error messages. siblings are the tables of the list that base belongs
-// to. A key that neither base nor one of its siblings has is an error.
+// merge merges changes into base and returns the result. Tables are merged key by key and lists of tables by index. Any
+// other value replaces the old one. path is the position in the file for error messages. siblings are the tables of the
+// list that base belongs to. A key that neither base nor one of its siblings has is an error.
 func merge(base, changes any, path string, siblings ...any) (any, error) {
 	switch o := changes.(type) {
 	case map[string]any:
--- a/internal/testgate/testgate.go
+++ b/internal/testgate/testgate.go
@@ -1,6 +1,6 @@
-// Package testgate decides whether a test run passes. Every failing test fails the run, except the tests recorded as known
-// failures. Each run reports the results of the known failures. The record is a file of at most three entries, each with a test,
-// a cause and an issue.
+// Package testgate decides whether a test run passes. Every failing test fails the run, except the tests recorded as
+// known failures. Each run reports the results of the known failures. The record is a file of at most three entries,
+// each with a test, a cause and an issue.
 package testgate
 
 import (
@@ -24,8 +24,8 @@
 	Issue   string
 }
 
-// ParseKnownFailures reads a record. Each line has the form "PACKAGE.TEST | cause | issue". Empty lines and lines that begin with #
-// are skipped. Errors name the line.
+// ParseKnownFailures reads a record. Each line has the form "PACKAGE.TEST | cause | issue". Empty lines and lines that
+// begin with # are skipped. Errors name the line.
 func ParseKnownFailures(r io.Reader) ([]KnownFailure, error) {
 	var known []KnownFailure
 	in := bufio.NewScanner(r)
@@ -64,8 +64,8 @@
 // testID identifies a test; the name is empty for the package itself.
 type testID struct{ pkg, name string }
 
-// Evaluate reads the output of go test -json. It prints the failures and the results of the known failures, and returns an error if
-// the run does not pass.
+// Evaluate reads the output of go test -json. It prints the failures and the results of the known failures, and returns
+// an error if the run does not pass.
 func Evaluate(in io.Reader, known []KnownFailure, out io.Writer) error {
 	r := testRun{outcomes: map[testID]string{}, output: map[testID][]string{}, packages: map[string]string{}}
 	dec := json.NewDecoder(in)
