--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -389,9 +389,9 @@
 					a.received.At-previous.end, previous.received.CorrelationID, rest)
 			}
 			// Messages sent before a kill are exempt: the client library sent them again later.
-			if earlier, later := outcomes[previous.received.CorrelationID], outcomes[a.received.CorrelationID]; earlier.Sent > later.Sent+Tolerance/3 && c.sameDispatcher(later.Sent, a.received.At) {
+			if previousOutcome, outcome := outcomes[previous.received.CorrelationID], outcomes[a.received.CorrelationID]; previousOutcome.Sent > outcome.Sent+Tolerance/3 && c.sameDispatcher(outcome.Sent, a.received.At) {
 				c.report(5, a.received.At, a.received.CorrelationID, a.where(), "key %s: sent after %s, which was handed in %v later", key,
-					previous.received.CorrelationID, earlier.Sent-later.Sent)
+					previous.received.CorrelationID, previousOutcome.Sent-outcome.Sent)
 			}
 		}
 	}
--- a/internal/sitefile/sitefile_test.go
+++ b/internal/sitefile/sitefile_test.go
@@ -25,8 +25,8 @@
 // site is a small site file.
 const site = "name = \"x\"\n[load]\nquiet = [0.4, 0.5]\n[[class]]\nname = \"a\"\neffect = \"safe\"\nwindow = 5\n[[class]]\nname = \"b\"\neffect = \"unsafe\"\n"
 
-// TestVariant checks that overrides are merged by key and index, and that companion files are copied.
-func TestVariant(t *testing.T) {
+// TestWriteVariant checks that overrides are merged by key and index, and that companion files are copied.
+func TestWriteVariant(t *testing.T) {
 	base := write(t, "site.toml", site)
 	over := write(t, "other.toml", "[load]\nquiet = 0.3\n[[class]]\n[[class]]\neffect = \"keyed\"\nwindow = 7\n")
 	path, err := WriteVariant(base, over, t.TempDir())
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestVariantRefuses checks that overrides that do not fit the site are rejected with their position.
-func TestVariantRefuses(t *testing.T) {
+// TestWriteVariantRejects checks that overrides that do not fit the site are rejected with their position.
+func TestWriteVariantRejects(t *testing.T) {
 	base := write(t, "site.toml", site)
 	for text, says := range map[string]string{"[lod]\nquiet = 1\n": ".lod", "[load]\nquite = 1\n": ".load.quite", "[[class]]\n[[class]]\n[[class]]\n": ".class: the site has 2", "[[class]]\nwindw = 1\n": ".class[0].windw",
 		"[name]\nx = 1\n": ".name", "name =\n": "other.toml"} {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestLine checks that only string values are returned.
-func TestLine(t *testing.T) {
+// TestText checks that only string values are returned.
+func TestText(t *testing.T) {
 	path := write(t, "deploy.toml", "build = \"go build\"\npackages = []\n")
 	if text, err := Text(path, "build"); text != "go build" || err != nil {
 		t.Errorf("%q, %v", text, err)
--- a/internal/testgate/testgate_test.go
+++ b/internal/testgate/testgate_test.go
@@ -19,8 +19,8 @@
 	return b.String()
 }
 
-// TestJudge checks that only known failures are excused, that they are reported, and that they have to run.
-func TestJudge(t *testing.T) {
+// TestEvaluate checks that only known failures are excused, that they are reported, and that they have to run.
+func TestEvaluate(t *testing.T) {
 	const rec = "m/a.TestRed | a cause | 33\n"
 	for name, c := range map[string]struct {
 		record, in, says string
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestParseKnown checks which records are accepted.
-func TestParseKnown(t *testing.T) {
+// TestParseKnownFailures checks which records are accepted.
+func TestParseKnownFailures(t *testing.T) {
 	three := "a.TestA | x | 1\na.TestB | x | 1\n# a note\n\na.TestC | x | 1\n"
 	for text, want := range map[string]int{"": 0, three: 3} {
 		if all, err := ParseKnownFailures(strings.NewReader(text)); err != nil || len(all) != want {
