--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -1,6 +1,5 @@
 // Package compare benchmarks a dispatcher against the usual alternative, httputil.ReverseProxy over HTTP/2, and against
-// direct calls of the stand-in partner. All targets are measured in one run on the same stand-ins, in alternating
-// order, so that a change of the machine's load affects all of them.
+// direct calls of the stand-in partner. All targets are measured in one run on the same stand-ins, in turns.
 package compare
 
 import (
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -153,7 +153,7 @@
 
 // Run sends all messages at their times, each in a goroutine of its own, and returns their outcomes in the same order.
 // The messages are expected in the order of At. now is the clock of the run. At most maxInFlight messages are in
-// flight. Further messages wait, and the wait counts for their latency. Once ctx ends, no further message is sent and
+// flight. Further messages wait, and the wait is part of their latency. Once ctx ends, no further message is sent and
 // the outcomes end there.
 func Run(ctx context.Context, sender Sender, messages []Message, now func() time.Duration, maxInFlight int) []Outcome {
 	outcomes := make([]Outcome, len(messages))
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -93,7 +93,7 @@
 // EventKind says what a stand-in saw or did.
 type EventKind string
 
-// Kinds of event.
+// The kinds of events.
 const (
 	// RequestReceived means that a complete request was received.
 	RequestReceived EventKind = "arrived"
