--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -236,7 +236,7 @@
 		msgs[i] = load.Message{At: time.Duration(float64(i) / c.Rate * float64(time.Second)), CorrelationID: fmt.Sprintf("s%d", i),
 			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, BodySize: c.Size}
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	out := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
 	load.Write(os.Stdout, load.Summarize(out), start.Elapsed())
 	return nil
@@ -282,7 +282,7 @@
 	if c.Log {
 		lines = os.Stderr
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	r, err := scenario.Run(ctx, s, lines)
 	if err != nil {
 		return false, err
--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -204,7 +204,7 @@
 	if err != nil || len(v.Problems) > 0 {
 		t.Fatal(v.Problems, err)
 	}
-	records, err := audit.All(store)
+	records, err := audit.AllRecords(store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,10 +216,10 @@
 		}
 		last[epoch(r.Message)] = r.Time()
 		k := call{r.Message, strconv.Itoa(r.Attempt - 1)}
-		if r.Kind == audit.Started {
+		if r.Kind == audit.AttemptStarted {
 			started[k] = true
 		}
-		if _, ok := came[k]; r.Kind == audit.Ended && r.Status > 0 && !ok {
+		if _, ok := came[k]; r.Kind == audit.AttemptEnded && r.Status > 0 && !ok {
 			t.Errorf("attempt %v has an answer, and no partner saw it", k)
 		}
 	}
--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -238,7 +238,7 @@
 	defer stop()
 	var served, failed atomic.Int64
 	var workers sync.WaitGroup
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	for i := range o.Concurrency {
 		workers.Add(1)
 		go func() {
@@ -272,7 +272,7 @@
 	for i := range messages {
 		messages[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), CorrelationID: "h", Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	for i, r := range load.Run(ctx, sender, messages, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
 		// The first tenth of the messages warms up the connections and is not counted.
 		if r.Status == 201 && i > n/10 {
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -56,7 +56,7 @@
 		messages[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), CorrelationID: fmt.Sprint("f", i), Class: "status",
 			Path: "/p/status", TTL: 3, BodySize: o.Size, AMQP: i%2 == 1}
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	var servedInAim [2]int
 	for _, r := range load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, messages, func() time.Duration { return start.Elapsed() }, 20000) {
 		if r.Status == 201 && r.Done-r.At <= time.Second {
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -45,7 +45,7 @@
 		if _, err := conn.Write(client.Output()); err != nil {
 			return err
 		}
-		if client.Room() == 0 || client.Blocked() {
+		if client.AvailableStreams() == 0 || client.SendBlocked() {
 			k, err := conn.Read(buf)
 			if err != nil {
 				return err
@@ -60,7 +60,7 @@
 		}
 		sent++
 	}
-	for client.Blocked() {
+	for client.SendBlocked() {
 		k, err := conn.Read(buf)
 		if err != nil {
 			return err
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -117,7 +117,7 @@
 		}
 	}
 	h = hdrhistogram.New(1, 60e6, 3)
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	for _, r := range load.Run(ctx, client, messages, func() time.Duration { return start.Elapsed() }, 20000) {
 		switch {
 		case r.Partner != "busy":
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -35,8 +35,8 @@
 	}
 	time.Sleep(time.Second) // Closed files are compressed in the background.
 	open, compressed := trailSizes(folder)
-	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", withTrail.Stats().Taken,
-		float64(open+compressed)/float64(max(1, withTrail.Stats().Taken)), open>>20, compressed>>20)
+	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", withTrail.Stats().Accepted,
+		float64(open+compressed)/float64(max(1, withTrail.Stats().Accepted)), open>>20, compressed>>20)
 	return nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,16 +8,16 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
-	"whinrun/internal/door"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
 	"whinrun/internal/intake"
 	"whinrun/internal/logstore/plan"
 	"whinrun/internal/mailbox"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
@@ -32,10 +32,10 @@
 	AMQP     front.Config // its address is empty where AMQP is off
 	AMQPConn amqp.Config
 	Outbound outbound.Config
-	Bounds   engine.Bounds
+	Bounds   engine.Limits
 	Audit    audit.Config
 	Mailbox  mailbox.Limits
-	Door     door.Limits
+	Door     admission.Limits
 
 	Background float64 // share of a core
 	Garbage    int     // percent, as of debug.SetGCPercent
@@ -43,7 +43,7 @@
 	LogLines   float64
 	StopWithin time.Duration
 
-	Intake    intake.Setup
+	Intake    intake.Config
 	Classes   []string
 	Partners  []roster.Partner
 	Sites     []push.Site // by partner
@@ -102,9 +102,9 @@
 	c.Intake.MaxBody = l.int("body")
 	streamWindow := uint32(min(max(64<<10, c.Intake.MaxBody), 1<<20))
 	bounds := h2.Config{MaxStreams: uint32(l.int("streams")), MaxHeaderList: l.int("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: l.span("handshake"), Stall: l.span("stall"),
+		ConnWindow: 4 << 20, Handshake: l.span("handshake"), StallTimeout: l.span("stall"),
 		AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), Unread: l.int("unread")}
+	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), MaxUnread: l.int("unread")}
 	r.amqp(c, d, l)
 	a := r.single("audit")
 	c.Audit = audit.Config{Folder: a.raw["folder"], Buffer: a.int("buffer"), SealEvery: a.span("seal-every"),
@@ -112,9 +112,9 @@
 			KeepFor: a.span("keep-for"), KeepBytes: int64(a.num["keep-bytes"]), RetryEvery: time.Second}}
 	c.Push = pushfront.Config{Idle: l.span("client-idle"), H2: bounds}
 	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.int("loops"), Conns: o.int("connections"), Streams: o.int("streams"),
+	c.Outbound = outbound.Config{Loops: d.int("loops"), MaxConnsPerEndpoint: o.int("connections"), MaxStreams: o.int("streams"),
 		ConnectTimeout: o.span("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: o.num["handshakes"], MaxHandshakes: o.int("opening"), MaxConns: o.int("total")}, IdleTimeout: o.span("idle"), MaxAnswerBytes: o.int("answer"), H2: bounds}
 	r.list(c)
 	r.classes(c)
 	r.partners(c)
@@ -124,11 +124,11 @@
 
 func (r *reader) amqp(c *Config, d, l *section) {
 	a := r.single("amqp")
-	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), Unread: max(l.int("unread"), 2*c.Intake.MaxBody)}
+	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), MaxUnread: max(l.int("unread"), 2*c.Intake.MaxBody)}
 	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.int("channels")), FrameMax: a.int("frame"), Heartbeat: a.span("heartbeat"),
-		Handshake: l.span("handshake"), Stall: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
+		Handshake: l.span("handshake"), BodyStallTimeout: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
 	q := r.single("answers")
-	c.Mailbox = mailbox.Limits{Queues: q.int("queues"), Length: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
+	c.Mailbox = mailbox.Limits{QueuesPerTenant: q.int("queues"), QueueLength: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
 	if h := c.AMQPConn.Heartbeat; h%time.Second != 0 {
 		r.bad(a.at["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
@@ -149,14 +149,14 @@
 	if len(classes) == 0 {
 		r.bad(0, "", "no [class NAME] section: at least one is needed")
 	}
-	effects := map[string]control.Effect{"safe": control.Free, "keyed": control.Guarded, "unsafe": control.SingleShot}
+	effects := map[string]control.RepeatEffect{"safe": control.Idempotent, "keyed": control.Deduplicated, "unsafe": control.AtMostOnce}
 	for _, s := range classes {
-		k := control.Class{Name: s.name, Effect: effects[s.raw["effect"]], Window: s.time("window"), Aim: s.time("aim"),
-			Deadline: s.time("deadline"), Worth: s.num["worth"], LateWorth: s.num["late-worth"], InOrder: s.num["order"] == 1}
-		if k.Deadline < k.Aim {
+		k := control.Class{Name: s.name, Effect: effects[s.raw["effect"]], DedupWindow: s.time("window"), Target: s.time("aim"),
+			Deadline: s.time("deadline"), Value: s.num["worth"], LateValue: s.num["late-worth"], InOrder: s.num["order"] == 1}
+		if k.Deadline < k.Target {
 			r.bad(s.at["deadline"], "deadline", "is shorter than the aim")
 		}
-		if (k.Effect == control.Guarded) != (k.Window > 0) {
+		if (k.Effect == control.Deduplicated) != (k.DedupWindow > 0) {
 			r.bad(max(s.at["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
 		c.Classes = append(c.Classes, s.name)
@@ -183,7 +183,7 @@
 func (r *reader) partners(c *Config) {
 	kinds, kindAt := r.all("kind")
 	for _, s := range kinds {
-		c.Module.Kinds = append(c.Module.Kinds, control.Kind{Name: s.name, Batch: s.int("batch"), RoutesApart: s.num["routes-apart"] == 1})
+		c.Module.DestinationKinds = append(c.Module.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.int("batch"), PerEndpointLimits: s.num["routes-apart"] == 1})
 		c.Dialects = append(c.Dialects, push.Dialects[s.raw["dialect"]])
 	}
 	partners, partnerAt := r.all("partner")
@@ -210,7 +210,7 @@
 		res := intake.Resource{Path: s.name, Dest: r.ref(s, "partner", partnerAt), Class: r.ref(s, "class", classAt),
 			Tenant: r.ref(s, "tenant", tenantAt)}
 		if len(r.problems) == 0 {
-			res.InOrder, res.Life = c.limits(res.Class)
+			res.InOrder, res.MaxLifetime = c.limits(res.Class)
 			c.Intake.Resources = append(c.Intake.Resources, res)
 		}
 	}
@@ -218,7 +218,7 @@
 	for _, s := range exchanges {
 		x := intake.Exchange{Name: s.name, Class: r.ref(s, "class", classAt), Tenant: r.ref(s, "tenant", tenantAt)}
 		if len(r.problems) == 0 {
-			x.InOrder, x.Life = c.limits(x.Class)
+			x.InOrder, x.MaxLifetime = c.limits(x.Class)
 			c.Intake.Exchanges = append(c.Intake.Exchanges, x)
 		}
 	}
@@ -256,25 +256,25 @@
 	m.Instances = 1
 	m.Tick = rules.time("tick")
 	m.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
-		"rough": control.WeightRough}[rules.raw["weights"]]
-	m.OverShare = rules.num["over-share"]
-	m.ReportLeft, m.ReportLimit = -1, -1
-	m.MaxTries = l.int("tries")
+		"rough": control.WeightApproximate}[rules.raw["weights"]]
+	m.OverQuotaFactor = rules.num["over-share"]
+	m.ReportRemainingIndex, m.ReportLimitIndex = -1, -1
+	m.MaxAttempts = l.int("tries")
 	m.MayCancel, m.RetryAfter = true, true
 	m.MaxRetryAfter = rules.time("longest-wait")
-	m.ConnIdle, m.ConnectTimeout = o.time("idle"), o.time("connect-timeout")
+	m.ConnIdleTimeout, m.ConnectTimeout = o.time("idle"), o.time("connect-timeout")
 	m.StreamsPerConn = o.int("streams")
 	m.StopSendingWithin = rules.time("drain-grace")
-	m.ColdFrom, m.WarmUp = rules.num["cold-from"], rules.time("warm-up")
-	m.TipMultiple, m.OverloadFor = rules.num["tip-multiple"], rules.time("overload-for")
-	m.SettleAfterDoubt = rules.time("settle-after-doubt")
+	m.ColdCapacity, m.WarmUp = rules.num["cold-from"], rules.time("warm-up")
+	m.CollapseMultiple, m.MaxOverload = rules.num["tip-multiple"], rules.time("overload-for")
+	m.SettleTime = rules.time("settle-after-doubt")
 	if m.Slots = l.int("slots"); m.Slots == 0 {
 		m.Slots = defaultSlots(c)
 	}
 	if m.MaxOpen = l.int("hold"); m.MaxOpen == 0 {
 		m.MaxOpen = max(1000, 40*m.Slots)
 	}
-	c.Intake.LeastLife = rules.span("least-life")
+	c.Intake.MinLifetime = rules.span("least-life")
 	if m.StopSendingWithin < 2*m.Tick {
 		r.bad(rules.at["drain-grace"], "drain-grace", "is shorter than two ticks")
 	}
@@ -283,9 +283,9 @@
 			r.bad(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
 		}
 	}
-	c.Bounds = engine.Bounds{Queue: l.int("queue"), Hold: m.MaxOpen}
-	c.Door = door.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
-		TenantBytes: int64(l.num["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
+	c.Bounds = engine.Limits{MaxQueued: l.int("queue"), MaxHeld: m.MaxOpen}
+	c.Door = admission.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
+		TenantBytes: int64(l.num["tenant-bytes"]), Messages: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
 	if c.Door.UnblockAt >= c.Door.BlockAt {
 		r.bad(max(l.at["unblock-at"], l.at["block-at"]), "unblock-at", "is not below block-at")
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -97,7 +97,7 @@
 
 	c := load.NewClient(s.Addr().String(), 2)
 	defer c.Close()
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	out := load.Run(ctx, c, messages(), func() time.Duration { return start.Elapsed() }, 1000)
 	load.Write(w, load.Summarize(out), start.Elapsed())
 	stop, done := context.WithTimeout(context.Background(), 15*time.Second)
@@ -116,7 +116,7 @@
 		}
 	}
 	st := s.Stats()
-	fmt.Fprintf(w, "%d taken, %d final answers, %d attempts; uploads applied: %d, twice: %d.\n", st.Taken, st.Served+st.Refused+st.Failed,
+	fmt.Fprintf(w, "%d taken, %d final answers, %d attempts; uploads applied: %d, twice: %d.\n", st.Accepted, st.Served+st.Refused+st.Failed,
 		st.Attempts, len(applied), twice)
 	fmt.Fprintln(w, "served: a partner took it. refused: handing it in again is harmless. failed: nothing is promised.")
 	return ctx.Err()
--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -132,7 +132,7 @@
 func (c *conn) receive(data []byte) bool {
 	c.mu.Lock()
 	now := c.now()
-	if timeout := c.endpoint.partner.cfg.IdleTimeout; timeout > 0 && len(c.calls) == 0 && now-c.lastUsed > timeout && c.http2.Settled() {
+	if timeout := c.endpoint.partner.cfg.IdleTimeout; timeout > 0 && len(c.calls) == 0 && now-c.lastUsed > timeout && c.http2.SettingsReceived() {
 		c.mu.Unlock()
 		c.discard() // The dispatcher gets no answer and no reset.
 		return false
@@ -285,7 +285,7 @@
 		k.logEvent(NoResponse, 0, 0)
 	case p.chance(fault.ResetRate):
 		k.conn.update(func(now time.Duration) {
-			_ = k.conn.http2.Begin(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
+			_ = k.conn.http2.BeginResponse(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
 		})
 		k.reset(h2.InternalError)
 	case p.chance(fault.MalformedRate):
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -160,10 +160,10 @@
 }
 
 // NewLog starts a log that keeps at most maxEvents events and drops all later ones.
-func NewLog(maxEvents int) *Log { return &Log{stopwatch: clock.Start(), maxEvents: maxEvents} }
+func NewLog(maxEvents int) *Log { return &Log{stopwatch: clock.StartStopwatch(), maxEvents: maxEvents} }
 
 // StartTime returns the wall-clock time at which the log started.
-func (l *Log) StartTime() time.Time { return l.stopwatch.Began() }
+func (l *Log) StartTime() time.Time { return l.stopwatch.StartedAt() }
 
 // Now returns the time since the start of the log.
 func (l *Log) Now() time.Duration { return l.stopwatch.Elapsed() }
@@ -358,7 +358,7 @@
 	conns := e.connList()
 	e.mu.Unlock()
 	for _, c := range conns {
-		c.update(func(now time.Duration) { c.http2.Limit(now, n) })
+		c.update(func(now time.Duration) { c.http2.SetMaxStreams(now, n) })
 	}
 }
 
--- a/internal/push/inbound.go
+++ b/internal/push/inbound.go
@@ -14,10 +14,10 @@
 )
 
 // Desk reads requests: it makes messages of them by the book.
-type Desk struct{ book *intake.Book }
+type Desk struct{ book *intake.Registry }
 
 // NewDesk returns a Desk.
-func NewDesk(book *intake.Book) *Desk { return &Desk{book} }
+func NewDesk(book *intake.Registry) *Desk { return &Desk{book} }
 
 // Problem is a request that is not taken (RFC 9457); the message was never held.
 type Problem struct {
@@ -53,8 +53,8 @@
 			return nil, d.TooLong()
 		}
 	}
-	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Target: target,
-		Type: h2.Value(fields, "content-type"), Coding: h2.Value(fields, "content-encoding")}
+	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, TargetPath: target,
+		ContentType: h2.Value(fields, "content-type"), ContentEncoding: h2.Value(fields, "content-encoding")}
 	if p := d.times(m, r, fields); p != nil {
 		return nil, p
 	}
@@ -71,21 +71,21 @@
 func (d *Desk) MaxBody() int { return d.book.MaxBody() }
 
 // Book is what the Desk goes by.
-func (d *Desk) Book() *intake.Book { return d.book }
+func (d *Desk) Book() *intake.Registry { return d.book }
 
 // Allowed looks at the bearer token (RFC 6750): 401 for none or an unknown one, 403 for another tenant's.
 func (d *Desk) Allowed(tenant int, authorization string) *Problem {
-	if d.book.Open(tenant) {
+	if d.book.IsOpen(tenant) {
 		return nil
 	}
 	scheme, secret, _ := strings.Cut(authorization, " ")
-	standing := d.book.Check(tenant, strings.TrimSpace(secret))
+	standing := d.book.CheckSecret(tenant, strings.TrimSpace(secret))
 	switch {
-	case !strings.EqualFold(scheme, "Bearer") || standing == intake.Unknown:
+	case !strings.EqualFold(scheme, "Bearer") || standing == intake.UnknownSecret:
 		p := problem(401, "a bearer token of the tenant is needed")
 		p.Extra = []h2.Field{{Name: "www-authenticate", Value: `Bearer realm="push"`}}
 		return p
-	case standing == intake.Another:
+	case standing == intake.OtherTenant:
 		return problem(403, "that is another tenant's")
 	}
 	return nil
@@ -104,8 +104,8 @@
 	if n, err := strconv.ParseUint(v, 10, 31); err == nil {
 		asked = time.Duration(n) * time.Second
 	}
-	m.Life = d.book.Life(r.Life, asked)
-	if m.Urgency = h2.Value(fields, "urgency"); !intake.Urgency(m.Urgency) {
+	m.Lifetime = d.book.Lifetime(r.MaxLifetime, asked)
+	if m.Urgency = h2.Value(fields, "urgency"); !intake.ValidUrgency(m.Urgency) {
 		return problem(400, "Urgency %q (RFC 8030 section 5.3)", intake.Printable(m.Urgency))
 	}
 	return nil
@@ -114,7 +114,7 @@
 // keys reads Topic, which is the order key where the class asks for order, and Idempotency-Key.
 func keys(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
 	topic := h2.Value(fields, "topic")
-	if err := intake.Order(m, r.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
+	if err := intake.SetTopic(m, r.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
 		return problem(400, "Topic %q: one key of at most 32 characters (RFC 8030 section 5.4)", intake.Printable(topic))
 	}
 	v := h2.Value(fields, "idempotency-key")
@@ -125,8 +125,8 @@
 	if err != nil {
 		key = v // commonly sent without the quotes of a structured string
 	}
-	if err := intake.Repeat(m, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
-		return problem(400, "Idempotency-Key: %v", intake.ErrRepeat)
+	if err := intake.SetIdempotencyKey(m, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
+		return problem(400, "Idempotency-Key: %v", intake.ErrInvalidIdempotencyKey)
 	}
 	return nil
 }
@@ -140,19 +140,19 @@
 // Response makes a final answer into a response: docs/answers.md says what each promises.
 func Response(n Names, m *engine.Message, a engine.Answer) Reply {
 	id := n.Of(m.ID)
-	switch a.Final {
+	switch a.Kind {
 	case engine.Served:
 		return Reply{Fields: []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: "/m/" + id},
-			{Name: "ttl", Value: strconv.Itoa(int(m.Life / control.Second))}, {Name: FieldMessage, Value: id, Sensitive: true}}}
+			{Name: "ttl", Value: strconv.Itoa(int(m.Lifetime / control.Second))}, {Name: FieldMessage, Value: id, Sensitive: true}}}
 	case engine.Refused:
 		p := problem(503, "refused: nothing has taken effect beyond what the class allows to repeat")
 		if a.Status == 429 {
 			p.Status = 429
 		}
-		p.Wait = time.Duration(a.Wait) * time.Microsecond
+		p.Wait = time.Duration(a.RetryAfter) * time.Microsecond
 		return p.reply(id, a)
 	}
-	if a.Late {
+	if a.DeadlineExceeded {
 		return problem(504, "failed: its time ended; whether it took effect is not known").reply(id, a)
 	}
 	return problem(502, "failed: whether it took effect is not known").reply(id, a)
@@ -171,7 +171,7 @@
 }
 
 func (p *Problem) reply(id string, a engine.Answer) Reply {
-	body, _ := json.Marshal(problemBody{p.Title, p.Status, a.Why, id, a.Tries, a.Status})
+	body, _ := json.Marshal(problemBody{p.Title, p.Status, a.AttemptDetail, id, a.Attempts, a.Status})
 	r := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
 		{Name: "content-type", Value: "application/problem+json"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}}
 	if p.Status == 429 || p.Status == 503 {
--- a/internal/push/push.go
+++ b/internal/push/push.go
@@ -61,10 +61,10 @@
 
 // Request is RFC 8030 section 5, with Idempotency-Key for repeats.
 func (Standard) Request(s Site, n Names, a *engine.Attempt, left time.Duration, _ time.Time) []h2.Field {
-	m := a.Msg
+	m := a.Message
 	path := s.Path
-	if m.Target != "" {
-		path = strings.TrimSuffix(s.Path, "/") + m.Target
+	if m.TargetPath != "" {
+		path = strings.TrimSuffix(s.Path, "/") + m.TargetPath
 	}
 	f := make([]h2.Field, 0, 14)
 	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
@@ -83,8 +83,8 @@
 }
 
 func repeatKey(n Names, m *engine.Message) string {
-	if m.Repeat != "" {
-		return m.Repeat
+	if m.IdempotencyKey != "" {
+		return m.IdempotencyKey
 	}
 	return n.Of(m.ID)
 }
@@ -97,12 +97,12 @@
 }
 
 func common(f []h2.Field, n Names, a *engine.Attempt) []h2.Field {
-	m := a.Msg
-	f = addIf(f, "content-type", m.Type)
-	f = addIf(f, "content-encoding", m.Coding)
+	m := a.Message
+	f = addIf(f, "content-type", m.ContentType)
+	f = addIf(f, "content-encoding", m.ContentEncoding)
 	return append(f, h2.Field{Name: "content-length", Value: strconv.Itoa(len(m.Body))},
 		h2.Field{Name: FieldMessage, Value: n.Of(m.ID), Sensitive: true},
-		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(a.N)})
+		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(a.Number)})
 }
 
 // Device is the form of the published provider interfaces for device notifications: a path per device, an id, an
@@ -114,7 +114,7 @@
 
 // Request names the device in its path.
 func (Device) Request(s Site, n Names, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field {
-	m := a.Msg
+	m := a.Message
 	priority := "5"
 	if m.Urgency == "high" {
 		priority = "10"
@@ -122,7 +122,7 @@
 	topic := s.Topic
 	f := make([]h2.Field, 0, 14)
 	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
-		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(s.Path, "/") + m.Target},
+		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(s.Path, "/") + m.TargetPath},
 		h2.Field{Name: "apns-id", Value: uuidOf(n.Of(m.ID)), Sensitive: true},
 		h2.Field{Name: "apns-expiration", Value: strconv.FormatInt(wall.Add(left).Unix(), 10)},
 		h2.Field{Name: "apns-priority", Value: priority})
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -55,7 +55,7 @@
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	}
 	s.room.Lock()
-	place, err := s.room.Promise(tenant, name, "", "")
+	place, err := s.room.Reserve(tenant, name, "", "")
 	s.room.Unlock()
 	switch {
 	case errors.Is(err, mailbox.ErrNotFound):
@@ -63,7 +63,7 @@
 	case err != nil:
 		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
 	}
-	r.place, r.receipts, r.msg.Receipt = place, uri, name
+	r.place, r.receipts, r.msg.ReceiptSubscription = place, uri, name
 	return nil
 }
 
@@ -71,7 +71,7 @@
 func (r *request) unpromise(now time.Duration) {
 	if r.place != nil {
 		r.s.room.Lock()
-		r.place.Drop(now)
+		r.place.Release(now)
 		r.s.room.Unlock()
 		r.place = nil
 	}
@@ -89,7 +89,7 @@
 func (r *request) fill(a *engine.Answer) {
 	rec := receipt.New(r.s.names.Of(r.msg.ID), a, clock.Wall())
 	rec.Path = r.path
-	if _, key, ok := strings.Cut(r.msg.Repeat, "/"); ok {
+	if _, key, ok := strings.Cut(r.msg.IdempotencyKey, "/"); ok {
 		rec.MessageID = key
 	}
 	r.s.room.Lock()
@@ -148,7 +148,7 @@
 		taken, err := s.room.Take(now, tenant, part[1], no)
 		s.room.Unlock()
 		if r, ok := taken.(*receipt.Receipt); ok {
-			s.room.Tell(tenant, part[1], r)
+			s.room.NotifyChange(tenant, part[1], r)
 		}
 		return s.over(e, err, now)
 	}
@@ -157,12 +157,12 @@
 
 func (s *session) subscribe(e *h2.Event, tenant int, who string, now time.Duration) *push.Problem {
 	s.room.Lock()
-	name, _, _, err := s.room.Declare(now, tenant, mailbox.Spec{}, false)
+	name, _, _, err := s.room.Declare(now, tenant, mailbox.QueueSpec{}, false)
 	s.room.Unlock()
 	if err != nil {
 		return &push.Problem{Status: 503, Title: err.Error(), Wait: time.Minute}
 	}
-	s.room.Tell(tenant, name, nil)
+	s.room.NotifyChange(tenant, name, nil)
 	_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + who + "/" + name}}, nil)
 	return nil
 }
@@ -184,7 +184,7 @@
 	entries := make([]entry, len(all))
 	for i, w := range all {
 		r := w.Payload.(*receipt.Receipt)
-		entries[i] = entry{No: w.No, Receipt: r}
+		entries[i] = entry{No: w.Sequence, Receipt: r}
 		if s.room.Key != nil {
 			entries[i].Signed = r.Sign(s.room.Key)
 		}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -46,16 +46,16 @@
 	byName   map[string]int
 
 	mu     sync.RWMutex
-	names  map[place]control.Endpoint
+	names  map[place]control.EndpointID
 	places []Place
 
-	listed map[control.Endpoint]control.Entry // the list as last told
+	listed map[control.EndpointID]control.Entry // the list as last told
 }
 
 // New returns a Roster for the partners given; their Dest is set to their index.
 func New(partners []Partner) *Roster {
-	r := &Roster{partners: slices.Clone(partners), byName: map[string]int{}, names: map[place]control.Endpoint{},
-		places: make([]Place, 1), listed: map[control.Endpoint]control.Entry{}}
+	r := &Roster{partners: slices.Clone(partners), byName: map[string]int{}, names: map[place]control.EndpointID{},
+		places: make([]Place, 1), listed: map[control.EndpointID]control.Entry{}}
 	for i := range r.partners {
 		r.partners[i].Dest = i
 		r.byName[r.partners[i].Name] = i
@@ -64,13 +64,13 @@
 }
 
 // Name returns the module's name of a partner's endpoint, the same for good.
-func (r *Roster) Name(dest int, addr netip.AddrPort) control.Endpoint {
+func (r *Roster) Name(dest int, addr netip.AddrPort) control.EndpointID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := place{dest, addr}
 	ep, ok := r.names[at]
 	if !ok {
-		ep = control.Endpoint(len(r.places))
+		ep = control.EndpointID(len(r.places))
 		r.names[at] = ep
 		r.places = append(r.places, Place{Partner: dest, Kind: r.partners[dest].Kind, Addr: addr})
 	}
@@ -78,7 +78,7 @@
 }
 
 // Place tells where an endpoint is.
-func (r *Roster) Place(ep control.Endpoint) (Place, bool) {
+func (r *Roster) Place(ep control.EndpointID) (Place, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if ep == 0 || int(ep) >= len(r.places) {
@@ -96,7 +96,7 @@
 // Whole compares a whole list with the one before and keeps it. Lines that name a partner that is not set up are
 // left out and reported; of an endpoint named twice the more careful standing counts: a drain always binds.
 func (r *Roster) Whole(lines []Line) Change {
-	next := make(map[control.Endpoint]control.Entry, len(lines))
+	next := make(map[control.EndpointID]control.Entry, len(lines))
 	var c Change
 	for _, l := range lines {
 		e, ok := r.entry(l, &c)
@@ -138,7 +138,7 @@
 
 // moved reports addresses that left one partner and came to another: often a slip of whoever wrote the list. To the
 // module they are two endpoints, so nothing learned of the one, and no drain, passes to the other.
-func (r *Roster) moved(next map[control.Endpoint]control.Entry, left map[netip.AddrPort]int) (odd []string) {
+func (r *Roster) moved(next map[control.EndpointID]control.Entry, left map[netip.AddrPort]int) (odd []string) {
 	for ep, e := range next {
 		if _, known := r.listed[ep]; known {
 			continue
@@ -182,5 +182,5 @@
 		return e, false
 	}
 	p := r.partners[dest]
-	return control.Entry{Endpoint: r.Name(dest, l.Addr), Dest: dest, Zone: l.Zone, Kind: p.Kind, Health: l.Health, Weight: p.Rate}, true
+	return control.Entry{Endpoint: r.Name(dest, l.Addr), Dest: dest, Zone: l.Zone, DestinationKind: p.Kind, Health: l.Health, Weight: p.Rate}, true
 }
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -229,12 +229,12 @@
 				uncertain = a
 			}
 		}
-		if class.Effect == control.SingleShot && applied > 1 {
+		if class.Effect == control.AtMostOnce && applied > 1 {
 			c.report(2, attempts[len(attempts)-1].received.At, correlationID, attempts[len(attempts)-1].where(), "applied %d times, its class must not repeat", applied)
 		}
 	}
 	for _, o := range c.recording.Outcomes {
-		if load.AnswerKind(o.Status) != "refused" || c.classes[o.Class].Effect != control.SingleShot {
+		if load.AnswerKind(o.Status) != "refused" || c.classes[o.Class].Effect != control.AtMostOnce {
 			continue
 		}
 		for _, a := range c.byCorrelationID[o.CorrelationID] {
@@ -272,10 +272,10 @@
 		return
 	}
 	switch class.Effect {
-	case control.SingleShot:
+	case control.AtMostOnce:
 		c.report(2, a.received.At, correlationID, a.where(), "sent again after the attempt at %v, which may have run", uncertain.received.Endpoint)
-	case control.Guarded:
-		if late := a.received.At - uncertain.received.At - time.Duration(class.Window)*time.Microsecond; late > Tolerance {
+	case control.Deduplicated:
+		if late := a.received.At - uncertain.received.At - time.Duration(class.DedupWindow)*time.Microsecond; late > Tolerance {
 			c.report(2, a.received.At, correlationID, a.where(), "sent again %v after partners forgot its key", late)
 		}
 	}
@@ -359,7 +359,7 @@
 // checkOrder checks rule 5. Messages with the same order key are sent one at a time, in the order in which the clients
 // sent them. After an attempt with an unknown end, the key rests for Settings.SettleAfterDoubt.
 func (c *checker) checkOrder() {
-	rest := time.Duration(c.recording.Settings.SettleAfterDoubt) * time.Microsecond
+	rest := time.Duration(c.recording.Settings.SettleTime) * time.Microsecond
 	byKey := map[string][]*attempt{}
 	for _, a := range c.attempts {
 		if c.classes[a.received.Class].InOrder && a.received.OrderKey != "-" {
--- a/internal/scenario/check_test.go
+++ b/internal/scenario/check_test.go
@@ -21,9 +21,9 @@
 // cleanRecording returns a recording without violations.
 func cleanRecording() *Recording {
 	s := &Script{RateScale: 1, Partners: []PartnerSpec{{Config: partner.Config{Name: "p", Capacity: 10, ColdShare: 0.2, WarmUp: 4 * second, OverloadFactor: 2, OverloadWindow: second}}}}
-	return &Recording{Script: s, Runs: []DispatcherRun{{From: 0}}, Settings: control.Settings{StopSendingWithin: control.Second, SettleAfterDoubt: control.Second,
-		Classes: []control.Class{{Name: "safe", Deadline: 4 * control.Second}, {Name: "upload", Effect: control.SingleShot, Deadline: 4 * control.Second},
-			{Name: "keyed", Effect: control.Guarded, Window: 2 * control.Second, Deadline: 8 * control.Second},
+	return &Recording{Script: s, Runs: []DispatcherRun{{From: 0}}, Settings: control.Settings{StopSendingWithin: control.Second, SettleTime: control.Second,
+		Classes: []control.Class{{Name: "safe", Deadline: 4 * control.Second}, {Name: "upload", Effect: control.AtMostOnce, Deadline: 4 * control.Second},
+			{Name: "keyed", Effect: control.Deduplicated, DedupWindow: 2 * control.Second, Deadline: 8 * control.Second},
 			{Name: "ordered", Deadline: 8 * control.Second, InOrder: true}}}}
 }
 
@@ -175,7 +175,7 @@
 	rec := func(kind audit.Kind, attempt int) *audit.Record {
 		return &audit.Record{Kind: kind, Message: "ma", Attempt: attempt, Endpoint: ep1.String(), Status: 201}
 	}
-	intact := []*audit.Record{rec(audit.Accepted, 0), rec(audit.Started, 1), rec(audit.Ended, 1), rec(audit.Answered, 0)}
+	intact := []*audit.Record{rec(audit.Accepted, 0), rec(audit.AttemptStarted, 1), rec(audit.AttemptEnded, 1), rec(audit.Answered, 0)}
 	// A later record of the same dispatcher shows that the trail goes on after the missing attempt.
 	late := rec(audit.Accepted, 0)
 	late.Message, late.At = "mb", (5 * second).Microseconds()
@@ -186,11 +186,11 @@
 		{"well", "", intact},
 		{"a hole before a kill", "is not in the trail", []*audit.Record{intact[0], intact[3], late}},
 		{"an attempt is missing", "is not in the trail", []*audit.Record{intact[0], intact[3]}},
-		{"an attempt is invented", "which no stand-in saw", append(intact[:3:3], rec(audit.Started, 2), rec(audit.Ended, 2), intact[3])},
-		{"two at once", "while 1 was", []*audit.Record{intact[0], intact[1], rec(audit.Started, 2), rec(audit.Ended, 2), intact[3]}},
-		{"after the answer", "after the final answer", append(intact[:4:4], rec(audit.Started, 2))},
+		{"an attempt is invented", "which no stand-in saw", append(intact[:3:3], rec(audit.AttemptStarted, 2), rec(audit.AttemptEnded, 2), intact[3])},
+		{"two at once", "while 1 was", []*audit.Record{intact[0], intact[1], rec(audit.AttemptStarted, 2), rec(audit.AttemptEnded, 2), intact[3]}},
+		{"after the answer", "after the final answer", append(intact[:4:4], rec(audit.AttemptStarted, 2))},
 		{"two answers", "a second final answer", append(intact[:4:4], intact[3])},
-		{"another endpoint", "the trail has", []*audit.Record{intact[0], {Kind: audit.Started, Message: "ma", Attempt: 1, Endpoint: "x"}, intact[2], intact[3]}},
+		{"another endpoint", "the trail has", []*audit.Record{intact[0], {Kind: audit.AttemptStarted, Message: "ma", Attempt: 1, Endpoint: "x"}, intact[2], intact[3]}},
 	} {
 		r := cleanRecording()
 		r.addAttempt(1*second, "a", "safe", "-", ep1, 1, event(2*second, partner.Applied, 0), event(2*second, partner.Responded, 201))
--- a/internal/scenario/trail.go
+++ b/internal/scenario/trail.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	records, err = audit.All(store)
+	records, err = audit.AllRecords(store)
 	return records, append(report.Problems, verification.Problems...), err
 }
 
@@ -44,7 +44,7 @@
 	inFlight, answered := map[string]int{}, map[string]bool{}
 	for _, r := range c.recording.AuditTrail {
 		switch r.Kind {
-		case audit.Started:
+		case audit.AttemptStarted:
 			if inFlight[r.Message] != 0 {
 				c.reportAuditTrail("message %s: attempt %d went out while %d was", r.Message, r.Attempt, inFlight[r.Message])
 			}
@@ -53,7 +53,7 @@
 			}
 			inFlight[r.Message] = r.Attempt
 			started[attemptID{r.Message, r.Attempt}] = r
-		case audit.Ended:
+		case audit.AttemptEnded:
 			if inFlight[r.Message] != r.Attempt {
 				c.reportAuditTrail("message %s: attempt %d ended, %d was out", r.Message, r.Attempt, inFlight[r.Message])
 			}
@@ -91,7 +91,7 @@
 		}
 	}
 	for _, r := range c.recording.AuditTrail {
-		if k := (attemptID{r.Message, r.Attempt}); r.Kind == audit.Ended && r.Status >= 200 && !seen[k] {
+		if k := (attemptID{r.Message, r.Attempt}); r.Kind == audit.AttemptEnded && r.Status >= 200 && !seen[k] {
 			c.reportAuditTrail("message %s: the trail has an answer to attempt %d, which no stand-in saw", k.message, k.attempt)
 		}
 	}
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -127,7 +127,7 @@
 		}
 	}
 	u := s.Door().Usage()
-	if side := s.Door().Sides()[1]; u.Held != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Unheard.Load() != 0 {
+	if side := s.Door().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
 		t.Errorf("%+v, served %d refused %d failed %d", u, side.Served.Load(), side.Refused.Load(), side.Failed.Load())
 	}
 }
@@ -246,7 +246,7 @@
 		}
 	}
 	<-arrived
-	for s.Door().Usage().Held < n {
+	for s.Door().Usage().Messages < n {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
--- a/internal/service/lists.go
+++ b/internal/service/lists.go
@@ -106,7 +106,7 @@
 	source  ListSource
 	roster  *roster.Roster
 	log     *logs.Logger
-	put     func(engine.List)
+	put     func(engine.ListUpdate)
 	quit    chan struct{}
 	done    sync.WaitGroup
 	version string
@@ -153,7 +153,7 @@
 	for _, odd := range c.Odd {
 		l.log.Warn("list", "%s", odd)
 	}
-	l.put(engine.List{Kind: kind, Entries: c.Entries})
+	l.put(engine.ListUpdate{Kind: kind, Entries: c.Entries})
 }
 
 func (l *lists) stop() {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -346,7 +346,7 @@
 	}
 	away := false
 	err := r.until(func(e h2.Event) bool {
-		away = away || e.Kind == h2.PeerGoAway && e.Code == h2.FlowControlError
+		away = away || e.Kind == h2.GoAwayReceived && e.Code == h2.FlowControlError
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -75,7 +75,7 @@
 	crossing              = 5 * control.Millisecond
 	tick                  = 5 * control.Millisecond
 	queueSeconds          = 0.5 // of its capacity may wait at the destination
-	destination, endpoint = 1, control.Endpoint(10)
+	destination, endpoint = 1, control.EndpointID(10)
 )
 
 // dispatcher is one of them.
@@ -84,10 +84,10 @@
 	number int
 	share  float64
 	told   bool
-	memory map[control.Endpoint]control.Outage // what is on record of outages
-	out    map[control.MessageID]int           // attempts out, by their number
-	held   map[control.MessageID]*message      // what it owes, on record
-	epoch  int                                 // processes so far
+	memory map[control.EndpointID]control.Outage // what is on record of outages
+	out    map[control.MessageID]int             // attempts out, by their number
+	held   map[control.MessageID]*message        // what it owes, on record
+	epoch  int                                   // processes so far
 }
 
 // message is one that a dispatcher owes.
@@ -172,16 +172,16 @@
 	p.down = quiet
 	p.up = p.down + seconds(between(downLeast, downMost))
 	classes := []control.Class{
-		{Name: "status", Aim: seconds(1.5), Deadline: seconds(5), Worth: 2},
-		{Name: "sync", Effect: control.Guarded, Window: seconds(10), Aim: seconds(2.5), Deadline: seconds(24), Worth: 1, LateWorth: 0.5},
-		{Name: "upload", Effect: control.SingleShot, Aim: seconds(2.5), Deadline: seconds(28), Worth: 5, LateWorth: 0.4},
+		{Name: "status", Target: seconds(1.5), Deadline: seconds(5), Value: 2},
+		{Name: "sync", Effect: control.Deduplicated, DedupWindow: seconds(10), Target: seconds(2.5), Deadline: seconds(24), Value: 1, LateValue: 0.5},
+		{Name: "upload", Effect: control.AtMostOnce, Target: seconds(2.5), Deadline: seconds(28), Value: 5, LateValue: 0.4},
 	}
 	mine := p.demand / float64(p.cfg.Dispatchers)
-	p.set = control.Settings{Instances: p.cfg.Dispatchers, Tick: tick, Classes: classes, Kinds: []control.Kind{{Name: "partners", Batch: 1}},
-		Weights: control.WeightNominal, Slots: max(3, int(2*mine)), MaxOpen: max(16, int(10*mine)), MaxTries: 6, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: seconds(2), ConnIdle: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportLeft: -1, ReportLimit: -1,
-		StopSendingWithin: seconds(1), ColdFrom: between(coldLeast, coldMost), WarmUp: seconds(between(warmLeast, warmMost)),
-		TipMultiple: tipMultiple, OverloadFor: span, SettleAfterDoubt: seconds(1), KeepOutages: true}
+	p.set = control.Settings{Instances: p.cfg.Dispatchers, Tick: tick, Classes: classes, DestinationKinds: []control.DestinationKind{{Name: "partners", MaxBatch: 1}},
+		Weights: control.WeightNominal, Slots: max(3, int(2*mine)), MaxOpen: max(16, int(10*mine)), MaxAttempts: 6, MayCancel: true, RetryAfter: true,
+		MaxRetryAfter: seconds(2), ConnIdleTimeout: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		StopSendingWithin: seconds(1), ColdCapacity: between(coldLeast, coldMost), WarmUp: seconds(between(warmLeast, warmMost)),
+		CollapseMultiple: tipMultiple, MaxOverload: span, SettleTime: seconds(1), TrackOutages: true}
 	p.res = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
 }
 
@@ -191,7 +191,7 @@
 func (p *play) open() {
 	sum := 0.0
 	for i := range p.cfg.Dispatchers {
-		d := &dispatcher{number: i, share: math.Exp(p.cfg.Uneven * p.rng.NormFloat64()), memory: map[control.Endpoint]control.Outage{}, held: map[control.MessageID]*message{}}
+		d := &dispatcher{number: i, share: math.Exp(p.cfg.Uneven * p.rng.NormFloat64()), memory: map[control.EndpointID]control.Outage{}, held: map[control.MessageID]*message{}}
 		sum += d.share
 		p.fleet = append(p.fleet, d)
 	}
@@ -209,7 +209,7 @@
 // start gives a dispatcher a process: what the one before knew of outages is on record, all else is gone.
 func (p *play) start(d *dispatcher) {
 	set := p.set
-	set.Me = d.number
+	set.InstanceIndex = d.number
 	mod, err := control.New(set, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
 	if err != nil {
 		panic(err) // the settings are this package's own
@@ -217,7 +217,7 @@
 	d.mod = mod
 	d.epoch++
 	entry := control.Entry{Endpoint: endpoint, Dest: destination, Health: control.Ready, Weight: p.capacity}
-	events := []control.Event{{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
+	events := []control.Event{{Kind: control.ListUpdate, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
 	for _, o := range d.memory {
 		events = append(events, control.Event{Kind: control.OutageRestored, Outage: &o})
 	}
@@ -231,8 +231,8 @@
 		if n, out := d.out[id]; out && n == m.tries-1 && m.doubt == 0 {
 			m.doubt = m.sent // its end is not known
 		}
-		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, Grace: max(0, m.deadline-p.now),
-			Restored: true, Attempt: m.tries, Doubt: m.doubt > 0, Lag: p.now - m.doubt})
+		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, TimeLeft: max(0, m.deadline-p.now),
+			Restored: true, Attempt: m.tries, PossiblyExecuted: m.doubt > 0, Elapsed: p.now - m.doubt})
 	}
 	d.out = map[control.MessageID]int{}
 	return events
@@ -256,7 +256,7 @@
 		p.nextID++
 		class := p.rng.IntN(len(p.set.Classes))
 		d.held[p.nextID] = &message{class: class, deadline: p.now + p.set.Classes[class].Deadline}
-		p.run(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, Grace: p.set.Classes[class].Deadline})
+		p.run(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, TimeLeft: p.set.Classes[class].Deadline})
 	}})
 }
 
@@ -290,7 +290,7 @@
 		p.served = append(p.served, p.now)
 		delete(d.held, e.Message)
 		e.Closed = true
-	case m != nil && m.doubt == 0 && e.Result != control.Full && e.Result != control.ConnectFailed:
+	case m != nil && m.doubt == 0 && e.Result != control.LimitExceeded && e.Result != control.ConnectFailed:
 		m.doubt = m.sent
 	}
 }
@@ -300,7 +300,7 @@
 	for _, a := range d.mod.Step(p.now, events, nil) {
 		switch a.Kind {
 		case control.Timer:
-			p.put(&happening{at: p.now + a.After, who: d, what: control.Event{Kind: control.Tick, Mark: a.Mark}})
+			p.put(&happening{at: p.now + a.After, who: d, what: control.Event{Kind: control.TimerFired, TimerToken: a.TimerToken}})
 		case control.Send:
 			p.send(d, a)
 		case control.Refuse, control.Fail:
@@ -312,7 +312,7 @@
 		}
 	}
 	for _, o := range d.mod.Outages() {
-		if o.Over() {
+		if o.Ended() {
 			delete(d.memory, o.Endpoint)
 		} else {
 			d.memory[o.Endpoint] = o
@@ -323,7 +323,7 @@
 // end has an attempt end after a while.
 func (p *play) end(d *dispatcher, id control.MessageID, attempt int, r control.Result, after, wait control.Time) {
 	p.put(&happening{at: p.now + after, who: d, what: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: r,
-		Lag: after, Wait: wait}})
+		Elapsed: after, RetryAfter: wait}})
 }
 
 // send has a call reach the destination, and its end come back.
@@ -347,7 +347,7 @@
 		p.end(d, a.Message, n, control.OK, min(wait, due), 0)
 		return
 	}
-	p.end(d, a.Message, n, control.Full, 2*crossing, 0)
+	p.end(d, a.Message, n, control.LimitExceeded, 2*crossing, 0)
 }
 
 // fails has a call meet the outage.
@@ -359,13 +359,13 @@
 	case Silent:
 		p.end(d, id, n, control.TimedOut, due, 0)
 	case Errors:
-		p.end(d, id, n, control.Errored, 2*crossing, 0)
+		p.end(d, id, n, control.ErrorResponse, 2*crossing, 0)
 	case Resets:
 		p.end(d, id, n, control.Reset, 2*crossing, 0)
 	case Shut:
-		p.end(d, id, n, control.Full, 2*crossing, p.up-p.now)
+		p.end(d, id, n, control.LimitExceeded, 2*crossing, p.up-p.now)
 	default:
-		p.end(d, id, n, control.Full, 2*crossing, 0)
+		p.end(d, id, n, control.LimitExceeded, 2*crossing, 0)
 	}
 }
 
@@ -435,7 +435,7 @@
 // warmth is the part of its capacity that the destination has.
 func (p *play) warmth() float64 {
 	if p.now < p.up {
-		return p.set.ColdFrom
+		return p.set.ColdCapacity
 	}
-	return min(1, p.set.ColdFrom+(1-p.set.ColdFrom)*float64(p.now-p.up)/float64(p.set.WarmUp))
+	return min(1, p.set.ColdCapacity+(1-p.set.ColdCapacity)*float64(p.now-p.up)/float64(p.set.WarmUp))
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -96,7 +96,7 @@
 	n.cmd, n.end = cmd, end
 	n.mu.Unlock()
 	go func() { end <- cmd.Wait() }()
-	for watch := clock.Start(); ; time.Sleep(5 * time.Millisecond) {
+	for watch := clock.StartStopwatch(); ; time.Sleep(5 * time.Millisecond) {
 		select {
 		case err := <-end:
 			return fmt.Errorf("%s ended as it started: %w", n.name, errors.Join(err))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -62,7 +62,7 @@
 
 // Run plays one run. An error tells that it could not be played; what it found is in the result.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
-	r := &run{cfg: cfg, bed: testbed.New(), watch: clock.Start(), rng: rand.New(rand.NewPCG(cfg.Seed, 7))}
+	r := &run{cfg: cfg, bed: testbed.New(), watch: clock.StartStopwatch(), rng: rand.New(rand.NewPCG(cfg.Seed, 7))}
 	if cfg.Folder == "" {
 		folder, err := os.MkdirTemp("", "soak")
 		if err != nil {
@@ -119,7 +119,7 @@
 
 // play has the faults happen at their times.
 func (r *run) play(ctx context.Context, plan []Fault) {
-	begun := clock.Start()
+	begun := clock.StartStopwatch()
 	for _, f := range plan {
 		select {
 		case <-ctx.Done():
