--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -19,7 +19,7 @@
 type Server struct {
 	cfg   amqp.Config
 	book  *intake.Registry
-	names push.Names
+	names push.ExternalIDs
 	side  *admission.Frontend
 	now   func() time.Duration
 	owner atomic.Uint64
@@ -28,7 +28,7 @@
 }
 
 // New makes a Desk. now is the clock of the sessions.
-func New(cfg amqp.Config, book *intake.Registry, names push.Names, side *admission.Frontend, room *mailbox.SharedBroker, now func() time.Duration) *Server {
+func New(cfg amqp.Config, book *intake.Registry, names push.ExternalIDs, side *admission.Frontend, room *mailbox.SharedBroker, now func() time.Duration) *Server {
 	return &Server{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
 }
 
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -243,7 +243,7 @@
 	if p.msg != nil {
 		body = p.msg.Body
 		if p.msg.ID != 0 {
-			props.Headers = props.Headers.Set(HeaderMessageName, s.desk.names.Of(p.msg.ID))
+			props.Headers = props.Headers.Set(HeaderMessageName, s.desk.names.Format(p.msg.ID))
 		}
 	}
 	if p.tag > 0 {
@@ -290,7 +290,7 @@
 
 // receipt is the full final answer, for the queue of answers.
 func (p *publish) receipt() *receipt.Receipt {
-	r := receipt.New(p.s.desk.names.Of(p.msg.ID), &p.answer, clock.Wall())
+	r := receipt.New(p.s.desk.names.Format(p.msg.ID), &p.answer, clock.Wall())
 	r.MessageID, r.CorrelationID, r.Exchange, r.RoutingKey = p.props.MessageID, p.props.CorrelationID, p.how.Exchange, p.how.Key
 	return r
 }
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -16,12 +16,12 @@
 
 // Config is of all sessions.
 type Config struct {
-	Idle time.Duration // a connection without requests is sent away after this, 0 for never
-	H2   h2.Config
+	IdleTimeout time.Duration // a connection without requests is sent away after this, 0 for never
+	H2          h2.Config
 }
 
-// Opener makes sessions.
-func Opener(cfg Config, desk *push.Desk, names push.Names, side *admission.Frontend, room *mailbox.SharedBroker, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+// SessionFactory makes sessions.
+func SessionFactory(cfg Config, desk *push.RequestParser, names push.ExternalIDs, side *admission.Frontend, room *mailbox.SharedBroker, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, now time.Duration) front.Session {
 		return &session{cfg: &cfg, desk: desk, names: names, side: side, room: room, now: clock, conn: c, h: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
 			idleFrom: now}
@@ -31,8 +31,8 @@
 // session is one client connection.
 type session struct {
 	cfg      *Config
-	desk     *push.Desk
-	names    push.Names
+	desk     *push.RequestParser
+	names    push.ExternalIDs
 	side     *admission.Frontend
 	room     *mailbox.SharedBroker
 	now      func() time.Duration
@@ -70,7 +70,7 @@
 	if len(s.requests) > 0 {
 		s.idleFrom = now
 	}
-	if s.cfg.Idle > 0 && now-s.idleFrom > s.cfg.Idle {
+	if s.cfg.IdleTimeout > 0 && now-s.idleFrom > s.cfg.IdleTimeout {
 		s.h.GoAway(now, h2.NoError)
 	}
 	return s.h.Check(now)
@@ -81,8 +81,8 @@
 	switch {
 	case s.Owes():
 		return now + time.Second
-	case s.cfg.Idle > 0:
-		return s.idleFrom + s.cfg.Idle + time.Millisecond
+	case s.cfg.IdleTimeout > 0:
+		return s.idleFrom + s.cfg.IdleTimeout + time.Millisecond
 	}
 	return 0
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	if len(r.msg.Body)+len(e.Data) > s.desk.MaxBody() {
-		s.refuse(r, s.desk.TooLong(), now)
+		s.refuse(r, s.desk.BodyTooLarge(), now)
 		return
 	}
 	if err := r.ticket.Reserve(len(e.Data)); err != nil {
@@ -206,9 +206,9 @@
 
 // notTaken is the answer to a message that the door or the engine does not take.
 func notTaken(err error) *push.Problem {
-	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
+	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	if errors.Is(err, engine.ErrStopping) {
-		p.Wait = 5 * time.Second
+		p.RetryAfter = 5 * time.Second
 	}
 	return p
 }
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -61,7 +61,7 @@
 	case errors.Is(err, mailbox.ErrNotFound):
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	case err != nil:
-		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
+		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	}
 	r.place, r.receipts, r.msg.ReceiptSubscription = place, uri, name
 	return nil
@@ -80,14 +80,14 @@
 // accepted answers a message whose receipt goes elsewhere: its stream is over, and no longer withdraws it.
 func (s *session) accepted(r *request, now time.Duration) {
 	delete(s.requests, r.stream)
-	id := s.names.Of(r.msg.ID)
+	id := s.names.Format(r.msg.ID)
 	_ = s.h.Respond(now, r.stream, []h2.Field{{Name: ":status", Value: "202"}, {Name: "location", Value: "/m/" + id},
-		{Name: "link", Value: "<" + r.receipts + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessage, Value: id, Sensitive: true}}, nil)
+		{Name: "link", Value: "<" + r.receipts + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessageID, Value: id, Sensitive: true}}, nil)
 }
 
 // fill puts the final answer into its place; it runs on the engine's goroutine.
 func (r *request) fill(a *engine.Answer) {
-	rec := receipt.New(r.s.names.Of(r.msg.ID), a, clock.Wall())
+	rec := receipt.New(r.s.names.Format(r.msg.ID), a, clock.Wall())
 	rec.Path = r.path
 	if _, key, ok := strings.Cut(r.msg.IdempotencyKey, "/"); ok {
 		rec.MessageID = key
@@ -104,7 +104,7 @@
 		uri = "/" + rest
 	}
 	who, name, _ := strings.Cut(strings.TrimPrefix(uri, receiptsPath), "/")
-	tenant, ok = s.desk.Book().Tenant(who)
+	tenant, ok = s.desk.Rules().Tenant(who)
 	return tenant, name, ok && strings.HasPrefix(uri, receiptsPath) && name != "" && !strings.Contains(name, "/")
 }
 
@@ -114,7 +114,7 @@
 	if !strings.HasPrefix(path, receiptsPath) {
 		return false
 	}
-	if r, _ := s.desk.Book().Find(path); r != nil {
+	if r, _ := s.desk.Rules().Find(path); r != nil {
 		return false
 	}
 	if p := s.receiptReply(e, path, now); p != nil {
@@ -126,11 +126,11 @@
 
 func (s *session) receiptReply(e *h2.Event, path string, now time.Duration) *push.Problem {
 	part := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
-	tenant, ok := s.desk.Book().Tenant(part[0])
+	tenant, ok := s.desk.Rules().Tenant(part[0])
 	if !ok || len(part) > 3 {
 		return &push.Problem{Status: 404, Title: "no receipts at this path"}
 	}
-	if p := s.desk.Allowed(tenant, h2.Value(e.Fields, "authorization")); p != nil {
+	if p := s.desk.Authorize(tenant, h2.Value(e.Fields, "authorization")); p != nil {
 		return p
 	}
 	method := h2.Value(e.Fields, ":method")
@@ -160,7 +160,7 @@
 	name, _, _, err := s.room.Declare(now, tenant, mailbox.QueueSpec{}, false)
 	s.room.Unlock()
 	if err != nil {
-		return &push.Problem{Status: 503, Title: err.Error(), Wait: time.Minute}
+		return &push.Problem{Status: 503, Title: err.Error(), RetryAfter: time.Minute}
 	}
 	s.room.NotifyChange(tenant, name, nil)
 	_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + who + "/" + name}}, nil)
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -18,10 +18,10 @@
 	"whinrun/control"
 	"whinrun/internal/audit"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/load"
 	"whinrun/internal/logs"
 	"whinrun/internal/partner"
-	"whinrun/internal/roster"
 	"whinrun/internal/service"
 )
 
@@ -73,7 +73,7 @@
 	mu          sync.Mutex
 	now         func() time.Duration
 	lag         time.Duration             // delay until a change is visible
-	current     []roster.Line             // the list with all changes
+	current     []endpointlist.Endpoint   // the list with all changes
 	pending     []snapshot                // versions that are not visible yet, oldest first
 	visible     snapshot                  // the version that Load returns
 	stale       bool                      // new versions do not become visible
@@ -86,11 +86,11 @@
 type snapshot struct {
 	visibleAt time.Duration
 	version   int
-	lines     []roster.Line
+	lines     []endpointlist.Endpoint
 }
 
 // update modifies the list. The change becomes visible after the lag.
-func (l *endpointList) update(modify func([]roster.Line) []roster.Line) {
+func (l *endpointList) update(modify func([]endpointlist.Endpoint) []endpointlist.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.current = modify(slices.Clone(l.current))
@@ -102,7 +102,7 @@
 }
 
 // Load implements service.ListSource. It records the changes that it returns.
-func (l *endpointList) Load(knownVersion string) ([]roster.Line, string, error) {
+func (l *endpointList) Load(knownVersion string) ([]endpointlist.Endpoint, string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable && knownVersion != "" {
@@ -196,7 +196,7 @@
 	timeline.Wait()
 	r.stop(true)
 	r.recording.Script, r.recording.Outcomes, r.recording.Events = script, outcomes, r.log.Events()
-	r.recording.HealthChanges, r.recording.Runs, r.recording.Settings = r.endpoints.changes, r.runs, r.cfg.Module
+	r.recording.HealthChanges, r.recording.Runs, r.recording.Settings = r.endpoints.changes, r.runs, r.cfg.Control
 	r.recording.HasAuditTrail, r.recording.StartTime = true, r.log.StartTime()
 	if r.recording.AuditTrail, r.recording.AuditProblems, err = readAuditTrail(r.auditFolder); err != nil {
 		r.errs = append(r.errs, err)
@@ -217,13 +217,13 @@
 			if err != nil {
 				return err
 			}
-			r.endpoints.current = append(r.endpoints.current, roster.Line{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
+			r.endpoints.current = append(r.endpoints.current, endpointlist.Endpoint{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
 		}
 	}
 	for k, w := range r.script.Wakes {
 		for i := range r.waveSize(w) {
 			for _, e := range r.partners[w.Partner].Endpoints() {
-				r.endpoints.current = append(r.endpoints.current, roster.Line{Partner: wavePartnerName(k, w, i), Addr: e.Addr(), Health: control.Ready})
+				r.endpoints.current = append(r.endpoints.current, endpointlist.Endpoint{Partner: wavePartnerName(k, w, i), Addr: e.Addr(), Health: control.Ready})
 			}
 		}
 	}
@@ -471,8 +471,8 @@
 
 // setHealth changes the health of an endpoint in the list. control.Gone removes it.
 func (r *runner) setHealth(e *partner.Endpoint, h control.Health) {
-	r.endpoints.update(func(lines []roster.Line) []roster.Line {
-		var out []roster.Line
+	r.endpoints.update(func(lines []endpointlist.Endpoint) []endpointlist.Endpoint {
+		var out []endpointlist.Endpoint
 		for _, l := range lines {
 			if l.Addr == e.Addr() {
 				if h == control.Gone {
@@ -492,7 +492,7 @@
 	if err != nil {
 		return err
 	}
-	r.endpoints.update(func(lines []roster.Line) []roster.Line {
+	r.endpoints.update(func(lines []endpointlist.Endpoint) []endpointlist.Endpoint {
 		names := map[string]bool{}
 		// The partners of a wave share the endpoints of the stand-in and get the new one, too.
 		for _, l := range lines {
@@ -502,7 +502,7 @@
 		}
 		names[p.Name()] = true
 		for _, name := range sortedKeys(names) {
-			lines = append(lines, roster.Line{Partner: name, Addr: e.Addr(), Health: control.Ready})
+			lines = append(lines, endpointlist.Endpoint{Partner: name, Addr: e.Addr(), Health: control.Ready})
 		}
 		return lines
 	})
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -126,8 +126,8 @@
 			}
 		}
 	}
-	u := s.Door().Usage()
-	if side := s.Door().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
+	u := s.Admission().Usage()
+	if side := s.Admission().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
 		t.Errorf("%+v, served %d refused %d failed %d", u, side.Served.Load(), side.Refused.Load(), side.Failed.Load())
 	}
 }
@@ -246,7 +246,7 @@
 		}
 	}
 	<-arrived
-	for s.Door().Usage().Messages < n {
+	for s.Admission().Usage().Messages < n {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
@@ -274,7 +274,7 @@
 }
 
 // Publishers are asked to stop when the hold fills, what comes all the same is returned, and they are let go on.
-func TestAMQPBlocked(t *testing.T) {
+func TestAMQPConnectionBlocked(t *testing.T) {
 	go_ := make(chan struct{})
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-go_
@@ -384,7 +384,7 @@
 
 // A reader that acknowledges nothing fills its queue; then messages that name it are returned before they are taken,
 // and none of its answers is lost.
-func TestAMQPReaderBehind(t *testing.T) {
+func TestAMQPSlowConsumer(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	s := start(t, addr, withAMQP+"[answers]\nqueue-length = 5\n")
 	defer s.Kill()
@@ -440,7 +440,7 @@
 
 // A client whose library does not know connection.blocked is asked by channel.flow. What it publishes without confirms
 // above the limits closes its channel: nothing else would tell it.
-func TestAMQPFlow(t *testing.T) {
+func TestAMQPChannelFlow(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	})
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -32,7 +32,7 @@
 			maintenance.Task{Name: "verify", Priority: 3, Interval: 30 * time.Second})
 		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Maintain, k.VerifyNext)
 	}
-	b.planner = maintenance.New(maintenance.Budget{Share: s.cfg.Background, Burst: 200 * time.Millisecond}, all, s.now())
+	b.planner = maintenance.New(maintenance.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, all, s.now())
 	s.background = b
 	b.done.Go(func() {
 		timer := time.NewTimer(0)
@@ -59,7 +59,7 @@
 
 // pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Control.Tick)*time.Microsecond)
 }
 
 func (b *background) stop() {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -127,7 +127,7 @@
 }
 
 // A peer of net/http that shuts down sends GOAWAY: nothing that was out is lost, and nothing is sent twice.
-func TestPeerShutsDownInLoad(t *testing.T) {
+func TestPartnerShutsDownUnderLoad(t *testing.T) {
 	var served atomic.Int64
 	addr, srv := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
@@ -201,7 +201,7 @@
 }
 
 // Every limit at the door has its answer.
-func TestDoor(t *testing.T) {
+func TestAdmissionLimits(t *testing.T) {
 	block := make(chan struct{})
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-block
@@ -244,7 +244,7 @@
 	if full.Load() != 60 {
 		t.Errorf("%d of 60 refused or failed at a partner that answers nothing", full.Load())
 	}
-	if n := s.Door().Usage().Bytes; n != 0 {
+	if n := s.Admission().Usage().Bytes; n != 0 {
 		t.Errorf("%d bytes are still reserved", n)
 	}
 }
@@ -330,7 +330,7 @@
 }
 
 // A client that keeps its window shut while answers wait is cut off; others go on.
-func TestClientThatTakesNoAnswers(t *testing.T) {
+func TestClientThatReadsNoAnswers(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
 	s := start(t, addr, "[limits]\nstall = 300ms\n")
 	defer s.Kill()
@@ -356,7 +356,7 @@
 }
 
 // A preface that does not come, garbage, and a flood of resets end their connections and nothing else.
-func TestAbuseEndsItsConnection(t *testing.T) {
+func TestAbuseClosesItsConnection(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	s := start(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
 	defer s.Kill()
@@ -419,7 +419,7 @@
 }
 
 // An orderly stop answers what was taken, also where the partner answers nothing, and then ends.
-func TestStopInOrder(t *testing.T) {
+func TestGracefulStop(t *testing.T) {
 	block := make(chan struct{})
 	arrived := make(chan struct{}, 100)
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -471,7 +471,7 @@
 }
 
 // Logs are bounded: what a fault would flood is counted instead.
-func TestLogsAreBounded(t *testing.T) {
+func TestLogRateIsLimited(t *testing.T) {
 	var b bytes.Buffer
 	l, err := logs.New(&b, "info", 5)
 	if err != nil {
