--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -92,7 +92,7 @@
 	defer client.Close()
 	answer := make(chan int, 1)
 	go func() {
-		status, _, _, _ := client.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		status, _, _, _ := client.Send(context.Background(), &load.Message{CorrelationID: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 		answer <- status
 	}()
 	<-arrived
@@ -118,7 +118,7 @@
 	client := load.NewClient(addr, 1)
 	defer client.Close()
 	go func() {
-		_, _, _, _ = client.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		_, _, _, _ = client.Send(context.Background(), &load.Message{CorrelationID: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 	}()
 	<-arrived
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -185,7 +185,7 @@
 		for i := range 8 {
 			clients.Go(func() {
 				for ctx.Err() == nil {
-					_, _, _, _ = client.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
+					_, _, _, _ = client.Send(ctx, &load.Message{CorrelationID: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
 				}
 			})
 		}
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -15,17 +15,24 @@
 	"whinrun/internal/partner"
 )
 
-// IdleOptions describe a measurement beside many idle destinations.
+// IdleOptions are the parameters of a measurement beside many idle partners.
 type IdleOptions struct {
-	Partners int           // in all
-	Busy     int           // of them, with all of the steady load
-	Rate     float64       // messages a second to the busy ones
-	Wake     int           // idle ones that get a message each, spread over a run
-	For      time.Duration // of each run
-	Pairs    int
+	// Partners is the number of all partners.
+	Partners int
+	// Busy is how many of the partners get the steady load.
+	Busy int
+	// Rate is the rate of the steady load in messages a second.
+	Rate float64
+	// Wake is how many idle partners get one message each. The messages are spread over a run.
+	Wake int
+	// For is the length of each run.
+	For time.Duration
+	// Pairs is the number of pairs of runs, one without and one with the idle partners.
+	Pairs int
 }
 
-// idleSettings are settings for n partners on the addresses given; connections to all of them are bounded.
+// idleSettings returns settings for n partners that share the given addresses. The total number of outbound connections
+// is bounded.
 func idleSettings(n int, addrs []string) string {
 	var b strings.Builder
 	b.WriteString("[dispatcher]\nlisten = 127.0.0.1:0\nlog = error\n[limits]\nslots = 512\nhold = 50000\n[outbound]\nconnections = 2\n" +
@@ -37,46 +44,47 @@
 	return b.String()
 }
 
-// Idle measures the delivery times of the busy partners with and without idle ones beside them, in alternated pairs.
+// Idle measures the latency of the busy partners with and without idle partners beside them, in alternating runs.
 func Idle(ctx context.Context, w io.Writer, o IdleOptions) error {
 	log := partner.NewLog(0)
-	p := partner.New(partner.Config{Name: "all", Pace: 2 * time.Millisecond, Streams: 1000, Seed: 1}, log)
-	defer p.Close()
+	standIn := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
+	defer standIn.Close()
 	var addrs []string
 	for range 4 {
-		e, err := p.Listen("127.0.0.1:0")
+		e, err := standIn.Listen("127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		addrs = append(addrs, e.Addr().String())
 	}
-	alone, beside := hdrhistogram.New(1, 60e6, 3), hdrhistogram.New(1, 60e6, 3)
-	var bytes, served, woken int
+	alone, withIdle := hdrhistogram.New(1, 60e6, 3), hdrhistogram.New(1, 60e6, 3)
+	var idleBytes, served, woken int
 	fmt.Fprintf(w, "%-6s %22s %22s\n", "pair", "busy alone p50 p99 ms", "beside idle p50 p99 ms")
 	for pair := range o.Pairs {
-		a, _, _, err := o.run(ctx, o.Busy, 0, addrs)
+		aloneRun, _, _, err := o.measure(ctx, o.Busy, 0, addrs)
 		if err != nil {
 			return err
 		}
-		b, per, ok, err := o.run(ctx, o.Partners, o.Wake, addrs)
+		idleRun, bytesEach, wokenServed, err := o.measure(ctx, o.Partners, o.Wake, addrs)
 		if err != nil {
 			return err
 		}
-		alone.Merge(a)
-		beside.Merge(b)
-		bytes, served, woken = per, served+ok, woken+o.Wake
-		q := func(h *hdrhistogram.Histogram, x float64) float64 { return float64(h.ValueAtQuantile(x)) / 1000 }
-		fmt.Fprintf(w, "%-6d %14.2f %7.2f %14.2f %7.2f\n", pair+1, q(a, 50), q(a, 99), q(b, 50), q(b, 99))
+		alone.Merge(aloneRun)
+		withIdle.Merge(idleRun)
+		idleBytes, served, woken = bytesEach, served+wokenServed, woken+o.Wake
+		quantileMs := func(h *hdrhistogram.Histogram, x float64) float64 { return float64(h.ValueAtQuantile(x)) / 1000 }
+		fmt.Fprintf(w, "%-6d %14.2f %7.2f %14.2f %7.2f\n", pair+1, quantileMs(aloneRun, 50), quantileMs(aloneRun, 99), quantileMs(idleRun, 50), quantileMs(idleRun, 99))
 	}
 	ratio := func(x float64) float64 {
-		return float64(beside.ValueAtQuantile(x)) / float64(alone.ValueAtQuantile(x))
+		return float64(withIdle.ValueAtQuantile(x)) / float64(alone.ValueAtQuantile(x))
 	}
 	fmt.Fprintf(w, "all pairs: p50 x%.2f, p99 x%.2f; %d partners, %d busy, %d bytes for each idle one; %d of %d woken ones served\n",
-		ratio(50), ratio(99), o.Partners, o.Busy, bytes, served, woken)
+		ratio(50), ratio(99), o.Partners, o.Busy, idleBytes, served, woken)
 	return nil
 }
 
-func heapNow() int {
+// heapInUse returns the bytes of allocated heap objects after two garbage collections.
+func heapInUse() int {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -84,31 +92,33 @@
 	return int(m.HeapAlloc)
 }
 
-// run is one run with so many partners, of which wake get one message each.
-func (o IdleOptions) run(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
-	before := heapNow()
-	s, err := startDispatcher(idleSettings(partners, addrs))
+// measure does one run with the given number of partners, of which wake idle ones get one message each. It returns the
+// latencies of the busy partners in microseconds without the first tenth of the run, the heap bytes for each partner,
+// and the number of served messages to idle partners.
+func (o IdleOptions) measure(ctx context.Context, partners, wake int, addrs []string) (h *hdrhistogram.Histogram, bytesEach, served int, err error) {
+	before := heapInUse()
+	dispatcher, err := startDispatcher(idleSettings(partners, addrs))
 	if err != nil {
 		return nil, 0, 0, err
 	}
-	defer s.Kill()
-	bytesEach = (heapNow() - before) / partners
-	c := load.NewClient(s.Addr().String(), 4)
-	defer c.Close()
-	n := int(o.Rate * o.For.Seconds())
-	var msgs []load.Message
-	for i := range n {
-		msgs = append(msgs, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), Test: "b", Class: "status",
-			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, Size: 128, Partner: "busy"})
-		if k := i * wake / n; k != (i+1)*wake/n {
-			for j := k; j < (i+1)*wake/n; j++ {
-				msgs = append(msgs, load.Message{At: msgs[len(msgs)-1].At, Test: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, Size: 128})
+	defer dispatcher.Kill()
+	bytesEach = (heapInUse() - before) / partners
+	client := load.NewClient(dispatcher.Addr().String(), 4)
+	defer client.Close()
+	total := int(o.Rate * o.For.Seconds())
+	var messages []load.Message
+	for i := range total {
+		messages = append(messages, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), CorrelationID: "b", Class: "status",
+			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, BodySize: 128, Partner: "busy"})
+		if k := i * wake / total; k != (i+1)*wake/total {
+			for j := k; j < (i+1)*wake/total; j++ {
+				messages = append(messages, load.Message{At: messages[len(messages)-1].At, CorrelationID: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, BodySize: 128})
 			}
 		}
 	}
 	h = hdrhistogram.New(1, 60e6, 3)
 	start := clock.StartStopwatch()
-	for _, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
+	for _, r := range load.Run(ctx, client, messages, func() time.Duration { return start.Elapsed() }, 20000) {
 		switch {
 		case r.Partner != "busy":
 			if r.Status == 201 {
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -11,37 +11,37 @@
 	"whinrun/internal/partner"
 )
 
-// Trail measures delivery with the audit trail on and off, in turns on the same stand-in, and what a message takes on
-// disk.
-func Trail(ctx context.Context, w io.Writer, o Options) error {
+// AuditTrail measures delivery with and without the audit trail, in turns on the same stand-in, and the bytes on disk
+// for each message.
+func AuditTrail(ctx context.Context, w io.Writer, o Options) error {
 	folder, err := os.MkdirTemp("", "whinrun-trail")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	addr, off, stop, err := standIn(partner.Config{Pace: o.Pace}, settings)
+	addr, withoutTrail, stop, err := startStandIn(partner.Config{ServiceTime: o.Pace}, settingsTemplate)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	on, err := startDispatcher(fmt.Sprintf(settings, addr) + "[audit]\nfolder = " + folder + "\n")
+	withTrail, err := startDispatcher(fmt.Sprintf(settingsTemplate, addr) + "[audit]\nfolder = " + folder + "\n")
 	if err != nil {
 		return err
 	}
-	defer on.Kill()
-	targets := []*target{{name: "without trail", addr: off.Addr().String()}, {name: "with trail", addr: on.Addr().String()}}
-	if err := inTurns(ctx, w, o, targets); err != nil {
+	defer withTrail.Kill()
+	targets := []*target{{name: "without trail", addr: withoutTrail.Addr().String()}, {name: "with trail", addr: withTrail.Addr().String()}}
+	if err := measureInTurns(ctx, w, o, targets); err != nil {
 		return err
 	}
-	time.Sleep(time.Second) // closed files are compressed
-	open, packed := sizes(folder)
-	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", on.Stats().Accepted,
-		float64(open+packed)/float64(max(1, on.Stats().Accepted)), open>>20, packed>>20)
+	time.Sleep(time.Second) // Closed files are compressed in the background.
+	open, compressed := trailSizes(folder)
+	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", withTrail.Stats().Accepted,
+		float64(open+compressed)/float64(max(1, withTrail.Stats().Accepted)), open>>20, compressed>>20)
 	return nil
 }
 
-// sizes are the bytes of a trail's files, plain and compressed, the latter with their indexes.
-func sizes(folder string) (open, packed int64) {
+// trailSizes returns the bytes of the open files of a trail, and those of the compressed files with their indexes.
+func trailSizes(folder string) (open, compressed int64) {
 	names, _ := filepath.Glob(filepath.Join(folder, "log-*"))
 	for _, name := range names {
 		st, err := os.Stat(name)
@@ -51,8 +51,8 @@
 		if filepath.Ext(name) == ".seg" {
 			open += st.Size()
 		} else {
-			packed += st.Size()
+			compressed += st.Size()
 		}
 	}
-	return open, packed
+	return open, compressed
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -71,7 +71,7 @@
 	var addrs []string
 	var endpoints []*partner.Endpoint
 	for i, n := range []string{"archive", "tracker", "mirror"} {
-		p := partner.New(partner.Config{Name: n, Pace: 5 * time.Millisecond, Seed: uint64(i)}, events)
+		p := partner.New(partner.Config{Name: n, ServiceTime: 5 * time.Millisecond, Seed: uint64(i)}, events)
 		endpoint, err := p.Listen("127.0.0.1:0")
 		if err != nil {
 			return err
@@ -92,9 +92,9 @@
 	if err != nil {
 		return err
 	}
-	_ = endpoints[2].Set(partner.Fault{Lose: 0.2})
-	silence := time.AfterFunc(800*time.Millisecond, func() { _ = endpoints[1].Set(partner.Fault{Hang: true}) })
-	recovery := time.AfterFunc(1800*time.Millisecond, func() { _ = endpoints[1].Set(partner.Fault{}) })
+	_ = endpoints[2].SetFault(partner.Fault{LostResponseRate: 0.2})
+	silence := time.AfterFunc(800*time.Millisecond, func() { _ = endpoints[1].SetFault(partner.Fault{Hang: true}) })
+	recovery := time.AfterFunc(1800*time.Millisecond, func() { _ = endpoints[1].SetFault(partner.Fault{}) })
 	defer silence.Stop()
 	defer recovery.Stop()
 
@@ -102,14 +102,14 @@
 	defer client.Close()
 	start := clock.StartStopwatch()
 	outcomes := load.Run(ctx, client, messages(), func() time.Duration { return start.Elapsed() }, 1000)
-	load.Write(w, load.Report(outcomes), start.Elapsed())
+	load.Write(w, load.Summarize(outcomes), start.Elapsed())
 	stopCtx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
 	dispatcher.Stop(stopCtx)
 	applied := map[string]int{}
 	for _, e := range events.Events() {
 		if e.Kind == partner.Applied && e.Class == "upload" {
-			applied[e.Test]++
+			applied[e.CorrelationID]++
 		}
 	}
 	duplicates := 0
@@ -131,10 +131,10 @@
 	partners, classes := []string{"archive", "tracker", "mirror"}, []string{"status", "sync", "upload"}
 	for i := range 600 {
 		p, c := partners[i%3], classes[(i/3)%3]
-		m := load.Message{At: time.Duration(i) * 5 * time.Millisecond, Test: fmt.Sprintf("m%d", i), Class: c, Path: "/" + p + "/" + c,
+		m := load.Message{At: time.Duration(i) * 5 * time.Millisecond, CorrelationID: fmt.Sprintf("m%d", i), Class: c, Path: "/" + p + "/" + c,
 			Token: "quickstart", TTL: 4, Partner: p}
 		if c == "sync" {
-			m.Key = fmt.Sprintf("k%d", i%7)
+			m.OrderKey = fmt.Sprintf("k%d", i%7)
 		}
 		all = append(all, m)
 	}
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -14,35 +14,35 @@
 	amqp "github.com/rabbitmq/amqp091-go"
 )
 
-// Publisher hands messages in by AMQP 0-9-1, with the client library in common use. It gives answers as the statuses
-// that the HTTP/2 side has: ack is 201, a nack with the message returned is 503, a nack alone is 502.
+// Publisher sends messages over AMQP 0-9-1 with the rabbitmq/amqp091-go client. It reports answers as the HTTP statuses
+// of the push front: an ack is 201, a nack after a basic.return of the message is 503, and a nack alone is 502.
 type Publisher struct {
 	url   string
 	next  atomic.Uint64
-	lines []*line
+	conns []*amqpConn
 }
 
-// line is one connection with one channel; it reconnects when it is next used.
-type line struct {
-	mu      sync.Mutex
-	conn    *amqp.Connection
-	ch      *amqp.Channel
-	returns chan amqp.Return
-	wait    map[string]int64 // told with a returned message, by its correlation-id
+// amqpConn is a connection with one channel. A closed connection is reopened at its next use.
+type amqpConn struct {
+	mu         sync.Mutex
+	conn       *amqp.Connection
+	ch         *amqp.Channel
+	returns    chan amqp.Return
+	retryAfter map[string]int64 // waits of returned messages in milliseconds, by correlation-id
 }
 
-// NewPublisher makes a Publisher for a tenant, with so many connections.
+// NewPublisher returns a Publisher for a tenant with at least one connection.
 func NewPublisher(addr, tenant, password string, conns int) *Publisher {
-	p := &Publisher{url: fmt.Sprintf("amqp://%s:%s@%s/", tenant, password, addr)}
+	publisher := &Publisher{url: fmt.Sprintf("amqp://%s:%s@%s/", tenant, password, addr)}
 	for range max(1, conns) {
-		p.lines = append(p.lines, &line{})
+		publisher.conns = append(publisher.conns, &amqpConn{})
 	}
-	return p
+	return publisher
 }
 
 // Close closes the connections.
 func (p *Publisher) Close() {
-	for _, l := range p.lines {
+	for _, l := range p.conns {
 		l.mu.Lock()
 		if l.conn != nil {
 			_ = l.conn.Close()
@@ -51,73 +51,75 @@
 	}
 }
 
-// open returns the line's channel, made anew where it is closed.
-func (l *line) open(url string) (*amqp.Channel, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ch != nil && !l.ch.IsClosed() {
-		return l.ch, nil
+// openChannel returns the open channel of the connection. It opens the connection and the channel if necessary.
+func (c *amqpConn) openChannel(url string) (*amqp.Channel, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ch != nil && !c.ch.IsClosed() {
+		return c.ch, nil
 	}
-	if l.conn == nil || l.conn.IsClosed() {
+	if c.conn == nil || c.conn.IsClosed() {
 		conn, err := amqp.DialConfig(url, amqp.Config{Heartbeat: 10 * time.Second, Vhost: "/", Dial: amqp.DefaultDial(2 * time.Second)})
 		if err != nil {
 			return nil, err
 		}
-		l.conn = conn
+		c.conn = conn
 	}
-	ch, err := l.conn.Channel()
+	ch, err := c.conn.Channel()
 	if err != nil {
 		return nil, err
 	}
 	if err := ch.Confirm(false); err != nil {
 		return nil, err
 	}
-	// The library hands over a return before the nack that follows it; the buffer keeps it from waiting for us.
-	l.returns, l.wait = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
-	l.ch = ch
+	// The library delivers a return before the nack that follows it. The buffer keeps it from blocking on the channel.
+	c.returns, c.retryAfter = ch.NotifyReturn(make(chan amqp.Return, 20000)), map[string]int64{}
+	c.ch = ch
 	return ch, nil
 }
 
-// returned tells whether a message came back, and the wait that was told, in milliseconds.
-func (l *line) returned(id string) (wait int64, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// returned reports whether a message was returned, and the wait that came with it in milliseconds.
+func (c *amqpConn) returned(id string) (wait int64, ok bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for {
 		select {
-		case r, open := <-l.returns:
+		case r, open := <-c.returns:
 			if open {
 				ms, _ := r.Headers["x-retry-after"].(int64)
-				l.wait[r.CorrelationId] = ms
+				c.retryAfter[r.CorrelationId] = ms
 				continue
 			}
-			l.returns = nil
+			c.returns = nil
 		default:
 		}
 		break
 	}
-	wait, ok = l.wait[id]
-	delete(l.wait, id)
+	wait, ok = c.retryAfter[id]
+	delete(c.retryAfter, id)
 	return wait, ok
 }
 
-// Post publishes one message to the default exchange and waits for its confirm.
-func (p *Publisher) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
-	l := p.lines[p.next.Add(1)%uint64(len(p.lines))]
-	pub := amqp.Publishing{Body: m.body(), CorrelationId: m.Test, MessageId: m.Repeat, Expiration: strconv.Itoa(m.TTL * 1000)}
-	if m.Key != "" {
-		pub.Headers = amqp.Table{"x-order-key": m.Key}
+// Send implements Sender. It publishes the message to the default exchange and waits for its confirm.
+func (p *Publisher) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
+	conn := p.conns[p.next.Add(1)%uint64(len(p.conns))]
+	publishing := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
+	if m.OrderKey != "" {
+		publishing.Headers = amqp.Table{"x-order-key": m.OrderKey}
 	}
 	var ch *amqp.Channel
 	var confirm *amqp.DeferredConfirmation
-	for { // a channel found closed has sent nothing
-		// A dispatcher killed within this process may leave a connection that it had just accepted open and mute: it
-		// is given up after its time, and made anew. Without that all messages of the line waited half a minute.
-		if ch, err = l.open(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
+	// A publish on a closed channel sends nothing, so it is safe to repeat it on a new channel.
+	for {
+		// A dispatcher that is killed within this process can leave a connection open that it had just accepted. Nobody
+		// answers there, and the handshake exceeds its deadline. The connection is then opened anew. Without that, all
+		// messages of the connection waited for half a minute.
+		if ch, err = conn.openChannel(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			continue
 		} else if err != nil {
 			return 0, 0, "", err
 		}
-		confirm, err = ch.PublishWithDeferredConfirmWithContext(ctx, "", m.Path, false, false, pub)
+		confirm, err = ch.PublishWithDeferredConfirmWithContext(ctx, "", m.Path, false, false, publishing)
 		if err == nil {
 			break
 		}
@@ -125,17 +127,18 @@
 			return 0, 0, "", err
 		}
 	}
-	served, err := confirm.WaitContext(ctx)
+	acked, err := confirm.WaitContext(ctx)
 	switch {
 	case err != nil:
 		return 0, 0, "", err
-	case served:
+	case acked:
 		return http.StatusCreated, 0, "", nil
 	}
-	if ms, ok := l.returned(m.Test); ok {
-		return http.StatusServiceUnavailable, int((ms + 999) / 1000), "", nil
+	if waitMs, ok := conn.returned(m.CorrelationID); ok {
+		return http.StatusServiceUnavailable, int((waitMs + 999) / 1000), "", nil
 	}
-	if ch.IsClosed() { // the library says no for all that a closed channel leaves open
+	// The library reports a nack for every publish that is unconfirmed when the channel closes.
+	if ch.IsClosed() {
 		return 0, 0, "", errors.New("channel closed before an answer")
 	}
 	return http.StatusBadGateway, 0, "", nil
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load hands messages to a dispatcher, as ordinary clients would: by net/http over HTTP/2, at moments laid
-// down before. Latency counts from the moment at which a message was due to be sent, so a stall of the dispatcher
-// shows on all that waited behind it (no coordinated omission).
+// Package load generates load: it sends messages to a dispatcher at times that are fixed beforehand, over HTTP/2 with
+// net/http or over AMQP. Latency is measured from the time at which a message was due to be sent. A stall of the
+// dispatcher therefore counts for all messages that waited behind it (no coordinated omission).
 package load
 
 import (
@@ -17,78 +17,98 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Message is one message to be handed in.
+// Message is a message to be sent.
 type Message struct {
-	At       time.Duration // when, since the start
-	Test     string        // its name, first word of the body
-	Class    string        // second word: what the stand-ins go by
-	Key      string        // order key, sent as Topic
-	Repeat   string        // sent as Idempotency-Key
-	Path     string
-	Token    string
-	TTL      int           // seconds
-	Size     int           // bytes of the body, at least what the words take
-	Withdraw time.Duration // the client gives up after this, 0 never
-	Patience time.Duration // the client gives up waiting after this, and that counts as no answer; 0 never
-	Partner  string
-	AMQP     bool // hand it in by AMQP, where there are both
+	// At is when the message is due, on the clock of the run.
+	At time.Duration
+	// CorrelationID is the client's identifier of the message. It is the first word of the body.
+	CorrelationID string
+	// Class is the second word of the body. The stand-in partners read it there.
+	Class string
+	// OrderKey is the order key, sent as Topic over HTTP/2 and as x-order-key over AMQP. The empty string means none.
+	OrderKey string
+	// IdempotencyKey is sent as Idempotency-Key over HTTP/2 and as message-id over AMQP. The empty string means none.
+	IdempotencyKey string
+	// Path is the push resource, and the routing key over AMQP.
+	Path string
+	// Token is the bearer token over HTTP/2. The empty string means none.
+	Token string
+	// TTL is the time to live in seconds.
+	TTL int
+	// BodySize is the size of the body in bytes. A body is never shorter than its first line.
+	BodySize int
+	// CancelAfter is the time after which the client cancels the message. 0 means never.
+	CancelAfter time.Duration
+	// Timeout is how long the client waits. A message that times out counts as unanswered. 0 means no timeout.
+	Timeout time.Duration
+	// Partner is the partner that the message goes to, for the evaluation of the run. It is not sent.
+	Partner string
+	// AMQP makes a MultiSender send the message over AMQP.
+	AMQP bool
 }
 
 // Outcome is what a client saw of a message.
 type Outcome struct {
 	Message
+	// Sent and Done are the times of the request and of its end, on the clock of the run.
 	Sent, Done time.Duration
-	Status     int    // 0: no answer
-	Wait       int    // Retry-After
-	Name       string // the dispatcher's name of it
-	Err        string
-	Withdrawn  bool
+	// Status is the HTTP status of the answer, 0 for none.
+	Status int
+	// RetryAfter is the Retry-After of the answer in seconds, 0 for none.
+	RetryAfter int
+	// MessageID is the dispatcher's identifier of the message. It is empty over AMQP.
+	MessageID string
+	// Err is the text of the error where there is no answer.
+	Err string
+	// Canceled reports that the client canceled the message after CancelAfter.
+	Canceled bool
 }
 
-// Poster hands one message in and waits for its answer: a Client or a Publisher.
-type Poster interface {
-	Post(ctx context.Context, m *Message) (status, wait int, name string, err error)
+// Sender sends a message and waits for its answer. A Client and a Publisher are Senders. The result retryAfter is in
+// seconds, messageID is the dispatcher's identifier of the message.
+type Sender interface {
+	Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error)
 }
 
-// Fronts hands each message in by the front that it names.
-type Fronts struct{ Push, AMQP Poster }
+// MultiSender sends each message over the front that Message.AMQP selects.
+type MultiSender struct{ Push, AMQP Sender }
 
-// Post is Poster.
-func (f Fronts) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+// Send implements Sender.
+func (s MultiSender) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	if m.AMQP {
-		return f.AMQP.Post(ctx, m)
+		return s.AMQP.Send(ctx, m)
 	}
-	return f.Push.Post(ctx, m)
+	return s.Push.Send(ctx, m)
 }
 
-// Client is a set of connections to one dispatcher.
+// Client sends messages over a set of HTTP/2 connections to one dispatcher.
 type Client struct {
-	base  string
-	https []*http.Client
-	next  atomic.Uint64
+	base    string
+	clients []*http.Client
+	next    atomic.Uint64
 }
 
-// NewClient makes a client with so many connections; each reconnects by itself.
+// NewClient returns a client with at least one connection. Each connection reconnects by itself.
 func NewClient(addr string, conns int) *Client {
-	c := &Client{base: "http://" + addr}
+	client := &Client{base: "http://" + addr}
 	for range max(1, conns) {
-		var p http.Protocols
-		p.SetUnencryptedHTTP2(true)
-		c.https = append(c.https, &http.Client{Transport: &http.Transport{Protocols: &p, MaxConnsPerHost: 1,
+		var protocols http.Protocols
+		protocols.SetUnencryptedHTTP2(true)
+		client.clients = append(client.clients, &http.Client{Transport: &http.Transport{Protocols: &protocols, MaxConnsPerHost: 1,
 			HTTP2: &http.HTTP2Config{StrictMaxConcurrentRequests: true}}})
 	}
-	return c
+	return client
 }
 
-// Close closes the connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
-	for _, h := range c.https {
+	for _, h := range c.clients {
 		h.CloseIdleConnections()
 	}
 }
 
-// Post hands one message in and waits for its answer.
-func (c *Client) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+// Send implements Sender.
+func (c *Client) Send(ctx context.Context, m *Message) (status, retryAfter int, messageID string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+m.Path, bytes.NewReader(m.body()))
 	if err != nil {
 		return 0, 0, "", err
@@ -97,32 +117,33 @@
 	if m.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+m.Token)
 	}
-	if m.Key != "" {
-		req.Header.Set("Topic", m.Key)
+	if m.OrderKey != "" {
+		req.Header.Set("Topic", m.OrderKey)
 	}
-	if m.Repeat != "" {
-		req.Header.Set("Idempotency-Key", strconv.Quote(m.Repeat))
+	if m.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", strconv.Quote(m.IdempotencyKey))
 	}
-	res, err := c.https[c.next.Add(1)%uint64(len(c.https))].Do(req)
+	res, err := c.clients[c.next.Add(1)%uint64(len(c.clients))].Do(req)
 	if err != nil {
 		return 0, 0, "", err
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
 	_ = res.Body.Close()
-	wait, _ = strconv.Atoi(res.Header.Get("Retry-After"))
-	return res.StatusCode, wait, res.Header.Get("Whinrun-Message"), nil
+	retryAfter, _ = strconv.Atoi(res.Header.Get("Retry-After"))
+	return res.StatusCode, retryAfter, res.Header.Get("Whinrun-Message"), nil
 }
 
-// body is what is sent: the words that the stand-ins go by, filled up to the size.
+// body returns the body to send: a line of words that the stand-in partners read, padded to BodySize.
 func (m *Message) body() []byte {
-	body := make([]byte, 0, max(m.Size, 64))
-	body = fmt.Appendf(body, "%s %s %s\n", m.Test, m.Class, orDash(m.Key))
-	for len(body) < m.Size {
+	body := make([]byte, 0, max(m.BodySize, 64))
+	body = fmt.Appendf(body, "%s %s %s\n", m.CorrelationID, m.Class, orDash(m.OrderKey))
+	for len(body) < m.BodySize {
 		body = append(body, '.')
 	}
 	return body
 }
 
+// orDash replaces the empty string by "-".
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -130,60 +151,63 @@
 	return s
 }
 
-// Run hands in all messages at their times, each on a goroutine of its own while it is out, and returns what became
-// of them, in their order. now is the clock of the run; most bounds how many are out at once: the rest wait, and
-// their latency counts.
-func Run(ctx context.Context, c Poster, msgs []Message, now func() time.Duration, most int) []Outcome {
-	out := make([]Outcome, len(msgs))
-	room := make(chan struct{}, max(1, most))
-	var all sync.WaitGroup
-	for i := range msgs {
-		if d := msgs[i].At - now(); d > 0 {
+// Run sends all messages at their times, each in a goroutine of its own, and returns their outcomes in the same order.
+// The messages are expected in the order of At. now is the clock of the run. At most maxInFlight messages are in
+// flight. Further messages wait, and the wait is part of their latency. Once ctx ends, no further message is sent and
+// the outcomes end there.
+func Run(ctx context.Context, sender Sender, messages []Message, now func() time.Duration, maxInFlight int) []Outcome {
+	outcomes := make([]Outcome, len(messages))
+	slots := make(chan struct{}, max(1, maxInFlight))
+	var pending sync.WaitGroup
+	for i := range messages {
+		if d := messages[i].At - now(); d > 0 {
 			select {
 			case <-time.After(d):
 			case <-ctx.Done():
 			}
 		}
 		if ctx.Err() != nil {
-			out = out[:i]
+			outcomes = outcomes[:i]
 			break
 		}
-		room <- struct{}{}
-		all.Add(1)
+		slots <- struct{}{}
+		pending.Add(1)
 		go func() {
-			defer all.Done()
-			out[i] = one(ctx, c, msgs[i], now)
-			<-room
+			defer pending.Done()
+			outcomes[i] = sendOne(ctx, sender, messages[i], now)
+			<-slots
 		}()
 	}
-	all.Wait()
-	return out
+	pending.Wait()
+	return outcomes
 }
 
-func one(ctx context.Context, c Poster, m Message, now func() time.Duration) Outcome {
-	o := Outcome{Message: m, Sent: now()}
-	if m.Withdraw > 0 {
+// sendOne sends a message and returns its outcome.
+func sendOne(ctx context.Context, sender Sender, m Message, now func() time.Duration) Outcome {
+	outcome := Outcome{Message: m, Sent: now()}
+	if m.CancelAfter > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, m.Withdraw)
+		ctx, stop = context.WithTimeout(ctx, m.CancelAfter)
 		defer stop()
 	}
-	if m.Patience > 0 {
+	if m.Timeout > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, m.Patience)
+		ctx, stop = context.WithTimeout(ctx, m.Timeout)
 		defer stop()
 	}
 	var err error
-	o.Status, o.Wait, o.Name, err = c.Post(ctx, &m)
-	o.Done = now()
+	outcome.Status, outcome.RetryAfter, outcome.MessageID, err = sender.Send(ctx, &m)
+	outcome.Done = now()
 	if err != nil {
-		o.Err = err.Error()
-		o.Withdrawn = m.Withdraw > 0 && ctx.Err() != nil && o.Done-o.Sent >= m.Withdraw
+		outcome.Err = err.Error()
+		outcome.Canceled = m.CancelAfter > 0 && ctx.Err() != nil && outcome.Done-outcome.Sent >= m.CancelAfter
 	}
-	return o
+	return outcome
 }
 
-// Final names the kind of final answer that a status is: served, refused, failed, or none.
-func Final(status int) string {
+// AnswerKind classifies the status of a final answer as "served", "refused", "failed" or "rejected", or "none" for
+// status 0.
+func AnswerKind(status int) string {
 	switch {
 	case status >= 200 && status < 300:
 		return "served"
@@ -197,53 +221,57 @@
 	return "rejected"
 }
 
-// ClassReport is what became of the messages of one class.
+// ClassReport counts the outcomes of the messages of one class.
 type ClassReport struct {
-	Class                                 string
-	Sent                                  int
-	Served, Refused, Failed, Rejected, No int
-	Latency                               *hdrhistogram.Histogram // of those served, in microseconds, from when they were due
-}
-
-// Report sums outcomes up by class, in order of first sight.
-func Report(out []Outcome) []*ClassReport {
-	var all []*ClassReport
-	by := map[string]*ClassReport{}
-	for _, o := range out {
-		r := by[o.Class]
-		if r == nil {
-			r = &ClassReport{Class: o.Class, Latency: hdrhistogram.New(1, 600e6, 3)}
-			by[o.Class] = r
-			all = append(all, r)
+	// Class is the name of the class.
+	Class string
+	// Sent is the number of messages.
+	Sent int
+	// Served, Refused, Failed, Rejected and Unanswered count the messages by AnswerKind.
+	Served, Refused, Failed, Rejected, Unanswered int
+	// Latency holds the latencies of the served messages in microseconds, from the times at which they were due.
+	Latency *hdrhistogram.Histogram
+}
+
+// Summarize counts outcomes by class. The reports are in the order in which the classes first occur.
+func Summarize(outcomes []Outcome) []*ClassReport {
+	var reports []*ClassReport
+	byClass := map[string]*ClassReport{}
+	for _, o := range outcomes {
+		report := byClass[o.Class]
+		if report == nil {
+			report = &ClassReport{Class: o.Class, Latency: hdrhistogram.New(1, 600e6, 3)}
+			byClass[o.Class] = report
+			reports = append(reports, report)
 		}
-		r.Sent++
-		switch Final(o.Status) {
+		report.Sent++
+		switch AnswerKind(o.Status) {
 		case "served":
-			r.Served++
-			_ = r.Latency.RecordValue(max(1, (o.Done - o.At).Microseconds()))
+			report.Served++
+			_ = report.Latency.RecordValue(max(1, (o.Done - o.At).Microseconds()))
 		case "refused":
-			r.Refused++
+			report.Refused++
 		case "failed":
-			r.Failed++
+			report.Failed++
 		case "rejected":
-			r.Rejected++
+			report.Rejected++
 		default:
-			r.No++
+			report.Unanswered++
 		}
 	}
-	return all
+	return reports
 }
 
-// Write prints reports as a table.
+// Write prints reports as a table, and the rate of served messages over the elapsed time.
 func Write(w io.Writer, reports []*ClassReport, elapsed time.Duration) {
 	fmt.Fprintf(w, "%-10s %8s %8s %8s %8s %8s %8s %10s %10s %10s\n", "class", "sent", "served", "refused", "failed", "rejected", "none",
 		"p50 ms", "p99 ms", "p99.9 ms")
 	served := 0
 	for _, r := range reports {
 		served += r.Served
-		q := func(p float64) float64 { return float64(r.Latency.ValueAtQuantile(p)) / 1000 }
-		fmt.Fprintf(w, "%-10s %8d %8d %8d %8d %8d %8d %10.2f %10.2f %10.2f\n", r.Class, r.Sent, r.Served, r.Refused, r.Failed, r.Rejected, r.No,
-			q(50), q(99), q(99.9))
+		quantileMs := func(p float64) float64 { return float64(r.Latency.ValueAtQuantile(p)) / 1000 }
+		fmt.Fprintf(w, "%-10s %8d %8d %8d %8d %8d %8d %10.2f %10.2f %10.2f\n", r.Class, r.Sent, r.Served, r.Refused, r.Failed, r.Rejected, r.Unanswered,
+			quantileMs(50), quantileMs(99), quantileMs(99.9))
 	}
 	fmt.Fprintf(w, "%.0f served a second over %.1f s\n", float64(served)/elapsed.Seconds(), elapsed.Seconds())
 }
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -154,8 +154,8 @@
 	var clients sync.WaitGroup
 	for i := range 500 {
 		clients.Go(func() {
-			m := load.Message{Test: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
-			if status, _, _, err := publisher.Post(ctx, &m); status != 201 || err != nil {
+			m := load.Message{CorrelationID: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
+			if status, _, _, err := publisher.Send(ctx, &m); status != 201 || err != nil {
 				t.Errorf("message %d: %d, %v", i, status, err)
 			}
 		})
@@ -377,9 +377,9 @@
 	client, publisher := load.NewClient(dispatcher.Addr().String(), 1), load.NewPublisher(dispatcher.AMQPAddr().String(), "t", "secret", 1)
 	defer client.Close()
 	defer publisher.Close()
-	for _, by := range []load.Poster{client, publisher} {
-		m := load.Message{Test: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, Repeat: "one", Key: "k"}
-		if status, _, _, err := by.Post(testContext(t), &m); status != 201 || err != nil {
+	for _, by := range []load.Sender{client, publisher} {
+		m := load.Message{CorrelationID: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, IdempotencyKey: "one", OrderKey: "k"}
+		if status, _, _, err := by.Send(testContext(t), &m); status != 201 || err != nil {
 			t.Fatal(status, err)
 		}
 	}
--- a/internal/testgate/testgate.go
+++ b/internal/testgate/testgate.go
@@ -1,5 +1,6 @@
-// Package testgate judges a run of the tests: it fails for any failing test but those on record as known to fail, which it
-// names in each run with what they did. The record is a file of three lines at most: test, cause, issue.
+// Package testgate decides whether a test run passes. Every failing test fails the run, except the tests recorded as
+// known failures. Each run reports the results of the known failures. The record is a file of at most three entries,
+// each with a test, a cause and an issue.
 package testgate
 
 import (
@@ -12,21 +13,21 @@
 	"strings"
 )
 
-// Most is how many tests may be on record.
-const Most = 3
+// MaxKnownFailures is the largest number of recorded tests.
+const MaxKnownFailures = 3
 
-// Known is a test on record as failing for a fault that is not mended yet.
-type Known struct {
-	Package string // import path as go test prints it
+// KnownFailure is a test recorded as failing because of a fault that is not fixed yet.
+type KnownFailure struct {
+	Package string // import path, as go test prints it
 	Test    string
 	Cause   string
 	Issue   string
 }
 
-// ParseKnown reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
-// passed over.
-func ParseKnown(r io.Reader) ([]Known, error) {
-	var all []Known
+// ParseKnownFailures reads a record. Each line has the form "PACKAGE.TEST | cause | issue". Empty lines and lines that
+// begin with # are skipped. Errors name the line.
+func ParseKnownFailures(r io.Reader) ([]KnownFailure, error) {
+	var known []KnownFailure
 	in := bufio.NewScanner(r)
 	for n := 1; in.Scan(); n++ {
 		text := strings.TrimSpace(in.Text())
@@ -38,128 +39,131 @@
 			parts[i] = strings.TrimSpace(parts[i])
 		}
 		if len(parts) != 3 || slices.Contains(parts, "") {
-			return nil, fmt.Errorf("line %d: want PACKAGE.TEST | cause | issue", n)
+			return nil, fmt.Errorf("line %d: expected PACKAGE.TEST | cause | issue", n)
 		}
-		at := strings.LastIndex(parts[0], ".Test")
-		if at < 0 {
+		dot := strings.LastIndex(parts[0], ".Test")
+		if dot < 0 {
 			return nil, fmt.Errorf("line %d: %q names no test", n, parts[0])
 		}
-		k := Known{parts[0][:at], parts[0][at+1:], parts[1], parts[2]}
-		if slices.ContainsFunc(all, func(o Known) bool { return o.Package == k.Package && o.Test == k.Test }) {
-			return nil, fmt.Errorf("line %d: %s is there twice", n, parts[0])
+		k := KnownFailure{parts[0][:dot], parts[0][dot+1:], parts[1], parts[2]}
+		if slices.ContainsFunc(known, func(o KnownFailure) bool { return o.Package == k.Package && o.Test == k.Test }) {
+			return nil, fmt.Errorf("line %d: %s is recorded twice", n, parts[0])
 		}
-		if all = append(all, k); len(all) > Most {
-			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, Most)
+		if known = append(known, k); len(known) > MaxKnownFailures {
+			return nil, fmt.Errorf("line %d: more than %d tests are recorded", n, MaxKnownFailures)
 		}
 	}
-	return all, in.Err()
+	return known, in.Err()
 }
 
-// event is one line of go test -json.
-type event struct {
+// testEvent is one line of the output of go test -json.
+type testEvent struct {
 	Action, Package, Test, Output string
 }
 
-type test struct{ pkg, name string }
+// testID identifies a test; the name is empty for the package itself.
+type testID struct{ pkg, name string }
 
-// Judge reads the output of go test -json, prints what failed and what became of the tests on record, and returns an
-// error where the run does not pass.
-func Judge(in io.Reader, known []Known, out io.Writer) error {
-	r := run{ends: map[test]string{}, text: map[test][]string{}, pkgs: map[string]string{}}
+// Evaluate reads the output of go test -json. It prints the failures and the results of the known failures, and returns
+// an error if the run does not pass.
+func Evaluate(in io.Reader, known []KnownFailure, out io.Writer) error {
+	r := testRun{outcomes: map[testID]string{}, output: map[testID][]string{}, packages: map[string]string{}}
 	dec := json.NewDecoder(in)
 	for {
-		var e event
+		var e testEvent
 		if err := dec.Decode(&e); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			return fmt.Errorf("output of go test -json: %w", err)
 		}
-		r.take(e, out)
+		r.handle(e, out)
 	}
-	return r.verdict(known, out)
+	return r.evaluate(known, out)
 }
 
-// run is what the tests of a run did.
-type run struct {
-	ends map[test]string // pass, fail or skip
-	text map[test][]string
-	pkgs map[string]string
+// testRun collects the results of a run.
+type testRun struct {
+	outcomes map[testID]string // pass, fail or skip
+	output   map[testID][]string
+	packages map[string]string
 }
 
-func (r *run) take(e event, out io.Writer) {
-	t := test{e.Package, e.Test}
+// handle records an event. The result of a package is printed at once.
+func (r *testRun) handle(e testEvent, out io.Writer) {
+	t := testID{e.Package, e.Test}
 	switch e.Action {
 	case "output", "build-output":
-		r.text[t] = append(r.text[t], e.Output)
+		r.output[t] = append(r.output[t], e.Output)
 	case "pass", "fail", "skip":
 		if e.Test == "" {
-			r.pkgs[e.Package] = e.Action
+			r.packages[e.Package] = e.Action
 			_, _ = fmt.Fprintf(out, "%s\t%s\n", e.Action, e.Package)
 		} else {
-			r.ends[t] = e.Action
+			r.outcomes[t] = e.Action
 		}
 		if e.Action != "fail" {
-			delete(r.text, t)
+			delete(r.output, t)
 		}
 	case "build-fail":
-		r.pkgs[e.Package] = "fail"
+		r.packages[e.Package] = "fail"
 	}
 }
 
-// verdict tells whether all that failed is on record.
-func (r *run) verdict(known []Known, out io.Writer) error {
-	var faults []error
+// evaluate prints the results and returns an error for each reason why the run does not pass.
+func (r *testRun) evaluate(known []KnownFailure, out io.Writer) error {
+	var errs []error
 	counts := map[string]int{}
-	excused := map[string]bool{} // packages in which a test on record failed
-	other := map[string]bool{}   // packages in which another one did
+	withKnownFailure := map[string]bool{} // packages in which a known failure failed
+	unexpected := map[string]bool{}       // packages in which another test failed
 	for _, t := range r.failed() {
-		if recorded(known, t) {
-			excused[t.pkg] = true
+		if isKnown(known, t) {
+			withKnownFailure[t.pkg] = true
 			continue
 		}
-		other[t.pkg] = true
-		faults = append(faults, fmt.Errorf("%s.%s failed", t.pkg, t.name))
-		_, _ = fmt.Fprint(out, strings.Join(r.text[t], ""))
+		unexpected[t.pkg] = true
+		errs = append(errs, fmt.Errorf("%s.%s failed", t.pkg, t.name))
+		_, _ = fmt.Fprint(out, strings.Join(r.output[t], ""))
 	}
-	for t, end := range r.ends {
-		if end != "fail" || !recorded(known, t) {
+	for t, end := range r.outcomes {
+		if end != "fail" || !isKnown(known, t) {
 			counts[end]++
 		}
 	}
-	for pkg, end := range r.pkgs {
-		if end == "fail" && !excused[pkg] && !other[pkg] { // it did not build, or ended before its tests did
-			faults = append(faults, fmt.Errorf("%s failed", pkg))
-			_, _ = fmt.Fprint(out, strings.Join(r.text[test{pkg: pkg}], ""))
+	for pkg, end := range r.packages {
+		// A package that fails without a failing test did not build or ended before its tests did.
+		if end == "fail" && !withKnownFailure[pkg] && !unexpected[pkg] {
+			errs = append(errs, fmt.Errorf("%s failed", pkg))
+			_, _ = fmt.Fprint(out, strings.Join(r.output[testID{pkg: pkg}], ""))
 		}
 	}
 	for _, k := range known {
-		end, ran := r.ends[test{k.Package, k.Test}]
+		end, ran := r.outcomes[testID{k.Package, k.Test}]
 		if !ran || end == "skip" {
-			faults = append(faults, fmt.Errorf("on record, but it did not run: %s.%s", k.Package, k.Test))
+			errs = append(errs, fmt.Errorf("known failure did not run: %s.%s", k.Package, k.Test))
 			end = "did not run"
 		}
 		_, _ = fmt.Fprintf(out, "known red: %s.%s: %s this time (%s; issue %s)\n", k.Package, k.Test, end, k.Cause, k.Issue)
 	}
-	if len(r.ends) == 0 {
-		faults = append(faults, errors.New("no test ran"))
+	if len(r.outcomes) == 0 {
+		errs = append(errs, errors.New("no test ran"))
 	}
 	_, _ = fmt.Fprintf(out, "%d passed, %d failed, %d skipped\n", counts["pass"], counts["fail"], counts["skip"])
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// failed are the tests that failed, in order.
-func (r *run) failed() (all []test) {
-	for t, end := range r.ends {
+// failed returns the failed tests, sorted by package and name.
+func (r *testRun) failed() (all []testID) {
+	for t, end := range r.outcomes {
 		if end == "fail" {
 			all = append(all, t)
 		}
 	}
-	slices.SortFunc(all, func(a, b test) int { return strings.Compare(a.pkg+"."+a.name, b.pkg+"."+b.name) })
+	slices.SortFunc(all, func(a, b testID) int { return strings.Compare(a.pkg+"."+a.name, b.pkg+"."+b.name) })
 	return all
 }
 
-// recorded tells whether a test, or the one that it is a part of, is on record.
-func recorded(known []Known, t test) bool {
-	whole, _, _ := strings.Cut(t.name, "/")
-	return slices.ContainsFunc(known, func(k Known) bool { return k.Package == t.pkg && k.Test == whole })
+// isKnown reports whether a test or the top-level test that it belongs to is a known failure.
+func isKnown(known []KnownFailure, t testID) bool {
+	topLevel, _, _ := strings.Cut(t.name, "/")
+	return slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Package == t.pkg && k.Test == topLevel })
 }
