--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -28,13 +28,13 @@
 // ask hands a message in on a connection that is kept.
 func (d *day) ask(c net.Conn, m testbed.Message, want int) {
 	d.t.Helper()
-	if _, err := c.Write(testbed.Form(m)); err != nil {
+	if _, err := c.Write(testbed.EncodeRequest(m)); err != nil {
 		d.t.Fatal(err)
 	}
-	if status, err := testbed.Status(c); status != want {
+	if status, err := testbed.ReadStatus(c); status != want {
 		d.t.Fatalf("%s: %d, %v", m.Name, status, err)
 	}
-	d.s.Note(testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Left)})
+	d.s.Record(testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Remaining)})
 }
 
 // A fault is answered and the connection ended in order while the client still sends: no reset takes the answer away.
@@ -43,7 +43,7 @@
 	d := newDay(t)
 	d.endpoint("a", 1, "single", ok)
 	d.start()
-	form := string(testbed.Form(msg("big", "status", 1)))
+	form := string(testbed.EncodeRequest(msg("big", "status", 1)))
 	for name, text := range map[string]string{
 		"413": strings.Replace(form, "Content-Length: 11", "Content-Length: 62914560", 1),
 		"400": strings.Replace(form, "X-Remaining: 3.000", "X-Remaining: soon", 1) + form,
@@ -104,17 +104,17 @@
 			t.Fatalf("the end of an idle connection at a stop: %v", err)
 		}
 	}
-	_, _ = late.Write(testbed.Form(msg("crossed", "upload", 1)))
+	_, _ = late.Write(testbed.EncodeRequest(msg("crossed", "upload", 1)))
 	if n, err := late.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("an answer behind the end: %v", err)
 	}
 	<-stopped
 	d.node = nil
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
+	d.s.Record(testbed.Event{Kind: testbed.Restarted})
 	d.start()
 	d.over([]string{"first", "second"})
 	d.over(d.handOne(msg("crossed", "upload", 1)))
-	if n := d.count(testbed.Called, "crossed"); n != 1 {
+	if n := d.count(testbed.CallReceived, "crossed"); n != 1 {
 		t.Errorf("the message that crossed was sent on %d times", n)
 	}
 	d.check()
@@ -128,7 +128,7 @@
 	d.start()
 	c := d.dial()
 	var names []string
-	form := string(testbed.Form(msg("piece-000", "sync", 1)))
+	form := string(testbed.EncodeRequest(msg("piece-000", "sync", 1)))
 	for cut := range len(form) {
 		name := fmt.Sprintf("piece-%03d", cut)
 		text := strings.ReplaceAll(form, "piece-000", name)
@@ -137,7 +137,7 @@
 			runtime.Gosched()
 		}
 		_, _ = io.WriteString(c, text[cut:])
-		if status, err := testbed.Status(c); status != 202 {
+		if status, err := testbed.ReadStatus(c); status != 202 {
 			t.Fatalf("cut at %d: %d, %v", cut, status, err)
 		}
 		names = append(names, name)
@@ -156,23 +156,23 @@
 		c := d.dial()
 		name := fmt.Sprint("m", i)
 		m := msg(name, "upload", 1)
-		if _, err := c.Write(testbed.Form(m)); err != nil {
+		if _, err := c.Write(testbed.EncodeRequest(m)); err != nil {
 			t.Fatal(err)
 		}
 		if i%2 == 0 {
 			_ = c.Close()
 			continue
 		}
-		if status, err := testbed.Status(c); status != 202 {
+		if status, err := testbed.ReadStatus(c); status != 202 {
 			t.Fatalf("%s: %d, %v", name, status, err)
 		}
 		_ = c.Close()
-		d.s.Note(testbed.Event{Kind: testbed.Taken, Name: name, Class: m.Class, Dest: 1, Due: time.Now().Add(m.Left)})
+		d.s.Record(testbed.Event{Kind: testbed.Accepted, Name: name, Class: m.Class, Dest: 1, Due: time.Now().Add(m.Remaining)})
 		heard = append(heard, name)
 	}
 	d.over(heard)
 	for i := range 60 {
-		if n := d.count(testbed.Called, fmt.Sprint("m", i)); n > 1 {
+		if n := d.count(testbed.CallReceived, fmt.Sprint("m", i)); n > 1 {
 			t.Errorf("m%d was sent %d times", i, n)
 		}
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -209,7 +209,7 @@
 		name := fmt.Sprint("to-", host, "-", i)
 		d.over(d.handOne(msg(name, "status", dest)))
 		for _, e := range d.s.Events() {
-			if e.Kind == testbed.Called && e.Name == name && e.Host == host {
+			if e.Kind == testbed.CallReceived && e.Name == name && e.Host == host {
 				return
 			}
 		}
@@ -220,7 +220,7 @@
 // handOne hands a message in that must be taken.
 func (d *day) handOne(m testbed.Message) []string {
 	d.t.Helper()
-	if status := d.s.Hand(d.addr, m); status != 202 {
+	if status := d.s.Submit(d.addr, m); status != 202 {
 		d.t.Fatalf("%s: %d", m.Name, status)
 	}
 	return []string{m.Name}
@@ -230,7 +230,7 @@
 func (d *day) told(since int, within time.Duration) time.Duration {
 	d.t.Helper()
 	start := time.Now()
-	if !d.s.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Told, "") > 0 }) {
+	if !d.s.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.ListSent, "") > 0 }) {
 		d.t.Fatalf("no list is asked for within %v; log: %s", within, d.text())
 	}
 	return time.Since(start)
@@ -240,7 +240,7 @@
 func (d *day) only(host, prefix string) {
 	d.t.Helper()
 	for _, e := range d.s.Events() {
-		if e.Kind == testbed.Called && e.Host != host && strings.HasPrefix(e.Name, prefix) {
+		if e.Kind == testbed.CallReceived && e.Host != host && strings.HasPrefix(e.Name, prefix) {
 			d.t.Errorf("%s went to %s", e.Name, e.Host)
 		}
 	}
@@ -254,8 +254,8 @@
 	a := d.endpoint("a", 1, "single", ok)
 	d.start()
 	d.over(d.hand("x", 1, 1, "status"))
-	d.agent.Silence()
-	d.agent.Indent()
+	d.agent.SilenceOpenWatches()
+	d.agent.IndentLists()
 	since := len(d.s.Events())
 	d.list(a, "single", "draining")
 	d.endpoint("b", 1, "single", ok)
@@ -274,16 +274,16 @@
 	a := d.endpoint("a", 1, "single", ok)
 	d.start()
 	d.over(d.hand("x", 1, 1, "status"))
-	d.agent.Silence() // the open watch would not speak at the return
-	d.agent.Mute(true)
+	d.agent.SilenceOpenWatches() // the open watch would not speak at the return
+	d.agent.SetMuted(true)
 	had := len(d.s.Events())
-	if !d.s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.Watched, "") >= 2 }) {
+	if !d.s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.WatchOpened, "") >= 2 }) {
 		t.Fatal("no watch is tried while discovery is down")
 	}
 	since := len(d.s.Events())
 	d.list(a, "single", "draining")
 	d.endpoint("b", 1, "single", ok)
-	d.agent.Mute(false)
+	d.agent.SetMuted(false)
 	if took := d.told(since, 10*time.Second); took > time.Second {
 		t.Errorf("the list came %v after the return", took)
 	}
@@ -306,7 +306,7 @@
 	d.movesTo("b", 1)
 	d.over(d.hand("x", 5, 1, "status"))
 	d.kill()
-	d.agent.Mute(true)
+	d.agent.SetMuted(true)
 	d.start()
 	d.over(d.hand("y", 10, 1, "status", "upload"))
 	d.only("b", "y")
@@ -330,17 +330,17 @@
 	t.Cleanup(other.Close)
 	d.list(other, "single", "ready")
 	d.endpoint("a2", 1, "single", ok)
-	d.agent.Mute(true)
+	d.agent.SetMuted(true)
 	since := len(d.s.Events())
 	go func() { // the answer comes once the watch is there, and later than a call would
-		d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Watched, "") > 0 })
-		d.s.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Called, "") > 0 })
-		d.agent.Mute(false)
+		d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.WatchOpened, "") > 0 })
+		d.s.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.CallReceived, "") > 0 })
+		d.agent.SetMuted(false)
 	}()
 	d.start()
 	d.over(names)
 	for _, e := range d.s.Events()[since:] {
-		if e.Kind == testbed.Called && e.Host != "a2" {
+		if e.Kind == testbed.CallReceived && e.Host != "a2" {
 			t.Errorf("%s went to %s", e.Name, e.Host)
 		}
 	}
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -126,7 +126,7 @@
 func (d *day) kill() {
 	d.node.Kill()
 	d.node = nil
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
+	d.s.Record(testbed.Event{Kind: testbed.Restarted})
 }
 
 // endpoint adds an endpoint and lists it.
@@ -142,7 +142,7 @@
 }
 
 func (d *day) list(e *testbed.Endpoint, class, health string) {
-	d.agent.Set(testbed.Host{Host: e.Host, Dial: e.Addr, Site: "east", Class: class, Block: e.Dest, Health: health, Share: 1})
+	d.agent.Publish(testbed.EndpointEntry{Host: e.Host, Dial: e.Addr, Site: "east", Class: class, Block: e.Dest, Health: health, Share: 1})
 }
 
 // talk writes bytes on a connection of its own and returns the status of the first answer, 0 where the connection was
@@ -157,7 +157,7 @@
 	start := time.Now()
 	_ = c.SetDeadline(start.Add(within))
 	go func() { _, _ = io.WriteString(c, text) }()
-	status, err = testbed.Status(c)
+	status, err = testbed.ReadStatus(c)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		status = -1
 	}
@@ -165,9 +165,9 @@
 }
 
 func msg(name, class string, dest int) testbed.Message {
-	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: dest, Left: 3 * time.Second, Body: "body of " + name}
+	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: dest, Remaining: 3 * time.Second, Body: "body of " + name}
 	if class == "sync" || class == "turns" {
-		m.Key = "key-" + name
+		m.IdempotencyKey = "key-" + name
 	}
 	return m
 }
@@ -177,7 +177,7 @@
 	for i := range n {
 		for _, c := range classes {
 			name := fmt.Sprintf("%s-%s-%d", prefix, c, i)
-			if d.s.Hand(d.addr, msg(name, c, dest)) == 202 {
+			if d.s.Submit(d.addr, msg(name, c, dest)) == 202 {
 				names = append(names, name)
 			}
 		}
@@ -202,8 +202,8 @@
 // check has the six rules checked from what passed on the sockets.
 func (d *day) check() {
 	d.t.Helper()
-	faults := testbed.Check(d.s.Events(), testbed.Rules{Slack: 350 * time.Millisecond, Grace: 1050 * time.Millisecond, Once: []string{"upload"},
-		InOrder: []string{"turns"}, Windows: map[string]time.Duration{"sync": 4 * time.Second, "turns": 4 * time.Second}, ColdBudget: 1 << 20, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}, time.Now())
+	faults := testbed.Check(d.s.Events(), testbed.Rules{EndSlack: 350 * time.Millisecond, DrainGrace: 1050 * time.Millisecond, AtMostOnce: []string{"upload"},
+		Ordered: []string{"turns"}, DedupWindows: map[string]time.Duration{"sync": 4 * time.Second, "turns": 4 * time.Second}, ColdBudget: 1 << 20, WaitGrace: 150 * time.Millisecond, ObservationLag: 100 * time.Millisecond}, time.Now())
 	for _, f := range faults {
 		d.t.Error(f)
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-func ok(testbed.Call) testbed.Reply { return testbed.Reply{Status: 200, After: 5 * time.Millisecond} }
+func ok(testbed.Call) testbed.Reply { return testbed.Reply{Status: 200, Delay: 5 * time.Millisecond} }
 
 func always(r testbed.Reply) func(testbed.Call) testbed.Reply {
 	return func(testbed.Call) testbed.Reply { return r }
@@ -240,11 +240,11 @@
 	see := func(c testbed.Call) testbed.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		if len(c.Names) == 1 && !strings.Contains(c.Body, "\r\n") {
-			bodies[c.Names[0]] = c.Body
+		if len(c.MessageNames) == 1 && !strings.Contains(c.Body, "\r\n") {
+			bodies[c.MessageNames[0]] = c.Body
 		}
-		for i, n := range c.Names {
-			keys[n] = c.Keys[i]
+		for i, n := range c.MessageNames {
+			keys[n] = c.IdempotencyKeys[i]
 		}
 		return ok(c)
 	}
@@ -263,7 +263,7 @@
 		t.Errorf("body %q, key %q, key %q", bodies["y-sync-3"], keys["y-sync-3"], keys["y-upload-3"])
 	}
 	for _, e := range d.s.Events() {
-		if e.Kind == testbed.Noticed || e.Kind == testbed.Refused || e.Kind == testbed.Broke || e.Kind == testbed.Answered && e.Status != 200 {
+		if e.Kind == testbed.NoticeReceived || e.Kind == testbed.Refused || e.Kind == testbed.CallBroken || e.Kind == testbed.CallAnswered && e.Status != 200 {
 			t.Errorf("on a calm day: %+v", e)
 		}
 	}
@@ -274,18 +274,18 @@
 	d := newDay(t)
 	var mu sync.Mutex
 	most := 0
-	e := d.endpoint("a", 1, "bulk", always(testbed.Reply{Status: 429, Wait: 300 * time.Millisecond}))
+	e := d.endpoint("a", 1, "bulk", always(testbed.Reply{Status: 429, RetryAfter: 300 * time.Millisecond}))
 	d.start()
 	names := d.hand("x", 4, 1, "status", "upload")
-	e.Act(func(c testbed.Call) testbed.Reply {
+	e.SetHandler(func(c testbed.Call) testbed.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		most = max(most, len(c.Names))
+		most = max(most, len(c.MessageNames))
 		body := ""
-		for i, n := range c.Names {
+		for i, n := range c.MessageNames {
 			body += n + " " + []string{"done", "failed", "busy"}[i%3] + "\r\n"
 		}
-		if len(c.Names) == 1 {
+		if len(c.MessageNames) == 1 {
 			return ok(c)
 		}
 		return testbed.Reply{Status: 200, Body: body}
@@ -297,7 +297,7 @@
 		t.Errorf("at most %d messages in a call", most)
 	}
 	for _, n := range names {
-		if calls := d.count(testbed.Called, n); strings.Contains(n, "upload") && calls > 4 {
+		if calls := d.count(testbed.CallReceived, n); strings.Contains(n, "upload") && calls > 4 {
 			t.Errorf("%s: %d calls", n, calls)
 		}
 	}
@@ -306,7 +306,7 @@
 // An upload whose answer is lost is not sent again: it has its end at once, long before its time is up.
 func TestAnswerLost(t *testing.T) {
 	d := newDay(t)
-	d.endpoint("a", 1, "single", first(3, testbed.Reply{Drop: true, After: 5 * time.Millisecond}))
+	d.endpoint("a", 1, "single", first(3, testbed.Reply{Drop: true, Delay: 5 * time.Millisecond}))
 	d.start()
 	start := time.Now()
 	names := d.hand("x", 3, 1, "upload")
@@ -314,7 +314,7 @@
 	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("the ends took %v", took)
 	}
-	if n := d.count(testbed.Noticed, ""); n == 0 {
+	if n := d.count(testbed.NoticeReceived, ""); n == 0 {
 		t.Error("no notice")
 	}
 	more := d.hand("y", 3, 1, "status", "sync")
@@ -328,21 +328,21 @@
 	e := d.endpoint("a", 1, "single", always(testbed.Reply{Hang: true}))
 	d.start()
 	names := d.hand("x", 3, 1, "status", "sync", "upload")
-	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") >= 3 })
+	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") >= 3 })
 	out := map[string]bool{}
 	for _, ev := range d.s.Events() {
-		if ev.Kind == testbed.Called {
+		if ev.Kind == testbed.CallReceived {
 			out[ev.Name] = true
 		}
 	}
 	d.kill()
-	e.Act(ok)
+	e.SetHandler(ok)
 	d.start()
 	d.over(names)
 	d.check()
 	for _, n := range names {
-		if strings.Contains(n, "upload") && out[n] && (d.count(testbed.Called, n) != 1 || d.count(testbed.Noticed, n) != 1) {
-			t.Errorf("%s: %d calls, %d notices", n, d.count(testbed.Called, n), d.count(testbed.Noticed, n))
+		if strings.Contains(n, "upload") && out[n] && (d.count(testbed.CallReceived, n) != 1 || d.count(testbed.NoticeReceived, n) != 1) {
+			t.Errorf("%s: %d calls, %d notices", n, d.count(testbed.CallReceived, n), d.count(testbed.NoticeReceived, n))
 		}
 	}
 	if len(out) == 0 {
@@ -354,10 +354,10 @@
 func TestKillsUnderLoad(t *testing.T) {
 	d := newDay(t)
 	d.endpoint("a", 1, "bulk", func(c testbed.Call) testbed.Reply {
-		return testbed.Reply{Status: []int{200, 200, 200, 500, 503}[c.N%5], After: time.Duration(c.N%7) * 3 * time.Millisecond}
+		return testbed.Reply{Status: []int{200, 200, 200, 500, 503}[c.Number%5], Delay: time.Duration(c.Number%7) * 3 * time.Millisecond}
 	})
 	d.endpoint("b", 2, "single", func(c testbed.Call) testbed.Reply {
-		return testbed.Reply{Status: 200, Drop: c.N%6 == 0, After: time.Duration(c.N%5) * 4 * time.Millisecond}
+		return testbed.Reply{Status: 200, Drop: c.Number%6 == 0, Delay: time.Duration(c.Number%5) * 4 * time.Millisecond}
 	})
 	var names []string
 	for round := range 6 {
@@ -375,7 +375,7 @@
 					}
 					c := []string{"status", "sync", "upload"}[i%3]
 					n := fmt.Sprintf("r%d-w%d-%s-%d", round, w, c, i)
-					if d.s.Hand(d.addr, msg(n, c, 1+i%2)) == 202 {
+					if d.s.Submit(d.addr, msg(n, c, 1+i%2)) == 202 {
 						mu.Lock()
 						names = append(names, n)
 						mu.Unlock()
@@ -400,13 +400,13 @@
 // SIGTERM: new requests are refused, what is out is awaited, the rest is kept for the next process.
 func TestStopKeepsWhatIsHeld(t *testing.T) {
 	d := newDay(t)
-	e := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 200, After: 400 * time.Millisecond}))
-	d.endpoint("b", 2, "single", always(testbed.Reply{Status: 429, Wait: 10 * time.Second}))
+	e := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 200, Delay: 400 * time.Millisecond}))
+	d.endpoint("b", 2, "single", always(testbed.Reply{Status: 429, RetryAfter: 10 * time.Second}))
 	d.start()
 	names := d.hand("x", 2, 1, "upload")
 	m := msg("held", "sync", 2)
-	m.Left = 5 * time.Second
-	if d.s.Hand(d.addr, m) == 202 {
+	m.Remaining = 5 * time.Second
+	if d.s.Submit(d.addr, m) == 202 {
 		names = append(names, "held")
 	}
 	done := make(chan struct{})
@@ -418,7 +418,7 @@
 	for !d.node.desk.closing.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	if status := d.s.Hand(d.addr, msg("late", "status", 1)); status != 503 && status != 429 && status != 0 {
+	if status := d.s.Submit(d.addr, msg("late", "status", 1)); status != 503 && status != 429 && status != 0 {
 		t.Errorf("a new request while stopping: %d", status)
 	}
 	<-done
@@ -426,8 +426,8 @@
 		t.Errorf("the stop took %v", took)
 	}
 	d.node = nil
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
-	e.Act(ok)
+	d.s.Record(testbed.Event{Kind: testbed.Restarted})
+	e.SetHandler(ok)
 	d.start()
 	d.over(names)
 	d.check()
@@ -452,7 +452,7 @@
 		}
 		n := fmt.Sprint("m", i)
 		_ = c.SetDeadline(time.Now().Add(time.Second))
-		if _, err = c.Write(testbed.Form(msg(n, "status", 1))); err == nil {
+		if _, err = c.Write(testbed.EncodeRequest(msg(n, "status", 1))); err == nil {
 			b := make([]byte, 200)
 			if k, err := c.Read(b); err != nil {
 				cut++ // it was not read: at most the last one, in the moment of the end
@@ -502,13 +502,13 @@
 	d.node.Reload(cfg)
 	old.Close()
 	d.endpoint("b", 2, "single", always(testbed.Reply{Status: 500}))
-	for d.s.Hand(d.addr, msg("known?", "upload", 2)) == 404 { // until the new discovery has told of it
+	for d.s.Submit(d.addr, msg("known?", "upload", 2)) == 404 { // until the new discovery has told of it
 		time.Sleep(5 * time.Millisecond)
 	}
 	names := d.hand("y", 2, 2, "upload")
 	d.over(append(names, "known?"))
 	d.check()
-	if n := d.count(testbed.Noticed, ""); n != 3 {
+	if n := d.count(testbed.NoticeReceived, ""); n != 3 {
 		t.Errorf("%d notices at the new address, want 3", n)
 	}
 }
@@ -516,16 +516,16 @@
 // Notices are repeated until they are acknowledged, over a restart, too.
 func TestNoticesUntilAcknowledged(t *testing.T) {
 	d := newDay(t)
-	d.agent.Fail(500)
+	d.agent.FailNotices(500)
 	d.endpoint("a", 1, "single", always(testbed.Reply{Status: 500}))
 	d.start()
 	names := d.hand("x", 3, 1, "upload")
-	d.s.Await(2*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") >= 3 })
+	d.s.Await(2*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "") >= 3 })
 	for d.node.Stats().Failed < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	d.kill()
-	d.agent.Fail(0)
+	d.agent.FailNotices(0)
 	d.start()
 	d.over(names)
 	d.check()
@@ -551,13 +551,13 @@
 	a := d.endpoint("a", 1, "single", ok)
 	d.start()
 	d.over(d.hand("x", 5, 1, "status"))
-	had := a.Opened()
+	had := a.AcceptedConns()
 	d.list(a, "single", "gone")
 	b := &testbed.Endpoint{Host: "b", Dest: 1, Addr: a.Addr}
 	d.list(b, "single", "ready")
 	d.s.Await(time.Second, func([]testbed.Event) bool { return false }) // both changes are told
 	d.over(d.hand("y", 3, 1, "status"))
-	if a.Opened() == had {
+	if a.AcceptedConns() == had {
 		t.Error("no connection was opened for the new endpoint")
 	}
 	d.check()
@@ -571,8 +571,8 @@
 		delivered bool
 	}{
 		"noise":           {testbed.Reply{Raw: "\x00\x01\xfe\xff noise", Status: 500}, false},
-		"noise behind":    {testbed.Reply{Status: 200, Then: "noise"}, true},
-		"second answer":   {testbed.Reply{Status: 200, Then: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"}, true},
+		"noise behind":    {testbed.Reply{Status: 200, TrailingBytes: "noise"}, true},
+		"second answer":   {testbed.Reply{Status: 200, TrailingBytes: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"}, true},
 		"negative length": {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n", Status: 200}, true},
 		"3 GB":            {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20), Status: 200}, true},
 		"3 GB error":      {testbed.Reply{Raw: "HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20), Status: 500}, false},
@@ -580,7 +580,7 @@
 		"bad head line":   {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\n\x00\x00\r\n\r\n", Status: 200}, true},
 		"interim answers": {testbed.Reply{Raw: "HTTP/1.1 103 a\r\n\r\nHTTP/1.1 100 b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Status: 200}, true},
 		"cut body":        {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", Status: 200}, true},
-		"bad report":      {testbed.Reply{Status: 200, Head: []string{"X-Pressure", "x0=zz,,=,x1"}}, true},
+		"bad report":      {testbed.Reply{Status: 200, ExtraHeaders: []string{"X-Pressure", "x0=zz,,=,x1"}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -589,11 +589,11 @@
 			d.start()
 			names := d.hand("x", 1, 1, "upload")
 			d.over(names)
-			if got := d.count(testbed.Noticed, names[0]) == 0; got != c.delivered {
+			if got := d.count(testbed.NoticeReceived, names[0]) == 0; got != c.delivered {
 				t.Errorf("delivered %v, want %v; log %s", got, c.delivered, d.text())
 			}
 			d.over(d.hand("y", 2, 1, "status"))
-			if !strings.HasPrefix(name, "interim") && name != "bad report" && e.Opened() < 2 {
+			if !strings.HasPrefix(name, "interim") && name != "bad report" && e.AcceptedConns() < 2 {
 				t.Error("the spoilt connection was used again")
 			}
 			d.check()
@@ -607,7 +607,7 @@
 	d := newDay(t)
 	d.endpoint("a", 1, "single", ok)
 	d.start()
-	good := string(testbed.Form(msg("m", "status", 1)))
+	good := string(testbed.EncodeRequest(msg("m", "status", 1)))
 	swap := func(from, to string) string {
 		if !strings.Contains(good, from) {
 			t.Fatalf("no %q in %q", from, good)
@@ -638,7 +638,7 @@
 		"empty id":          swap("X-Txn: m", "X-Txn: "),
 		"two ids":           swap("X-Txn: m", "X-Txn: m\r\nX-Txn: n"),
 		"id with a space":   swap("X-Txn: m", "X-Txn: m n"),
-		"no key":            string(testbed.Form(testbed.Message{Name: "k", Class: "sync", Tenant: "acme", Dest: 1, Left: time.Second})),
+		"no key":            string(testbed.EncodeRequest(testbed.Message{Name: "k", Class: "sync", Tenant: "acme", Dest: 1, Remaining: time.Second})),
 		"other method":      "DELETE / HTTP/1.1\r\nHost: a\r\n\r\n",
 		"other path":        "GET /secret HTTP/1.1\r\nHost: a\r\n\r\n",
 	} {
@@ -659,7 +659,7 @@
 	})
 	t.Cleanup(func() {
 		for _, e := range d.s.Events() {
-			if e.Kind == testbed.Called && !strings.HasPrefix(e.Name, "u-") {
+			if e.Kind == testbed.CallReceived && !strings.HasPrefix(e.Name, "u-") {
 				t.Errorf("%q reached an endpoint", e.Name)
 			}
 		}
@@ -688,7 +688,7 @@
 	for i := range 20 {
 		n := fmt.Sprint("u", i)
 		for range 5 { // a connection that was closed with nothing sent on for it may be tried again
-			if d.s.Hand(d.addr, msg(n, "status", 1)) == 202 {
+			if d.s.Submit(d.addr, msg(n, "status", 1)) == 202 {
 				names = append(names, n)
 				break
 			}
@@ -710,14 +710,14 @@
 // The id of a message that is owed its end is not taken twice.
 func TestIDTakenTwice(t *testing.T) {
 	d := newDay(t)
-	d.endpoint("a", 1, "single", always(testbed.Reply{Status: 200, After: 500 * time.Millisecond}))
+	d.endpoint("a", 1, "single", always(testbed.Reply{Status: 200, Delay: 500 * time.Millisecond}))
 	d.start()
 	names := d.hand("x", 1, 1, "upload")
-	if status, _ := d.talk(string(testbed.Form(msg(names[0], "upload", 1))), time.Second); status != 409 {
+	if status, _ := d.talk(string(testbed.EncodeRequest(msg(names[0], "upload", 1))), time.Second); status != 409 {
 		t.Errorf("the id of an open message: %d", status)
 	}
 	d.over(names)
-	if n := d.count(testbed.Called, names[0]); n != 1 {
+	if n := d.count(testbed.CallReceived, names[0]); n != 1 {
 		t.Errorf("%d calls", n)
 	}
 	d.check()
@@ -748,9 +748,9 @@
 func TestStartWithoutAnyList(t *testing.T) {
 	d := newDay(t)
 	d.old = testbed.Configuration(d.addr, d.agent)
-	d.agent.Mute(true)
+	d.agent.SetMuted(true)
 	d.launch()
-	if status := d.s.Hand(d.addr, msg("early", "status", 1)); status != 503 {
+	if status := d.s.Submit(d.addr, msg("early", "status", 1)); status != 503 {
 		t.Errorf("a message before any list: %d", status)
 	}
 	if status, _ := d.talk("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", time.Second); status != 503 {
@@ -758,11 +758,11 @@
 	}
 	d.endpoint("a", 1, "single", ok)
 	since := len(d.s.Events())
-	d.agent.Mute(false)
+	d.agent.SetMuted(false)
 	d.told(since, 5*time.Second)
 	for i := 0; ; i++ {
 		name := fmt.Sprint("later", i)
-		if status := d.s.Hand(d.addr, msg(name, "status", 1)); status == 202 {
+		if status := d.s.Submit(d.addr, msg(name, "status", 1)); status == 202 {
 			d.over([]string{name})
 			break
 		} else if status != 503 || i > 200 {
@@ -783,7 +783,7 @@
 
 func TestWaitTold(t *testing.T) {
 	d := newDay(t)
-	d.endpoint("a", 1, "single", first(1, testbed.Reply{Status: 429, Wait: 700 * time.Millisecond}))
+	d.endpoint("a", 1, "single", first(1, testbed.Reply{Status: 429, RetryAfter: 700 * time.Millisecond}))
 	d.start()
 	d.over(d.hand("x", 5, 1, "status", "upload"))
 	d.check()
--- a/internal/platform/pipeline_test.go
+++ b/internal/platform/pipeline_test.go
@@ -23,13 +23,13 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	go func() { _, _ = io.WriteString(c, text) }()
-	return testbed.Statuses(c, enough)
+	return testbed.ReadStatuses(c, enough)
 }
 
 func forms(names ...string) string {
 	var b bytes.Buffer
 	for _, n := range names {
-		b.Write(testbed.Form(msg(n, "status", 1)))
+		b.Write(testbed.EncodeRequest(msg(n, "status", 1)))
 	}
 	return b.String()
 }
@@ -69,7 +69,7 @@
 		d.over(names)
 		d.check()
 		for _, n := range []string{"b3", "s2", "h2", "e2"} {
-			if d.count(testbed.Called, n) > 0 {
+			if d.count(testbed.CallReceived, n) > 0 {
 				t.Errorf("%s was taken", n)
 			}
 		}
@@ -112,7 +112,7 @@
 	}
 	got := make(chan []int)
 	go func() { got <- d.answers(forms(names...)+forms("half")[:40], 201) }()
-	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
+	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") > 0 })
 	done := make(chan struct{})
 	go func() {
 		d.node.Stop()
@@ -133,7 +133,7 @@
 	if len(taken) == 0 || answers[len(answers)-1] < 400 {
 		t.Errorf("answers %v", answers)
 	}
-	d.s.Note(testbed.Event{Kind: testbed.Restarted})
+	d.s.Record(testbed.Event{Kind: testbed.Restarted})
 	d.start()
 	d.over(taken)
 	d.check()
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -39,25 +39,25 @@
 func TestFullDisk(t *testing.T) {
 	d := newDay(t)
 	d.disk = disk.NewMemory()
-	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 429, Wait: 200 * time.Millisecond}))
+	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 429, RetryAfter: 200 * time.Millisecond}))
 	d.start()
 	held := d.hand("held", 3, 1, "status", "sync", "upload")
-	if !d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") > 0 }) {
+	if !d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "") > 0 }) {
 		t.Fatal("no call")
 	}
 	refuseWrites(d.disk, unix.ENOSPC)
-	a.Act(ok)
+	a.SetHandler(ok)
 	if more := d.hand("late", 3, 1, "status", "upload"); len(more) > 0 {
 		t.Errorf("taken on without a record: %v", more)
 	}
 	d.s.Await(time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, held) })
 	for _, e := range d.s.Events() {
-		if e.Kind == testbed.Answered && e.Status == 200 && !strings.Contains(e.Name, "status") {
+		if e.Kind == testbed.CallAnswered && e.Status == 200 && !strings.Contains(e.Name, "status") {
 			t.Errorf("%s was called without a record", e.Name)
 		}
 	}
 	for _, name := range held {
-		if strings.Contains(name, "status") && d.count(testbed.Answered, name) == 0 {
+		if strings.Contains(name, "status") && d.count(testbed.CallAnswered, name) == 0 {
 			t.Errorf("%s waits, and needs no record", name)
 		}
 	}
@@ -66,7 +66,7 @@
 	d.over(held)
 	d.check()
 	for _, name := range held {
-		if d.count(testbed.Noticed, name) > 0 {
+		if d.count(testbed.NoticeReceived, name) > 0 {
 			t.Errorf("%s was given up", name)
 		}
 	}
@@ -79,18 +79,18 @@
 	d.disk = disk.NewMemory()
 	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 500}))
 	d.start()
-	a.Act(always(testbed.Reply{Status: 500, After: 50 * time.Millisecond}))
+	a.SetHandler(always(testbed.Reply{Status: 500, Delay: 50 * time.Millisecond}))
 	names := d.hand("x", 4, 1, "status", "sync", "upload")
 	refuseWrites(d.disk, unix.EIO)
 	d.s.Await(500*time.Millisecond, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
 	for _, e := range d.s.Events() {
-		if e.Kind == testbed.Noticed && e.Text == "deferred" {
+		if e.Kind == testbed.NoticeReceived && e.Text == "deferred" {
 			t.Errorf("%s is handed back and not on record as ended", e.Name)
 		}
 	}
 	d.kill()
 	d.disk.SetFail(nil)
-	a.Act(ok)
+	a.SetHandler(ok)
 	d.start()
 	d.over(names)
 	d.check()
@@ -104,10 +104,10 @@
 			d := newDay(t)
 			d.disk = disk.NewMemory()
 			d.endpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
-				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
+				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%17 == 0}
 			})
 			d.endpoint("b", 2, "bulk", func(c testbed.Call) testbed.Reply {
-				return testbed.Reply{Status: []int{200, 429, 200}[c.N%3], After: time.Duration(c.N%7) * 2 * time.Millisecond}
+				return testbed.Reply{Status: []int{200, 429, 200}[c.Number%3], Delay: time.Duration(c.Number%7) * 2 * time.Millisecond}
 			})
 			var mu sync.Mutex
 			ops := 0
@@ -144,9 +144,9 @@
 		c := []string{"status", "sync", "upload", "turns"}[i%4]
 		m := msg(fmt.Sprintf("%s-%s-%d", prefix, c, i), c, 1+i%2)
 		if c == "turns" {
-			m.Order = fmt.Sprint("order-", i%3)
+			m.OrderKey = fmt.Sprint("order-", i%3)
 		}
-		if d.s.Hand(d.addr, m) == 202 {
+		if d.s.Submit(d.addr, m) == 202 {
 			names = append(names, m.Name)
 		}
 	}
@@ -157,7 +157,7 @@
 func TestFolderFailsAtTheStart(t *testing.T) {
 	d := newDay(t)
 	d.disk = disk.NewMemory()
-	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 429, Wait: 2 * time.Second}))
+	a := d.endpoint("a", 1, "single", always(testbed.Reply{Status: 429, RetryAfter: 2 * time.Second}))
 	d.start()
 	names := d.hand("x", 2, 1, "status", "sync", "upload")
 	d.kill()
@@ -169,7 +169,7 @@
 		return nil
 	})
 	refuseWrites(d.disk, unix.ENOSPC) // and it can't be written until the process serves
-	a.Act(ok)
+	a.SetHandler(ok)
 	d.start()
 	if more := d.hand("late", 2, 1, "upload"); len(more) > 0 {
 		t.Errorf("taken on without a record: %v", more)
@@ -199,14 +199,14 @@
 		d.kill()
 		d.start()
 	}
-	back, err := d.s.Endpoint("a", 1, a.Addr, always(testbed.Reply{Status: 200, After: 300 * time.Millisecond}))
+	back, err := d.s.Endpoint("a", 1, a.Addr, always(testbed.Reply{Status: 200, Delay: 300 * time.Millisecond}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(back.Close)
 	since := len(d.s.Events())
-	d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Answered, "") > 0 })
-	if calls := testbed.Count(d.s.Events()[since:], testbed.Called, ""); calls != 1 {
+	d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.CallAnswered, "") > 0 })
+	if calls := testbed.Count(d.s.Events()[since:], testbed.CallReceived, ""); calls != 1 {
 		t.Errorf("%d calls before the first answer, want a single trial", calls)
 	}
 	d.s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
--- a/internal/platform/syscalls_test.go
+++ b/internal/platform/syscalls_test.go
@@ -21,7 +21,7 @@
 			d := newDay(t)
 			d.calls = &eventlooptest.Faulty{}
 			d.endpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
-				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
+				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%17 == 0}
 			})
 			d.endpoint("b", 2, "bulk", ok)
 			faults := map[string][]error{
@@ -74,13 +74,13 @@
 				names = d.hand("x", 2, 1, "status", "upload")
 			} else {
 				names = d.hand("x", 2, 1, "status", "upload")
-				d.s.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
+				d.s.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") > 0 })
 				d.calls.Set(nil)
 			}
 			d.over(names)
 			d.check()
-			if len(names) != 4 || d.count(testbed.Noticed, "") > 0 {
-				t.Errorf("%v taken, %d given up", names, d.count(testbed.Noticed, ""))
+			if len(names) != 4 || d.count(testbed.NoticeReceived, "") > 0 {
+				t.Errorf("%v taken, %d given up", names, d.count(testbed.NoticeReceived, ""))
 			}
 		})
 	}
@@ -108,7 +108,7 @@
 			})
 			answer := make(chan int)
 			go func() {
-				status, _ := d.talk(string(testbed.Form(msg("m", "status", 1))), 5*time.Second)
+				status, _ := d.talk(string(testbed.EncodeRequest(msg("m", "status", 1))), 5*time.Second)
 				answer <- status
 			}()
 			<-met
@@ -116,7 +116,7 @@
 			if status := <-answer; status != 202 {
 				t.Errorf("answer %d", status)
 			}
-			if !slices.Contains([]int{0, 1}, d.count(testbed.Noticed, "m")) {
+			if !slices.Contains([]int{0, 1}, d.count(testbed.NoticeReceived, "m")) {
 				t.Error("more than one end")
 			}
 		})
