--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -85,7 +85,7 @@
 type frontsCmd compareCmd
 
 func (c *frontsCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Fronts(ctx, os.Stdout, compare.Options(*c))
 }
@@ -93,7 +93,7 @@
 type trailCmd compareCmd
 
 func (c *trailCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Trail(ctx, os.Stdout, compare.Options(*c))
 }
@@ -108,13 +108,13 @@
 }
 
 func (c *idleCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Idle(ctx, os.Stdout, compare.IdleOptions(*c))
 }
 
 func (c *compareCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Run(ctx, os.Stdout, compare.Options(*c))
 }
@@ -128,25 +128,25 @@
 	}
 }
 
-// loopback refuses addresses beyond this machine: the lab is no tool to load others with.
-func loopback(addr string) error {
+// requireLoopback refuses addresses beyond this machine: the lab is no tool to load others with.
+func requireLoopback(addr string) error {
 	if strings.HasPrefix(addr, "127.") || strings.HasPrefix(addr, "[::1]:") {
 		return nil
 	}
 	return fmt.Errorf("%s is not a loopback address", addr)
 }
 
-func interrupted() (context.Context, context.CancelFunc) {
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
 func (c *partnerCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	log := partner.NewLog(1 << 20)
 	var ends []*partner.Endpoint
 	for i, addr := range c.Listen {
-		if err := loopback(addr); err != nil {
+		if err := requireLoopback(addr); err != nil {
 			return err
 		}
 		p := partner.New(partner.Config{Name: addr, Pace: c.Pace, Servers: c.Servers, Rate: c.Rate, ColdFrom: 0.2, WarmUp: 10 * time.Second,
@@ -172,7 +172,7 @@
 		select {
 		case <-ctx.Done():
 		case line := <-lines:
-			if err := command(ends, strings.Fields(line)); err != nil {
+			if err := runCommand(ends, strings.Fields(line)); err != nil {
 				fmt.Println(err)
 			}
 		}
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// command puts a fault in force at a stand-in.
-func command(ends []*partner.Endpoint, words []string) error {
+// runCommand puts a fault in force at a stand-in.
+func runCommand(ends []*partner.Endpoint, words []string) error {
 	if len(words) < 2 {
 		return errors.New("NUMBER WORD VALUES")
 	}
@@ -219,13 +219,13 @@
 }
 
 func (c *sendCmd) Run() error {
-	if err := loopback(c.To); err != nil {
+	if err := requireLoopback(c.To); err != nil {
 		return err
 	}
 	if c.Rate <= 0 || c.Rate*c.For.Seconds() > 1e7 {
 		return errors.New("rate and time make no sensible number of messages")
 	}
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	client := load.NewClient(c.To, c.Conns)
 	defer client.Close()
@@ -243,7 +243,7 @@
 }
 
 func (c *dayCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	broken := 0
 	for _, file := range c.Scripts {
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -57,8 +57,8 @@
 	return errors.Join(ctx.Err())
 }
 
-// violationsShown of a run are printed; the others are counted.
-const violationsShown = 20
+// maxViolationsShown of a run are printed; the others are counted.
+const maxViolationsShown = 20
 
 func printSoak(r *soak.Result) {
 	verdict := "kept"
@@ -68,7 +68,7 @@
 	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", r.Seed, len(r.Faults), r.Accepted,
 		r.Delivered, r.EndedByNotice, r.Calls, r.Elapsed.Seconds(), verdict)
 	for i, v := range r.Violations {
-		if i == violationsShown {
+		if i == maxViolationsShown {
 			fmt.Printf("  and %d more\n", len(r.Violations)-i)
 			break
 		}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -24,7 +24,7 @@
 	ResetsConnections                // calls are broken off
 	RejectsWithWait                  // calls are turned away and told to wait until it opens
 	RejectsWithoutWait               // calls are turned away, and nothing is told
-	outages
+	outageCount
 )
 
 var outageNames = [...]string{"refuses", "silent", "errors", "resets", "shut", "shut, nothing told"}
@@ -43,7 +43,7 @@
 // RandomConfig makes a play of a number of dispatchers from a seed.
 func RandomConfig(seed uint64, dispatchers int) Config {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outages))), RestartShare: 0.6 * float64(rng.IntN(2)),
+	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outageCount))), RestartShare: 0.6 * float64(rng.IntN(2)),
 		TrafficSpread: 1.2 * rng.Float64()}
 }
 
@@ -63,379 +63,379 @@
 
 // Figures of the destination, in the ranges of the users' deployments.
 const (
-	coldLeast, coldMost   = 0.14, 0.27
-	warmLeast, warmMost   = 7.9, 11.0 // seconds
-	tipMultiple           = 2.0
-	span                  = 2 * control.Second
-	toldPart              = 2.0 / 3
-	quiet                 = 20 * control.Second // ahead of the outage
-	downLeast, downMost   = 5.0, 18.0           // seconds
-	watched               = 14 * control.Second // behind the return
-	latency               = 60 * control.Millisecond
-	crossing              = 5 * control.Millisecond
-	tick                  = 5 * control.Millisecond
-	queueSeconds          = 0.5 // of its capacity may wait at the destination
-	destination, endpoint = 1, control.Endpoint(10)
+	minColdFraction, maxColdFraction   = 0.14, 0.27
+	minWarmUpSeconds, maxWarmUpSeconds = 7.9, 11.0 // seconds
+	overloadFactor                     = 2.0
+	overloadWindow                     = 2 * control.Second
+	maxAwareShare                      = 2.0 / 3
+	steadyPeriod                       = 20 * control.Second // ahead of the outage
+	minOutageSeconds, maxOutageSeconds = 5.0, 18.0           // seconds
+	observationPeriod                  = 14 * control.Second // behind the return
+	meanServiceTime                    = 60 * control.Millisecond
+	networkDelay                       = 5 * control.Millisecond
+	tickInterval                       = 5 * control.Millisecond
+	queueSeconds                       = 0.5 // of its capacity may wait at the destination
+	destination, endpoint              = 1, control.Endpoint(10)
 )
 
 // dispatcher is one of them.
 type dispatcher struct {
-	mod    *control.Dispatcher
-	number int
-	share  float64
-	told   bool
-	memory map[control.Endpoint]control.Outage // what is on record of outages
-	out    map[control.MessageID]int           // attempts out, by their number
-	held   map[control.MessageID]*message      // what it owes, on record
-	epoch  int                                 // processes so far
+	core          *control.Dispatcher
+	number        int
+	share         float64
+	sawOutage     bool
+	outageRecords map[control.Endpoint]control.Outage // what is on record of outages
+	openAttempts  map[control.MessageID]int           // attempts out, by their number
+	pending       map[control.MessageID]*message      // what it owes, on record
+	epoch         int                                 // processes so far
 }
 
 // message is one that a dispatcher owes.
 type message struct {
-	class    int
-	deadline control.Time
-	tries    int
-	sent     control.Time // when its last attempt began
-	doubt    control.Time // when the first began that may have been executed, 0 for none
+	class                 int
+	deadline              control.Time
+	attempts              int
+	lastAttemptAt         control.Time // when its last attempt began
+	possiblyExecutedSince control.Time // when the first began that may have been executed, 0 for none
 }
 
-// happening is something due at a moment.
-type happening struct {
-	at   control.Time
-	seq  int
-	who  *dispatcher
-	what control.Event
-	then func() // instead of an event of a dispatcher
-	era  int    // epoch of the dispatcher that it is for
+// scheduledEvent is something due at a moment.
+type scheduledEvent struct {
+	at         control.Time
+	seq        int
+	dispatcher *dispatcher
+	event      control.Event
+	run        func() // instead of an event of a dispatcher
+	epoch      int    // epoch of the dispatcher that it is for
 }
 
-type agenda []*happening
+type eventQueue []*scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a eventQueue) Len() int { return len(a) }
+func (a eventQueue) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(*happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)   { *a = append(*a, x.(*scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	last := len(*a) - 1
 	x := (*a)[last]
 	*a = (*a)[:last]
 	return x
 }
 
-// arrival is a call at the destination.
-type arrival struct {
-	at   control.Time
-	told bool // its dispatcher had seen the outage before
+// call is a call at the destination.
+type call struct {
+	at        control.Time
+	sawOutage bool // its dispatcher had seen the outage before
 }
 
-// play is one play under way.
-type play struct {
-	cfg      Config
-	set      control.Settings
-	rng      *rand.Rand
-	now      control.Time
-	seq      int
-	agenda   agenda
-	fleet    []*dispatcher
-	nextID   control.MessageID
-	capacity float64
-	demand   float64
-	down, up control.Time // the outage
-	budget   float64      // calls that the destination can begin now
-	refilled control.Time
-	calls    []arrival // of the last span
-	served   []control.Time
-	res      Result
+// simulation is one play under way.
+type simulation struct {
+	cfg                    Config
+	settings               control.Settings
+	rng                    *rand.Rand
+	now                    control.Time
+	seq                    int
+	queue                  eventQueue
+	dispatchers            []*dispatcher
+	nextID                 control.MessageID
+	capacity               float64
+	demand                 float64
+	outageStart, outageEnd control.Time // the outage
+	tokens                 float64      // calls that the destination can begin now
+	refilledAt             control.Time
+	recentCalls            []call // of the last span
+	servedAt               []control.Time
+	result                 Result
 }
 
 // Simulate plays one play.
 func Simulate(cfg Config) Result {
-	p := &play{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Dispatchers)))}
-	p.draw()
-	p.open()
-	end := p.up + watched
-	for len(p.agenda) > 0 && p.agenda[0].at <= end {
-		p.step()
+	p := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Dispatchers)))}
+	p.drawParameters()
+	p.startDispatchers()
+	end := p.outageEnd + observationPeriod
+	for len(p.queue) > 0 && p.queue[0].at <= end {
+		p.runNext()
 	}
-	p.res.RecoverySeconds = p.back()
-	return p.res
+	p.result.RecoverySeconds = p.recoverySeconds()
+	return p.result
 }
 
-// draw draws the destination and the times.
-func (p *play) draw() {
+// drawParameters draws the destination and the times.
+func (p *simulation) drawParameters() {
 	between := func(least, most float64) float64 { return least + p.rng.Float64()*(most-least) }
 	p.capacity = math.Exp(between(math.Log(4), math.Log(400)))
 	load := between(0.4, 1.15)
 	p.demand = load * p.capacity
-	p.down = quiet
-	p.up = p.down + seconds(between(downLeast, downMost))
+	p.outageStart = steadyPeriod
+	p.outageEnd = p.outageStart + seconds(between(minOutageSeconds, maxOutageSeconds))
 	classes := []control.Class{
 		{Name: "status", Aim: seconds(1.5), Deadline: seconds(5), Worth: 2},
 		{Name: "sync", Effect: control.Guarded, Window: seconds(10), Aim: seconds(2.5), Deadline: seconds(24), Worth: 1, LateWorth: 0.5},
 		{Name: "upload", Effect: control.SingleShot, Aim: seconds(2.5), Deadline: seconds(28), Worth: 5, LateWorth: 0.4},
 	}
 	mine := p.demand / float64(p.cfg.Dispatchers)
-	p.set = control.Settings{Instances: p.cfg.Dispatchers, Tick: tick, Classes: classes, Kinds: []control.Kind{{Name: "partners", Batch: 1}},
+	p.settings = control.Settings{Instances: p.cfg.Dispatchers, Tick: tickInterval, Classes: classes, Kinds: []control.Kind{{Name: "partners", Batch: 1}},
 		Weights: control.WeightNominal, Slots: max(3, int(2*mine)), MaxOpen: max(16, int(10*mine)), MaxTries: 6, MayCancel: true, RetryAfter: true,
 		MaxRetryAfter: seconds(2), ConnIdle: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportLeft: -1, ReportLimit: -1,
-		StopSendingWithin: seconds(1), ColdFrom: between(coldLeast, coldMost), WarmUp: seconds(between(warmLeast, warmMost)),
-		TipMultiple: tipMultiple, OverloadFor: span, SettleAfterDoubt: seconds(1), KeepOutages: true}
-	p.res = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
+		StopSendingWithin: seconds(1), ColdFrom: between(minColdFraction, maxColdFraction), WarmUp: seconds(between(minWarmUpSeconds, maxWarmUpSeconds)),
+		TipMultiple: overloadFactor, OverloadFor: overloadWindow, SettleAfterDoubt: seconds(1), KeepOutages: true}
+	p.result = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
 }
 
 func seconds(s float64) control.Time { return control.Time(s * float64(control.Second)) }
 
-// open starts the dispatchers and their traffic.
-func (p *play) open() {
+// startDispatchers starts the dispatchers and their traffic.
+func (p *simulation) startDispatchers() {
 	sum := 0.0
 	for i := range p.cfg.Dispatchers {
-		d := &dispatcher{number: i, share: math.Exp(p.cfg.TrafficSpread * p.rng.NormFloat64()), memory: map[control.Endpoint]control.Outage{}, held: map[control.MessageID]*message{}}
+		d := &dispatcher{number: i, share: math.Exp(p.cfg.TrafficSpread * p.rng.NormFloat64()), outageRecords: map[control.Endpoint]control.Outage{}, pending: map[control.MessageID]*message{}}
 		sum += d.share
-		p.fleet = append(p.fleet, d)
+		p.dispatchers = append(p.dispatchers, d)
 	}
-	for _, d := range p.fleet {
+	for _, d := range p.dispatchers {
 		d.share /= sum
-		p.start(d)
-		p.arrive(d)
+		p.startProcess(d)
+		p.scheduleArrival(d)
 		if p.rng.Float64() < p.cfg.RestartShare {
-			at := p.down + control.Time(p.rng.Float64()*float64(p.up+control.Second-p.down))
-			p.put(&happening{at: at, then: func() { p.start(d) }})
+			at := p.outageStart + control.Time(p.rng.Float64()*float64(p.outageEnd+control.Second-p.outageStart))
+			p.schedule(&scheduledEvent{at: at, run: func() { p.startProcess(d) }})
 		}
 	}
 }
 
-// start gives a dispatcher a process: what the one before knew of outages is on record, all else is gone.
-func (p *play) start(d *dispatcher) {
-	set := p.set
+// startProcess gives a dispatcher a process: what the one before knew of outages is on record, all else is gone.
+func (p *simulation) startProcess(d *dispatcher) {
+	set := p.settings
 	set.Me = d.number
 	mod, err := control.New(set, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
 	if err != nil {
 		panic(err) // the settings are this package's own
 	}
-	d.mod = mod
+	d.core = mod
 	d.epoch++
 	entry := control.Entry{Endpoint: endpoint, Dest: destination, Health: control.Ready, Weight: p.capacity}
 	events := []control.Event{{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
-	for _, o := range d.memory {
+	for _, o := range d.outageRecords {
 		events = append(events, control.Event{Kind: control.OutageRestored, Outage: &o})
 	}
-	p.run(d, append(events, p.restored(d)...)...)
+	p.runDispatcher(d, append(events, p.restoredMessages(d)...)...)
 }
 
-// restored are the messages that a process before had taken on.
-func (p *play) restored(d *dispatcher) (events []control.Event) {
-	for _, id := range slices.Sorted(maps.Keys(d.held)) {
-		m := d.held[id]
-		if n, out := d.out[id]; out && n == m.tries-1 && m.doubt == 0 {
-			m.doubt = m.sent // its end is not known
+// restoredMessages are the messages that a process before had taken on.
+func (p *simulation) restoredMessages(d *dispatcher) (events []control.Event) {
+	for _, id := range slices.Sorted(maps.Keys(d.pending)) {
+		m := d.pending[id]
+		if n, out := d.openAttempts[id]; out && n == m.attempts-1 && m.possiblyExecutedSince == 0 {
+			m.possiblyExecutedSince = m.lastAttemptAt // its end is not known
 		}
 		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, Grace: max(0, m.deadline-p.now),
-			Restored: true, Attempt: m.tries, Doubt: m.doubt > 0, Lag: p.now - m.doubt})
+			Restored: true, Attempt: m.attempts, Doubt: m.possiblyExecutedSince > 0, Lag: p.now - m.possiblyExecutedSince})
 	}
-	d.out = map[control.MessageID]int{}
+	d.openAttempts = map[control.MessageID]int{}
 	return events
 }
 
-func (p *play) put(h *happening) {
+func (p *simulation) schedule(h *scheduledEvent) {
 	p.seq++
 	h.seq = p.seq
-	if h.who != nil {
-		h.era = h.who.epoch
+	if h.dispatcher != nil {
+		h.epoch = h.dispatcher.epoch
 	}
-	heap.Push(&p.agenda, h)
+	heap.Push(&p.queue, h)
 }
 
-// arrive has the next message come to a dispatcher.
-func (p *play) arrive(d *dispatcher) {
+// scheduleArrival has the next message come to a dispatcher.
+func (p *simulation) scheduleArrival(d *dispatcher) {
 	rate := p.demand * d.share
 	at := p.now + seconds(p.rng.ExpFloat64()/rate)
-	p.put(&happening{at: at, then: func() {
-		p.arrive(d)
+	p.schedule(&scheduledEvent{at: at, run: func() {
+		p.scheduleArrival(d)
 		p.nextID++
-		class := p.rng.IntN(len(p.set.Classes))
-		d.held[p.nextID] = &message{class: class, deadline: p.now + p.set.Classes[class].Deadline}
-		p.run(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, Grace: p.set.Classes[class].Deadline})
+		class := p.rng.IntN(len(p.settings.Classes))
+		d.pending[p.nextID] = &message{class: class, deadline: p.now + p.settings.Classes[class].Deadline}
+		p.runDispatcher(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, Grace: p.settings.Classes[class].Deadline})
 	}})
 }
 
-// step takes what is due next.
-func (p *play) step() {
-	h := heap.Pop(&p.agenda).(*happening)
+// runNext takes what is due next.
+func (p *simulation) runNext() {
+	h := heap.Pop(&p.queue).(*scheduledEvent)
 	p.now = h.at
 	switch {
-	case h.then != nil:
-		h.then()
-	case h.era == h.who.epoch: // else it was for a process that has ended
-		if h.what.Kind == control.Outcome {
-			if n, out := h.who.out[h.what.Message]; !out || n != h.what.Attempt {
+	case h.run != nil:
+		h.run()
+	case h.epoch == h.dispatcher.epoch: // else it was for a process that has ended
+		if h.event.Kind == control.Outcome {
+			if n, out := h.dispatcher.openAttempts[h.event.Message]; !out || n != h.event.Attempt {
 				return // its end has come already
 			}
-			delete(h.who.out, h.what.Message)
-			p.ended(h.who, &h.what)
+			delete(h.dispatcher.openAttempts, h.event.Message)
+			p.applyAttemptEnd(h.dispatcher, &h.event)
 		}
-		p.run(h.who, h.what)
+		p.runDispatcher(h.dispatcher, h.event)
 	}
 }
 
-// ended notes the end of an attempt.
-func (p *play) ended(d *dispatcher, e *control.Event) {
-	m := d.held[e.Message]
-	if m != nil && e.Result != control.OK && m.sent >= p.down && m.sent < p.up {
-		d.told = true
+// applyAttemptEnd notes the end of an attempt.
+func (p *simulation) applyAttemptEnd(d *dispatcher, e *control.Event) {
+	m := d.pending[e.Message]
+	if m != nil && e.Result != control.OK && m.lastAttemptAt >= p.outageStart && m.lastAttemptAt < p.outageEnd {
+		d.sawOutage = true
 	}
 	switch {
 	case e.Result == control.OK:
-		p.served = append(p.served, p.now)
-		delete(d.held, e.Message)
+		p.servedAt = append(p.servedAt, p.now)
+		delete(d.pending, e.Message)
 		e.Closed = true
-	case m != nil && m.doubt == 0 && e.Result != control.Full && e.Result != control.ConnectFailed:
-		m.doubt = m.sent
+	case m != nil && m.possiblyExecutedSince == 0 && e.Result != control.Full && e.Result != control.ConnectFailed:
+		m.possiblyExecutedSince = m.lastAttemptAt
 	}
 }
 
-// run has a dispatcher decide, and carries out what it wants.
-func (p *play) run(d *dispatcher, events ...control.Event) {
-	for _, a := range d.mod.Step(p.now, events, nil) {
+// runDispatcher has a dispatcher decide, and carries out what it wants.
+func (p *simulation) runDispatcher(d *dispatcher, events ...control.Event) {
+	for _, a := range d.core.Step(p.now, events, nil) {
 		switch a.Kind {
 		case control.Timer:
-			p.put(&happening{at: p.now + a.After, who: d, what: control.Event{Kind: control.Tick, Mark: a.Mark}})
+			p.schedule(&scheduledEvent{at: p.now + a.After, dispatcher: d, event: control.Event{Kind: control.Tick, Mark: a.Mark}})
 		case control.Send:
-			p.send(d, a)
+			p.sendCall(d, a)
 		case control.Refuse, control.Fail:
-			delete(d.held, a.Message)
+			delete(d.pending, a.Message)
 		case control.Cancel:
-			if n, out := d.out[a.Message]; out && n == a.Attempt {
-				p.end(d, a.Message, n, control.Cancelled, 0, 0)
+			if n, out := d.openAttempts[a.Message]; out && n == a.Attempt {
+				p.scheduleAttemptEnd(d, a.Message, n, control.Cancelled, 0, 0)
 			}
 		}
 	}
-	for _, o := range d.mod.Outages() {
+	for _, o := range d.core.Outages() {
 		if o.Over() {
-			delete(d.memory, o.Endpoint)
+			delete(d.outageRecords, o.Endpoint)
 		} else {
-			d.memory[o.Endpoint] = o
+			d.outageRecords[o.Endpoint] = o
 		}
 	}
 }
 
-// end has an attempt end after a while.
-func (p *play) end(d *dispatcher, id control.MessageID, attempt int, r control.Result, after, wait control.Time) {
-	p.put(&happening{at: p.now + after, who: d, what: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: r,
+// scheduleAttemptEnd has an attempt end after a while.
+func (p *simulation) scheduleAttemptEnd(d *dispatcher, id control.MessageID, attempt int, r control.Result, after, wait control.Time) {
+	p.schedule(&scheduledEvent{at: p.now + after, dispatcher: d, event: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: r,
 		Lag: after, Wait: wait}})
 }
 
-// send has a call reach the destination, and its end come back.
-func (p *play) send(d *dispatcher, a control.Action) {
-	m := d.held[a.Message]
-	n := m.tries
-	m.tries++
-	m.sent = p.now
-	d.out[a.Message] = n
+// sendCall has a call reach the destination, and its end come back.
+func (p *simulation) sendCall(d *dispatcher, a control.Action) {
+	m := d.pending[a.Message]
+	n := m.attempts
+	m.attempts++
+	m.lastAttemptAt = p.now
+	d.openAttempts[a.Message] = n
 	due := m.deadline - p.now
 	if a.After > 0 {
 		due = min(due, a.After)
 	}
-	if p.now >= p.down && p.now < p.up {
-		p.fails(d, a.Message, n, due)
+	if p.now >= p.outageStart && p.now < p.outageEnd {
+		p.failCall(d, a.Message, n, due)
 		return
 	}
-	p.reached(d)
-	if p.borne() {
-		wait := control.Time(p.rng.ExpFloat64()*float64(latency)) + crossing
-		p.end(d, a.Message, n, control.OK, min(wait, due), 0)
+	p.recordCall(d)
+	if p.takeToken() {
+		wait := control.Time(p.rng.ExpFloat64()*float64(meanServiceTime)) + networkDelay
+		p.scheduleAttemptEnd(d, a.Message, n, control.OK, min(wait, due), 0)
 		return
 	}
-	p.end(d, a.Message, n, control.Full, 2*crossing, 0)
+	p.scheduleAttemptEnd(d, a.Message, n, control.Full, 2*networkDelay, 0)
 }
 
-// fails has a call meet the outage.
-func (p *play) fails(d *dispatcher, id control.MessageID, n int, due control.Time) {
-	p.reached(d)
+// failCall has a call meet the outage.
+func (p *simulation) failCall(d *dispatcher, id control.MessageID, n int, due control.Time) {
+	p.recordCall(d)
 	switch p.cfg.Outage {
 	case RefusesConnections:
-		p.end(d, id, n, control.ConnectFailed, 2*crossing, 0)
+		p.scheduleAttemptEnd(d, id, n, control.ConnectFailed, 2*networkDelay, 0)
 	case NeverAnswers:
-		p.end(d, id, n, control.TimedOut, due, 0)
+		p.scheduleAttemptEnd(d, id, n, control.TimedOut, due, 0)
 	case AnswersErrors:
-		p.end(d, id, n, control.Errored, 2*crossing, 0)
+		p.scheduleAttemptEnd(d, id, n, control.Errored, 2*networkDelay, 0)
 	case ResetsConnections:
-		p.end(d, id, n, control.Reset, 2*crossing, 0)
+		p.scheduleAttemptEnd(d, id, n, control.Reset, 2*networkDelay, 0)
 	case RejectsWithWait:
-		p.end(d, id, n, control.Full, 2*crossing, p.up-p.now)
+		p.scheduleAttemptEnd(d, id, n, control.Full, 2*networkDelay, p.outageEnd-p.now)
 	default:
-		p.end(d, id, n, control.Full, 2*crossing, 0)
+		p.scheduleAttemptEnd(d, id, n, control.Full, 2*networkDelay, 0)
 	}
 }
 
-// reached notes a call at the destination, and compares what came within the last span with what is borne.
-func (p *play) reached(d *dispatcher) {
-	p.calls = append(p.calls, arrival{p.now, d.told})
-	for p.now-p.calls[0].at > span {
-		p.calls = p.calls[1:]
+// recordCall notes a call at the destination, and compares what came within the last span with what is borne.
+func (p *simulation) recordCall(d *dispatcher) {
+	p.recentCalls = append(p.recentCalls, call{p.now, d.sawOutage})
+	for p.now-p.recentCalls[0].at > overloadWindow {
+		p.recentCalls = p.recentCalls[1:]
 	}
-	if p.now < p.up || p.now >= p.up+p.set.WarmUp {
+	if p.now < p.outageEnd || p.now >= p.outageEnd+p.settings.WarmUp {
 		return
 	}
-	bound := bound(tipMultiple * p.capacity * p.warmth() * float64(span) / float64(control.Second))
-	share := float64(len(p.calls)) / bound
-	if share <= p.res.WorstRatio {
+	bound := callBudget(overloadFactor * p.capacity * p.capacityFraction() * float64(overloadWindow) / float64(control.Second))
+	share := float64(len(p.recentCalls)) / bound
+	if share <= p.result.WorstRatio {
 		return
 	}
 	told := 0
-	for _, c := range p.calls {
-		if c.told {
+	for _, c := range p.recentCalls {
+		if c.sawOutage {
 			told++
 		}
 	}
-	p.res.WorstRatio, p.res.WorstAt, p.res.WorstCalls, p.res.WorstBound = share, float64(p.now-p.up)/float64(control.Second), len(p.calls), bound
-	p.res.AwareShare = float64(told) / float64(len(p.calls))
-	p.res.Violated = p.res.Violated || share > 1 && p.res.AwareShare > toldPart
+	p.result.WorstRatio, p.result.WorstAt, p.result.WorstCalls, p.result.WorstBound = share, float64(p.now-p.outageEnd)/float64(control.Second), len(p.recentCalls), bound
+	p.result.AwareShare = float64(told) / float64(len(p.recentCalls))
+	p.result.Violated = p.result.Violated || share > 1 && p.result.AwareShare > maxAwareShare
 }
 
-// bound is how many calls a span may have where the settings allow n.
-func bound(n float64) float64 {
+// callBudget is how many calls a span may have where the settings allow n.
+func callBudget(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// borne tells whether the destination takes one call more.
-func (p *play) borne() bool {
-	p.budget = min(p.budget+p.capacity*p.warmth()*float64(p.now-p.refilled)/float64(control.Second), max(1, queueSeconds*p.capacity*p.warmth()))
-	p.refilled = p.now
-	if p.budget < 1 {
+// takeToken tells whether the destination takes one call more.
+func (p *simulation) takeToken() bool {
+	p.tokens = min(p.tokens+p.capacity*p.capacityFraction()*float64(p.now-p.refilledAt)/float64(control.Second), max(1, queueSeconds*p.capacity*p.capacityFraction()))
+	p.refilledAt = p.now
+	if p.tokens < 1 {
 		return false
 	}
-	p.budget--
+	p.tokens--
 	return true
 }
 
-// back tells when the destination served nine tenths of the demand again, or of its capacity, over a span.
-func (p *play) back() float64 {
-	want := 0.9 * min(p.demand, p.capacity) * float64(span) / float64(control.Second)
+// recoverySeconds tells when the destination served nine tenths of the demand again, or of its capacity, over a span.
+func (p *simulation) recoverySeconds() float64 {
+	want := 0.9 * min(p.demand, p.capacity) * float64(overloadWindow) / float64(control.Second)
 	want -= 2 * math.Sqrt(want) // chance
-	for i, at := range p.served {
-		if at < p.up+span {
+	for i, at := range p.servedAt {
+		if at < p.outageEnd+overloadWindow {
 			continue
 		}
 		n := 0
-		for j := i; j >= 0 && at-p.served[j] <= span; j-- {
+		for j := i; j >= 0 && at-p.servedAt[j] <= overloadWindow; j-- {
 			n++
 		}
 		if float64(n) >= want {
-			return float64(at-p.up) / float64(control.Second)
+			return float64(at-p.outageEnd) / float64(control.Second)
 		}
 	}
 	return -1
 }
 
-// warmth is the part of its capacity that the destination has.
-func (p *play) warmth() float64 {
-	if p.now < p.up {
-		return p.set.ColdFrom
+// capacityFraction is the part of its capacity that the destination has.
+func (p *simulation) capacityFraction() float64 {
+	if p.now < p.outageEnd {
+		return p.settings.ColdFrom
 	}
-	return min(1, p.set.ColdFrom+(1-p.set.ColdFrom)*float64(p.now-p.up)/float64(p.set.WarmUp))
+	return min(1, p.settings.ColdFrom+(1-p.settings.ColdFrom)*float64(p.now-p.outageEnd)/float64(p.settings.WarmUp))
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// sizes are how many dispatchers share a destination.
-var sizes = []int{2, 25, 300, 900}
+// dispatcherCounts are how many dispatchers share a destination.
+var dispatcherCounts = []int{2, 25, 300, 900}
 
 // Whatever the outage, however many dispatchers, restarts within it and uneven traffic included: together they stay within what a
 // cold destination bears, and it is soon in full use again. WHINRUN_SEEDS plays more seeds than CI does.
@@ -19,7 +19,7 @@
 	if n, err := strconv.Atoi(os.Getenv("WHINRUN_SEEDS")); err == nil {
 		seeds = n
 	}
-	for _, size := range sizes {
+	for _, size := range dispatcherCounts {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
 			all := make([]Result, seeds)
--- a/internal/slowstart/summary.go
+++ b/internal/slowstart/summary.go
@@ -21,10 +21,10 @@
 	slices.Sort(worst)
 	slices.Sort(back)
 	return fmt.Sprintf("worst share of the budget p50 %.2f, p90 %.2f, most %.2f; in full use after p50 %s, p90 %s, %d of %d never",
-		quantile(worst, 0.5), quantile(worst, 0.9), quantile(worst, 1), after(quantile(back, 0.5)), after(quantile(back, 0.9)), never, len(all))
+		quantile(worst, 0.5), quantile(worst, 0.9), quantile(worst, 1), formatSeconds(quantile(back, 0.5)), formatSeconds(quantile(back, 0.9)), never, len(all))
 }
 
-func after(s float64) string {
+func formatSeconds(s float64) string {
 	if math.IsInf(s, 1) {
 		return "never"
 	}
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -15,18 +15,18 @@
 	"whinrun/internal/testbed"
 )
 
-// handIn is how long a client waits for its answer.
-const handIn = 400 * time.Millisecond
+// submitTimeout is how long a client waits for its answer.
+const submitTimeout = 400 * time.Millisecond
 
 // classes and how long their messages live.
-var lives = map[string]time.Duration{"status": 3500 * time.Millisecond, "sync": 4500 * time.Millisecond, "upload": 4500 * time.Millisecond,
+var messageLifetimes = map[string]time.Duration{"status": 3500 * time.Millisecond, "sync": 4500 * time.Millisecond, "upload": 4500 * time.Millisecond,
 	"turns": 4500 * time.Millisecond}
 
-// message makes a message of a random class.
-func (r *run) message(rng *rand.Rand, n *node) testbed.Message {
-	name := fmt.Sprintf("%s-%d", n.name, r.names.Add(1))
+// newMessage makes a message of a random class.
+func (r *run) newMessage(rng *rand.Rand, n *node) testbed.Message {
+	name := fmt.Sprintf("%s-%d", n.name, r.messageCount.Add(1))
 	c := []string{"status", "status", "sync", "upload", "upload", "turns"}[rng.IntN(6)]
-	m := testbed.Message{Name: name, Class: c, Tenant: "acme", Dest: rng.IntN(destinations), Remaining: lives[c], Body: strings.Repeat("b", rng.IntN(400))}
+	m := testbed.Message{Name: name, Class: c, Tenant: "acme", Dest: rng.IntN(destinations), Remaining: messageLifetimes[c], Body: strings.Repeat("b", rng.IntN(400))}
 	if rng.IntN(20) == 0 {
 		m.Remaining = time.Duration(1+rng.IntN(300)) * time.Millisecond // very little time
 	}
@@ -39,8 +39,8 @@
 	return m
 }
 
-// load hands messages to a node until ctx ends.
-func (r *run) load(ctx context.Context, n *node) {
+// generateLoad hands messages to a node until ctx ends.
+func (r *run) generateLoad(ctx context.Context, n *node) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, uint64(n.number)))
 	for {
 		pause := time.Duration(rng.ExpFloat64() / r.cfg.Rate * float64(time.Second))
@@ -49,58 +49,58 @@
 			return
 		case <-time.After(pause):
 		}
-		if state(n.state.Load()) == down {
+		if nodeState(n.state.Load()) == down {
 			continue
 		}
-		m := r.message(rng, n)
-		if !r.begin() {
+		m := r.newMessage(rng, n)
+		if !r.acquireClient() {
 			continue // more are out than a run may have
 		}
-		r.clients.Go(func() {
-			defer r.out.Add(-1)
-			r.hand(n, m, 1)
+		r.runningClients.Go(func() {
+			defer r.openClients.Add(-1)
+			r.submit(n, m, 1)
 		})
 	}
 }
 
-// outMost bounds the clients that are out at once.
-const outMost = 2000
+// maxOpenClients bounds the clients that are out at once.
+const maxOpenClients = 2000
 
-func (r *run) begin() bool {
-	if r.out.Add(1) > outMost {
-		r.out.Add(-1)
+func (r *run) acquireClient() bool {
+	if r.openClients.Add(1) > maxOpenClients {
+		r.openClients.Add(-1)
 		return false
 	}
 	return true
 }
 
-// errClosed tells that a connection ended with no answer.
-var errClosed = errors.New("the connection ended with no answer")
+// errNoAnswer tells that a connection ended with no answer.
+var errNoAnswer = errors.New("the connection ended with no answer")
 
-// hand hands a message in on a connection of its own, in so many pieces, and notes what its client hears.
-func (r *run) hand(n *node, m testbed.Message, pieces int) {
-	epoch, before := n.epoch.Load(), state(n.state.Load())
-	sent := r.bed.Now()
+// submit hands a message in on a connection of its own, in so many pieces, and notes what its client hears.
+func (r *run) submit(n *node, m testbed.Message, pieces int) {
+	epoch, before := n.epoch.Load(), nodeState(n.state.Load())
+	sent := r.testbed.Now()
 	status, err := exchange(n.addr, testbed.EncodeRequest(m), pieces)
-	if errors.Is(err, errClosed) && before == up && n.epoch.Load() == epoch && n.crowd.Load() == 0 {
-		r.bed.Record(testbed.Event{Kind: testbed.ClosedUnanswered, Name: m.Name, Node: n.name})
+	if errors.Is(err, errNoAnswer) && before == up && n.epoch.Load() == epoch && n.exhaustions.Load() == 0 {
+		r.testbed.Record(testbed.Event{Kind: testbed.ClosedUnanswered, Name: m.Name, Node: n.name})
 	}
 	e := testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name}
 	if status == 202 || status == 200 {
 		e = testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Key: m.OrderKey, Node: n.name}
-		r.taken.Add(1)
+		r.acceptedCount.Add(1)
 	}
-	r.bed.Record(e)
+	r.testbed.Record(e)
 }
 
 // exchange writes a request and reads the status of its answer; it is 0 where none came in time.
 func exchange(addr string, text []byte, pieces int) (int, error) {
-	c, err := net.DialTimeout("tcp", addr, handIn)
+	c, err := net.DialTimeout("tcp", addr, submitTimeout)
 	if err != nil {
 		return 0, err
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(clock.After(handIn))
+	_ = c.SetDeadline(clock.After(submitTimeout))
 	for i := range pieces {
 		if _, err := c.Write(text[len(text)*i/pieces : len(text)*(i+1)/pieces]); err != nil {
 			return 0, err
@@ -109,13 +109,13 @@
 	status, err := testbed.ReadStatus(c)
 	var late net.Error
 	if err != nil && !(errors.As(err, &late) && late.Timeout()) {
-		err = errClosed
+		err = errNoAnswer
 	}
 	return status, err
 }
 
-// rudeTexts can't be used; each is owed an error or a close.
-var rudeTexts = []string{
+// malformedRequests can't be used; each is owed an error or a close.
+var malformedRequests = []string{
 	"\x16\x03\x01\x00\xff\x00\r\n\r\n",
 	"POST /status HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 5000),
 	"POST /status HTTP/1.1\r\nHost: a\r\nContent-Length: -7\r\n\r\n",
@@ -125,58 +125,58 @@
 	"GET /secret HTTP/1.1\r\nHost: a\r\n\r\n",
 }
 
-// rudeWithin is how soon such a client has its error or its close.
-const rudeWithin = 3 * time.Second
+// errorAnswerTimeout is how soon such a client has its error or its close.
+const errorAnswerTimeout = 3 * time.Second
 
-// rude sends what can't be used, and notes a client that is left with neither an error nor a close.
-func (r *run) rude(n *node, text string) {
-	epoch, before := n.epoch.Load(), state(n.state.Load())
-	c, err := net.DialTimeout("tcp", n.addr, handIn)
+// sendMalformed sends what can't be used, and notes a client that is left with neither an error nor a close.
+func (r *run) sendMalformed(n *node, text string) {
+	epoch, before := n.epoch.Load(), nodeState(n.state.Load())
+	c, err := net.DialTimeout("tcp", n.addr, submitTimeout)
 	if err != nil {
 		return
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(clock.After(rudeWithin + 500*time.Millisecond))
+	_ = c.SetDeadline(clock.After(errorAnswerTimeout + 500*time.Millisecond))
 	_, _ = io.WriteString(c, text)
 	status, err := testbed.ReadStatus(c)
 	var late net.Error
 	hung := errors.As(err, &late) && late.Timeout()
 	if (hung || status > 0 && status < 400) && before == up && n.epoch.Load() == epoch {
-		r.fail("%s: a client that sent %.20q has neither an error nor a close: status %d, %v", n.name, text, status, err)
+		r.violation("%s: a client that sent %.20q has neither an error nor a close: status %d, %v", n.name, text, status, err)
 	}
 }
 
-// pipeline sends requests ahead of answers: there is one for each, in order.
-func (r *run) pipeline(n *node, rng *rand.Rand) {
-	epoch, before := n.epoch.Load(), state(n.state.Load())
+// sendPipelined sends requests ahead of answers: there is one for each, in order.
+func (r *run) sendPipelined(n *node, rng *rand.Rand) {
+	epoch, before := n.epoch.Load(), nodeState(n.state.Load())
 	var all []testbed.Message
 	var text []byte
 	for range 5 + rng.IntN(30) {
-		m := r.message(rng, n)
-		m.Class, m.IdempotencyKey, m.OrderKey, m.Remaining = "upload", "", "", lives["upload"]
+		m := r.newMessage(rng, n)
+		m.Class, m.IdempotencyKey, m.OrderKey, m.Remaining = "upload", "", "", messageLifetimes["upload"]
 		all = append(all, m)
 		text = append(text, testbed.EncodeRequest(m)...)
 	}
-	sent := r.bed.Now()
-	statuses := answers(n.addr, text, len(all))
-	undisturbed := before == up && n.epoch.Load() == epoch && n.crowd.Load() == 0
+	sent := r.testbed.Now()
+	statuses := exchangePipelined(n.addr, text, len(all))
+	undisturbed := before == up && n.epoch.Load() == epoch && n.exhaustions.Load() == 0
 	if len(statuses) < len(all) && undisturbed {
-		r.fail("%s: %d answers to %d requests on one connection", n.name, len(statuses), len(all))
+		r.violation("%s: %d answers to %d requests on one connection", n.name, len(statuses), len(all))
 	}
 	for i, status := range statuses {
 		m := all[i]
 		if status == 202 {
-			r.taken.Add(1)
-			r.bed.Record(testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Node: n.name})
+			r.acceptedCount.Add(1)
+			r.testbed.Record(testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Node: n.name})
 		} else {
-			r.bed.Record(testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name})
+			r.testbed.Record(testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name})
 		}
 	}
 }
 
-// answers writes requests at once, and returns the statuses of what comes back.
-func answers(addr string, text []byte, n int) (statuses []int) {
-	c, err := net.DialTimeout("tcp", addr, handIn)
+// exchangePipelined writes requests at once, and returns the statuses of what comes back.
+func exchangePipelined(addr string, text []byte, n int) (statuses []int) {
+	c, err := net.DialTimeout("tcp", addr, submitTimeout)
 	if err != nil {
 		return nil
 	}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -20,13 +20,13 @@
 	"whinrun/internal/testbed"
 )
 
-// state is how a node stands.
-type state int32
+// nodeState is how a node stands.
+type nodeState int32
 
 const (
-	down     state = iota // its process is not there, or not ready
-	up                    // it takes messages
-	stopping              // it was told to end
+	down     nodeState = iota // its process is not there, or not ready
+	up                        // it takes messages
+	stopping                  // it was told to end
 )
 
 // node is one dispatcher: a process at a time, with a folder that outlasts them.
@@ -38,14 +38,14 @@
 	folder string
 	log    *os.File
 
-	busy  sync.Mutex // one fault at a time ends or starts its process
-	state atomic.Int32
-	epoch atomic.Int64 // counts its processes and their ends
-	crowd atomic.Int64 // connections that may be turned away unread: faults that fill it up
+	processMu   sync.Mutex // one fault at a time ends or starts its process
+	state       atomic.Int32
+	epoch       atomic.Int64 // counts its processes and their ends
+	exhaustions atomic.Int64 // connections that may be turned away unread: faults that fill it up
 
-	mu  sync.Mutex
-	cmd *exec.Cmd
-	end chan error // of the process that runs
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan error // of the process that runs
 }
 
 func (r *run) newNode(number int) (*node, error) {
@@ -62,38 +62,38 @@
 	return n, err
 }
 
-// keyWindow is how long partners remember keys: short, so that restarts and faults pass it.
-const keyWindow = 1500 * time.Millisecond
+// dedupWindow is how long partners remember keys: short, so that restarts and faults pass it.
+const dedupWindow = 1500 * time.Millisecond
 
-func (n *node) config() string { return filepath.Join(n.folder, "config.json") }
+func (n *node) configPath() string { return filepath.Join(n.folder, "config.json") }
 
-// configure writes the configuration with the discovery of the moment.
-func (n *node) configure() error {
-	a := n.run.world.agentOf(n.number)
+// writeConfig writes the configuration with the discovery of the moment.
+func (n *node) writeConfig() error {
+	a := n.run.environment.agentOf(n.number)
 	text := testbed.Configuration(n.addr, a.Agent)
 	text = bytes.ReplaceAll(text, []byte(`"instances":1`), fmt.Appendf(nil, `"instances":%d`, n.run.cfg.Nodes))
 	text = bytes.ReplaceAll(text, []byte(`"name":"n0"`), fmt.Appendf(nil, `"name":%q`, n.name))
-	text = bytes.ReplaceAll(text, []byte(`"window":4000000`), fmt.Appendf(nil, `"window":%d`, keyWindow.Microseconds()))
-	return os.WriteFile(n.config(), text, 0o600)
+	text = bytes.ReplaceAll(text, []byte(`"window":4000000`), fmt.Appendf(nil, `"window":%d`, dedupWindow.Microseconds()))
+	return os.WriteFile(n.configPath(), text, 0o600)
 }
 
-// readyWithin is how soon a process has to be ready.
-const readyWithin = 10 * time.Second
+// readyTimeout is how soon a process has to be ready.
+const readyTimeout = 10 * time.Second
 
 // start starts a process and waits until it is ready.
 func (n *node) start() error {
-	if err := n.configure(); err != nil {
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
 	cmd := exec.Command(n.run.cfg.Binary, "node")
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.config(), "EDGE_STATE="+filepath.Join(n.folder, "state"), "WHINRUN_TRACE=1")
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.configPath(), "EDGE_STATE="+filepath.Join(n.folder, "state"), "WHINRUN_TRACE=1")
 	cmd.Stdout, cmd.Stderr = n.log, n.log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	end := make(chan error, 1)
 	n.mu.Lock()
-	n.cmd, n.end = cmd, end
+	n.cmd, n.exited = cmd, end
 	n.mu.Unlock()
 	go func() { end <- cmd.Wait() }()
 	for watch := clock.Start(); ; time.Sleep(5 * time.Millisecond) {
@@ -107,8 +107,8 @@
 			n.state.Store(int32(up))
 			return nil
 		}
-		if watch.Elapsed() > readyWithin {
-			return fmt.Errorf("%s is not ready after %v", n.name, readyWithin)
+		if watch.Elapsed() > readyTimeout {
+			return fmt.Errorf("%s is not ready after %v", n.name, readyTimeout)
 		}
 	}
 }
@@ -137,26 +137,26 @@
 	}
 }
 
-// leave marks the process as one that ends.
-func (n *node) leave(s state) {
+// markEnding marks the process as one that ends.
+func (n *node) markEnding(s nodeState) {
 	n.state.Store(int32(s))
 	n.epoch.Add(1)
 }
 
-// gone waits for the end of the process; it is nil where that ended with 0 or by SIGKILL.
-func (n *node) gone() error {
+// awaitExit waits for the end of the process; it is nil where that ended with 0 or by SIGKILL.
+func (n *node) awaitExit() error {
 	n.mu.Lock()
-	end := n.end
+	end := n.exited
 	n.mu.Unlock()
 	var err error
 	select {
 	case err = <-end:
-	case <-time.After(stopWithin + time.Second):
+	case <-time.After(stopTimeout + time.Second):
 		n.signal(syscall.SIGKILL)
 		<-end
-		err = fmt.Errorf("%s has not ended %v after SIGTERM", n.name, stopWithin+time.Second)
+		err = fmt.Errorf("%s has not ended %v after SIGTERM", n.name, stopTimeout+time.Second)
 	}
-	n.run.bed.Record(testbed.Event{Kind: testbed.Restarted, Node: n.name})
+	n.run.testbed.Record(testbed.Event{Kind: testbed.Restarted, Node: n.name})
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		if w, ok := exit.Sys().(syscall.WaitStatus); ok && w.Signaled() && w.Signal() == syscall.SIGKILL {
@@ -166,28 +166,28 @@
 	return err
 }
 
-// stopWithin is how soon a process ends behind SIGTERM: the platform kills after this.
-const stopWithin = 3700 * time.Millisecond
+// stopTimeout is how soon a process ends behind SIGTERM: the platform kills after this.
+const stopTimeout = 3700 * time.Millisecond
 
 // kill ends the process as SIGKILL does.
 func (n *node) kill() error {
-	n.leave(down)
+	n.markEnding(down)
 	n.signal(syscall.SIGKILL)
-	return n.gone()
+	return n.awaitExit()
 }
 
 // stop ends it in order.
 func (n *node) stop() error {
-	n.leave(stopping)
+	n.markEnding(stopping)
 	n.signal(syscall.SIGTERM)
-	err := n.gone()
+	err := n.awaitExit()
 	n.state.Store(int32(down))
 	return err
 }
 
-// limitFiles lowers the process's limit of descriptors to what it has open, and returns what raises it again. The limit of a
+// exhaustDescriptors lowers the process's limit of descriptors to what it has open, and returns what raises it again. The limit of a
 // child may be changed without privileges (prlimit(2)).
-func (n *node) limitFiles() (restore func(), err error) {
+func (n *node) exhaustDescriptors() (restore func(), err error) {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
 	n.mu.Unlock()
@@ -206,8 +206,8 @@
 	return func() { _ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil) }, nil
 }
 
-// faults are the lines of its log that must not be there.
-func (n *node) faults() (lines []string) {
+// logViolations are the lines of its log that must not be there.
+func (n *node) logViolations() (lines []string) {
 	_ = n.log.Close()
 	text, err := os.ReadFile(n.log.Name())
 	if err != nil {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -28,8 +28,8 @@
 	Duration time.Duration // how long it lasts, where it does
 }
 
-// kinds are the faults that there are, with how often each is drawn against the others.
-var kinds = []struct {
+// faultKinds are the faults that there are, with how often each is drawn against the others.
+var faultKinds = []struct {
 	name  string
 	share int
 }{
@@ -63,8 +63,8 @@
 
 // FaultKinds names the faults that there are.
 func FaultKinds() []string {
-	names := make([]string, len(kinds))
-	for i, k := range kinds {
+	names := make([]string, len(faultKinds))
+	for i, k := range faultKinds {
 		names[i] = k.name
 	}
 	return names
@@ -77,7 +77,7 @@
 func (c *Config) plan() []Fault {
 	rng := rand.New(rand.NewPCG(c.Seed, 0x50a4))
 	var names []string
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		if len(c.FaultKinds) == 0 || slices.Contains(c.FaultKinds, k.name) {
 			names = append(names, slices.Repeat([]string{k.name}, k.share)...)
 		}
@@ -92,5 +92,5 @@
 	return all
 }
 
-// list joins names for people.
-func list(names []string) string { return strings.Join(names, ", ") }
+// joinNames joins names for people.
+func joinNames(names []string) string { return strings.Join(names, ", ") }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -31,38 +31,38 @@
 
 // run is one run.
 type run struct {
-	cfg   Config
-	bed   *testbed.Testbed
-	world *world
-	nodes []*node
-	watch clock.Stopwatch
-	rng   *rand.Rand // of the faults, under mu
+	cfg         Config
+	testbed     *testbed.Testbed
+	environment *environment
+	nodes       []*node
+	watch       clock.Stopwatch
+	faultRNG    *rand.Rand // of the faults, under mu
 
-	names, out, taken counter
-	clients           sync.WaitGroup
-	faults            sync.WaitGroup
+	messageCount, openClients, acceptedCount counter
+	runningClients                           sync.WaitGroup
+	runningFaults                            sync.WaitGroup
 
 	mu         sync.Mutex
 	violations []string
 }
 
-// fail notes something that must not happen.
-func (r *run) fail(format string, a ...any) {
+// violation notes something that must not happen.
+func (r *run) violation(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf("at %.3f s: ", r.watch.Elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
-// draw gives a fault its own random numbers.
-func (r *run) draw() *rand.Rand {
+// newFaultRNG gives a fault its own random numbers.
+func (r *run) newFaultRNG() *rand.Rand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return rand.New(rand.NewPCG(r.rng.Uint64(), 1))
+	return rand.New(rand.NewPCG(r.faultRNG.Uint64(), 1))
 }
 
 // Run plays one run. An error tells that it could not be played; what it found is in the result.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
-	r := &run{cfg: cfg, bed: testbed.New(), watch: clock.Start(), rng: rand.New(rand.NewPCG(cfg.Seed, 7))}
+	r := &run{cfg: cfg, testbed: testbed.New(), watch: clock.Start(), faultRNG: rand.New(rand.NewPCG(cfg.Seed, 7))}
 	if cfg.Folder == "" {
 		folder, err := os.MkdirTemp("", "soak")
 		if err != nil {
@@ -72,29 +72,29 @@
 	} else {
 		r.cfg.Folder = filepath.Join(cfg.Folder, fmt.Sprint("seed-", cfg.Seed))
 	}
-	if err := r.open(); err != nil {
+	if err := r.startNodes(); err != nil {
 		return nil, err
 	}
-	defer r.world.close()
+	defer r.environment.close()
 	load, stop := context.WithCancel(ctx)
 	var loads sync.WaitGroup
 	for _, n := range r.nodes {
-		loads.Go(func() { r.load(load, n) })
+		loads.Go(func() { r.generateLoad(load, n) })
 	}
 	plan := r.cfg.plan()
-	r.play(ctx, plan)
+	r.runPlan(ctx, plan)
 	stop()
 	loads.Wait()
-	r.faults.Wait()
-	r.clients.Wait()
+	r.runningFaults.Wait()
+	r.runningClients.Wait()
 	r.settle()
 	return r.result(plan), nil
 }
 
-// open starts all nodes.
-func (r *run) open() error {
+// startNodes starts all nodes.
+func (r *run) startNodes() error {
 	var err error
-	if r.world, err = newWorld(r.bed); err != nil {
+	if r.environment, err = newEnvironment(r.testbed); err != nil {
 		return err
 	}
 	for i := range r.cfg.Nodes {
@@ -102,11 +102,11 @@
 		if err != nil {
 			return err
 		}
-		a, err := r.world.agent(n.name)
+		a, err := r.environment.newAgent(n.name)
 		if err != nil {
 			return err
 		}
-		r.world.agents = append(r.world.agents, a)
+		r.environment.agents = append(r.environment.agents, a)
 		r.nodes = append(r.nodes, n)
 	}
 	for _, n := range r.nodes {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// play has the faults happen at their times.
-func (r *run) play(ctx context.Context, plan []Fault) {
+// runPlan has the faults happen at their times.
+func (r *run) runPlan(ctx context.Context, plan []Fault) {
 	begun := clock.Start()
 	for _, f := range plan {
 		select {
@@ -126,7 +126,7 @@
 			return
 		case <-time.After(f.At - begun.Elapsed()):
 		}
-		r.faults.Go(func() { r.fault(f) })
+		r.runningFaults.Go(func() { r.runFault(f) })
 	}
 	select {
 	case <-ctx.Done():
@@ -134,51 +134,51 @@
 	}
 }
 
-// fault plays one fault.
-func (r *run) fault(f Fault) {
+// runFault plays one fault.
+func (r *run) runFault(f Fault) {
 	n := r.nodes[f.Target%len(r.nodes)]
-	rng := r.draw()
+	rng := r.newFaultRNG()
 	switch f.Kind {
 	case "kill", "kill-twice", "stop", "pause", "reload", "files":
-		r.process(f, n, rng)
+		r.runProcessFault(f, n, rng)
 	case "rude", "halves", "crowd", "pipeline", "impatience":
-		r.bother(f, n, rng)
+		r.runClientFault(f, n, rng)
 	case "mute", "silence", "notices":
-		r.discovery(f, n)
+		r.runDiscoveryFault(f, n)
 	default:
-		if p := r.world.pick(f.Target); p != nil {
-			r.endpoint(f, p)
+		if p := r.environment.pickReady(f.Target); p != nil {
+			r.runEndpointFault(f, p)
 		}
 	}
 }
 
-// process plays a fault of a node's process. One that another fault has in hand is left alone.
-func (r *run) process(f Fault, n *node, rng *rand.Rand) {
-	if !n.busy.TryLock() {
+// runProcessFault plays a fault of a node's process. One that another fault has in hand is left alone.
+func (r *run) runProcessFault(f Fault, n *node, rng *rand.Rand) {
+	if !n.processMu.TryLock() {
 		return
 	}
-	defer n.busy.Unlock()
+	defer n.processMu.Unlock()
 	switch f.Kind {
 	case "kill":
-		r.restart(n, n.kill, f.Duration/4)
+		r.restartNode(n, n.kill, f.Duration/4)
 	case "kill-twice":
-		r.restart(n, n.kill, f.Duration/4)
+		r.restartNode(n, n.kill, f.Duration/4)
 		time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
-		r.restart(n, n.kill, f.Duration/4)
+		r.restartNode(n, n.kill, f.Duration/4)
 	case "stop":
-		r.restart(n, n.stop, f.Duration/4)
+		r.restartNode(n, n.stop, f.Duration/4)
 	case "pause":
 		n.signal(syscall.SIGSTOP)
 		time.Sleep(time.Duration(20+rng.IntN(130)) * time.Millisecond)
 		n.signal(syscall.SIGCONT)
 	case "reload":
-		if err := r.reload(n, rng.IntN(2) == 0); err != nil {
-			r.fail("%s: reload: %v", n.name, err)
+		if err := r.reloadNode(n, rng.IntN(2) == 0); err != nil {
+			r.violation("%s: reload: %v", n.name, err)
 		}
 	case "files":
-		n.crowd.Add(1)
-		defer n.crowd.Add(-1)
-		restore, err := n.limitFiles()
+		n.exhaustions.Add(1)
+		defer n.exhaustions.Add(-1)
+		restore, err := n.exhaustDescriptors()
 		if err != nil {
 			return
 		}
@@ -188,32 +188,32 @@
 	}
 }
 
-// restart ends a process and starts the next, some time later.
-func (r *run) restart(n *node, end func() error, after time.Duration) {
+// restartNode ends a process and starts the next, some time later.
+func (r *run) restartNode(n *node, end func() error, after time.Duration) {
 	if err := end(); err != nil {
-		r.fail("%s: %v", n.name, err)
+		r.violation("%s: %v", n.name, err)
 	}
 	time.Sleep(after)
 	if err := n.start(); err != nil {
-		r.fail("%v", err)
+		r.violation("%v", err)
 	}
 }
 
-// reload moves a node to another discovery, at times behind a file that can't be read.
-func (r *run) reload(n *node, broken bool) error {
+// reloadNode moves a node to another discovery, at times behind a file that can't be read.
+func (r *run) reloadNode(n *node, broken bool) error {
 	if broken {
-		if err := os.WriteFile(n.config(), []byte("{"), 0o600); err != nil {
+		if err := os.WriteFile(n.configPath(), []byte("{"), 0o600); err != nil {
 			return err
 		}
 		n.signal(syscall.SIGHUP)
 		time.Sleep(50 * time.Millisecond)
 	}
-	to, err := r.world.agent(n.name)
+	to, err := r.environment.newAgent(n.name)
 	if err != nil {
 		return err
 	}
-	old := r.world.move(n.number, to)
-	if err := n.configure(); err != nil {
+	old := r.environment.replaceAgent(n.number, to)
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
 	n.signal(syscall.SIGHUP)
@@ -222,50 +222,50 @@
 	return nil
 }
 
-// bother has clients behave badly.
-func (r *run) bother(f Fault, n *node, rng *rand.Rand) {
+// runClientFault has clients behave badly.
+func (r *run) runClientFault(f Fault, n *node, rng *rand.Rand) {
 	switch f.Kind {
 	case "rude":
 		for range 10 {
-			r.clients.Go(func() { r.rude(n, rudeTexts[f.Target%len(rudeTexts)]) })
+			r.runningClients.Go(func() { r.sendMalformed(n, malformedRequests[f.Target%len(malformedRequests)]) })
 		}
 	case "halves":
 		for range 10 {
-			text := string(testbed.EncodeRequest(r.message(rng, n)))
+			text := string(testbed.EncodeRequest(r.newMessage(rng, n)))
 			cut := 1 + rng.IntN(len(text)-1)
-			r.clients.Go(func() { r.rude(n, text[:cut]) })
+			r.runningClients.Go(func() { r.sendMalformed(n, text[:cut]) })
 		}
 	case "crowd":
-		n.crowd.Add(1)
-		defer n.crowd.Add(-1)
+		n.exhaustions.Add(1)
+		defer n.exhaustions.Add(-1)
 		for range 200 {
-			if c, err := net.DialTimeout("tcp", n.addr, handIn); err == nil {
+			if c, err := net.DialTimeout("tcp", n.addr, submitTimeout); err == nil {
 				defer func() { _ = c.Close() }()
 			}
 		}
 		time.Sleep(f.Duration)
 	case "pipeline":
-		r.pipeline(n, rng)
+		r.sendPipelined(n, rng)
 	case "impatience":
 		for range 20 {
-			if c, err := net.DialTimeout("tcp", n.addr, handIn); err == nil {
-				_, _ = c.Write(testbed.EncodeRequest(r.message(rng, n)))
+			if c, err := net.DialTimeout("tcp", n.addr, submitTimeout); err == nil {
+				_, _ = c.Write(testbed.EncodeRequest(r.newMessage(rng, n)))
 				_ = c.Close()
 			}
 		}
 	}
 }
 
-// discovery plays a fault of a node's discovery.
-func (r *run) discovery(f Fault, n *node) {
-	a := r.world.agentOf(n.number)
+// runDiscoveryFault plays a fault of a node's discovery.
+func (r *run) runDiscoveryFault(f Fault, n *node) {
+	a := r.environment.agentOf(n.number)
 	switch f.Kind {
 	case "mute":
-		r.world.mute(a, true)
+		r.environment.setMuted(a, true)
 		time.Sleep(f.Duration)
-		r.world.mute(a, false)
+		r.environment.setMuted(a, false)
 	case "silence":
-		r.world.silence(a)
+		r.environment.silenceOpenWatches(a)
 	case "notices":
 		a.FailNotices(503)
 		time.Sleep(min(f.Duration, 250*time.Millisecond)) // longer, and notices could not come in time
@@ -273,8 +273,8 @@
 	}
 }
 
-// endpoint plays a fault of an endpoint, or of the network to it.
-func (r *run) endpoint(f Fault, p *place) {
+// runEndpointFault plays a fault of an endpoint, or of the network to it.
+func (r *run) runEndpointFault(f Fault, p *proxiedEndpoint) {
 	switch f.Kind {
 	case "refuse":
 		p.proxy.RefuseConnections(f.Duration)
@@ -285,20 +285,20 @@
 	case "reset":
 		p.proxy.ResetConnections()
 	case "drain":
-		if err := r.world.drain(p, f.Duration); err != nil {
-			r.fail("drain: %v", err)
+		if err := r.environment.drain(p, f.Duration); err != nil {
+			r.violation("drain: %v", err)
 		}
 	default:
-		r.world.behave(p, f.Kind, f.Duration)
+		r.environment.setFaultMode(p, f.Kind, f.Duration)
 	}
 }
 
-// settleWithin is how long messages may still take when nothing is wrong any more: their lives, and what may pass behind them.
-const settleWithin = 6 * time.Second
+// settleTimeout is how long messages may still take when nothing is wrong any more: their lives, and what may pass behind them.
+const settleTimeout = 6 * time.Second
 
 // settle waits until what was taken has its end, and ends all nodes in order.
 func (r *run) settle() {
-	r.bed.Await(settleWithin, func(all []testbed.Event) bool {
+	r.testbed.Await(settleTimeout, func(all []testbed.Event) bool {
 		var names []string
 		for _, e := range all {
 			if e.Kind == testbed.Accepted {
@@ -311,7 +311,7 @@
 	for _, n := range r.nodes {
 		ends.Go(func() {
 			if err := n.stop(); err != nil {
-				r.fail("%s: %v", n.name, err)
+				r.violation("%s: %v", n.name, err)
 			}
 		})
 	}
@@ -325,18 +325,18 @@
 func (r *run) rules() testbed.Rules {
 	demand := r.cfg.Rate * float64(r.cfg.Nodes) / destinations // of a destination, all of which may come to one endpoint
 	return testbed.Rules{EndSlack: 700 * time.Millisecond, DrainGrace: 1250 * time.Millisecond, AtMostOnce: []string{"upload"}, Ordered: []string{"turns"},
-		DedupWindows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, ColdBudget: 1 << 30,
+		DedupWindows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, ColdBudget: 1 << 30,
 		WaitGrace: 200 * time.Millisecond, ObservationLag: 250 * time.Millisecond,
 		SlowStart: &testbed.SlowStart{Capacity: spareCapacity * demand, InitialFraction: 0.5, WarmUp: 2 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second, MaxAwareShare: 2. / 3}}
 }
 
 // result judges what passed.
 func (r *run) result(plan []Fault) *Result {
-	events := r.bed.Events()
-	res := &Result{Seed: r.cfg.Seed, Faults: plan, Accepted: r.taken.Load(), Folder: r.cfg.Folder}
-	res.Violations = append(r.violations, testbed.Check(events, r.rules(), r.bed.Now())...)
+	events := r.testbed.Events()
+	res := &Result{Seed: r.cfg.Seed, Faults: plan, Accepted: r.acceptedCount.Load(), Folder: r.cfg.Folder}
+	res.Violations = append(r.violations, testbed.Check(events, r.rules(), r.testbed.Now())...)
 	for _, n := range r.nodes {
-		res.Violations = append(res.Violations, n.faults()...)
+		res.Violations = append(res.Violations, n.logViolations()...)
 	}
 	calls := map[int]bool{}
 	delivered := map[string]bool{}
@@ -356,13 +356,13 @@
 		_ = os.RemoveAll(r.cfg.Folder)
 		res.Folder = ""
 	} else {
-		r.write(events)
+		r.writeEvents(events)
 	}
 	return res
 }
 
-// write keeps what passed beside the logs.
-func (r *run) write(events []testbed.Event) {
+// writeEvents keeps what passed beside the logs.
+func (r *run) writeEvents(events []testbed.Event) {
 	f, err := os.Create(filepath.Join(r.cfg.Folder, "events.txt"))
 	if err != nil {
 		return
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -9,51 +9,51 @@
 	"whinrun/internal/testbed"
 )
 
-// place is one endpoint behind a proxy.
-type place struct {
-	host  testbed.EndpointEntry
-	end   *testbed.Endpoint
-	proxy *testbed.Proxy
-	mode  atomic.Pointer[mode]
-	gone  bool
+// proxiedEndpoint is one endpoint behind a proxy.
+type proxiedEndpoint struct {
+	entry    testbed.EndpointEntry
+	endpoint *testbed.Endpoint
+	proxy    *testbed.Proxy
+	mode     atomic.Pointer[faultMode]
+	removed  bool
 }
 
-// mode is how an endpoint behaves for a while.
-type mode struct {
+// faultMode is how an endpoint behaves for a while.
+type faultMode struct {
 	kind  string
 	until time.Time
 }
 
-// world is what the dispatchers deliver to.
-type world struct {
-	bed *testbed.Testbed
+// environment is what the dispatchers deliver to.
+type environment struct {
+	testbed *testbed.Testbed
 
-	mu     sync.Mutex
-	places []*place
-	next   int
-	agents []*agent // of the nodes, by number
+	mu            sync.Mutex
+	endpoints     []*proxiedEndpoint
+	endpointCount int
+	agents        []*nodeAgent // of the nodes, by number
 }
 
 // agent is the discovery of one node, and what it is told of changes.
-type agent struct {
+type nodeAgent struct {
 	*testbed.Agent
-	muted   bool
-	waiting []testbed.EndpointEntry // changes that it learns when discovery returns
-	deafTo  time.Time               // changes count as told then at the latest: open watches have fallen silent
+	muted       bool
+	deferred    []testbed.EndpointEntry // changes that it learns when discovery returns
+	silentUntil time.Time               // changes count as told then at the latest: open watches have fallen silent
 }
 
 // destinations of the world; odd ones take several messages in a call.
 const (
-	destinations = 8
-	silentFor    = 6 * time.Second // a change counts as told so long after a watch fell silent
-	reloadFor    = 4 * time.Second // and so long after SIGHUP
+	destinations      = 8
+	watchSilenceLimit = 6 * time.Second // a change counts as told so long after a watch fell silent
+	reloadLimit       = 4 * time.Second // and so long after SIGHUP
 )
 
-func newWorld(bed *testbed.Testbed) (*world, error) {
-	w := &world{bed: bed}
+func newEnvironment(bed *testbed.Testbed) (*environment, error) {
+	w := &environment{testbed: bed}
 	for dest := range destinations {
 		for range 1 + dest%3 {
-			if _, err := w.add(dest); err != nil {
+			if _, err := w.addEndpoint(dest); err != nil {
 				return nil, err
 			}
 		}
@@ -61,139 +61,139 @@
 	return w, nil
 }
 
-// class is the kind of a destination's endpoints.
-func class(dest int) string {
+// endpointClass is the kind of a destination's endpoints.
+func endpointClass(dest int) string {
 	if dest%2 == 1 {
 		return "bulk"
 	}
 	return "single"
 }
 
-// add opens an endpoint and tells all agents of it.
-func (w *world) add(dest int) (*place, error) {
+// addEndpoint opens an endpoint and tells all agents of it.
+func (w *environment) addEndpoint(dest int) (*proxiedEndpoint, error) {
 	w.mu.Lock()
-	w.next++
-	name := fmt.Sprintf("e%d", w.next)
+	w.endpointCount++
+	name := fmt.Sprintf("e%d", w.endpointCount)
 	w.mu.Unlock()
-	p := &place{}
+	p := &proxiedEndpoint{}
 	var err error
-	if p.end, err = w.bed.Endpoint(name, dest, "", p.act); err != nil {
+	if p.endpoint, err = w.testbed.Endpoint(name, dest, "", p.handle); err != nil {
 		return nil, err
 	}
-	if p.proxy, err = w.bed.Proxy(p.end); err != nil {
+	if p.proxy, err = w.testbed.Proxy(p.endpoint); err != nil {
 		return nil, err
 	}
-	site := []string{"east", "west"}[w.next%2]
-	p.host = testbed.EndpointEntry{Host: name, Dial: p.proxy.Addr, Site: site, Class: class(dest), Block: dest, Health: "ready", Share: 50}
+	site := []string{"east", "west"}[w.endpointCount%2]
+	p.entry = testbed.EndpointEntry{Host: name, Dial: p.proxy.Addr, Site: site, Class: endpointClass(dest), Block: dest, Health: "ready", Share: 50}
 	w.mu.Lock()
-	w.places = append(w.places, p)
+	w.endpoints = append(w.endpoints, p)
 	w.mu.Unlock()
-	w.tell(p.host)
+	w.publish(p.entry)
 	return p, nil
 }
 
-// pick chooses an endpoint that is listed ready.
-func (w *world) pick(n int) *place {
+// pickReady chooses an endpoint that is listed ready.
+func (w *environment) pickReady(n int) *proxiedEndpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range w.places {
-		if p := w.places[(n+i)%len(w.places)]; p.host.Health == "ready" {
+	for i := range w.endpoints {
+		if p := w.endpoints[(n+i)%len(w.endpoints)]; p.entry.Health == "ready" {
 			return p
 		}
 	}
 	return nil
 }
 
-// tell has all agents learn of a change.
-func (w *world) tell(h testbed.EndpointEntry) {
+// publish has all agents learn of a change.
+func (w *environment) publish(h testbed.EndpointEntry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.agents {
-		a.learn(h, w.bed.Now())
+		a.publishEntry(h, w.testbed.Now())
 	}
 }
 
-func (a *agent) learn(h testbed.EndpointEntry, now time.Time) {
+func (a *nodeAgent) publishEntry(h testbed.EndpointEntry, now time.Time) {
 	if a.muted {
-		a.waiting = append(a.waiting, h)
+		a.deferred = append(a.deferred, h)
 		return
 	}
 	at := now
-	if a.deafTo.After(now) {
-		at = a.deafTo
+	if a.silentUntil.After(now) {
+		at = a.silentUntil
 	}
 	a.PublishAt(at, h)
 }
 
 // agent opens the discovery of a node, which knows all that is listed.
-func (w *world) agent(node string) (*agent, error) {
-	plain, err := w.bed.Agent()
+func (w *environment) newAgent(node string) (*nodeAgent, error) {
+	plain, err := w.testbed.Agent()
 	if err != nil {
 		return nil, err
 	}
 	plain.Node = node
-	a := &agent{Agent: plain}
+	a := &nodeAgent{Agent: plain}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.places {
-		if !p.gone {
-			a.learn(p.host, w.bed.Now())
+	for _, p := range w.endpoints {
+		if !p.removed {
+			a.publishEntry(p.entry, w.testbed.Now())
 		}
 	}
 	return a, nil
 }
 
 // agentOf is the discovery of a node.
-func (w *world) agentOf(node int) *agent {
+func (w *environment) agentOf(node int) *nodeAgent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.agents[node]
 }
 
-// move gives a node another discovery, and returns the one before.
-func (w *world) move(node int, to *agent) *agent {
+// replaceAgent gives a node another discovery, and returns the one before.
+func (w *environment) replaceAgent(node int, to *nodeAgent) *nodeAgent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	old := w.agents[node]
 	w.agents[node] = to
-	to.deafTo = w.bed.Now().Add(reloadFor)
+	to.silentUntil = w.testbed.Now().Add(reloadLimit)
 	return old
 }
 
-// mute has a discovery say and learn nothing, or return.
-func (w *world) mute(a *agent, on bool) {
+// setMuted has a discovery say and learn nothing, or return.
+func (w *environment) setMuted(a *nodeAgent, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	a.muted = on
 	a.SetMuted(on)
 	if !on {
-		for _, h := range a.waiting {
-			a.learn(h, w.bed.Now())
+		for _, h := range a.deferred {
+			a.publishEntry(h, w.testbed.Now())
 		}
-		a.waiting = nil
+		a.deferred = nil
 	}
 }
 
-// silence has the open watches of a discovery fall silent.
-func (w *world) silence(a *agent) {
+// silenceOpenWatches has the open watches of a discovery fall silent.
+func (w *environment) silenceOpenWatches(a *nodeAgent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	a.SilenceOpenWatches()
-	a.deafTo = w.bed.Now().Add(silentFor)
+	a.silentUntil = w.testbed.Now().Add(watchSilenceLimit)
 }
 
 // drain has an endpoint drain, another take its place, and the first go.
-func (w *world) drain(p *place, after time.Duration) error {
-	if _, err := w.add(p.host.Block); err != nil {
+func (w *environment) drain(p *proxiedEndpoint, after time.Duration) error {
+	if _, err := w.addEndpoint(p.entry.Block); err != nil {
 		return err
 	}
 	health := func(h string) {
 		w.mu.Lock()
-		p.host.Health = h
-		p.gone = h == "gone"
-		host := p.host
+		p.entry.Health = h
+		p.removed = h == "gone"
+		host := p.entry
 		w.mu.Unlock()
-		w.tell(host)
+		w.publish(host)
 	}
 	health("draining")
 	time.AfterFunc(after, func() { health("gone") })
@@ -201,35 +201,35 @@
 }
 
 // close ends all.
-func (w *world) close() {
+func (w *environment) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.places {
+	for _, p := range w.endpoints {
 		p.proxy.Close()
-		p.end.Close()
+		p.endpoint.Close()
 	}
 	for _, a := range w.agents {
 		a.Close()
 	}
 }
 
-// behave has an endpoint behave in a way for a while.
-func (w *world) behave(p *place, kind string, span time.Duration) {
+// setFaultMode has an endpoint behave in a way for a while.
+func (w *environment) setFaultMode(p *proxiedEndpoint, kind string, span time.Duration) {
 	outage := kind == "drop" || kind == "hang" || kind == "errors"
 	if outage {
-		w.bed.Record(testbed.Event{Kind: testbed.OutageBegan, Host: p.host.Host})
+		w.testbed.Record(testbed.Event{Kind: testbed.OutageBegan, Host: p.entry.Host})
 	}
-	m := &mode{kind, w.bed.Now().Add(span)}
+	m := &faultMode{kind, w.testbed.Now().Add(span)}
 	p.mode.Store(m)
 	time.AfterFunc(span, func() {
 		if p.mode.CompareAndSwap(m, nil) && outage {
-			w.bed.Record(testbed.Event{Kind: testbed.OutageEnded, Host: p.host.Host})
+			w.testbed.Record(testbed.Event{Kind: testbed.OutageEnded, Host: p.entry.Host})
 		}
 	})
 }
 
-// act is what the endpoint does with a call: mostly well, and as its mode says.
-func (p *place) act(c testbed.Call) testbed.Reply {
+// handle is what the endpoint does with a call: mostly well, and as its mode says.
+func (p *proxiedEndpoint) handle(c testbed.Call) testbed.Reply {
 	after := time.Duration(2+c.Number*7%20) * time.Millisecond
 	m := p.mode.Load()
 	if m == nil {
@@ -257,11 +257,11 @@
 	case "slow":
 		return testbed.Reply{Status: 200, Delay: time.Duration(200+c.Number*53%900) * time.Millisecond}
 	}
-	return spoilt(c, after)
+	return malformedReply(c, after)
 }
 
-// spoilt is an answer that can't be read, or brings more than belongs to it.
-func spoilt(c testbed.Call, after time.Duration) testbed.Reply {
+// malformedReply is an answer that can't be read, or brings more than belongs to it.
+func malformedReply(c testbed.Call, after time.Duration) testbed.Reply {
 	one := len(c.MessageNames) == 1
 	switch {
 	case c.Number%4 == 0:
--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -56,8 +56,8 @@
 	MaxAwareShare   float64       // broken where more than this part came from dispatchers that had seen the outage
 }
 
-// budget is how many calls may come within Span, so long after the return: N, and something for chance.
-func (s *SlowStart) budget(since time.Duration) float64 {
+// callBudget is how many calls may come within Span, so long after the return: N, and something for chance.
+func (s *SlowStart) callBudget(since time.Duration) float64 {
 	warmth := min(1, s.InitialFraction+(1-s.InitialFraction)*since.Seconds()/s.WarmUp.Seconds())
 	n := s.OverloadFactor * s.Capacity * warmth * s.OverloadWindow.Seconds()
 	if n < 30 {
@@ -80,37 +80,37 @@
 	ObservationLag time.Duration            // after which the end of a connection is seen here at the latest
 }
 
-// message is what the checker knows of one message.
-type message struct {
-	taken     *Event
-	refused   bool // its client heard that handing it in again is harmless
-	delivered time.Time
-	ended     time.Time         // by a notice
-	out       int               // the call that is out, 0 for none
-	mayRun    bool              // a call that ended may have run
-	begun     map[int]time.Time // when each call began
-	doubtful  time.Time         // when the first call that may have run began
-	served    bool              // a process that still runs heard that it was delivered
-	orphan    int               // the call that was out when a process ended: nobody hears its answer, 0 for none
+// messageState is what the checker knows of one message.
+type messageState struct {
+	accepted              *Event
+	rejected              bool // its client heard that handing it in again is harmless
+	deliveredAt           time.Time
+	noticedAt             time.Time         // by a notice
+	openCall              int               // the call that is out, 0 for none
+	possiblyExecuted      bool              // a call that ended may have run
+	callStarts            map[int]time.Time // when each call began
+	possiblyExecutedSince time.Time         // when the first call that may have run began
+	deliveryKnown         bool              // a process that still runs heard that it was delivered
+	orphanedCall          int               // the call that was out when a process ended: nobody hears its answer, 0 for none
 }
 
 // node is the dispatcher that a message was handed to.
-func (m *message) node() string {
-	if m.taken == nil {
+func (m *messageState) node() string {
+	if m.accepted == nil {
 		return ""
 	}
-	return m.taken.Node
+	return m.accepted.Node
 }
 
-// host is what the checker knows of an endpoint.
-type host struct {
-	unheard []Event         // spans in which answers may not arrive
-	cold    []time.Time     // calls since its outage ended, for ColdBudget; nil where there was none
-	down    bool            // its outage goes on
-	told    map[string]bool // dispatchers that saw a call fail in its last outage
-	back    time.Time       // when that ended
-	calls   []arrival       // since then
-	fell    bool
+// hostState is what the checker knows of an endpoint.
+type hostState struct {
+	disturbances []Event         // spans in which answers may not arrive
+	coldCalls    []time.Time     // calls since its outage ended, for ColdBudget; nil where there was none
+	down         bool            // its outage goes on
+	awareNodes   map[string]bool // dispatchers that saw a call fail in its last outage
+	recoveredAt  time.Time       // when that ended
+	recentCalls  []arrival       // since then
+	overloaded   bool
 }
 
 // arrival is a call at a cold host.
@@ -122,291 +122,293 @@
 
 // Check tells which of the six rules were broken, from what passed on the sockets.
 func Check(events []Event, r Rules, end time.Time) (faults []string) {
-	c := &checker{r: r, msgs: map[string]*message{}, told: map[listing]Event{}, waits: map[waiting]Event{}, hosts: map[string]*host{},
-		ends: map[out]time.Time{}, over: map[string]time.Time{}}
+	c := &checker{rules: r, messages: map[string]*messageState{}, unavailable: map[listedHost]Event{}, waits: map[waitingDest]Event{}, hosts: map[string]*hostState{},
+		callEnds: map[messageCall]time.Time{}, messageEnds: map[string]time.Time{}}
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
 	for i := range events {
-		c.foresee(&events[i])
+		c.indexEvent(&events[i])
 	}
 	for i := range events {
-		c.event(&events[i])
+		c.applyEvent(&events[i])
 	}
-	for name, m := range c.msgs {
-		c.finish(name, m, end)
+	for name, m := range c.messages {
+		c.checkEnd(name, m, end)
 	}
-	slices.Sort(c.faults)
-	return c.faults
+	slices.Sort(c.violations)
+	return c.violations
 }
 
 type checker struct {
-	r      Rules
-	msgs   map[string]*message
-	told   map[listing]Event // hosts that are draining or gone
-	waits  map[waiting]Event
-	hosts  map[string]*host
-	ends   map[out]time.Time    // of calls
-	over   map[string]time.Time // of messages: delivered, or told by a notice
-	faults []string
+	rules       Rules
+	messages    map[string]*messageState
+	unavailable map[listedHost]Event // hosts that are draining or gone
+	waits       map[waitingDest]Event
+	hosts       map[string]*hostState
+	callEnds    map[messageCall]time.Time // of calls
+	messageEnds map[string]time.Time      // of messages: delivered, or told by a notice
+	violations  []string
 }
 
-// listing is a host as a dispatcher's list has it.
-type listing struct{ node, host string }
+// listedHost is a host as a dispatcher's list has it.
+type listedHost struct{ node, host string }
 
-// waiting is a destination that told a dispatcher to wait.
-type waiting struct {
+// waitingDest is a destination that told a dispatcher to wait.
+type waitingDest struct {
 	node string
 	dest int
 }
 
 // out is one message of a call.
-type out struct {
+type messageCall struct {
 	name string
 	call int
 }
 
-func (c *checker) fault(f string, a ...any) { c.faults = append(c.faults, fmt.Sprintf(f, a...)) }
+func (c *checker) violation(f string, a ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(f, a...))
+}
 
-func (c *checker) get(name string) *message {
-	m := c.msgs[name]
+func (c *checker) message(name string) *messageState {
+	m := c.messages[name]
 	if m == nil {
-		m = &message{begun: map[int]time.Time{}}
-		c.msgs[name] = m
+		m = &messageState{callStarts: map[int]time.Time{}}
+		c.messages[name] = m
 	}
 	return m
 }
 
-func (c *checker) host(name string) *host {
+func (c *checker) host(name string) *hostState {
 	h := c.hosts[name]
 	if h == nil {
-		h = &host{}
+		h = &hostState{}
 		c.hosts[name] = h
 	}
 	return h
 }
 
-// foresee takes what is known late: the 202 may be behind the call.
-func (c *checker) foresee(e *Event) {
+// indexEvent takes what is known late: the 202 may be behind the call.
+func (c *checker) indexEvent(e *Event) {
 	switch e.Kind {
 	case Accepted:
-		c.get(e.Name).taken = e
+		c.message(e.Name).accepted = e
 	case CallAnswered, CallBroken:
-		c.ends[out{e.Name, e.Call}] = e.At
+		c.callEnds[messageCall{e.Name, e.Call}] = e.At
 		if e.Kind == CallAnswered && e.Status == 200 {
-			c.ended(e)
+			c.noteMessageEnd(e)
 		}
 	case NoticeReceived:
-		c.ended(e)
+		c.noteMessageEnd(e)
 	case NetworkDisturbed:
 		h := c.host(e.Host)
-		h.unheard = append(h.unheard, *e)
+		h.disturbances = append(h.disturbances, *e)
 	case Refused:
 		if e.Status == 429 || e.Status == 503 {
-			c.get(e.Name).refused = true
+			c.message(e.Name).rejected = true
 		}
 	}
 }
 
 // ended notes the first end of a message.
-func (c *checker) ended(e *Event) {
-	if _, ok := c.over[e.Name]; !ok {
-		c.over[e.Name] = e.At
+func (c *checker) noteMessageEnd(e *Event) {
+	if _, ok := c.messageEnds[e.Name]; !ok {
+		c.messageEnds[e.Name] = e.At
 	}
 }
 
-func (c *checker) event(e *Event) {
+func (c *checker) applyEvent(e *Event) {
 	switch e.Kind {
 	case CallReceived:
-		c.called(e)
+		c.applyCallStart(e)
 	case CallAnswered, CallBroken:
-		c.back(e)
+		c.applyCallEnd(e)
 	case NoticeReceived:
-		if m := c.get(e.Name); m.ended.IsZero() {
-			m.ended = e.At
+		if m := c.message(e.Name); m.noticedAt.IsZero() {
+			m.noticedAt = e.At
 		}
 	case HealthListed:
-		if at := (listing{e.Node, e.Host}); e.Health == "ready" {
-			delete(c.told, at)
-		} else if _, ok := c.told[at]; !ok {
-			c.told[at] = *e
+		if at := (listedHost{e.Node, e.Host}); e.Health == "ready" {
+			delete(c.unavailable, at)
+		} else if _, ok := c.unavailable[at]; !ok {
+			c.unavailable[at] = *e
 		}
 	case OutageBegan:
 		h := c.host(e.Host)
-		h.down, h.told, h.calls = true, map[string]bool{}, nil
+		h.down, h.awareNodes, h.recentCalls = true, map[string]bool{}, nil
 	case OutageEnded:
 		h := c.host(e.Host)
-		h.down, h.back, h.fell = false, e.At, false
-		if h.told == nil { // nothing is known of who saw it
-			h.cold = []time.Time{}
+		h.down, h.recoveredAt, h.overloaded = false, e.At, false
+		if h.awareNodes == nil { // nothing is known of who saw it
+			h.coldCalls = []time.Time{}
 		}
 	case Restarted:
-		c.restarted(e.Node)
+		c.applyRestart(e.Node)
 	case ClosedUnanswered:
-		c.fault("rule 1: the connection of %s was ended with no answer", e.Name)
+		c.violation("rule 1: the connection of %s was ended with no answer", e.Name)
 	}
 }
 
-// restarted ends the waits that a dispatcher was told. An answer that was on its way is lost: what may be repeated may come
+// applyRestart ends the waits that a dispatcher was told. An answer that was on its way is lost: what may be repeated may come
 // again.
-func (c *checker) restarted(node string) {
+func (c *checker) applyRestart(node string) {
 	for at := range c.waits {
 		if at.node == node {
 			delete(c.waits, at)
 		}
 	}
-	for _, m := range c.msgs {
+	for _, m := range c.messages {
 		if m.node() == node {
-			m.served, m.orphan = false, m.out
+			m.deliveryKnown, m.orphanedCall = false, m.openCall
 		}
 	}
 }
 
-func (c *checker) called(e *Event) {
-	m := c.get(e.Name)
-	late := c.host(e.Host).loses(e.At)
-	if m.served && e.At.Sub(m.delivered) < c.r.ObservationLag { // given up as its answer came
-		m.served = false
+func (c *checker) applyCallStart(e *Event) {
+	m := c.message(e.Name)
+	late := c.host(e.Host).mayLoseAnswer(e.At)
+	if m.deliveryKnown && e.At.Sub(m.deliveredAt) < c.rules.ObservationLag { // given up as its answer came
+		m.deliveryKnown = false
 	}
 	switch {
 	case late: // what it crossed on its way can't be told
-	case !m.ended.IsZero() && e.At.After(m.ended.Add(c.r.ObservationLag)): // a call that left before is seen here a little later
-		c.fault("rule 1: %s is called after its notice", e.Name)
-	case m.served:
-		c.fault("rule 1: %s is called after it was delivered", e.Name)
-	case m.refused:
-		c.fault("rule 1: %s is called though it was refused", e.Name)
-	}
-	c.repeat(e, m, late)
-	m.begun[e.Call] = e.At
-	m.out = e.Call
-	if t, ok := c.told[listing{m.node(), e.Host}]; ok && !late && e.At.After(t.At.Add(c.r.DrainGrace)) {
-		c.fault("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(t.At), t.Health)
-	}
-	c.push(e, m)
-	if w, ok := c.waits[waiting{m.node(), e.Dest}]; ok && !late && !c.host(w.Host).loses(w.At) && e.At.After(w.At.Add(c.r.WaitGrace)) && e.At.Before(w.At.Add(w.Wait)) {
-		c.fault("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
-	}
-	if m.taken != nil && !late && m.taken.Key != "" && slices.Contains(c.r.Ordered, m.taken.Class) {
-		c.turn(e, m)
+	case !m.noticedAt.IsZero() && e.At.After(m.noticedAt.Add(c.rules.ObservationLag)): // a call that left before is seen here a little later
+		c.violation("rule 1: %s is called after its notice", e.Name)
+	case m.deliveryKnown:
+		c.violation("rule 1: %s is called after it was delivered", e.Name)
+	case m.rejected:
+		c.violation("rule 1: %s is called though it was refused", e.Name)
+	}
+	c.checkRepeat(e, m, late)
+	m.callStarts[e.Call] = e.At
+	m.openCall = e.Call
+	if t, ok := c.unavailable[listedHost{m.node(), e.Host}]; ok && !late && e.At.After(t.At.Add(c.rules.DrainGrace)) {
+		c.violation("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(t.At), t.Health)
+	}
+	c.checkColdCall(e, m)
+	if w, ok := c.waits[waitingDest{m.node(), e.Dest}]; ok && !late && !c.host(w.Host).mayLoseAnswer(w.At) && e.At.After(w.At.Add(c.rules.WaitGrace)) && e.At.Before(w.At.Add(w.Wait)) {
+		c.violation("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
+	}
+	if m.accepted != nil && !late && m.accepted.Key != "" && slices.Contains(c.rules.Ordered, m.accepted.Class) {
+		c.checkOrder(e, m)
 	}
 }
 
-// repeat checks a call beside those before it; late tells that it may have left long before it came.
-func (c *checker) repeat(e *Event, m *message, late bool) {
-	if end, ok := c.ends[out{e.Name, m.out}]; m.out != 0 && (!ok || end.After(e.At.Add(c.r.ObservationLag))) {
-		c.fault("rule 2: %s has two calls out", e.Name)
+// checkRepeat checks a call beside those before it; late tells that it may have left long before it came.
+func (c *checker) checkRepeat(e *Event, m *messageState, late bool) {
+	if end, ok := c.callEnds[messageCall{e.Name, m.openCall}]; m.openCall != 0 && (!ok || end.After(e.At.Add(c.rules.ObservationLag))) {
+		c.violation("rule 2: %s has two calls out", e.Name)
 	}
-	if m.taken == nil {
+	if m.accepted == nil {
 		return
 	}
-	if slices.Contains(c.r.AtMostOnce, m.taken.Class) && (m.mayRun || m.out != 0) {
-		c.fault("rule 2: %s is called again though it may have run", e.Name)
+	if slices.Contains(c.rules.AtMostOnce, m.accepted.Class) && (m.possiblyExecuted || m.openCall != 0) {
+		c.violation("rule 2: %s is called again though it may have run", e.Name)
 	}
-	window, keyed := c.r.DedupWindows[m.taken.Class]
-	if keyed && !late && !m.doubtful.IsZero() && e.At.After(m.doubtful.Add(window)) {
-		c.fault("rule 2: %s is repeated %v after a call that may have run, its window is %v", e.Name, e.At.Sub(m.doubtful), window)
+	window, keyed := c.rules.DedupWindows[m.accepted.Class]
+	if keyed && !late && !m.possiblyExecutedSince.IsZero() && e.At.After(m.possiblyExecutedSince.Add(window)) {
+		c.violation("rule 2: %s is repeated %v after a call that may have run, its window is %v", e.Name, e.At.Sub(m.possiblyExecutedSince), window)
 	}
 }
 
-// push checks a call at a host that is cold.
-func (c *checker) push(e *Event, m *message) {
+// checkColdCall checks a call at a host that is cold.
+func (c *checker) checkColdCall(e *Event, m *messageState) {
 	h := c.host(e.Host)
-	if h.cold != nil {
-		h.cold = append(h.cold, e.At)
-		if n := len(h.cold); n > c.r.ColdBudget && e.At.Sub(h.cold[n-1-c.r.ColdBudget]) < c.r.ColdWindow {
-			c.fault("rule 4: %s is pushed over by %s", e.Host, e.Name)
+	if h.coldCalls != nil {
+		h.coldCalls = append(h.coldCalls, e.At)
+		if n := len(h.coldCalls); n > c.rules.ColdBudget && e.At.Sub(h.coldCalls[n-1-c.rules.ColdBudget]) < c.rules.ColdWindow {
+			c.violation("rule 4: %s is pushed over by %s", e.Host, e.Name)
 		}
 	}
-	s := c.r.SlowStart
-	if s == nil || h.told == nil || h.fell {
+	s := c.rules.SlowStart
+	if s == nil || h.awareNodes == nil || h.overloaded {
 		return
 	}
-	if n := len(h.calls); n == 0 || h.calls[n-1].call != e.Call {
-		h.calls = append(h.calls, arrival{e.At, e.Call, m.node()})
+	if n := len(h.recentCalls); n == 0 || h.recentCalls[n-1].call != e.Call {
+		h.recentCalls = append(h.recentCalls, arrival{e.At, e.Call, m.node()})
 	}
-	if since := e.At.Sub(h.back); !h.down && since < s.WarmUp {
-		c.fall(e, h, s, since)
+	if since := e.At.Sub(h.recoveredAt); !h.down && since < s.WarmUp {
+		c.checkSlowStart(e, h, s, since)
 	}
 }
 
-// fall checks the calls of the last span against the budget.
-func (c *checker) fall(e *Event, h *host, s *SlowStart, since time.Duration) {
-	h.calls = slices.DeleteFunc(h.calls, func(a arrival) bool { return e.At.Sub(a.at) > s.OverloadWindow })
-	budget := s.budget(since)
-	if float64(len(h.calls)) <= budget {
+// checkSlowStart checks the calls of the last span against the budget.
+func (c *checker) checkSlowStart(e *Event, h *hostState, s *SlowStart, since time.Duration) {
+	h.recentCalls = slices.DeleteFunc(h.recentCalls, func(a arrival) bool { return e.At.Sub(a.at) > s.OverloadWindow })
+	budget := s.callBudget(since)
+	if float64(len(h.recentCalls)) <= budget {
 		return
 	}
-	h.fell = true
+	h.overloaded = true
 	told := 0
-	for _, a := range h.calls {
-		if h.told[a.node] {
+	for _, a := range h.recentCalls {
+		if h.awareNodes[a.node] {
 			told++
 		}
 	}
-	if float64(told) > s.MaxAwareShare*float64(len(h.calls)) {
-		c.fault("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
-			len(h.calls), s.OverloadWindow, told, budget)
+	if float64(told) > s.MaxAwareShare*float64(len(h.recentCalls)) {
+		c.violation("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
+			len(h.recentCalls), s.OverloadWindow, told, budget)
 	}
 }
 
-// turn checks the order within a key: no call while an earlier one is unfinished.
-func (c *checker) turn(e *Event, m *message) {
-	for name, o := range c.msgs {
-		if name == e.Name || o.taken == nil || o.taken.Key != m.taken.Key || o.taken.Node != m.taken.Node || !o.taken.At.Before(m.taken.At) {
+// checkOrder checks the order within a key: no call while an earlier one is unfinished.
+func (c *checker) checkOrder(e *Event, m *messageState) {
+	for name, o := range c.messages {
+		if name == e.Name || o.accepted == nil || o.accepted.Key != m.accepted.Key || o.accepted.Node != m.accepted.Node || !o.accepted.At.Before(m.accepted.At) {
 			continue
 		}
-		ended, ok := c.over[name]
-		if o.out != 0 || !ok || ended.After(e.At.Add(c.r.ObservationLag)) { // its end may be seen here a little later than it came
-			c.fault("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
+		ended, ok := c.messageEnds[name]
+		if o.openCall != 0 || !ok || ended.After(e.At.Add(c.rules.ObservationLag)) { // its end may be seen here a little later than it came
+			c.violation("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
 		}
 	}
 }
 
-func (c *checker) back(e *Event) {
-	m := c.get(e.Name)
-	if m.out == e.Call {
-		m.out = 0
+func (c *checker) applyCallEnd(e *Event) {
+	m := c.message(e.Name)
+	if m.openCall == e.Call {
+		m.openCall = 0
 	}
 	h := c.host(e.Host)
 	switch {
 	case e.Kind == CallAnswered && e.Status == 200:
-		m.served, m.mayRun = m.served || e.Call != m.orphan && !h.loses(e.At), true
-		if m.delivered.IsZero() {
-			m.delivered = e.At
+		m.deliveryKnown, m.possiblyExecuted = m.deliveryKnown || e.Call != m.orphanedCall && !h.mayLoseAnswer(e.At), true
+		if m.deliveredAt.IsZero() {
+			m.deliveredAt = e.At
 		}
 	case e.Kind == CallBroken || e.Status >= 500 && e.Status != 503 && e.Status != 504:
-		m.mayRun = true
+		m.possiblyExecuted = true
 	}
-	if m.mayRun && m.doubtful.IsZero() {
-		m.doubtful = m.begun[e.Call]
+	if m.possiblyExecuted && m.possiblyExecutedSince.IsZero() {
+		m.possiblyExecutedSince = m.callStarts[e.Call]
 	}
 	if h.down && (e.Kind == CallBroken || e.Status != 200) {
-		h.told[m.node()] = true
+		h.awareNodes[m.node()] = true
 	}
 	if e.Wait > 0 {
-		at := waiting{m.node(), e.Dest}
+		at := waitingDest{m.node(), e.Dest}
 		if w, ok := c.waits[at]; !ok || e.At.Add(e.Wait).After(w.At.Add(w.Wait)) {
 			c.waits[at] = *e
 		}
 	}
 }
 
-// unheardBefore is how long ahead of a network's fault an answer may have been written that it still takes away.
-const unheardBefore = time.Second
+// disturbanceLead is how long ahead of a network's fault an answer may have been written that it still takes away.
+const disturbanceLead = time.Second
 
-// loses tells whether an answer written then may not arrive.
-func (h *host) loses(at time.Time) bool {
-	return slices.ContainsFunc(h.unheard, func(e Event) bool { return at.After(e.At.Add(-unheardBefore)) && at.Before(e.Due) })
+// mayLoseAnswer tells whether an answer written then may not arrive.
+func (h *hostState) mayLoseAnswer(at time.Time) bool {
+	return slices.ContainsFunc(h.disturbances, func(e Event) bool { return at.After(e.At.Add(-disturbanceLead)) && at.Before(e.Due) })
 }
 
-// finish checks that a message has its end in time.
-func (c *checker) finish(name string, m *message, end time.Time) {
-	if m.taken == nil || m.taken.Due.Add(c.r.EndSlack).After(end) {
+// checkEnd checks that a message has its end in time.
+func (c *checker) checkEnd(name string, m *messageState, end time.Time) {
+	if m.accepted == nil || m.accepted.Due.Add(c.rules.EndSlack).After(end) {
 		return
 	}
-	last := m.taken.Due.Add(c.r.EndSlack)
-	if (m.delivered.IsZero() || m.delivered.After(last)) && (m.ended.IsZero() || m.ended.After(last)) {
-		c.fault("rule 1: %s was taken and has no end in time", name)
+	last := m.accepted.Due.Add(c.rules.EndSlack)
+	if (m.deliveredAt.IsZero() || m.deliveredAt.After(last)) && (m.noticedAt.IsZero() || m.noticedAt.After(last)) {
+		c.violation("rule 1: %s was taken and has no end in time", name)
 	}
 }
 
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -9,41 +9,41 @@
 // Proxy stands before an endpoint and spoils the network on command. The end of a connection by the dispatcher passes at once in
 // every state, as its peer would be told it by the machine that ended it.
 type Proxy struct {
-	s    *Testbed
-	host string
-	to   string
-	Addr string
+	testbed *Testbed
+	host    string
+	target  string
+	Addr    string
 
-	mu    sync.Mutex
-	ln    net.Listener
-	pairs map[*pair]bool
-	state network
-	clear chan struct{} // closed when the state changes
+	mu           sync.Mutex
+	ln           net.Listener
+	conns        map[*proxiedConn]bool
+	state        networkState
+	stateChanged chan struct{} // closed when the state changes
 }
 
-// network is how a proxy treats bytes.
-type network struct {
-	held    bool          // nothing passes
+// networkState is how a proxy treats bytes.
+type networkState struct {
+	stalled bool          // nothing passes
 	trickle bool          // a byte at a time
 	delay   time.Duration // of each piece
 }
 
-// pair is one connection through a proxy.
-type pair struct {
-	near, far net.Conn
-	once      sync.Once
-	over      chan struct{} // closed with it
+// proxiedConn is one connection through a proxy.
+type proxiedConn struct {
+	client, endpoint net.Conn
+	closeOnce        sync.Once
+	closed           chan struct{} // closed with it
 }
 
-func (p *pair) close() {
-	p.once.Do(func() { close(p.over) })
-	_ = p.near.Close()
-	_ = p.far.Close()
+func (p *proxiedConn) close() {
+	p.closeOnce.Do(func() { close(p.closed) })
+	_ = p.client.Close()
+	_ = p.endpoint.Close()
 }
 
 // reset ends a connection as a machine does that knows nothing of it.
-func (p *pair) reset() {
-	for _, c := range []net.Conn{p.near, p.far} {
+func (p *proxiedConn) reset() {
+	for _, c := range []net.Conn{p.client, p.endpoint} {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0)
 		}
@@ -53,7 +53,7 @@
 
 // Proxy opens a proxy before an endpoint.
 func (s *Testbed) Proxy(e *Endpoint) (*Proxy, error) {
-	p := &Proxy{s: s, host: e.Host, to: e.Addr, pairs: map[*pair]bool{}, clear: make(chan struct{})}
+	p := &Proxy{testbed: s, host: e.Host, target: e.Addr, conns: map[*proxiedConn]bool{}, stateChanged: make(chan struct{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -69,37 +69,37 @@
 		if err != nil {
 			return
 		}
-		go p.carry(near)
+		go p.serve(near)
 	}
 }
 
-func (p *Proxy) carry(near net.Conn) {
-	far, err := net.DialTimeout("tcp", p.to, time.Second)
+func (p *Proxy) serve(near net.Conn) {
+	far, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		_ = near.Close()
 		return
 	}
-	c := &pair{near: near, far: far, over: make(chan struct{})}
+	c := &proxiedConn{client: near, endpoint: far, closed: make(chan struct{})}
 	p.mu.Lock()
-	p.pairs[c] = true
+	p.conns[c] = true
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(far, near, c, false) })
-	both.Go(func() { p.pass(near, far, c, true) })
+	both.Go(func() { p.copyBytes(far, near, c, false) })
+	both.Go(func() { p.copyBytes(near, far, c, true) })
 	both.Wait()
 	p.mu.Lock()
-	delete(p.pairs, c)
+	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// pieces are what is read ahead of the other side, at most.
-const pieces = 64
+// readAhead are what is read ahead of the other side, at most.
+const readAhead = 64
 
-// pass carries bytes one way until either side ends. last tells that what came before the end still passes: what an endpoint
+// copyBytes carries bytes one way until either side ends. last tells that what came before the end still passes: what an endpoint
 // wrote does, what a dispatcher wrote and then gave up does not.
-func (p *Proxy) pass(to, from net.Conn, c *pair, last bool) {
+func (p *Proxy) copyBytes(to, from net.Conn, c *proxiedConn, last bool) {
 	defer c.close()
-	queue := make(chan []byte, pieces)
+	queue := make(chan []byte, readAhead)
 	go func() {
 		defer close(queue)
 		for {
@@ -108,7 +108,7 @@
 			if n > 0 {
 				select {
 				case queue <- buf[:n]:
-				case <-c.over:
+				case <-c.closed:
 					return
 				}
 			}
@@ -128,15 +128,15 @@
 }
 
 // send writes bytes as the network's state has it; it is false where the connection has ended.
-func (p *Proxy) send(to net.Conn, b []byte, c *pair) bool {
+func (p *Proxy) send(to net.Conn, b []byte, c *proxiedConn) bool {
 	for len(b) > 0 {
 		p.mu.Lock()
-		state, clear := p.state, p.clear
+		state, clear := p.state, p.stateChanged
 		p.mu.Unlock()
-		if state.held {
+		if state.stalled {
 			select {
 			case <-clear:
-			case <-c.over:
+			case <-c.closed:
 				return false
 			}
 			continue
@@ -154,34 +154,34 @@
 	return true
 }
 
-func (p *Proxy) set(state network) {
+func (p *Proxy) setState(state networkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = state
-	close(p.clear)
-	p.clear = make(chan struct{})
+	close(p.stateChanged)
+	p.stateChanged = make(chan struct{})
 }
 
 // Stall has nothing pass for a while; nothing is said of it.
 func (p *Proxy) Stall(span time.Duration) {
-	p.unheard(span + time.Second)
-	p.set(network{held: true})
-	time.AfterFunc(span, func() { p.set(network{}) })
+	p.recordDisturbance(span + time.Second)
+	p.setState(networkState{stalled: true})
+	time.AfterFunc(span, func() { p.setState(networkState{}) })
 }
 
 // Throttle has bytes pass late, or one at a time, for a while.
 func (p *Proxy) Throttle(span, delay time.Duration, trickle bool) {
-	p.unheard(span + time.Second)
-	p.set(network{delay: delay, trickle: trickle})
-	time.AfterFunc(span, func() { p.set(network{}) })
+	p.recordDisturbance(span + time.Second)
+	p.setState(networkState{delay: delay, trickle: trickle})
+	time.AfterFunc(span, func() { p.setState(networkState{}) })
 }
 
 // ResetConnections resets the connections that are open.
 func (p *Proxy) ResetConnections() {
-	p.unheard(time.Second)
+	p.recordDisturbance(time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
+	for c := range p.conns {
 		c.reset()
 	}
 }
@@ -204,17 +204,17 @@
 
 // Close ends the proxy.
 func (p *Proxy) Close() {
-	p.set(network{})
+	p.setState(networkState{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.ln.Close()
-	for c := range p.pairs {
+	for c := range p.conns {
 		c.close()
 	}
 }
 
-// unheard notes that answers may not arrive.
-func (p *Proxy) unheard(span time.Duration) {
-	now := p.s.Now()
-	p.s.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(span)})
+// recordDisturbance notes that answers may not arrive.
+func (p *Proxy) recordDisturbance(span time.Duration) {
+	now := p.testbed.Now()
+	p.testbed.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(span)})
 }
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -21,12 +21,12 @@
 	"whinrun/internal/h1"
 )
 
-var addresses atomic.Uint32
+var addressCount atomic.Uint32
 
 // FreeAddr returns an address for one dispatcher to listen on, again after a restart. It is one of loopback's that no
 // other socket of the tests uses: a port that was merely free a moment ago may be taken in the meantime.
 func FreeAddr() (string, error) {
-	pid, n := os.Getpid(), addresses.Add(1)
+	pid, n := os.Getpid(), addressCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%128, pid/128%256, 1+n%250))
 	if err != nil {
 		return "", err
@@ -60,14 +60,14 @@
 
 // Testbed is the stand-in.
 type Testbed struct {
-	mu     sync.Mutex
-	events []Event
-	calls  int
-	change chan struct{} // closed at each event
+	mu        sync.Mutex
+	events    []Event
+	callCount int
+	changed   chan struct{} // closed at each event
 }
 
 // New makes an empty test bed.
-func New() *Testbed { return &Testbed{change: make(chan struct{})} }
+func New() *Testbed { return &Testbed{changed: make(chan struct{})} }
 
 // Now is the time that events are noted by.
 func (s *Testbed) Now() time.Time { return clock.Wall() }
@@ -83,8 +83,8 @@
 		}
 		s.events = append(s.events, e)
 	}
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Events returns what has passed.
@@ -99,7 +99,7 @@
 	over := time.After(within)
 	for {
 		s.mu.Lock()
-		events, change := s.events[:len(s.events):len(s.events)], s.change
+		events, change := s.events[:len(s.events):len(s.events)], s.changed
 		s.mu.Unlock()
 		if enough(events) {
 			return true
@@ -156,16 +156,16 @@
 
 // Endpoint is one stand-in endpoint.
 type Endpoint struct {
-	s    *Testbed
-	Host string
-	Dest int
-	Addr string
-	ln   net.Listener
+	testbed *Testbed
+	Host    string
+	Dest    int
+	Addr    string
+	ln      net.Listener
 
-	mu    sync.Mutex
-	act   func(c Call) Reply
-	conns map[net.Conn]bool
-	Conns int // taken so far
+	mu      sync.Mutex
+	handler func(c Call) Reply
+	conns   map[net.Conn]bool
+	Conns   int // taken so far
 }
 
 // Endpoint opens an endpoint; addr may be empty for a free port, or that of one that has closed.
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{s: s, Host: host, Dest: dest, Addr: ln.Addr().String(), ln: ln, act: act, conns: map[net.Conn]bool{}}
+	e := &Endpoint{testbed: s, Host: host, Dest: dest, Addr: ln.Addr().String(), ln: ln, handler: act, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -197,7 +197,7 @@
 // SetHandler changes what the endpoint does.
 func (e *Endpoint) SetHandler(act func(Call) Reply) {
 	e.mu.Lock()
-	e.act = act
+	e.handler = act
 	e.mu.Unlock()
 }
 
@@ -232,7 +232,7 @@
 			return
 		}
 		in = rest
-		if !e.call(c, r, body) {
+		if !e.serveCall(c, r, body) {
 			return
 		}
 	}
@@ -257,21 +257,21 @@
 	}
 }
 
-// call plays one call; false ends the connection.
-func (e *Endpoint) call(c net.Conn, r *h1.Request, body []byte) bool {
+// serveCall plays one call; false ends the connection.
+func (e *Endpoint) serveCall(c net.Conn, r *h1.Request, body []byte) bool {
 	k := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
 	if r.Target == "/inbox/bulk" {
-		k.MessageNames, k.IdempotencyKeys = bulkNames(string(body))
+		k.MessageNames, k.IdempotencyKeys = parseBulkBody(string(body))
 	} else {
 		k.MessageNames, k.IdempotencyKeys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
 	}
-	e.s.mu.Lock()
-	e.s.calls++
-	k.Number = e.s.calls
-	e.s.mu.Unlock()
-	e.note(k, Event{Kind: CallReceived})
+	e.testbed.mu.Lock()
+	e.testbed.callCount++
+	k.Number = e.testbed.callCount
+	e.testbed.mu.Unlock()
+	e.record(k, Event{Kind: CallReceived})
 	e.mu.Lock()
-	act := e.act
+	act := e.handler
 	e.mu.Unlock()
 	p := act(k)
 	gone := make(chan struct{})
@@ -287,7 +287,7 @@
 		}
 		select {
 		case <-gone:
-			e.note(k, Event{Kind: CallBroken})
+			e.record(k, Event{Kind: CallBroken})
 			return false
 		case <-over:
 			_ = c.SetReadDeadline(clock.Wall())
@@ -296,21 +296,21 @@
 		}
 	}
 	if p.Drop {
-		e.note(k, Event{Kind: CallBroken})
+		e.record(k, Event{Kind: CallBroken})
 		return false
 	}
 	text := p.Raw
 	if text == "" {
-		text = answer(p, k)
+		text = formatResponse(p, k)
 	}
-	e.note(k, Event{Kind: CallAnswered, Status: p.Status, Wait: p.RetryAfter})
+	e.record(k, Event{Kind: CallAnswered, Status: p.Status, Wait: p.RetryAfter})
 	if _, err := io.WriteString(c, text+p.TrailingBytes); err != nil {
 		return false
 	}
 	return !p.Close
 }
 
-func answer(p Reply, k Call) string {
+func formatResponse(p Reply, k Call) string {
 	body := p.Body
 	if p.Status == 200 && len(k.MessageNames) > 1 && body == "" {
 		for _, n := range k.MessageNames {
@@ -324,17 +324,17 @@
 	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", p.Status), pairs...)) + body
 }
 
-func (e *Endpoint) note(k Call, x Event) {
+func (e *Endpoint) record(k Call, x Event) {
 	x.Host, x.Dest, x.Call = k.Host, k.Dest, k.Number
 	all := make([]Event, len(k.MessageNames))
 	for i, n := range k.MessageNames {
 		all[i] = x
 		all[i].Name = n
 	}
-	e.s.Record(all...)
+	e.testbed.Record(all...)
 }
 
-func bulkNames(body string) (names, keys []string) {
+func parseBulkBody(body string) (names, keys []string) {
 	for len(body) > 0 {
 		line, rest, _ := strings.Cut(body, "\r\n")
 		f := strings.Fields(line)
@@ -363,22 +363,22 @@
 
 // Agent is discovery and the place for notices.
 type Agent struct {
-	s    *Testbed
-	Addr string
-	Node string // the dispatcher that it belongs to, where there are several; set before use
-	srv  *http.Server
-
-	mu      sync.Mutex
-	seq     int
-	hosts   map[string]EndpointEntry
-	changes [][]EndpointEntry // since the start, by version
-	more    chan struct{}
-	mute    bool // nothing is answered
-	deaf    int  // watches opened before this one have fallen silent for good
-	opened  int  // watches so far
-	indent  bool // lists come over several lines
-	status  int  // of answers to notices, 0 for 204
-	conns   int
+	testbed *Testbed
+	Addr    string
+	Node    string // the dispatcher that it belongs to, where there are several; set before use
+	srv     *http.Server
+
+	mu              sync.Mutex
+	version         int
+	hosts           map[string]EndpointEntry
+	changes         [][]EndpointEntry // since the start, by version
+	changed         chan struct{}
+	muted           bool // nothing is answered
+	silencedWatches int  // watches opened before this one have fallen silent for good
+	openedWatches   int  // watches so far
+	indent          bool // lists come over several lines
+	noticeStatus    int  // of answers to notices, 0 for 204
+	conns           int
 }
 
 // Agent opens discovery.
@@ -387,10 +387,10 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{s: s, Addr: ln.Addr().String(), hosts: map[string]EndpointEntry{}, more: make(chan struct{})}
+	a := &Agent{testbed: s, Addr: ln.Addr().String(), hosts: map[string]EndpointEntry{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", a.list)
-	mux.HandleFunc("POST /v1/outcomes", a.outcomes)
+	mux.HandleFunc("GET /v1/endpoints", a.serveList)
+	mux.HandleFunc("POST /v1/outcomes", a.serveNotices)
 	a.srv = &http.Server{Handler: mux}
 	go func() { _ = a.srv.Serve(ln) }()
 	return a, nil
@@ -402,16 +402,16 @@
 // SetMuted has discovery say nothing any more, or speak again.
 func (a *Agent) SetMuted(on bool) {
 	a.mu.Lock()
-	a.mute = on
-	a.wake()
+	a.muted = on
+	a.notifyWatches()
 	a.mu.Unlock()
 }
 
 // SilenceOpenWatches has the watches that are open now say nothing any more; those opened later are answered.
 func (a *Agent) SilenceOpenWatches() {
 	a.mu.Lock()
-	a.deaf = a.opened
-	a.wake()
+	a.silencedWatches = a.openedWatches
+	a.notifyWatches()
 	a.mu.Unlock()
 }
 
@@ -425,32 +425,32 @@
 // FailNotices has notices answered with a status, 0 for as usual.
 func (a *Agent) FailNotices(status int) {
 	a.mu.Lock()
-	a.status = status
+	a.noticeStatus = status
 	a.mu.Unlock()
 }
 
-func (a *Agent) wake() {
-	close(a.more)
-	a.more = make(chan struct{})
+func (a *Agent) notifyWatches() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
 // Publish tells of changes of hosts.
-func (a *Agent) Publish(all ...EndpointEntry) { a.PublishAt(a.s.Now(), all...) }
+func (a *Agent) Publish(all ...EndpointEntry) { a.PublishAt(a.testbed.Now(), all...) }
 
 // PublishAt tells of changes that count as told from a moment on.
 func (a *Agent) PublishAt(at time.Time, all ...EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.seq++
+	a.version++
 	for _, h := range all {
 		a.hosts[h.Host] = h
 		if h.Health == "gone" {
 			delete(a.hosts, h.Host)
 		}
-		a.s.Record(Event{At: at, Kind: HealthListed, Host: h.Host, Health: h.Health, Node: a.Node})
+		a.testbed.Record(Event{At: at, Kind: HealthListed, Host: h.Host, Health: h.Health, Node: a.Node})
 	}
 	a.changes = append(a.changes, all)
-	a.wake()
+	a.notifyWatches()
 }
 
 // FullList returns the whole list.
@@ -461,13 +461,13 @@
 	for _, h := range a.hosts {
 		hosts = append(hosts, h)
 	}
-	text, _ := json.Marshal(map[string]any{"seq": a.seq, "whole": true, "hosts": hosts})
+	text, _ := json.Marshal(map[string]any{"seq": a.version, "whole": true, "hosts": hosts})
 	return string(text)
 }
 
-// list answers at once with what changed after a version, or with the whole list, and goes on as it changes. While mute it
+// serveList answers at once with what changed after a version, or with the whole list, and goes on as it changes. While mute it
 // says nothing; what is asked then is answered afterwards.
-func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		_, _ = io.WriteString(w, a.FullList())
 		return
@@ -475,22 +475,22 @@
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	flush := w.(http.Flusher)
 	a.mu.Lock()
-	a.opened++
-	me := a.opened
+	a.openedWatches++
+	me := a.openedWatches
 	a.mu.Unlock()
-	a.s.Record(Event{Kind: WatchOpened})
+	a.testbed.Record(Event{Kind: WatchOpened})
 	for first := true; ; {
 		a.mu.Lock()
-		more, mute := a.more, a.mute || me <= a.deaf
+		more, mute := a.changed, a.muted || me <= a.silencedWatches
 		text := ""
-		if !mute && (first || from < a.seq) {
-			text, first, from = a.since(from), false, a.seq
+		if !mute && (first || from < a.version) {
+			text, first, from = a.changesSince(from), false, a.version
 		}
 		a.mu.Unlock()
 		_, _ = io.WriteString(w, text)
 		flush.Flush()
 		if text != "" {
-			a.s.Record(Event{Kind: ListSent})
+			a.testbed.Record(Event{Kind: ListSent})
 		}
 		select {
 		case <-more:
@@ -505,10 +505,10 @@
 	}
 }
 
-// since is what changed after a version: changes, or the whole list where that version is not known. It is called with the
+// changesSince is what changed after a version: changes, or the whole list where that version is not known. It is called with the
 // lock held.
-func (a *Agent) since(from int) string {
-	whole := from <= 0 || from > a.seq
+func (a *Agent) changesSince(from int) string {
+	whole := from <= 0 || from > a.version
 	hosts := []EndpointEntry{}
 	if whole {
 		for _, h := range a.hosts {
@@ -519,7 +519,7 @@
 			hosts = append(hosts, change...)
 		}
 	}
-	v := map[string]any{"seq": a.seq, "whole": whole, "hosts": hosts}
+	v := map[string]any{"seq": a.version, "whole": whole, "hosts": hosts}
 	text, _ := json.Marshal(v)
 	if a.indent {
 		text, _ = json.MarshalIndent(v, "", "  ")
@@ -527,9 +527,9 @@
 	return string(text) + "\n"
 }
 
-func (a *Agent) outcomes(w http.ResponseWriter, r *http.Request) {
+func (a *Agent) serveNotices(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	status := a.status
+	status := a.noticeStatus
 	a.mu.Unlock()
 	if status != 0 {
 		w.WriteHeader(status)
@@ -545,7 +545,7 @@
 		if err := dec.Decode(&o); err != nil {
 			break
 		}
-		a.s.Record(Event{Kind: NoticeReceived, Name: o.ID, Text: o.Status, Wait: time.Duration(o.Again) * time.Millisecond})
+		a.testbed.Record(Event{Kind: NoticeReceived, Name: o.ID, Text: o.Status, Wait: time.Duration(o.Again) * time.Millisecond})
 	}
 	w.WriteHeader(204)
 }
@@ -561,7 +561,7 @@
 // Submit hands a message in on a connection of its own, and returns the status of the answer, 0 for none in time.
 func (s *Testbed) Submit(addr string, m Message) int {
 	sent := clock.Wall()
-	status := hand(addr, m)
+	status := submit(addr, m)
 	e := Event{Kind: Refused, Name: m.Name, Status: status}
 	if status == 202 || status == 200 {
 		e = Event{Kind: Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Key: m.OrderKey}
@@ -570,7 +570,7 @@
 	return status
 }
 
-func hand(addr string, m Message) int {
+func submit(addr string, m Message) int {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0
