--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -111,16 +111,16 @@
 
 type eventQueue []*scheduledEvent
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a eventQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(*scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
 
@@ -165,7 +165,7 @@
 
 // drawParameters draws the destination and the times.
 func (p *simulation) drawParameters() {
-	between := func(least, most float64) float64 { return least + p.rng.Float64()*(most-least) }
+	between := func(low, high float64) float64 { return low + p.rng.Float64()*(high-low) }
 	p.capacity = math.Exp(between(math.Log(4), math.Log(400)))
 	load := between(0.4, 1.15)
 	p.demand = load * p.capacity
@@ -176,9 +176,9 @@
 		{Name: "sync", Effect: control.Guarded, Window: seconds(10), Aim: seconds(2.5), Deadline: seconds(24), Worth: 1, LateWorth: 0.5},
 		{Name: "upload", Effect: control.SingleShot, Aim: seconds(2.5), Deadline: seconds(28), Worth: 5, LateWorth: 0.4},
 	}
-	mine := p.demand / float64(p.cfg.Dispatchers)
+	ownDemand := p.demand / float64(p.cfg.Dispatchers)
 	p.settings = control.Settings{Instances: p.cfg.Dispatchers, Tick: tickInterval, Classes: classes, Kinds: []control.Kind{{Name: "partners", Batch: 1}},
-		Weights: control.WeightNominal, Slots: max(3, int(2*mine)), MaxOpen: max(16, int(10*mine)), MaxTries: 6, MayCancel: true, RetryAfter: true,
+		Weights: control.WeightNominal, Slots: max(3, int(2*ownDemand)), MaxOpen: max(16, int(10*ownDemand)), MaxTries: 6, MayCancel: true, RetryAfter: true,
 		MaxRetryAfter: seconds(2), ConnIdle: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportLeft: -1, ReportLimit: -1,
 		StopSendingWithin: seconds(1), ColdFrom: between(minColdFraction, maxColdFraction), WarmUp: seconds(between(minWarmUpSeconds, maxWarmUpSeconds)),
 		TipMultiple: overloadFactor, OverloadFor: overloadWindow, SettleAfterDoubt: seconds(1), KeepOutages: true}
@@ -208,13 +208,13 @@
 
 // startProcess gives a dispatcher a process: what the one before knew of outages is on record, all else is gone.
 func (p *simulation) startProcess(d *dispatcher) {
-	set := p.settings
-	set.Me = d.number
-	mod, err := control.New(set, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
+	settings := p.settings
+	settings.Me = d.number
+	core, err := control.New(settings, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
 	if err != nil {
 		panic(err) // the settings are this package's own
 	}
-	d.core = mod
+	d.core = core
 	d.epoch++
 	entry := control.Entry{Endpoint: endpoint, Dest: destination, Health: control.Ready, Weight: p.capacity}
 	events := []control.Event{{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
@@ -228,7 +228,7 @@
 func (p *simulation) restoredMessages(d *dispatcher) (events []control.Event) {
 	for _, id := range slices.Sorted(maps.Keys(d.pending)) {
 		m := d.pending[id]
-		if n, out := d.openAttempts[id]; out && n == m.attempts-1 && m.possiblyExecutedSince == 0 {
+		if attempt, open := d.openAttempts[id]; open && attempt == m.attempts-1 && m.possiblyExecutedSince == 0 {
 			m.possiblyExecutedSince = m.lastAttemptAt // its end is not known
 		}
 		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, Grace: max(0, m.deadline-p.now),
@@ -238,13 +238,13 @@
 	return events
 }
 
-func (p *simulation) schedule(h *scheduledEvent) {
+func (p *simulation) schedule(event *scheduledEvent) {
 	p.seq++
-	h.seq = p.seq
-	if h.dispatcher != nil {
-		h.epoch = h.dispatcher.epoch
+	event.seq = p.seq
+	if event.dispatcher != nil {
+		event.epoch = event.dispatcher.epoch
 	}
-	heap.Push(&p.queue, h)
+	heap.Push(&p.queue, event)
 }
 
 // scheduleArrival has the next message come to a dispatcher.
@@ -262,20 +262,20 @@
 
 // runNext takes what is due next.
 func (p *simulation) runNext() {
-	h := heap.Pop(&p.queue).(*scheduledEvent)
-	p.now = h.at
+	next := heap.Pop(&p.queue).(*scheduledEvent)
+	p.now = next.at
 	switch {
-	case h.run != nil:
-		h.run()
-	case h.epoch == h.dispatcher.epoch: // else it was for a process that has ended
-		if h.event.Kind == control.Outcome {
-			if n, out := h.dispatcher.openAttempts[h.event.Message]; !out || n != h.event.Attempt {
+	case next.run != nil:
+		next.run()
+	case next.epoch == next.dispatcher.epoch: // else it was for a process that has ended
+		if next.event.Kind == control.Outcome {
+			if attempt, open := next.dispatcher.openAttempts[next.event.Message]; !open || attempt != next.event.Attempt {
 				return // its end has come already
 			}
-			delete(h.dispatcher.openAttempts, h.event.Message)
-			p.applyAttemptEnd(h.dispatcher, &h.event)
+			delete(next.dispatcher.openAttempts, next.event.Message)
+			p.applyAttemptEnd(next.dispatcher, &next.event)
 		}
-		p.runDispatcher(h.dispatcher, h.event)
+		p.runDispatcher(next.dispatcher, next.event)
 	}
 }
 
@@ -306,8 +306,8 @@
 		case control.Refuse, control.Fail:
 			delete(d.pending, a.Message)
 		case control.Cancel:
-			if n, out := d.openAttempts[a.Message]; out && n == a.Attempt {
-				p.scheduleAttemptEnd(d, a.Message, n, control.Cancelled, 0, 0)
+			if attempt, open := d.openAttempts[a.Message]; open && attempt == a.Attempt {
+				p.scheduleAttemptEnd(d, a.Message, attempt, control.Cancelled, 0, 0)
 			}
 		}
 	}
@@ -321,51 +321,51 @@
 }
 
 // scheduleAttemptEnd has an attempt end after a while.
-func (p *simulation) scheduleAttemptEnd(d *dispatcher, id control.MessageID, attempt int, r control.Result, after, wait control.Time) {
-	p.schedule(&scheduledEvent{at: p.now + after, dispatcher: d, event: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: r,
-		Lag: after, Wait: wait}})
+func (p *simulation) scheduleAttemptEnd(d *dispatcher, id control.MessageID, attempt int, result control.Result, delay, wait control.Time) {
+	p.schedule(&scheduledEvent{at: p.now + delay, dispatcher: d, event: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: result,
+		Lag: delay, Wait: wait}})
 }
 
 // sendCall has a call reach the destination, and its end come back.
 func (p *simulation) sendCall(d *dispatcher, a control.Action) {
 	m := d.pending[a.Message]
-	n := m.attempts
+	attempt := m.attempts
 	m.attempts++
 	m.lastAttemptAt = p.now
-	d.openAttempts[a.Message] = n
-	due := m.deadline - p.now
+	d.openAttempts[a.Message] = attempt
+	timeLeft := m.deadline - p.now
 	if a.After > 0 {
-		due = min(due, a.After)
+		timeLeft = min(timeLeft, a.After)
 	}
 	if p.now >= p.outageStart && p.now < p.outageEnd {
-		p.failCall(d, a.Message, n, due)
+		p.failCall(d, a.Message, attempt, timeLeft)
 		return
 	}
 	p.recordCall(d)
 	if p.takeToken() {
-		wait := control.Time(p.rng.ExpFloat64()*float64(meanServiceTime)) + networkDelay
-		p.scheduleAttemptEnd(d, a.Message, n, control.OK, min(wait, due), 0)
+		delay := control.Time(p.rng.ExpFloat64()*float64(meanServiceTime)) + networkDelay
+		p.scheduleAttemptEnd(d, a.Message, attempt, control.OK, min(delay, timeLeft), 0)
 		return
 	}
-	p.scheduleAttemptEnd(d, a.Message, n, control.Full, 2*networkDelay, 0)
+	p.scheduleAttemptEnd(d, a.Message, attempt, control.Full, 2*networkDelay, 0)
 }
 
 // failCall has a call meet the outage.
-func (p *simulation) failCall(d *dispatcher, id control.MessageID, n int, due control.Time) {
+func (p *simulation) failCall(d *dispatcher, id control.MessageID, attempt int, timeLeft control.Time) {
 	p.recordCall(d)
 	switch p.cfg.Outage {
 	case RefusesConnections:
-		p.scheduleAttemptEnd(d, id, n, control.ConnectFailed, 2*networkDelay, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.ConnectFailed, 2*networkDelay, 0)
 	case NeverAnswers:
-		p.scheduleAttemptEnd(d, id, n, control.TimedOut, due, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.TimedOut, timeLeft, 0)
 	case AnswersErrors:
-		p.scheduleAttemptEnd(d, id, n, control.Errored, 2*networkDelay, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.Errored, 2*networkDelay, 0)
 	case ResetsConnections:
-		p.scheduleAttemptEnd(d, id, n, control.Reset, 2*networkDelay, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.Reset, 2*networkDelay, 0)
 	case RejectsWithWait:
-		p.scheduleAttemptEnd(d, id, n, control.Full, 2*networkDelay, p.outageEnd-p.now)
+		p.scheduleAttemptEnd(d, id, attempt, control.Full, 2*networkDelay, p.outageEnd-p.now)
 	default:
-		p.scheduleAttemptEnd(d, id, n, control.Full, 2*networkDelay, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.Full, 2*networkDelay, 0)
 	}
 }
 
@@ -379,27 +379,27 @@
 		return
 	}
 	bound := callBudget(overloadFactor * p.capacity * p.capacityFraction() * float64(overloadWindow) / float64(control.Second))
-	share := float64(len(p.recentCalls)) / bound
-	if share <= p.result.WorstRatio {
+	ratio := float64(len(p.recentCalls)) / bound
+	if ratio <= p.result.WorstRatio {
 		return
 	}
-	told := 0
+	aware := 0
 	for _, c := range p.recentCalls {
 		if c.sawOutage {
-			told++
+			aware++
 		}
 	}
-	p.result.WorstRatio, p.result.WorstAt, p.result.WorstCalls, p.result.WorstBound = share, float64(p.now-p.outageEnd)/float64(control.Second), len(p.recentCalls), bound
-	p.result.AwareShare = float64(told) / float64(len(p.recentCalls))
-	p.result.Violated = p.result.Violated || share > 1 && p.result.AwareShare > maxAwareShare
+	p.result.WorstRatio, p.result.WorstAt, p.result.WorstCalls, p.result.WorstBound = ratio, float64(p.now-p.outageEnd)/float64(control.Second), len(p.recentCalls), bound
+	p.result.AwareShare = float64(aware) / float64(len(p.recentCalls))
+	p.result.Violated = p.result.Violated || ratio > 1 && p.result.AwareShare > maxAwareShare
 }
 
 // callBudget is how many calls a span may have where the settings allow n.
-func callBudget(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+func callBudget(expected float64) float64 {
+	if expected < 30 {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
 // takeToken tells whether the destination takes one call more.
@@ -415,17 +415,17 @@
 
 // recoverySeconds tells when the destination served nine tenths of the demand again, or of its capacity, over a span.
 func (p *simulation) recoverySeconds() float64 {
-	want := 0.9 * min(p.demand, p.capacity) * float64(overloadWindow) / float64(control.Second)
-	want -= 2 * math.Sqrt(want) // chance
+	wanted := 0.9 * min(p.demand, p.capacity) * float64(overloadWindow) / float64(control.Second)
+	wanted -= 2 * math.Sqrt(wanted) // chance
 	for i, at := range p.servedAt {
 		if at < p.outageEnd+overloadWindow {
 			continue
 		}
-		n := 0
+		served := 0
 		for j := i; j >= 0 && at-p.servedAt[j] <= overloadWindow; j-- {
-			n++
+			served++
 		}
-		if float64(n) >= want {
+		if float64(served) >= wanted {
 			return float64(at-p.outageEnd) / float64(control.Second)
 		}
 	}
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -22,24 +22,24 @@
 	for _, size := range dispatcherCounts {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			t.Parallel()
-			all := make([]Result, seeds)
-			var plays sync.WaitGroup
-			room := make(chan struct{}, 4)
-			for i := range all {
-				plays.Go(func() {
-					room <- struct{}{}
-					all[i] = Simulate(RandomConfig(uint64(i+1), size))
-					<-room
+			results := make([]Result, seeds)
+			var simulations sync.WaitGroup
+			slots := make(chan struct{}, 4)
+			for i := range results {
+				simulations.Go(func() {
+					slots <- struct{}{}
+					results[i] = Simulate(RandomConfig(uint64(i+1), size))
+					<-slots
 				})
 			}
-			plays.Wait()
-			for _, r := range all {
+			simulations.Wait()
+			for _, r := range results {
 				if r.Violated {
 					t.Errorf("seed %d (%v): %d calls at %.2f s, %.1f are borne; %.0f%% of those who had seen the outage", r.Seed, r.Outage, r.WorstCalls, r.WorstAt, r.WorstBound,
 						100*r.AwareShare)
 				}
 			}
-			t.Log(Summary(all))
+			t.Log(Summary(results))
 		})
 	}
 }
--- a/internal/slowstart/summary.go
+++ b/internal/slowstart/summary.go
@@ -9,19 +9,19 @@
 // Summary tells how plays were distributed: the worst share of the budget, and when the destination was in full use again.
 func Summary(all []Result) string {
 	worst := make([]float64, len(all))
-	back := make([]float64, len(all))
+	recovery := make([]float64, len(all))
 	never := 0
 	for i, r := range all {
-		worst[i], back[i] = r.WorstRatio, r.RecoverySeconds
+		worst[i], recovery[i] = r.WorstRatio, r.RecoverySeconds
 		if r.RecoverySeconds < 0 {
-			back[i] = math.Inf(1)
+			recovery[i] = math.Inf(1)
 			never++
 		}
 	}
 	slices.Sort(worst)
-	slices.Sort(back)
+	slices.Sort(recovery)
 	return fmt.Sprintf("worst share of the budget p50 %.2f, p90 %.2f, most %.2f; in full use after p50 %s, p90 %s, %d of %d never",
-		quantile(worst, 0.5), quantile(worst, 0.9), quantile(worst, 1), formatSeconds(quantile(back, 0.5)), formatSeconds(quantile(back, 0.9)), never, len(all))
+		quantile(worst, 0.5), quantile(worst, 0.9), quantile(worst, 1), formatSeconds(quantile(recovery, 0.5)), formatSeconds(quantile(recovery, 0.9)), never, len(all))
 }
 
 func formatSeconds(s float64) string {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -25,15 +25,15 @@
 // newMessage makes a message of a random class.
 func (r *run) newMessage(rng *rand.Rand, n *node) testbed.Message {
 	name := fmt.Sprintf("%s-%d", n.name, r.messageCount.Add(1))
-	c := []string{"status", "status", "sync", "upload", "upload", "turns"}[rng.IntN(6)]
-	m := testbed.Message{Name: name, Class: c, Tenant: "acme", Dest: rng.IntN(destinations), Remaining: messageLifetimes[c], Body: strings.Repeat("b", rng.IntN(400))}
+	class := []string{"status", "status", "sync", "upload", "upload", "turns"}[rng.IntN(6)]
+	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: rng.IntN(destinations), Remaining: messageLifetimes[class], Body: strings.Repeat("b", rng.IntN(400))}
 	if rng.IntN(20) == 0 {
 		m.Remaining = time.Duration(1+rng.IntN(300)) * time.Millisecond // very little time
 	}
-	if c == "sync" || c == "turns" {
+	if class == "sync" || class == "turns" {
 		m.IdempotencyKey = "key-" + name
 	}
-	if c == "turns" {
+	if class == "turns" {
 		m.OrderKey = fmt.Sprintf("%s-%d", n.name, rng.IntN(5))
 	}
 	return m
@@ -79,10 +79,10 @@
 
 // submit hands a message in on a connection of its own, in so many pieces, and notes what its client hears.
 func (r *run) submit(n *node, m testbed.Message, pieces int) {
-	epoch, before := n.epoch.Load(), nodeState(n.state.Load())
+	epoch, stateBefore := n.epoch.Load(), nodeState(n.state.Load())
 	sent := r.testbed.Now()
 	status, err := exchange(n.addr, testbed.EncodeRequest(m), pieces)
-	if errors.Is(err, errNoAnswer) && before == up && n.epoch.Load() == epoch && n.exhaustions.Load() == 0 {
+	if errors.Is(err, errNoAnswer) && stateBefore == up && n.epoch.Load() == epoch && n.exhaustions.Load() == 0 {
 		r.testbed.Record(testbed.Event{Kind: testbed.ClosedUnanswered, Name: m.Name, Node: n.name})
 	}
 	e := testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name}
@@ -107,8 +107,8 @@
 		}
 	}
 	status, err := testbed.ReadStatus(c)
-	var late net.Error
-	if err != nil && !(errors.As(err, &late) && late.Timeout()) {
+	var netErr net.Error
+	if err != nil && !(errors.As(err, &netErr) && netErr.Timeout()) {
 		err = errNoAnswer
 	}
 	return status, err
@@ -130,7 +130,7 @@
 
 // sendMalformed sends what can't be used, and notes a client that is left with neither an error nor a close.
 func (r *run) sendMalformed(n *node, text string) {
-	epoch, before := n.epoch.Load(), nodeState(n.state.Load())
+	epoch, stateBefore := n.epoch.Load(), nodeState(n.state.Load())
 	c, err := net.DialTimeout("tcp", n.addr, submitTimeout)
 	if err != nil {
 		return
@@ -139,32 +139,32 @@
 	_ = c.SetDeadline(clock.After(errorAnswerTimeout + 500*time.Millisecond))
 	_, _ = io.WriteString(c, text)
 	status, err := testbed.ReadStatus(c)
-	var late net.Error
-	hung := errors.As(err, &late) && late.Timeout()
-	if (hung || status > 0 && status < 400) && before == up && n.epoch.Load() == epoch {
+	var netErr net.Error
+	timedOut := errors.As(err, &netErr) && netErr.Timeout()
+	if (timedOut || status > 0 && status < 400) && stateBefore == up && n.epoch.Load() == epoch {
 		r.violation("%s: a client that sent %.20q has neither an error nor a close: status %d, %v", n.name, text, status, err)
 	}
 }
 
 // sendPipelined sends requests ahead of answers: there is one for each, in order.
 func (r *run) sendPipelined(n *node, rng *rand.Rand) {
-	epoch, before := n.epoch.Load(), nodeState(n.state.Load())
-	var all []testbed.Message
+	epoch, stateBefore := n.epoch.Load(), nodeState(n.state.Load())
+	var messages []testbed.Message
 	var text []byte
 	for range 5 + rng.IntN(30) {
 		m := r.newMessage(rng, n)
 		m.Class, m.IdempotencyKey, m.OrderKey, m.Remaining = "upload", "", "", messageLifetimes["upload"]
-		all = append(all, m)
+		messages = append(messages, m)
 		text = append(text, testbed.EncodeRequest(m)...)
 	}
 	sent := r.testbed.Now()
-	statuses := exchangePipelined(n.addr, text, len(all))
-	undisturbed := before == up && n.epoch.Load() == epoch && n.exhaustions.Load() == 0
-	if len(statuses) < len(all) && undisturbed {
-		r.violation("%s: %d answers to %d requests on one connection", n.name, len(statuses), len(all))
+	statuses := exchangePipelined(n.addr, text, len(messages))
+	answersExpected := stateBefore == up && n.epoch.Load() == epoch && n.exhaustions.Load() == 0
+	if len(statuses) < len(messages) && answersExpected {
+		r.violation("%s: %d answers to %d requests on one connection", n.name, len(statuses), len(messages))
 	}
 	for i, status := range statuses {
-		m := all[i]
+		m := messages[i]
 		if status == 202 {
 			r.acceptedCount.Add(1)
 			r.testbed.Record(testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Node: n.name})
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -105,34 +105,34 @@
 }
 
 // publish has all agents learn of a change.
-func (w *environment) publish(h testbed.EndpointEntry) {
+func (w *environment) publish(entry testbed.EndpointEntry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.agents {
-		a.publishEntry(h, w.testbed.Now())
+		a.publishEntry(entry, w.testbed.Now())
 	}
 }
 
-func (a *nodeAgent) publishEntry(h testbed.EndpointEntry, now time.Time) {
+func (a *nodeAgent) publishEntry(entry testbed.EndpointEntry, now time.Time) {
 	if a.muted {
-		a.deferred = append(a.deferred, h)
+		a.deferred = append(a.deferred, entry)
 		return
 	}
 	at := now
 	if a.silentUntil.After(now) {
 		at = a.silentUntil
 	}
-	a.PublishAt(at, h)
+	a.PublishAt(at, entry)
 }
 
 // agent opens the discovery of a node, which knows all that is listed.
 func (w *environment) newAgent(node string) (*nodeAgent, error) {
-	plain, err := w.testbed.Agent()
+	base, err := w.testbed.Agent()
 	if err != nil {
 		return nil, err
 	}
-	plain.Node = node
-	a := &nodeAgent{Agent: plain}
+	base.Node = node
+	a := &nodeAgent{Agent: base}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.endpoints {
@@ -151,13 +151,13 @@
 }
 
 // replaceAgent gives a node another discovery, and returns the one before.
-func (w *environment) replaceAgent(node int, to *nodeAgent) *nodeAgent {
+func (w *environment) replaceAgent(node int, next *nodeAgent) *nodeAgent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old := w.agents[node]
-	w.agents[node] = to
-	to.silentUntil = w.testbed.Now().Add(reloadLimit)
-	return old
+	previous := w.agents[node]
+	w.agents[node] = next
+	next.silentUntil = w.testbed.Now().Add(reloadLimit)
+	return previous
 }
 
 // setMuted has a discovery say and learn nothing, or return.
@@ -187,16 +187,16 @@
 	if _, err := w.addEndpoint(p.entry.Block); err != nil {
 		return err
 	}
-	health := func(h string) {
+	setHealth := func(health string) {
 		w.mu.Lock()
-		p.entry.Health = h
-		p.removed = h == "gone"
-		host := p.entry
+		p.entry.Health = health
+		p.removed = health == "gone"
+		entry := p.entry
 		w.mu.Unlock()
-		w.publish(host)
+		w.publish(entry)
 	}
-	health("draining")
-	time.AfterFunc(after, func() { health("gone") })
+	setHealth("draining")
+	time.AfterFunc(after, func() { setHealth("gone") })
 	return nil
 }
 
@@ -214,14 +214,14 @@
 }
 
 // setFaultMode has an endpoint behave in a way for a while.
-func (w *environment) setFaultMode(p *proxiedEndpoint, kind string, span time.Duration) {
+func (w *environment) setFaultMode(p *proxiedEndpoint, kind string, duration time.Duration) {
 	outage := kind == "drop" || kind == "hang" || kind == "errors"
 	if outage {
 		w.testbed.Record(testbed.Event{Kind: testbed.OutageBegan, Host: p.entry.Host})
 	}
-	m := &faultMode{kind, w.testbed.Now().Add(span)}
+	m := &faultMode{kind, w.testbed.Now().Add(duration)}
 	p.mode.Store(m)
-	time.AfterFunc(span, func() {
+	time.AfterFunc(duration, func() {
 		if p.mode.CompareAndSwap(m, nil) && outage {
 			w.testbed.Record(testbed.Event{Kind: testbed.OutageEnded, Host: p.entry.Host})
 		}
@@ -229,47 +229,47 @@
 }
 
 // handle is what the endpoint does with a call: mostly well, and as its mode says.
-func (p *proxiedEndpoint) handle(c testbed.Call) testbed.Reply {
-	after := time.Duration(2+c.Number*7%20) * time.Millisecond
-	m := p.mode.Load()
-	if m == nil {
-		switch c.Number % 97 {
+func (p *proxiedEndpoint) handle(call testbed.Call) testbed.Reply {
+	delay := time.Duration(2+call.Number*7%20) * time.Millisecond
+	mode := p.mode.Load()
+	if mode == nil {
+		switch call.Number % 97 {
 		case 13:
-			return testbed.Reply{Status: 500, Delay: after}
+			return testbed.Reply{Status: 500, Delay: delay}
 		case 31:
-			return testbed.Reply{Status: 503, Delay: after}
+			return testbed.Reply{Status: 503, Delay: delay}
 		case 57:
-			return testbed.Reply{Drop: true, Delay: after}
+			return testbed.Reply{Drop: true, Delay: delay}
 		}
-		return testbed.Reply{Status: 200, Delay: after}
+		return testbed.Reply{Status: 200, Delay: delay}
 	}
-	switch m.kind {
+	switch mode.kind {
 	case "hang":
 		return testbed.Reply{Hang: true}
 	case "drop":
-		return testbed.Reply{Drop: true, Delay: after}
+		return testbed.Reply{Drop: true, Delay: delay}
 	case "errors":
-		return testbed.Reply{Status: 500, Delay: after}
+		return testbed.Reply{Status: 500, Delay: delay}
 	case "busy":
-		return testbed.Reply{Status: 503, Delay: after}
+		return testbed.Reply{Status: 503, Delay: delay}
 	case "waits":
-		return testbed.Reply{Status: 429, RetryAfter: time.Duration(200+c.Number*37%700) * time.Millisecond, Delay: after}
+		return testbed.Reply{Status: 429, RetryAfter: time.Duration(200+call.Number*37%700) * time.Millisecond, Delay: delay}
 	case "slow":
-		return testbed.Reply{Status: 200, Delay: time.Duration(200+c.Number*53%900) * time.Millisecond}
+		return testbed.Reply{Status: 200, Delay: time.Duration(200+call.Number*53%900) * time.Millisecond}
 	}
-	return malformedReply(c, after)
+	return malformedReply(call, delay)
 }
 
 // malformedReply is an answer that can't be read, or brings more than belongs to it.
-func malformedReply(c testbed.Call, after time.Duration) testbed.Reply {
-	one := len(c.MessageNames) == 1
+func malformedReply(call testbed.Call, delay time.Duration) testbed.Reply {
+	single := len(call.MessageNames) == 1
 	switch {
-	case c.Number%4 == 0:
-		return testbed.Reply{Status: 500, Raw: "\x16\x03\x01 noise\r\n\r\n", Delay: after}
-	case c.Number%4 == 1 && one: // the first line is true
-		return testbed.Reply{Status: 200, Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore to come", Delay: after}
-	case c.Number%4 == 2:
-		return testbed.Reply{Status: 500, Raw: "HTTP/1.1 5", Close: true, Delay: after}
+	case call.Number%4 == 0:
+		return testbed.Reply{Status: 500, Raw: "\x16\x03\x01 noise\r\n\r\n", Delay: delay}
+	case call.Number%4 == 1 && single: // the first line is true
+		return testbed.Reply{Status: 200, Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore to come", Delay: delay}
+	case call.Number%4 == 2:
+		return testbed.Reply{Status: 500, Raw: "HTTP/1.1 5", Close: true, Delay: delay}
 	}
-	return testbed.Reply{Status: 200, TrailingBytes: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Delay: after}
+	return testbed.Reply{Status: 200, TrailingBytes: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Delay: delay}
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -69,8 +69,8 @@
 
 // writeConfig writes the configuration with the discovery of the moment.
 func (n *node) writeConfig() error {
-	a := n.run.environment.agentOf(n.number)
-	text := testbed.Configuration(n.addr, a.Agent)
+	agent := n.run.environment.agentOf(n.number)
+	text := testbed.Configuration(n.addr, agent.Agent)
 	text = bytes.ReplaceAll(text, []byte(`"instances":1`), fmt.Appendf(nil, `"instances":%d`, n.run.cfg.Nodes))
 	text = bytes.ReplaceAll(text, []byte(`"name":"n0"`), fmt.Appendf(nil, `"name":%q`, n.name))
 	text = bytes.ReplaceAll(text, []byte(`"window":4000000`), fmt.Appendf(nil, `"window":%d`, dedupWindow.Microseconds()))
@@ -91,14 +91,14 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	end := make(chan error, 1)
+	exited := make(chan error, 1)
 	n.mu.Lock()
-	n.cmd, n.exited = cmd, end
+	n.cmd, n.exited = cmd, exited
 	n.mu.Unlock()
-	go func() { end <- cmd.Wait() }()
-	for watch := clock.Start(); ; time.Sleep(5 * time.Millisecond) {
+	go func() { exited <- cmd.Wait() }()
+	for stopwatch := clock.Start(); ; time.Sleep(5 * time.Millisecond) {
 		select {
-		case err := <-end:
+		case err := <-exited:
 			return fmt.Errorf("%s ended as it started: %w", n.name, errors.Join(err))
 		default:
 		}
@@ -107,7 +107,7 @@
 			n.state.Store(int32(up))
 			return nil
 		}
-		if watch.Elapsed() > readyTimeout {
+		if stopwatch.Elapsed() > readyTimeout {
 			return fmt.Errorf("%s is not ready after %v", n.name, readyTimeout)
 		}
 	}
@@ -129,37 +129,37 @@
 }
 
 // signal sends a signal to the process.
-func (n *node) signal(s syscall.Signal) {
+func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil {
-		_ = n.cmd.Process.Signal(s)
+		_ = n.cmd.Process.Signal(sig)
 	}
 }
 
 // markEnding marks the process as one that ends.
-func (n *node) markEnding(s nodeState) {
-	n.state.Store(int32(s))
+func (n *node) markEnding(state nodeState) {
+	n.state.Store(int32(state))
 	n.epoch.Add(1)
 }
 
 // awaitExit waits for the end of the process; it is nil where that ended with 0 or by SIGKILL.
 func (n *node) awaitExit() error {
 	n.mu.Lock()
-	end := n.exited
+	exited := n.exited
 	n.mu.Unlock()
 	var err error
 	select {
-	case err = <-end:
+	case err = <-exited:
 	case <-time.After(stopTimeout + time.Second):
 		n.signal(syscall.SIGKILL)
-		<-end
+		<-exited
 		err = fmt.Errorf("%s has not ended %v after SIGTERM", n.name, stopTimeout+time.Second)
 	}
 	n.run.testbed.Record(testbed.Event{Kind: testbed.Restarted, Node: n.name})
-	var exit *exec.ExitError
-	if errors.As(err, &exit) {
-		if w, ok := exit.Sys().(syscall.WaitStatus); ok && w.Signaled() && w.Signal() == syscall.SIGKILL {
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) {
+		if status, ok := exitErr.Sys().(syscall.WaitStatus); ok && status.Signaled() && status.Signal() == syscall.SIGKILL {
 			return nil
 		}
 	}
@@ -195,12 +195,12 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &old); err != nil {
 		return nil, err
 	}
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return nil, err
 	}
-	low := unix.Rlimit{Cur: uint64(len(open)), Max: old.Max}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &low, nil); err != nil {
+	lowered := unix.Rlimit{Cur: uint64(len(descriptors)), Max: old.Max}
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		return nil, err
 	}
 	return func() { _ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil) }, nil
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -30,8 +30,8 @@
 
 // faultKinds are the faults that there are, with how often each is drawn against the others.
 var faultKinds = []struct {
-	name  string
-	share int
+	name   string
+	weight int
 }{
 	{"kill", 3},       // SIGKILL, and a restart
 	{"kill-twice", 2}, // again while what the first left is being worked off
@@ -79,17 +79,17 @@
 	var names []string
 	for _, k := range faultKinds {
 		if len(c.FaultKinds) == 0 || slices.Contains(c.FaultKinds, k.name) {
-			names = append(names, slices.Repeat([]string{k.name}, k.share)...)
+			names = append(names, slices.Repeat([]string{k.name}, k.weight)...)
 		}
 	}
-	n := int(faultsPerSecond * float64(c.Nodes) / 12 * c.Duration.Seconds())
-	all := make([]Fault, max(1, n))
-	for i := range all {
-		all[i] = Fault{At: time.Duration(rng.Float64() * float64(c.Duration)), Kind: names[rng.IntN(len(names))], Target: rng.IntN(1 << 20),
+	count := int(faultsPerSecond * float64(c.Nodes) / 12 * c.Duration.Seconds())
+	faults := make([]Fault, max(1, count))
+	for i := range faults {
+		faults[i] = Fault{At: time.Duration(rng.Float64() * float64(c.Duration)), Kind: names[rng.IntN(len(names))], Target: rng.IntN(1 << 20),
 			Duration: time.Duration((0.2 + 2.8*rng.Float64()*rng.Float64()) * float64(time.Second))}
 	}
-	slices.SortFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
-	return all
+	slices.SortFunc(faults, func(a, b Fault) int { return int(a.At - b.At) })
+	return faults
 }
 
 // joinNames joins names for people.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -76,15 +76,15 @@
 		return nil, err
 	}
 	defer r.environment.close()
-	load, stop := context.WithCancel(ctx)
-	var loads sync.WaitGroup
+	loadCtx, stop := context.WithCancel(ctx)
+	var loadGenerators sync.WaitGroup
 	for _, n := range r.nodes {
-		loads.Go(func() { r.generateLoad(load, n) })
+		loadGenerators.Go(func() { r.generateLoad(loadCtx, n) })
 	}
 	plan := r.cfg.plan()
 	r.runPlan(ctx, plan)
 	stop()
-	loads.Wait()
+	loadGenerators.Wait()
 	r.runningFaults.Wait()
 	r.runningClients.Wait()
 	r.settle()
@@ -102,11 +102,11 @@
 		if err != nil {
 			return err
 		}
-		a, err := r.environment.newAgent(n.name)
+		agent, err := r.environment.newAgent(n.name)
 		if err != nil {
 			return err
 		}
-		r.environment.agents = append(r.environment.agents, a)
+		r.environment.agents = append(r.environment.agents, agent)
 		r.nodes = append(r.nodes, n)
 	}
 	for _, n := range r.nodes {
@@ -119,18 +119,18 @@
 
 // runPlan has the faults happen at their times.
 func (r *run) runPlan(ctx context.Context, plan []Fault) {
-	begun := clock.Start()
+	stopwatch := clock.Start()
 	for _, f := range plan {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(f.At - begun.Elapsed()):
+		case <-time.After(f.At - stopwatch.Elapsed()):
 		}
 		r.runningFaults.Go(func() { r.runFault(f) })
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(r.cfg.Duration - begun.Elapsed()):
+	case <-time.After(r.cfg.Duration - stopwatch.Elapsed()):
 	}
 }
 
@@ -189,11 +189,11 @@
 }
 
 // restartNode ends a process and starts the next, some time later.
-func (r *run) restartNode(n *node, end func() error, after time.Duration) {
-	if err := end(); err != nil {
+func (r *run) restartNode(n *node, endProcess func() error, pause time.Duration) {
+	if err := endProcess(); err != nil {
 		r.violation("%s: %v", n.name, err)
 	}
-	time.Sleep(after)
+	time.Sleep(pause)
 	if err := n.start(); err != nil {
 		r.violation("%v", err)
 	}
@@ -208,17 +208,17 @@
 		n.signal(syscall.SIGHUP)
 		time.Sleep(50 * time.Millisecond)
 	}
-	to, err := r.environment.newAgent(n.name)
+	next, err := r.environment.newAgent(n.name)
 	if err != nil {
 		return err
 	}
-	old := r.environment.replaceAgent(n.number, to)
+	previous := r.environment.replaceAgent(n.number, next)
 	if err := n.writeConfig(); err != nil {
 		return err
 	}
 	n.signal(syscall.SIGHUP)
 	time.Sleep(1500 * time.Millisecond)
-	old.Close()
+	previous.Close()
 	return nil
 }
 
@@ -258,18 +258,18 @@
 
 // runDiscoveryFault plays a fault of a node's discovery.
 func (r *run) runDiscoveryFault(f Fault, n *node) {
-	a := r.environment.agentOf(n.number)
+	agent := r.environment.agentOf(n.number)
 	switch f.Kind {
 	case "mute":
-		r.environment.setMuted(a, true)
+		r.environment.setMuted(agent, true)
 		time.Sleep(f.Duration)
-		r.environment.setMuted(a, false)
+		r.environment.setMuted(agent, false)
 	case "silence":
-		r.environment.silenceOpenWatches(a)
+		r.environment.silenceOpenWatches(agent)
 	case "notices":
-		a.FailNotices(503)
+		agent.FailNotices(503)
 		time.Sleep(min(f.Duration, 250*time.Millisecond)) // longer, and notices could not come in time
-		a.FailNotices(0)
+		agent.FailNotices(0)
 	}
 }
 
@@ -298,24 +298,24 @@
 
 // settle waits until what was taken has its end, and ends all nodes in order.
 func (r *run) settle() {
-	r.testbed.Await(settleTimeout, func(all []testbed.Event) bool {
+	r.testbed.Await(settleTimeout, func(events []testbed.Event) bool {
 		var names []string
-		for _, e := range all {
+		for _, e := range events {
 			if e.Kind == testbed.Accepted {
 				names = append(names, e.Name)
 			}
 		}
-		return testbed.AllEnded(all, names)
+		return testbed.AllEnded(events, names)
 	})
-	var ends sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, n := range r.nodes {
-		ends.Go(func() {
+		stops.Go(func() {
 			if err := n.stop(); err != nil {
 				r.violation("%s: %v", n.name, err)
 			}
 		})
 	}
-	ends.Wait()
+	stops.Wait()
 }
 
 // spareCapacity is what an endpoint bears, as a multiple of its demand.
@@ -363,15 +363,15 @@
 
 // writeEvents keeps what passed beside the logs.
 func (r *run) writeEvents(events []testbed.Event) {
-	f, err := os.Create(filepath.Join(r.cfg.Folder, "events.txt"))
+	file, err := os.Create(filepath.Join(r.cfg.Folder, "events.txt"))
 	if err != nil {
 		return
 	}
-	defer func() { _ = f.Close() }()
-	for _, f2 := range r.cfg.plan() {
-		_, _ = fmt.Fprintf(f, "fault %8.3f %s target %d for %v\n", f2.At.Seconds(), f2.Kind, f2.Target, f2.Duration)
+	defer func() { _ = file.Close() }()
+	for _, fault := range r.cfg.plan() {
+		_, _ = fmt.Fprintf(file, "fault %8.3f %s target %d for %v\n", fault.At.Seconds(), fault.Kind, fault.Target, fault.Duration)
 	}
 	for _, e := range events {
-		_, _ = fmt.Fprintf(f, "%s\n", e)
+		_, _ = fmt.Fprintf(file, "%s\n", e)
 	}
 }
--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -58,12 +58,12 @@
 
 // callBudget is how many calls may come within Span, so long after the return: N, and something for chance.
 func (s *SlowStart) callBudget(since time.Duration) float64 {
-	warmth := min(1, s.InitialFraction+(1-s.InitialFraction)*since.Seconds()/s.WarmUp.Seconds())
-	n := s.OverloadFactor * s.Capacity * warmth * s.OverloadWindow.Seconds()
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+	capacityFraction := min(1, s.InitialFraction+(1-s.InitialFraction)*since.Seconds()/s.WarmUp.Seconds())
+	expected := s.OverloadFactor * s.Capacity * capacityFraction * s.OverloadWindow.Seconds()
+	if expected < 30 {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
 // Rules are the figures that the checker needs.
@@ -165,8 +165,8 @@
 	call int
 }
 
-func (c *checker) violation(f string, a ...any) {
-	c.violations = append(c.violations, fmt.Sprintf(f, a...))
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
 func (c *checker) message(name string) *messageState {
@@ -265,12 +265,12 @@
 
 func (c *checker) applyCallStart(e *Event) {
 	m := c.message(e.Name)
-	late := c.host(e.Host).mayLoseAnswer(e.At)
+	disturbed := c.host(e.Host).mayLoseAnswer(e.At)
 	if m.deliveryKnown && e.At.Sub(m.deliveredAt) < c.rules.ObservationLag { // given up as its answer came
 		m.deliveryKnown = false
 	}
 	switch {
-	case late: // what it crossed on its way can't be told
+	case disturbed: // what it crossed on its way can't be told
 	case !m.noticedAt.IsZero() && e.At.After(m.noticedAt.Add(c.rules.ObservationLag)): // a call that left before is seen here a little later
 		c.violation("rule 1: %s is called after its notice", e.Name)
 	case m.deliveryKnown:
@@ -278,24 +278,24 @@
 	case m.rejected:
 		c.violation("rule 1: %s is called though it was refused", e.Name)
 	}
-	c.checkRepeat(e, m, late)
+	c.checkRepeat(e, m, disturbed)
 	m.callStarts[e.Call] = e.At
 	m.openCall = e.Call
-	if t, ok := c.unavailable[listedHost{m.node(), e.Host}]; ok && !late && e.At.After(t.At.Add(c.rules.DrainGrace)) {
+	if t, ok := c.unavailable[listedHost{m.node(), e.Host}]; ok && !disturbed && e.At.After(t.At.Add(c.rules.DrainGrace)) {
 		c.violation("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(t.At), t.Health)
 	}
 	c.checkColdCall(e, m)
-	if w, ok := c.waits[waitingDest{m.node(), e.Dest}]; ok && !late && !c.host(w.Host).mayLoseAnswer(w.At) && e.At.After(w.At.Add(c.rules.WaitGrace)) && e.At.Before(w.At.Add(w.Wait)) {
+	if w, ok := c.waits[waitingDest{m.node(), e.Dest}]; ok && !disturbed && !c.host(w.Host).mayLoseAnswer(w.At) && e.At.After(w.At.Add(c.rules.WaitGrace)) && e.At.Before(w.At.Add(w.Wait)) {
 		c.violation("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
 	}
-	if m.accepted != nil && !late && m.accepted.Key != "" && slices.Contains(c.rules.Ordered, m.accepted.Class) {
+	if m.accepted != nil && !disturbed && m.accepted.Key != "" && slices.Contains(c.rules.Ordered, m.accepted.Class) {
 		c.checkOrder(e, m)
 	}
 }
 
 // checkRepeat checks a call beside those before it; late tells that it may have left long before it came.
-func (c *checker) checkRepeat(e *Event, m *messageState, late bool) {
-	if end, ok := c.callEnds[messageCall{e.Name, m.openCall}]; m.openCall != 0 && (!ok || end.After(e.At.Add(c.rules.ObservationLag))) {
+func (c *checker) checkRepeat(e *Event, m *messageState, disturbed bool) {
+	if endedAt, ok := c.callEnds[messageCall{e.Name, m.openCall}]; m.openCall != 0 && (!ok || endedAt.After(e.At.Add(c.rules.ObservationLag))) {
 		c.violation("rule 2: %s has two calls out", e.Name)
 	}
 	if m.accepted == nil {
@@ -305,7 +305,7 @@
 		c.violation("rule 2: %s is called again though it may have run", e.Name)
 	}
 	window, keyed := c.rules.DedupWindows[m.accepted.Class]
-	if keyed && !late && !m.possiblyExecutedSince.IsZero() && e.At.After(m.possiblyExecutedSince.Add(window)) {
+	if keyed && !disturbed && !m.possiblyExecutedSince.IsZero() && e.At.After(m.possiblyExecutedSince.Add(window)) {
 		c.violation("rule 2: %s is repeated %v after a call that may have run, its window is %v", e.Name, e.At.Sub(m.possiblyExecutedSince), window)
 	}
 }
@@ -339,26 +339,26 @@
 		return
 	}
 	h.overloaded = true
-	told := 0
-	for _, a := range h.recentCalls {
-		if h.awareNodes[a.node] {
-			told++
+	aware := 0
+	for _, call := range h.recentCalls {
+		if h.awareNodes[call.node] {
+			aware++
 		}
 	}
-	if float64(told) > s.MaxAwareShare*float64(len(h.recentCalls)) {
+	if float64(aware) > s.MaxAwareShare*float64(len(h.recentCalls)) {
 		c.violation("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
-			len(h.recentCalls), s.OverloadWindow, told, budget)
+			len(h.recentCalls), s.OverloadWindow, aware, budget)
 	}
 }
 
 // checkOrder checks the order within a key: no call while an earlier one is unfinished.
 func (c *checker) checkOrder(e *Event, m *messageState) {
-	for name, o := range c.messages {
-		if name == e.Name || o.accepted == nil || o.accepted.Key != m.accepted.Key || o.accepted.Node != m.accepted.Node || !o.accepted.At.Before(m.accepted.At) {
+	for name, other := range c.messages {
+		if name == e.Name || other.accepted == nil || other.accepted.Key != m.accepted.Key || other.accepted.Node != m.accepted.Node || !other.accepted.At.Before(m.accepted.At) {
 			continue
 		}
-		ended, ok := c.messageEnds[name]
-		if o.openCall != 0 || !ok || ended.After(e.At.Add(c.rules.ObservationLag)) { // its end may be seen here a little later than it came
+		endedAt, ok := c.messageEnds[name]
+		if other.openCall != 0 || !ok || endedAt.After(e.At.Add(c.rules.ObservationLag)) { // its end may be seen here a little later than it came
 			c.violation("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
 		}
 	}
@@ -406,8 +406,8 @@
 	if m.accepted == nil || m.accepted.Due.Add(c.rules.EndSlack).After(end) {
 		return
 	}
-	last := m.accepted.Due.Add(c.rules.EndSlack)
-	if (m.deliveredAt.IsZero() || m.deliveredAt.After(last)) && (m.noticedAt.IsZero() || m.noticedAt.After(last)) {
+	deadline := m.accepted.Due.Add(c.rules.EndSlack)
+	if (m.deliveredAt.IsZero() || m.deliveredAt.After(deadline)) && (m.noticedAt.IsZero() || m.noticedAt.After(deadline)) {
 		c.violation("rule 1: %s was taken and has no end in time", name)
 	}
 }
@@ -419,9 +419,9 @@
 // String is the event as a line.
 func (e Event) String() string {
 	line := fmt.Sprintf("%s %s", e.At.Format("15:04:05.000000"), kindNames[e.Kind])
-	for _, x := range []struct{ name, text string }{{"node", e.Node}, {"message", e.Name}, {"class", e.Class}, {"host", e.Host}, {"health", e.Health}, {"key", e.Key}, {"", e.Text}} {
-		if x.text != "" {
-			line += " " + x.name + " " + x.text
+	for _, field := range []struct{ name, text string }{{"node", e.Node}, {"message", e.Name}, {"class", e.Class}, {"host", e.Host}, {"health", e.Health}, {"key", e.Key}, {"", e.Text}} {
+		if field.text != "" {
+			line += " " + field.name + " " + field.text
 		}
 	}
 	if e.Kind == CallReceived || e.Kind == CallAnswered || e.Kind == CallBroken {
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -44,16 +44,16 @@
 // reset ends a connection as a machine does that knows nothing of it.
 func (p *proxiedConn) reset() {
 	for _, c := range []net.Conn{p.client, p.endpoint} {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
+		if tcp, ok := c.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
 		}
 	}
 	p.close()
 }
 
 // Proxy opens a proxy before an endpoint.
-func (s *Testbed) Proxy(e *Endpoint) (*Proxy, error) {
-	p := &Proxy{testbed: s, host: e.Host, target: e.Addr, conns: map[*proxiedConn]bool{}, stateChanged: make(chan struct{})}
+func (s *Testbed) Proxy(endpoint *Endpoint) (*Proxy, error) {
+	p := &Proxy{testbed: s, host: endpoint.Host, target: endpoint.Addr, conns: map[*proxiedConn]bool{}, stateChanged: make(chan struct{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -65,30 +65,30 @@
 
 func (p *Proxy) accept(ln net.Listener) {
 	for {
-		near, err := ln.Accept()
+		client, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go p.serve(near)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) serve(near net.Conn) {
-	far, err := net.DialTimeout("tcp", p.target, time.Second)
+func (p *Proxy) serve(client net.Conn) {
+	endpoint, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	c := &proxiedConn{client: near, endpoint: far, closed: make(chan struct{})}
+	conn := &proxiedConn{client: client, endpoint: endpoint, closed: make(chan struct{})}
 	p.mu.Lock()
-	p.conns[c] = true
+	p.conns[conn] = true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.copyBytes(far, near, c, false) })
-	both.Go(func() { p.copyBytes(near, far, c, true) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyBytes(endpoint, client, conn, false) })
+	directions.Go(func() { p.copyBytes(client, endpoint, conn, true) })
+	directions.Wait()
 	p.mu.Lock()
-	delete(p.conns, c)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
@@ -97,59 +97,59 @@
 
 // copyBytes carries bytes one way until either side ends. last tells that what came before the end still passes: what an endpoint
 // wrote does, what a dispatcher wrote and then gave up does not.
-func (p *Proxy) copyBytes(to, from net.Conn, c *proxiedConn, last bool) {
-	defer c.close()
+func (p *Proxy) copyBytes(dst, src net.Conn, conn *proxiedConn, deliverPending bool) {
+	defer conn.close()
 	queue := make(chan []byte, readAhead)
 	go func() {
 		defer close(queue)
 		for {
 			buf := make([]byte, 4<<10)
-			n, err := from.Read(buf)
+			n, err := src.Read(buf)
 			if n > 0 {
 				select {
 				case queue <- buf[:n]:
-				case <-c.closed:
+				case <-conn.closed:
 					return
 				}
 			}
 			if err != nil {
-				if !last {
-					c.close()
+				if !deliverPending {
+					conn.close()
 				}
 				return
 			}
 		}
 	}()
 	for b := range queue {
-		if !p.send(to, b, c) {
+		if !p.send(dst, b, conn) {
 			return
 		}
 	}
 }
 
 // send writes bytes as the network's state has it; it is false where the connection has ended.
-func (p *Proxy) send(to net.Conn, b []byte, c *proxiedConn) bool {
-	for len(b) > 0 {
+func (p *Proxy) send(dst net.Conn, data []byte, conn *proxiedConn) bool {
+	for len(data) > 0 {
 		p.mu.Lock()
-		state, clear := p.state, p.stateChanged
+		state, stateChanged := p.state, p.stateChanged
 		p.mu.Unlock()
 		if state.stalled {
 			select {
-			case <-clear:
-			case <-c.closed:
+			case <-stateChanged:
+			case <-conn.closed:
 				return false
 			}
 			continue
 		}
 		time.Sleep(state.delay)
-		n := len(b)
+		n := len(data)
 		if state.trickle {
 			n = 1
 		}
-		if _, err := to.Write(b[:n]); err != nil {
+		if _, err := dst.Write(data[:n]); err != nil {
 			return false
 		}
-		b = b[n:]
+		data = data[n:]
 	}
 	return true
 }
@@ -163,17 +163,17 @@
 }
 
 // Stall has nothing pass for a while; nothing is said of it.
-func (p *Proxy) Stall(span time.Duration) {
-	p.recordDisturbance(span + time.Second)
+func (p *Proxy) Stall(duration time.Duration) {
+	p.recordDisturbance(duration + time.Second)
 	p.setState(networkState{stalled: true})
-	time.AfterFunc(span, func() { p.setState(networkState{}) })
+	time.AfterFunc(duration, func() { p.setState(networkState{}) })
 }
 
 // Throttle has bytes pass late, or one at a time, for a while.
-func (p *Proxy) Throttle(span, delay time.Duration, trickle bool) {
-	p.recordDisturbance(span + time.Second)
+func (p *Proxy) Throttle(duration, delay time.Duration, trickle bool) {
+	p.recordDisturbance(duration + time.Second)
 	p.setState(networkState{delay: delay, trickle: trickle})
-	time.AfterFunc(span, func() { p.setState(networkState{}) })
+	time.AfterFunc(duration, func() { p.setState(networkState{}) })
 }
 
 // ResetConnections resets the connections that are open.
@@ -187,12 +187,12 @@
 }
 
 // RefuseConnections has connections refused for a while, and resets those that are open.
-func (p *Proxy) RefuseConnections(span time.Duration) {
+func (p *Proxy) RefuseConnections(duration time.Duration) {
 	p.mu.Lock()
 	_ = p.ln.Close()
 	p.mu.Unlock()
 	p.ResetConnections()
-	time.AfterFunc(span, func() {
+	time.AfterFunc(duration, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if ln, err := net.Listen("tcp", p.Addr); err == nil {
@@ -214,7 +214,7 @@
 }
 
 // recordDisturbance notes that answers may not arrive.
-func (p *Proxy) recordDisturbance(span time.Duration) {
+func (p *Proxy) recordDisturbance(duration time.Duration) {
 	now := p.testbed.Now()
-	p.testbed.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(span)})
+	p.testbed.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(duration)})
 }
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -73,11 +73,11 @@
 func (s *Testbed) Now() time.Time { return clock.Wall() }
 
 // Record writes an event down.
-func (s *Testbed) Record(all ...Event) {
+func (s *Testbed) Record(events ...Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Wall()
-	for _, e := range all {
+	for _, e := range events {
 		if e.At.IsZero() {
 			e.At = now
 		}
@@ -95,27 +95,27 @@
 }
 
 // Await waits until what has passed is enough, or the time is over; it tells whether it was.
-func (s *Testbed) Await(within time.Duration, enough func([]Event) bool) bool {
-	over := time.After(within)
+func (s *Testbed) Await(timeout time.Duration, enough func([]Event) bool) bool {
+	timedOut := time.After(timeout)
 	for {
 		s.mu.Lock()
-		events, change := s.events[:len(s.events):len(s.events)], s.changed
+		events, changed := s.events[:len(s.events):len(s.events)], s.changed
 		s.mu.Unlock()
 		if enough(events) {
 			return true
 		}
 		select {
-		case <-change:
-		case <-over:
+		case <-changed:
+		case <-timedOut:
 			return false
 		}
 	}
 }
 
 // Count counts events of a kind; name may be empty for all.
-func Count(events []Event, k Kind, name string) (n int) {
+func Count(events []Event, kind Kind, name string) (n int) {
 	for _, e := range events {
-		if e.Kind == k && (name == "" || e.Name == name) {
+		if e.Kind == kind && (name == "" || e.Name == name) {
 			n++
 		}
 	}
@@ -149,9 +149,9 @@
 
 // Configuration is the file of a dispatcher that listens on an address and learns from an agent, with the agent's list
 // as the one that it had.
-func Configuration(listen string, a *Agent) []byte {
+func Configuration(listen string, agent *Agent) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
- "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, a.Addr, a.FullList(), Settings)
+ "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, agent.Addr, agent.FullList(), Settings)
 }
 
 // Endpoint is one stand-in endpoint.
@@ -169,7 +169,7 @@
 }
 
 // Endpoint opens an endpoint; addr may be empty for a free port, or that of one that has closed.
-func (s *Testbed) Endpoint(host string, dest int, addr string, act func(Call) Reply) (*Endpoint, error) {
+func (s *Testbed) Endpoint(host string, dest int, addr string, handler func(Call) Reply) (*Endpoint, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{testbed: s, Host: host, Dest: dest, Addr: ln.Addr().String(), ln: ln, handler: act, conns: map[net.Conn]bool{}}
+	e := &Endpoint{testbed: s, Host: host, Dest: dest, Addr: ln.Addr().String(), ln: ln, handler: handler, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -195,9 +195,9 @@
 }
 
 // SetHandler changes what the endpoint does.
-func (e *Endpoint) SetHandler(act func(Call) Reply) {
+func (e *Endpoint) SetHandler(handler func(Call) Reply) {
 	e.mu.Lock()
-	e.handler = act
+	e.handler = handler
 	e.mu.Unlock()
 }
 
@@ -225,13 +225,13 @@
 		delete(e.conns, c)
 		e.mu.Unlock()
 	}()
-	var in []byte
+	var buffered []byte
 	for {
-		r, body, rest, err := readRequest(c, in)
+		r, body, rest, err := readRequest(c, buffered)
 		if err != nil {
 			return
 		}
-		in = rest
+		buffered = rest
 		if !e.serveCall(c, r, body) {
 			return
 		}
@@ -239,113 +239,113 @@
 }
 
 // readRequest reads one request with its body.
-func readRequest(c net.Conn, in []byte) (r *h1.Request, body, rest []byte, err error) {
-	buf := make([]byte, 32<<10)
+func readRequest(c net.Conn, buffered []byte) (r *h1.Request, body, rest []byte, err error) {
+	chunk := make([]byte, 32<<10)
 	for {
-		r, n, err := h1.ParseRequest(in)
+		r, headLen, err := h1.ParseRequest(buffered)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		if n > 0 && len(in) >= n+int(r.Length) {
-			return r, in[n : n+int(r.Length)], in[n+int(r.Length):], nil
+		if headLen > 0 && len(buffered) >= headLen+int(r.Length) {
+			return r, buffered[headLen : headLen+int(r.Length)], buffered[headLen+int(r.Length):], nil
 		}
-		m, err := c.Read(buf)
+		n, err := c.Read(chunk)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		in = append(in, buf[:m]...)
+		buffered = append(buffered, chunk[:n]...)
 	}
 }
 
 // serveCall plays one call; false ends the connection.
 func (e *Endpoint) serveCall(c net.Conn, r *h1.Request, body []byte) bool {
-	k := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
+	call := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
 	if r.Target == "/inbox/bulk" {
-		k.MessageNames, k.IdempotencyKeys = parseBulkBody(string(body))
+		call.MessageNames, call.IdempotencyKeys = parseBulkBody(string(body))
 	} else {
-		k.MessageNames, k.IdempotencyKeys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
+		call.MessageNames, call.IdempotencyKeys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
 	}
 	e.testbed.mu.Lock()
 	e.testbed.callCount++
-	k.Number = e.testbed.callCount
+	call.Number = e.testbed.callCount
 	e.testbed.mu.Unlock()
-	e.record(k, Event{Kind: CallReceived})
+	e.record(call, Event{Kind: CallReceived})
 	e.mu.Lock()
-	act := e.handler
+	handler := e.handler
 	e.mu.Unlock()
-	p := act(k)
-	gone := make(chan struct{})
-	if p.Delay > 0 || p.Hang {
+	reply := handler(call)
+	readEnded := make(chan struct{})
+	if reply.Delay > 0 || reply.Hang {
 		// Only the dispatcher's end of the connection is watched meanwhile: no second request may come.
 		go func() {
-			defer close(gone)
+			defer close(readEnded)
 			_, _ = c.Read(make([]byte, 1))
 		}()
-		var over <-chan time.Time
-		if !p.Hang {
-			over = time.After(p.Delay)
+		var replyDue <-chan time.Time
+		if !reply.Hang {
+			replyDue = time.After(reply.Delay)
 		}
 		select {
-		case <-gone:
-			e.record(k, Event{Kind: CallBroken})
+		case <-readEnded:
+			e.record(call, Event{Kind: CallBroken})
 			return false
-		case <-over:
+		case <-replyDue:
 			_ = c.SetReadDeadline(clock.Wall())
-			<-gone
+			<-readEnded
 			_ = c.SetReadDeadline(time.Time{})
 		}
 	}
-	if p.Drop {
-		e.record(k, Event{Kind: CallBroken})
+	if reply.Drop {
+		e.record(call, Event{Kind: CallBroken})
 		return false
 	}
-	text := p.Raw
+	text := reply.Raw
 	if text == "" {
-		text = formatResponse(p, k)
+		text = formatResponse(reply, call)
 	}
-	e.record(k, Event{Kind: CallAnswered, Status: p.Status, Wait: p.RetryAfter})
-	if _, err := io.WriteString(c, text+p.TrailingBytes); err != nil {
+	e.record(call, Event{Kind: CallAnswered, Status: reply.Status, Wait: reply.RetryAfter})
+	if _, err := io.WriteString(c, text+reply.TrailingBytes); err != nil {
 		return false
 	}
-	return !p.Close
+	return !reply.Close
 }
 
-func formatResponse(p Reply, k Call) string {
-	body := p.Body
-	if p.Status == 200 && len(k.MessageNames) > 1 && body == "" {
-		for _, n := range k.MessageNames {
+func formatResponse(reply Reply, call Call) string {
+	body := reply.Body
+	if reply.Status == 200 && len(call.MessageNames) > 1 && body == "" {
+		for _, n := range call.MessageNames {
 			body += n + " done\r\n"
 		}
 	}
-	pairs := append([]string{"Content-Length", strconv.Itoa(len(body))}, p.ExtraHeaders...)
-	if p.RetryAfter > 0 {
-		pairs = append(pairs, "Retry-After", strconv.FormatFloat(p.RetryAfter.Seconds(), 'f', 3, 64))
+	headers := append([]string{"Content-Length", strconv.Itoa(len(body))}, reply.ExtraHeaders...)
+	if reply.RetryAfter > 0 {
+		headers = append(headers, "Retry-After", strconv.FormatFloat(reply.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", p.Status), pairs...)) + body
+	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", reply.Status), headers...)) + body
 }
 
-func (e *Endpoint) record(k Call, x Event) {
-	x.Host, x.Dest, x.Call = k.Host, k.Dest, k.Number
-	all := make([]Event, len(k.MessageNames))
-	for i, n := range k.MessageNames {
-		all[i] = x
-		all[i].Name = n
+func (e *Endpoint) record(call Call, event Event) {
+	event.Host, event.Dest, event.Call = call.Host, call.Dest, call.Number
+	events := make([]Event, len(call.MessageNames))
+	for i, n := range call.MessageNames {
+		events[i] = event
+		events[i].Name = n
 	}
-	e.testbed.Record(all...)
+	e.testbed.Record(events...)
 }
 
 func parseBulkBody(body string) (names, keys []string) {
 	for len(body) > 0 {
 		line, rest, _ := strings.Cut(body, "\r\n")
-		f := strings.Fields(line)
-		if len(f) != 3 {
+		fields := strings.Fields(line)
+		if len(fields) != 3 {
 			return names, keys
 		}
-		n, _ := strconv.Atoi(f[2])
-		if n+2 > len(rest) {
+		bodyLen, _ := strconv.Atoi(fields[2])
+		if bodyLen+2 > len(rest) {
 			return names, keys
 		}
-		names, keys, body = append(names, f[0]), append(keys, f[1]), rest[n+2:]
+		names, keys, body = append(names, fields[0]), append(keys, fields[1]), rest[bodyLen+2:]
 	}
 	return names, keys
 }
@@ -435,21 +435,21 @@
 }
 
 // Publish tells of changes of hosts.
-func (a *Agent) Publish(all ...EndpointEntry) { a.PublishAt(a.testbed.Now(), all...) }
+func (a *Agent) Publish(entries ...EndpointEntry) { a.PublishAt(a.testbed.Now(), entries...) }
 
 // PublishAt tells of changes that count as told from a moment on.
-func (a *Agent) PublishAt(at time.Time, all ...EndpointEntry) {
+func (a *Agent) PublishAt(at time.Time, entries ...EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.version++
-	for _, h := range all {
-		a.hosts[h.Host] = h
-		if h.Health == "gone" {
-			delete(a.hosts, h.Host)
+	for _, entry := range entries {
+		a.hosts[entry.Host] = entry
+		if entry.Health == "gone" {
+			delete(a.hosts, entry.Host)
 		}
-		a.testbed.Record(Event{At: at, Kind: HealthListed, Host: h.Host, Health: h.Health, Node: a.Node})
+		a.testbed.Record(Event{At: at, Kind: HealthListed, Host: entry.Host, Health: entry.Health, Node: a.Node})
 	}
-	a.changes = append(a.changes, all)
+	a.changes = append(a.changes, entries)
 	a.notifyWatches()
 }
 
@@ -457,11 +457,11 @@
 func (a *Agent) FullList() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	hosts := []EndpointEntry{}
+	entries := []EndpointEntry{}
 	for _, h := range a.hosts {
-		hosts = append(hosts, h)
+		entries = append(entries, h)
 	}
-	text, _ := json.Marshal(map[string]any{"seq": a.version, "whole": true, "hosts": hosts})
+	text, _ := json.Marshal(map[string]any{"seq": a.version, "whole": true, "hosts": entries})
 	return string(text)
 }
 
@@ -473,31 +473,31 @@
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	flush := w.(http.Flusher)
+	flusher := w.(http.Flusher)
 	a.mu.Lock()
 	a.openedWatches++
-	me := a.openedWatches
+	watch := a.openedWatches
 	a.mu.Unlock()
 	a.testbed.Record(Event{Kind: WatchOpened})
 	for first := true; ; {
 		a.mu.Lock()
-		more, mute := a.changed, a.muted || me <= a.silencedWatches
+		changed, muted := a.changed, a.muted || watch <= a.silencedWatches
 		text := ""
-		if !mute && (first || from < a.version) {
+		if !muted && (first || from < a.version) {
 			text, first, from = a.changesSince(from), false, a.version
 		}
 		a.mu.Unlock()
 		_, _ = io.WriteString(w, text)
-		flush.Flush()
+		flusher.Flush()
 		if text != "" {
 			a.testbed.Record(Event{Kind: ListSent})
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-time.After(2 * time.Second):
-			if !mute {
+			if !muted {
 				_, _ = io.WriteString(w, "\n")
-				flush.Flush()
+				flusher.Flush()
 			}
 		case <-r.Context().Done():
 			return
@@ -509,20 +509,20 @@
 // lock held.
 func (a *Agent) changesSince(from int) string {
 	whole := from <= 0 || from > a.version
-	hosts := []EndpointEntry{}
+	entries := []EndpointEntry{}
 	if whole {
 		for _, h := range a.hosts {
-			hosts = append(hosts, h)
+			entries = append(entries, h)
 		}
 	} else {
 		for _, change := range a.changes[from:] {
-			hosts = append(hosts, change...)
+			entries = append(entries, change...)
 		}
 	}
-	v := map[string]any{"seq": a.version, "whole": whole, "hosts": hosts}
-	text, _ := json.Marshal(v)
+	list := map[string]any{"seq": a.version, "whole": whole, "hosts": entries}
+	text, _ := json.Marshal(list)
 	if a.indent {
-		text, _ = json.MarshalIndent(v, "", "  ")
+		text, _ = json.MarshalIndent(list, "", "  ")
 	}
 	return string(text) + "\n"
 }
@@ -537,15 +537,15 @@
 	}
 	dec := json.NewDecoder(r.Body)
 	for {
-		var o struct {
+		var notice struct {
 			ID     string `json:"id"`
 			Status string `json:"status"`
 			Again  int64  `json:"again_ms"`
 		}
-		if err := dec.Decode(&o); err != nil {
+		if err := dec.Decode(&notice); err != nil {
 			break
 		}
-		a.testbed.Record(Event{Kind: NoticeReceived, Name: o.ID, Text: o.Status, Wait: time.Duration(o.Again) * time.Millisecond})
+		a.testbed.Record(Event{Kind: NoticeReceived, Name: notice.ID, Text: notice.Status, Wait: time.Duration(notice.Again) * time.Millisecond})
 	}
 	w.WriteHeader(204)
 }
@@ -586,12 +586,12 @@
 
 // ReadStatus reads the status of the first answer on a connection; it is 0, with the error, where none comes.
 func ReadStatus(c net.Conn) (int, error) {
-	var in []byte
+	var buffered []byte
 	buf := make([]byte, 4096)
 	for {
 		n, err := c.Read(buf)
-		in = append(in, buf[:n]...)
-		if r, size, perr := h1.ParseResponse(in); perr == nil && size > 0 {
+		buffered = append(buffered, buf[:n]...)
+		if r, size, perr := h1.ParseResponse(buffered); perr == nil && size > 0 {
 			return r.Status, nil
 		}
 		if err != nil {
@@ -601,19 +601,19 @@
 }
 
 // ReadStatuses reads so many answers on a connection and returns their statuses; fewer where it ends or its time is over.
-func ReadStatuses(c net.Conn, enough int) (statuses []int) {
-	var in []byte
+func ReadStatuses(c net.Conn, count int) (statuses []int) {
+	var buffered []byte
 	buf := make([]byte, 4096)
-	for len(statuses) < enough {
+	for len(statuses) < count {
 		n, err := c.Read(buf)
-		in = append(in, buf[:n]...)
+		buffered = append(buffered, buf[:n]...)
 		for {
-			r, size, perr := h1.ParseResponse(in)
+			r, size, perr := h1.ParseResponse(buffered)
 			if perr != nil || size == 0 {
 				break
 			}
 			statuses = append(statuses, r.Status)
-			in = in[size:]
+			buffered = buffered[size:]
 		}
 		if err != nil {
 			break
@@ -624,13 +624,13 @@
 
 // EncodeRequest is a message as it is handed in.
 func EncodeRequest(m Message) []byte {
-	pairs := []string{"Host", "api.internal", "X-Txn", m.Name, "X-Lane", m.Class, "X-Org", m.Tenant, "X-Remaining",
+	headers := []string{"Host", "api.internal", "X-Txn", m.Name, "X-Lane", m.Class, "X-Org", m.Tenant, "X-Remaining",
 		strconv.FormatFloat(m.Remaining.Seconds(), 'f', 3, 64), "Content-Length", strconv.Itoa(len(m.Body)), "X-Consignee", fmt.Sprintf("dest=%d", m.Dest)}
 	if m.IdempotencyKey != "" {
-		pairs = append(pairs, "Idempotency-Key", m.IdempotencyKey)
+		headers = append(headers, "Idempotency-Key", m.IdempotencyKey)
 	}
 	if m.OrderKey != "" {
-		pairs = append(pairs, "X-Entity", "key="+m.OrderKey)
+		headers = append(headers, "X-Entity", "key="+m.OrderKey)
 	}
-	return append(h1.AppendHead(nil, "POST /"+m.Class+" HTTP/1.1", pairs...), m.Body...)
+	return append(h1.AppendHead(nil, "POST /"+m.Class+" HTTP/1.1", headers...), m.Body...)
 }
