--- a/cmd/whinlab/deploy.go
+++ b/cmd/whinlab/deploy.go
@@ -43,15 +43,15 @@
 
 // Run judges go test -json on standard input.
 func (c *gateCmd) Run() error {
-	f, err := os.Open(c.Known)
+	file, err := os.Open(c.Known)
 	var known []testgate.Known
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		return err
 	default:
-		known, err = testgate.ParseKnown(f)
-		if err = errors.Join(err, f.Close()); err != nil {
+		known, err = testgate.ParseKnown(file)
+		if err = errors.Join(err, file.Close()); err != nil {
 			return fmt.Errorf("%s: %w", c.Known, err)
 		}
 	}
--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -144,35 +144,35 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	log := partner.NewLog(1 << 20)
-	var ends []*partner.Endpoint
+	var endpoints []*partner.Endpoint
 	for i, addr := range c.Listen {
 		if err := requireLoopback(addr); err != nil {
 			return err
 		}
-		p := partner.New(partner.Config{Name: addr, Pace: c.Pace, Servers: c.Servers, Rate: c.Rate, ColdFrom: 0.2, WarmUp: 10 * time.Second,
+		standIn := partner.New(partner.Config{Name: addr, Pace: c.Pace, Servers: c.Servers, Rate: c.Rate, ColdFrom: 0.2, WarmUp: 10 * time.Second,
 			Tip: 2, TipFor: 2 * time.Second, Limit: c.Limit, TellWait: c.Wait, Conns: c.Conns, Streams: c.Streams, Handshake: c.Handshake,
 			IdleReap: c.Reap, Seed: c.Seed + uint64(i)}, log)
-		e, err := p.Listen(addr)
+		endpoint, err := standIn.Listen(addr)
 		if err != nil {
 			return err
 		}
-		defer p.Close()
-		ends = append(ends, e)
-		fmt.Printf("stand-in partner %d on %v\n", i+1, e.Addr())
+		defer standIn.Close()
+		endpoints = append(endpoints, endpoint)
+		fmt.Printf("stand-in partner %d on %v\n", i+1, endpoint.Addr())
 	}
 	fmt.Println("commands: NUMBER WORD VALUES, as in docs/days.md, e.g. '1 hang', '2 lose 0.1', '1 goaway', '1 heal'")
 	lines := make(chan string)
 	go func() {
-		in := bufio.NewScanner(os.Stdin)
-		for in.Scan() {
-			lines <- in.Text()
+		scanner := bufio.NewScanner(os.Stdin)
+		for scanner.Scan() {
+			lines <- scanner.Text()
 		}
 	}()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case line := <-lines:
-			if err := runCommand(ends, strings.Fields(line)); err != nil {
+			if err := runCommand(endpoints, strings.Fields(line)); err != nil {
 				fmt.Println(err)
 			}
 		}
@@ -187,35 +187,35 @@
 }
 
 // runCommand puts a fault in force at a stand-in.
-func runCommand(ends []*partner.Endpoint, words []string) error {
+func runCommand(endpoints []*partner.Endpoint, words []string) error {
 	if len(words) < 2 {
 		return errors.New("NUMBER WORD VALUES")
 	}
 	n, err := strconv.Atoi(words[0])
-	if err != nil || n < 1 || n > len(ends) {
+	if err != nil || n < 1 || n > len(endpoints) {
 		return fmt.Errorf("there is no stand-in %q", words[0])
 	}
-	e := ends[n-1]
+	endpoint := endpoints[n-1]
 	switch words[1] {
 	case "goaway":
-		e.GoAway()
+		endpoint.GoAway()
 		return nil
 	case "streams":
-		var k uint64
+		var streams uint64
 		if len(words) > 2 {
-			k, err = strconv.ParseUint(words[2], 10, 31)
+			streams, err = strconv.ParseUint(words[2], 10, 31)
 		}
-		if err != nil || k == 0 {
+		if err != nil || streams == 0 {
 			return errors.New("streams NUMBER")
 		}
-		e.Streams(uint32(k))
+		endpoint.Streams(uint32(streams))
 		return nil
 	}
-	f, err := day.ParseFault(words[1:])
+	fault, err := day.ParseFault(words[1:])
 	if err != nil {
 		return err
 	}
-	return e.Set(f)
+	return endpoint.Set(fault)
 }
 
 func (c *sendCmd) Run() error {
@@ -237,8 +237,8 @@
 			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, Size: c.Size}
 	}
 	start := clock.Start()
-	out := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
-	load.Write(os.Stdout, load.Report(out), start.Elapsed())
+	outcomes := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
+	load.Write(os.Stdout, load.Report(outcomes), start.Elapsed())
 	return nil
 }
 
@@ -247,7 +247,7 @@
 	defer stop()
 	broken := 0
 	for _, file := range c.Scripts {
-		ok, err := c.play(ctx, file)
+		ok, err := c.runScript(ctx, file)
 		if err != nil {
 			return err
 		}
@@ -261,38 +261,38 @@
 	return nil
 }
 
-func (c *dayCmd) play(ctx context.Context, file string) (ok bool, err error) {
+func (c *dayCmd) runScript(ctx context.Context, file string) (ok bool, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return false, err
 	}
-	s, err := day.Parse(file, string(text))
+	script, err := day.Parse(file, string(text))
 	if err != nil {
 		return false, err
 	}
-	s.Scale = c.Scale
-	if s.AMQP == 0 {
-		s.AMQP = c.AMQP
+	script.Scale = c.Scale
+	if script.AMQP == 0 {
+		script.AMQP = c.AMQP
 	}
 	if c.Seed > 0 {
-		s.Seed = c.Seed
+		script.Seed = c.Seed
 	}
-	fmt.Printf("== %s: %s\n", file, s.Name)
-	lines := io.Discard
+	fmt.Printf("== %s: %s\n", file, script.Name)
+	dispatcherLog := io.Discard
 	if c.Log {
-		lines = os.Stderr
+		dispatcherLog = os.Stderr
 	}
 	start := clock.Start()
-	r, err := day.Run(ctx, s, lines)
+	run, err := day.Run(ctx, script, dispatcherLog)
 	if err != nil {
 		return false, err
 	}
-	load.Write(os.Stdout, load.Report(r.Outcomes), start.Elapsed())
-	sum := day.Sum(r)
-	sum.Write(os.Stdout)
-	if share := float64(sum.Served) / float64(max(1, sum.Messages)); share < s.Served {
-		fmt.Printf("served %.3f, expected %.3f\n", share, s.Served)
+	load.Write(os.Stdout, load.Report(run.Outcomes), start.Elapsed())
+	summary := day.Sum(run)
+	summary.Write(os.Stdout)
+	if share := float64(summary.Served) / float64(max(1, summary.Messages)); share < script.Served {
+		fmt.Printf("served %.3f, expected %.3f\n", share, script.Served)
 		return false, nil
 	}
-	return len(sum.Breaches) == 0, nil
+	return len(summary.Breaches) == 0, nil
 }
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -60,16 +60,16 @@
 // maxViolationsShown of a run are printed; the others are counted.
 const maxViolationsShown = 20
 
-func printSoak(r *soak.Result) {
+func printSoak(result *soak.Result) {
 	verdict := "kept"
-	if len(r.Violations) > 0 {
-		verdict = fmt.Sprintf("%d violations, see %s", len(r.Violations), r.Folder)
+	if len(result.Violations) > 0 {
+		verdict = fmt.Sprintf("%d violations, see %s", len(result.Violations), result.Folder)
 	}
-	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", r.Seed, len(r.Faults), r.Accepted,
-		r.Delivered, r.EndedByNotice, r.Calls, r.Elapsed.Seconds(), verdict)
-	for i, v := range r.Violations {
+	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", result.Seed, len(result.Faults), result.Accepted,
+		result.Delivered, result.EndedByNotice, result.Calls, result.Elapsed.Seconds(), verdict)
+	for i, v := range result.Violations {
 		if i == maxViolationsShown {
-			fmt.Printf("  and %d more\n", len(r.Violations)-i)
+			fmt.Printf("  and %d more\n", len(result.Violations)-i)
 			break
 		}
 		fmt.Println(" ", v)
