--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -7,33 +7,52 @@
 	"time"
 )
 
-// Kind is what happened.
+// Kind says what an event records.
 type Kind uint8
 
-// Kinds of event. Those of one dispatcher among several name it in Node.
+// Kinds of event. The comment of each names the fields of Event that it sets, in brackets. Where there are several
+// dispatchers, the events of one dispatcher name it in Node.
 const (
-	Accepted         Kind = iota + 1 // a client heard 202 [Name Dest Class Due Key Node]
-	Refused                          // a client heard anything else, or nothing [Name Status Node]
-	CallReceived                     // the last byte of a call arrived, an event for each message [Name Host Dest Call]
-	CallAnswered                     // the call's answer was written [Name Host Dest Call Status Wait]
-	CallBroken                       // the call's connection ended without an answer [Name Host Dest Call]
-	NoticeReceived                   // a notice came [Name Status]
-	HealthListed                     // the list told of a host [Host Health Node]
-	OutageBegan                      // calls at a host fail from now on [Host]
-	OutageEnded                      // a host's outage ended: it is cold [Host]
-	Restarted                        // the dispatcher was started anew: told waits end [Node]
-	WatchOpened                      // a watch of the list was opened
-	ListSent                         // a list was written to a watch
-	NetworkDisturbed                 // the network to a host is spoilt until Due: answers from a second ahead may be lost, calls come late [Host Due]
-	ClosedUnanswered                 // the dispatcher ended a connection under a whole request, with no answer [Name Node]
+	// Accepted records that a client received 202 or 200 for a message [Name Class Dest Due Key Node].
+	Accepted Kind = iota + 1
+	// Refused records that a client received another status, or none, for a message [Name Status Node].
+	Refused
+	// CallReceived records that the last byte of a call arrived. There is one event for each message of the call [Name
+	// Host Dest Call].
+	CallReceived
+	// CallAnswered records that the answer to a call was written [Name Host Dest Call Status Wait].
+	CallAnswered
+	// CallBroken records that the connection of a call ended without an answer [Name Host Dest Call].
+	CallBroken
+	// NoticeReceived records a notice about the outcome of a message [Name Text Wait].
+	NoticeReceived
+	// HealthListed records that discovery published the health of an endpoint [Host Health Node].
+	HealthListed
+	// OutageBegan records that calls to an endpoint fail from now on [Host].
+	OutageBegan
+	// OutageEnded records that the outage of an endpoint ended and that the endpoint is cold [Host].
+	OutageEnded
+	// Restarted records that a dispatcher's process ended, and with it the waits that it was told [Node].
+	Restarted
+	// WatchOpened records that a watch of the endpoint list was opened.
+	WatchOpened
+	// ListSent records that a list was written to a watch.
+	ListSent
+	// NetworkDisturbed records that the network to an endpoint is disturbed until Due. Answers written up to a second
+	// earlier may be lost, and calls may arrive late [Host Due].
+	NetworkDisturbed
+	// ClosedUnanswered records that a dispatcher closed a connection on a whole request without an answer [Name Node].
+	ClosedUnanswered
 )
 
-// Event is one thing that passed on the sockets.
+// Event is one observation on the sockets of the test bed. Kind decides which of the fields are set.
 type Event struct {
-	At     time.Time
-	Kind   Kind
-	Node   string // the dispatcher, where there are several
-	Name   string // of a message
+	At   time.Time
+	Kind Kind
+	// Node is the dispatcher, where there are several.
+	Node string
+	// Name is the name of a message.
+	Name   string
 	Class  string
 	Dest   int
 	Host   string
@@ -46,17 +65,25 @@
 	Text   string
 }
 
-// SlowStart are the figures of a cold host's budget.
+// SlowStart describes how many calls a recovered endpoint may receive during slow start.
 type SlowStart struct {
-	Capacity        float64       // calls a second that a warm host bears
-	InitialFraction float64       // part of that which it bears as it returns
-	WarmUp          time.Duration // until it bears all
-	OverloadFactor  float64       // of what it bears ...
-	OverloadWindow  time.Duration // ... in any span of this it may be sent
-	MaxAwareShare   float64       // broken where more than this part came from dispatchers that had seen the outage
+	// Capacity is the number of calls a second that a warm endpoint can serve.
+	Capacity float64
+	// InitialFraction is the part of Capacity that the endpoint has when its outage ends.
+	InitialFraction float64
+	// WarmUp is the time from the end of the outage until the endpoint has all of its capacity.
+	WarmUp time.Duration
+	// OverloadFactor times the present capacity is the rate that is still allowed over OverloadWindow.
+	OverloadFactor float64
+	// OverloadWindow is the span in which calls are counted.
+	OverloadWindow time.Duration
+	// MaxAwareShare limits which overloads count as a violation: those in which more than this share of the calls came
+	// from dispatchers that had seen the outage.
+	MaxAwareShare float64
 }
 
-// callBudget is how many calls may come within Span, so long after the return: N, and something for chance.
+// callBudget returns how many calls may arrive within OverloadWindow at a time since the end of the outage. Two to three
+// standard deviations are added, because the arrivals are random.
 func (s *SlowStart) callBudget(since time.Duration) float64 {
 	capacityFraction := min(1, s.InitialFraction+(1-s.InitialFraction)*since.Seconds()/s.WarmUp.Seconds())
 	expected := s.OverloadFactor * s.Capacity * capacityFraction * s.OverloadWindow.Seconds()
@@ -66,35 +93,57 @@
 	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// Rules are the figures that the checker needs.
+// Rules holds the parameters of the six rules that Check verifies.
 type Rules struct {
-	EndSlack       time.Duration            // after a message's time in which its end still counts
-	DrainGrace     time.Duration            // after a drain in which calls may still begin
-	AtMostOnce     []string                 // classes that must not take effect twice
-	DedupWindows   map[string]time.Duration // keyed classes: how long after a call that may have run another may begin
-	Ordered        []string                 // classes that take turns by key
-	ColdBudget     int                      // calls that a cold host bears ...
-	ColdWindow     time.Duration            // ... in any span of this
-	SlowStart      *SlowStart               // the same by the platform's figures, for all dispatchers together; nil for none
-	WaitGrace      time.Duration            // after a told wait's answer in which calls are let through
-	ObservationLag time.Duration            // after which the end of a connection is seen here at the latest
+	// EndSlack is the time after a message's deadline in which its end still counts.
+	EndSlack time.Duration
+	// DrainGrace is the time after an endpoint is listed as not ready in which calls to it may still begin.
+	DrainGrace time.Duration
+	// AtMostOnce lists the classes whose messages must not take effect twice.
+	AtMostOnce []string
+	// DedupWindows holds the classes with idempotency keys. The value is how long after the start of a possibly executed
+	// call another call may begin.
+	DedupWindows map[string]time.Duration
+	// Ordered lists the classes whose messages are delivered in order within a key.
+	Ordered []string
+	// ColdBudget is the number of calls that a cold endpoint may receive within ColdWindow.
+	ColdBudget int
+	// ColdWindow is the span for ColdBudget.
+	ColdWindow time.Duration
+	// SlowStart is the budget of a cold endpoint for all dispatchers together, by the platform's parameters. It is nil
+	// where that is not checked.
+	SlowStart *SlowStart
+	// WaitGrace is the time after the answer with a wait in which calls are still allowed.
+	WaitGrace time.Duration
+	// ObservationLag is the longest time until the test bed sees the end of a connection.
+	ObservationLag time.Duration
 }
 
-// messageState is what the checker knows of one message.
+// messageState is what the checker knows about one message.
 type messageState struct {
-	accepted              *Event
-	rejected              bool // its client heard that handing it in again is harmless
-	deliveredAt           time.Time
-	noticedAt             time.Time         // by a notice
-	openCall              int               // the call that is out, 0 for none
-	possiblyExecuted      bool              // a call that ended may have run
-	callStarts            map[int]time.Time // when each call began
-	possiblyExecutedSince time.Time         // when the first call that may have run began
-	deliveryKnown         bool              // a process that still runs heard that it was delivered
-	orphanedCall          int               // the call that was out when a process ended: nobody hears its answer, 0 for none
+	// accepted is the event of its acceptance. It is nil for a message that was not accepted.
+	accepted *Event
+	// rejected is set when the client received 429 or 503, after which it may safely submit the message again.
+	rejected bool
+	// deliveredAt is when a call first got the answer 200.
+	deliveredAt time.Time
+	// noticedAt is when the first notice about the message arrived.
+	noticedAt time.Time
+	// openCall is the call that has not ended, 0 for none.
+	openCall int
+	// possiblyExecuted is set when a call ended in a way that leaves the message possibly executed.
+	possiblyExecuted bool
+	// callStarts holds when each call began.
+	callStarts map[int]time.Time
+	// possiblyExecutedSince is when the first possibly executed call began.
+	possiblyExecutedSince time.Time
+	// deliveryKnown is set when a process that still runs has received the answer of the delivery.
+	deliveryKnown bool
+	// orphanedCall is the call that was open when a process ended, 0 for none. Nobody receives its answer.
+	orphanedCall int
 }
 
-// node is the dispatcher that a message was handed to.
+// node returns the dispatcher that accepted the message.
 func (m *messageState) node() string {
 	if m.accepted == nil {
 		return ""
@@ -102,25 +151,35 @@
 	return m.accepted.Node
 }
 
-// hostState is what the checker knows of an endpoint.
+// hostState is what the checker knows about one endpoint.
 type hostState struct {
-	disturbances []Event         // spans in which answers may not arrive
-	coldCalls    []time.Time     // calls since its outage ended, for ColdBudget; nil where there was none
-	down         bool            // its outage goes on
-	awareNodes   map[string]bool // dispatchers that saw a call fail in its last outage
-	recoveredAt  time.Time       // when that ended
-	recentCalls  []arrival       // since then
-	overloaded   bool
+	// disturbances are the spans in which answers may not arrive.
+	disturbances []Event
+	// coldCalls are the calls since the end of an outage, for ColdBudget. It is nil where there was none, or where an
+	// OutageBegan came before its end, so that the budget of SlowStart applies.
+	coldCalls []time.Time
+	// down is set while an outage lasts.
+	down bool
+	// awareNodes are the dispatchers that saw a call fail in the last outage. It is nil before the first outage.
+	awareNodes map[string]bool
+	// recoveredAt is when the last outage ended.
+	recoveredAt time.Time
+	// recentCalls are the calls since the last outage began, for SlowStart. Calls before the last OverloadWindow are
+	// dropped.
+	recentCalls []arrival
+	// overloaded is set when the calls have exceeded the budget since the last outage. It is then not checked again.
+	overloaded bool
 }
 
-// arrival is a call at a cold host.
+// arrival is a call to an endpoint.
 type arrival struct {
 	at   time.Time
 	call int
 	node string
 }
 
-// Check tells which of the six rules were broken, from what passed on the sockets.
+// Check returns the violations of the six rules in the events, sorted. Messages whose deadline and slack reach beyond
+// end need not have ended.
 func Check(events []Event, r Rules, end time.Time) (faults []string) {
 	c := &checker{rules: r, messages: map[string]*messageState{}, unavailable: map[listedHost]Event{}, waits: map[waitingDest]Event{}, hosts: map[string]*hostState{},
 		callEnds: map[messageCall]time.Time{}, messageEnds: map[string]time.Time{}}
@@ -139,18 +198,23 @@
 	return c.violations
 }
 
+// checker applies the events in the order of their times and collects violations.
 type checker struct {
-	rules       Rules
-	messages    map[string]*messageState
-	unavailable map[listedHost]Event // hosts that are draining or gone
-	waits       map[waitingDest]Event
-	hosts       map[string]*hostState
-	callEnds    map[messageCall]time.Time // of calls
-	messageEnds map[string]time.Time      // of messages: delivered, or told by a notice
+	rules    Rules
+	messages map[string]*messageState
+	// unavailable holds the endpoints that are listed as draining or gone.
+	unavailable map[listedHost]Event
+	// waits holds the answers with a wait, one for each destination of a dispatcher.
+	waits map[waitingDest]Event
+	hosts map[string]*hostState
+	// callEnds holds when each call ended.
+	callEnds map[messageCall]time.Time
+	// messageEnds holds when each message was delivered or a notice about it arrived, whichever came first.
+	messageEnds map[string]time.Time
 	violations  []string
 }
 
-// listedHost is a host as a dispatcher's list has it.
+// listedHost is an endpoint in the list of one dispatcher.
 type listedHost struct{ node, host string }
 
 // waitingDest is a destination that told a dispatcher to wait.
@@ -159,16 +223,18 @@
 	dest int
 }
 
-// out is one message of a call.
+// messageCall is one message of a call.
 type messageCall struct {
 	name string
 	call int
 }
 
+// violation records a violation of a rule.
 func (c *checker) violation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
+// message returns the state of a message, and creates it at the first use.
 func (c *checker) message(name string) *messageState {
 	m := c.messages[name]
 	if m == nil {
@@ -178,6 +244,7 @@
 	return m
 }
 
+// host returns the state of an endpoint, and creates it at the first use.
 func (c *checker) host(name string) *hostState {
 	h := c.hosts[name]
 	if h == nil {
@@ -187,7 +254,8 @@
 	return h
 }
 
-// indexEvent takes what is known late: the 202 may be behind the call.
+// indexEvent stores what the checks need ahead of time: the 202 of a message, for instance, may be recorded after its
+// first call.
 func (c *checker) indexEvent(e *Event) {
 	switch e.Kind {
 	case Accepted:
@@ -209,13 +277,14 @@
 	}
 }
 
-// ended notes the first end of a message.
+// noteMessageEnd records the first end of a message.
 func (c *checker) noteMessageEnd(e *Event) {
 	if _, ok := c.messageEnds[e.Name]; !ok {
 		c.messageEnds[e.Name] = e.At
 	}
 }
 
+// applyEvent updates the state with one event and checks the rules that it concerns.
 func (c *checker) applyEvent(e *Event) {
 	switch e.Kind {
 	case CallReceived:
@@ -238,7 +307,8 @@
 	case OutageEnded:
 		h := c.host(e.Host)
 		h.down, h.recoveredAt, h.overloaded = false, e.At, false
-		if h.awareNodes == nil { // nothing is known of who saw it
+		if h.awareNodes == nil {
+			// The start of the outage was not recorded, so the dispatchers that saw it are unknown.
 			h.coldCalls = []time.Time{}
 		}
 	case Restarted:
@@ -248,8 +318,8 @@
 	}
 }
 
-// applyRestart ends the waits that a dispatcher was told. An answer that was on its way is lost: what may be repeated may come
-// again.
+// applyRestart ends the waits that a dispatcher was told. An answer in flight to the old process is lost, so messages
+// that may be repeated may be sent again.
 func (c *checker) applyRestart(node string) {
 	for at := range c.waits {
 		if at.node == node {
@@ -263,15 +333,19 @@
 	}
 }
 
+// applyCallStart checks a call that arrived at an endpoint.
 func (c *checker) applyCallStart(e *Event) {
 	m := c.message(e.Name)
 	disturbed := c.host(e.Host).mayLoseAnswer(e.At)
-	if m.deliveryKnown && e.At.Sub(m.deliveredAt) < c.rules.ObservationLag { // given up as its answer came
+	// The dispatcher gave up the earlier call at the moment when its answer arrived.
+	if m.deliveryKnown && e.At.Sub(m.deliveredAt) < c.rules.ObservationLag {
 		m.deliveryKnown = false
 	}
 	switch {
-	case disturbed: // what it crossed on its way can't be told
-	case !m.noticedAt.IsZero() && e.At.After(m.noticedAt.Add(c.rules.ObservationLag)): // a call that left before is seen here a little later
+	// The call may have left before the events that it would be checked against.
+	case disturbed:
+	// A call that left before the notice may be seen up to ObservationLag later.
+	case !m.noticedAt.IsZero() && e.At.After(m.noticedAt.Add(c.rules.ObservationLag)):
 		c.violation("rule 1: %s is called after its notice", e.Name)
 	case m.deliveryKnown:
 		c.violation("rule 1: %s is called after it was delivered", e.Name)
@@ -293,7 +367,8 @@
 	}
 }
 
-// checkRepeat checks a call beside those before it; late tells that it may have left long before it came.
+// checkRepeat checks a call against the earlier calls of the same message. With disturbed set, the call may have left
+// long before it arrived.
 func (c *checker) checkRepeat(e *Event, m *messageState, disturbed bool) {
 	if endedAt, ok := c.callEnds[messageCall{e.Name, m.openCall}]; m.openCall != 0 && (!ok || endedAt.After(e.At.Add(c.rules.ObservationLag))) {
 		c.violation("rule 2: %s has two calls out", e.Name)
@@ -310,7 +385,7 @@
 	}
 }
 
-// checkColdCall checks a call at a host that is cold.
+// checkColdCall checks a call against the budgets of a cold endpoint.
 func (c *checker) checkColdCall(e *Event, m *messageState) {
 	h := c.host(e.Host)
 	if h.coldCalls != nil {
@@ -331,7 +406,7 @@
 	}
 }
 
-// checkSlowStart checks the calls of the last span against the budget.
+// checkSlowStart compares the calls of the last window with the budget.
 func (c *checker) checkSlowStart(e *Event, h *hostState, s *SlowStart, since time.Duration) {
 	h.recentCalls = slices.DeleteFunc(h.recentCalls, func(a arrival) bool { return e.At.Sub(a.at) > s.OverloadWindow })
 	budget := s.callBudget(since)
@@ -351,19 +426,21 @@
 	}
 }
 
-// checkOrder checks the order within a key: no call while an earlier one is unfinished.
+// checkOrder checks the order within a key: no call may begin while an earlier message of the key is unfinished.
 func (c *checker) checkOrder(e *Event, m *messageState) {
 	for name, other := range c.messages {
 		if name == e.Name || other.accepted == nil || other.accepted.Key != m.accepted.Key || other.accepted.Node != m.accepted.Node || !other.accepted.At.Before(m.accepted.At) {
 			continue
 		}
 		endedAt, ok := c.messageEnds[name]
-		if other.openCall != 0 || !ok || endedAt.After(e.At.Add(c.rules.ObservationLag)) { // its end may be seen here a little later than it came
+		// The end of the earlier message may be seen here up to ObservationLag late.
+		if other.openCall != 0 || !ok || endedAt.After(e.At.Add(c.rules.ObservationLag)) {
 			c.violation("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
 		}
 	}
 }
 
+// applyCallEnd updates the state with the end of a call.
 func (c *checker) applyCallEnd(e *Event) {
 	m := c.message(e.Name)
 	if m.openCall == e.Call {
@@ -393,15 +470,15 @@
 	}
 }
 
-// disturbanceLead is how long ahead of a network's fault an answer may have been written that it still takes away.
+// disturbanceLead is how long before a disturbance of the network an answer may have been written and still be lost.
 const disturbanceLead = time.Second
 
-// mayLoseAnswer tells whether an answer written then may not arrive.
+// mayLoseAnswer reports whether an answer written at that time may not arrive.
 func (h *hostState) mayLoseAnswer(at time.Time) bool {
 	return slices.ContainsFunc(h.disturbances, func(e Event) bool { return at.After(e.At.Add(-disturbanceLead)) && at.Before(e.Due) })
 }
 
-// checkEnd checks that a message has its end in time.
+// checkEnd checks that an accepted message was delivered or ended by a notice in time.
 func (c *checker) checkEnd(name string, m *messageState, end time.Time) {
 	if m.accepted == nil || m.accepted.Due.Add(c.rules.EndSlack).After(end) {
 		return
@@ -412,11 +489,12 @@
 	}
 }
 
+// kindNames holds the name of each kind in a printed event.
 var kindNames = [...]string{Accepted: "taken", Refused: "refused", CallReceived: "called", CallAnswered: "answered", CallBroken: "broke", NoticeReceived: "noticed",
 	HealthListed: "listed", OutageBegan: "outage began", OutageEnded: "outage ended", Restarted: "restarted", WatchOpened: "watched", ListSent: "told",
 	NetworkDisturbed: "unheard", ClosedUnanswered: "closed"}
 
-// String is the event as a line.
+// String formats the event as one line.
 func (e Event) String() string {
 	line := fmt.Sprintf("%s %s", e.At.Format("15:04:05.000000"), kindNames[e.Kind])
 	for _, field := range []struct{ name, text string }{{"node", e.Node}, {"message", e.Name}, {"class", e.Class}, {"host", e.Host}, {"health", e.Health}, {"key", e.Key}, {"", e.Text}} {
--- a/internal/testbed/check_test.go
+++ b/internal/testbed/check_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// atNode is an event of one dispatcher among several.
+// atNode sets the dispatcher of an event.
 func atNode(node string, e Event) Event {
 	e.Node = node
 	return e
 }
 
-// callsAfterOutage are calls of a dispatcher right behind the return of a host, in whose outage n1 had seen a call fail.
+// callsAfterOutage returns calls of a dispatcher directly after the end of an endpoint's outage. Dispatcher n1 had seen
+// a call fail in the outage.
 func callsAfterOutage(at func(int) time.Time, count int, node string) []Event {
 	events := []Event{{At: at(0), Kind: Accepted, Name: "first", Class: "free", Node: "n1", Due: at(9000)}, {At: at(1), Kind: OutageBegan, Host: "c"},
 		{At: at(2), Kind: CallReceived, Name: "first", Host: "c", Call: 100}, {At: at(3), Kind: CallBroken, Name: "first", Host: "c", Call: 100},
@@ -27,7 +28,7 @@
 	return append(events, Event{At: at(8000), Kind: NoticeReceived, Name: "first"})
 }
 
-// Each rule broken by a planted fault is told, and a clean day is not blamed.
+// Check reports each rule that a planted fault violates, and reports nothing for correct runs.
 func TestPlantedFaults(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -6,42 +6,50 @@
 	"time"
 )
 
-// Proxy stands before an endpoint and spoils the network on command. The end of a connection by the dispatcher passes at once in
-// every state, as its peer would be told it by the machine that ended it.
+// Proxy is a TCP proxy before an endpoint that disturbs the network on command. When the dispatcher closes a connection,
+// the endpoint sees it at once in every state, as the kernel of the closing machine would tell it.
 type Proxy struct {
 	testbed *Testbed
 	host    string
-	target  string
-	Addr    string
+	// target is the address of the endpoint.
+	target string
+	// Addr is the address that the proxy listens on.
+	Addr string
 
-	mu           sync.Mutex
-	ln           net.Listener
-	conns        map[*proxiedConn]bool
-	state        networkState
-	stateChanged chan struct{} // closed when the state changes
+	mu    sync.Mutex
+	ln    net.Listener
+	conns map[*proxiedConn]bool
+	state networkState
+	// stateChanged is closed and replaced when the state changes.
+	stateChanged chan struct{}
 }
 
 // networkState is how a proxy treats bytes.
 type networkState struct {
-	stalled bool          // nothing passes
-	trickle bool          // a byte at a time
-	delay   time.Duration // of each piece
+	// stalled lets nothing pass.
+	stalled bool
+	// trickle passes one byte at a time.
+	trickle bool
+	// delay is added before each write.
+	delay time.Duration
 }
 
 // proxiedConn is one connection through a proxy.
 type proxiedConn struct {
 	client, endpoint net.Conn
 	closeOnce        sync.Once
-	closed           chan struct{} // closed with it
+	// closed is closed with the connection.
+	closed chan struct{}
 }
 
+// close closes both sides.
 func (p *proxiedConn) close() {
 	p.closeOnce.Do(func() { close(p.closed) })
 	_ = p.client.Close()
 	_ = p.endpoint.Close()
 }
 
-// reset ends a connection as a machine does that knows nothing of it.
+// reset closes both sides with a TCP reset, as a machine does that has lost the connection's state.
 func (p *proxiedConn) reset() {
 	for _, c := range []net.Conn{p.client, p.endpoint} {
 		if tcp, ok := c.(*net.TCPConn); ok {
@@ -51,7 +59,7 @@
 	p.close()
 }
 
-// Proxy opens a proxy before an endpoint.
+// Proxy starts a proxy before an endpoint.
 func (s *Testbed) Proxy(endpoint *Endpoint) (*Proxy, error) {
 	p := &Proxy{testbed: s, host: endpoint.Host, target: endpoint.Addr, conns: map[*proxiedConn]bool{}, stateChanged: make(chan struct{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,6 +71,7 @@
 	return p, nil
 }
 
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept(ln net.Listener) {
 	for {
 		client, err := ln.Accept()
@@ -73,6 +82,7 @@
 	}
 }
 
+// serve connects to the endpoint and copies bytes both ways until either side ends.
 func (p *Proxy) serve(client net.Conn) {
 	endpoint, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
@@ -92,11 +102,11 @@
 	p.mu.Unlock()
 }
 
-// readAhead are what is read ahead of the other side, at most.
+// readAhead is the largest number of chunks, of up to 4 KiB, that are read before the other side takes them.
 const readAhead = 64
 
-// copyBytes carries bytes one way until either side ends. last tells that what came before the end still passes: what an endpoint
-// wrote does, what a dispatcher wrote and then gave up does not.
+// copyBytes copies bytes one way until either side ends. With deliverPending set, bytes read before the end still pass:
+// what an endpoint wrote is delivered, what a dispatcher wrote before it gave up is not.
 func (p *Proxy) copyBytes(dst, src net.Conn, conn *proxiedConn, deliverPending bool) {
 	defer conn.close()
 	queue := make(chan []byte, readAhead)
@@ -127,7 +137,7 @@
 	}
 }
 
-// send writes bytes as the network's state has it; it is false where the connection has ended.
+// send writes data as the network's state allows. It returns false when the connection has ended.
 func (p *Proxy) send(dst net.Conn, data []byte, conn *proxiedConn) bool {
 	for len(data) > 0 {
 		p.mu.Lock()
@@ -154,6 +164,7 @@
 	return true
 }
 
+// setState sets the state of the network and wakes stalled connections.
 func (p *Proxy) setState(state networkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,21 +173,21 @@
 	p.stateChanged = make(chan struct{})
 }
 
-// Stall has nothing pass for a while; nothing is said of it.
+// Stall lets no bytes pass for a duration. Neither side is told.
 func (p *Proxy) Stall(duration time.Duration) {
 	p.recordDisturbance(duration + time.Second)
 	p.setState(networkState{stalled: true})
 	time.AfterFunc(duration, func() { p.setState(networkState{}) })
 }
 
-// Throttle has bytes pass late, or one at a time, for a while.
+// Throttle delays each write for a duration; with trickle set, each write has one byte.
 func (p *Proxy) Throttle(duration, delay time.Duration, trickle bool) {
 	p.recordDisturbance(duration + time.Second)
 	p.setState(networkState{delay: delay, trickle: trickle})
 	time.AfterFunc(duration, func() { p.setState(networkState{}) })
 }
 
-// ResetConnections resets the connections that are open.
+// ResetConnections resets the open connections.
 func (p *Proxy) ResetConnections() {
 	p.recordDisturbance(time.Second)
 	p.mu.Lock()
@@ -186,7 +197,7 @@
 	}
 }
 
-// RefuseConnections has connections refused for a while, and resets those that are open.
+// RefuseConnections resets the open connections and refuses new ones for a duration.
 func (p *Proxy) RefuseConnections(duration time.Duration) {
 	p.mu.Lock()
 	_ = p.ln.Close()
@@ -202,7 +213,7 @@
 	})
 }
 
-// Close ends the proxy.
+// Close closes the listener and the connections.
 func (p *Proxy) Close() {
 	p.setState(networkState{})
 	p.mu.Lock()
@@ -213,7 +224,7 @@
 	}
 }
 
-// recordDisturbance notes that answers may not arrive.
+// recordDisturbance records that answers may be lost for a duration from now on.
 func (p *Proxy) recordDisturbance(duration time.Duration) {
 	now := p.testbed.Now()
 	p.testbed.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(duration)})
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package testbed is a stand-in for the platform: clients, endpoints, discovery and the place for notices, on loopback.
-// Everything that passes on its sockets is written down, faults are played on command, and Check tells which rule was
-// broken. It knows the protocol of the platform, and nothing of the dispatcher.
+// Package testbed is a stand-in for the platform on loopback: clients, endpoints, and an agent for discovery and
+// notices. It records what passes on its sockets, injects faults on command, and Check reports which rules were
+// violated. It implements the protocol of the platform and knows nothing about the dispatcher's code.
 package testbed
 
 import (
@@ -21,10 +21,12 @@
 	"whinrun/internal/h1"
 )
 
+// addressCount counts the addresses that FreeAddr has returned.
 var addressCount atomic.Uint32
 
-// FreeAddr returns an address for one dispatcher to listen on, again after a restart. It is one of loopback's that no
-// other socket of the tests uses: a port that was merely free a moment ago may be taken in the meantime.
+// FreeAddr returns an address for one dispatcher to listen on, also after a restart. The address is in 127.0.0.0/8 and
+// derived from the process id and a counter, so that no other socket of the tests uses it. A port of 127.0.0.1 that was
+// free a moment ago may be taken in the meantime.
 func FreeAddr() (string, error) {
 	pid, n := os.Getpid(), addressCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%128, pid/128%256, 1+n%250))
@@ -36,43 +38,54 @@
 
 // Reply is what an endpoint does with a call.
 type Reply struct {
-	Delay         time.Duration
-	Status        int           // of a plain answer
-	RetryAfter    time.Duration // told by Retry-After
-	ExtraHeaders  []string      // further fields, pairs of name and value
-	Body          string
-	Raw           string // instead of all that: these bytes; Status tells what they are worth to the checker
-	Hang          bool   // say nothing
-	Drop          bool   // end the connection instead of an answer
-	TrailingBytes string // bytes behind the answer
-	Close         bool   // end the connection behind it
-}
-
-// Call is a call as it came.
+	// Delay is the time from the call until the answer.
+	Delay time.Duration
+	// Status is the HTTP status of the answer. With Raw, it only tells the checker how to count the answer.
+	Status int
+	// RetryAfter is the wait in the Retry-After header, 0 for none.
+	RetryAfter time.Duration
+	// ExtraHeaders are further header fields: names and values in turn.
+	ExtraHeaders []string
+	Body         string
+	// Raw is sent instead of a formatted answer where it is not empty.
+	Raw string
+	// Hang leaves the call unanswered and the connection open.
+	Hang bool
+	// Drop closes the connection instead of an answer.
+	Drop bool
+	// TrailingBytes are sent directly after the answer.
+	TrailingBytes string
+	// Close closes the connection after the answer.
+	Close bool
+}
+
+// Call is a call as an endpoint received it.
 type Call struct {
-	Host            string
-	Dest            int
-	MessageNames    []string
-	Number          int // number of the call
+	Host         string
+	Dest         int
+	MessageNames []string
+	// Number numbers the calls of a test bed from 1.
+	Number          int
 	IdempotencyKeys []string
 	Body            string
 }
 
-// Testbed is the stand-in.
+// Testbed records events and creates the endpoints, agents and proxies that report them.
 type Testbed struct {
 	mu        sync.Mutex
 	events    []Event
 	callCount int
-	changed   chan struct{} // closed at each event
+	// changed is closed and replaced at each event.
+	changed chan struct{}
 }
 
-// New makes an empty test bed.
+// New returns a test bed without events.
 func New() *Testbed { return &Testbed{changed: make(chan struct{})} }
 
-// Now is the time that events are noted by.
+// Now returns the time on the clock that stamps events.
 func (s *Testbed) Now() time.Time { return clock.Wall() }
 
-// Record writes an event down.
+// Record appends events. An event without a time gets the present one.
 func (s *Testbed) Record(events ...Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,14 +100,14 @@
 	s.changed = make(chan struct{})
 }
 
-// Events returns what has passed.
+// Events returns the events so far.
 func (s *Testbed) Events() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.events[:len(s.events):len(s.events)]
 }
 
-// Await waits until what has passed is enough, or the time is over; it tells whether it was.
+// Await waits until enough returns true for the events so far. It returns false if that does not happen within timeout.
 func (s *Testbed) Await(timeout time.Duration, enough func([]Event) bool) bool {
 	timedOut := time.After(timeout)
 	for {
@@ -112,7 +125,7 @@
 	}
 }
 
-// Count counts events of a kind; name may be empty for all.
+// Count counts the events of a kind for the message name, or for all messages where name is empty.
 func Count(events []Event, kind Kind, name string) (n int) {
 	for _, e := range events {
 		if e.Kind == kind && (name == "" || e.Name == name) {
@@ -122,7 +135,7 @@
 	return n
 }
 
-// AllEnded tells whether every one of the messages was delivered or ended by a notice.
+// AllEnded reports whether each of the messages was delivered or ended by a notice.
 func AllEnded(events []Event, names []string) bool {
 	ended := map[string]bool{}
 	for _, e := range events {
@@ -133,8 +146,9 @@
 	return !slices.ContainsFunc(names, func(n string) bool { return !ended[n] })
 }
 
-// Settings are settings for a dispatcher on a test bed, in the platform's form: classes of each effect, one that keeps its
-// order, a kind of destination that takes several messages in a call and one that does not.
+// Settings are the settings of a dispatcher on a test bed, in the platform's format. They have classes of each repeat
+// effect, one class that keeps its order, a kind of destination that takes several messages in a call, and one that does
+// not.
 const Settings = `{"classes":[
  {"effect":"free","gain":2,"group":"all","hard-limit":4000000,"late-worth":0,"name":"status","target":1000000,"window":1000000},
  {"effect":"guarded","gain":1,"group":"all","hard-limit":5000000,"late-worth":0.5,"name":"sync","target":1000000,"window":4000000},
@@ -147,14 +161,14 @@
  "report":{"names":[],"via":"none"},"rules":{"cold-from":0.5,"overload-for":2000000,"stop-sending-within":1000000,"tip-multiple":2,
   "warm-up":2000000,"settle-after-doubt":200000},"tenants":[{"name":"acme","quota-per-s":1000}]}`
 
-// Configuration is the file of a dispatcher that listens on an address and learns from an agent, with the agent's list
-// as the one that it had.
+// Configuration returns the configuration file of a dispatcher that listens on an address and uses an agent. The agent's
+// present list is the last known list in it.
 func Configuration(listen string, agent *Agent) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, agent.Addr, agent.FullList(), Settings)
 }
 
-// Endpoint is one stand-in endpoint.
+// Endpoint is a stand-in for an endpoint of a partner.
 type Endpoint struct {
 	testbed *Testbed
 	Host    string
@@ -164,11 +178,14 @@
 
 	mu      sync.Mutex
 	handler func(c Call) Reply
-	conns   map[net.Conn]bool
-	Conns   int // taken so far
+	// conns are the open connections.
+	conns map[net.Conn]bool
+	// Conns counts the connections accepted so far.
+	Conns int
 }
 
-// Endpoint opens an endpoint; addr may be empty for a free port, or that of one that has closed.
+// Endpoint starts an endpoint that answers calls by handler. An empty addr takes a free port; the address of a closed
+// endpoint can be used again. It fails where it cannot listen on the address.
 func (s *Testbed) Endpoint(host string, dest int, addr string, handler func(Call) Reply) (*Endpoint, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -194,14 +211,14 @@
 	return e, nil
 }
 
-// SetHandler changes what the endpoint does.
+// SetHandler replaces the handler for calls from now on.
 func (e *Endpoint) SetHandler(handler func(Call) Reply) {
 	e.mu.Lock()
 	e.handler = handler
 	e.mu.Unlock()
 }
 
-// Close ends the endpoint and its connections.
+// Close stops listening and closes the connections.
 func (e *Endpoint) Close() {
 	_ = e.ln.Close()
 	e.mu.Lock()
@@ -211,13 +228,14 @@
 	}
 }
 
-// AcceptedConns counts the connections taken so far.
+// AcceptedConns returns the number of connections accepted so far.
 func (e *Endpoint) AcceptedConns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Conns
 }
 
+// serve answers the requests of a connection one after the other.
 func (e *Endpoint) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
@@ -238,7 +256,7 @@
 	}
 }
 
-// readRequest reads one request with its body.
+// readRequest reads one request with its body. It returns the bytes read beyond the request as rest.
 func readRequest(c net.Conn, buffered []byte) (r *h1.Request, body, rest []byte, err error) {
 	chunk := make([]byte, 32<<10)
 	for {
@@ -257,7 +275,7 @@
 	}
 }
 
-// serveCall plays one call; false ends the connection.
+// serveCall answers one call. It returns false when the connection is to be closed.
 func (e *Endpoint) serveCall(c net.Conn, r *h1.Request, body []byte) bool {
 	call := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
 	if r.Target == "/inbox/bulk" {
@@ -276,7 +294,7 @@
 	reply := handler(call)
 	readEnded := make(chan struct{})
 	if reply.Delay > 0 || reply.Hang {
-		// Only the dispatcher's end of the connection is watched meanwhile: no second request may come.
+		// Meanwhile the connection is read only to see the dispatcher close it, because no second request may arrive.
 		go func() {
 			defer close(readEnded)
 			_, _ = c.Read(make([]byte, 1))
@@ -310,6 +328,7 @@
 	return !reply.Close
 }
 
+// formatResponse formats an answer. A 200 for several messages gets a body that confirms each of them.
 func formatResponse(reply Reply, call Call) string {
 	body := reply.Body
 	if reply.Status == 200 && len(call.MessageNames) > 1 && body == "" {
@@ -324,6 +343,7 @@
 	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", reply.Status), headers...)) + body
 }
 
+// record records an event for each message of a call.
 func (e *Endpoint) record(call Call, event Event) {
 	event.Host, event.Dest, event.Call = call.Host, call.Dest, call.Number
 	events := make([]Event, len(call.MessageNames))
@@ -334,6 +354,7 @@
 	e.testbed.Record(events...)
 }
 
+// parseBulkBody returns the names and idempotency keys of the messages in a bulk body, up to the first malformed one.
 func parseBulkBody(body string) (names, keys []string) {
 	for len(body) > 0 {
 		line, rest, _ := strings.Cut(body, "\r\n")
@@ -350,7 +371,7 @@
 	return names, keys
 }
 
-// EndpointEntry is an endpoint as the list has it.
+// EndpointEntry is an endpoint in the list of discovery.
 type EndpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -361,27 +382,35 @@
 	Share  float64 `json:"share"`
 }
 
-// Agent is discovery and the place for notices.
+// Agent is a stand-in for the platform's agent: it serves the endpoint list and takes notices.
 type Agent struct {
 	testbed *Testbed
 	Addr    string
-	Node    string // the dispatcher that it belongs to, where there are several; set before use
-	srv     *http.Server
-
-	mu              sync.Mutex
-	version         int
-	hosts           map[string]EndpointEntry
-	changes         [][]EndpointEntry // since the start, by version
-	changed         chan struct{}
-	muted           bool // nothing is answered
-	silencedWatches int  // watches opened before this one have fallen silent for good
-	openedWatches   int  // watches so far
-	indent          bool // lists come over several lines
-	noticeStatus    int  // of answers to notices, 0 for 204
-	conns           int
-}
-
-// Agent opens discovery.
+	// Node is the dispatcher that the agent belongs to, where there are several. It is set before the first use.
+	Node string
+	srv  *http.Server
+
+	mu      sync.Mutex
+	version int
+	hosts   map[string]EndpointEntry
+	// changes holds the published entries of each version, from version 1.
+	changes [][]EndpointEntry
+	// changed is closed and replaced when watches have to look again.
+	changed chan struct{}
+	// muted stops all answers to watches.
+	muted bool
+	// silencedWatches is the number of the last watch that is silenced for good. Watches are numbered from 1.
+	silencedWatches int
+	// openedWatches counts the watches so far.
+	openedWatches int
+	// indent formats lists over several lines.
+	indent bool
+	// noticeStatus is the status of answers to notices, 0 for 204 after they are recorded.
+	noticeStatus int
+	conns        int
+}
+
+// Agent starts an agent on a free port.
 func (s *Testbed) Agent() (*Agent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -396,10 +425,10 @@
 	return a, nil
 }
 
-// Close ends it.
+// Close stops the agent.
 func (a *Agent) Close() { _ = a.srv.Close() }
 
-// SetMuted has discovery say nothing any more, or speak again.
+// SetMuted stops the answers to all watches, or resumes them.
 func (a *Agent) SetMuted(on bool) {
 	a.mu.Lock()
 	a.muted = on
@@ -407,7 +436,7 @@
 	a.mu.Unlock()
 }
 
-// SilenceOpenWatches has the watches that are open now say nothing any more; those opened later are answered.
+// SilenceOpenWatches stops the answers to the watches that are open now. Later watches are answered.
 func (a *Agent) SilenceOpenWatches() {
 	a.mu.Lock()
 	a.silencedWatches = a.openedWatches
@@ -415,29 +444,30 @@
 	a.mu.Unlock()
 }
 
-// IndentLists has lists laid out over several lines.
+// IndentLists formats the lists sent from now on over several lines.
 func (a *Agent) IndentLists() {
 	a.mu.Lock()
 	a.indent = true
 	a.mu.Unlock()
 }
 
-// FailNotices has notices answered with a status, 0 for as usual.
+// FailNotices answers notices with a status and does not record them. A status of 0 restores the normal answers.
 func (a *Agent) FailNotices(status int) {
 	a.mu.Lock()
 	a.noticeStatus = status
 	a.mu.Unlock()
 }
 
+// notifyWatches wakes the open watches. The caller holds the lock.
 func (a *Agent) notifyWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Publish tells of changes of hosts.
+// Publish publishes changed endpoints.
 func (a *Agent) Publish(entries ...EndpointEntry) { a.PublishAt(a.testbed.Now(), entries...) }
 
-// PublishAt tells of changes that count as told from a moment on.
+// PublishAt publishes changed endpoints now, and records them as listed at the given time.
 func (a *Agent) PublishAt(at time.Time, entries ...EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -453,7 +483,7 @@
 	a.notifyWatches()
 }
 
-// FullList returns the whole list.
+// FullList returns the full list as JSON.
 func (a *Agent) FullList() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -465,8 +495,9 @@
 	return string(text)
 }
 
-// serveList answers at once with what changed after a version, or with the whole list, and goes on as it changes. While mute it
-// says nothing; what is asked then is answered afterwards.
+// serveList answers a request for the list. Without a watch it sends the full list once. With a watch it sends the
+// changes after a version, or the full list, and continues with later changes; an empty line every 2 s keeps the
+// connection alive. While the agent is muted it sends nothing, and answers afterwards.
 func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
 		_, _ = io.WriteString(w, a.FullList())
@@ -505,8 +536,8 @@
 	}
 }
 
-// changesSince is what changed after a version: changes, or the whole list where that version is not known. It is called with the
-// lock held.
+// changesSince returns the changes after a version, or the full list where that version is unknown. The caller holds the
+// lock.
 func (a *Agent) changesSince(from int) string {
 	whole := from <= 0 || from > a.version
 	entries := []EndpointEntry{}
@@ -527,6 +558,7 @@
 	return string(text) + "\n"
 }
 
+// serveNotices records the notices of a request, one JSON value each.
 func (a *Agent) serveNotices(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	status := a.noticeStatus
@@ -550,15 +582,18 @@
 	w.WriteHeader(204)
 }
 
-// Message is what a client hands in.
+// Message is a message that a client submits.
 type Message struct {
+	// Name identifies the message, IdempotencyKey is its key at the partner, and OrderKey is the key of its order.
 	Name, Class, Tenant, IdempotencyKey, OrderKey string
 	Dest                                          int
-	Remaining                                     time.Duration
-	Body                                          string
+	// Remaining is the time until the deadline.
+	Remaining time.Duration
+	Body      string
 }
 
-// Submit hands a message in on a connection of its own, and returns the status of the answer, 0 for none in time.
+// Submit submits a message on a new connection and records the result. It returns the status of the answer, 0 where none
+// came within 400 ms.
 func (s *Testbed) Submit(addr string, m Message) int {
 	sent := clock.Wall()
 	status := submit(addr, m)
@@ -570,6 +605,7 @@
 	return status
 }
 
+// submit submits a message on a new connection and returns the status of the answer, 0 for none.
 func submit(addr string, m Message) int {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -584,7 +620,7 @@
 	return status
 }
 
-// ReadStatus reads the status of the first answer on a connection; it is 0, with the error, where none comes.
+// ReadStatus reads the status of the first answer on a connection. It returns 0 and the error where none can be read.
 func ReadStatus(c net.Conn) (int, error) {
 	var buffered []byte
 	buf := make([]byte, 4096)
@@ -600,7 +636,8 @@
 	}
 }
 
-// ReadStatuses reads so many answers on a connection and returns their statuses; fewer where it ends or its time is over.
+// ReadStatuses reads up to count answers on a connection and returns their statuses. It returns fewer where the
+// connection ends, an answer is malformed or the read deadline passes.
 func ReadStatuses(c net.Conn, count int) (statuses []int) {
 	var buffered []byte
 	buf := make([]byte, 4096)
@@ -622,7 +659,7 @@
 	return statuses
 }
 
-// EncodeRequest is a message as it is handed in.
+// EncodeRequest returns the HTTP/1.1 request that submits a message.
 func EncodeRequest(m Message) []byte {
 	headers := []string{"Host", "api.internal", "X-Txn", m.Name, "X-Lane", m.Class, "X-Org", m.Tenant, "X-Remaining",
 		strconv.FormatFloat(m.Remaining.Seconds(), 'f', 3, 64), "Content-Length", strconv.Itoa(len(m.Body)), "X-Consignee", fmt.Sprintf("dest=%d", m.Dest)}
