--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -189,11 +189,11 @@
 // runCommand puts a fault in force at a stand-in.
 func runCommand(endpoints []*partner.Endpoint, words []string) error {
 	if len(words) < 2 {
-		return errors.New("NUMBER WORD VALUES")
+		return errors.New("usage: NUMBER WORD VALUES")
 	}
 	n, err := strconv.Atoi(words[0])
 	if err != nil || n < 1 || n > len(endpoints) {
-		return fmt.Errorf("there is no stand-in %q", words[0])
+		return fmt.Errorf("there is no stand-in partner %q", words[0])
 	}
 	endpoint := endpoints[n-1]
 	switch words[1] {
@@ -206,7 +206,7 @@
 			streams, err = strconv.ParseUint(words[2], 10, 31)
 		}
 		if err != nil || streams == 0 {
-			return errors.New("streams NUMBER")
+			return errors.New("usage: NUMBER streams LIMIT, with a LIMIT above 0")
 		}
 		endpoint.Streams(uint32(streams))
 		return nil
@@ -223,7 +223,7 @@
 		return err
 	}
 	if c.Rate <= 0 || c.Rate*c.For.Seconds() > 1e7 {
-		return errors.New("rate and time make no sensible number of messages")
+		return errors.New("the rate must be above 0, and rate times duration at most 1e7 messages")
 	}
 	ctx, stop := interruptContext()
 	defer stop()
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -30,7 +30,7 @@
 func (c *soakCmd) Run() error {
 	for _, f := range c.Faults {
 		if !slices.Contains(soak.FaultKinds(), f) {
-			return fmt.Errorf("fault %q: there are %s", f, strings.Join(soak.FaultKinds(), ", "))
+			return fmt.Errorf("unknown fault %q: the kinds of fault are %s", f, strings.Join(soak.FaultKinds(), ", "))
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -15,20 +15,21 @@
 	"whinrun/internal/testbed"
 )
 
-// submitTimeout is how long a client waits for its answer.
+// submitTimeout is how long a client waits for a connection and for its answer.
 const submitTimeout = 400 * time.Millisecond
 
-// classes and how long their messages live.
+// messageLifetimes holds the time from submission to the deadline for the messages of each class.
 var messageLifetimes = map[string]time.Duration{"status": 3500 * time.Millisecond, "sync": 4500 * time.Millisecond, "upload": 4500 * time.Millisecond,
 	"turns": 4500 * time.Millisecond}
 
-// newMessage makes a message of a random class.
+// newMessage returns a message of a random class.
 func (r *run) newMessage(rng *rand.Rand, n *node) testbed.Message {
 	name := fmt.Sprintf("%s-%d", n.name, r.messageCount.Add(1))
 	class := []string{"status", "status", "sync", "upload", "upload", "turns"}[rng.IntN(6)]
 	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: rng.IntN(destinations), Remaining: messageLifetimes[class], Body: strings.Repeat("b", rng.IntN(400))}
+	// One message in 20 has a deadline of at most 0.3 s.
 	if rng.IntN(20) == 0 {
-		m.Remaining = time.Duration(1+rng.IntN(300)) * time.Millisecond // very little time
+		m.Remaining = time.Duration(1+rng.IntN(300)) * time.Millisecond
 	}
 	if class == "sync" || class == "turns" {
 		m.IdempotencyKey = "key-" + name
@@ -39,7 +40,7 @@
 	return m
 }
 
-// generateLoad hands messages to a node until ctx ends.
+// generateLoad submits messages to a node until ctx ends.
 func (r *run) generateLoad(ctx context.Context, n *node) {
 	rng := rand.New(rand.NewPCG(r.cfg.Seed, uint64(n.number)))
 	for {
@@ -54,7 +55,8 @@
 		}
 		m := r.newMessage(rng, n)
 		if !r.acquireClient() {
-			continue // more are out than a run may have
+			// The limit of open clients is reached.
+			continue
 		}
 		r.runningClients.Go(func() {
 			defer r.openClients.Add(-1)
@@ -63,9 +65,11 @@
 	}
 }
 
-// maxOpenClients bounds the clients that are out at once.
+// maxOpenClients is the largest number of clients of the load that wait for an answer at once. A message that comes
+// while the limit is reached is not submitted.
 const maxOpenClients = 2000
 
+// acquireClient counts one more open client. It returns false where the limit is reached.
 func (r *run) acquireClient() bool {
 	if r.openClients.Add(1) > maxOpenClients {
 		r.openClients.Add(-1)
@@ -74,10 +78,10 @@
 	return true
 }
 
-// errNoAnswer tells that a connection ended with no answer.
+// errNoAnswer is returned when a connection ended without an answer.
 var errNoAnswer = errors.New("the connection ended with no answer")
 
-// submit hands a message in on a connection of its own, in so many pieces, and notes what its client hears.
+// submit submits a message on a new connection, in a number of pieces, and records the result.
 func (r *run) submit(n *node, m testbed.Message, pieces int) {
 	epoch, stateBefore := n.epoch.Load(), nodeState(n.state.Load())
 	sent := r.testbed.Now()
@@ -93,7 +97,8 @@
 	r.testbed.Record(e)
 }
 
-// exchange writes a request and reads the status of its answer; it is 0 where none came in time.
+// exchange writes a request and reads the status of its answer, 0 where none came in time. The error is errNoAnswer
+// where the connection ended first.
 func exchange(addr string, text []byte, pieces int) (int, error) {
 	c, err := net.DialTimeout("tcp", addr, submitTimeout)
 	if err != nil {
@@ -114,7 +119,7 @@
 	return status, err
 }
 
-// malformedRequests can't be used; each is owed an error or a close.
+// malformedRequests are requests that a dispatcher cannot use. Each has to be answered by an error or a close.
 var malformedRequests = []string{
 	"\x16\x03\x01\x00\xff\x00\r\n\r\n",
 	"POST /status HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", 5000),
@@ -125,10 +130,10 @@
 	"GET /secret HTTP/1.1\r\nHost: a\r\n\r\n",
 }
 
-// errorAnswerTimeout is how soon such a client has its error or its close.
+// errorAnswerTimeout is how soon a client with an unusable request must get an error or a close.
 const errorAnswerTimeout = 3 * time.Second
 
-// sendMalformed sends what can't be used, and notes a client that is left with neither an error nor a close.
+// sendMalformed sends an unusable request, and records a violation where the client gets neither an error nor a close.
 func (r *run) sendMalformed(n *node, text string) {
 	epoch, stateBefore := n.epoch.Load(), nodeState(n.state.Load())
 	c, err := net.DialTimeout("tcp", n.addr, submitTimeout)
@@ -146,7 +151,8 @@
 	}
 }
 
-// sendPipelined sends requests ahead of answers: there is one for each, in order.
+// sendPipelined sends requests without waiting for answers, and checks that there are as many answers as requests. An
+// answer counts for the request in the same place.
 func (r *run) sendPipelined(n *node, rng *rand.Rand) {
 	epoch, stateBefore := n.epoch.Load(), nodeState(n.state.Load())
 	var messages []testbed.Message
@@ -174,7 +180,7 @@
 	}
 }
 
-// exchangePipelined writes requests at once, and returns the statuses of what comes back.
+// exchangePipelined writes requests at once and returns the statuses of up to n answers.
 func exchangePipelined(addr string, text []byte, n int) (statuses []int) {
 	c, err := net.DialTimeout("tcp", addr, submitTimeout)
 	if err != nil {
@@ -186,5 +192,5 @@
 	return testbed.ReadStatuses(c, n)
 }
 
-// counter counts what is out.
+// counter is a counter of the clients and messages of a run.
 type counter = atomic.Int64
--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -9,46 +9,59 @@
 	"whinrun/internal/testbed"
 )
 
-// proxiedEndpoint is one endpoint behind a proxy.
+// proxiedEndpoint is an endpoint behind a proxy.
 type proxiedEndpoint struct {
+	// entry is the endpoint as it was last listed.
 	entry    testbed.EndpointEntry
 	endpoint *testbed.Endpoint
 	proxy    *testbed.Proxy
-	mode     atomic.Pointer[faultMode]
-	removed  bool
+	// mode is the present fault, nil for none.
+	mode atomic.Pointer[faultMode]
+	// removed is set when the endpoint has been listed as gone.
+	removed bool
 }
 
-// faultMode is how an endpoint behaves for a while.
+// faultMode is a fault of an endpoint for a limited time.
 type faultMode struct {
-	kind  string
+	kind string
+	// until is when the fault ends.
 	until time.Time
 }
 
-// environment is what the dispatchers deliver to.
+// environment holds the endpoints and agents that the dispatchers of a run talk to.
 type environment struct {
 	testbed *testbed.Testbed
 
-	mu            sync.Mutex
-	endpoints     []*proxiedEndpoint
+	mu        sync.Mutex
+	endpoints []*proxiedEndpoint
+	// endpointCount counts the endpoints created so far.
 	endpointCount int
-	agents        []*nodeAgent // of the nodes, by number
+	// agents holds the agent of each node, by the node's number.
+	agents []*nodeAgent
 }
 
-// agent is the discovery of one node, and what it is told of changes.
+// nodeAgent is the agent of one node, with the changes that its node has not been told yet.
 type nodeAgent struct {
 	*testbed.Agent
-	muted       bool
-	deferred    []testbed.EndpointEntry // changes that it learns when discovery returns
-	silentUntil time.Time               // changes count as told then at the latest: open watches have fallen silent
+	// muted is set while the agent answers no watches.
+	muted bool
+	// deferred holds the changes to publish when the agent answers again.
+	deferred []testbed.EndpointEntry
+	// silentUntil is the time from which the node has a new watch at the latest. Changes published before count as
+	// listed then.
+	silentUntil time.Time
 }
 
-// destinations of the world; odd ones take several messages in a call.
 const (
-	destinations      = 8
-	watchSilenceLimit = 6 * time.Second // a change counts as told so long after a watch fell silent
-	reloadLimit       = 4 * time.Second // and so long after SIGHUP
+	// destinations is the number of destinations. Those with odd numbers take several messages in a call.
+	destinations = 8
+	// watchSilenceLimit is how long after a watch fell silent a change counts as listed at the latest.
+	watchSilenceLimit = 6 * time.Second
+	// reloadLimit is how long after SIGHUP a change counts as listed at the latest.
+	reloadLimit = 4 * time.Second
 )
 
+// newEnvironment starts one to three endpoints for each destination.
 func newEnvironment(bed *testbed.Testbed) (*environment, error) {
 	w := &environment{testbed: bed}
 	for dest := range destinations {
@@ -61,7 +74,7 @@
 	return w, nil
 }
 
-// endpointClass is the kind of a destination's endpoints.
+// endpointClass returns the class of a destination's endpoints in the list.
 func endpointClass(dest int) string {
 	if dest%2 == 1 {
 		return "bulk"
@@ -69,7 +82,7 @@
 	return "single"
 }
 
-// addEndpoint opens an endpoint and tells all agents of it.
+// addEndpoint starts an endpoint of a destination and publishes it to all agents.
 func (w *environment) addEndpoint(dest int) (*proxiedEndpoint, error) {
 	w.mu.Lock()
 	w.endpointCount++
@@ -92,7 +105,7 @@
 	return p, nil
 }
 
-// pickReady chooses an endpoint that is listed ready.
+// pickReady returns an endpoint that is listed as ready, selected by n, or nil where there is none.
 func (w *environment) pickReady(n int) *proxiedEndpoint {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,7 +117,7 @@
 	return nil
 }
 
-// publish has all agents learn of a change.
+// publish publishes a changed endpoint to all agents.
 func (w *environment) publish(entry testbed.EndpointEntry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,6 +126,8 @@
 	}
 }
 
+// publishEntry publishes a changed endpoint, or defers it while the agent is muted. The caller holds the environment's
+// lock.
 func (a *nodeAgent) publishEntry(entry testbed.EndpointEntry, now time.Time) {
 	if a.muted {
 		a.deferred = append(a.deferred, entry)
@@ -125,7 +140,7 @@
 	a.PublishAt(at, entry)
 }
 
-// agent opens the discovery of a node, which knows all that is listed.
+// newAgent starts an agent for a node. Its list has all endpoints that are not removed.
 func (w *environment) newAgent(node string) (*nodeAgent, error) {
 	base, err := w.testbed.Agent()
 	if err != nil {
@@ -143,14 +158,14 @@
 	return a, nil
 }
 
-// agentOf is the discovery of a node.
+// agentOf returns the present agent of a node.
 func (w *environment) agentOf(node int) *nodeAgent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.agents[node]
 }
 
-// replaceAgent gives a node another discovery, and returns the one before.
+// replaceAgent gives a node another agent and returns the previous one.
 func (w *environment) replaceAgent(node int, next *nodeAgent) *nodeAgent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,7 +175,7 @@
 	return previous
 }
 
-// setMuted has a discovery say and learn nothing, or return.
+// setMuted stops the answers of an agent, or resumes them and publishes the deferred changes.
 func (w *environment) setMuted(a *nodeAgent, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -174,7 +189,7 @@
 	}
 }
 
-// silenceOpenWatches has the open watches of a discovery fall silent.
+// silenceOpenWatches stops the answers to the open watches of an agent.
 func (w *environment) silenceOpenWatches(a *nodeAgent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -182,7 +197,7 @@
 	a.silentUntil = w.testbed.Now().Add(watchSilenceLimit)
 }
 
-// drain has an endpoint drain, another take its place, and the first go.
+// drain adds a replacement for an endpoint, lists the endpoint as draining, and lists it as gone after a time.
 func (w *environment) drain(p *proxiedEndpoint, after time.Duration) error {
 	if _, err := w.addEndpoint(p.entry.Block); err != nil {
 		return err
@@ -200,7 +215,7 @@
 	return nil
 }
 
-// close ends all.
+// close closes the endpoints, proxies and agents.
 func (w *environment) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -213,7 +228,7 @@
 	}
 }
 
-// setFaultMode has an endpoint behave in a way for a while.
+// setFaultMode sets a fault of an endpoint for a duration. It records the beginning and the end of an outage.
 func (w *environment) setFaultMode(p *proxiedEndpoint, kind string, duration time.Duration) {
 	outage := kind == "drop" || kind == "hang" || kind == "errors"
 	if outage {
@@ -228,7 +243,7 @@
 	})
 }
 
-// handle is what the endpoint does with a call: mostly well, and as its mode says.
+// handle answers a call as the fault mode says. Without a fault, 3 calls of 97 fail, and the others are answered 200.
 func (p *proxiedEndpoint) handle(call testbed.Call) testbed.Reply {
 	delay := time.Duration(2+call.Number*7%20) * time.Millisecond
 	mode := p.mode.Load()
@@ -260,13 +275,14 @@
 	return malformedReply(call, delay)
 }
 
-// malformedReply is an answer that can't be read, or brings more than belongs to it.
+// malformedReply returns an answer that cannot be parsed, or one with extra bytes after it.
 func malformedReply(call testbed.Call, delay time.Duration) testbed.Reply {
 	single := len(call.MessageNames) == 1
 	switch {
 	case call.Number%4 == 0:
 		return testbed.Reply{Status: 500, Raw: "\x16\x03\x01 noise\r\n\r\n", Delay: delay}
-	case call.Number%4 == 1 && single: // the first line is true
+	// The status line is valid, so the checker counts the call as delivered.
+	case call.Number%4 == 1 && single:
 		return testbed.Reply{Status: 200, Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore to come", Delay: delay}
 	case call.Number%4 == 2:
 		return testbed.Reply{Status: 500, Raw: "HTTP/1.1 5", Close: true, Delay: delay}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -20,16 +20,19 @@
 	"whinrun/internal/testbed"
 )
 
-// nodeState is how a node stands.
+// nodeState is the state of a node's process.
 type nodeState int32
 
 const (
-	down     nodeState = iota // its process is not there, or not ready
-	up                        // it takes messages
-	stopping                  // it was told to end
+	// down means that there is no process, or that it is not ready.
+	down nodeState = iota
+	// up means that the process accepts messages.
+	up
+	// stopping means that the process has been told to end.
+	stopping
 )
 
-// node is one dispatcher: a process at a time, with a folder that outlasts them.
+// node is one dispatcher. It has one process at a time, and a folder that outlives the processes.
 type node struct {
 	run    *run
 	number int
@@ -38,16 +41,22 @@
 	folder string
 	log    *os.File
 
-	processMu   sync.Mutex // one fault at a time ends or starts its process
-	state       atomic.Int32
-	epoch       atomic.Int64 // counts its processes and their ends
-	exhaustions atomic.Int64 // connections that may be turned away unread: faults that fill it up
-
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan error // of the process that runs
+	// processMu is held by the fault that ends or starts the process.
+	processMu sync.Mutex
+	state     atomic.Int32
+	// epoch counts the starts and ends of processes.
+	epoch atomic.Int64
+	// exhaustions counts the running faults that use up connections or descriptors. While it is not 0, the node may
+	// close connections without reading them.
+	exhaustions atomic.Int64
+
+	mu  sync.Mutex
+	cmd *exec.Cmd
+	// exited receives the result of the running process when it ends.
+	exited chan error
 }
 
+// newNode creates a node with its folder and its log file. Its process is not started.
 func (r *run) newNode(number int) (*node, error) {
 	addr, err := testbed.FreeAddr()
 	if err != nil {
@@ -62,12 +71,14 @@
 	return n, err
 }
 
-// dedupWindow is how long partners remember keys: short, so that restarts and faults pass it.
+// dedupWindow is the time for which partners remember idempotency keys. It is short, so that restarts and faults last
+// longer.
 const dedupWindow = 1500 * time.Millisecond
 
+// configPath returns the path of the node's configuration file.
 func (n *node) configPath() string { return filepath.Join(n.folder, "config.json") }
 
-// writeConfig writes the configuration with the discovery of the moment.
+// writeConfig writes the configuration file with the node's present agent.
 func (n *node) writeConfig() error {
 	agent := n.run.environment.agentOf(n.number)
 	text := testbed.Configuration(n.addr, agent.Agent)
@@ -80,7 +91,8 @@
 // readyTimeout is how soon a process has to be ready.
 const readyTimeout = 10 * time.Second
 
-// start starts a process and waits until it is ready.
+// start starts a process and waits until it is ready. It returns an error where the process ends or is not ready in
+// time.
 func (n *node) start() error {
 	if err := n.writeConfig(); err != nil {
 		return err
@@ -99,7 +111,7 @@
 	for stopwatch := clock.Start(); ; time.Sleep(5 * time.Millisecond) {
 		select {
 		case err := <-exited:
-			return fmt.Errorf("%s ended as it started: %w", n.name, errors.Join(err))
+			return fmt.Errorf("%s exited before it was ready: %w", n.name, errors.Join(err))
 		default:
 		}
 		if n.ready() {
@@ -113,7 +125,7 @@
 	}
 }
 
-// ready asks for its state.
+// ready reports whether the process answers the readiness request by 200.
 func (n *node) ready() bool {
 	c, err := net.DialTimeout("tcp", n.addr, 200*time.Millisecond)
 	if err != nil {
@@ -137,13 +149,14 @@
 	}
 }
 
-// markEnding marks the process as one that ends.
+// markEnding sets the state of a process that is about to end, and starts a new epoch.
 func (n *node) markEnding(state nodeState) {
 	n.state.Store(int32(state))
 	n.epoch.Add(1)
 }
 
-// awaitExit waits for the end of the process; it is nil where that ended with 0 or by SIGKILL.
+// awaitExit waits for the end of the process, and kills it where that takes too long. It returns nil for exit code 0 and
+// for SIGKILL from another caller.
 func (n *node) awaitExit() error {
 	n.mu.Lock()
 	exited := n.exited
@@ -166,17 +179,17 @@
 	return err
 }
 
-// stopTimeout is how soon a process ends behind SIGTERM: the platform kills after this.
+// stopTimeout is how soon a process has to end after SIGTERM. The platform kills it after this time.
 const stopTimeout = 3700 * time.Millisecond
 
-// kill ends the process as SIGKILL does.
+// kill ends the process by SIGKILL.
 func (n *node) kill() error {
 	n.markEnding(down)
 	n.signal(syscall.SIGKILL)
 	return n.awaitExit()
 }
 
-// stop ends it in order.
+// stop ends the process by SIGTERM.
 func (n *node) stop() error {
 	n.markEnding(stopping)
 	n.signal(syscall.SIGTERM)
@@ -185,8 +198,8 @@
 	return err
 }
 
-// exhaustDescriptors lowers the process's limit of descriptors to what it has open, and returns what raises it again. The limit of a
-// child may be changed without privileges (prlimit(2)).
+// exhaustDescriptors lowers the process's limit of descriptors to the number that it has open. The returned function
+// restores the limit. The limit of a child process can be changed without privileges (prlimit(2)).
 func (n *node) exhaustDescriptors() (restore func(), err error) {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
@@ -206,7 +219,7 @@
 	return func() { _ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil) }, nil
 }
 
-// logViolations are the lines of its log that must not be there.
+// logViolations returns the lines of the node's log that must not be there: errors, panics, and prevented violations.
 func (n *node) logViolations() (lines []string) {
 	_ = n.log.Close()
 	text, err := os.ReadFile(n.log.Name())
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,5 +1,6 @@
-// Package soak runs a few dozen real dispatchers against the platform's stand-in, has random faults overlap - signals, the
-// network, endpoints, discovery, clients - and judges what passed by the rules. One seed gives one sequence of faults.
+// Package soak runs a few dozen real dispatchers against a stand-in for the platform under random faults that overlap:
+// signals, the network, endpoints, discovery and clients. It checks the recorded events by the rules of the test bed.
+// One seed gives one sequence of faults.
 package soak
 
 import (
@@ -9,59 +10,97 @@
 	"time"
 )
 
-// Config is of one run.
+// Config configures one run.
 type Config struct {
-	Binary     string        // the program
-	Folder     string        // for state and logs; empty for a temporary one, removed after a clean run
-	Seed       uint64        //
-	Nodes      int           // dispatchers
-	Duration   time.Duration // of faults and load; the run ends some seconds later
-	Rate       float64       // messages a second handed to each dispatcher
-	FaultKinds []string      // kinds of fault, empty for all
+	// Binary is the path of the dispatcher program.
+	Binary string
+	// Folder is where the state and logs of the run are kept, in a subfolder for the seed. If it is empty, a temporary
+	// folder is used. Either one is removed after a run without violations.
+	Folder string
+	// Seed determines the faults and the load.
+	Seed uint64
+	// Nodes is the number of dispatchers.
+	Nodes int
+	// Duration is how long faults and load last. The run ends some seconds later.
+	Duration time.Duration
+	// Rate is the number of messages a second that are submitted to each dispatcher.
+	Rate float64
+	// FaultKinds lists the kinds of fault to use, empty for all.
+	FaultKinds []string
 }
 
-// Fault is one trouble, planned ahead.
+// Fault is one planned fault.
 type Fault struct {
-	At       time.Duration
-	Kind     string
-	Target   int           // number of a node or an endpoint, as the kind has it
-	Duration time.Duration // how long it lasts, where it does
+	// At is the time since the start of the run's faults.
+	At time.Duration
+	// Kind is one of FaultKinds.
+	Kind string
+	// Target selects a node or an endpoint, as the kind needs.
+	Target int
+	// Duration is how long the fault lasts, for kinds that last.
+	Duration time.Duration
 }
 
-// faultKinds are the faults that there are, with how often each is drawn against the others.
+// faultKinds holds the kinds of fault and their relative weights in the random choice.
 var faultKinds = []struct {
 	name   string
 	weight int
 }{
-	{"kill", 3},       // SIGKILL, and a restart
-	{"kill-twice", 2}, // again while what the first left is being worked off
-	{"stop", 2},       // SIGTERM, and a restart
-	{"pause", 4},      // SIGSTOP for up to 0.15 s
-	{"reload", 1},     // SIGHUP with another discovery, at times behind a broken file
-	{"files", 1},      // fewer descriptors than are open
-	{"hang", 3},       // an endpoint answers nothing
-	{"drop", 3},       // an endpoint ends connections under calls: an outage, and cold afterwards
-	{"errors", 2},     // an endpoint answers 500
-	{"busy", 2},       // an endpoint turns calls away
-	{"waits", 2},      // an endpoint tells to wait
-	{"slow", 2},       // an endpoint answers late
-	{"spoilt", 2},     // an endpoint answers what can't be read
-	{"refuse", 2},     // an endpoint's connections are refused
-	{"hold", 3},       // the network to an endpoint says nothing
-	{"trickle", 1},    // bytes to and from an endpoint come one at a time
-	{"reset", 3},      // the connections to an endpoint are reset
-	{"drain", 3},      // an endpoint drains, goes, and another comes
-	{"mute", 2},       // a discovery says nothing
-	{"silence", 2},    // the open watches of a discovery fall silent
-	{"notices", 2},    // notices are not taken
-	{"rude", 2},       // clients that send what can't be used
-	{"halves", 2},     // clients that stop in the middle of a request
-	{"crowd", 1},      // connections that say nothing
-	{"pipeline", 2},   // requests ahead of answers
-	{"impatience", 1}, // clients that go before they are answered
+	// SIGKILL and a restart.
+	{"kill", 3},
+	// SIGKILL and a restart, and both again while the process recovers from the first.
+	{"kill-twice", 2},
+	// SIGTERM and a restart.
+	{"stop", 2},
+	// SIGSTOP for up to 0.15 s.
+	{"pause", 4},
+	// SIGHUP with another agent for discovery, half of the time after a malformed file.
+	{"reload", 1},
+	// A limit of descriptors at the number that is open.
+	{"files", 1},
+	// An endpoint does not answer. This is an outage, and the endpoint is cold afterwards.
+	{"hang", 3},
+	// An endpoint closes connections during calls. This is an outage, and the endpoint is cold afterwards.
+	{"drop", 3},
+	// An endpoint answers 500. This is an outage, and the endpoint is cold afterwards.
+	{"errors", 2},
+	// An endpoint answers 503.
+	{"busy", 2},
+	// An endpoint answers 429 with a wait.
+	{"waits", 2},
+	// An endpoint answers late.
+	{"slow", 2},
+	// An endpoint sends malformed answers.
+	{"spoilt", 2},
+	// Connections to an endpoint are refused.
+	{"refuse", 2},
+	// The network to an endpoint lets nothing pass.
+	{"hold", 3},
+	// Bytes to and from an endpoint pass one at a time.
+	{"trickle", 1},
+	// The connections to an endpoint are reset.
+	{"reset", 3},
+	// An endpoint drains and is removed, and another replaces it.
+	{"drain", 3},
+	// An agent answers no watches.
+	{"mute", 2},
+	// The open watches of an agent get no more answers.
+	{"silence", 2},
+	// An agent fails notices.
+	{"notices", 2},
+	// Clients send malformed requests.
+	{"rude", 2},
+	// Clients stop in the middle of a request.
+	{"halves", 2},
+	// Clients open connections and send nothing.
+	{"crowd", 1},
+	// A client sends requests without waiting for answers.
+	{"pipeline", 2},
+	// Clients close their connections before the answer.
+	{"impatience", 1},
 }
 
-// FaultKinds names the faults that there are.
+// FaultKinds returns the names of the kinds of fault.
 func FaultKinds() []string {
 	names := make([]string, len(faultKinds))
 	for i, k := range faultKinds {
@@ -70,10 +109,10 @@
 	return names
 }
 
-// faultsPerSecond is for each dozen of nodes.
+// faultsPerSecond is the rate of faults for each 12 nodes.
 const faultsPerSecond = 4
 
-// plan draws the faults of a run, in order.
+// plan returns the random faults of a run in the order of their times.
 func (c *Config) plan() []Fault {
 	rng := rand.New(rand.NewPCG(c.Seed, 0x50a4))
 	var names []string
@@ -92,5 +131,5 @@
 	return faults
 }
 
-// joinNames joins names for people.
+// joinNames joins names for a message.
 func joinNames(names []string) string { return strings.Join(names, ", ") }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,27 +16,37 @@
 	"whinrun/internal/testbed"
 )
 
-// Result is what a run came to.
+// Result is the outcome of one run.
 type Result struct {
-	Seed          uint64
-	Faults        []Fault
-	Elapsed       time.Duration
-	Accepted      int64
-	Delivered     int
-	EndedByNotice int // by a notice
-	Calls         int
-	Violations    []string
-	Folder        string // where the logs are, if it was kept
+	// Seed is the seed of the run.
+	Seed uint64
+	// Faults are the planned faults.
+	Faults []Fault
+	// Elapsed is the time from the start of the run until the result.
+	Elapsed time.Duration
+	// Accepted counts the accepted messages.
+	Accepted int64
+	// Delivered counts the messages that a call was answered 200 for.
+	Delivered int
+	// EndedByNotice counts the notices.
+	EndedByNotice int
+	// Calls counts the calls at the endpoints.
+	Calls int
+	// Violations describes each violation of a rule, sorted.
+	Violations []string
+	// Folder is the folder with logs and events. It is empty where it was removed.
+	Folder string
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
 	cfg         Config
 	testbed     *testbed.Testbed
 	environment *environment
 	nodes       []*node
 	watch       clock.Stopwatch
-	faultRNG    *rand.Rand // of the faults, under mu
+	// faultRNG gives each fault its seed. It is guarded by mu.
+	faultRNG *rand.Rand
 
 	messageCount, openClients, acceptedCount counter
 	runningClients                           sync.WaitGroup
@@ -46,21 +56,21 @@
 	violations []string
 }
 
-// violation notes something that must not happen.
+// violation records a violation with the time since the start of the run.
 func (r *run) violation(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf("at %.3f s: ", r.watch.Elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
-// newFaultRNG gives a fault its own random numbers.
+// newFaultRNG returns a random number generator for one fault.
 func (r *run) newFaultRNG() *rand.Rand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return rand.New(rand.NewPCG(r.faultRNG.Uint64(), 1))
 }
 
-// Run plays one run. An error tells that it could not be played; what it found is in the result.
+// Run executes one run. It returns an error where the run could not be set up. Violations are in the result.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	r := &run{cfg: cfg, testbed: testbed.New(), watch: clock.Start(), faultRNG: rand.New(rand.NewPCG(cfg.Seed, 7))}
 	if cfg.Folder == "" {
@@ -91,7 +101,7 @@
 	return r.result(plan), nil
 }
 
-// startNodes starts all nodes.
+// startNodes creates the environment and starts all nodes.
 func (r *run) startNodes() error {
 	var err error
 	if r.environment, err = newEnvironment(r.testbed); err != nil {
@@ -117,7 +127,7 @@
 	return nil
 }
 
-// runPlan has the faults happen at their times.
+// runPlan starts the faults at their times, and returns at the end of the run's duration or of ctx.
 func (r *run) runPlan(ctx context.Context, plan []Fault) {
 	stopwatch := clock.Start()
 	for _, f := range plan {
@@ -134,7 +144,7 @@
 	}
 }
 
-// runFault plays one fault.
+// runFault executes one fault.
 func (r *run) runFault(f Fault) {
 	n := r.nodes[f.Target%len(r.nodes)]
 	rng := r.newFaultRNG()
@@ -152,7 +162,7 @@
 	}
 }
 
-// runProcessFault plays a fault of a node's process. One that another fault has in hand is left alone.
+// runProcessFault executes a fault of a node's process. It does nothing while another fault works on the same process.
 func (r *run) runProcessFault(f Fault, n *node, rng *rand.Rand) {
 	if !n.processMu.TryLock() {
 		return
@@ -184,11 +194,12 @@
 		}
 		time.Sleep(f.Duration)
 		restore()
-		time.Sleep(time.Second) // accepting goes on after a pause
+		// After it failed to accept connections, the node resumes only after a pause.
+		time.Sleep(time.Second)
 	}
 }
 
-// restartNode ends a process and starts the next, some time later.
+// restartNode ends a process and starts the next one after a pause.
 func (r *run) restartNode(n *node, endProcess func() error, pause time.Duration) {
 	if err := endProcess(); err != nil {
 		r.violation("%s: %v", n.name, err)
@@ -199,7 +210,7 @@
 	}
 }
 
-// reloadNode moves a node to another discovery, at times behind a file that can't be read.
+// reloadNode moves a node to another agent by SIGHUP. With broken set, it first reloads a malformed configuration file.
 func (r *run) reloadNode(n *node, broken bool) error {
 	if broken {
 		if err := os.WriteFile(n.configPath(), []byte("{"), 0o600); err != nil {
@@ -222,7 +233,7 @@
 	return nil
 }
 
-// runClientFault has clients behave badly.
+// runClientFault executes a fault of clients.
 func (r *run) runClientFault(f Fault, n *node, rng *rand.Rand) {
 	switch f.Kind {
 	case "rude":
@@ -256,7 +267,7 @@
 	}
 }
 
-// runDiscoveryFault plays a fault of a node's discovery.
+// runDiscoveryFault executes a fault of a node's agent.
 func (r *run) runDiscoveryFault(f Fault, n *node) {
 	agent := r.environment.agentOf(n.number)
 	switch f.Kind {
@@ -268,12 +279,13 @@
 		r.environment.silenceOpenWatches(agent)
 	case "notices":
 		agent.FailNotices(503)
-		time.Sleep(min(f.Duration, 250*time.Millisecond)) // longer, and notices could not come in time
+		// A longer failure would delay notices beyond their deadlines.
+		time.Sleep(min(f.Duration, 250*time.Millisecond))
 		agent.FailNotices(0)
 	}
 }
 
-// runEndpointFault plays a fault of an endpoint, or of the network to it.
+// runEndpointFault executes a fault of an endpoint or of the network to it.
 func (r *run) runEndpointFault(f Fault, p *proxiedEndpoint) {
 	switch f.Kind {
 	case "refuse":
@@ -293,10 +305,11 @@
 	}
 }
 
-// settleTimeout is how long messages may still take when nothing is wrong any more: their lives, and what may pass behind them.
+// settleTimeout is how long messages may take to end after the last fault. It covers the longest lifetime of a message
+// (4.5 s) and the slack of the rules.
 const settleTimeout = 6 * time.Second
 
-// settle waits until what was taken has its end, and ends all nodes in order.
+// settle waits until the accepted messages have ended, and then stops all nodes.
 func (r *run) settle() {
 	r.testbed.Await(settleTimeout, func(events []testbed.Event) bool {
 		var names []string
@@ -318,19 +331,20 @@
 	stops.Wait()
 }
 
-// spareCapacity is what an endpoint bears, as a multiple of its demand.
+// spareCapacity is the capacity of an endpoint as a multiple of its demand.
 const spareCapacity = 1.5
 
-// rules are the platform's, with slack for a machine that is shared by all processes of a run.
+// rules returns the platform's rules, with slack for a machine that all processes of a run share.
 func (r *run) rules() testbed.Rules {
-	demand := r.cfg.Rate * float64(r.cfg.Nodes) / destinations // of a destination, all of which may come to one endpoint
+	// The demand of one destination may all go to one endpoint.
+	demand := r.cfg.Rate * float64(r.cfg.Nodes) / destinations
 	return testbed.Rules{EndSlack: 700 * time.Millisecond, DrainGrace: 1250 * time.Millisecond, AtMostOnce: []string{"upload"}, Ordered: []string{"turns"},
 		DedupWindows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, ColdBudget: 1 << 30,
 		WaitGrace: 200 * time.Millisecond, ObservationLag: 250 * time.Millisecond,
 		SlowStart: &testbed.SlowStart{Capacity: spareCapacity * demand, InitialFraction: 0.5, WarmUp: 2 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second, MaxAwareShare: 2. / 3}}
 }
 
-// result judges what passed.
+// result checks the recorded events and returns the outcome. It removes the folder where there is no violation.
 func (r *run) result(plan []Fault) *Result {
 	events := r.testbed.Events()
 	res := &Result{Seed: r.cfg.Seed, Faults: plan, Accepted: r.acceptedCount.Load(), Folder: r.cfg.Folder}
@@ -361,7 +375,7 @@
 	return res
 }
 
-// writeEvents keeps what passed beside the logs.
+// writeEvents writes the faults and the events to events.txt in the folder of the run.
 func (r *run) writeEvents(events []testbed.Event) {
 	file, err := os.Create(filepath.Join(r.cfg.Folder, "events.txt"))
 	if err != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// One seed gives one sequence of faults, and every kind comes up.
+// One seed gives one sequence of faults, and every kind of fault occurs.
 func TestPlan(t *testing.T) {
 	cfg := Config{Seed: 5, Nodes: 24, Duration: time.Minute}
 	plan := cfg.plan()
@@ -36,7 +36,7 @@
 	}
 }
 
-// A short run with few processes: what it takes is judged, and the rules are kept.
+// A short run with few processes violates no rule and delivers a minimum of messages.
 func TestShortRun(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "whinrun")
 	if out, err := exec.Command("go", "build", "-o", binary, "whinrun/cmd/whinrun").CombinedOutput(); err != nil {
