--- a/cmd/whinlab/deploy.go
+++ b/cmd/whinlab/deploy.go
@@ -10,6 +10,7 @@
 	"whinrun/internal/testgate"
 )
 
+// lineCmd prints one line of the deploy file.
 type lineCmd struct {
 	Key  string `arg:"" help:"Key of the line, e.g. build."`
 	File string `default:"deploy/balancer.toml" help:"The deploy file."`
@@ -23,6 +24,7 @@
 	return err
 }
 
+// siteCmd writes a variant of a site file.
 type siteCmd struct {
 	Overrides string `arg:"" type:"existingfile" help:"What the variant has otherwise, e.g. a file of deploy/sites."`
 	Site      string `required:"" type:"existingfile" help:"The given site file; what stands beside it comes along."`
@@ -37,11 +39,13 @@
 	return err
 }
 
+// gateCmd judges the results of the tests against the tests on record as failing.
 type gateCmd struct {
 	Known string `default:"KNOWN-RED.txt" help:"Tests on record as failing; the file may be missing."`
 }
 
-// Run judges go test -json on standard input.
+// Run judges the output of go test -json on standard input. It fails as testgate.Judge does, or where the record cannot
+// be read.
 func (c *gateCmd) Run() error {
 	file, err := os.Open(c.Known)
 	var known []testgate.Known
--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -1,4 +1,5 @@
-// Command whinlab is the lab: stand-in partners, load, and scripted days for a dispatcher.
+// Command whinlab is a laboratory for the dispatcher on loopback: it has stand-in partners, load, measurements, scripted
+// days, runs under random faults, and tools for the deploy files.
 package main
 
 import (
@@ -24,6 +25,7 @@
 	"whinrun/internal/soak"
 )
 
+// cli holds the commands of whinlab.
 var cli struct {
 	Partner partnerCmd `cmd:"" help:"Run stand-in partners until interrupted, and print what they saw."`
 	Send    sendCmd    `cmd:"" help:"Hand messages to a dispatcher at a fixed rate and report what came of them."`
@@ -38,6 +40,7 @@
 	Gate    gateCmd    `cmd:"" help:"Judge a run of the tests (go test -json on standard input) by the record of those known to fail."`
 }
 
+// partnerCmd runs stand-in partners.
 type partnerCmd struct {
 	Listen    []string      `required:"" help:"Addresses, a partner each."`
 	Pace      time.Duration `default:"5ms" help:"Mean time that a call takes."`
@@ -52,6 +55,7 @@
 	Seed      uint64        `default:"1"`
 }
 
+// sendCmd submits messages at a fixed rate.
 type sendCmd struct {
 	To    string        `required:"" help:"Address of the dispatcher."`
 	Path  []string      `required:"" help:"Push resources, in turns."`
@@ -64,6 +68,7 @@
 	Most  int           `default:"10000" help:"Messages out at once; more wait, and their latency counts."`
 }
 
+// dayCmd plays scripted days.
 type dayCmd struct {
 	Scripts []string `arg:"" type:"existingfile" help:"Scripts, played one after the other."`
 	Seed    uint64   `help:"Another seed than the script's."`
@@ -72,6 +77,7 @@
 	Log     bool     `help:"Show the dispatcher's own log."`
 }
 
+// compareCmd measures the dispatcher beside a reverse proxy. Its fields are those of compare.Options.
 type compareCmd struct {
 	Conns       int           `default:"4" help:"Client connections."`
 	Concurrency int           `default:"128" help:"Messages out at once when measuring throughput."`
@@ -82,6 +88,7 @@
 	Rate        float64       `help:"Messages a second at which latency is measured. Default: half of what the slowest bears."`
 }
 
+// frontsCmd measures the AMQP front beside the HTTP/2 front.
 type frontsCmd compareCmd
 
 func (c *frontsCmd) Run() error {
@@ -90,6 +97,7 @@
 	return compare.Fronts(ctx, os.Stdout, compare.Options(*c))
 }
 
+// trailCmd measures delivery with and without the audit trail.
 type trailCmd compareCmd
 
 func (c *trailCmd) Run() error {
@@ -98,6 +106,7 @@
 	return compare.Trail(ctx, os.Stdout, compare.Options(*c))
 }
 
+// idleCmd measures busy partners beside idle ones. Its fields are those of compare.IdleOptions.
 type idleCmd struct {
 	Partners int           `default:"20000" help:"Partners in all."`
 	Busy     int           `default:"100" help:"Of them, with the steady load."`
@@ -128,7 +137,7 @@
 	}
 }
 
-// requireLoopback refuses addresses beyond this machine: the lab is no tool to load others with.
+// requireLoopback returns an error for an address beyond this machine, because whinlab must not put load on others.
 func requireLoopback(addr string) error {
 	if strings.HasPrefix(addr, "127.") || strings.HasPrefix(addr, "[::1]:") {
 		return nil
@@ -136,6 +145,7 @@
 	return fmt.Errorf("%s is not a loopback address", addr)
 }
 
+// interruptContext returns a context that ends at SIGINT or SIGTERM.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
@@ -186,7 +196,7 @@
 	return nil
 }
 
-// runCommand puts a fault in force at a stand-in.
+// runCommand injects a fault at one of the stand-in partners, as a line of standard input says.
 func runCommand(endpoints []*partner.Endpoint, words []string) error {
 	if len(words) < 2 {
 		return errors.New("usage: NUMBER WORD VALUES")
@@ -261,6 +271,8 @@
 	return nil
 }
 
+// runScript plays one script and prints its outcome. It returns false where a rule was violated or too little was
+// served.
 func (c *dayCmd) runScript(ctx context.Context, file string) (ok bool, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -57,9 +57,10 @@
 	return errors.Join(ctx.Err())
 }
 
-// maxViolationsShown of a run are printed; the others are counted.
+// maxViolationsShown is the number of violations of a run that are printed. The others are counted.
 const maxViolationsShown = 20
 
+// printSoak prints the outcome of a run.
 func printSoak(result *soak.Result) {
 	verdict := "kept"
 	if len(result.Violations) > 0 {
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,6 +1,6 @@
-// Package slowstart plays the return of a destination from an outage against many dispatchers in one process, and measures what
-// they send it together beside what it bears. Dispatchers are the decision module itself; the destination is a model. One seed
-// gives one sequence of events.
+// Package slowstart simulates the end of a destination's outage with many dispatchers in one process, and compares the
+// calls that they send together with the calls that the destination can serve. Each dispatcher is the decision library
+// itself; the destination is a model. One seed gives one sequence of events.
 package slowstart
 
 import (
@@ -13,102 +13,157 @@
 	"whinrun/control"
 )
 
-// Outage is how a destination fails.
+// Outage is a way in which a destination fails.
 type Outage uint8
 
-// Outages.
+// Kinds of outage.
 const (
-	RefusesConnections Outage = iota // connections are refused
-	NeverAnswers                     // calls are taken and never answered
-	AnswersErrors                    // calls are answered with errors
-	ResetsConnections                // calls are broken off
-	RejectsWithWait                  // calls are turned away and told to wait until it opens
-	RejectsWithoutWait               // calls are turned away, and nothing is told
+	// RefusesConnections refuses connections.
+	RefusesConnections Outage = iota
+	// NeverAnswers takes calls and never answers them.
+	NeverAnswers
+	// AnswersErrors answers calls with errors.
+	AnswersErrors
+	// ResetsConnections resets the connections of calls.
+	ResetsConnections
+	// RejectsWithWait rejects calls as overloaded and tells to wait until the end of the outage.
+	RejectsWithWait
+	// RejectsWithoutWait rejects calls as overloaded and tells no wait.
+	RejectsWithoutWait
+	// outageCount is the number of kinds of outage.
 	outageCount
 )
 
+// outageNames holds the name of each kind of outage in reports.
 var outageNames = [...]string{"refuses", "silent", "errors", "resets", "shut", "shut, nothing told"}
 
+// String returns the name of the kind of outage in reports.
 func (o Outage) String() string { return outageNames[o] }
 
-// Config is of one play.
+// Config configures one simulation.
 type Config struct {
-	Seed          uint64
-	Dispatchers   int
-	Outage        Outage
-	RestartShare  float64 // share of the dispatchers that restart within the outage, or within a second after it
-	TrafficSpread float64 // deviation of the logarithm of the dispatchers' shares of the traffic
+	// Seed determines the destination, the times and all random events.
+	Seed uint64
+	// Dispatchers is the number of dispatchers.
+	Dispatchers int
+	Outage      Outage
+	// RestartShare is the share of the dispatchers that restart during the outage or within a second after it.
+	RestartShare float64
+	// TrafficSpread is the standard deviation of the logarithm of the dispatchers' shares of the traffic.
+	TrafficSpread float64
 }
 
-// RandomConfig makes a play of a number of dispatchers from a seed.
+// RandomConfig returns the configuration of a simulation that a seed selects for a number of dispatchers.
 func RandomConfig(seed uint64, dispatchers int) Config {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outageCount))), RestartShare: 0.6 * float64(rng.IntN(2)),
 		TrafficSpread: 1.2 * rng.Float64()}
 }
 
-// Result is what a play came to.
+// Result is the outcome of one simulation.
 type Result struct {
 	Config
-	Capacity        float64 // calls a second that the destination bears when warm
-	Load            float64 // demand, as a part of that
-	WorstRatio      float64 // the most calls in a span, beside what is borne then
-	WorstAt         float64 // when that was, in seconds after the return
-	WorstCalls      int     // in that span
-	WorstBound      float64
-	AwareShare      float64 // part of them of dispatchers that had seen the outage
-	Violated        bool    // the rule: past the bound, and over two thirds of those that had seen it
-	RecoverySeconds float64 // seconds after the return until nine tenths of the demand are served; -1 for never
+	// Capacity is the number of calls a second that the destination can serve when warm.
+	Capacity float64
+	// Load is the demand as a fraction of Capacity.
+	Load float64
+	// WorstRatio is the largest ratio of the calls in a window of 2 s to the budget at its end, during the warm-up.
+	WorstRatio float64
+	// WorstAt is the end of that window, in seconds after the end of the outage.
+	WorstAt float64
+	// WorstCalls is the number of calls in that window.
+	WorstCalls int
+	// WorstBound is the budget at the end of that window, in calls.
+	WorstBound float64
+	// AwareShare is the share of the calls in that window that came from dispatchers that had seen the outage.
+	AwareShare float64
+	// Violated is set when a window exceeded the budget and more than two thirds of its calls came from dispatchers that
+	// had seen the outage.
+	Violated bool
+	// RecoverySeconds is the time in seconds from the end of the outage until nine tenths of the demand are served, -1
+	// for never.
+	RecoverySeconds float64
 }
 
-// Figures of the destination, in the ranges of the users' deployments.
+// Parameters of the simulation. Those of the destination are within the ranges of the users' deployments.
 const (
-	minColdFraction, maxColdFraction   = 0.14, 0.27
-	minWarmUpSeconds, maxWarmUpSeconds = 7.9, 11.0 // seconds
-	overloadFactor                     = 2.0
-	overloadWindow                     = 2 * control.Second
-	maxAwareShare                      = 2.0 / 3
-	steadyPeriod                       = 20 * control.Second // ahead of the outage
-	minOutageSeconds, maxOutageSeconds = 5.0, 18.0           // seconds
-	observationPeriod                  = 14 * control.Second // behind the return
-	meanServiceTime                    = 60 * control.Millisecond
-	networkDelay                       = 5 * control.Millisecond
-	tickInterval                       = 5 * control.Millisecond
-	queueSeconds                       = 0.5 // of its capacity may wait at the destination
-	destination, endpoint              = 1, control.Endpoint(10)
+	// minColdFraction and maxColdFraction limit the part of its capacity that the destination has when the outage ends.
+	minColdFraction, maxColdFraction = 0.14, 0.27
+	// minWarmUpSeconds and maxWarmUpSeconds limit the time until the destination has all of its capacity.
+	minWarmUpSeconds, maxWarmUpSeconds = 7.9, 11.0
+	// overloadFactor times the present capacity is the rate that the dispatchers may send over overloadWindow.
+	overloadFactor = 2.0
+	// overloadWindow is the span in which calls are counted.
+	overloadWindow = 2 * control.Second
+	// maxAwareShare is the share of calls from dispatchers that had seen the outage above which an overload is a
+	// violation.
+	maxAwareShare = 2.0 / 3
+	// steadyPeriod is the time before the outage.
+	steadyPeriod = 20 * control.Second
+	// minOutageSeconds and maxOutageSeconds limit the length of the outage.
+	minOutageSeconds, maxOutageSeconds = 5.0, 18.0
+	// observationPeriod is the time after the outage for which the simulation runs.
+	observationPeriod = 14 * control.Second
+	// meanServiceTime is the mean of the exponentially distributed time that the destination takes for a call.
+	meanServiceTime = 60 * control.Millisecond
+	// networkDelay is the time that a call or an answer takes on the network.
+	networkDelay = 5 * control.Millisecond
+	// tickInterval is the tick of the decision library.
+	tickInterval = 5 * control.Millisecond
+	// queueSeconds times the present capacity is the number of calls that the destination can take on at once. It takes on
+	// at least one.
+	queueSeconds = 0.5
+	// destination and endpoint identify the only destination and its only endpoint.
+	destination, endpoint = 1, control.Endpoint(10)
 )
 
-// dispatcher is one of them.
+// dispatcher is one of the simulated dispatchers.
 type dispatcher struct {
-	core          *control.Dispatcher
-	number        int
-	share         float64
-	sawOutage     bool
-	outageRecords map[control.Endpoint]control.Outage // what is on record of outages
-	openAttempts  map[control.MessageID]int           // attempts out, by their number
-	pending       map[control.MessageID]*message      // what it owes, on record
-	epoch         int                                 // processes so far
+	// core is the decision library of the present process.
+	core   *control.Dispatcher
+	number int
+	// share is its part of the traffic.
+	share float64
+	// sawOutage is set once a call that it sent during the outage failed.
+	sawOutage bool
+	// outageRecords are the outages in its ledger.
+	outageRecords map[control.Endpoint]control.Outage
+	// openAttempts holds the open attempts of messages, by the attempt's number.
+	openAttempts map[control.MessageID]int
+	// pending holds the accepted messages in its ledger that have not ended.
+	pending map[control.MessageID]*message
+	// epoch counts its processes.
+	epoch int
 }
 
-// message is one that a dispatcher owes.
+// message is an accepted message that has not ended.
 type message struct {
-	class                 int
-	deadline              control.Time
-	attempts              int
-	lastAttemptAt         control.Time // when its last attempt began
-	possiblyExecutedSince control.Time // when the first began that may have been executed, 0 for none
+	class    int
+	deadline control.Time
+	// attempts counts the attempts so far.
+	attempts int
+	// lastAttemptAt is when the last attempt began.
+	lastAttemptAt control.Time
+	// possiblyExecutedSince is when the first possibly executed attempt began, 0 for none.
+	possiblyExecutedSince control.Time
 }
 
-// scheduledEvent is something due at a moment.
+// scheduledEvent is an event at a time of the simulation. It is either a function or an event for a dispatcher.
 type scheduledEvent struct {
-	at         control.Time
-	seq        int
+	// at is the virtual time of the event.
+	at control.Time
+	// seq keeps the order of events of the same time.
+	seq int
+	// dispatcher receives event. It is nil where run is set.
 	dispatcher *dispatcher
 	event      control.Event
-	run        func() // instead of an event of a dispatcher
-	epoch      int    // epoch of the dispatcher that it is for
+	// run is called instead of giving an event to a dispatcher.
+	run func()
+	// epoch is the dispatcher's epoch at scheduling. The event is dropped in a later epoch.
+	epoch int
 }
 
+// eventQueue is a heap of events by their times.
 type eventQueue []*scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -124,33 +179,39 @@
 	return x
 }
 
-// call is a call at the destination.
+// call is a call that reached the destination.
 type call struct {
-	at        control.Time
-	sawOutage bool // its dispatcher had seen the outage before
+	at control.Time
+	// sawOutage is set when its dispatcher had seen the outage before.
+	sawOutage bool
 }
 
-// simulation is one play under way.
+// simulation is the state of one simulation.
 type simulation struct {
-	cfg                    Config
-	settings               control.Settings
-	rng                    *rand.Rand
-	now                    control.Time
-	seq                    int
-	queue                  eventQueue
-	dispatchers            []*dispatcher
-	nextID                 control.MessageID
-	capacity               float64
-	demand                 float64
-	outageStart, outageEnd control.Time // the outage
-	tokens                 float64      // calls that the destination can begin now
-	refilledAt             control.Time
-	recentCalls            []call // of the last span
-	servedAt               []control.Time
-	result                 Result
+	cfg         Config
+	settings    control.Settings
+	rng         *rand.Rand
+	now         control.Time
+	seq         int
+	queue       eventQueue
+	dispatchers []*dispatcher
+	nextID      control.MessageID
+	capacity    float64
+	demand      float64
+	// outageStart and outageEnd limit the outage.
+	outageStart, outageEnd control.Time
+	// tokens is the number of calls that the destination can take on now, as a token bucket.
+	tokens float64
+	// refilledAt is when tokens was last refilled.
+	refilledAt control.Time
+	// recentCalls are the calls of the last overloadWindow.
+	recentCalls []call
+	// servedAt holds the times of the successful answers, in order.
+	servedAt []control.Time
+	result   Result
 }
 
-// Simulate plays one play.
+// Simulate runs one simulation.
 func Simulate(cfg Config) Result {
 	p := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Dispatchers)))}
 	p.drawParameters()
@@ -163,7 +224,7 @@
 	return p.result
 }
 
-// drawParameters draws the destination and the times.
+// drawParameters sets the destination, the times and the settings at random.
 func (p *simulation) drawParameters() {
 	between := func(low, high float64) float64 { return low + p.rng.Float64()*(high-low) }
 	p.capacity = math.Exp(between(math.Log(4), math.Log(400)))
@@ -185,9 +246,10 @@
 	p.result = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
 }
 
+// seconds converts seconds to the time of the decision library.
 func seconds(s float64) control.Time { return control.Time(s * float64(control.Second)) }
 
-// startDispatchers starts the dispatchers and their traffic.
+// startDispatchers creates the dispatchers and schedules their traffic and restarts.
 func (p *simulation) startDispatchers() {
 	sum := 0.0
 	for i := range p.cfg.Dispatchers {
@@ -206,13 +268,14 @@
 	}
 }
 
-// startProcess gives a dispatcher a process: what the one before knew of outages is on record, all else is gone.
+// startProcess starts a new process of a dispatcher. Its outages and pending messages are restored, all else is lost.
 func (p *simulation) startProcess(d *dispatcher) {
 	settings := p.settings
 	settings.Me = d.number
 	core, err := control.New(settings, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
 	if err != nil {
-		panic(err) // the settings are this package's own
+		// The settings are this package's own, so an error is a fault of the package.
+		panic(err)
 	}
 	d.core = core
 	d.epoch++
@@ -224,12 +287,13 @@
 	p.runDispatcher(d, append(events, p.restoredMessages(d)...)...)
 }
 
-// restoredMessages are the messages that a process before had taken on.
+// restoredMessages returns the events that restore the pending messages after a restart. An attempt that was open at the
+// restart counts as possibly executed.
 func (p *simulation) restoredMessages(d *dispatcher) (events []control.Event) {
 	for _, id := range slices.Sorted(maps.Keys(d.pending)) {
 		m := d.pending[id]
 		if attempt, open := d.openAttempts[id]; open && attempt == m.attempts-1 && m.possiblyExecutedSince == 0 {
-			m.possiblyExecutedSince = m.lastAttemptAt // its end is not known
+			m.possiblyExecutedSince = m.lastAttemptAt
 		}
 		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, Grace: max(0, m.deadline-p.now),
 			Restored: true, Attempt: m.attempts, Doubt: m.possiblyExecutedSince > 0, Lag: p.now - m.possiblyExecutedSince})
@@ -238,6 +302,7 @@
 	return events
 }
 
+// schedule adds an event to the queue.
 func (p *simulation) schedule(event *scheduledEvent) {
 	p.seq++
 	event.seq = p.seq
@@ -247,7 +312,7 @@
 	heap.Push(&p.queue, event)
 }
 
-// scheduleArrival has the next message come to a dispatcher.
+// scheduleArrival schedules the next message of a dispatcher. The arrivals are a Poisson process.
 func (p *simulation) scheduleArrival(d *dispatcher) {
 	rate := p.demand * d.share
 	at := p.now + seconds(p.rng.ExpFloat64()/rate)
@@ -260,17 +325,19 @@
 	}})
 }
 
-// runNext takes what is due next.
+// runNext removes the next event from the queue and runs it.
 func (p *simulation) runNext() {
 	next := heap.Pop(&p.queue).(*scheduledEvent)
 	p.now = next.at
 	switch {
 	case next.run != nil:
 		next.run()
-	case next.epoch == next.dispatcher.epoch: // else it was for a process that has ended
+	// An event for a process that has ended is dropped.
+	case next.epoch == next.dispatcher.epoch:
 		if next.event.Kind == control.Outcome {
 			if attempt, open := next.dispatcher.openAttempts[next.event.Message]; !open || attempt != next.event.Attempt {
-				return // its end has come already
+				// The attempt has already ended.
+				return
 			}
 			delete(next.dispatcher.openAttempts, next.event.Message)
 			p.applyAttemptEnd(next.dispatcher, &next.event)
@@ -279,7 +346,7 @@
 	}
 }
 
-// applyAttemptEnd notes the end of an attempt.
+// applyAttemptEnd records the end of an attempt.
 func (p *simulation) applyAttemptEnd(d *dispatcher, e *control.Event) {
 	m := d.pending[e.Message]
 	if m != nil && e.Result != control.OK && m.lastAttemptAt >= p.outageStart && m.lastAttemptAt < p.outageEnd {
@@ -295,7 +362,7 @@
 	}
 }
 
-// runDispatcher has a dispatcher decide, and carries out what it wants.
+// runDispatcher gives events to a dispatcher and carries out the actions that it returns.
 func (p *simulation) runDispatcher(d *dispatcher, events ...control.Event) {
 	for _, a := range d.core.Step(p.now, events, nil) {
 		switch a.Kind {
@@ -320,13 +387,13 @@
 	}
 }
 
-// scheduleAttemptEnd has an attempt end after a while.
+// scheduleAttemptEnd schedules the end of an attempt after a delay.
 func (p *simulation) scheduleAttemptEnd(d *dispatcher, id control.MessageID, attempt int, result control.Result, delay, wait control.Time) {
 	p.schedule(&scheduledEvent{at: p.now + delay, dispatcher: d, event: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: result,
 		Lag: delay, Wait: wait}})
 }
 
-// sendCall has a call reach the destination, and its end come back.
+// sendCall delivers a call to the destination and schedules its end.
 func (p *simulation) sendCall(d *dispatcher, a control.Action) {
 	m := d.pending[a.Message]
 	attempt := m.attempts
@@ -350,7 +417,7 @@
 	p.scheduleAttemptEnd(d, a.Message, attempt, control.Full, 2*networkDelay, 0)
 }
 
-// failCall has a call meet the outage.
+// failCall schedules the end of a call that reaches the destination during the outage.
 func (p *simulation) failCall(d *dispatcher, id control.MessageID, attempt int, timeLeft control.Time) {
 	p.recordCall(d)
 	switch p.cfg.Outage {
@@ -369,7 +436,8 @@
 	}
 }
 
-// recordCall notes a call at the destination, and compares what came within the last span with what is borne.
+// recordCall records a call at the destination. During the warm-up it compares the calls of the last window with the
+// budget.
 func (p *simulation) recordCall(d *dispatcher) {
 	p.recentCalls = append(p.recentCalls, call{p.now, d.sawOutage})
 	for p.now-p.recentCalls[0].at > overloadWindow {
@@ -394,7 +462,8 @@
 	p.result.Violated = p.result.Violated || ratio > 1 && p.result.AwareShare > maxAwareShare
 }
 
-// callBudget is how many calls a span may have where the settings allow n.
+// callBudget returns how many calls a window may have where the settings allow an expected number. Two to three standard
+// deviations are added, because the arrivals are random.
 func callBudget(expected float64) float64 {
 	if expected < 30 {
 		return expected + 3*math.Sqrt(expected) + 3
@@ -402,7 +471,7 @@
 	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// takeToken tells whether the destination takes one call more.
+// takeToken reports whether the destination takes on one more call.
 func (p *simulation) takeToken() bool {
 	p.tokens = min(p.tokens+p.capacity*p.capacityFraction()*float64(p.now-p.refilledAt)/float64(control.Second), max(1, queueSeconds*p.capacity*p.capacityFraction()))
 	p.refilledAt = p.now
@@ -413,10 +482,12 @@
 	return true
 }
 
-// recoverySeconds tells when the destination served nine tenths of the demand again, or of its capacity, over a span.
+// recoverySeconds returns the time in seconds from the end of the outage until the calls served in a window reach nine
+// tenths of the demand, or of the capacity where that is less. It returns -1 for never.
 func (p *simulation) recoverySeconds() float64 {
 	wanted := 0.9 * min(p.demand, p.capacity) * float64(overloadWindow) / float64(control.Second)
-	wanted -= 2 * math.Sqrt(wanted) // chance
+	// Two standard deviations are allowed for random arrivals.
+	wanted -= 2 * math.Sqrt(wanted)
 	for i, at := range p.servedAt {
 		if at < p.outageEnd+overloadWindow {
 			continue
@@ -432,7 +503,7 @@
 	return -1
 }
 
-// capacityFraction is the part of its capacity that the destination has.
+// capacityFraction returns the part of its capacity that the destination has now.
 func (p *simulation) capacityFraction() float64 {
 	if p.now < p.outageEnd {
 		return p.settings.ColdFrom
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,11 +9,12 @@
 	"testing"
 )
 
-// dispatcherCounts are how many dispatchers share a destination.
+// dispatcherCounts are the numbers of dispatchers that share a destination.
 var dispatcherCounts = []int{2, 25, 300, 900}
 
-// Whatever the outage, however many dispatchers, restarts within it and uneven traffic included: together they stay within what a
-// cold destination bears, and it is soon in full use again. WHINRUN_SEEDS plays more seeds than CI does.
+// For each kind of outage, number of dispatchers, restarts and uneven traffic, the dispatchers together stay within the
+// budget of a cold destination. The log shows how soon it is in full use again. WHINRUN_SEEDS sets the number of seeds
+// for runs longer than those of CI.
 func TestSumStaysWithinTheBudget(t *testing.T) {
 	seeds := 12
 	if n, err := strconv.Atoi(os.Getenv("WHINRUN_SEEDS")); err == nil {
@@ -44,7 +45,7 @@
 	}
 }
 
-// The same seed gives the same play.
+// The same seed gives the same result.
 func TestPlaysRepeat(t *testing.T) {
 	for seed := range uint64(4) {
 		if a, b := Simulate(RandomConfig(seed, 25)), Simulate(RandomConfig(seed, 25)); a != b {
@@ -53,6 +54,7 @@
 	}
 }
 
+// Summary counts the runs that never recover as infinitely long.
 func TestSummary(t *testing.T) {
 	all := []Result{{WorstRatio: 0.5, RecoverySeconds: 3}, {WorstRatio: 0.9, RecoverySeconds: -1}, {WorstRatio: 0.7, RecoverySeconds: 5}}
 	if got := Summary(all); !slices.Contains([]string{"worst share of the budget p50 0.70, p90 0.90, most 0.90; in full use after p50 5.0 s, p90 never, 1 of 3 never"}, got) {
--- a/internal/slowstart/summary.go
+++ b/internal/slowstart/summary.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Summary tells how plays were distributed: the worst share of the budget, and when the destination was in full use again.
+// Summary describes the distribution of the worst ratio of calls to the budget and of the recovery time over results.
 func Summary(all []Result) string {
 	worst := make([]float64, len(all))
 	recovery := make([]float64, len(all))
@@ -24,6 +24,7 @@
 		quantile(worst, 0.5), quantile(worst, 0.9), quantile(worst, 1), formatSeconds(quantile(recovery, 0.5)), formatSeconds(quantile(recovery, 0.9)), never, len(all))
 }
 
+// formatSeconds formats a time in seconds, infinity as "never".
 func formatSeconds(s float64) string {
 	if math.IsInf(s, 1) {
 		return "never"
@@ -31,7 +32,7 @@
 	return fmt.Sprintf("%.1f s", s)
 }
 
-// quantile of sorted values, the nearest one above.
+// quantile returns the q-quantile of sorted values without interpolation, 0 where there is none.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
