--- a/cmd/whinlab/deploy.go
+++ b/cmd/whinlab/deploy.go
@@ -16,6 +16,7 @@
 	File string `default:"deploy/balancer.toml" help:"The deploy file."`
 }
 
+// Run prints the line. It fails where the file has no such key.
 func (c *lineCmd) Run() error {
 	text, err := sitefile.Line(c.File, c.Key)
 	if err == nil {
@@ -31,6 +32,7 @@
 	Out       string `default:"found/sites" help:"Folder for the variant."`
 }
 
+// Run writes the variant and prints its path.
 func (c *siteCmd) Run() error {
 	path, err := sitefile.Variant(c.Site, c.Overrides, c.Out)
 	if err == nil {
--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -91,6 +91,7 @@
 // frontsCmd measures the AMQP front beside the HTTP/2 front.
 type frontsCmd compareCmd
 
+// Run measures until the rounds are over or it is interrupted.
 func (c *frontsCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -100,6 +101,7 @@
 // trailCmd measures delivery with and without the audit trail.
 type trailCmd compareCmd
 
+// Run measures until the rounds are over or it is interrupted.
 func (c *trailCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -116,12 +118,14 @@
 	Pairs    int           `default:"5" help:"Pairs of runs."`
 }
 
+// Run measures until the pairs of runs are over or it is interrupted.
 func (c *idleCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Idle(ctx, os.Stdout, compare.IdleOptions(*c))
 }
 
+// Run measures until the rounds are over or it is interrupted.
 func (c *compareCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -150,6 +154,7 @@
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// Run serves partners and reads commands from standard input until it is interrupted, and prints counts of the calls.
 func (c *partnerCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -228,6 +233,7 @@
 	return endpoint.Set(fault)
 }
 
+// Run submits the messages and prints a report of their outcomes.
 func (c *sendCmd) Run() error {
 	if err := requireLoopback(c.To); err != nil {
 		return err
@@ -252,6 +258,7 @@
 	return nil
 }
 
+// Run plays the scripts. It fails where a rule was violated or too little was served.
 func (c *dayCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -27,6 +27,7 @@
 	Keep   string        `type:"path" help:"Folder for the logs and events of runs that broke a rule."`
 }
 
+// Run runs the seeds. It fails where one of them violated a rule or it is interrupted.
 func (c *soakCmd) Run() error {
 	for _, f := range c.Faults {
 		if !slices.Contains(soak.FaultKinds(), f) {
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -36,7 +36,7 @@
 			simulations.Wait()
 			for _, r := range results {
 				if r.Violated {
-					t.Errorf("seed %d (%v): %d calls at %.2f s, %.1f are borne; %.0f%% of those who had seen the outage", r.Seed, r.Outage, r.WorstCalls, r.WorstAt, r.WorstBound,
+					t.Errorf("seed %d (%v): %d calls in the window that ends at %.2f s, the budget is %.1f; %.0f%% came from dispatchers that had seen the outage", r.Seed, r.Outage, r.WorstCalls, r.WorstAt, r.WorstBound,
 						100*r.AwareShare)
 				}
 			}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -14,24 +14,24 @@
 	cfg := Config{Seed: 5, Nodes: 24, Duration: time.Minute}
 	plan := cfg.plan()
 	if !reflect.DeepEqual(plan, cfg.plan()) {
-		t.Error("the same seed gives another plan")
+		t.Error("the same seed gives different plans")
 	}
 	seen := map[string]bool{}
 	last := time.Duration(0)
 	for _, f := range plan {
 		seen[f.Kind] = true
 		if f.At < last || f.At > cfg.Duration || f.Duration <= 0 {
-			t.Errorf("%+v", f)
+			t.Errorf("fault out of order or out of range: %+v", f)
 		}
 		last = f.At
 	}
 	if len(seen) != len(FaultKinds()) {
-		t.Errorf("%d of %d kinds", len(seen), len(FaultKinds()))
+		t.Errorf("%d of %d kinds of fault occur", len(seen), len(FaultKinds()))
 	}
 	cfg.FaultKinds = []string{"kill", "hang"}
 	for _, f := range cfg.plan() {
 		if f.Kind != "kill" && f.Kind != "hang" {
-			t.Errorf("%+v", f)
+			t.Errorf("a fault of a kind that was not selected: %+v", f)
 		}
 	}
 }
@@ -47,9 +47,9 @@
 		t.Fatal(err)
 	}
 	if len(res.Violations) > 0 {
-		t.Errorf("%q, logs in %s", res.Violations, res.Folder)
+		t.Errorf("violations %q, logs in %s", res.Violations, res.Folder)
 	}
 	if res.Accepted < 50 || res.Delivered < 40 || len(res.Faults) < 3 {
-		t.Errorf("%+v", res)
+		t.Errorf("too few messages, deliveries or faults: %+v", res)
 	}
 }
