--- a/internal/soak/environment.go
+++ b/internal/soak/environment.go
@@ -176,12 +176,12 @@
 }
 
 // setMuted stops the answers of an agent, or resumes them and publishes the deferred changes.
-func (w *environment) setMuted(a *nodeAgent, on bool) {
+func (w *environment) setMuted(a *nodeAgent, muted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.muted = on
-	a.SetMuted(on)
-	if !on {
+	a.muted = muted
+	a.SetMuted(muted)
+	if !muted {
 		for _, h := range a.deferred {
 			a.publishEntry(h, w.testbed.Now())
 		}
--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -180,8 +180,8 @@
 
 // Check returns the violations of the six rules in the events, sorted. Messages whose deadline and slack reach beyond
 // end need not have ended.
-func Check(events []Event, r Rules, end time.Time) (faults []string) {
-	c := &checker{rules: r, messages: map[string]*messageState{}, unavailable: map[listedHost]Event{}, waits: map[waitingDest]Event{}, hosts: map[string]*hostState{},
+func Check(events []Event, rules Rules, end time.Time) (violations []string) {
+	c := &checker{rules: rules, messages: map[string]*messageState{}, unavailable: map[listedHost]Event{}, waits: map[waitingDest]Event{}, hosts: map[string]*hostState{},
 		callEnds: map[messageCall]time.Time{}, messageEnds: map[string]time.Time{}}
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
@@ -355,11 +355,11 @@
 	c.checkRepeat(e, m, disturbed)
 	m.callStarts[e.Call] = e.At
 	m.openCall = e.Call
-	if t, ok := c.unavailable[listedHost{m.node(), e.Host}]; ok && !disturbed && e.At.After(t.At.Add(c.rules.DrainGrace)) {
-		c.violation("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(t.At), t.Health)
+	if listed, ok := c.unavailable[listedHost{m.node(), e.Host}]; ok && !disturbed && e.At.After(listed.At.Add(c.rules.DrainGrace)) {
+		c.violation("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(listed.At), listed.Health)
 	}
 	c.checkColdCall(e, m)
-	if w, ok := c.waits[waitingDest{m.node(), e.Dest}]; ok && !disturbed && !c.host(w.Host).mayLoseAnswer(w.At) && e.At.After(w.At.Add(c.rules.WaitGrace)) && e.At.Before(w.At.Add(w.Wait)) {
+	if answer, ok := c.waits[waitingDest{m.node(), e.Dest}]; ok && !disturbed && !c.host(answer.Host).mayLoseAnswer(answer.At) && e.At.After(answer.At.Add(c.rules.WaitGrace)) && e.At.Before(answer.At.Add(answer.Wait)) {
 		c.violation("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
 	}
 	if m.accepted != nil && !disturbed && m.accepted.Key != "" && slices.Contains(c.rules.Ordered, m.accepted.Class) {
@@ -394,22 +394,22 @@
 			c.violation("rule 4: %s is pushed over by %s", e.Host, e.Name)
 		}
 	}
-	s := c.rules.SlowStart
-	if s == nil || h.awareNodes == nil || h.overloaded {
+	slowStart := c.rules.SlowStart
+	if slowStart == nil || h.awareNodes == nil || h.overloaded {
 		return
 	}
 	if n := len(h.recentCalls); n == 0 || h.recentCalls[n-1].call != e.Call {
 		h.recentCalls = append(h.recentCalls, arrival{e.At, e.Call, m.node()})
 	}
-	if since := e.At.Sub(h.recoveredAt); !h.down && since < s.WarmUp {
-		c.checkSlowStart(e, h, s, since)
+	if since := e.At.Sub(h.recoveredAt); !h.down && since < slowStart.WarmUp {
+		c.checkSlowStart(e, h, slowStart, since)
 	}
 }
 
 // checkSlowStart compares the calls of the last window with the budget.
-func (c *checker) checkSlowStart(e *Event, h *hostState, s *SlowStart, since time.Duration) {
-	h.recentCalls = slices.DeleteFunc(h.recentCalls, func(a arrival) bool { return e.At.Sub(a.at) > s.OverloadWindow })
-	budget := s.callBudget(since)
+func (c *checker) checkSlowStart(e *Event, h *hostState, slowStart *SlowStart, since time.Duration) {
+	h.recentCalls = slices.DeleteFunc(h.recentCalls, func(a arrival) bool { return e.At.Sub(a.at) > slowStart.OverloadWindow })
+	budget := slowStart.callBudget(since)
 	if float64(len(h.recentCalls)) <= budget {
 		return
 	}
@@ -420,9 +420,9 @@
 			aware++
 		}
 	}
-	if float64(aware) > s.MaxAwareShare*float64(len(h.recentCalls)) {
+	if float64(aware) > slowStart.MaxAwareShare*float64(len(h.recentCalls)) {
 		c.violation("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
-			len(h.recentCalls), s.OverloadWindow, aware, budget)
+			len(h.recentCalls), slowStart.OverloadWindow, aware, budget)
 	}
 }
 
@@ -464,7 +464,7 @@
 	}
 	if e.Wait > 0 {
 		at := waitingDest{m.node(), e.Dest}
-		if w, ok := c.waits[at]; !ok || e.At.Add(e.Wait).After(w.At.Add(w.Wait)) {
+		if previous, ok := c.waits[at]; !ok || e.At.Add(e.Wait).After(previous.At.Add(previous.Wait)) {
 			c.waits[at] = *e
 		}
 	}
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -429,10 +429,10 @@
 func (a *Agent) Close() { _ = a.srv.Close() }
 
 // SetMuted stops the answers to all watches, or resumes them.
-func (a *Agent) SetMuted(on bool) {
+func (a *Agent) SetMuted(muted bool) {
 	a.mu.Lock()
-	a.muted = on
-	a.notifyWatches()
+	a.muted = muted
+	a.wakeWatches()
 	a.mu.Unlock()
 }
 
@@ -440,7 +440,7 @@
 func (a *Agent) SilenceOpenWatches() {
 	a.mu.Lock()
 	a.silencedWatches = a.openedWatches
-	a.notifyWatches()
+	a.wakeWatches()
 	a.mu.Unlock()
 }
 
@@ -458,8 +458,8 @@
 	a.mu.Unlock()
 }
 
-// notifyWatches wakes the open watches. The caller holds the lock.
-func (a *Agent) notifyWatches() {
+// wakeWatches wakes the open watches. The caller holds the lock.
+func (a *Agent) wakeWatches() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
@@ -480,7 +480,7 @@
 		a.testbed.Record(Event{At: at, Kind: HealthListed, Host: entry.Host, Health: entry.Health, Node: a.Node})
 	}
 	a.changes = append(a.changes, entries)
-	a.notifyWatches()
+	a.wakeWatches()
 }
 
 // FullList returns the full list as JSON.
