--- a/cmd/whinlab/deploy.go
+++ b/cmd/whinlab/deploy.go
@@ -18,7 +18,7 @@
 
 // Run prints the line. It fails where the file has no such key.
 func (c *lineCmd) Run() error {
-	text, err := sitefile.Line(c.File, c.Key)
+	text, err := sitefile.Text(c.File, c.Key)
 	if err == nil {
 		fmt.Println(text)
 	}
@@ -34,7 +34,7 @@
 
 // Run writes the variant and prints its path.
 func (c *siteCmd) Run() error {
-	path, err := sitefile.Variant(c.Site, c.Overrides, c.Out)
+	path, err := sitefile.WriteVariant(c.Site, c.Overrides, c.Out)
 	if err == nil {
 		fmt.Println(path)
 	}
@@ -50,16 +50,16 @@
 // be read.
 func (c *gateCmd) Run() error {
 	file, err := os.Open(c.Known)
-	var known []testgate.Known
+	var known []testgate.KnownFailure
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		return err
 	default:
-		known, err = testgate.ParseKnown(file)
+		known, err = testgate.ParseKnownFailures(file)
 		if err = errors.Join(err, file.Close()); err != nil {
 			return fmt.Errorf("%s: %w", c.Known, err)
 		}
 	}
-	return testgate.Judge(os.Stdin, known, os.Stdout)
+	return testgate.Evaluate(os.Stdin, known, os.Stdout)
 }
--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -19,9 +19,9 @@
 
 	"whinrun/internal/clock"
 	"whinrun/internal/compare"
-	"whinrun/internal/day"
 	"whinrun/internal/load"
 	"whinrun/internal/partner"
+	"whinrun/internal/scenario"
 	"whinrun/internal/soak"
 )
 
@@ -105,7 +105,7 @@
 func (c *trailCmd) Run() error {
 	ctx, stop := interruptContext()
 	defer stop()
-	return compare.Trail(ctx, os.Stdout, compare.Options(*c))
+	return compare.AuditTrail(ctx, os.Stdout, compare.Options(*c))
 }
 
 // idleCmd measures busy partners beside idle ones. Its fields are those of compare.IdleOptions.
@@ -164,9 +164,9 @@
 		if err := requireLoopback(addr); err != nil {
 			return err
 		}
-		standIn := partner.New(partner.Config{Name: addr, Pace: c.Pace, Servers: c.Servers, Rate: c.Rate, ColdFrom: 0.2, WarmUp: 10 * time.Second,
-			Tip: 2, TipFor: 2 * time.Second, Limit: c.Limit, TellWait: c.Wait, Conns: c.Conns, Streams: c.Streams, Handshake: c.Handshake,
-			IdleReap: c.Reap, Seed: c.Seed + uint64(i)}, log)
+		standIn := partner.New(partner.Config{Name: addr, ServiceTime: c.Pace, Concurrency: c.Servers, Capacity: c.Rate, ColdShare: 0.2, WarmUp: 10 * time.Second,
+			OverloadFactor: 2, OverloadWindow: 2 * time.Second, RateLimit: c.Limit, SendRetryAfter: c.Wait, MaxConns: c.Conns, MaxStreams: c.Streams, SettingsDelay: c.Handshake,
+			IdleTimeout: c.Reap, Seed: c.Seed + uint64(i)}, log)
 		endpoint, err := standIn.Listen(addr)
 		if err != nil {
 			return err
@@ -196,8 +196,8 @@
 	for _, e := range log.Events() {
 		counts[e.Kind]++
 	}
-	fmt.Printf("%d calls arrived, %d applied, %d answered, %d left without an answer\n", counts[partner.Arrived], counts[partner.Applied],
-		counts[partner.Answer], counts[partner.Mute])
+	fmt.Printf("%d calls arrived, %d applied, %d answered, %d left without an answer\n", counts[partner.RequestReceived], counts[partner.Applied],
+		counts[partner.Responded], counts[partner.NoResponse])
 	return nil
 }
 
@@ -223,14 +223,14 @@
 		if err != nil || streams == 0 {
 			return errors.New("usage: NUMBER streams LIMIT, with a LIMIT above 0")
 		}
-		endpoint.Streams(uint32(streams))
+		endpoint.SetMaxStreams(uint32(streams))
 		return nil
 	}
-	fault, err := day.ParseFault(words[1:])
+	fault, err := scenario.ParseFault(words[1:])
 	if err != nil {
 		return err
 	}
-	return endpoint.Set(fault)
+	return endpoint.SetFault(fault)
 }
 
 // Run submits the messages and prints a report of their outcomes.
@@ -249,12 +249,12 @@
 	msgs := make([]load.Message, n)
 	for i := range msgs {
 		path := c.Path[i%len(c.Path)]
-		msgs[i] = load.Message{At: time.Duration(float64(i) / c.Rate * float64(time.Second)), Test: fmt.Sprintf("s%d", i),
-			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, Size: c.Size}
+		msgs[i] = load.Message{At: time.Duration(float64(i) / c.Rate * float64(time.Second)), CorrelationID: fmt.Sprintf("s%d", i),
+			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, BodySize: c.Size}
 	}
-	start := clock.Start()
+	start := clock.StartStopwatch()
 	outcomes := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
-	load.Write(os.Stdout, load.Report(outcomes), start.Elapsed())
+	load.Write(os.Stdout, load.Summarize(outcomes), start.Elapsed())
 	return nil
 }
 
@@ -285,13 +285,13 @@
 	if err != nil {
 		return false, err
 	}
-	script, err := day.Parse(file, string(text))
+	script, err := scenario.Parse(file, string(text))
 	if err != nil {
 		return false, err
 	}
-	script.Scale = c.Scale
-	if script.AMQP == 0 {
-		script.AMQP = c.AMQP
+	script.RateScale = c.Scale
+	if script.AMQPShare == 0 {
+		script.AMQPShare = c.AMQP
 	}
 	if c.Seed > 0 {
 		script.Seed = c.Seed
@@ -301,17 +301,17 @@
 	if c.Log {
 		dispatcherLog = os.Stderr
 	}
-	start := clock.Start()
-	run, err := day.Run(ctx, script, dispatcherLog)
+	start := clock.StartStopwatch()
+	run, err := scenario.Run(ctx, script, dispatcherLog)
 	if err != nil {
 		return false, err
 	}
-	load.Write(os.Stdout, load.Report(run.Outcomes), start.Elapsed())
-	summary := day.Sum(run)
+	load.Write(os.Stdout, load.Summarize(run.Outcomes), start.Elapsed())
+	summary := scenario.Summarize(run)
 	summary.Write(os.Stdout)
-	if share := float64(summary.Served) / float64(max(1, summary.Messages)); share < script.Served {
-		fmt.Printf("served %.3f, expected %.3f\n", share, script.Served)
+	if share := float64(summary.Served) / float64(max(1, summary.Messages)); share < script.MinServed {
+		fmt.Printf("served %.3f, expected %.3f\n", share, script.MinServed)
 		return false, nil
 	}
-	return len(summary.Breaches) == 0, nil
+	return len(summary.Violations) == 0, nil
 }
--- a/cmd/whinrun/audit.go
+++ b/cmd/whinrun/audit.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	lines, err := audit.Show(store, c.ID)
+	lines, err := audit.MessageRecords(store, c.ID)
 	if err == nil && len(lines) == 0 {
 		err = fmt.Errorf("no message %s in the trail", c.ID)
 	}
@@ -130,11 +130,11 @@
 	if err != nil {
 		return err
 	}
-	q := audit.Query{Partner: c.Partner, Tenant: c.Tenant, Outcome: c.Outcome, Most: c.Most}
+	q := audit.Query{Partner: c.Partner, Tenant: c.Tenant, Outcome: c.Outcome, Limit: c.Most}
 	if c.Since > 0 {
 		q.Since = clock.Wall().Add(-c.Since)
 	}
-	all, err := audit.Find(store, q)
+	all, err := audit.FindMessages(store, q)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	if !c.JSON {
 		fmt.Fprintln(w, "taken\tmessage\ttenant\tclass\tpartner\toutcome\tattempts\ttook\treason")
--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -91,7 +91,7 @@
 	defer c.Close()
 	answer := make(chan int, 1)
 	go func() {
-		status, _, _, _ := c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		status, _, _, _ := c.Send(context.Background(), &load.Message{CorrelationID: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 		answer <- status
 	}()
 	<-arrived
@@ -117,7 +117,7 @@
 	c := load.NewClient(addr, 1)
 	defer c.Close()
 	go func() {
-		_, _, _, _ = c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		_, _, _, _ = c.Send(context.Background(), &load.Message{CorrelationID: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 	}()
 	<-arrived
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -181,7 +181,7 @@
 		for i := range 8 {
 			all.Go(func() {
 				for ctx.Err() == nil {
-					_, _, _, _ = c.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
+					_, _, _, _ = c.Send(ctx, &load.Message{CorrelationID: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
 				}
 			})
 		}
@@ -204,7 +204,7 @@
 	if err != nil || len(v.Problems) > 0 {
 		t.Fatal(v.Problems, err)
 	}
-	records, err := audit.All(store)
+	records, err := audit.AllRecords(store)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,10 +216,10 @@
 		}
 		last[epoch(r.Message)] = r.Time()
 		k := call{r.Message, strconv.Itoa(r.Attempt - 1)}
-		if r.Kind == audit.Started {
+		if r.Kind == audit.AttemptStarted {
 			started[k] = true
 		}
-		if _, ok := came[k]; r.Kind == audit.Ended && r.Status > 0 && !ok {
+		if _, ok := came[k]; r.Kind == audit.AttemptEnded && r.Status > 0 && !ok {
 			t.Errorf("attempt %v has an answer, and no partner saw it", k)
 		}
 	}
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -74,7 +74,7 @@
 			if h.module, err = start(r); err != nil {
 				reply.Fatal(r.Instance, err.Error())
 			}
-		case wire.Decision:
+		case wire.ModuleEvent:
 			h := hosts[r.Instance]
 			if h == nil || h.module == nil {
 				continue
--- a/control/api.go
+++ b/control/api.go
@@ -21,30 +21,30 @@
 // MessageID names a message; no id is used twice.
 type MessageID uint64
 
-// Endpoint names an endpoint. It is opaque and only compared.
-type Endpoint uint64
+// EndpointID names an endpoint. It is opaque and only compared.
+type EndpointID uint64
 
-// Effect says what repeating a message of a class does.
-type Effect uint8
+// RepeatEffect says what repeating a message of a class does.
+type RepeatEffect uint8
 
 // Effects of a class.
 const (
-	Free       Effect = iota // may be repeated at will
-	Guarded                  // repeats are dropped for a window of time
-	SingleShot               // must never take effect twice
+	Idempotent   RepeatEffect = iota // may be repeated at will
+	Deduplicated                     // repeats are dropped for a window of time
+	AtMostOnce                       // must never take effect twice
 )
 
 // Class describes a class of message.
 type Class struct {
-	Name      string
-	Effect    Effect
-	ZoneGroup bool    // Guarded: only endpoints of one zone drop repeats (else all of the destination)
-	Window    Time    // Guarded: how long repeats are dropped, from the first doubtful send
-	Aim       Time    // full worth when delivered within this
-	Deadline  Time    // given up after this
-	Worth     float64 // worth of one message
-	LateWorth float64 // share of the worth left at the deadline
-	InOrder   bool    // messages sharing a key go one at a time, in order
+	Name         string
+	Effect       RepeatEffect
+	DedupPerZone bool    // Guarded: only endpoints of one zone drop repeats (else all of the destination)
+	DedupWindow  Time    // Guarded: how long repeats are dropped, from the first doubtful send
+	Target       Time    // full worth when delivered within this
+	Deadline     Time    // given up after this
+	Value        float64 // worth of one message
+	LateValue    float64 // share of the worth left at the deadline
+	InOrder      bool    // messages sharing a key go one at a time, in order
 }
 
 // Tenant describes a customer and its share of the service.
@@ -53,11 +53,11 @@
 	Quota float64 // messages a second within its share, over all dispatchers
 }
 
-// Kind describes a kind of destination.
-type Kind struct {
-	Name        string
-	Batch       int  // most messages in one call
-	RoutesApart bool // endpoints have limits, waits and outages of their own
+// DestinationKind describes a kind of destination.
+type DestinationKind struct {
+	Name              string
+	MaxBatch          int  // most messages in one call
+	PerEndpointLimits bool // endpoints have limits, waits and outages of their own
 }
 
 // WeightKind says what Entry.Weight means.
@@ -65,65 +65,65 @@
 
 // Meanings of a listed weight.
 const (
-	WeightNone    WeightKind = iota // nothing
-	WeightNominal                   // the rate a destination takes from all dispatchers
-	WeightRough                     // the same, but inexact
+	WeightNone        WeightKind = iota // nothing
+	WeightNominal                       // the rate a destination takes from all dispatchers
+	WeightApproximate                   // the same, but inexact
 )
 
 // Settings are told once, at the start.
 type Settings struct {
-	Me, Instances int // this dispatcher's number and how many there are
-	Zone          int
-	Tick          Time
-	Classes       []Class
-	Tenants       []Tenant
-	Kinds         []Kind
-	Weights       WeightKind
-	LateHalving   bool // late worth halves with each further aim, else falls evenly
-	OverShare     float64
-	ReportLeft    int // position in a report of the share of the limit left, -1 if none
-	ReportLimit   int // position in a report of the limit in calls a second, -1 if none
-
-	Slots          int // calls out at once
-	MaxOpen        int // messages held, sent or not
-	MaxTries       int
-	MayCancel      bool
-	Probes         bool
-	RetryAfter     bool // a refusal may carry a wait
-	MaxRetryAfter  Time
-	ConnIdle       Time
-	ConnectTimeout Time
-	StreamsPerConn int
+	InstanceIndex, Instances int // this dispatcher's number and how many there are
+	Zone                     int
+	Tick                     Time
+	Classes                  []Class
+	Tenants                  []Tenant
+	DestinationKinds         []DestinationKind
+	Weights                  WeightKind
+	HalveLateValue           bool // late worth halves with each further aim, else falls evenly
+	OverQuotaFactor          float64
+	ReportRemainingIndex     int // position in a report of the share of the limit left, -1 if none
+	ReportLimitIndex         int // position in a report of the limit in calls a second, -1 if none
+
+	Slots           int // calls out at once
+	MaxOpen         int // messages held, sent or not
+	MaxAttempts     int
+	MayCancel       bool
+	Probes          bool
+	RetryAfter      bool // a refusal may carry a wait
+	MaxRetryAfter   Time
+	ConnIdleTimeout Time
+	ConnectTimeout  Time
+	StreamsPerConn  int
 
 	// AskList: the endpoint list comes only when asked for, by Watch or Fetch; else it is pushed. Who has not
 	// asked for AskEvery counts as told of what was listed then.
-	AskList  bool
-	AskEvery Time
+	PullList     bool
+	PullInterval Time
 
 	// Fees: for each zone, the part of the result that a message costs which a route apart there takes on.
-	Fees []float64
+	ZoneCosts []float64
 
 	// Peers: dispatchers may send each other notes, which may be late or lost. PeerPrice is the part of the result
 	// that a byte delivered for each message would cost.
-	Peers     bool
-	PeerPrice float64
+	Gossip     bool
+	GossipCost float64
 
 	// Follows: a process before this one dispatched for the same name. What became of its last calls is not known.
-	Follows bool
+	HasPredecessor bool
 
 	// Promises: who hands a message in hears in the round of its arrival that it is taken on, unless that round ends it.
 	// Giving one up early that was promised costs more than refusing it at once.
-	Promises bool
+	EarlyAck bool
 
 	// KeepOutages: what is known of outages is asked for behind each Step (see Dispatcher.Outages).
-	KeepOutages bool
+	TrackOutages bool
 
 	StopSendingWithin Time
-	ColdFrom          float64
+	ColdCapacity      float64
 	WarmUp            Time
-	TipMultiple       float64
-	OverloadFor       Time
-	SettleAfterDoubt  Time
+	CollapseMultiple  float64
+	MaxOverload       Time
+	SettleTime        Time
 }
 
 // EventKind tells what an Event is.
@@ -133,19 +133,19 @@
 const (
 	// Arrival is a new message [Message Class Tenant Dest Key Grace], or one that a process before this had taken on
 	// [also Restored; Attempt: attempts made; Doubt: one of them may have run, the first such was sent Lag ago to Zone].
-	Arrival   EventKind = iota + 1
-	Outcome             // an attempt ended [Message Attempt Endpoint Result Lag Closed Wait Report]
-	Started             // a streamed answer began [Message Attempt Endpoint Lag]
-	Withdrawn           // nobody wants the message any more [Message]
-	Tick                // a timer came due [Mark]
-	Probed              // a probe ended [Endpoint Result Lag Report]
-	List                // the endpoint list [ListKind Entries]
-	NoteFrom            // a note of another dispatcher [Content]
+	Arrival        EventKind = iota + 1
+	Outcome                  // an attempt ended [Message Attempt Endpoint Result Lag Closed Wait Report]
+	Started                  // a streamed answer began [Message Attempt Endpoint Lag]
+	Withdrawn                // nobody wants the message any more [Message]
+	TimerFired               // a timer came due [Mark]
+	ProbeResult              // a probe ended [Endpoint Result Lag Report]
+	ListUpdate               // the endpoint list [ListKind Entries]
+	GossipReceived           // a note of another dispatcher [Content]
 	// Closing: this dispatcher stops, no message may take longer than Grace from now; Kept: what is held then is kept
 	// for the next process and needs no answer.
-	Closing
-	// Recording tells whether attempts can be put on record [Failing: they can't, and only what needs no record may be sent].
-	Recording
+	Shutdown
+	// RecordingStatus tells whether attempts can be put on record [Failing: they can't, and only what needs no record may be sent].
+	RecordingStatus
 	// OutageRestored tells of an outage that a process before this one had seen [Outage]; its endpoint is listed.
 	OutageRestored
 )
@@ -156,14 +156,14 @@
 // Results.
 const (
 	OK Result = iota
-	Errored
-	Full
+	ErrorResponse
+	LimitExceeded
 	TimedOut
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot    // it surely has not run, and says nothing of the endpoint
-	NotSent // the same, and it was not sent: it does not count as an attempt
+	NotExecuted // it surely has not run, and says nothing of the endpoint
+	NotSent     // the same, and it was not sent: it does not count as an attempt
 )
 
 // ListKind tells how a List event relates to the list before it.
@@ -189,40 +189,40 @@
 
 // Entry is one line of the endpoint list.
 type Entry struct {
-	Endpoint Endpoint
-	Dest     int
-	Zone     int
-	Kind     int
-	Health   Health
-	Weight   float64
+	Endpoint        EndpointID
+	Dest            int
+	Zone            int
+	DestinationKind int
+	Health          Health
+	Weight          float64
 }
 
 // Event is something a Dispatcher is told.
 type Event struct {
-	Kind     EventKind
-	Message  MessageID
-	Class    int
-	Tenant   int
-	Dest     int
-	Key      uint64 // 0 is no key
-	Grace    Time   // time until the message is given up
-	Attempt  int
-	Endpoint Endpoint
-	Result   Result
-	Closed   bool // the message has ended
-	Lag      Time
-	Doubt    bool
-	Restored bool
-	Zone     int
-	Kept     bool
-	Failing  bool
-	Outage   *Outage
-	Wait     Time // told wait, 0 if none
-	Report   []float32
-	Mark     uint64
-	ListKind ListKind
-	Entries  []Entry
-	Content  string // bytes of a peer's note
+	Kind             EventKind
+	Message          MessageID
+	Class            int
+	Tenant           int
+	Dest             int
+	Key              uint64 // 0 is no key
+	TimeLeft         Time   // time until the message is given up
+	Attempt          int
+	Endpoint         EndpointID
+	Result           Result
+	Closed           bool // the message has ended
+	Elapsed          Time
+	PossiblyExecuted bool
+	Restored         bool
+	Zone             int
+	KeepHeld         bool
+	RecordingFails   bool
+	Outage           *Outage
+	RetryAfter       Time // told wait, 0 if none
+	Report           []float32
+	TimerToken       uint64
+	ListKind         ListKind
+	Entries          []Entry
+	Payload          string // bytes of a peer's note
 }
 
 // ActionKind tells what an Action is.
@@ -232,27 +232,27 @@
 const (
 	// Send starts an attempt [Message Endpoint After: its time-out, 0 is the deadline; Within: one that is not written
 	// within this is given up unsent, however long it waits for a connection].
-	Send   ActionKind = iota + 1
-	Refuse            // final: handed back, harmless to repeat [Message After: stay away so long]
-	Fail              // final: nothing promised [Message]
-	Cancel            // stop waiting for an attempt [Message Attempt]
-	Timer             // ask for a Tick [After Mark: 0, or a message's id + 1: of no use once that one is over]
-	Probe             // check an endpoint [Endpoint]
-	Close             // close the idle connections to an endpoint [Endpoint]
-	Watch             // AskList only: subscribe to the list from now on; answered by one List event []
-	Fetch             // AskList only: ask for the whole list once; answered by one List event []
-	Share             // Peers only: send a note to every other dispatcher [Text: its bytes, 256 at most]
-	Note              // a line for the operators [Text]
+	Send       ActionKind = iota + 1
+	Refuse                // final: handed back, harmless to repeat [Message After: stay away so long]
+	Fail                  // final: nothing promised [Message]
+	Cancel                // stop waiting for an attempt [Message Attempt]
+	Timer                 // ask for a Tick [After Mark: 0, or a message's id + 1: of no use once that one is over]
+	Probe                 // check an endpoint [Endpoint]
+	Close                 // close the idle connections to an endpoint [Endpoint]
+	Watch                 // AskList only: subscribe to the list from now on; answered by one List event []
+	Fetch                 // AskList only: ask for the whole list once; answered by one List event []
+	SendGossip            // Peers only: send a note to every other dispatcher [Text: its bytes, 256 at most]
+	Log                   // a line for the operators [Text]
 )
 
 // Action is something a Dispatcher wants done.
 type Action struct {
-	Kind     ActionKind
-	Message  MessageID
-	Attempt  int
-	Endpoint Endpoint
-	After    Time
-	Within   Time
-	Mark     uint64
-	Text     string // Note, Share: their text; Refuse, Fail: the reason, in words
+	Kind       ActionKind
+	Message    MessageID
+	Attempt    int
+	Endpoint   EndpointID
+	After      Time
+	SendWithin Time
+	TimerToken uint64
+	Text       string // Note, Share: their text; Refuse, Fail: the reason, in words
 }
--- a/control/control.go
+++ b/control/control.go
@@ -89,28 +89,28 @@
 		return nil, err
 	}
 	d := &Dispatcher{
-		set: s, rng: seed*2862933555777941757 + 3037000493, aim: s.Classes[0].Aim, lost: leastLost,
+		set: s, rng: seed*2862933555777941757 + 3037000493, aim: s.Classes[0].Target, lost: leastLost,
 		noteCredit: noteMost / 2,
-		notePart:   noteSpend / max(s.PeerPrice*float64(s.Instances), noteSpend),
+		notePart:   noteSpend / max(s.GossipCost*float64(s.Instances), noteSpend),
 		msgs:       map[MessageID]*message{}, keys: map[uint64]*keyTurn{}, byNo: map[int]*dest{},
-		idle: map[int][]line{}, owner: map[Endpoint]int{},
-		byID: map[Endpoint]*endpoint{}, byHint: map[uint32]*endpoint{}, tenants: make([]meter, len(s.Tenants)),
+		idle: map[int][]line{}, owner: map[EndpointID]int{},
+		byID: map[EndpointID]*endpoint{}, byHint: map[uint32]*endpoint{}, tenants: make([]meter, len(s.Tenants)),
 	}
-	if d.slack = 1; s.Weights == WeightRough {
+	if d.slack = 1; s.Weights == WeightApproximate {
 		d.slack = roughSlack
 	}
 	for _, t := range s.Tenants {
 		d.quota += t.Quota
 	}
 	for _, c := range s.Classes {
-		d.aim = max(min(d.aim, c.Aim), s.Tick)
+		d.aim = max(min(d.aim, c.Target), s.Tick)
 	}
 	d.byAcc = order{of: 0, key: func(t *dest) float64 { return t.acc }}
 	d.turns = order{of: 1, key: d.byAcc.key}
 	d.costs = order{of: 2, key: func(t *dest) float64 { return t.cost }}
 	d.naps = order{of: 3, key: func(t *dest) float64 { return float64(t.lookAt) }}
-	for range max(1, len(s.Kinds)) {
-		d.kinds = append(d.kinds, &kind{keep: 2 * s.ConnIdle, again: firstAgain})
+	for range max(1, len(s.DestinationKinds)) {
+		d.kinds = append(d.kinds, &kind{keep: 2 * s.ConnIdleTimeout, again: firstAgain})
 	}
 	return d, nil
 }
@@ -119,8 +119,8 @@
 func (d *Dispatcher) Step(now Time, events []Event, actions []Action) []Action {
 	if d.now, d.out = now, actions; d.round == 0 {
 		d.begin()
-		d.askGap = d.set.AskEvery / askLeast
-		d.askAt = now + Time(d.random()*float64(d.set.AskEvery)/askSpread)
+		d.askGap = d.set.PullInterval / askLeast
+		d.askAt = now + Time(d.random()*float64(d.set.PullInterval)/askSpread)
 	}
 	d.round++
 	for i := range events {
@@ -148,7 +148,7 @@
 // lost. First askings are spread: restarts in numbers must not stampede the list. Guards against lists out of
 // reach, broken subscriptions and lost answers. It could hurt by learning of new endpoints some seconds late.
 func (d *Dispatcher) ask() {
-	if !d.set.AskList || d.set.AskEvery <= 0 {
+	if !d.set.PullList || d.set.PullInterval <= 0 {
 		return
 	}
 	if d.now >= d.askAt {
@@ -157,7 +157,7 @@
 			kind = Fetch
 		}
 		d.out = append(d.out, Action{Kind: kind})
-		d.askAt = d.now + d.set.AskEvery/askSpread // should no answer come
+		d.askAt = d.now + d.set.PullInterval/askSpread // should no answer come
 	}
 	if d.askAt < d.askDue || d.askDue <= d.now {
 		d.askDue = d.askAt
@@ -172,10 +172,10 @@
 	case ListFailed:
 		d.watching = false
 		d.askAt = d.now + Time((0.5+d.random())*float64(d.askGap))
-		d.askGap = min(2*d.askGap, d.set.AskEvery/askSpread)
+		d.askGap = min(2*d.askGap, d.set.PullInterval/askSpread)
 	default:
-		d.watching, d.askGap = true, d.set.AskEvery/askLeast
-		d.askAt = d.now + Time((askCheck+d.random())*float64(d.set.AskEvery))
+		d.watching, d.askGap = true, d.set.PullInterval/askLeast
+		d.askAt = d.now + Time((askCheck+d.random())*float64(d.set.PullInterval))
 	}
 }
 
@@ -189,11 +189,11 @@
 	}
 	c := &d.set.Classes[e.Class]
 	d.count++
-	m := &message{id: e.Message, class: c, dest: d.dest(e.Dest), deadline: d.now + e.Grace}
+	m := &message{id: e.Message, class: c, dest: d.dest(e.Dest), deadline: d.now + e.TimeLeft}
 	m.arrived, m.round, m.restored = d.count, d.round, e.Restored
 	m.born = m.deadline - c.Deadline
-	if m.tries = e.Attempt; e.Doubt { // a process that ended had it
-		d.mayRun(m, d.now-e.Lag, e.Zone)
+	if m.tries = e.Attempt; e.PossiblyExecuted { // a process that ended had it
+		d.mayRun(m, d.now-e.Elapsed, e.Zone)
 	}
 	m.over = d.overShare(e.Tenant)
 	m.lane = 2 * e.Class
@@ -212,7 +212,7 @@
 		return
 	}
 	// The answer leaves before the time is up, one round early for rounding.
-	d.out = append(d.out, Action{Kind: Timer, After: max(e.Grace-2*d.set.Tick, 0), Mark: uint64(m.id) + 1})
+	d.out = append(d.out, Action{Kind: Timer, After: max(e.TimeLeft-2*d.set.Tick, 0), TimerToken: uint64(m.id) + 1})
 	if c.InOrder && e.Key != 0 {
 		k := d.keys[e.Key]
 		if k == nil {
@@ -221,7 +221,7 @@
 		}
 		m.key = k
 		if m.doubt {
-			k.rest = d.now + d.set.SettleAfterDoubt
+			k.rest = d.now + d.set.SettleTime
 		}
 		k.queue = append(k.queue, m)
 		d.turn(k)
@@ -233,8 +233,8 @@
 // mayRun binds a message to what its class allows: an attempt may have run, here or in a process before.
 func (d *Dispatcher) mayRun(m *message, at Time, zone int) {
 	m.doubt, m.doubtAt, m.doubtZone = true, at, zone
-	over := at + m.class.Window - StallMargin - d.set.Tick - d.now
-	d.out = append(d.out, Action{Kind: Timer, After: max(over, 0), Mark: uint64(m.id) + 1})
+	over := at + m.class.DedupWindow - StallMargin - d.set.Tick - d.now
+	d.out = append(d.out, Action{Kind: Timer, After: max(over, 0), TimerToken: uint64(m.id) + 1})
 }
 
 // overShare tells whether a tenant now sends more than its share, measured against what comes here.
@@ -278,9 +278,9 @@
 	switch {
 	case d.now+2*d.set.Tick >= m.deadline:
 		return "its time ends"
-	case m.doubt && m.class.Effect == SingleShot:
+	case m.doubt && m.class.Effect == AtMostOnce:
 		return "it may have run, and its class does not allow a repeat"
-	case m.made() >= d.set.MaxTries:
+	case m.made() >= d.set.MaxAttempts:
 		return "all attempts allowed are made"
 	case d.now+d.set.Tick >= m.lasts():
 		return "it may have run, and partners forget its key before it could go again"
@@ -299,7 +299,7 @@
 	for _, id := range slices.Sorted(maps.Keys(d.msgs)) {
 		if m := d.msgs[id]; d.now+in < m.deadline && !m.ended {
 			m.deadline = d.now + in
-			d.out = append(d.out, Action{Kind: Timer, After: max(in-2*d.set.Tick, 0), Mark: uint64(id) + 1})
+			d.out = append(d.out, Action{Kind: Timer, After: max(in-2*d.set.Tick, 0), TimerToken: uint64(id) + 1})
 		}
 	}
 }
@@ -321,7 +321,7 @@
 // refusable tells whether handing the message in again can do no harm.
 func (d *Dispatcher) refusable(m *message) bool {
 	maybe := m.doubt || m.out != nil
-	return !maybe || m.class.Effect == Free || m.class.Effect == Guarded && !m.class.ZoneGroup
+	return !maybe || m.class.Effect == Idempotent || m.class.Effect == Deduplicated && !m.class.DedupPerZone
 }
 
 // dispatch hands free slots to the destinations with the smallest counters. Who can release nothing sleeps
@@ -391,8 +391,8 @@
 		m.out = c
 		m.tries++
 		c.msgs = append(c.msgs, m)
-		a := Action{Kind: Send, Message: m.id, Endpoint: ep.id, Within: m.lasts() - d.set.Tick - d.now}
-		if !d.set.MayCancel && m.class.Effect != SingleShot {
+		a := Action{Kind: Send, Message: m.id, Endpoint: ep.id, SendWithin: m.lasts() - d.set.Tick - d.now}
+		if !d.set.MayCancel && m.class.Effect != AtMostOnce {
 			a.After = stuckAfter * d.silence(t)
 		}
 		d.out = append(d.out, a)
@@ -417,22 +417,22 @@
 func (d *Dispatcher) gate(m *message, ep *endpoint) bool {
 	c := m.class
 	switch {
-	case m.ended || m.out != nil || m.made() >= d.set.MaxTries || ep.dest != m.dest:
+	case m.ended || m.out != nil || m.made() >= d.set.MaxAttempts || ep.dest != m.dest:
 		return false
 	case d.now+d.set.Tick >= m.lasts() || ep.health != Ready || d.now < ep.pace.wait:
 		return false
 	case d.stopAt > 0 && d.now+d.silence(ep.dest) > d.stopAt:
 		return false
-	case d.unrecorded && c.Effect != Free:
+	case d.unrecorded && c.Effect != Idempotent:
 		return false
 	case m.key != nil && (m.key.queue[0] != m || m.tries == 0 && d.now < m.key.rest):
 		return false
-	case !m.doubt || c.Effect == Free:
+	case !m.doubt || c.Effect == Idempotent:
 		return true
-	case c.Effect == SingleShot:
+	case c.Effect == AtMostOnce:
 		return false
 	}
-	return !c.ZoneGroup || ep.zone == m.doubtZone
+	return !c.DedupPerZone || ep.zone == m.doubtZone
 }
 
 // head picks the message to send: of the oldest of each lane, the one that would lose most worth by
@@ -452,7 +452,7 @@
 		fresh, _ := slices.BinarySearchFunc(l, soon, byAim)
 		for _, m := range [2]*message{l[0], l[min(fresh, len(l)-1)]} {
 			// A doubtful unsafe one could only fail: trials risk it after proof that calls do not run, or when rare.
-			risky := m.class.Effect == SingleShot && !ep.proven && ep.trialGap < trialMost
+			risky := m.class.Effect == AtMostOnce && !ep.proven && ep.trialGap < trialMost
 			if trial && risky || !d.gate(m, ep) {
 				continue
 			}
@@ -473,7 +473,7 @@
 
 // spent tells that no attempt can ever be made again: the message is answered at once, wherever it lies.
 func (d *Dispatcher) spent(m *message) bool {
-	used := m.made() >= d.set.MaxTries || m.doubt && m.class.Effect == SingleShot
+	used := m.made() >= d.set.MaxAttempts || m.doubt && m.class.Effect == AtMostOnce
 	return used || max(d.opens(m), d.now)+d.set.Tick >= m.lasts()
 }
 
@@ -503,7 +503,7 @@
 
 // revise is the window's completion test; w still counts the call that ended.
 func (d *Dispatcher) revise(t *dest, r Result) {
-	if r == Cancelled || r == Moot || r == NotSent {
+	if r == Cancelled || r == NotExecuted || r == NotSent {
 		return
 	}
 	d.started(t)
@@ -544,8 +544,8 @@
 		if !m.doubt {
 			d.mayRun(m, c.sent, c.ep.zone)
 		}
-		if m.key != nil && e.Result != Errored {
-			m.key.rest = d.now + d.set.SettleAfterDoubt
+		if m.key != nil && e.Result != ErrorResponse {
+			m.key.rest = d.now + d.set.SettleTime
 		}
 	}
 	switch {
@@ -557,13 +557,15 @@
 }
 
 // ranNot tells that a result proves the attempt never ran.
-func ranNot(r Result) bool { return r == Full || r == ConnectFailed || r == Moot || r == NotSent }
+func ranNot(r Result) bool {
+	return r == LimitExceeded || r == ConnectFailed || r == NotExecuted || r == NotSent
+}
 
 // settle takes one message of a call off it; the first outcome is learned from, the last frees the slot.
 func (d *Dispatcher) settle(c *call, e *Event) {
 	c.left--
-	if e.Wait > 0 { // every outcome's wait binds, also of a call learned from already
-		c.ep.pace.wait = max(c.ep.pace.wait, d.now+e.Wait+d.set.Tick)
+	if e.RetryAfter > 0 { // every outcome's wait binds, also of a call learned from already
+		c.ep.pace.wait = max(c.ep.pace.wait, d.now+e.RetryAfter+d.set.Tick)
 		c.ep.dest.each(d.due) // some have no time left for it
 	}
 	if c.left == len(c.msgs)-1 {
@@ -581,18 +583,18 @@
 func (d *Dispatcher) learn(c *call, e *Event) {
 	ep, t := c.ep, c.ep.dest
 	c.cut = e.Result == Reset
-	if i := d.set.ReportLimit; i >= 0 && i < len(e.Report) && e.Report[i] > 0 && e.Report[i] <= math.MaxFloat32 {
+	if i := d.set.ReportLimitIndex; i >= 0 && i < len(e.Report) && e.Report[i] > 0 && e.Report[i] <= math.MaxFloat32 {
 		ep.pace.bound = float64(e.Report[i])
 	}
 	switch e.Result {
 	case OK:
-		d.sample(t, float64(e.Lag))
+		d.sample(t, float64(e.Elapsed))
 		d.succeeded(ep, c)
-	case Full:
+	case LimitExceeded:
 		ep.heard = d.now
-		left := d.set.ReportLeft
+		left := d.set.ReportRemainingIndex
 		known := ep.pace.bound > 0 && left >= 0 && left < len(e.Report)
-		d.refused(ep, c, e.Wait, known && e.Report[left] < limitLeft)
+		d.refused(ep, c, e.RetryAfter, known && e.Report[left] < limitLeft)
 	case ConnectFailed:
 		// An outage, or all its connections are taken. Idle ones of many senders fill a table made for calls.
 		if d.set.Instances > d.set.Slots {
@@ -605,7 +607,7 @@
 		d.failed(ep, c, true)
 	case TimedOut, Reset:
 		d.failed(ep, c, false)
-	case Errored:
+	case ErrorResponse:
 		ep.heard = d.now
 		ep.errs++
 		d.outageChanged(ep)
@@ -620,7 +622,7 @@
 // traffic see one call each, and against what a restart finds held: what all spend to make sure must not
 // push the endpoint over. It could hurt where errors are common and calls rare.
 func (d *Dispatcher) erring(ep *endpoint) bool {
-	own := ep.dest.demand.steady(d.now) * d.set.OverloadFor.seconds()
+	own := ep.dest.demand.steady(d.now) * d.set.MaxOverload.seconds()
 	return ep.errs >= min(max(int(own), sureAfter), failStreak)
 }
 
@@ -650,7 +652,7 @@
 	}
 	if k := ep.dest.kind; c.idle > 0 {
 		k.drops -= lostGain * k.drops
-		k.keep = min(Time(keepGrow*float64(k.keep)), d.set.ConnIdle*2)
+		k.keep = min(Time(keepGrow*float64(k.keep)), d.set.ConnIdleTimeout*2)
 	}
 	if p.streak > 0 {
 		d.reopened(ep, d.now)
@@ -682,7 +684,7 @@
 func (d *Dispatcher) reopened(ep *endpoint, at Time) {
 	for _, o := range ep.dest.eps {
 		since := ep.pace.fullSince
-		if o.pace == ep.pace && since != 0 && at-since > d.set.OverloadFor && (o.coldAt == 0 || at > d.now) {
+		if o.pace == ep.pace && since != 0 && at-since > d.set.MaxOverload && (o.coldAt == 0 || at > d.now) {
 			d.chill(o, at)
 		}
 	}
@@ -694,8 +696,8 @@
 func (d *Dispatcher) returned(ep *endpoint, c *call) {
 	gone := d.now - ep.downAt
 	switch {
-	case c != nil && !c.trial && gone <= 2*d.set.OverloadFor: // late, not lost: it is slow
-	case c == nil || (ep.proven || d.sure(ep) || ep.overtaken() > d.enough(ep)) && gone > d.set.OverloadFor:
+	case c != nil && !c.trial && gone <= 2*d.set.MaxOverload: // late, not lost: it is slow
+	case c == nil || (ep.proven || d.sure(ep) || ep.overtaken() > d.enough(ep)) && gone > d.set.MaxOverload:
 		back := d.now
 		if c != nil {
 			back -= (d.now - ep.failedAt) / 2
@@ -785,7 +787,7 @@
 // refused learns from a refusal: waits are kept, a smaller share of the own demand is let go.
 func (d *Dispatcher) refused(ep *endpoint, c *call, wait Time, spent bool) {
 	p, k := ep.pace, ep.dest.kind
-	if spent && wait <= d.set.OverloadFor {
+	if spent && wait <= d.set.MaxOverload {
 		p.fullSince = 0
 		if p.shutSeen {
 			p.shutSeen = false
@@ -793,7 +795,7 @@
 		}
 	} else if p.fullSince == 0 {
 		p.fullSince = d.now
-	} else if !p.shutSeen && d.now-p.fullSince > d.set.OverloadFor {
+	} else if !p.shutSeen && d.now-p.fullSince > d.set.MaxOverload {
 		p.shutSeen = true
 		d.startRamp(ep)
 		d.outageChanged(ep)
@@ -832,7 +834,7 @@
 // tell adds a hint to the notes of this round, as far as their price allows. A hint is four bytes: a wait, or
 // 0 for a return, and the endpoint's short name.
 func (d *Dispatcher) tell(ep *endpoint, wait Time) bool {
-	if !d.set.Peers || d.noteCredit < noteHead {
+	if !d.set.Gossip || d.noteCredit < noteHead {
 		return false
 	}
 	d.noteCredit -= noteHead
@@ -876,7 +878,7 @@
 
 // keep is the age up to which an idle connection is used.
 func (d *Dispatcher) keep(t *dest) Time {
-	return min(d.set.ConnIdle, Time(keepShare*float64(t.kind.keep)))
+	return min(d.set.ConnIdleTimeout, Time(keepShare*float64(t.kind.keep)))
 }
 
 // leave closes what this round left idle where connections are scarce. Guards against tables filled by the
@@ -895,14 +897,14 @@
 // tells how long the one that is used was idle. Guards against connections that were dropped unseen.
 func (d *Dispatcher) freshen(ep *endpoint) Time {
 	idle := d.now - ep.used
-	if ep.open && ep.dest.kind.drops > onceDrops && ep.dest.holds(SingleShot) {
+	if ep.open && ep.dest.kind.drops > onceDrops && ep.dest.holds(AtMostOnce) {
 		d.out = append(d.out, Action{Kind: Close, Endpoint: ep.id})
 		return 0
 	} else if len(ep.calls) > 0 || !ep.open {
 		return 0
 	} else if idle <= d.keep(ep.dest) && ep.dropped == 0 {
 		return idle
-	} else if idle < d.set.ConnIdle {
+	} else if idle < d.set.ConnIdleTimeout {
 		d.out = append(d.out, Action{Kind: Close, Endpoint: ep.id})
 	}
 	ep.open = false
@@ -946,7 +948,7 @@
 		return
 	}
 	for _, m := range c.msgs {
-		if m.out == c && !force && (m.class.Effect == SingleShot || m.made() >= d.set.MaxTries) {
+		if m.out == c && !force && (m.class.Effect == AtMostOnce || m.made() >= d.set.MaxAttempts) {
 			return
 		}
 	}
@@ -986,8 +988,8 @@
 	if ep.zone != d.set.Zone {
 		v++
 	}
-	if z := ep.zone; ep.pace != ep.dest.pace && z >= 0 && z < len(d.set.Fees) {
-		v += feeCalls * d.set.Fees[z]
+	if z := ep.zone; ep.pace != ep.dest.pace && z >= 0 && z < len(d.set.ZoneCosts) {
+		v += feeCalls * d.set.ZoneCosts[z]
 	}
 	if len(ep.calls) == 0 && (!ep.open || d.now-ep.used > d.keep(ep.dest)) {
 		v++
@@ -1020,7 +1022,7 @@
 // so that all senders together stay within what a cold destination can do however many they are. Guards
 // against pushing it over. It could hurt a wrongly suspected one, which is used less for the warm-up.
 func (d *Dispatcher) warm(ep *endpoint) bool {
-	warmth := d.warmth(d.now-ep.coldAt) * min(rampMargin, tipPart*max(d.set.TipMultiple, 1))
+	warmth := d.warmth(d.now-ep.coldAt) * min(rampMargin, tipPart*max(d.set.CollapseMultiple, 1))
 	switch {
 	case ep.suspect && !d.sure(ep):
 		return true // the trial that makes sure
@@ -1057,7 +1059,7 @@
 
 // warmth is the part of its capacity that a destination has so long after its return.
 func (d *Dispatcher) warmth(since Time) float64 {
-	return d.set.ColdFrom + (1-d.set.ColdFrom)*float64(since)/float64(max(d.set.WarmUp, 1))
+	return d.set.ColdCapacity + (1-d.set.ColdCapacity)*float64(since)/float64(max(d.set.WarmUp, 1))
 }
 
 // started gives a destination without ends yet its first window: a fair share of the slots, by the last list.
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -21,15 +21,15 @@
 
 func testSettings() Settings {
 	return Settings{
-		Instances: 2, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 200, MaxTries: 6, MayCancel: true, StreamsPerConn: 8,
-		ConnIdle: 5 * s, ConnectTimeout: s, ColdFrom: 0.2, WarmUp: 10 * s, TipMultiple: 2, OverloadFor: 2 * s,
-		SettleAfterDoubt: 3 * s, ReportLeft: -1, ReportLimit: -1, OverShare: 0.05,
-		Kinds: []Kind{{Name: "plain", Batch: 1}, {Name: "batch", Batch: 3}, {Name: "apart", Batch: 1, RoutesApart: true}},
+		Instances: 2, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 200, MaxAttempts: 6, MayCancel: true, StreamsPerConn: 8,
+		ConnIdleTimeout: 5 * s, ConnectTimeout: s, ColdCapacity: 0.2, WarmUp: 10 * s, CollapseMultiple: 2, MaxOverload: 2 * s,
+		SettleTime: 3 * s, ReportRemainingIndex: -1, ReportLimitIndex: -1, OverQuotaFactor: 0.05,
+		DestinationKinds: []DestinationKind{{Name: "plain", MaxBatch: 1}, {Name: "batch", MaxBatch: 3}, {Name: "apart", MaxBatch: 1, PerEndpointLimits: true}},
 		Classes: []Class{
-			{Name: "free", Effect: Free, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "guarded", Effect: Guarded, Window: 10 * s, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "single", Effect: SingleShot, Aim: 2 * s, Deadline: 20 * s, Worth: 1, LateWorth: 0.5},
-			{Name: "ordered", Effect: Guarded, Window: 10 * s, Aim: 2 * s, Deadline: 20 * s, Worth: 1, InOrder: true},
+			{Name: "free", Effect: Idempotent, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
+			{Name: "guarded", Effect: Deduplicated, DedupWindow: 10 * s, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
+			{Name: "single", Effect: AtMostOnce, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
+			{Name: "ordered", Effect: Deduplicated, DedupWindow: 10 * s, Target: 2 * s, Deadline: 20 * s, Value: 1, InOrder: true},
 		},
 	}
 }
@@ -51,20 +51,20 @@
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 1000 * s}
-	r.at(0, Event{Kind: List, ListKind: ListCached, Entries: entries})
+	r.at(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: entries})
 	return r
 }
 
 // ep returns an endpoint, of a destination that nothing was asked for yet, too.
-func (r *rig) ep(id Endpoint) *endpoint {
+func (r *rig) ep(id EndpointID) *endpoint {
 	r.d.dest(int(id) / 10)
 	return r.d.byID[id]
 }
 
-func ep(dest, n int) Endpoint { return Endpoint(dest*10 + n) }
+func ep(dest, n int) EndpointID { return EndpointID(dest*10 + n) }
 
 func entry(dest, n, kind int) Entry {
-	return Entry{Endpoint: ep(dest, n), Dest: dest, Kind: kind, Health: Ready}
+	return Entry{Endpoint: ep(dest, n), Dest: dest, DestinationKind: kind, Health: Ready}
 }
 
 // at moves the clock on and plays one round with the ticks due; timers are left out of what is returned.
@@ -72,24 +72,24 @@
 	r.now += after
 	r.timers = slices.DeleteFunc(r.timers, func(a Action) bool {
 		if a.After <= r.now {
-			events = append(events, Event{Kind: Tick, Mark: a.Mark})
+			events = append(events, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 		}
 		return a.After <= r.now
 	})
 	acts := r.d.Step(r.now, events, nil)
 	for _, a := range acts {
-		if a.Kind == Timer && a.Mark != 0 {
+		if a.Kind == Timer && a.TimerToken != 0 {
 			a.After += r.now
 			r.timers = append(r.timers, a)
 		}
 	}
-	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Note })
+	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Log })
 }
 
 // msg makes the arrival of the next message.
 func (r *rig) msg(class, dest int) Event {
 	r.id++
-	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, Grace: 20 * s}
+	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, TimeLeft: 20 * s}
 }
 
 func (r *rig) keyed(key uint64) Event {
@@ -99,12 +99,12 @@
 }
 
 func done(m MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Lag: 100 * Millisecond}
+	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Elapsed: 100 * Millisecond}
 }
 
 func full(m MessageID, attempt int, wait Time) Event {
-	e := done(m, attempt, Full)
-	e.Wait = wait
+	e := done(m, attempt, LimitExceeded)
+	e.RetryAfter = wait
 	return e
 }
 
@@ -163,26 +163,26 @@
 	for name, spoil := range map[string]func(*Settings){
 		"extra.slots":       func(s *Settings) { s.Slots = 0 },
 		"limits.max-open":   func(s *Settings) { s.MaxOpen = 0 },
-		"limits.most-tries": func(s *Settings) { s.MaxTries = 0 },
+		"limits.most-tries": func(s *Settings) { s.MaxAttempts = 0 },
 		"classes.count":     func(s *Settings) { s.Classes = nil },
 		"instances":         func(s *Settings) { s.Instances = 0 },
 		"tick":              func(s *Settings) { s.Tick = 0 },
 
-		"rules.cold-from":          func(s *Settings) { s.ColdFrom = 1.5 },
+		"rules.cold-from":          func(s *Settings) { s.ColdCapacity = 1.5 },
 		"rules.warm-up":            func(s *Settings) { s.WarmUp = -1 },
-		"rules.overload-for":       func(s *Settings) { s.OverloadFor = -s.OverloadFor },
-		"rules.tip-multiple":       func(s *Settings) { s.TipMultiple = math.NaN() },
-		"limits.conn-idle":         func(s *Settings) { s.ConnIdle = -1 },
-		"over-share-worth":         func(s *Settings) { s.OverShare = math.Inf(1) },
-		"classes.1.gain":           func(s *Settings) { s.Classes[1].Worth = -1 },
-		"classes.2.target":         func(s *Settings) { s.Classes[2].Aim = -1 },
-		"classes.0.late-worth":     func(s *Settings) { s.Classes[0].LateWorth = math.NaN() },
+		"rules.overload-for":       func(s *Settings) { s.MaxOverload = -s.MaxOverload },
+		"rules.tip-multiple":       func(s *Settings) { s.CollapseMultiple = math.NaN() },
+		"limits.conn-idle":         func(s *Settings) { s.ConnIdleTimeout = -1 },
+		"over-share-worth":         func(s *Settings) { s.OverQuotaFactor = math.Inf(1) },
+		"classes.1.gain":           func(s *Settings) { s.Classes[1].Value = -1 },
+		"classes.2.target":         func(s *Settings) { s.Classes[2].Target = -1 },
+		"classes.0.late-worth":     func(s *Settings) { s.Classes[0].LateValue = math.NaN() },
 		"tenants.0.quota-per-s":    func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
-		"extra.batch-by-kind":      func(s *Settings) { s.Kinds[0].Batch = 0 },
-		"extra.carriage":           func(s *Settings) { s.Fees = []float64{-1} },
-		"rules.ask-every":          func(s *Settings) { s.AskEvery = -1 },
-		"deductions.peer":          func(s *Settings) { s.PeerPrice = math.NaN() },
-		"rules.settle-after-doubt": func(s *Settings) { s.SettleAfterDoubt = -1 },
+		"extra.batch-by-kind":      func(s *Settings) { s.DestinationKinds[0].MaxBatch = 0 },
+		"extra.carriage":           func(s *Settings) { s.ZoneCosts = []float64{-1} },
+		"rules.ask-every":          func(s *Settings) { s.PullInterval = -1 },
+		"deductions.peer":          func(s *Settings) { s.GossipCost = math.NaN() },
+		"rules.settle-after-doubt": func(s *Settings) { s.SettleTime = -1 },
 	} {
 		set := testSettings()
 		spoil(&set)
@@ -272,7 +272,7 @@
 		for i := range fairF * c.wmax {
 			res := OK
 			if i < c.bad {
-				res = Errored
+				res = ErrorResponse
 			}
 			r.d.revise(d, res)
 		}
@@ -306,11 +306,11 @@
 		end    ActionKind
 	}{
 		{"free is resent", free, TimedOut, 3 * s, true, 0},
-		{"guarded inside its window", guarded, Errored, 10*s - StallMargin - 100*Millisecond, true, 0},
-		{"guarded so near its window's end that a stall passes it", guarded, Errored, 9900 * Millisecond, false, Refuse},
-		{"guarded past its window is handed back", guarded, Errored, 10 * s, false, Refuse},
+		{"guarded inside its window", guarded, ErrorResponse, 10*s - StallMargin - 100*Millisecond, true, 0},
+		{"guarded so near its window's end that a stall passes it", guarded, ErrorResponse, 9900 * Millisecond, false, Refuse},
+		{"guarded past its window is handed back", guarded, ErrorResponse, 10 * s, false, Refuse},
 		{"unsafe in doubt only fails", single, Reset, s, false, Fail},
-		{"unsafe turned away is resent", single, Full, s, true, 0},
+		{"unsafe turned away is resent", single, LimitExceeded, s, true, 0},
 		{"unsafe that met nobody is resent", single, ConnectFailed, s, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -335,7 +335,7 @@
 		if i < 0 {
 			t.Fatalf("nothing is sent: %+v", acts)
 		}
-		return acts[i].Within
+		return acts[i].SendWithin
 	}
 	tick := testSettings().Tick
 	for class, want := range map[int]Time{free: 18*s - tick, guarded: 8*s - StallMargin - tick} { // the deadline, the window
@@ -343,7 +343,7 @@
 		if got := within(r.at(0, r.msg(class, 1))); got != 20*s-tick {
 			t.Errorf("class %d: a first attempt may begin within %d", class, got)
 		}
-		if got := within(r.at(2*s, done(1, 0, Errored))); got != want {
+		if got := within(r.at(2*s, done(1, 0, ErrorResponse))); got != want {
 			t.Errorf("class %d: a repeat may begin within %d, want %d", class, got, want)
 		}
 	}
@@ -351,7 +351,7 @@
 
 func TestGuardedByZoneStaysInItsZoneAndIsNotHandedBack(t *testing.T) {
 	set := testSettings()
-	set.Classes[guarded].ZoneGroup = true
+	set.Classes[guarded].DedupPerZone = true
 	far := entry(1, 1, 0)
 	far.Zone = 1
 	r := newRig(t, set, entry(1, 0, 0), far)
@@ -361,8 +361,8 @@
 	}
 	gone := entry(1, 0, 0)
 	gone.Health = Draining
-	r.at(s/10, Event{Kind: List, Entries: []Entry{gone}})
-	r.want(r.at(s/10, done(1, 0, Errored)))
+	r.at(s/10, Event{Kind: ListUpdate, Entries: []Entry{gone}})
+	r.want(r.at(s/10, done(1, 0, ErrorResponse)))
 	r.wantEnd(r.wait(11*s), Fail, 1)
 }
 
@@ -376,15 +376,15 @@
 		var mark uint64
 		var due Time
 		for _, a := range acts {
-			if a.Kind == Timer && a.Mark != 0 {
-				mark, due = a.Mark, a.After
+			if a.Kind == Timer && a.TimerToken != 0 {
+				mark, due = a.TimerToken, a.After
 			}
 		}
 		if due >= 20*s {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantEnd(r.at(due, Event{Kind: Tick, Mark: mark}), c.end, 1)
-		if more := r.at(s, Event{Kind: Tick, Mark: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
+		r.wantEnd(r.at(due, Event{Kind: TimerFired, TimerToken: mark}), c.end, 1)
+		if more := r.at(s, Event{Kind: TimerFired, TimerToken: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
 			t.Errorf("acts for an ended message: %+v", more)
 		}
 	}
@@ -423,12 +423,12 @@
 		r := newRig(t, testSettings(), entry(1, 0, 0))
 		e := entry(1, 0, 0)
 		e.Health = h
-		r.at(0, Event{Kind: List, Entries: []Entry{e}})
+		r.at(0, Event{Kind: ListUpdate, Entries: []Entry{e}})
 		r.want(r.at(s/10, r.msg(free, 1)))
-		r.at(s/10, Event{Kind: List, ListKind: ListFailed})
+		r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFailed})
 		r.want(r.wait(s)) // held, not answered
 		fresh := entry(1, 1, 0)
-		r.want(r.at(s/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
+		r.want(r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
 	}
 }
 
@@ -454,11 +454,11 @@
 
 func TestTriesAreCounted(t *testing.T) {
 	set := testSettings()
-	set.MaxTries = 2
+	set.MaxAttempts = 2
 	r := newRig(t, set, entry(1, 0, 0), entry(1, 1, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/10, done(1, 0, Errored)), 1)
-	r.wantEnd(r.at(s/10, done(1, 1, Errored)), Refuse, 1)
+	r.want(r.at(s/10, done(1, 0, ErrorResponse)), 1)
+	r.wantEnd(r.at(s/10, done(1, 1, ErrorResponse)), Refuse, 1)
 }
 
 // A hang shows as age, long before any time-out: the destination is not fed, and a trial is harmless.
@@ -508,7 +508,7 @@
 	set := testSettings()
 	set.Instances = 20
 	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
-	closed := func(acts []Action, e Endpoint) bool {
+	closed := func(acts []Action, e EndpointID) bool {
 		return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
 	}
 	r.want(r.at(0, r.msg(free, 1)), 1)
@@ -559,7 +559,7 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	for i := range 72 {
 		r.at(s/10, r.msg(single, 1))
-		res := Errored
+		res := ErrorResponse
 		if i < 60 || i%4 == 3 {
 			res = OK
 		}
@@ -576,8 +576,8 @@
 	r := newRig(t, testSettings(), entry(1, 0, 0))
 	r.wait(20 * s)
 	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/50, done(1, 0, Errored)), 1)
-	acts := slices.Concat(r.at(s/50, done(1, 1, Errored)), r.wait(s/2))
+	r.want(r.at(s/50, done(1, 0, ErrorResponse)), 1)
+	acts := slices.Concat(r.at(s/50, done(1, 1, ErrorResponse)), r.wait(s/2))
 	r.want(acts)
 	if e := r.ep(ep(1, 0)); !e.suspect || !r.d.sure(e) {
 		t.Error("two errors of a sender with one message in 20 s are no outage")
@@ -615,7 +615,7 @@
 	for range 20 {
 		r.at(s/20, r.msg(single, 1))
 	}
-	acts := r.at(s/20, Event{Kind: List, Entries: []Entry{entry(1, 1, 0)}})
+	acts := r.at(s/20, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}})
 	if got := sent(acts); len(got) > 1 {
 		t.Errorf("dumped %d messages on it", len(got))
 	}
@@ -652,9 +652,9 @@
 // Late worth that has reached its floor yields to messages still in time.
 func TestOldLateMessagesYield(t *testing.T) {
 	set := testSettings()
-	set.LateHalving, set.Slots = true, 1
+	set.HalveLateValue, set.Slots = true, 1
 	r := newRig(t, set, entry(1, 0, 0))
-	r.at(0, Event{Kind: List, Entries: []Entry{entry(2, 0, 0)}})
+	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(2, 0, 0)}})
 	r.want(r.at(0, r.msg(free, 2)), 1)
 	r.want(r.at(0, r.msg(free, 1)))
 	r.at(8*s, r.msg(free, 1))
@@ -664,7 +664,7 @@
 func TestSheddingKeepsTheBetter(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen, set.Slots = 8, 1
-	set.Classes[single].Worth = 5
+	set.Classes[single].Value = 5
 	r := newRig(t, set, entry(1, 0, 0))
 	var acts []Action
 	for i := range 12 {
@@ -703,8 +703,8 @@
 
 func TestStrangeEventsDoNothing(t *testing.T) {
 	r := newRig(t, testSettings(), entry(1, 0, 0))
-	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: Tick, Mark: 12345},
-		Event{Kind: Probed, Endpoint: 4}, Event{Kind: Started, Message: 3})
+	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: TimerFired, TimerToken: 12345},
+		Event{Kind: ProbeResult, Endpoint: 4}, Event{Kind: Started, Message: 3})
 	if len(acts) > 0 {
 		t.Errorf("acts: %+v", acts)
 	}
@@ -807,7 +807,7 @@
 func TestFeeWeighsInTheChoiceOfARoute(t *testing.T) {
 	for kind, want := range map[int]int{2: 1, 0: 0} {
 		set := testSettings()
-		set.Fees = []float64{0.05, 0}
+		set.ZoneCosts = []float64{0.05, 0}
 		far := entry(1, 1, kind)
 		far.Zone = 1
 		r := newRig(t, set, entry(1, 0, kind), far)
--- a/control/drops_test.go
+++ b/control/drops_test.go
@@ -30,7 +30,7 @@
 		less bool
 	}{{50 * Millisecond, false}, {400 * Millisecond, false}, {3 * s, true}} {
 		r := drops(t, c.idle, Reset)
-		if got := r.d.kinds[0].keep < 2*r.d.set.ConnIdle; got != c.less {
+		if got := r.d.kinds[0].keep < 2*r.d.set.ConnIdleTimeout; got != c.less {
 			t.Errorf("idle for %v: used up to %v", c.idle, r.d.kinds[0].keep)
 		}
 	}
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -9,16 +9,16 @@
 // A dispatcher is told what happened and answers with what to do.
 func Example() {
 	d, err := control.New(control.Settings{
-		Instances: 1, Tick: 5 * control.Millisecond, Slots: 4, MaxOpen: 100, MaxTries: 3, ReportLeft: -1, ReportLimit: -1,
-		Classes: []control.Class{{Name: "status", Aim: control.Second, Deadline: 10 * control.Second, Worth: 1}},
+		Instances: 1, Tick: 5 * control.Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		Classes: []control.Class{{Name: "status", Target: control.Second, Deadline: 10 * control.Second, Value: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	actions := d.Step(0, []control.Event{
-		{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{{Endpoint: 42, Dest: 7, Health: control.Ready}}},
-		{Kind: control.Arrival, Message: 1, Dest: 7, Grace: 10 * control.Second},
+		{Kind: control.ListUpdate, ListKind: control.ListFull, Entries: []control.Entry{{Endpoint: 42, Dest: 7, Health: control.Ready}}},
+		{Kind: control.Arrival, Message: 1, Dest: 7, TimeLeft: 10 * control.Second},
 	}, nil)
 	for _, a := range actions {
 		if a.Kind == control.Send {
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -172,7 +172,7 @@
 	for i := range 200 {
 		e := entry(1, i+2, 0)
 		o := entry(100+i, 0, 0)
-		r.at(0, Event{Kind: List, ListKind: ListFull, Entries: []Entry{e, o}})
+		r.at(0, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{e, o}})
 		m, n, k := r.msg(free, 1), r.msg(free, 100+i), r.keyed(uint64(1000+i))
 		acts := r.at(s/10, m, n, k)
 		for _, id := range sent(acts) {
@@ -196,13 +196,13 @@
 // A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
 func TestRestAndWaitOutliveTheirMessages(t *testing.T) {
 	set := testSettings()
-	set.SettleAfterDoubt = 30 * s
+	set.SettleTime = 30 * s
 	r := newRig(t, set, entry(1, 0, 0))
 	r.want(r.at(0, r.keyed(9)), 1)
 	r.at(s/10, Event{Kind: Withdrawn, Message: 1}, done(1, 0, Reset))
 	r.wait(2 * seldom)
 	e := r.keyed(9)
-	e.Grace = 40 * s
+	e.TimeLeft = 40 * s
 	r.want(append(r.at(0, e), r.wait(9*s)...))
 	if got := sent(r.wait(2 * s)); len(got) != 1 {
 		t.Errorf("after the rest sent %v", got)
@@ -211,9 +211,9 @@
 	r.want(r.at(s, r.msg(free, 1)), 3)
 	gone := entry(1, 0, 0)
 	gone.Health = Gone
-	r.at(s/10, full(3, 0, 60*s), Event{Kind: List, Entries: []Entry{gone}})
+	r.at(s/10, full(3, 0, 60*s), Event{Kind: ListUpdate, Entries: []Entry{gone}})
 	r.wait(30 * s)
-	r.want(append(r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 1, 0)}}, r.msg(free, 1)), r.wait(10*s)...))
+	r.want(append(r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}}, r.msg(free, 1)), r.wait(10*s)...))
 }
 
 func TestNotesAreRare(t *testing.T) {
@@ -223,7 +223,7 @@
 		r.d.chill(r.ep(ep(1, 0)), r.now)
 		r.now += s / 2
 		for _, a := range r.d.Step(r.now, nil, nil) {
-			if a.Kind == Note {
+			if a.Kind == Log {
 				notes++
 			}
 		}
@@ -243,13 +243,13 @@
 	r.want(acts, 1)
 	gone := entry(1, int(acts[0].Endpoint)%10, 0)
 	gone.Health = Gone
-	r.at(s/50, done(1, 1, ConnectFailed), Event{Kind: List, Entries: []Entry{gone}})
+	r.at(s/50, done(1, 1, ConnectFailed), Event{Kind: ListUpdate, Entries: []Entry{gone}})
 	r.wait(2 * seldom)
 	left := r.d.dest(1).eps
 	if len(left) != 1 || !r.d.sure(left[0]) {
 		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
 	}
-	r.at(0, Event{Kind: List, Entries: []Entry{entry(1, 2, 0)}})
+	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 2, 0)}})
 	if e := r.ep(ep(1, 2)); e.coldAt == 0 {
 		t.Error("an endpoint that joins does not start cold")
 	}
@@ -259,7 +259,7 @@
 func TestAimOfNothingIsHarmless(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
-		set.Classes[i].Aim = 0
+		set.Classes[i].Target = 0
 	}
 	r := newRig(t, set, entry(1, 0, 0))
 	r.want(r.at(0, r.msg(free, 1)), 1)
@@ -276,13 +276,13 @@
 // Replaced endpoints, failed lists and notes, over many cycles: nothing is kept of them.
 func TestStateDoesNotGrowWithNotesAndFailedLists(t *testing.T) {
 	set := peers()
-	set.AskList, set.AskEvery = true, 10*s
+	set.PullList, set.PullInterval = true, 10*s
 	r := newRig(t, set, entry(1, 0, 2))
 	for i := range 200 {
 		n := hintName(ep(1, i+2))
-		r.at(s/10, Event{Kind: List, ListKind: ListFull, Entries: []Entry{entry(1, i+2, 2)}}, Event{Kind: List, ListKind: ListFailed})
+		r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, i+2, 2)}}, Event{Kind: ListUpdate, ListKind: ListFailed})
 		m := r.msg(free, 1)
-		r.at(s/10, m, Event{Kind: NoteFrom, Content: string([]byte{byte(i), byte(n >> 16), byte(n >> 8), byte(n)})})
+		r.at(s/10, m, Event{Kind: GossipReceived, Payload: string([]byte{byte(i), byte(n >> 16), byte(n >> 8), byte(n)})})
 		r.wait(s)
 		if r.d.msgs[m.Message] != nil && r.d.msgs[m.Message].out != nil {
 			r.at(0, usedUp(m.Message, r.d.msgs[m.Message].tries-1, 0))
--- a/control/list_test.go
+++ b/control/list_test.go
@@ -9,13 +9,13 @@
 func askRig(t *testing.T, seed uint64) *rig {
 	t.Helper()
 	set := testSettings()
-	set.AskList, set.AskEvery = true, 10*s
+	set.PullList, set.PullInterval = true, 10*s
 	d, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &rig{t: t, d: d, now: 1000 * s}
-	r.at(0, Event{Kind: List, ListKind: ListCached, Entries: []Entry{entry(1, 0, 0)}})
+	r.at(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: []Entry{entry(1, 0, 0)}})
 	return r
 }
 
@@ -35,8 +35,8 @@
 	return at, kinds
 }
 
-func listFailed() Event { return Event{Kind: List, ListKind: ListFailed} }
-func noChange() Event   { return Event{Kind: List, ListKind: ListDelta} }
+func listFailed() Event { return Event{Kind: ListUpdate, ListKind: ListFailed} }
+func noChange() Event   { return Event{Kind: ListUpdate, ListKind: ListDelta} }
 
 // A list that is only told when asked for was never asked for: drains went unheard.
 func TestListIsAskedForInsideAskEvery(t *testing.T) {
@@ -100,7 +100,7 @@
 	r := askRig(t, 3)
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.at(s/10, done(1, 0, OK))
-	r.at(s, Event{Kind: List, ListKind: ListFull, Entries: []Entry{entry(1, 1, 0)}})
+	r.at(s, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, 1, 0)}})
 	acts := r.at(s/10, r.msg(free, 1))
 	r.want(acts, 2)
 	if acts[0].Endpoint != ep(1, 1) {
@@ -108,7 +108,7 @@
 	}
 	drains := entry(1, 1, 0)
 	drains.Health = Draining
-	r.at(s/10, Event{Kind: List, Entries: []Entry{drains}}, listFailed())
+	r.at(s/10, Event{Kind: ListUpdate, Entries: []Entry{drains}}, listFailed())
 	r.want(r.at(s, r.msg(free, 1))) // a failure brings nothing back
 }
 
@@ -121,7 +121,7 @@
 	}
 	one, two := r.msg(free, 1), r.msg(free, 2)
 	r.at(s/10, one, two)
-	r.at(s/10, done(1, 0, OK), Event{Kind: Outcome, Message: 2, Endpoint: ep(2, 0), Result: Full, Wait: 2000 * s})
+	r.at(s/10, done(1, 0, OK), Event{Kind: Outcome, Message: 2, Endpoint: ep(2, 0), Result: LimitExceeded, RetryAfter: 2000 * s})
 	if len(r.d.dests) != 2 {
 		t.Fatalf("%d destinations in full, want 2", len(r.d.dests))
 	}
@@ -135,13 +135,13 @@
 	drained.Health = Draining
 	moved := entry(2, 0, 0)
 	moved.Dest = 1
-	r.at(s/10, Event{Kind: List, Entries: []Entry{drained, moved}})
+	r.at(s/10, Event{Kind: ListUpdate, Entries: []Entry{drained, moved}})
 	for _, a := range r.at(s/10, r.msg(free, 1)) {
 		if a.Kind == Send && a.Endpoint != ep(1, 1) {
 			t.Errorf("sent to %d: it drains, or is another destination's", a.Endpoint)
 		}
 	}
-	r.at(s/10, done(3, 0, OK), Event{Kind: List, ListKind: ListFull, Entries: []Entry{entry(2, 0, 0)}})
+	r.at(s/10, done(3, 0, OK), Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(2, 0, 0)}})
 	for range 3 {
 		r.at(200 * s)
 	}
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -8,15 +8,15 @@
 // outageRig makes a dispatcher that keeps what it knows of outages, of one destination with one endpoint.
 func outageRig(t *testing.T) *rig {
 	set := testSettings()
-	set.KeepOutages = true
+	set.TrackOutages = true
 	return newRig(t, set, entry(1, 0, 0))
 }
 
 // restart hands what one dispatcher had told of outages to another, as a process that follows it does.
-func (r *rig) restart(told map[Endpoint]Outage, now Time) *rig {
+func (r *rig) restart(told map[EndpointID]Outage, now Time) *rig {
 	next := outageRig(r.t)
 	next.now = now
-	events := []Event{{Kind: List, ListKind: ListFull, Entries: []Entry{entry(1, 0, 0)}}}
+	events := []Event{{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, 0, 0)}}}
 	for _, o := range told {
 		events = append(events, Event{Kind: OutageRestored, Outage: &o})
 	}
@@ -25,9 +25,9 @@
 }
 
 // collect keeps what is told, as a record does.
-func collect(told map[Endpoint]Outage, changed []Outage) {
+func collect(told map[EndpointID]Outage, changed []Outage) {
 	for _, o := range changed {
-		if o.Over() {
+		if o.Ended() {
 			delete(told, o.Endpoint)
 		} else {
 			told[o.Endpoint] = o
@@ -38,7 +38,7 @@
 // A dispatcher that restarts within an outage goes on as one that has seen it: single trials, and a ramp on the return.
 func TestOutageOutlivesTheProcess(t *testing.T) {
 	r := outageRig(t)
-	told := map[Endpoint]Outage{}
+	told := map[EndpointID]Outage{}
 	r.wait(20 * s)
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	for n := range 3 {
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	if o := told[ep(1, 0)]; !o.Suspect || o.Failures < 2 || !o.Proven {
+	if o := told[ep(1, 0)]; !o.Suspected || o.Failures < 2 || !o.Unreachable {
 		t.Fatalf("told %+v", told)
 	}
 	for range 2 { // also a second process that follows
@@ -76,7 +76,7 @@
 		}
 	}
 	collect(told, r.d.Outages())
-	if e := r.ep(ep(1, 0)); e.suspect || e.coldAt == 0 || told[ep(1, 0)].ColdAt != e.coldAt {
+	if e := r.ep(ep(1, 0)); e.suspect || e.coldAt == 0 || told[ep(1, 0)].RampStart != e.coldAt {
 		t.Errorf("after the return: suspect %v, cold since %d, told %+v", e.suspect, e.coldAt, told)
 	}
 	cold := r.ep(ep(1, 0)).coldAt
@@ -88,7 +88,7 @@
 // What is over is told as over: the record must not grow with outages that have passed.
 func TestOutagesEnd(t *testing.T) {
 	r := outageRig(t)
-	told := map[Endpoint]Outage{}
+	told := map[EndpointID]Outage{}
 	r.wait(20 * s)
 	for n := range 200 {
 		r.at(s/2, r.msg(free, 1))
@@ -112,14 +112,14 @@
 // An endpoint that leaves the list, or was never in it, takes its outage off the record or leaves no trace.
 func TestOutageOfAnEndpointThatIsGone(t *testing.T) {
 	r := outageRig(t)
-	told := map[Endpoint]Outage{}
+	told := map[EndpointID]Outage{}
 	r.wait(20 * s)
 	r.want(r.at(0, r.msg(free, 1)), 1)
 	r.at(s/50, done(1, 0, ConnectFailed))
 	collect(told, r.d.Outages())
 	gone := entry(1, 0, 0)
 	gone.Health = Gone
-	r.at(0, Event{Kind: List, Entries: []Entry{gone}}, Event{Kind: OutageRestored, Outage: &Outage{Endpoint: 99, Dest: 7, Suspect: true}})
+	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{gone}}, Event{Kind: OutageRestored, Outage: &Outage{Endpoint: 99, Dest: 7, Suspected: true}})
 	for range 100 {
 		r.at(s)
 		collect(told, r.d.Outages())
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -9,8 +9,8 @@
 // peers makes the settings of dispatchers that may send each other notes and read reports.
 func peers() Settings {
 	set := testSettings()
-	set.Peers, set.PeerPrice, set.Instances = true, 0.01/256, 100
-	set.ReportLeft, set.ReportLimit = 0, 1
+	set.Gossip, set.GossipCost, set.Instances = true, 0.01/256, 100
+	set.ReportRemainingIndex, set.ReportLimitIndex = 0, 1
 	return set
 }
 
@@ -22,7 +22,7 @@
 
 func note(acts []Action) string {
 	for _, a := range acts {
-		if a.Kind == Share {
+		if a.Kind == SendGossip {
 			return a.Text
 		}
 	}
@@ -38,7 +38,7 @@
 	if told == "" {
 		t.Fatal("a used-up limit is not told")
 	}
-	heard := Event{Kind: NoteFrom, Content: told}
+	heard := Event{Kind: GossipReceived, Payload: told}
 	b.want(b.at(0, heard, b.msg(free, 1)))
 	b.want(b.wait(hintHold - s/50))
 	if got := sent(b.wait(2 * spreadMost)); !slices.Equal(got, []MessageID{1}) {
@@ -113,7 +113,7 @@
 		t.Fatal("not sure of an outage")
 	}
 	told := note(a.at(0, done(1, 1, OK)))
-	b.at(0, Event{Kind: NoteFrom, Content: told})
+	b.at(0, Event{Kind: GossipReceived, Payload: told})
 	if e.suspect || e.coldAt == 0 {
 		t.Errorf("suspect %v, ramp since %v after a told return", e.suspect, e.coldAt)
 	}
@@ -123,7 +123,7 @@
 func TestStrangeNotesDoNothingAndNotesAreBounded(t *testing.T) {
 	r := newRig(t, peers(), entry(1, 0, 0))
 	for _, c := range []string{"", "a", "abc", "\x00\x00\x00\x00\x01", string(make([]byte, 999)), "\xff\xff\xff\xff"} {
-		if acts := r.at(0, Event{Kind: NoteFrom, Content: c}); len(acts) > 0 {
+		if acts := r.at(0, Event{Kind: GossipReceived, Payload: c}); len(acts) > 0 {
 			t.Errorf("%q: %+v", c, acts)
 		}
 	}
@@ -153,7 +153,7 @@
 	const n = 50
 	sends := 0
 	set := testSettings()
-	set.ReportLeft, set.ReportLimit = 0, 1
+	set.ReportRemainingIndex, set.ReportLimitIndex = 0, 1
 	for _, r := range fleet(t, n, set, entry(1, 0, 0)) { // 10 a second for 50 senders of one message a second each
 		var next []Event
 		for i := range 30 * 20 {
@@ -178,7 +178,7 @@
 func TestRampKeepsItsDistanceFromTheTipMultiple(t *testing.T) {
 	sends := 0
 	set := testSettings()
-	set.TipMultiple, set.ColdFrom = 1.5, 0.3
+	set.CollapseMultiple, set.ColdCapacity = 1.5, 0.3
 	const n = 40
 	for _, r := range fleet(t, n, set, entry(1, 0, 0)) {
 		e := r.ep(ep(1, 0))
@@ -228,7 +228,7 @@
 	r.wait(4 * s)
 	a, b := r.ep(ep(1, 0)), r.ep(ep(1, 1))
 	n := hintName(a.id)
-	r.at(0, Event{Kind: NoteFrom, Content: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
+	r.at(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
 	if a.suspect || !b.suspect || !r.d.sure(b) {
 		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspect, b.suspect, r.d.sure(b))
 	}
@@ -263,7 +263,7 @@
 	r.wait(15 * s)
 	e := r.ep(ep(1, 0))
 	n := hintName(e.id)
-	r.at(0, Event{Kind: NoteFrom, Content: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
+	r.at(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
 	if e.coldAt != r.now {
 		t.Errorf("ramp since %v, told at %v", e.coldAt, r.now)
 	}
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -46,12 +46,12 @@
 // answers runs a play and returns a hash of its actions, and how many there were of each kind. Ticks without a mark
 // are left out: when the module asks to be woken is no decision about messages.
 func (p recording) answers(t testing.TB) string {
-	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: p.slots, MaxOpen: 600, MaxTries: 4, ReportLeft: -1, ReportLimit: -1,
-		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, ConnIdle: 10 * Second, ConnectTimeout: Second, StreamsPerConn: 100,
-		StopSendingWithin: Second, ColdFrom: 0.2, WarmUp: 3 * Second, TipMultiple: 2, OverloadFor: Second, SettleAfterDoubt: Second / 2,
-		Weights: p.weights, Kinds: []Kind{{Batch: p.batch}, {Batch: 1, RoutesApart: true}},
-		Classes: []Class{{Aim: Second, Deadline: 4 * Second, Worth: 1, LateWorth: 0.3, InOrder: p.inOrder},
-			{Effect: SingleShot, Aim: Second, Deadline: 8 * Second, Worth: 4}, {Effect: Guarded, Window: 3 * Second, Aim: 2 * Second, Deadline: 6 * Second, Worth: 2}}}
+	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: p.slots, MaxOpen: 600, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, ConnIdleTimeout: 10 * Second, ConnectTimeout: Second, StreamsPerConn: 100,
+		StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second, SettleTime: Second / 2,
+		Weights: p.weights, DestinationKinds: []DestinationKind{{MaxBatch: p.batch}, {MaxBatch: 1, PerEndpointLimits: true}},
+		Classes: []Class{{Target: Second, Deadline: 4 * Second, Value: 1, LateValue: 0.3, InOrder: p.inOrder},
+			{Effect: AtMostOnce, Target: Second, Deadline: 8 * Second, Value: 4}, {Effect: Deduplicated, DedupWindow: 3 * Second, Target: 2 * Second, Deadline: 6 * Second, Value: 2}}}
 	d, err := New(set, uint64(p.seed)+1)
 	if err != nil {
 		t.Fatal(err)
@@ -69,16 +69,16 @@
 	var entries []Entry
 	for n := range p.dests {
 		for k := range 1 + n%3 {
-			entries = append(entries, Entry{Endpoint: Endpoint(10*n + k + 1), Dest: n, Kind: n % 2, Health: Ready, Weight: float64(1 + n%5)})
+			entries = append(entries, Entry{Endpoint: EndpointID(10*n + k + 1), Dest: n, DestinationKind: n % 2, Health: Ready, Weight: float64(1 + n%5)})
 		}
 	}
-	put(Second, Event{Kind: List, ListKind: ListFull, Entries: entries})
+	put(Second, Event{Kind: ListUpdate, ListKind: ListFull, Entries: entries})
 	const length = 12 * Second
 	id := MessageID(0)
 	for at := 1.1; at < length.seconds(); at += rng.ExpFloat64() / p.rate {
 		id++
 		class := rng.Intn(3)
-		e := Event{Kind: Arrival, Message: id, Class: class, Dest: int(float64(p.dests) * rng.Float64() * rng.Float64()), Grace: set.Classes[class].Deadline}
+		e := Event{Kind: Arrival, Message: id, Class: class, Dest: int(float64(p.dests) * rng.Float64() * rng.Float64()), TimeLeft: set.Classes[class].Deadline}
 		if class == 0 {
 			e.Key = uint64(rng.Intn(20))
 		}
@@ -87,9 +87,9 @@
 	for k := range 10 { // endpoints drain and come back
 		e := entries[rng.Intn(len(entries))]
 		e.Health = Draining
-		put(Time(2+k)*Second, Event{Kind: List, Entries: []Entry{e}})
+		put(Time(2+k)*Second, Event{Kind: ListUpdate, Entries: []Entry{e}})
 		e.Health = Ready
-		put(Time(2+k)*Second+Second/2, Event{Kind: List, Entries: []Entry{e}})
+		put(Time(2+k)*Second+Second/2, Event{Kind: ListUpdate, Entries: []Entry{e}})
 	}
 	hash := fnv.New64a()
 	counts := map[ActionKind]int{}
@@ -114,12 +114,12 @@
 		acts = d.Step(now, events, acts[:0])
 		for _, a := range acts {
 			if a.Kind == Timer {
-				if a.Mark > 0 {
-					put(now+a.After, Event{Kind: Tick, Mark: a.Mark})
+				if a.TimerToken > 0 {
+					put(now+a.After, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 				}
 				continue
 			}
-			if a.Kind == Note {
+			if a.Kind == Log {
 				continue
 			}
 			counts[a.Kind]++
@@ -129,27 +129,27 @@
 				e := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Endpoint: a.Endpoint}
 				tries[a.Message]++
 				fate := rand.New(rand.NewSource(p.seed<<32 + int64(a.Message)*16 + int64(e.Attempt)))
-				e.Lag = Time(20+fate.Intn(30)+10*(int(a.Endpoint)%7)) * Millisecond
+				e.Elapsed = Time(20+fate.Intn(30)+10*(int(a.Endpoint)%7)) * Millisecond
 				switch f := fate.Float64(); {
 				case f < p.fail/3:
 					e.Result = ConnectFailed
 				case f < p.fail*2/3:
-					e.Result, e.Lag = TimedOut, 3*Second
+					e.Result, e.Elapsed = TimedOut, 3*Second
 				case f < p.fail:
-					e.Result = Errored
+					e.Result = ErrorResponse
 				case f < p.fail+p.full/2:
-					e.Result, e.Wait = Full, 300*Millisecond
+					e.Result, e.RetryAfter = LimitExceeded, 300*Millisecond
 				case f < p.fail+p.full:
-					e.Result = Full
+					e.Result = LimitExceeded
 				}
 				out[[2]uint64{uint64(e.Message), uint64(e.Attempt)}] = e
-				put(now+e.Lag, e)
+				put(now+e.Elapsed, e)
 			case Cancel:
 				k := [2]uint64{uint64(a.Message), uint64(a.Attempt)}
 				if e, is := out[k]; is {
 					delete(out, k)
-					e.Result, e.Wait = Cancelled, 0
-					e.Lag = 0
+					e.Result, e.RetryAfter = Cancelled, 0
+					e.Elapsed = 0
 					put(now+set.Tick, e)
 					out[k] = e
 				}
@@ -195,9 +195,9 @@
 // size makes a module with n destinations, of which live have a message held that can't go, as their endpoint drains, beside
 // one busy destination.
 func size(b testing.TB, n, live, slots int) *Dispatcher {
-	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: slots, MaxOpen: 4 * n, MaxTries: 4, ReportLeft: -1, ReportLimit: -1,
-		ConnIdle: 10 * Second, StopSendingWithin: Second, ColdFrom: 0.2, WarmUp: 3 * Second, TipMultiple: 2, OverloadFor: Second,
-		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, Classes: []Class{{Aim: Second, Deadline: 3000 * Second, Worth: 1}}}
+	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: slots, MaxOpen: 4 * n, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		ConnIdleTimeout: 10 * Second, StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second,
+		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, Classes: []Class{{Target: Second, Deadline: 3000 * Second, Value: 1}}}
 	d, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
@@ -205,13 +205,13 @@
 	entries := make([]Entry, n)
 	events := make([]Event, 0, live)
 	for i := range entries {
-		entries[i] = Entry{Endpoint: Endpoint(i + 1), Dest: i, Health: Ready}
+		entries[i] = Entry{Endpoint: EndpointID(i + 1), Dest: i, Health: Ready}
 		if i > 0 && i <= live {
 			entries[i].Health = Draining
-			events = append(events, Event{Kind: Arrival, Message: MessageID(1<<30 + i), Dest: i, Grace: 3000 * Second})
+			events = append(events, Event{Kind: Arrival, Message: MessageID(1<<30 + i), Dest: i, TimeLeft: 3000 * Second})
 		}
 	}
-	d.Step(Second, []Event{{Kind: List, ListKind: ListFull, Entries: entries}}, nil)
+	d.Step(Second, []Event{{Kind: ListUpdate, ListKind: ListFull, Entries: entries}}, nil)
 	d.Step(2*Second, events, nil)
 	return d
 }
@@ -224,10 +224,10 @@
 	events := make([]Event, 0, 3*n)
 	for k := range 3 {
 		for i := range n {
-			events = append(events, Event{Kind: Arrival, Message: MessageID(1 + k*n + i), Dest: i, Grace: 3000 * Second})
+			events = append(events, Event{Kind: Arrival, Message: MessageID(1 + k*n + i), Dest: i, TimeLeft: 3000 * Second})
 		}
 	}
-	first := map[Endpoint]Time{}
+	first := map[EndpointID]Time{}
 	start := 10 * Second
 	fair := Time(n/slots) * lag
 	for now := start; len(first) < n && now < start+10*fair; now += lag {
@@ -238,7 +238,7 @@
 				if _, seen := first[a.Endpoint]; !seen {
 					first[a.Endpoint] = now - start
 				}
-				events = append(events, Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Lag: lag})
+				events = append(events, Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Elapsed: lag})
 			}
 		}
 	}
@@ -261,8 +261,8 @@
 		now := 4 * Second
 		for id := range MessageID(1000) {
 			now += 100
-			d.Step(now, []Event{{Kind: Arrival, Message: id + 1, Dest: 0, Grace: 3000 * Second}}, nil)
-			d.Step(now+50, []Event{{Kind: Outcome, Message: id + 1, Endpoint: 1, Lag: 50}}, nil)
+			d.Step(now, []Event{{Kind: Arrival, Message: id + 1, Dest: 0, TimeLeft: 3000 * Second}}, nil)
+			d.Step(now+50, []Event{{Kind: Outcome, Message: id + 1, Endpoint: 1, Elapsed: 50}}, nil)
 		}
 		return d.looks - before
 	}
@@ -296,7 +296,7 @@
 	for b.Loop() {
 		id++
 		now += Millisecond
-		acts = d.Step(now, []Event{{Kind: Arrival, Message: id, Dest: 0, Grace: 3000 * Second}}, acts[:0])
-		acts = d.Step(now+100, []Event{{Kind: Outcome, Message: id, Endpoint: 1, Lag: 100}}, acts[:0])
+		acts = d.Step(now, []Event{{Kind: Arrival, Message: id, Dest: 0, TimeLeft: 3000 * Second}}, acts[:0])
+		acts = d.Step(now+100, []Event{{Kind: Outcome, Message: id, Endpoint: 1, Elapsed: 100}}, acts[:0])
 	}
 }
--- a/control/prompt_test.go
+++ b/control/prompt_test.go
@@ -72,10 +72,10 @@
 func TestNoWaitIsToldWhereNoneIsKnownOrAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := testSettings()
-		set.RetryAfter, set.MaxRetryAfter, set.MaxTries = allowed, 3*s, 1
+		set.RetryAfter, set.MaxRetryAfter, set.MaxAttempts = allowed, 3*s, 1
 		r := newRig(t, set, entry(1, 0, 0))
 		r.want(r.at(0, r.msg(free, 1), r.msg(free, 1)), 1, 2)
-		acts := r.at(s/10, done(1, 0, Errored))
+		acts := r.at(s/10, done(1, 0, ErrorResponse))
 		r.wantEnd(acts, Refuse, 1)
 		if acts[0].After != 0 {
 			t.Errorf("allowed %v: told %v though nothing is known", allowed, acts[0].After)
@@ -89,14 +89,14 @@
 // A dispatcher that stops answers all it holds within the time given, by the rules for final answers: what may have
 // run of an unsafe class is failed, the rest handed back. Without the event clients were cut off without an answer.
 func TestClosingAnswersAll(t *testing.T) {
-	d, err := New(Settings{Instances: 1, Tick: 5 * Millisecond, Slots: 4, MaxOpen: 100, MaxTries: 3, ReportLeft: -1, ReportLimit: -1,
-		Classes: []Class{{Effect: SingleShot, Aim: Second, Deadline: 60 * Second, Worth: 1}}}, 1)
+	d, err := New(Settings{Instances: 1, Tick: 5 * Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		Classes: []Class{{Effect: AtMostOnce, Target: Second, Deadline: 60 * Second, Value: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := []Event{{Kind: List, ListKind: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1, Health: Ready}}}}
+	events := []Event{{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{{Endpoint: 1, Dest: 1, Health: Ready}}}}
 	for id := range MessageID(10) {
-		events = append(events, Event{Kind: Arrival, Message: id + 1, Dest: 1 + int(id)%2, Grace: 60 * Second})
+		events = append(events, Event{Kind: Arrival, Message: id + 1, Dest: 1 + int(id)%2, TimeLeft: 60 * Second})
 	}
 	sent, answers := map[MessageID]bool{}, map[MessageID]ActionKind{}
 	now, due := Second, Time(0)
@@ -111,11 +111,11 @@
 		}
 		events = events[:0]
 		if now += 10 * Millisecond; round == 5 {
-			events = append(events, Event{Kind: Closing, Grace: Second})
+			events = append(events, Event{Kind: Shutdown, TimeLeft: Second})
 			due = now + Second
 		}
 		for id := range MessageID(10) {
-			events = append(events, Event{Kind: Tick, Mark: uint64(id) + 2})
+			events = append(events, Event{Kind: TimerFired, TimerToken: uint64(id) + 2})
 		}
 	}
 	if now > due || len(answers) != 10 {
--- a/control/resume_test.go
+++ b/control/resume_test.go
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, testSettings(), entry(1, 0, 0))
 			e := r.msg(c.class, 1)
-			e.Attempt, e.Doubt, e.Lag, e.Zone = c.tries, c.doubt, c.ago, c.zone
+			e.Attempt, e.PossiblyExecuted, e.Elapsed, e.Zone = c.tries, c.doubt, c.ago, c.zone
 			acts := r.at(0, e)
 			if c.sent {
 				r.want(acts, 1)
@@ -50,7 +50,7 @@
 	r := newRig(t, set, entry(1, 0, 0))
 	r.want(r.at(0, r.msg(single, 1)), 1)
 	r.at(s/10, r.msg(single, 1), r.msg(single, 1)) // held behind the slot
-	r.at(0, Event{Kind: Closing, Grace: 3 * s, Kept: true})
+	r.at(0, Event{Kind: Shutdown, TimeLeft: 3 * s, KeepHeld: true})
 	acts := r.at(s/100, r.msg(single, 1))
 	r.wantEnd(acts, Refuse, 4)
 	if i := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == Refuse }); acts[i].After != 2*s {
@@ -70,7 +70,7 @@
 func TestWhileNothingCanBeRecorded(t *testing.T) {
 	for class, sentMeanwhile := range map[int]bool{free: true, guarded: false, single: false} {
 		r := newRig(t, testSettings(), entry(1, 0, 0))
-		r.at(0, Event{Kind: Recording, Failing: true})
+		r.at(0, Event{Kind: RecordingStatus, RecordingFails: true})
 		meanwhile := slices.Concat(r.at(s/10, r.msg(class, 1)), r.wait(s))
 		if got := len(sent(meanwhile)) > 0; got != sentMeanwhile {
 			t.Errorf("class %d: sent %v: %+v", class, got, meanwhile)
@@ -78,7 +78,7 @@
 		if sentMeanwhile {
 			continue
 		}
-		r.want(slices.Concat(r.at(0, Event{Kind: Recording}), r.wait(s/10)), 1)
+		r.want(slices.Concat(r.at(0, Event{Kind: RecordingStatus}), r.wait(s/10)), 1)
 	}
 }
 
@@ -88,15 +88,15 @@
 	r := newRig(t, set, entry(1, 0, 0))
 	acts := r.at(0, r.msg(single, 1))
 	sends := len(sent(acts))
-	for n := range 3 * set.MaxTries {
+	for n := range 3 * set.MaxAttempts {
 		acts = slices.Concat(r.at(s/100, done(1, n, NotSent)), r.wait(s/20))
 		sends += len(sent(acts))
 	}
-	if sends != 3*set.MaxTries+1 {
-		t.Errorf("%d times sent, want %d", sends, 3*set.MaxTries+1)
+	if sends != 3*set.MaxAttempts+1 {
+		t.Errorf("%d times sent, want %d", sends, 3*set.MaxAttempts+1)
 	}
-	for n := range set.MaxTries {
-		acts = slices.Concat(r.at(s/100, done(1, 3*set.MaxTries+n, Moot)), r.wait(s/20))
+	for n := range set.MaxAttempts {
+		acts = slices.Concat(r.at(s/100, done(1, 3*set.MaxAttempts+n, NotExecuted)), r.wait(s/20))
 	}
 	r.wantEnd(acts, Refuse, 1)
 }
@@ -104,7 +104,7 @@
 // Behind another process all keys rest first: calls that it made may be executed yet. What it had begun itself goes on.
 func TestKeysRestBehindAnotherProcess(t *testing.T) {
 	set := testSettings()
-	set.Follows, set.SettleAfterDoubt = true, 2*s
+	set.HasPredecessor, set.SettleTime = true, 2*s
 	r := newRig(t, set, entry(1, 0, 0))
 	begun := r.keyed(8)
 	begun.Restored, begun.Attempt = true, 1
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -12,9 +12,9 @@
 	set   Settings
 	now   Time
 	msgs  map[MessageID]*judged
-	wait  map[int]Time      // until when a destination, or a route apart, told to wait
-	ready map[Endpoint]bool // listed ready
-	calls map[[2]int64]int  // messages out by round and endpoint: one call
+	wait  map[int]Time        // until when a destination, or a route apart, told to wait
+	ready map[EndpointID]bool // listed ready
+	calls map[[2]int64]int    // messages out by round and endpoint: one call
 	order map[uint64][]*judged
 	rest  map[uint64]Time
 	marks []Action
@@ -30,7 +30,7 @@
 	deadline  Time
 	ended     bool
 	tries     int
-	ep        Endpoint
+	ep        EndpointID
 	round     Time
 	out       bool
 	doubt     bool
@@ -49,12 +49,12 @@
 	m := j.msgs[a.Message]
 	switch a.Kind {
 	case Timer:
-		if a.Mark != 0 {
+		if a.TimerToken != 0 {
 			a.After += j.now
 			j.marks = append(j.marks, a)
 		}
 		return
-	case Note, Close, Watch, Fetch, Share:
+	case Log, Close, Watch, Fetch, SendGossip:
 		return
 	}
 	if m == nil {
@@ -63,8 +63,8 @@
 	switch a.Kind {
 	case Refuse, Fail:
 		j.check(!m.ended, m, "a second final answer")
-		maybe := (m.doubt || m.out) && m.class.Effect != Free
-		j.check(a.Kind == Fail || !maybe || m.class.Effect == Guarded, m, "handed back though it may have run")
+		maybe := (m.doubt || m.out) && m.class.Effect != Idempotent
+		j.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "handed back though it may have run")
 		m.ended = true
 	case Send:
 		j.send(m, a)
@@ -75,10 +75,10 @@
 	j.check(!m.ended && !m.out, m, "sent though ended or out")
 	j.check(j.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
 	j.check(j.now >= j.wait[bound(m.dest, a.Endpoint)], m, "sent during a told wait")
-	j.check(m.tries < j.set.MaxTries && j.now < m.deadline, m, "sent too often or too late")
+	j.check(m.tries < j.set.MaxAttempts && j.now < m.deadline, m, "sent too often or too late")
 	if m.doubt {
-		j.check(m.class.Effect != SingleShot, m, "unsafe message sent again in doubt")
-		j.check(m.class.Effect == Free || j.now < m.doubtAt+m.class.Window, m, "repeat past its window")
+		j.check(m.class.Effect != AtMostOnce, m, "unsafe message sent again in doubt")
+		j.check(m.class.Effect == Idempotent || j.now < m.doubtAt+m.class.DedupWindow, m, "repeat past its window")
 	}
 	if m.key != 0 {
 		q := j.order[m.key]
@@ -100,7 +100,7 @@
 const apart = 4
 
 // bound is what a told wait binds: the destination, or the route where routes are apart.
-func bound(dest int, e Endpoint) int {
+func bound(dest int, e EndpointID) int {
 	if dest == apart {
 		return int(e)
 	}
@@ -117,7 +117,7 @@
 	switch res {
 	case OK:
 		m.ended = true
-	case Full:
+	case LimitExceeded:
 		if wait > 0 {
 			k := bound(m.dest, m.ep)
 			j.wait[k] = max(j.wait[k], j.now+wait)
@@ -127,12 +127,12 @@
 		if !m.doubt {
 			m.doubt, m.doubtAt = true, m.firstSent
 		}
-		if m.key != 0 && res != Errored {
-			j.rest[m.key] = j.now + j.set.SettleAfterDoubt
+		if m.key != 0 && res != ErrorResponse {
+			j.rest[m.key] = j.now + j.set.SettleTime
 		}
 	}
 	return Event{Kind: Outcome, Message: m.id, Attempt: m.tries - 1, Endpoint: m.ep, Result: res, Closed: m.ended,
-		Lag: j.now - m.round, Wait: wait, Report: []float32{float32(j.now%3) / 2, 5}}
+		Elapsed: j.now - m.round, RetryAfter: wait, Report: []float32{float32(j.now%3) / 2, 5}}
 }
 
 // Random events, legal and not, for several seeds: whatever comes, the rules hold and each message has one answer.
@@ -148,15 +148,15 @@
 	set.Slots, set.MaxOpen, set.Instances = 2+rng.Intn(8), 16+rng.Intn(60), 1+rng.Intn(40)
 	set.Tick = 20 * Millisecond
 	if seed%2 == 1 { // the newer settings
-		set.AskList, set.AskEvery, set.Peers, set.PeerPrice = true, 10*s, true, 0.01/256
-		set.RetryAfter, set.MaxRetryAfter, set.ReportLeft, set.ReportLimit = true, 3*s, 0, 1
-		set.Fees = []float64{0.05}
+		set.PullList, set.PullInterval, set.Gossip, set.GossipCost = true, 10*s, true, 0.01/256
+		set.RetryAfter, set.MaxRetryAfter, set.ReportRemainingIndex, set.ReportLimitIndex = true, 3*s, 0, 1
+		set.ZoneCosts = []float64{0.05}
 	}
 	d, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &judge{t: t, set: set, msgs: map[MessageID]*judged{}, wait: map[int]Time{}, ready: map[Endpoint]bool{},
+	j := &judge{t: t, set: set, msgs: map[MessageID]*judged{}, wait: map[int]Time{}, ready: map[EndpointID]bool{},
 		calls: map[[2]int64]int{}, order: map[uint64][]*judged{}, rest: map[uint64]Time{}}
 	sick := map[int]Result{}
 	for round := Time(0); round < 6000; round++ {
@@ -164,19 +164,19 @@
 		var events []Event
 		for dest := 1; dest <= 4; dest++ { // destinations fall ill and well
 			if rng.Intn(300) == 0 {
-				sick[dest] = Result(rng.Intn(int(Moot)))
+				sick[dest] = Result(rng.Intn(int(NotExecuted)))
 			}
 		}
 		if round == 0 || rng.Intn(100) == 0 {
 			e := entry(1+rng.Intn(4), rng.Intn(3), rng.Intn(2))
 			if e.Health = Health(rng.Intn(3)); e.Dest == apart {
-				e.Kind = 2
+				e.DestinationKind = 2
 			}
 			if round < 3 {
 				e.Health = Ready
 			}
 			j.ready[e.Endpoint] = e.Health == Ready
-			events = append(events, Event{Kind: List, Entries: []Entry{e}})
+			events = append(events, Event{Kind: ListUpdate, Entries: []Entry{e}})
 		}
 		if round < 4500 && rng.Intn(4) == 0 {
 			events = append(events, j.arrival(rng))
@@ -189,8 +189,8 @@
 				events = append(events, j.resolve(m, TimedOut, 0))
 			case lost || rng.Intn(10) > 0:
 				rest = append(rest, m)
-			case res == Full && rng.Intn(2) == 0:
-				events = append(events, j.resolve(m, Full, Time(rng.Intn(3000))*Millisecond))
+			case res == LimitExceeded && rng.Intn(2) == 0:
+				events = append(events, j.resolve(m, LimitExceeded, Time(rng.Intn(3000))*Millisecond))
 			default:
 				events = append(events, j.resolve(m, res, 0))
 			}
@@ -200,7 +200,7 @@
 			if j.now < a.After {
 				return false
 			}
-			events = append(events, Event{Kind: Tick, Mark: a.Mark})
+			events = append(events, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 			return true
 		})
 		events = append(events, illegal(rng)...)
@@ -241,7 +241,7 @@
 	}
 	j.msgs[m.id] = m
 	j.open = append(j.open, m)
-	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, Grace: grace}
+	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, TimeLeft: grace}
 }
 
 // illegal makes events that no honest caller sends: they must change nothing that the rules see.
@@ -250,12 +250,12 @@
 	case 0:
 		return []Event{done(MessageID(1e9), 0, Result(rng.Intn(9))), {Kind: Withdrawn, Message: 1e9}}
 	case 1:
-		return []Event{{Kind: Tick, Mark: 1e12}, {Kind: Probed, Endpoint: 999}, {Kind: EventKind(77)}}
+		return []Event{{Kind: TimerFired, TimerToken: 1e12}, {Kind: ProbeResult, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
-		return []Event{done(MessageID(1+rng.Intn(50)), 90, OK), {Kind: List, ListKind: ListFailed}}
+		return []Event{done(MessageID(1+rng.Intn(50)), 90, OK), {Kind: ListUpdate, ListKind: ListFailed}}
 	case 3:
 		n := hintName(ep(1+rng.Intn(4), rng.Intn(3)))
-		return []Event{{Kind: NoteFrom, Content: string([]byte{byte(rng.Intn(256)), byte(n >> 16), byte(n >> 8), byte(n), 7})}}
+		return []Event{{Kind: GossipReceived, Payload: string([]byte{byte(rng.Intn(256)), byte(n >> 16), byte(n >> 8), byte(n), 7})}}
 	}
 	return nil
 }
--- a/control/shedding.go
+++ b/control/shedding.go
@@ -57,7 +57,7 @@
 	v := d.worth(m, at) * min(1, m.dest.pace.allow)
 	early := d.now < m.born+Time(promiseEarly*float64(m.class.Deadline))
 	switch {
-	case !d.set.Promises || m.round == d.round || !early:
+	case !d.set.EarlyAck || m.round == d.round || !early:
 		return v
 	case m.restored:
 		return v + restoredValue
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -5,7 +5,7 @@
 // promising makes a dispatcher whose senders hear at once that a message is taken on, with room for a few.
 func promising(t *testing.T) *rig {
 	set := testSettings()
-	set.Promises, set.MaxOpen, set.Slots = true, 4, 1
+	set.EarlyAck, set.MaxOpen, set.Slots = true, 4, 1
 	return newRig(t, set, entry(1, 0, 0))
 }
 
--- a/control/state.go
+++ b/control/state.go
@@ -22,16 +22,16 @@
 	msgs                      map[MessageID]*message
 	keys                      map[uint64]*keyTurn
 	byNo                      map[int]*dest
-	byID                      map[Endpoint]*endpoint
+	byID                      map[EndpointID]*endpoint
 	byHint                    map[uint32]*endpoint // by the short name that notes between peers use
 	resting                   []*keyTurn
 	dests                     []*dest // those that something was heard of or asked for
 	idle                      map[int][]line
-	owner                     map[Endpoint]int // destinations of the endpoints in idle
-	byAcc, turns, costs, naps order            // see place
-	calling, emptied          []*dest          // those with calls out, by seq; those that may be live no more
-	joins, lists              uint64           // destinations that came to life; lists taken
-	fair, shedAt              int              // first window, by the last list; where the next look for what to shed begins
+	owner                     map[EndpointID]int // destinations of the endpoints in idle
+	byAcc, turns, costs, naps order              // see place
+	calling, emptied          []*dest            // those with calls out, by seq; those that may be live no more
+	joins, lists              uint64             // destinations that came to life; lists taken
+	fair, shedAt              int                // first window, by the last list; where the next look for what to shed begins
 	kinds                     []*kind
 	left                      []*endpoint // calls there ended in this round
 	outages                   []*endpoint // what is known of their outages has changed
@@ -91,7 +91,7 @@
 
 // endpoint is a place to send to, with its own health.
 type endpoint struct {
-	id                  Endpoint
+	id                  EndpointID
 	dest                *dest
 	zone                int
 	health              Health
@@ -113,7 +113,7 @@
 
 // line is one listed endpoint of a destination that nothing was asked for yet: all that is kept of it.
 type line struct {
-	id         Endpoint
+	id         EndpointID
 	at         Time // when it was listed
 	weight     float64
 	zone, kind int32
@@ -422,24 +422,24 @@
 	return &pace{at: d.now, tokens: 1, allow: unfelt, ok: meter{tau: rateTau, at: d.now, t0: d.now}}
 }
 
-func byAim(m *message, at Time) int { return cmp.Compare(m.born+m.class.Aim, at) }
+func byAim(m *message, at Time) int { return cmp.Compare(m.born+m.class.Target, at) }
 
 // worth is what delivering the message at t would earn.
 func (d *Dispatcher) worth(m *message, t Time) float64 {
-	c, v := m.class, m.class.Worth
+	c, v := m.class, m.class.Value
 	if m.over {
-		v *= d.set.OverShare
+		v *= d.set.OverQuotaFactor
 	}
-	late := t - m.born - c.Aim
+	late := t - m.born - c.Target
 	switch {
 	case t >= m.deadline:
 		return 0
 	case late <= 0:
 		return v
-	case d.set.LateHalving:
-		return v * max(c.LateWorth, math.Exp2(-float64(late)/float64(max(c.Aim, 1))))
+	case d.set.HalveLateValue:
+		return v * max(c.LateValue, math.Exp2(-float64(late)/float64(max(c.Target, 1))))
 	}
-	return v * (1 - (1-c.LateWorth)*float64(late)/float64(max(c.Deadline-c.Aim, 1)))
+	return v * (1 - (1-c.LateValue)*float64(late)/float64(max(c.Deadline-c.Target, 1)))
 }
 
 // tidy forgets what is of no more use: gone endpoints without calls, unlisted destinations and keys at rest.
@@ -465,7 +465,7 @@
 		case len(t.eps) == 0:
 			delete(d.byNo, t.no)
 			return true
-		case !d.set.Peers && d.quiet(t):
+		case !d.set.Gossip && d.quiet(t):
 			d.forget(t)
 			return true
 		}
@@ -495,7 +495,7 @@
 func (d *Dispatcher) note(t *dest, what string) {
 	if d.now >= d.noteAt {
 		d.noteAt = d.now + seldom
-		d.out = append(d.out, Action{Kind: Note, Text: fmt.Sprintf("destination %d %s", t.no, what)})
+		d.out = append(d.out, Action{Kind: Log, Text: fmt.Sprintf("destination %d %s", t.no, what)})
 	}
 }
 
@@ -520,7 +520,7 @@
 		for _, l := range lines {
 			d.now = l.at
 			delete(d.owner, l.id)
-			d.enlist(t, &Entry{Endpoint: l.id, Dest: no, Zone: int(l.zone), Kind: int(l.kind), Health: l.health, Weight: l.weight})
+			d.enlist(t, &Entry{Endpoint: l.id, Dest: no, Zone: int(l.zone), DestinationKind: int(l.kind), Health: l.health, Weight: l.weight})
 		}
 		d.now = now
 	}
@@ -541,7 +541,7 @@
 		d.idle[n.Dest] = lines
 	}
 	l := &lines[i]
-	l.zone, l.kind, l.health, l.weight = int32(n.Zone), int32(n.Kind), n.Health, n.Weight
+	l.zone, l.kind, l.health, l.weight = int32(n.Zone), int32(n.DestinationKind), n.Health, n.Weight
 }
 
 // forget makes a destination that has been quiet for long a line of the list again.
@@ -555,7 +555,7 @@
 			weight = ep.pace.bound / d.slack
 		}
 		kind := slices.Index(d.kinds, t.kind)
-		d.remember(&Entry{Endpoint: ep.id, Dest: t.no, Zone: ep.zone, Kind: kind, Health: ep.health, Weight: weight})
+		d.remember(&Entry{Endpoint: ep.id, Dest: t.no, Zone: ep.zone, DestinationKind: kind, Health: ep.health, Weight: weight})
 	}
 }
 
@@ -585,7 +585,7 @@
 
 // entry takes one line of the list. Peers may speak of any destination, so all are held in full where there are some.
 func (d *Dispatcher) entry(n *Entry) {
-	if t := d.byNo[n.Dest]; t != nil || d.set.Peers {
+	if t := d.byNo[n.Dest]; t != nil || d.set.Gossip {
 		d.enlist(d.dest(n.Dest), n)
 		return
 	}
@@ -595,9 +595,9 @@
 // enlist gives a destination a line of the list.
 func (d *Dispatcher) enlist(t *dest, n *Entry) {
 	apart := false
-	if n.Kind >= 0 && n.Kind < len(d.set.Kinds) {
-		t.kind = d.kinds[n.Kind]
-		t.batch, apart = d.set.Kinds[n.Kind].Batch, d.set.Kinds[n.Kind].RoutesApart
+	if n.DestinationKind >= 0 && n.DestinationKind < len(d.set.DestinationKinds) {
+		t.kind = d.kinds[n.DestinationKind]
+		t.batch, apart = d.set.DestinationKinds[n.DestinationKind].MaxBatch, d.set.DestinationKinds[n.DestinationKind].PerEndpointLimits
 	}
 	ep := d.byID[n.Endpoint]
 	if ep == nil {
@@ -662,7 +662,7 @@
 }
 
 // hintName is the short name of an endpoint in notes, the same at every dispatcher.
-func hintName(e Endpoint) uint32 {
+func hintName(e EndpointID) uint32 {
 	h := uint64(e) * 0x9E3779B97F4A7C15
 	return uint32(h >> 40)
 }
@@ -670,7 +670,7 @@
 // share sends what this round has to tell the peers.
 func (d *Dispatcher) share() {
 	if len(d.notes) > 0 {
-		d.out = append(d.out, Action{Kind: Share, Text: string(d.notes)})
+		d.out = append(d.out, Action{Kind: SendGossip, Text: string(d.notes)})
 		d.notes = d.notes[:0]
 	}
 }
@@ -686,31 +686,31 @@
 		if m := d.msgs[e.Message]; m != nil {
 			d.end(m)
 		}
-	case Tick:
-		if m := d.msgs[MessageID(e.Mark-1)]; e.Mark > 0 && m != nil && !m.ended {
+	case TimerFired:
+		if m := d.msgs[MessageID(e.TimerToken-1)]; e.TimerToken > 0 && m != nil && !m.ended {
 			d.due(m)
 		}
-	case NoteFrom:
-		d.hear(e.Content)
-	case List:
+	case GossipReceived:
+		d.hear(e.Payload)
+	case ListUpdate:
 		d.list(e)
 		d.listed(e.ListKind)
 	case OutageRestored:
 		d.restoreOutage(e.Outage)
-	case Recording:
-		d.unrecorded = e.Failing
+	case RecordingStatus:
+		d.unrecorded = e.RecordingFails
 		for _, t := range d.dests {
 			d.awaken(t)
 		}
-	case Closing:
-		d.closing(e.Grace, e.Kept)
+	case Shutdown:
+		d.closing(e.TimeLeft, e.KeepHeld)
 	}
 }
 
 // begin starts the measures that need the first round's time.
 func (d *Dispatcher) begin() {
-	if d.set.Follows {
-		d.keysRest = d.now + d.set.SettleAfterDoubt
+	if d.set.HasPredecessor {
+		d.keysRest = d.now + d.set.SettleTime
 	}
 	d.all = meter{tau: demandTau, at: d.now, t0: d.now}
 	for i := range d.tenants {
@@ -765,7 +765,7 @@
 }
 
 // holds tells whether a message of a class with that effect is held.
-func (t *dest) holds(e Effect) bool {
+func (t *dest) holds(e RepeatEffect) bool {
 	return slices.ContainsFunc(t.lanes, func(l []*message) bool { return len(l) > 0 && l[0].class.Effect == e })
 }
 
@@ -783,8 +783,8 @@
 
 // lasts is when a message can't be sent any more: at its deadline, or once partners forget the key of one that may have run.
 func (m *message) lasts() Time {
-	if m.doubt && m.class.Effect == Guarded {
-		return min(m.deadline, m.doubtAt+m.class.Window-StallMargin)
+	if m.doubt && m.class.Effect == Deduplicated {
+		return min(m.deadline, m.doubtAt+m.class.DedupWindow-StallMargin)
 	}
 	return m.deadline
 }
@@ -793,7 +793,7 @@
 func (d *Dispatcher) opens(m *message) Time {
 	at, any := Time(math.MaxInt64), false
 	for _, ep := range m.dest.eps {
-		if ep.health == Ready && !(m.doubt && m.class.ZoneGroup && ep.zone != m.doubtZone) {
+		if ep.health == Ready && !(m.doubt && m.class.DedupPerZone && ep.zone != m.doubtZone) {
 			at, any = min(at, ep.pace.wait), true
 		}
 	}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -20,7 +20,7 @@
 func store(t *testing.T, fs disk.FS, buffer int) *logstore.Store {
 	t.Helper()
 	s, _, err := logstore.Open(fs, logstore.Options{Policy: plan.Policy{SegmentBytes: 2000, SyncWithin: time.Millisecond, RetryEvery: time.Second},
-		Buffer: buffer, Labels: Labels, Wall: wall})
+		MaxPendingBytes: buffer, Labels: Labels, WallClock: wall})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	for i := from; i < from+n; i++ {
 		id := fmt.Sprint("m", i)
 		trail.Write(1, &Record{Kind: Accepted, Message: id, Partner: fmt.Sprint("p", i%3), Tenant: "t"})
-		trail.Write(1, &Record{Kind: Started, Message: id, Attempt: 1})
+		trail.Write(1, &Record{Kind: AttemptStarted, Message: id, Attempt: 1})
 		trail.Write(1, &Record{Kind: Answered, Message: id, Result: []string{"served", "failed"}[i%2]})
 		if i%4 == 0 {
 			if err := trail.Seal(1); err != nil {
@@ -85,18 +85,18 @@
 	if v, _ = Verify(s, keys); len(v.Problems) == 0 || !strings.Contains(v.Problems[0], "not known") {
 		t.Errorf("seals by an unknown key: %+v", v)
 	}
-	found, err := Find(s, Query{Partner: "p1", Outcome: "served"})
+	found, err := FindMessages(s, Query{Partner: "p1", Outcome: "served"})
 	if err != nil || len(found) != 13 {
 		t.Errorf("%d found, %v", len(found), err)
 	}
-	lines, err := Show(s, "m41")
+	lines, err := MessageRecords(s, "m41")
 	if err != nil || len(lines) != 3 || lines[0].Kind != Accepted || lines[2].Result != "failed" {
 		t.Errorf("%v %v", lines, err)
 	}
 }
 
 // A record altered with its checksum made right, one taken out, and seals signed by another are each found.
-func TestTamperingShows(t *testing.T) {
+func TestTamperingIsDetected(t *testing.T) {
 	k, keys := key(t)
 	other, _ := key(t)
 	for name, tamper := range map[string]func(i int, r *Record) []*Record{
@@ -116,7 +116,7 @@
 		},
 		"another's seal": func(_ int, r *Record) []*Record {
 			if r.Seal != nil {
-				r.Seal.Sign = other.Sign(sealed(r.Seal.Hash))
+				r.Seal.Signature = other.Sign(sealed(r.Seal.Hash))
 			}
 			return []*Record{r}
 		},
@@ -182,7 +182,7 @@
 // BenchmarkRestart is what a restart reads of a trail of a million records, one message in a hundred with a receipt.
 func BenchmarkRestart(b *testing.B) {
 	fs := disk.NewMemory()
-	opt := logstore.Options{Policy: plan.Policy{SegmentBytes: 8 << 20}, Buffer: 4 << 20, Labels: Labels, Wall: wall}
+	opt := logstore.Options{Policy: plan.Policy{SegmentBytes: 8 << 20}, MaxPendingBytes: 4 << 20, Labels: Labels, WallClock: wall}
 	s, _, err := logstore.Open(fs, opt)
 	if err != nil {
 		b.Fatal(err)
@@ -198,8 +198,8 @@
 			queue = "amq.gen-1"
 		}
 		trail.Write(1, &Record{Kind: Accepted, Message: id, Partner: "p", Tenant: "t", Class: "c", Receipt: queue})
-		trail.Write(1, &Record{Kind: Started, Message: id, Attempt: 1, Endpoint: "127.0.0.1:8431"})
-		trail.Write(1, &Record{Kind: Ended, Message: id, Attempt: 1, Endpoint: "127.0.0.1:8431", Result: "ok", Status: 201, Took: 5000})
+		trail.Write(1, &Record{Kind: AttemptStarted, Message: id, Attempt: 1, Endpoint: "127.0.0.1:8431"})
+		trail.Write(1, &Record{Kind: AttemptEnded, Message: id, Attempt: 1, Endpoint: "127.0.0.1:8431", Result: "ok", Status: 201, TookMicros: 5000})
 		trail.Write(1, &Record{Kind: Answered, Message: id, Partner: "p", Tenant: "t", Result: "served", Attempts: 1, Receipt: queue})
 		if i%1000 == 999 {
 			_ = trail.Seal(1)
@@ -207,7 +207,7 @@
 		}
 	}
 	for more := true; more; {
-		more, _ = s.Tend()
+		more, _ = s.Maintain()
 	}
 	_ = s.Close(1)
 	for b.Loop() {
@@ -218,7 +218,7 @@
 		if _, err := Resume(s, k, wall); err != nil {
 			b.Fatal(err)
 		}
-		if _, owed, err := Unfetched(s, time.Time{}); err != nil || len(owed) != 2500 {
+		if _, owed, err := UnfetchedReceipts(s, time.Time{}); err != nil || len(owed) != 2500 {
 			b.Fatal(len(owed), err)
 		}
 		_ = s.Close(1)
--- a/internal/audit/keeper.go
+++ b/internal/audit/keeper.go
@@ -20,9 +20,9 @@
 	FS        disk.FS       // for tests: the files are here, and only the keys in Folder
 }
 
-// Keeper owns the trail of a running dispatcher: it writes, syncs and seals on a goroutine of its own, so that no
+// Recorder owns the trail of a running dispatcher: it writes, syncs and seals on a goroutine of its own, so that no
 // answer waits for the disk.
-type Keeper struct {
+type Recorder struct {
 	*Trail
 	store *logstore.Store
 	now   func() time.Duration
@@ -39,7 +39,7 @@
 }
 
 // Open opens the folder and goes on with its trail. now is the dispatcher's clock.
-func Open(cfg Config, now func() time.Duration, log func(string, ...any), bad func(error)) (*Keeper, error) {
+func Open(cfg Config, now func() time.Duration, log func(string, ...any), bad func(error)) (*Recorder, error) {
 	folder, err := disk.OpenFolder(cfg.Folder)
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
@@ -54,29 +54,29 @@
 	return open(cfg, folder, key, now, log, bad)
 }
 
-func open(cfg Config, fs disk.FS, key *Key, now func() time.Duration, log func(string, ...any), bad func(error)) (*Keeper, error) {
-	store, rep, err := logstore.Open(fs, logstore.Options{Policy: cfg.Policy, Buffer: cfg.Buffer, Labels: Labels, Wall: clock.Wall})
+func open(cfg Config, fs disk.FS, key *Key, now func() time.Duration, log func(string, ...any), bad func(error)) (*Recorder, error) {
+	store, rep, err := logstore.Open(fs, logstore.Options{Policy: cfg.Policy, MaxPendingBytes: cfg.Buffer, Labels: Labels, WallClock: clock.Wall})
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	for _, p := range rep.Problems {
 		log("the trail: %s", p)
 	}
-	if rep.Torn > 0 {
-		log("the trail: %d bytes at its end were not whole; they are kept beside it", rep.Torn)
+	if rep.TornBytes > 0 {
+		log("the trail: %d bytes at its end were not whole; they are kept beside it", rep.TornBytes)
 	}
 	trail, err := Resume(store, key, clock.Wall)
 	if err != nil {
 		_ = store.Close(now())
 		return nil, err
 	}
-	k := &Keeper{Trail: trail, store: store, now: now, log: log, bad: bad, most: cfg.Buffer / 128, wake: make(chan struct{}, 1), quit: make(chan struct{})}
+	k := &Recorder{Trail: trail, store: store, now: now, log: log, bad: bad, most: cfg.Buffer / 128, wake: make(chan struct{}, 1), quit: make(chan struct{})}
 	k.done.Go(k.run)
 	return k, nil
 }
 
-// Put takes a record, which is encoded and hashed on the Keeper's goroutine: the engine's has better to do.
-func (k *Keeper) Put(r *Record) {
+// Enqueue takes a record, which is encoded and hashed on the Keeper's goroutine: the engine's has better to do.
+func (k *Recorder) Enqueue(r *Record) {
 	r.At = clock.Wall().UnixMicro()
 	k.mu.Lock()
 	full := len(k.queue) >= k.most
@@ -94,7 +94,7 @@
 }
 
 // take writes down what has been put.
-func (k *Keeper) take(now time.Duration) {
+func (k *Recorder) take(now time.Duration) {
 	k.mu.Lock()
 	queue := k.queue
 	k.queue = nil
@@ -105,7 +105,7 @@
 }
 
 // Close seals and writes all, and ends the Keeper.
-func (k *Keeper) Close() error {
+func (k *Recorder) Close() error {
 	close(k.quit)
 	k.done.Wait()
 	k.take(k.now())
@@ -116,41 +116,41 @@
 }
 
 // Kill ends the Keeper as a crash would: what waits is not written.
-func (k *Keeper) Kill() {
+func (k *Recorder) Kill() {
 	close(k.quit)
 	k.done.Wait()
 	k.store.Abandon()
 }
 
 // Key signs the trail, and receipts with it.
-func (k *Keeper) Key() *Key { return k.key }
+func (k *Recorder) Key() *Key { return k.key }
 
-// Unfetched reads which receipts are still owed (see there).
-func (k *Keeper) Unfetched(since time.Time) ([]*Record, []*Pending, error) {
-	return Unfetched(k.store, since)
+// UnfetchedReceipts reads which receipts are still owed (see there).
+func (k *Recorder) UnfetchedReceipts(since time.Time) ([]*Record, []*UnfetchedReceipt, error) {
+	return UnfetchedReceipts(k.store, since)
 }
 
 // Failing returns the error of a disk that fails, nil while it works.
-func (k *Keeper) Failing() error { return k.store.Failing() }
+func (k *Recorder) Failing() error { return k.store.Failing() }
 
 // Now is the dispatcher's clock.
-func (k *Keeper) Now() time.Duration { return k.now() }
+func (k *Recorder) Now() time.Duration { return k.now() }
 
 // Usage is what the trail takes on disk.
-func (k *Keeper) Usage() logstore.Usage { return k.store.Usage() }
+func (k *Recorder) Usage() logstore.Usage { return k.store.Usage() }
 
-func (k *Keeper) run() {
+func (k *Recorder) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	failing := false
 	for {
 		now := k.now()
 		k.take(now)
-		if at, ok := k.store.Due(); ok && at <= now {
+		if at, ok := k.store.NextCommit(); ok && at <= now {
 			failing = k.commit(now, failing)
 		}
 		wait := time.Hour
-		if at, ok := k.store.Due(); ok {
+		if at, ok := k.store.NextCommit(); ok {
 			wait = max(at-k.now(), time.Millisecond)
 		}
 		timer.Reset(wait)
@@ -164,7 +164,7 @@
 }
 
 // SealNow seals what was written since the last seal, while the disk works.
-func (k *Keeper) SealNow() error {
+func (k *Recorder) SealNow() error {
 	if k.Failing() != nil {
 		return nil
 	}
@@ -173,19 +173,19 @@
 	return err
 }
 
-// Tend does one piece of the store's upkeep, while the disk works.
-func (k *Keeper) Tend() (more bool, err error) {
+// Maintain does one piece of the store's upkeep, while the disk works.
+func (k *Recorder) Maintain() (more bool, err error) {
 	if k.Failing() != nil {
 		return false, nil
 	}
-	return k.store.Tend()
+	return k.store.Maintain()
 }
 
 // VerifyNext reads one closed file of the trail again, in turns: a disk that loses bits shows before they are asked for.
-func (k *Keeper) VerifyNext() (more bool, err error) { return false, k.store.VerifyNext() }
+func (k *Recorder) VerifyNext() (more bool, err error) { return false, k.store.VerifyNext() }
 
 // nudge has the Keeper look at once.
-func (k *Keeper) nudge() {
+func (k *Recorder) nudge() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -193,7 +193,7 @@
 }
 
 // commit writes what waits, and tells of a disk that begins or ceases to fail.
-func (k *Keeper) commit(now time.Duration, was bool) (failing bool) {
+func (k *Recorder) commit(now time.Duration, was bool) (failing bool) {
 	err := k.store.Commit(now)
 	if err != nil && !was {
 		k.log("the trail can't be written, no new messages are taken: %v", err)
--- a/internal/audit/query.go
+++ b/internal/audit/query.go
@@ -11,16 +11,16 @@
 )
 
 // OpenReader opens a folder's trail for reading, also beside a running dispatcher.
-func OpenReader(folder string) (*logstore.Store, logstore.Report, error) {
+func OpenReader(folder string) (*logstore.Store, logstore.RecoveryReport, error) {
 	fs, err := disk.OpenFolder(folder)
 	if err != nil {
-		return nil, logstore.Report{}, err
+		return nil, logstore.RecoveryReport{}, err
 	}
-	return logstore.Open(fs, logstore.Options{Labels: Labels, Wall: clock.Wall, ReadOnly: true})
+	return logstore.Open(fs, logstore.Options{Labels: Labels, WallClock: clock.Wall, ReadOnly: true})
 }
 
-// All returns every record, in order.
-func All(store *logstore.Store) (all []*Record, err error) {
+// AllRecords returns every record, in order.
+func AllRecords(store *logstore.Store) (all []*Record, err error) {
 	err = store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
 		all = append(all, r)
@@ -29,8 +29,8 @@
 	return all, err
 }
 
-// Show returns all records of a message, in order.
-func Show(store *logstore.Store, message string) (all []*Record, err error) {
+// MessageRecords returns all records of a message, in order.
+func MessageRecords(store *logstore.Store, message string) (all []*Record, err error) {
 	err = find(store, label('m', message), func(r *Record) {
 		if r.Message == message {
 			all = append(all, r)
@@ -55,7 +55,7 @@
 type Query struct {
 	Partner, Tenant, Outcome string
 	Since                    time.Time
-	Most                     int // 0 for no bound
+	Limit                    int // 0 for no bound
 }
 
 // Message is what became of one.
@@ -68,8 +68,8 @@
 	Size                         int
 }
 
-// Find returns the messages that a query asks for, the latest first, as far as the trail goes.
-func Find(store *logstore.Store, q Query) ([]*Message, error) {
+// FindMessages returns the messages that a query asks for, the latest first, as far as the trail goes.
+func FindMessages(store *logstore.Store, q Query) ([]*Message, error) {
 	by := map[string]*Message{}
 	take := func(r *Record) { collect(by, r) }
 	var err error
@@ -99,8 +99,8 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b *Message) int { return b.Taken.Compare(a.Taken) })
-	if q.Most > 0 && len(all) > q.Most {
-		all = all[:q.Most]
+	if q.Limit > 0 && len(all) > q.Limit {
+		all = all[:q.Limit]
 	}
 	return all, errors.Join(err, rest)
 }
@@ -123,12 +123,12 @@
 	switch r.Kind {
 	case Accepted:
 		m.Partner, m.Tenant, m.Class, m.Taken, m.Size = r.Partner, r.Tenant, r.Class, r.Time(), r.Size
-	case Started:
+	case AttemptStarted:
 		m.Attempts = max(m.Attempts, r.Attempt)
 	case Answered:
 		m.Outcome, m.Answered, m.Reason = r.Result, r.Time(), r.Reason
 		if m.Reason == "" {
-			m.Reason = r.Why
+			m.Reason = r.Detail
 		}
 	case Withdrawn:
 		m.Outcome, m.Answered = "withdrawn", r.Time()
--- a/internal/audit/report.go
+++ b/internal/audit/report.go
@@ -27,15 +27,15 @@
 	}
 	add(r.Attempt > 0, "attempt %d", r.Attempt)
 	add(r.Endpoint != "", "at %s", r.Endpoint)
-	add(r.Partner != "" && r.Kind == Accepted, "for %s, class %s, tenant %s, %d bytes, time %v", r.Partner, r.Class, r.Tenant, r.Size, micros(r.Life))
+	add(r.Partner != "" && r.Kind == Accepted, "for %s, class %s, tenant %s, %d bytes, time %v", r.Partner, r.Class, r.Tenant, r.Size, micros(r.LifetimeMicros))
 	add(r.Result != "", "%s", r.Result)
-	add(r.Kind == Ended && !r.Ran, "proved not to have run")
-	add(r.Kind == Ended && r.Ran && r.Result != "ok", "may have run")
-	add(r.Wait > 0, "wait %v", micros(r.Wait))
-	add(r.Took > 0, "took %v", micros(r.Took))
-	add(r.Why != "", "%s", r.Why)
+	add(r.Kind == AttemptEnded && !r.PossiblyExecuted, "proved not to have run")
+	add(r.Kind == AttemptEnded && r.PossiblyExecuted && r.Result != "ok", "may have run")
+	add(r.WaitMicros > 0, "wait %v", micros(r.WaitMicros))
+	add(r.TookMicros > 0, "took %v", micros(r.TookMicros))
+	add(r.Detail != "", "%s", r.Detail)
 	add(r.Reason != "", "decided: %s", r.Reason)
-	add(r.After, "after the final answer, which it does not change")
+	add(r.AfterAnswer, "after the final answer, which it does not change")
 	add(r.Attempts > 0, "%d attempts in all", r.Attempts)
 	add(r.Count > 0, "%d records", r.Count)
 	return b.String()
@@ -45,50 +45,50 @@
 
 // Report is a time of a trail summed up.
 type Report struct {
-	From, To time.Time
-	Slots    []Slot // the time in equal parts
-	Partners []*PartnerSum
-	Attempts []Bar // messages by how many attempts they took
-	Reasons  []Bar // of messages not served
-	Messages int
+	From, To  time.Time
+	Intervals []Interval // the time in equal parts
+	Partners  []*PartnerSummary
+	Attempts  []Bar // messages by how many attempts they took
+	Reasons   []Bar // of messages not served
+	Messages  int
 }
 
-// Slot is a part of the time.
-type Slot struct {
-	At                              time.Time
-	Served, Refused, Failed, Withdr int
+// Interval is a part of the time.
+type Interval struct {
+	At                                 time.Time
+	Served, Refused, Failed, Withdrawn int
 }
 
-// PartnerSum is a partner's part.
-type PartnerSum struct {
-	Name                            string
-	Served, Refused, Failed, Withdr int
-	Attempts, Waits                 int
-	LongestWait                     time.Duration
-	took                            *hdrhistogram.Histogram
+// PartnerSummary is a partner's part.
+type PartnerSummary struct {
+	Name                               string
+	Served, Refused, Failed, Withdrawn int
+	Attempts, Waits                    int
+	LongestWait                        time.Duration
+	took                               *hdrhistogram.Histogram
 }
 
 // P50 and P99 are how long attempts took that were answered.
-func (p *PartnerSum) P50() time.Duration { return micros(p.took.ValueAtQuantile(50)) }
+func (p *PartnerSummary) P50() time.Duration { return micros(p.took.ValueAtQuantile(50)) }
 
 // P99 is the 99th percentile.
-func (p *PartnerSum) P99() time.Duration { return micros(p.took.ValueAtQuantile(99)) }
+func (p *PartnerSummary) P99() time.Duration { return micros(p.took.ValueAtQuantile(99)) }
 
 // Bar is a count with its name.
 type Bar struct {
-	Name  string
-	Count int
-	Part  float64 // of the largest
+	Name     string
+	Count    int
+	Fraction float64 // of the largest
 }
 
 const slots = 60
 
 // Summarize reads a time of a trail.
 func Summarize(store *logstore.Store, from, to time.Time) (*Report, error) {
-	rep := &Report{From: from, To: to, Slots: make([]Slot, slots)}
-	by, tries, reasons := map[string]*PartnerSum{}, map[string]int{}, map[string]int{}
-	for i := range rep.Slots {
-		rep.Slots[i].At = from.Add(to.Sub(from) * time.Duration(i) / slots)
+	rep := &Report{From: from, To: to, Intervals: make([]Interval, slots)}
+	by, tries, reasons := map[string]*PartnerSummary{}, map[string]int{}, map[string]int{}
+	for i := range rep.Intervals {
+		rep.Intervals[i].At = from.Add(to.Sub(from) * time.Duration(i) / slots)
 	}
 	err := store.Read(0, func(_ uint64, payload []byte) error {
 		r, err := parse(payload)
@@ -97,19 +97,19 @@
 		}
 		p := by[r.Partner]
 		if p == nil {
-			p = &PartnerSum{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
+			p = &PartnerSummary{Name: r.Partner, took: hdrhistogram.New(1, 3600e6, 2)}
 			by[r.Partner] = p
 		}
-		slot := &rep.Slots[int(r.Time().Sub(from)*slots/to.Sub(from))]
+		slot := &rep.Intervals[int(r.Time().Sub(from)*slots/to.Sub(from))]
 		switch r.Kind {
-		case Ended:
+		case AttemptEnded:
 			p.Attempts++
-			if r.Wait > 0 {
+			if r.WaitMicros > 0 {
 				p.Waits++
-				p.LongestWait = max(p.LongestWait, micros(r.Wait))
+				p.LongestWait = max(p.LongestWait, micros(r.WaitMicros))
 			}
 			if r.Status > 0 {
-				_ = p.took.RecordValue(max(1, min(r.Took, 3600e6)))
+				_ = p.took.RecordValue(max(1, min(r.TookMicros, 3600e6)))
 			}
 		case Answered, Withdrawn:
 			rep.Messages++
@@ -119,7 +119,7 @@
 				if r.Result != "served" {
 					why := r.Reason
 					if why == "" {
-						why = r.Why
+						why = r.Detail
 					}
 					reasons[r.Result+": "+why]++
 				}
@@ -130,16 +130,16 @@
 	for _, p := range by {
 		rep.Partners = append(rep.Partners, p)
 	}
-	slices.SortFunc(rep.Partners, func(a, b *PartnerSum) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(rep.Partners, func(a, b *PartnerSummary) int { return strings.Compare(a.Name, b.Name) })
 	rep.Attempts, rep.Reasons = bars(tries, false), bars(reasons, true)
 	return rep, err
 }
 
-func outcome(r *Record, p *PartnerSum, s *Slot) {
+func outcome(r *Record, p *PartnerSummary, s *Interval) {
 	switch {
 	case r.Kind == Withdrawn:
-		p.Withdr++
-		s.Withdr++
+		p.Withdrawn++
+		s.Withdrawn++
 	case r.Result == "served":
 		p.Served++
 		s.Served++
@@ -166,7 +166,7 @@
 		return strings.Compare(a.Name, b.Name)
 	})
 	for i := range all {
-		all[i].Part = float64(all[i].Count) / float64(most)
+		all[i].Fraction = float64(all[i].Count) / float64(most)
 	}
 	return all[:min(20, len(all))]
 }
@@ -176,10 +176,10 @@
 
 var pageTemplate = template.Must(template.New("report").Funcs(template.FuncMap{
 	"percent": func(part float64) string { return fmt.Sprintf("%.1f", 100*part) },
-	"height": func(n int, slots []Slot) float64 {
+	"height": func(n int, slots []Interval) float64 {
 		most := 1
 		for _, s := range slots {
-			most = max(most, s.Served+s.Refused+s.Failed+s.Withdr)
+			most = max(most, s.Served+s.Refused+s.Failed+s.Withdrawn)
 		}
 		return 120 * float64(n) / float64(most)
 	},
--- a/internal/audit/restore.go
+++ b/internal/audit/restore.go
@@ -7,16 +7,16 @@
 	"whinrun/internal/logstore"
 )
 
-// Pending is a receipt that was promised and not fetched before the dispatcher ended.
-type Pending struct {
+// UnfetchedReceipt is a receipt that was promised and not fetched before the dispatcher ended.
+type UnfetchedReceipt struct {
 	Tenant, Queue string
 	Accepted      *Record
 	Answered      *Record // nil: the dispatcher ended before its final answer
 }
 
-// Unfetched reads which receipts are still owed, oldest first, and which subscriptions there are, since a time.
-func Unfetched(store *logstore.Store, since time.Time) (subscriptions []*Record, owed []*Pending, err error) {
-	by := map[string]*Pending{}
+// UnfetchedReceipts reads which receipts are still owed, oldest first, and which subscriptions there are, since a time.
+func UnfetchedReceipts(store *logstore.Store, since time.Time) (subscriptions []*Record, owed []*UnfetchedReceipt, err error) {
+	by := map[string]*UnfetchedReceipt{}
 	take := func(r *Record) {
 		if r.Time().Before(since) {
 			return
@@ -25,7 +25,7 @@
 		case Subscribed:
 			subscriptions = append(subscriptions, r)
 		case Accepted:
-			p := &Pending{Tenant: r.Tenant, Queue: r.Receipt, Accepted: r}
+			p := &UnfetchedReceipt{Tenant: r.Tenant, Queue: r.Receipt, Accepted: r}
 			by[r.Message] = p
 			owed = append(owed, p)
 		case Answered:
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	hash := t.chain
-	err := t.put(now, &Record{Kind: Seal, Seal: &Mark{Hash: hash[:], Key: t.key.ID(), Sign: t.key.Sign(sealed(hash[:]))}})
+	err := t.put(now, &Record{Kind: Seal, Seal: &SealData{Hash: hash[:], KeyID: t.key.ID(), Signature: t.key.Sign(sealed(hash[:]))}})
 	if err == nil {
 		t.fresh = 0
 	}
@@ -116,8 +116,8 @@
 // sealed is what is signed: a text before the hash keeps signatures of one kind from being used as another's.
 func sealed(hash []byte) []byte { return append([]byte("whinrun audit seal\x00"), hash...) }
 
-// Verdict is what Verify found.
-type Verdict struct {
+// VerifyResult is what Verify found.
+type VerifyResult struct {
 	Records, Seals, Unsealed int
 	Lost                     uint64    // told by gaps
 	From, To                 time.Time // of the records
@@ -129,10 +129,10 @@
 
 // Verify reads the whole trail: every record is to link to the one before, every seal to be by a known key and over
 // the chain so far. The first seal that is there anchors the chain where older segments have been dropped.
-func Verify(store *logstore.Store, keys map[string]ed25519.PublicKey) (v Verdict, err error) {
+func Verify(store *logstore.Store, keys map[string]ed25519.PublicKey) (v VerifyResult, err error) {
 	var c chain
-	anchored := store.Usage().From == 1
-	expect := store.Usage().From
+	anchored := store.Usage().FirstSeq == 1
+	expect := store.Usage().FirstSeq
 	bad := func(format string, a ...any) {
 		if len(v.Problems) < 100 {
 			v.Problems = append(v.Problems, fmt.Sprintf(format, a...))
@@ -165,7 +165,7 @@
 	return v, err
 }
 
-func (v *Verdict) count(r *Record) {
+func (v *VerifyResult) count(r *Record) {
 	v.Records++
 	v.Unsealed++
 	v.Lost += r.Count
@@ -176,14 +176,14 @@
 	}
 }
 
-func (v *Verdict) seal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, bad func(string, ...any)) {
+func (v *VerifyResult) seal(seq uint64, r *Record, c *chain, anchored bool, keys map[string]ed25519.PublicKey, bad func(string, ...any)) {
 	v.Seals++
 	v.Unsealed = 0
-	key, ok := keys[r.Seal.Key]
+	key, ok := keys[r.Seal.KeyID]
 	switch {
 	case !ok:
-		bad("record %d: %v: %s", seq, ErrUnknownKey, r.Seal.Key)
-	case len(r.Seal.Hash) != len(c) || !ed25519.Verify(key, sealed(r.Seal.Hash), r.Seal.Sign):
+		bad("record %d: %v: %s", seq, ErrUnknownKey, r.Seal.KeyID)
+	case len(r.Seal.Hash) != len(c) || !ed25519.Verify(key, sealed(r.Seal.Hash), r.Seal.Signature):
 		bad("record %d: the seal's signature is wrong", seq)
 	case anchored && !slices.Equal(c[:], r.Seal.Hash):
 		bad("record %d: the seal is not over the records before it", seq)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -50,15 +50,15 @@
 // Now returns the time since a second before the process's clock was made.
 func (c *Process) Now() control.Time { return control.Time(time.Since(c.start) / time.Microsecond) }
 
-// Boot names the boot of the machine; it is empty where that can't be read. Instants are comparable where it is the same and
+// BootID names the boot of the machine; it is empty where that can't be read. Instants are comparable where it is the same and
 // not empty.
-func (c *Process) Boot() string { return c.boot }
+func (c *Process) BootID() string { return c.boot }
 
-// Instant places a time of this process on the boot clock.
-func (c *Process) Instant(t control.Time) Instant { return c.base + Instant(t) }
+// ToInstant places a time of this process on the boot clock.
+func (c *Process) ToInstant(t control.Time) Instant { return c.base + Instant(t) }
 
-// Time is the moment of an instant on this process's clock; it may lie before the process began, and be negative.
-func (c *Process) Time(i Instant) control.Time { return control.Time(i - c.base) }
+// FromInstant is the moment of an instant on this process's clock; it may lie before the process began, and be negative.
+func (c *Process) FromInstant(i Instant) control.Time { return control.Time(i - c.base) }
 
 // bootIDFile holds an identity that the kernel draws at each boot (proc(5)).
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
@@ -89,11 +89,11 @@
 // Stopwatch measures spans on the monotonic clock.
 type Stopwatch struct{ start time.Time }
 
-// Start starts a stopwatch.
-func Start() Stopwatch { return Stopwatch{time.Now()} }
+// StartStopwatch starts a stopwatch.
+func StartStopwatch() Stopwatch { return Stopwatch{time.Now()} }
 
-// Began is the wall clock's time at the start.
-func (s Stopwatch) Began() time.Time { return s.start }
+// StartedAt is the wall clock's time at the start.
+func (s Stopwatch) StartedAt() time.Time { return s.start }
 
 // Elapsed is the span since the start.
 func (s Stopwatch) Elapsed() time.Duration { return time.Since(s.start) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -19,10 +19,10 @@
 	first := New()
 	at := first.Now()
 	for second := New(); ; second = New() {
-		if first.Boot() != second.Boot() || first.Boot() == "" {
+		if first.BootID() != second.BootID() || first.BootID() == "" {
 			t.Skip("the boot can't be told apart here")
 		}
-		ago := second.Now() - second.Time(first.Instant(at))
+		ago := second.Now() - second.FromInstant(first.ToInstant(at))
 		passed := first.Now() - at
 		if gap := passed - ago; gap < -50*control.Millisecond || gap > 50*control.Millisecond {
 			t.Fatalf("the second process takes the moment for %d us ago, %d us have passed", ago, passed)
@@ -38,8 +38,8 @@
 	if now := c.Now(); now < firstNow || now > firstNow+10*control.Second || Elapsed(c) < time.Second {
 		t.Errorf("it begins at %d us", now)
 	}
-	if c.Instant(0) <= 0 {
-		t.Errorf("instants begin at %d", c.Instant(0))
+	if c.ToInstant(0) <= 0 {
+		t.Errorf("instants begin at %d", c.ToInstant(0))
 	}
 }
 
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -11,15 +11,15 @@
 	"whinrun/internal/partner"
 )
 
-// Trail measures delivery with the audit trail on and off, in turns on the same stand-in, and what a message takes on
+// AuditTrail measures delivery with the audit trail on and off, in turns on the same stand-in, and what a message takes on
 // disk.
-func Trail(ctx context.Context, w io.Writer, o Options) error {
+func AuditTrail(ctx context.Context, w io.Writer, o Options) error {
 	folder, err := os.MkdirTemp("", "whinrun-trail")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	addr, off, stop, err := standIn(partner.Config{Pace: o.Pace}, settings)
+	addr, off, stop, err := standIn(partner.Config{ServiceTime: o.Pace}, settings)
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	}
 	time.Sleep(time.Second) // closed files are compressed
 	open, packed := sizes(folder)
-	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", on.Stats().Taken,
-		float64(open+packed)/float64(max(1, on.Stats().Taken)), open>>20, packed>>20)
+	fmt.Fprintf(w, "on disk: %d messages, %.0f bytes each: %d MiB open, %d MiB compressed\n", on.Stats().Accepted,
+		float64(open+packed)/float64(max(1, on.Stats().Accepted)), open>>20, packed>>20)
 	return nil
 }
 
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -158,9 +158,9 @@
 	return err
 }
 
-// ForNow tells whether an error may pass by itself: a full disk, a fault of a device, a shortage. Others, such as a folder
+// IsTransient tells whether an error may pass by itself: a full disk, a fault of a device, a shortage. Others, such as a folder
 // that is read-only or not this user's, want an operator.
-func ForNow(err error) bool {
+func IsTransient(err error) bool {
 	for _, e := range []error{unix.ENOSPC, unix.EDQUOT, unix.EIO, unix.ENFILE, unix.EMFILE, unix.ENOMEM, unix.EAGAIN, unix.EINTR, unix.EBUSY,
 		io.ErrShortWrite, ErrLocked} {
 		if errors.Is(err, e) {
@@ -170,5 +170,5 @@
 	return false
 }
 
-// NotExist tells that an error is about a file that is not there.
-func NotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+// IsNotExist tells that an error is about a file that is not there.
+func IsNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/disk/memory.go
+++ b/internal/disk/memory.go
@@ -19,7 +19,7 @@
 	locked   bool
 	Fail     func(op, name string) error // nil: none
 	FailRead func(op, name string) error // nil: none
-	Ops      int
+	OpCount  int
 }
 
 type node struct {
@@ -52,7 +52,7 @@
 }
 
 func (m *Memory) check(op, name string) error {
-	m.Ops++
+	m.OpCount++
 	if m.Fail == nil {
 		return nil
 	}
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -15,58 +15,58 @@
 )
 
 // Final is the kind of a final answer.
-type Final uint8
+type AnswerKind uint8
 
 // Final answers.
 const (
-	Served  Final = iota + 1 // a partner took it
-	Refused                  // handing it in again is harmless
-	Failed                   // nothing is promised
+	Served  AnswerKind = iota + 1 // a partner took it
+	Refused                       // handing it in again is harmless
+	Failed                        // nothing is promised
 )
 
-func (f Final) String() string { return [...]string{"none", "served", "refused", "failed"}[f] }
+func (f AnswerKind) String() string { return [...]string{"none", "served", "refused", "failed"}[f] }
 
 // Answer is the final answer of a message.
 type Answer struct {
-	Final  Final
-	Wait   control.Time // Refused: stay away so long, 0 where nothing is known
-	Late   bool         // Failed: its time ended
-	Status int          // the partner's last status, 0 if there was none
-	Tries  int
-	Why    string // of its last attempt
-	Reason string // the module's, where it ended the message and not a partner's answer
+	Kind             AnswerKind
+	RetryAfter       control.Time // Refused: stay away so long, 0 where nothing is known
+	DeadlineExceeded bool         // Failed: its time ended
+	Status           int          // the partner's last status, 0 if there was none
+	Attempts         int
+	AttemptDetail    string // of its last attempt
+	Reason           string // the module's, where it ended the message and not a partner's answer
 }
 
 // Origin is where a message came from. Final is called once at most for each message, on the engine's goroutine; it
 // must not block. It is not called for a message that was withdrawn.
 type Origin interface {
-	Final(m *Message, a Answer)
+	Answer(m *Message, a Answer)
 }
 
 // Message is what a front hands over. It is not changed after.
 type Message struct {
-	ID      control.MessageID // given by the engine
-	Class   int
-	Tenant  int
-	Dest    int
-	Key     uint64       // order key, 0 is none
-	Life    control.Time // time until it is given up, at most the deadline of its class
-	Taken   control.Time // when the engine took it
-	Came    control.Time // when its sender's request was whole, 0 where Life counts from the round that takes it
-	Name    string       // id that its sender gave it, where the protocol has one
-	Repeat  string       // key by which the partner drops repeats; empty: the message's id stands in
-	Topic   string
-	Urgency string
-	Target  string // path at the partner, where the message names one
-	Type    string // content type and coding
-	Coding  string
-	Body    []byte
-	Receipt string // subscription that gets the final answer, where its sender does not wait for it; for the Trail
+	ID                  control.MessageID // given by the engine
+	Class               int
+	Tenant              int
+	Dest                int
+	OrderKey            uint64       // order key, 0 is none
+	Lifetime            control.Time // time until it is given up, at most the deadline of its class
+	AcceptedAt          control.Time // when the engine took it
+	ReceivedAt          control.Time // when its sender's request was whole, 0 where Life counts from the round that takes it
+	ExternalID          string       // id that its sender gave it, where the protocol has one
+	IdempotencyKey      string       // key by which the partner drops repeats; empty: the message's id stands in
+	Topic               string
+	Urgency             string
+	TargetPath          string // path at the partner, where the message names one
+	ContentType         string // content type and coding
+	ContentEncoding     string
+	Body                []byte
+	ReceiptSubscription string // subscription that gets the final answer, where its sender does not wait for it; for the Trail
 
 	Recovered Recovered // what was done for it by a process that ended
 
-	Origin Origin
-	Tag    uint64 // for the Origin
+	Origin    Origin
+	OriginTag uint64 // for the Origin
 }
 
 // Recovered is what became of a message in processes before this one.
@@ -75,81 +75,81 @@
 	Attempts         int          // made so far
 	PossiblyExecuted bool         // one of them may have been executed ...
 	ExecutedAt       control.Time // ... the first such began then, on the clock of this process, ...
-	Zone             int          // ... to this zone
+	ExecutedZone     int          // ... to this zone
 }
 
-// Taker is an Origin whose sender hears that its message is taken on before its end is known.
-type Taker interface {
+// AcceptNotifier is an Origin whose sender hears that its message is taken on before its end is known.
+type AcceptNotifier interface {
 	Origin
-	Taken(m *Message) // on the engine's goroutine; before Final, unless the round that took the message ended it
+	Accepted(m *Message) // on the engine's goroutine; before Final, unless the round that took the message ended it
 }
 
 // Ledger records what must outlive the process. It is called on the engine's goroutine, each time before the promise that rests
 // on it: Take before the sender hears that the message is taken on, Over before anybody hears of its end. Attempts are put on
 // record by the back end, in the moment in which they are written.
 type Ledger interface {
-	// Take returns an error where the message is not on record: it is refused, or failed where it is ErrUncertain.
-	Take(m *Message, due control.Time) error
-	Back(a *Attempt, e safety.End)  // an attempt ended, its message did not
-	Over(m *Message, a *Answer)     // a message ended; a is nil where it was withdrawn
-	Learn(changed []control.Outage) // what is known of outages has changed
+	// RecordAccept returns an error where the message is not on record: it is refused, or failed where it is ErrUncertain.
+	RecordAccept(m *Message, due control.Time) error
+	RecordAttemptEnd(a *Attempt, e safety.AttemptResult) // an attempt ended, its message did not
+	RecordFinish(m *Message, a *Answer)                  // a message ended; a is nil where it was withdrawn
+	RecordOutages(changed []control.Outage)              // what is known of outages has changed
 }
 
-// ErrUncertain tells that a message may be on record, or may not.
-var ErrUncertain = errors.New("it is not known whether the message is on record")
+// ErrRecordUncertain tells that a message may be on record, or may not.
+var ErrRecordUncertain = errors.New("it is not known whether the message is on record")
 
-// Place is what the list says of where an endpoint belongs.
-type Place struct{ Dest, Kind, Zone int }
+// Placement is what the list says of where an endpoint belongs.
+type Placement struct{ Dest, Kind, Zone int }
 
 // Attempt is one attempt that a back end is to make. What it is told about the message's execution is as of its start.
 type Attempt struct {
-	Seq      uint64 // names it towards the back end
-	Msg      *Message
-	N        int // 0 is the first
-	Endpoint control.Endpoint
-	Place    Place
-	Apart    bool         // its endpoint has limits and waits of its own
-	Worth    float64      // of its message, as its class has it
-	Due      control.Time // it is given up then, at the latest
-	Ends     control.Time // its message's time is over then, and it is not sent again
-	Begin    control.Time // one that is not written by then is given up unsent, 0 for Due: a repeat would come too late
-	Sent     control.Time
+	Seq               uint64 // names it towards the back end
+	Message           *Message
+	Number            int // 0 is the first
+	Endpoint          control.EndpointID
+	Placement         Placement
+	PerEndpointLimits bool         // its endpoint has limits and waits of its own
+	Worth             float64      // of its message, as its class has it
+	Deadline          control.Time // it is given up then, at the latest
+	MessageDeadline   control.Time // its message's time is over then, and it is not sent again
+	WriteBefore       control.Time // one that is not written by then is given up unsent, 0 for Due: a repeat would come too late
+	StartedAt         control.Time
 }
 
-// Call names an attempt towards package safety.
-func (a *Attempt) Call() safety.Call {
-	return safety.Call{Message: a.Msg.ID, Attempt: a.N, Endpoint: a.Endpoint, Dest: a.Place.Dest, Zone: a.Place.Zone, Apart: a.Apart}
+// SafetyCall names an attempt towards package safety.
+func (a *Attempt) SafetyCall() safety.Call {
+	return safety.Call{Message: a.Message.ID, Attempt: a.Number, Endpoint: a.Endpoint, Dest: a.Placement.Dest, Zone: a.Placement.Zone, PerEndpointLimits: a.PerEndpointLimits}
 }
 
-// Back carries attempts out. Its methods are called on the engine's goroutine and must not block. For each attempt of a
+// Transport carries attempts out. Its methods are called on the engine's goroutine and must not block. For each attempt of a
 // Start exactly one End comes back as an input, and soon after an Abandon, but where its call goes on for others: then with that.
-type Back interface {
-	Start(call []*Attempt)            // several where the kind of destination takes several messages in a call
-	Unsend(a *Attempt)                // give up with the end Unsent, if no connection has it yet
-	Abandon(a *Attempt, kind EndKind) // give up: OutOfTime or CalledOff, unless another end is on its way
-	CloseIdle(ep control.Endpoint)    // close idle connections to it
+type Transport interface {
+	Start(call []*Attempt)               // several where the kind of destination takes several messages in a call
+	CancelUnsent(a *Attempt)             // give up with the end Unsent, if no connection has it yet
+	Cancel(a *Attempt, kind OutcomeKind) // give up: OutOfTime or CalledOff, unless another end is on its way
+	CloseIdle(ep control.EndpointID)     // close idle connections to it
 }
 
-// Lists is where the endpoint list comes from, for settings with AskList. Each call is answered by one List input.
-type Lists interface {
+// Discovery is where the endpoint list comes from, for settings with AskList. Each call is answered by one List input.
+type Discovery interface {
 	Watch() // subscribe to the list from now on
 	Fetch() // ask for the whole list once
 }
 
 // Input is one thing that happened; exactly one of its parts is set.
 type Input struct {
-	Submit   *Message
-	Withdraw control.MessageID
-	End      *End
-	List     *List
-	Stop     control.Time    // no message may take longer than this from now ...
-	Kept     bool            // ... or, where a ledger keeps them, no call
-	Recorded bool            // the ledger can be written again
-	Outage   *control.Outage // that a process before this one had seen
-}
-
-// List is news of the endpoint list.
-type List struct {
+	Submit         *Message
+	Withdraw       control.MessageID
+	Outcome        *Outcome
+	List           *ListUpdate
+	StopWithin     control.Time    // no message may take longer than this from now ...
+	KeepMessages   bool            // ... or, where a ledger keeps them, no call
+	LedgerWritable bool            // the ledger can be written again
+	Outage         *control.Outage // that a process before this one had seen
+}
+
+// ListUpdate is news of the endpoint list.
+type ListUpdate struct {
 	Kind    control.ListKind
 	Entries []control.Entry
 }
@@ -158,36 +158,36 @@
 // not block, and keep nothing of what they are given.
 type Trail interface {
 	Accepted(m *Message)
-	Started(a *Attempt)
-	Ended(a *Attempt, e *End, v Verdict, after bool) // after: the message had its final answer before
+	AttemptStarted(a *Attempt)
+	AttemptEnded(a *Attempt, e *Outcome, v Classification, after bool) // after: the message had its final answer before
 	Withdrawn(m *Message)
 	Answered(m *Message, a *Answer)
-	Learned(e *control.Entry)
+	EndpointChanged(e *control.Entry)
 }
 
-// Policy is what the engine must know of a message beside the module's settings.
-type Policy struct {
-	Trail    Trail             // nil for none
-	Ledger   Ledger            // nil for none
-	Guard    *safety.Guard     // permits what is irreversible; nil for one of the engine's own
-	Judge    func(End) Verdict // what ends mean, nil for push gateways (see Judge)
-	CallSize int               // bytes of bodies that one call of several messages may carry, 0 for any
-	Settings control.Settings
-	OwnPath  []bool // for each kind of destination: paths belong to messages (see Judge)
+// Options is what the engine must know of a message beside the module's settings.
+type Options struct {
+	Trail          Trail                        // nil for none
+	Ledger         Ledger                       // nil for none
+	Guard          *safety.Guard                // permits what is irreversible; nil for one of the engine's own
+	Classify       func(Outcome) Classification // what ends mean, nil for push gateways (see Judge)
+	MaxCallBytes   int                          // bytes of bodies that one call of several messages may carry, 0 for any
+	Settings       control.Settings
+	PathPerMessage []bool // for each kind of destination: paths belong to messages (see Judge)
 }
 
 // Stats counts what the engine did since its start.
 type Stats struct {
-	Taken, Served, Refused, Failed, Withdrawn uint64
-	Attempts, Rounds                          uint64
-	Open, Out                                 int
-	Violations                                uint64 // of the rules, that were about to happen and were prevented
+	Accepted, Served, Refused, Failed, Withdrawn uint64
+	Attempts, Rounds                             uint64
+	Open, InFlight                               int
+	Violations                                   uint64 // of the rules, that were about to happen and were prevented
 }
 
-// Log takes lines for the operators.
-type Log interface {
-	Note(text string)
-	Fault(text string) // something that must not happen
+// Logger takes lines for the operators.
+type Logger interface {
+	Info(text string)
+	InternalError(text string) // something that must not happen
 }
 
 // held is a message that is owed an answer or has an attempt out.
@@ -205,22 +205,22 @@
 
 // Core turns inputs into the module's events and its actions into calls of its two sides.
 type Core struct {
-	pol    Policy
+	pol    Options
 	mod    *control.Dispatcher
 	guard  *safety.Guard
-	back   Back
-	lists  Lists
-	log    Log
+	back   Transport
+	lists  Discovery
+	log    Logger
 	now    control.Time
 	seq    uint64
 	msgs   map[control.MessageID]*held
 	out    map[uint64]*Attempt
-	places map[control.Endpoint]Place
+	places map[control.EndpointID]Placement
 	fresh  []*held
-	calls  [][]*Attempt              // of this round, not started yet
-	shut   map[control.Endpoint]bool // told in this round to want nothing new ...
-	told   map[int]bool              // ... and destinations whose partner told a wait
-	later  []control.Event           // for the next round
+	calls  [][]*Attempt                // of this round, not started yet
+	shut   map[control.EndpointID]bool // told in this round to want nothing new ...
+	told   map[int]bool                // ... and destinations whose partner told a wait
+	later  []control.Event             // for the next round
 	timers timers
 	stale  int // timers of messages that are over
 	events []control.Event
@@ -229,8 +229,8 @@
 }
 
 // NewCore returns a Core, or the module's error about its settings. lists may be nil where AskList is off.
-func NewCore(p Policy, seed uint64, back Back, lists Lists, log Log) (*Core, error) {
-	p.Settings.KeepOutages, p.Settings.Promises = p.Ledger != nil, p.Ledger != nil
+func NewCore(p Options, seed uint64, back Transport, lists Discovery, log Logger) (*Core, error) {
+	p.Settings.TrackOutages, p.Settings.EarlyAck = p.Ledger != nil, p.Ledger != nil
 	mod, err := control.New(p.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
@@ -239,19 +239,19 @@
 		p.Guard = safety.NewGuard(p.Settings)
 	}
 	return &Core{pol: p, mod: mod, guard: p.Guard, back: back, lists: lists, log: log, msgs: map[control.MessageID]*held{}, out: map[uint64]*Attempt{},
-		places: map[control.Endpoint]Place{}, shut: map[control.Endpoint]bool{}, told: map[int]bool{}}, nil
+		places: map[control.EndpointID]Placement{}, shut: map[control.EndpointID]bool{}, told: map[int]bool{}}, nil
 }
 
 // Stats returns the counts so far.
 func (c *Core) Stats() Stats {
 	s := c.stats
-	s.Out = len(c.out)
+	s.InFlight = len(c.out)
 	s.Violations = c.guard.Violations()
 	return s
 }
 
-// Next tells when the next timer is due; ok is false where none is set.
-func (c *Core) Next() (at control.Time, ok bool) {
+// NextTimer tells when the next timer is due; ok is false where none is set.
+func (c *Core) NextTimer() (at control.Time, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
@@ -272,7 +272,7 @@
 	told := len(c.events)
 	c.acts = c.mod.Step(now, c.events, c.acts[:0])
 	if changed := c.mod.Outages(); len(changed) > 0 && c.pol.Ledger != nil {
-		c.pol.Ledger.Learn(changed)
+		c.pol.Ledger.RecordOutages(changed)
 	}
 	for i := range c.acts {
 		c.act(&c.acts[i])
@@ -296,19 +296,19 @@
 	}
 	h.fresh = false
 	if l := c.pol.Ledger; l != nil && !h.kept {
-		if err := l.Take(h.msg, h.due); err != nil {
+		if err := l.RecordAccept(h.msg, h.due); err != nil {
 			c.later = append(c.later, control.Event{Kind: control.Withdrawn, Message: h.msg.ID})
-			a := Answer{Final: Refused, Wait: control.Second, Reason: err.Error()}
-			if errors.Is(err, ErrUncertain) { // a process after this one may find it on record
-				a = Answer{Final: Failed, Reason: err.Error()}
+			a := Answer{Kind: Refused, RetryAfter: control.Second, Reason: err.Error()}
+			if errors.Is(err, ErrRecordUncertain) { // a process after this one may find it on record
+				a = Answer{Kind: Failed, Reason: err.Error()}
 			}
 			c.answer(h, a)
 			return false
 		}
 		h.kept = true
 	}
-	if t, ok := h.msg.Origin.(Taker); ok {
-		t.Taken(h.msg)
+	if t, ok := h.msg.Origin.(AcceptNotifier); ok {
+		t.Accepted(h.msg)
 	}
 	return true
 }
@@ -317,41 +317,41 @@
 	switch {
 	case in.Submit != nil:
 		c.submit(in.Submit)
-	case in.End != nil:
-		c.end(in.End)
+	case in.Outcome != nil:
+		c.end(in.Outcome)
 	case in.List != nil:
 		c.list(in.List)
 	case in.Outage != nil:
 		c.events = append(c.events, control.Event{Kind: control.OutageRestored, Outage: in.Outage})
-	case in.Recorded:
-		c.events = append(c.events, control.Event{Kind: control.Recording})
-	case in.Stop > 0:
-		c.events = append(c.events, control.Event{Kind: control.Closing, Grace: in.Stop, Kept: in.Kept})
+	case in.LedgerWritable:
+		c.events = append(c.events, control.Event{Kind: control.RecordingStatus})
+	case in.StopWithin > 0:
+		c.events = append(c.events, control.Event{Kind: control.Shutdown, TimeLeft: in.StopWithin, KeepHeld: in.KeepMessages})
 	default:
 		c.withdraw(in.Withdraw)
 	}
 }
 
 func (c *Core) submit(m *Message) {
-	life := m.Life
-	if m.Came > 0 { // a round may be late
-		life = max(0, life-(c.now-m.Came))
+	life := m.Lifetime
+	if m.ReceivedAt > 0 { // a round may be late
+		life = max(0, life-(c.now-m.ReceivedAt))
 	}
 	life = min(life, c.pol.Settings.Classes[m.Class].Deadline)
-	m.Taken = c.now
+	m.AcceptedAt = c.now
 	r := m.Recovered
 	h := &held{msg: m, due: c.now + life, fresh: true, kept: r.Restored, tries: r.Attempts}
 	c.msgs[m.ID] = h
 	c.fresh = append(c.fresh, h)
-	c.stats.Taken++
+	c.stats.Accepted++
 	c.stats.Open++
-	c.guard.Accept(safety.Message{ID: m.ID, Class: m.Class, Key: m.Key, Due: h.due, Attempts: r.Attempts,
-		PossiblyExecuted: r.PossiblyExecuted, ExecutedAt: r.ExecutedAt, Zone: r.Zone})
+	c.guard.Accept(safety.Message{ID: m.ID, Class: m.Class, OrderKey: m.OrderKey, Deadline: h.due, Attempts: r.Attempts,
+		PossiblyExecuted: r.PossiblyExecuted, ExecutedAt: r.ExecutedAt, ExecutedZone: r.ExecutedZone})
 	if c.pol.Trail != nil {
 		c.pol.Trail.Accepted(m)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Arrival, Message: m.ID, Class: m.Class, Tenant: m.Tenant,
-		Dest: m.Dest, Key: m.Key, Grace: life, Restored: r.Restored, Attempt: r.Attempts, Doubt: r.PossiblyExecuted, Lag: c.now - r.ExecutedAt, Zone: r.Zone})
+		Dest: m.Dest, Key: m.OrderKey, TimeLeft: life, Restored: r.Restored, Attempt: r.Attempts, PossiblyExecuted: r.PossiblyExecuted, Elapsed: c.now - r.ExecutedAt, Zone: r.ExecutedZone})
 }
 
 func (c *Core) withdraw(id control.MessageID) {
@@ -368,14 +368,14 @@
 	c.events = append(c.events, control.Event{Kind: control.Withdrawn, Message: id})
 }
 
-func (c *Core) list(l *List) {
+func (c *Core) list(l *ListUpdate) {
 	for i, e := range l.Entries {
 		c.listed(&e)
 		if c.pol.Trail != nil && l.Kind == control.ListDelta {
-			c.pol.Trail.Learned(&l.Entries[i])
+			c.pol.Trail.EndpointChanged(&l.Entries[i])
 		}
 	}
-	c.events = append(c.events, control.Event{Kind: control.List, ListKind: l.Kind, Entries: l.Entries})
+	c.events = append(c.events, control.Event{Kind: control.ListUpdate, ListKind: l.Kind, Entries: l.Entries})
 }
 
 // listed keeps what a line of the list says.
@@ -384,22 +384,22 @@
 		delete(c.places, e.Endpoint)
 		c.back.CloseIdle(e.Endpoint)
 	} else {
-		c.places[e.Endpoint] = Place{e.Dest, e.Kind, e.Zone}
+		c.places[e.Endpoint] = Placement{e.Dest, e.DestinationKind, e.Zone}
 	}
 	if e.Health != control.Ready {
 		c.shut[e.Endpoint] = true
 	}
-	c.guard.Listed(c.now, e.Endpoint, e.Health)
+	c.guard.SetHealth(c.now, e.Endpoint, e.Health)
 }
 
 // waits keeps what a partner told: of all its endpoints, or of one where routes are apart.
 func (c *Core) waits(a *Attempt, wait control.Time) {
-	c.guard.Told(a.Call(), c.now+wait)
-	if a.Apart {
+	c.guard.SetRetryAfter(a.SafetyCall(), c.now+wait)
+	if a.PerEndpointLimits {
 		c.shut[a.Endpoint] = true
 		return
 	}
-	c.told[a.Place.Dest] = true
+	c.told[a.Placement.Dest] = true
 }
 
 // takeBack gives up what was not written yet to endpoints that this round told to want nothing now: it goes elsewhere,
@@ -409,8 +409,8 @@
 		return
 	}
 	for _, seq := range slices.Sorted(maps.Keys(c.out)) {
-		if a := c.out[seq]; c.shut[a.Endpoint] || c.told[a.Place.Dest] {
-			c.back.Unsend(a)
+		if a := c.out[seq]; c.shut[a.Endpoint] || c.told[a.Placement.Dest] {
+			c.back.CancelUnsent(a)
 		}
 	}
 	clear(c.shut)
@@ -418,73 +418,73 @@
 }
 
 // end takes the end of an attempt: the answer leaves at once where this is it.
-func (c *Core) end(e *End) {
+func (c *Core) end(e *Outcome) {
 	a := c.out[e.Seq]
 	if a == nil {
-		c.log.Fault(fmt.Sprintf("attempt %d ended twice", e.Seq))
+		c.log.InternalError(fmt.Sprintf("attempt %d ended twice", e.Seq))
 		return
 	}
 	delete(c.out, e.Seq)
-	h := c.msgs[a.Msg.ID]
+	h := c.msgs[a.Message.ID]
 	v := c.judge(a, e)
-	proof := safety.End{PossiblyExecuted: v.Ran, Unsent: e.Kind.unsent(), NoAttempt: v.Result == control.NotSent, Unheard: v.unheard()}
-	if err := c.guard.Ended(c.now, a.Call(), a.Sent, proof); err != nil {
-		c.log.Fault(err.Error())
-		v = Verdict{control.Reset, true, false, "its end is not what was written: it may have run"}
-		proof = safety.End{PossiblyExecuted: true, Unheard: true}
+	proof := safety.AttemptResult{PossiblyExecuted: v.PossiblyExecuted, Unsent: e.Kind.unsent(), NotCounted: v.Result == control.NotSent, Unconfirmed: v.unheard()}
+	if err := c.guard.FinishAttempt(c.now, a.SafetyCall(), a.StartedAt, proof); err != nil {
+		c.log.InternalError(err.Error())
+		v = Classification{control.Reset, true, false, "its end is not what was written: it may have run"}
+		proof = safety.AttemptResult{PossiblyExecuted: true, Unconfirmed: true}
 	}
 	h.out = nil
-	h.status, h.lastWhy = e.Status, v.Why
+	h.status, h.lastWhy = e.Status, v.Reason
 	if e.Detail != "" {
 		h.lastWhy += " (" + e.Detail + ")"
 	}
 	if c.pol.Trail != nil {
-		c.pol.Trail.Ended(a, e, v, h.ended)
+		c.pol.Trail.AttemptEnded(a, e, v, h.ended)
 	}
 	if !h.ended && v.Final {
 		kind := Failed
 		if e.Kind == Answered && e.Status < 300 {
 			kind = Served
 		}
-		c.answer(h, Answer{Final: kind})
+		c.answer(h, Answer{Kind: kind})
 	}
 	if l := c.pol.Ledger; l != nil && !h.ended {
-		l.Back(a, proof)
+		l.RecordAttemptEnd(a, proof)
 	}
-	if e.Wait > 0 {
-		c.waits(a, e.Wait)
+	if e.RetryAfter > 0 {
+		c.waits(a, e.RetryAfter)
 	}
 	if e.Kind == NotRecorded {
-		c.events = append(c.events, control.Event{Kind: control.Recording, Failing: true})
+		c.events = append(c.events, control.Event{Kind: control.RecordingStatus, RecordingFails: true})
 	}
-	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: a.Msg.ID, Attempt: a.N, Endpoint: a.Endpoint,
-		Result: v.Result, Closed: h.ended, Lag: c.now - a.Sent, Wait: e.Wait, Report: e.Report})
+	c.events = append(c.events, control.Event{Kind: control.Outcome, Message: a.Message.ID, Attempt: a.Number, Endpoint: a.Endpoint,
+		Result: v.Result, Closed: h.ended, Elapsed: c.now - a.StartedAt, RetryAfter: e.RetryAfter, Report: e.LoadReport})
 	c.forget(h)
 }
 
-func (c *Core) judge(a *Attempt, e *End) Verdict {
-	if c.pol.Judge != nil {
-		return c.pol.Judge(*e)
+func (c *Core) judge(a *Attempt, e *Outcome) Classification {
+	if c.pol.Classify != nil {
+		return c.pol.Classify(*e)
 	}
-	k := a.Place.Kind
-	return Judge(*e, k >= 0 && k < len(c.pol.OwnPath) && c.pol.OwnPath[k])
+	k := a.Placement.Kind
+	return Classify(*e, k >= 0 && k < len(c.pol.PathPerMessage) && c.pol.PathPerMessage[k])
 }
 
 // answer gives the one final answer.
 func (c *Core) answer(h *held, a Answer) {
-	a.Status, a.Tries, a.Why = h.status, h.tries, h.lastWhy
+	a.Status, a.Attempts, a.AttemptDetail = h.status, h.tries, h.lastWhy
 	if h.out != nil {
-		a.Why = fmt.Sprintf("attempt %d has no answer yet", h.out.N)
+		a.AttemptDetail = fmt.Sprintf("attempt %d has no answer yet", h.out.Number)
 	} else if h.tries == 0 {
-		a.Why = "no attempt was made"
+		a.AttemptDetail = "no attempt was made"
 	}
-	switch a.Final {
+	switch a.Kind {
 	case Served:
 		c.stats.Served++
 	case Refused:
-		if err := c.guard.Refuse(h.msg.ID); err != nil {
-			c.log.Fault(err.Error())
-			a.Final = Failed
+		if err := c.guard.AuthorizeRefusal(h.msg.ID); err != nil {
+			c.log.InternalError(err.Error())
+			a.Kind = Failed
 			c.stats.Failed++
 			break
 		}
@@ -497,19 +497,19 @@
 	if c.pol.Trail != nil {
 		c.pol.Trail.Answered(h.msg, &a)
 	}
-	h.msg.Origin.Final(h.msg, a)
+	h.msg.Origin.Answer(h.msg, a)
 }
 
 // record has the ledger take an end down, before anybody is told.
 func (c *Core) record(h *held, a *Answer) {
 	if c.pol.Ledger != nil && h.kept {
-		c.pol.Ledger.Over(h.msg, a)
+		c.pol.Ledger.RecordFinish(h.msg, a)
 	}
 }
 
 func (c *Core) over(h *held) {
 	h.ended = true
-	c.guard.Finish(h.msg.ID)
+	c.guard.FinishMessage(h.msg.ID)
 	c.stats.Open--
 	c.stale++
 	c.forget(h)
@@ -530,69 +530,69 @@
 		c.finish(a)
 	case control.Cancel:
 		c.start()
-		if h := c.msgs[a.Message]; h != nil && h.out != nil && h.out.N == a.Attempt {
-			c.back.Abandon(h.out, CalledOff)
+		if h := c.msgs[a.Message]; h != nil && h.out != nil && h.out.Number == a.Attempt {
+			c.back.Cancel(h.out, Cancelled)
 		}
 	case control.Timer:
-		heap.Push(&c.timers, timer{at: c.now + a.After, mark: a.Mark})
+		heap.Push(&c.timers, timer{at: c.now + a.After, mark: a.TimerToken})
 	case control.Close:
 		c.back.CloseIdle(a.Endpoint)
 	case control.Watch:
 		c.lists.Watch()
 	case control.Fetch:
 		c.lists.Fetch()
-	case control.Note:
-		c.log.Note(a.Text)
+	case control.Log:
+		c.log.Info(a.Text)
 	default:
-		c.log.Fault(fmt.Sprintf("action %d is not carried out here", a.Kind))
+		c.log.InternalError(fmt.Sprintf("action %d is not carried out here", a.Kind))
 	}
 }
 
 func (c *Core) send(a *control.Action) {
 	h := c.msgs[a.Message]
 	if h == nil || h.ended || h.out != nil {
-		c.log.Fault(fmt.Sprintf("send of message %d, which is over or out", a.Message))
+		c.log.InternalError(fmt.Sprintf("send of message %d, which is over or out", a.Message))
 		return
 	}
 	if !c.promise(h) {
 		return
 	}
 	c.seq++
-	at := &Attempt{Seq: c.seq, Msg: h.msg, N: h.tries, Endpoint: a.Endpoint, Place: c.places[a.Endpoint], Due: h.due, Ends: h.due, Sent: c.now,
-		Begin: c.now + a.Within, Worth: c.pol.Settings.Classes[h.msg.Class].Worth}
-	at.Apart = c.routesApart(at.Place.Kind)
+	at := &Attempt{Seq: c.seq, Message: h.msg, Number: h.tries, Endpoint: a.Endpoint, Placement: c.places[a.Endpoint], Deadline: h.due, MessageDeadline: h.due, StartedAt: c.now,
+		WriteBefore: c.now + a.SendWithin, Worth: c.pol.Settings.Classes[h.msg.Class].Value}
+	at.PerEndpointLimits = c.routesApart(at.Placement.Kind)
 	if a.After > 0 {
-		at.Due = min(at.Due, c.now+a.After)
+		at.Deadline = min(at.Deadline, c.now+a.After)
 	}
 	h.tries++
-	if err := c.guard.Plan(c.now, at.Call()); err != nil { // the module learns in the next round that it was not sent
-		c.log.Fault(err.Error())
-		c.later = append(c.later, control.Event{Kind: control.Outcome, Message: h.msg.ID, Attempt: at.N, Endpoint: at.Endpoint, Result: control.Moot})
+	if err := c.guard.AuthorizeCall(c.now, at.SafetyCall()); err != nil { // the module learns in the next round that it was not sent
+		c.log.InternalError(err.Error())
+		c.later = append(c.later, control.Event{Kind: control.Outcome, Message: h.msg.ID, Attempt: at.Number, Endpoint: at.Endpoint, Result: control.NotExecuted})
 		return
 	}
 	h.out = at
 	c.out[at.Seq] = at
 	c.stats.Attempts++
 	if c.pol.Trail != nil {
-		c.pol.Trail.Started(at)
+		c.pol.Trail.AttemptStarted(at)
 	}
-	if at.Begin+c.pol.Settings.Tick < at.Due {
-		heap.Push(&c.timers, timer{at: at.Begin, seq: at.Seq})
+	if at.WriteBefore+c.pol.Settings.Tick < at.Deadline {
+		heap.Push(&c.timers, timer{at: at.WriteBefore, seq: at.Seq})
 	}
-	heap.Push(&c.timers, timer{at: at.Due, seq: at.Seq})
+	heap.Push(&c.timers, timer{at: at.Deadline, seq: at.Seq})
 	c.join(at)
 }
 
 // routesApart tells whether endpoints of a kind have limits and waits of their own.
 func (c *Core) routesApart(kind int) bool {
-	return kind >= 0 && kind < len(c.pol.Settings.Kinds) && c.pol.Settings.Kinds[kind].RoutesApart
+	return kind >= 0 && kind < len(c.pol.Settings.DestinationKinds) && c.pol.Settings.DestinationKinds[kind].PerEndpointLimits
 }
 
 // join puts an attempt into a call of this round to the same endpoint that has room, or begins one.
 func (c *Core) join(a *Attempt) {
 	most := 1
-	if k := a.Place.Kind; k >= 0 && k < len(c.pol.Settings.Kinds) {
-		most = max(1, c.pol.Settings.Kinds[k].Batch)
+	if k := a.Placement.Kind; k >= 0 && k < len(c.pol.Settings.DestinationKinds) {
+		most = max(1, c.pol.Settings.DestinationKinds[k].MaxBatch)
 	}
 	if most > 1 { // else there is nothing to look for, in a round of very many
 		for i, call := range c.calls {
@@ -609,11 +609,11 @@
 const lineSize = 256
 
 func (c *Core) fits(call []*Attempt, a *Attempt) bool {
-	size := len(a.Msg.Body) + lineSize
+	size := len(a.Message.Body) + lineSize
 	for _, o := range call {
-		size += len(o.Msg.Body) + lineSize
+		size += len(o.Message.Body) + lineSize
 	}
-	return c.pol.CallSize == 0 || size <= c.pol.CallSize
+	return c.pol.MaxCallBytes == 0 || size <= c.pol.MaxCallBytes
 }
 
 // start hands the calls of this round over.
@@ -631,11 +631,11 @@
 		return
 	}
 	if a.Kind == control.Refuse {
-		c.answer(h, Answer{Final: Refused, Wait: a.After, Reason: a.Text})
+		c.answer(h, Answer{Kind: Refused, RetryAfter: a.After, Reason: a.Text})
 		return
 	}
 	late := c.now+3*c.pol.Settings.Tick >= h.due
-	c.answer(h, Answer{Final: Failed, Late: late, Reason: a.Text})
+	c.answer(h, Answer{Kind: Failed, DeadlineExceeded: late, Reason: a.Text})
 }
 
 // timer is a Tick that the module asked for, or for an attempt the last moment to begin it or its time-out.
@@ -665,11 +665,11 @@
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		if t.seq == 0 {
-			c.events = append(c.events, control.Event{Kind: control.Tick, Mark: t.mark})
-		} else if a := c.out[t.seq]; a != nil && t.at < a.Due {
-			c.back.Unsend(a)
+			c.events = append(c.events, control.Event{Kind: control.TimerFired, TimerToken: t.mark})
+		} else if a := c.out[t.seq]; a != nil && t.at < a.Deadline {
+			c.back.CancelUnsent(a)
 		} else if a != nil {
-			c.back.Abandon(a, OutOfTime)
+			c.back.Cancel(a, TimedOut)
 		}
 	}
 }
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -20,28 +20,28 @@
 
 func (b *book) put(f string, a ...any) { b.lines = append(b.lines, fmt.Sprintf(f, a...)) }
 
-func (b *book) Take(m *Message, _ control.Time) error {
+func (b *book) RecordAccept(m *Message, _ control.Time) error {
 	if b.full {
 		return errors.New("full")
 	}
-	b.put("take %s", m.Name)
+	b.put("take %s", m.ExternalID)
 	return nil
 }
 
-func (b *book) Back(a *Attempt, e safety.End) {
-	b.put("back %s %v", a.Msg.Name, e.PossiblyExecuted)
+func (b *book) RecordAttemptEnd(a *Attempt, e safety.AttemptResult) {
+	b.put("back %s %v", a.Message.ExternalID, e.PossiblyExecuted)
 }
-func (b *book) Learn([]control.Outage)        {}
-func (b *book) Over(m *Message, a *Answer)    { b.put("over %s %v", m.Name, a != nil) }
-func (b *book) Taken(m *Message)              { b.put("told %s", m.Name) }
-func (b *book) Final(m *Message, a Answer)    { b.put("final %s %v", m.Name, a.Final) }
-func (b *book) Abandon(a *Attempt, _ EndKind) { b.put("abandon %s", a.Msg.Name) }
-func (b *book) Unsend(a *Attempt)             { b.put("unsend %s", a.Msg.Name) }
-func (b *book) CloseIdle(control.Endpoint)    {}
-func (b *book) Note(string)                   {}
-func (b *book) Fault(text string)             { b.put("fault %s", text) }
-func (b *book) Start(call []*Attempt)         { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
-func (b *book) take() (l []string)            { l, b.lines = b.lines, nil; return l }
+func (b *book) RecordOutages([]control.Outage)     {}
+func (b *book) RecordFinish(m *Message, a *Answer) { b.put("over %s %v", m.ExternalID, a != nil) }
+func (b *book) Accepted(m *Message)                { b.put("told %s", m.ExternalID) }
+func (b *book) Answer(m *Message, a Answer)        { b.put("final %s %v", m.ExternalID, a.Kind) }
+func (b *book) Cancel(a *Attempt, _ OutcomeKind)   { b.put("abandon %s", a.Message.ExternalID) }
+func (b *book) CancelUnsent(a *Attempt)            { b.put("unsend %s", a.Message.ExternalID) }
+func (b *book) CloseIdle(control.EndpointID)       {}
+func (b *book) Info(string)                        {}
+func (b *book) InternalError(text string)          { b.put("fault %s", text) }
+func (b *book) Start(call []*Attempt)              { b.put("start %d", len(call)); b.calls = append(b.calls, call) }
+func (b *book) take() (l []string)                 { l, b.lines = b.lines, nil; return l }
 func (b *book) want(t *testing.T, lines ...string) {
 	t.Helper()
 	if got := b.take(); !slices.Equal(got, lines) {
@@ -53,19 +53,19 @@
 	t.Helper()
 	set := settings()
 	set.MayCancel = true
-	set.Kinds = []control.Kind{{Name: "bulk", Batch: 3}, {Name: "single", Batch: 1}}
+	set.DestinationKinds = []control.DestinationKind{{Name: "bulk", MaxBatch: 3}, {Name: "single", MaxBatch: 1}}
 	b := &book{}
-	c, err := NewCore(Policy{Settings: set, OwnPath: []bool{false, false}, Ledger: b, CallSize: 2000}, 1, b, nil, b)
+	c, err := NewCore(Options{Settings: set, PathPerMessage: []bool{false, false}, Ledger: b, MaxCallBytes: 2000}, 1, b, nil, b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Round(control.Second, []Input{{List: &List{Kind: control.ListFull, Entries: []control.Entry{
-		{Endpoint: 1, Dest: 1, Kind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, Kind: 1, Health: control.Ready}}}}})
+	c.Round(control.Second, []Input{{List: &ListUpdate{Kind: control.ListFull, Entries: []control.Entry{
+		{Endpoint: 1, Dest: 1, DestinationKind: 0, Health: control.Ready}, {Endpoint: 2, Dest: 2, DestinationKind: 1, Health: control.Ready}}}}})
 	return b, c
 }
 
 func (b *book) msg(id control.MessageID, dest, size int) Input {
-	return Input{Submit: &Message{ID: id, Name: fmt.Sprint("m", id), Dest: dest, Life: 3 * control.Second, Body: make([]byte, size), Origin: b}}
+	return Input{Submit: &Message{ID: id, ExternalID: fmt.Sprint("m", id), Dest: dest, Lifetime: 3 * control.Second, Body: make([]byte, size), Origin: b}}
 }
 
 // On record before the sender hears; the end on record before anybody is told.
@@ -73,7 +73,7 @@
 	b, c := newBook(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.want(t, "take m1", "told m1", "start 1")
-	c.Round(2*control.Second+1000, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
+	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 503}}})
 	if got := b.take(); len(got) == 0 || got[0] != "back m1 true" { // 503 without a wait, by the table of push gateways
 		t.Errorf("%q", got)
 	}
@@ -103,21 +103,21 @@
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
 	b, c := newBook(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class, in.Submit.Life = 2, 4*control.Second // guarded, a window of 3 s
+	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // guarded, a window of 3 s
 	c.Round(2*control.Second, []Input{in})
-	c.Round(3*control.Second, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
-	for now, ok := c.Next(); len(b.calls) < 2 && ok; now, ok = c.Next() {
+	c.Round(3*control.Second, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
+	for now, ok := c.NextTimer(); len(b.calls) < 2 && ok; now, ok = c.NextTimer() {
 		c.Round(now, nil)
 	}
 	if len(b.calls) < 2 {
 		t.Fatal("no repeat")
 	}
 	again := b.calls[1][0]
-	if over := 5*control.Second - control.StallMargin - settings().Tick; again.Begin != over || again.Due <= over {
-		t.Fatalf("a repeat may begin until %d, is due %d", again.Begin, again.Due)
+	if over := 5*control.Second - control.StallMargin - settings().Tick; again.WriteBefore != over || again.Deadline <= over {
+		t.Fatalf("a repeat may begin until %d, is due %d", again.WriteBefore, again.Deadline)
 	}
 	b.take()
-	for now, ok := c.Next(); ok && now <= again.Begin; now, ok = c.Next() {
+	for now, ok := c.NextTimer(); ok && now <= again.WriteBefore; now, ok = c.NextTimer() {
 		c.Round(now, nil)
 	}
 	if got := b.take(); !slices.Contains(got, "unsend m1") {
@@ -140,16 +140,16 @@
 			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
 		"ahead of a delivery": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {End: &End{Seq: seq, Kind: Answered, Status: 201}}}}
+			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}}}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
 		"behind a delivery": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{End: &End{Seq: seq, Kind: Answered, Status: 201}}, {Withdraw: 1}}}
+			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: Answered, Status: 201}}, {Withdraw: 1}}}
 		}, 1, []string{"take m1", "told m1", "over m1 true", "final m1 served"}},
 		"ahead of a failure": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {End: &End{Seq: seq, Kind: NotConnected}}}, nil}
+			return [][]Input{{b.msg(1, 2, 10)}, {{Withdraw: 1}, {Outcome: &Outcome{Seq: seq, Kind: NotConnected}}}, nil}
 		}, 1, []string{"take m1", "told m1", "over m1 false"}},
 		"behind a failure": {func(b *book, seq uint64) [][]Input {
-			return [][]Input{{b.msg(1, 2, 10)}, {{End: &End{Seq: seq, Kind: NotConnected}}, {Withdraw: 1}}, nil}
+			return [][]Input{{b.msg(1, 2, 10)}, {{Outcome: &Outcome{Seq: seq, Kind: NotConnected}}, {Withdraw: 1}}, nil}
 		}, 1, []string{"take m1", "told m1", "back m1 false", "over m1 false"}},
 	} {
 		b, c2 := newBook(t)
@@ -159,7 +159,7 @@
 			now += 20 * control.Millisecond
 		}
 		for range 200 {
-			next, ok := c2.Next()
+			next, ok := c2.NextTimer()
 			if !ok {
 				break
 			}
@@ -188,7 +188,7 @@
 	b.want(t, "final m1 refused")
 	c.Round(2*control.Second+5000, nil)
 	b.want(t)
-	if s := c.Stats(); s.Open != 0 || s.Out != 0 {
+	if s := c.Stats(); s.Open != 0 || s.InFlight != 0 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -201,13 +201,13 @@
 	in.Submit.Class = 2 // guarded
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "take m1", "told m1", "start 1")
-	c.Round(2*control.Second+1000, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
+	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
 	b.want(t, "back m1 false")
 	for i := range 20 {
 		c.Round(2*control.Second+control.Time(i+1)*10*control.Millisecond, nil)
 	}
 	b.want(t)
-	c.Round(3*control.Second, []Input{{Recorded: true}})
+	c.Round(3*control.Second, []Input{{LedgerWritable: true}})
 	b.want(t, "start 1")
 }
 
@@ -216,7 +216,7 @@
 	b, c := newBook(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
 	b.take()
-	c.Round(2*control.Second+1000, []Input{{List: &List{Entries: []control.Entry{{Endpoint: 2, Dest: 2, Kind: 1, Health: control.Draining}}}}})
+	c.Round(2*control.Second+1000, []Input{{List: &ListUpdate{Entries: []control.Entry{{Endpoint: 2, Dest: 2, DestinationKind: 1, Health: control.Draining}}}}})
 	b.want(t, "unsend m1")
 	b, c = newBook(t)
 	c.Round(2*control.Second, []Input{b.msg(1, 2, 10)})
@@ -225,7 +225,7 @@
 		t.Fatalf("%d calls", len(b.calls))
 	}
 	b.take()
-	c.Round(2*control.Second+2000, []Input{{End: &End{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 429, Wait: control.Second}}})
+	c.Round(2*control.Second+2000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 429, RetryAfter: control.Second}}})
 	if got := b.take(); !slices.Contains(got, "unsend m2") {
 		t.Errorf("%q", got)
 	}
@@ -238,7 +238,7 @@
 	in.Submit.Recovered = Recovered{Restored: true, Attempts: 2}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "told m1", "start 1")
-	if n := b.calls[0][0].N; n != 2 {
+	if n := b.calls[0][0].Number; n != 2 {
 		t.Errorf("the next attempt is number %d", n)
 	}
 }
@@ -247,7 +247,7 @@
 func TestRestoredEndsOnRecord(t *testing.T) {
 	b, c := newBook(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.pol.Settings.MaxTries}
+	in.Submit.Recovered = Recovered{Restored: true, Attempts: c.pol.Settings.MaxAttempts}
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "over m1 true", "final m1 refused")
 }
@@ -256,9 +256,9 @@
 func TestLateRound(t *testing.T) {
 	b, c := newBook(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Came = 2 * control.Second
+	in.Submit.ReceivedAt = 2 * control.Second
 	c.Round(2*control.Second+500*control.Millisecond, []Input{in})
-	if due := b.calls[0][0].Due; due != 5*control.Second {
+	if due := b.calls[0][0].Deadline; due != 5*control.Second {
 		t.Errorf("due at %d, want %d", due, 5*control.Second)
 	}
 }
--- a/internal/engine/loop.go
+++ b/internal/engine/loop.go
@@ -12,22 +12,22 @@
 
 // Reasons why a message is not taken. None of these was ever held: handing it in again is harmless.
 var (
-	ErrQueueFull = errors.New("too many messages arrive at once")
-	ErrHoldFull  = errors.New("too many messages are held")
-	ErrStopping  = errors.New("the dispatcher is stopping")
+	ErrQueueFull   = errors.New("too many messages arrive at once")
+	ErrTooManyHeld = errors.New("too many messages are held")
+	ErrStopping    = errors.New("the dispatcher is stopping")
 )
 
-// Bounds limit what a Loop takes on.
-type Bounds struct {
-	Queue int // messages that wait for the next round
-	Hold  int // messages owed an answer
+// Limits limit what a Loop takes on.
+type Limits struct {
+	MaxQueued int // messages that wait for the next round
+	MaxHeld   int // messages owed an answer
 }
 
 // Loop runs a Core: inputs come from any goroutine, rounds run on one.
 type Loop struct {
 	core   *Core
 	clock  clock.Clock
-	bounds Bounds
+	bounds Limits
 	nextID atomic.Uint64
 
 	mu       sync.Mutex
@@ -45,7 +45,7 @@
 }
 
 // NewLoop makes a Loop; Run starts it.
-func NewLoop(core *Core, clock clock.Clock, b Bounds) *Loop {
+func NewLoop(core *Core, clock clock.Clock, b Limits) *Loop {
 	l := &Loop{core: core, clock: clock, bounds: b, wake: make(chan struct{}, 1), quit: make(chan struct{}),
 		done: make(chan struct{}), empty: make(chan struct{})}
 	l.stats.Store(&Stats{})
@@ -61,10 +61,10 @@
 	switch {
 	case l.stopping:
 		return ErrStopping
-	case l.submits >= l.bounds.Queue:
+	case l.submits >= l.bounds.MaxQueued:
 		return ErrQueueFull
-	case l.open >= l.bounds.Hold:
-		return ErrHoldFull
+	case l.open >= l.bounds.MaxHeld:
+		return ErrTooManyHeld
 	}
 	l.submits++
 	l.open++
@@ -73,10 +73,10 @@
 }
 
 // Withdraw tells that nobody wants a message any more.
-func (l *Loop) Withdraw(id control.MessageID) { l.Put(Input{Withdraw: id}) }
+func (l *Loop) Withdraw(id control.MessageID) { l.Enqueue(Input{Withdraw: id}) }
 
-// Put adds an input that is not a message. It is never refused: attempts and messages taken bound how many come.
-func (l *Loop) Put(in Input) {
+// Enqueue adds an input that is not a message. It is never refused: attempts and messages taken bound how many come.
+func (l *Loop) Enqueue(in Input) {
 	l.mu.Lock()
 	l.put(in)
 	l.mu.Unlock()
@@ -99,7 +99,7 @@
 	sleep := time.NewTimer(time.Hour)
 	defer sleep.Stop()
 	for {
-		if at, ok := l.core.Next(); ok {
+		if at, ok := l.core.NextTimer(); ok {
 			sleep.Reset(max(0, time.Duration(at-l.clock.Now())*time.Microsecond))
 		} else {
 			sleep.Reset(time.Hour)
@@ -115,7 +115,7 @@
 		l.submits = 0
 		l.mu.Unlock()
 		before := l.core.stats.ended()
-		start := clock.Start()
+		start := clock.StartStopwatch()
 		l.core.Round(l.clock.Now(), batch)
 		old := l.round.Load()
 		l.round.Store(old + (int64(start.Elapsed())-old)/16)
@@ -144,8 +144,8 @@
 // Stats returns the counts after the last round.
 func (l *Loop) Stats() Stats { return *l.stats.Load() }
 
-// RoundTime is how long rounds take, as a decaying mean over some sixteen of them.
-func (l *Loop) RoundTime() time.Duration { return time.Duration(l.round.Load()) }
+// MeanRoundTime is how long rounds take, as a decaying mean over some sixteen of them.
+func (l *Loop) MeanRoundTime() time.Duration { return time.Duration(l.round.Load()) }
 
 // Stop takes no more messages; those taken have their answers within the time given. The channel is closed when
 // none is owed one any more.
@@ -157,7 +157,7 @@
 		if l.open == 0 {
 			close(l.empty)
 		}
-		l.put(Input{Stop: max(1, control.Time(within/time.Microsecond))})
+		l.put(Input{StopWithin: max(1, control.Time(within/time.Microsecond))})
 	}
 	return l.empty
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -19,22 +19,22 @@
 // Resource is what clients hand messages in to: a configured path that names partner, class and tenant. A path that
 // ends in "/*" takes one more part, the device's or subscription's, which goes on to the partner.
 type Resource struct {
-	Path    string
-	Dest    int
-	Class   int
-	Tenant  int
-	InOrder bool
-	Life    time.Duration // the class's limit
-	Target  string        // for the paths that take one more part: what stands before it at the partner
+	Path        string
+	Dest        int
+	Class       int
+	Tenant      int
+	InOrder     bool
+	MaxLifetime time.Duration // the class's limit
+	Target      string        // for the paths that take one more part: what stands before it at the partner
 }
 
 // Exchange is a named door for programs that publish: it fixes class and tenant, and the routing key names the partner.
 type Exchange struct {
-	Name    string
-	Class   int
-	Tenant  int
-	InOrder bool
-	Life    time.Duration
+	Name        string
+	Class       int
+	Tenant      int
+	InOrder     bool
+	MaxLifetime time.Duration
 }
 
 // Token is a tenant's bearer token or password, kept as its digest.
@@ -46,19 +46,19 @@
 // NewToken makes a Token.
 func NewToken(secret string, tenant int) Token { return Token{sha256.Sum256([]byte(secret)), tenant} }
 
-// Setup is what a Book is made of.
-type Setup struct {
-	Resources []Resource
-	Exchanges []Exchange
-	Partners  map[string]int // by name
-	Tenants   []string
-	Tokens    []Token
-	MaxBody   int
-	LeastLife time.Duration // shortest life of a message: one of 0 asks for an attempt at once or none
+// Config is what a Book is made of.
+type Config struct {
+	Resources   []Resource
+	Exchanges   []Exchange
+	Partners    map[string]int // by name
+	Tenants     []string
+	Tokens      []Token
+	MaxBody     int
+	MinLifetime time.Duration // shortest life of a message: one of 0 asks for an attempt at once or none
 }
 
-// Book knows the resources and the tenants. It is not changed after NewBook.
-type Book struct {
+// Registry knows the resources and the tenants. It is not changed after NewBook.
+type Registry struct {
 	resources map[string]*Resource
 	exchanges map[string]*Exchange
 	partners  map[string]int
@@ -69,10 +69,10 @@
 	least     time.Duration
 }
 
-// NewBook returns a Book.
-func NewBook(s Setup) *Book {
-	b := &Book{resources: map[string]*Resource{}, exchanges: map[string]*Exchange{}, partners: s.Partners, tenants: map[string]int{},
-		tokens: s.Tokens, open: make([]bool, len(s.Tenants)), maxBody: s.MaxBody, least: s.LeastLife}
+// NewRegistry returns a Book.
+func NewRegistry(s Config) *Registry {
+	b := &Registry{resources: map[string]*Resource{}, exchanges: map[string]*Exchange{}, partners: s.Partners, tenants: map[string]int{},
+		tokens: s.Tokens, open: make([]bool, len(s.Tenants)), maxBody: s.MaxBody, least: s.MinLifetime}
 	for i := range s.Resources {
 		b.resources[s.Resources[i].Path] = &s.Resources[i]
 	}
@@ -90,13 +90,13 @@
 }
 
 // MaxBody is the largest body taken, in bytes.
-func (b *Book) MaxBody() int { return b.maxBody }
+func (b *Registry) MaxBody() int { return b.maxBody }
 
 // Exchange returns a configured exchange, or nil.
-func (b *Book) Exchange(name string) *Exchange { return b.exchanges[name] }
+func (b *Registry) Exchange(name string) *Exchange { return b.exchanges[name] }
 
 // Find returns the resource at a path, and the part that goes on to the partner.
-func (b *Book) Find(path string) (*Resource, string) {
+func (b *Registry) Find(path string) (*Resource, string) {
 	if r := b.resources[path]; r != nil && !strings.HasSuffix(path, "/*") {
 		return r, ""
 	}
@@ -112,7 +112,7 @@
 }
 
 // Route returns where an exchange sends a routing key: PARTNER, or PARTNER/PART where the part goes on to the partner.
-func (b *Book) Route(x *Exchange, key string) (*Resource, string) {
+func (b *Registry) Route(x *Exchange, key string) (*Resource, string) {
 	name, target, more := strings.Cut(key, "/")
 	dest, ok := b.partners[name]
 	if !ok || more && !part(target) {
@@ -121,7 +121,7 @@
 	if more {
 		target = "/" + target
 	}
-	return &Resource{Dest: dest, Class: x.Class, Tenant: x.Tenant, InOrder: x.InOrder, Life: x.Life}, target
+	return &Resource{Dest: dest, Class: x.Class, Tenant: x.Tenant, InOrder: x.InOrder, MaxLifetime: x.MaxLifetime}, target
 }
 
 // part tells whether a text can be the last part of a path at a partner.
@@ -130,20 +130,20 @@
 		strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f || strings.ContainsRune(`#\/?`, r) }) < 0
 }
 
-// Standing is what a secret is to a tenant.
-type Standing uint8
+// Access is what a secret is to a tenant.
+type Access uint8
 
 // Standings.
 const (
-	Unknown Standing = iota // nobody's, and the tenant asks for one
-	Another                 // another tenant's
-	Welcome
+	UnknownSecret Access = iota // nobody's, and the tenant asks for one
+	OtherTenant                 // another tenant's
+	Granted
 )
 
-// Check holds a secret against all tenants' in constant time.
-func (b *Book) Check(tenant int, secret string) Standing {
+// CheckSecret holds a secret against all tenants' in constant time.
+func (b *Registry) CheckSecret(tenant int, secret string) Access {
 	if b.open[tenant] {
-		return Welcome
+		return Granted
 	}
 	digest := sha256.Sum256([]byte(secret))
 	mine, known := 0, 0
@@ -154,39 +154,39 @@
 	}
 	switch {
 	case mine == 1:
-		return Welcome
+		return Granted
 	case known == 1:
-		return Another
+		return OtherTenant
 	}
-	return Unknown
+	return UnknownSecret
 }
 
 // Login returns the tenant of a name, where the secret is that tenant's. An unknown name takes as long.
-func (b *Book) Login(name, secret string) (tenant int, ok bool) {
+func (b *Registry) Login(name, secret string) (tenant int, ok bool) {
 	tenant, known := b.tenants[name]
 	if !known {
 		for i, open := range b.open {
 			if !open {
-				b.Check(i, secret)
+				b.CheckSecret(i, secret)
 				break
 			}
 		}
 		return 0, false
 	}
-	return tenant, b.Check(tenant, secret) == Welcome
+	return tenant, b.CheckSecret(tenant, secret) == Granted
 }
 
 // Tenant returns the number of a tenant's name.
-func (b *Book) Tenant(name string) (tenant int, ok bool) {
+func (b *Registry) Tenant(name string) (tenant int, ok bool) {
 	tenant, ok = b.tenants[name]
 	return tenant, ok
 }
 
-// Open tells whether anybody may hand in messages of a tenant.
-func (b *Book) Open(tenant int) bool { return b.open[tenant] }
+// IsOpen tells whether anybody may hand in messages of a tenant.
+func (b *Registry) IsOpen(tenant int) bool { return b.open[tenant] }
 
 // Life is how long a message lives that asks for a time, below zero for none: at most its class's.
-func (b *Book) Life(limit, asked time.Duration) control.Time {
+func (b *Registry) Lifetime(limit, asked time.Duration) control.Time {
 	life := limit
 	if asked >= 0 {
 		life = min(life, asked)
@@ -194,8 +194,8 @@
 	return control.Time(max(life, min(b.least, limit)) / time.Microsecond)
 }
 
-// Urgency of a message (RFC 8030 section 5.3); empty is normal.
-func Urgency(s string) bool {
+// ValidUrgency of a message (RFC 8030 section 5.3); empty is normal.
+func ValidUrgency(s string) bool {
 	switch s {
 	case "", "very-low", "low", "normal", "high":
 		return true
@@ -205,19 +205,19 @@
 
 // What is wrong with a key.
 var (
-	ErrTopic  = errors.New("an order key has at most 32 characters of the URL-safe base64 alphabet (RFC 8030 section 5.4)")
-	ErrRepeat = errors.New("a repeat key has 1 to 128 printable characters without quotes")
+	ErrInvalidTopic          = errors.New("an order key has at most 32 characters of the URL-safe base64 alphabet (RFC 8030 section 5.4)")
+	ErrInvalidIdempotencyKey = errors.New("a repeat key has 1 to 128 printable characters without quotes")
 )
 
-// Order sets a message's Topic, which is its order key where the class asks for order. It is the same whichever front
+// SetTopic sets a message's Topic, which is its order key where the class asks for order. It is the same whichever front
 // a message comes by.
-func Order(m *engine.Message, inOrder bool, topic string) error {
+func SetTopic(m *engine.Message, inOrder bool, topic string) error {
 	if len(topic) > 32 || strings.IndexFunc(topic, notBase64) >= 0 {
-		return ErrTopic
+		return ErrInvalidTopic
 	}
 	m.Topic = topic
 	if inOrder && topic != "" {
-		m.Key = max(1, xxhash.Sum64String(fmt.Sprintf("%d/%d/%s", m.Tenant, m.Dest, topic)))
+		m.OrderKey = max(1, xxhash.Sum64String(fmt.Sprintf("%d/%d/%s", m.Tenant, m.Dest, topic)))
 	}
 	return nil
 }
@@ -228,12 +228,12 @@
 
 // Repeat sets the key by which partners drop repeats. Two tenants may use one key; one tenant's key is the same
 // whichever front it comes by.
-func Repeat(m *engine.Message, key string) error {
+func SetIdempotencyKey(m *engine.Message, key string) error {
 	bad := func(r rune) bool { return r < ' ' || r > '~' || r == '"' || r == '\\' }
 	if key == "" || len(key) > 128 || strings.IndexFunc(key, bad) >= 0 {
-		return ErrRepeat
+		return ErrInvalidIdempotencyKey
 	}
-	m.Repeat = fmt.Sprintf("%d/%s", m.Tenant, key)
+	m.IdempotencyKey = fmt.Sprintf("%d/%s", m.Tenant, key)
 	return nil
 }
 
--- a/internal/ledger/attempts.go
+++ b/internal/ledger/attempts.go
@@ -10,45 +10,45 @@
 func (e *Entry) beginAttempt(at clock.Instant, zone int) {
 	e.conclude()
 	e.Attempts++
-	e.OutAt, e.OutZone = at, zone
+	e.InFlightSince, e.InFlightZone = at, zone
 }
 
 // endAttempt takes the end of an attempt. One that never went out counts where it was an attempt all the same, as one that met
 // nobody; one that went out and counts for none is taken off the count.
 func (e *Entry) endAttempt(end back) {
-	if e.OutAt == 0 {
-		if !end.Unsent {
+	if e.InFlightSince == 0 {
+		if !end.NotSent {
 			e.Attempts++
 		}
 		return
 	}
-	if end.Unsent {
+	if end.NotSent {
 		e.Attempts--
 	}
-	if end.Ran && e.ExecutedAt == 0 {
-		e.ExecutedAt, e.ExecutedZone = e.OutAt, e.OutZone
+	if end.PossiblyExecuted && e.PossiblyExecutedAt == 0 {
+		e.PossiblyExecutedAt, e.PossiblyExecutedZone = e.InFlightSince, e.InFlightZone
 	}
-	e.OutAt, e.OutZone = 0, 0
+	e.InFlightSince, e.InFlightZone = 0, 0
 }
 
 // conclude takes it that an attempt without an end on record may have been executed.
 func (e *Entry) conclude() {
-	if e.OutAt != 0 {
-		e.endAttempt(back{Ran: true})
+	if e.InFlightSince != 0 {
+		e.endAttempt(back{PossiblyExecuted: true})
 	}
 }
 
 // PossiblyExecuted tells when the first attempt began that may have been executed, and the zone that it went to. ok is false
 // where none may have been. One that is out is left aside: in an opened ledger none is another process's.
 func (e *Entry) PossiblyExecuted() (at clock.Instant, zone int, ok bool) {
-	return e.ExecutedAt, e.ExecutedZone, e.ExecutedAt > 0
+	return e.PossiblyExecutedAt, e.PossiblyExecutedZone, e.PossiblyExecutedAt > 0
 }
 
 // History is what is on record of a message's attempts.
 type History struct {
-	Attempts   int           // made so far, one that is out among them
-	ExecutedAt clock.Instant // when the first began that may have been executed, 0 for none; one that is out is left aside
-	Zone       int           // where that went
+	Attempts           int           // made so far, one that is out among them
+	PossiblyExecutedAt clock.Instant // when the first began that may have been executed, 0 for none; one that is out is left aside
+	Zone               int           // where that went
 }
 
 // History returns what is on record of a message that is owed its end; ok is false where none of that name is.
@@ -59,5 +59,5 @@
 	if e == nil {
 		return History{}, false
 	}
-	return History{e.Attempts, e.ExecutedAt, e.ExecutedZone}, true
+	return History{e.Attempts, e.PossiblyExecutedAt, e.PossiblyExecutedZone}, true
 }
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -10,21 +10,21 @@
 
 // Entry is a message that is owed its end.
 type Entry struct {
-	Name   string        `cbor:"1,keyasint"`           // id that its client gave it
-	Class  string        `cbor:"2,keyasint"`           // by name: another process may number them otherwise
-	Tenant string        `cbor:"3,keyasint,omitempty"` // by name
-	Dest   int           `cbor:"4,keyasint"`           // number of its destination
-	Due    clock.Instant `cbor:"5,keyasint"`           // when its time is over
-	Key    string        `cbor:"6,keyasint,omitempty"` // by which partners drop repeats
-	Order  uint64        `cbor:"7,keyasint,omitempty"` // key by which its class takes turns, 0 is none
-	Body   []byte        `cbor:"8,keyasint,omitempty"` //
-
-	Attempts     int           `cbor:"9,keyasint,omitempty"`  // made so far, the one that is out among them
-	ExecutedAt   clock.Instant `cbor:"10,keyasint,omitempty"` // when the first began that may have been executed, 0 for none
-	ExecutedZone int           `cbor:"11,keyasint,omitempty"` // where that went
-	OutAt        clock.Instant `cbor:"12,keyasint,omitempty"` // when the attempt that is out began, 0 for none ...
-	OutZone      int           `cbor:"13,keyasint,omitempty"` // ... and its zone
-	TakenAt      clock.Instant `cbor:"14,keyasint,omitempty"` // when it was taken on
+	Name           string        `cbor:"1,keyasint"`           // id that its client gave it
+	Class          string        `cbor:"2,keyasint"`           // by name: another process may number them otherwise
+	Tenant         string        `cbor:"3,keyasint,omitempty"` // by name
+	Destination    int           `cbor:"4,keyasint"`           // number of its destination
+	Deadline       clock.Instant `cbor:"5,keyasint"`           // when its time is over
+	IdempotencyKey string        `cbor:"6,keyasint,omitempty"` // by which partners drop repeats
+	OrderingKey    uint64        `cbor:"7,keyasint,omitempty"` // key by which its class takes turns, 0 is none
+	Body           []byte        `cbor:"8,keyasint,omitempty"` //
+
+	Attempts             int           `cbor:"9,keyasint,omitempty"`  // made so far, the one that is out among them
+	PossiblyExecutedAt   clock.Instant `cbor:"10,keyasint,omitempty"` // when the first began that may have been executed, 0 for none
+	PossiblyExecutedZone int           `cbor:"11,keyasint,omitempty"` // where that went
+	InFlightSince        clock.Instant `cbor:"12,keyasint,omitempty"` // when the attempt that is out began, 0 for none ...
+	InFlightZone         int           `cbor:"13,keyasint,omitempty"` // ... and its zone
+	AcceptedAt           clock.Instant `cbor:"14,keyasint,omitempty"` // when it was taken on
 
 	seq  uint64
 	size int
@@ -32,25 +32,25 @@
 
 // Notice is an end that the platform has not acknowledged yet.
 type Notice struct {
-	Name     string `cbor:"1,keyasint"`
-	Deferred bool   `cbor:"2,keyasint,omitempty"` // handed back; else undeliverable
-	Again    int64  `cbor:"3,keyasint,omitempty"` // Deferred: come back after so many milliseconds, 0 where nothing is known
+	Name             string `cbor:"1,keyasint"`
+	Deferred         bool   `cbor:"2,keyasint,omitempty"` // handed back; else undeliverable
+	RetryAfterMillis int64  `cbor:"3,keyasint,omitempty"` // Deferred: come back after so many milliseconds, 0 where nothing is known
 
 	seq uint64
 }
 
 // record is one line of the ledger; exactly one of its parts is set.
 type record struct {
-	Take    *Entry        `cbor:"1,keyasint,omitempty"`
-	Out     *sent         `cbor:"2,keyasint,omitempty"`
-	Back    *back         `cbor:"3,keyasint,omitempty"`
-	Over    string        `cbor:"4,keyasint,omitempty"` // delivered, or nobody's any more
-	Notice  *Notice       `cbor:"5,keyasint,omitempty"` // ended by this
-	Acked   []string      `cbor:"6,keyasint,omitempty"`
-	Form    int           `cbor:"7,keyasint,omitempty"` // first line: version of this form, ...
-	Began   *Moment       `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
-	Last    clock.Instant `cbor:"9,keyasint,omitempty"` // ... and the latest instant on record before this line
-	Outages []Outage      `cbor:"10,keyasint,omitempty"`
+	Accepted     *Entry        `cbor:"1,keyasint,omitempty"`
+	Started      *sent         `cbor:"2,keyasint,omitempty"`
+	Ended        *back         `cbor:"3,keyasint,omitempty"`
+	Completed    string        `cbor:"4,keyasint,omitempty"` // delivered, or nobody's any more
+	Notice       *Notice       `cbor:"5,keyasint,omitempty"` // ended by this
+	Acknowledged []string      `cbor:"6,keyasint,omitempty"`
+	Version      int           `cbor:"7,keyasint,omitempty"` // first line: version of this form, ...
+	OpenedAt     *ClockReading `cbor:"8,keyasint,omitempty"` // ... when its process began, which tells whose instants these are, ...
+	Latest       clock.Instant `cbor:"9,keyasint,omitempty"` // ... and the latest instant on record before this line
+	Outages      []Outage      `cbor:"10,keyasint,omitempty"`
 }
 
 type sent struct {
@@ -60,9 +60,9 @@
 }
 
 type back struct {
-	Name   string `cbor:"1,keyasint"`
-	Ran    bool   `cbor:"2,keyasint,omitempty"`
-	Unsent bool   `cbor:"3,keyasint,omitempty"`
+	Name             string `cbor:"1,keyasint"`
+	PossiblyExecuted bool   `cbor:"2,keyasint,omitempty"`
+	NotSent          bool   `cbor:"3,keyasint,omitempty"`
 }
 
 // overhead is reckoned for each entry beside its record: what it may grow by, and the lines around it.
@@ -76,7 +76,7 @@
 	seq     uint64
 	live    int64 // bytes that a compacted ledger takes, at most
 
-	began Moment        // whose instants these are
+	began ClockReading  // whose instants these are
 	last  clock.Instant // the latest of them on record
 }
 
@@ -87,27 +87,27 @@
 // apply takes one record; size is that of its line. Records that name nothing known change nothing.
 func (b *book) apply(r *record, size int) {
 	switch {
-	case r.Take != nil:
-		b.drop(r.Take.Name)
-		e := *r.Take
-		b.last = max(b.last, e.TakenAt, e.OutAt)
+	case r.Accepted != nil:
+		b.drop(r.Accepted.Name)
+		e := *r.Accepted
+		b.last = max(b.last, e.AcceptedAt, e.InFlightSince)
 		b.seq++
 		e.seq, e.size = b.seq, size+overhead
 		b.owed[e.Name] = &e
 		b.live += int64(e.size)
-	case r.Out != nil:
-		b.last = max(b.last, r.Out.At)
-		for _, name := range r.Out.Names {
+	case r.Started != nil:
+		b.last = max(b.last, r.Started.At)
+		for _, name := range r.Started.Names {
 			if e := b.owed[name]; e != nil {
-				e.beginAttempt(r.Out.At, r.Out.Zone)
+				e.beginAttempt(r.Started.At, r.Started.Zone)
 			}
 		}
-	case r.Back != nil:
-		if e := b.owed[r.Back.Name]; e != nil {
-			e.endAttempt(*r.Back)
+	case r.Ended != nil:
+		if e := b.owed[r.Ended.Name]; e != nil {
+			e.endAttempt(*r.Ended)
 		}
-	case r.Over != "":
-		b.drop(r.Over)
+	case r.Completed != "":
+		b.drop(r.Completed)
 	case r.Notice != nil:
 		b.drop(r.Notice.Name)
 		n := *r.Notice
@@ -118,7 +118,7 @@
 	case r.Outages != nil:
 		b.learn(r.Outages)
 	default:
-		for _, name := range r.Acked {
+		for _, name := range r.Acknowledged {
 			if b.notices[name] != nil {
 				delete(b.notices, name)
 				b.live -= noticeSize
@@ -135,14 +135,14 @@
 }
 
 // begin takes the first line of a file.
-func (b *book) begin(began Moment, last clock.Instant) {
+func (b *book) begin(began ClockReading, last clock.Instant) {
 	b.began = began
 	b.last = max(b.last, began.At, last)
 }
 
 // recoverAt takes the book over for a process that starts now: attempts without an end on record may have been executed, and
 // all instants are put on its clock.
-func (b *book) recoverAt(now Moment) {
+func (b *book) recoverAt(now ClockReading) {
 	for _, e := range b.owed {
 		e.conclude()
 	}
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -38,7 +38,7 @@
 		rng := rand.New(rand.NewPCG(seed, 11))
 		fs := disk.NewMemory()
 		l := open(t, fs, mb)
-		must(t, l.Take(&Entry{Name: "m", Class: "k"}))
+		must(t, l.Accept(&Entry{Name: "m", Class: "k"}))
 		var truth history
 		for now := clock.Instant(1); now < 30; now++ {
 			switch {
@@ -49,11 +49,11 @@
 				}
 			case truth.out == 0:
 				zone := rng.IntN(3)
-				must(t, l.Out([]string{"m"}, now, zone, false))
+				must(t, l.StartAttempts([]string{"m"}, now, zone, false))
 				truth.begin(now, zone)
 			default:
 				mayHaveRun := rng.IntN(2) == 0
-				must(t, l.Back("m", mayHaveRun, false))
+				must(t, l.EndAttempt("m", mayHaveRun, false))
 				truth.end(mayHaveRun)
 			}
 		}
@@ -61,7 +61,7 @@
 			truth.end(true)
 		}
 		l = reopen(t, l, fs, mb)
-		entries, _ := l.Owed()
+		entries, _ := l.Outstanding()
 		if len(entries) != 1 {
 			t.Fatalf("seed %d: owed %+v", seed, entries)
 		}
@@ -74,17 +74,17 @@
 
 // An attempt that never went on record, and its end, say nothing of one that was out when the process before ended.
 func TestEndWithoutARecordedStart(t *testing.T) {
-	for _, ends := range []back{{}, {Unsent: true}, {Ran: true}} {
+	for _, ends := range []back{{}, {NotSent: true}, {PossiblyExecuted: true}} {
 		fs := disk.NewMemory()
 		l := open(t, fs, mb)
-		must(t, l.Take(&Entry{Name: "m", Class: "k"}))
-		must(t, l.Out([]string{"m"}, 5, 2, false))
+		must(t, l.Accept(&Entry{Name: "m", Class: "k"}))
+		must(t, l.StartAttempts([]string{"m"}, 5, 2, false))
 		l = reopen(t, l, fs, mb)
-		must(t, l.Back("m", ends.Ran, ends.Unsent))
+		must(t, l.EndAttempt("m", ends.PossiblyExecuted, ends.NotSent))
 		l = reopen(t, l, fs, mb)
-		entries, _ := l.Owed()
+		entries, _ := l.Outstanding()
 		want := 2
-		if ends.Unsent {
+		if ends.NotSent {
 			want = 1
 		}
 		if at, zone, ok := entries[0].PossiblyExecuted(); !ok || at != 5 || zone != 2 || entries[0].Attempts != want {
@@ -97,9 +97,9 @@
 func TestOutagesAreKept(t *testing.T) {
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
-	must(t, l.Learn([]Outage{{Host: "b", Suspect: true, FailedAt: 900, DownAt: 800, Failures: 3}, {Host: "a", ColdAt: 700}, {Host: "c", FullAt: 5}}))
-	must(t, l.Learn([]Outage{{Host: "c"}}))
-	want := []Outage{{Host: "a", ColdAt: 700}, {Host: "b", Suspect: true, FailedAt: 900, DownAt: 800, Failures: 3}}
+	must(t, l.UpdateOutages([]Outage{{Host: "b", Suspect: true, LastFailedAt: 900, FirstFailedAt: 800, ConsecutiveFailures: 3}, {Host: "a", RecoveredAt: 700}, {Host: "c", RefusingSince: 5}}))
+	must(t, l.UpdateOutages([]Outage{{Host: "c"}}))
+	want := []Outage{{Host: "a", RecoveredAt: 700}, {Host: "b", Suspect: true, LastFailedAt: 900, FirstFailedAt: 800, ConsecutiveFailures: 3}}
 	for range 2 {
 		l = reopen(t, l, fs, mb)
 		if got := l.Outages(); !slices.Equal(got, want) {
@@ -107,12 +107,12 @@
 		}
 	}
 	must(t, l.Close())
-	l, err := Open(fs, mb, Moment{Boot: "other", At: 50})
+	l, err := Open(fs, mb, ClockReading{Boot: "other", At: 50})
 	must(t, err)
-	if got := l.Outages(); len(got) != 2 || got[0].ColdAt != 50 || got[1].FailedAt != 50 || got[1].DownAt != 50 {
+	if got := l.Outages(); len(got) != 2 || got[0].RecoveredAt != 50 || got[1].LastFailedAt != 50 || got[1].FirstFailedAt != 50 {
 		t.Errorf("in another boot: %+v", got)
 	}
-	must(t, l.Learn([]Outage{{Host: "a"}, {Host: "b"}}))
+	must(t, l.UpdateOutages([]Outage{{Host: "a"}, {Host: "b"}}))
 	if _, live := l.Size(); live != 0 {
 		t.Errorf("%d bytes live with nothing known", live)
 	}
