--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -23,10 +23,10 @@
 
 // Faults of a ledger.
 var (
-	ErrFull    = errors.New("the ledger is full")
-	ErrForm    = errors.New("the ledger is of a newer form")
-	ErrClosed  = errors.New("the ledger is closed")
-	ErrFailing = errors.New("the ledger can't be written for now")
+	ErrFull         = errors.New("the ledger is full")
+	ErrNewerVersion = errors.New("the ledger is of a newer form")
+	ErrClosed       = errors.New("the ledger is closed")
+	ErrFailing      = errors.New("the ledger can't be written for now")
 )
 
 const (
@@ -57,7 +57,7 @@
 // Open reads the ledger of a folder that may hold limit bytes, and writes it anew in a form that says now. What follows a torn
 // or damaged line was never promised: it is left out. Where the folder can be read and can't be written for now, the ledger
 // begins failing (see disk.ForNow); other faults are returned.
-func Open(fs disk.FS, limit int64, now Moment) (*Ledger, error) {
+func Open(fs disk.FS, limit int64, now ClockReading) (*Ledger, error) {
 	lock, err := fs.Lock()
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
@@ -70,18 +70,18 @@
 	return l, nil
 }
 
-func (l *Ledger) open(now Moment) error {
+func (l *Ledger) open(now ClockReading) error {
 	text, err := recordfile.Read(l.fs, name, math.MaxInt64)
 	if err == nil {
 		err = l.book.load(text)
 	}
-	if err != nil && !disk.NotExist(err) {
+	if err != nil && !disk.IsNotExist(err) {
 		return err
 	}
 	l.follows = err == nil
 	l.book.recoverAt(now)
 	if err := l.rewrite(); err != nil {
-		if !disk.ForNow(err) {
+		if !disk.IsTransient(err) {
 			return err
 		}
 		l.fail()
@@ -100,14 +100,14 @@
 		if err := cbor.Unmarshal(line, &r); err != nil {
 			return nil
 		}
-		if r.Form > form {
-			return fmt.Errorf("%w: %d", ErrForm, r.Form)
+		if r.Version > form {
+			return fmt.Errorf("%w: %d", ErrNewerVersion, r.Version)
 		}
 		switch {
-		case r.Form == 0:
+		case r.Version == 0:
 			b.apply(&r, next-at)
-		case r.Began != nil: // the first form had Unix times and no such line: they are read as another boot's
-			b.begin(*r.Began, r.Last)
+		case r.OpenedAt != nil: // the first form had Unix times and no such line: they are read as another boot's
+			b.begin(*r.OpenedAt, r.Latest)
 		}
 		at = next
 	}
@@ -125,10 +125,10 @@
 
 // whole is a file that holds what is owed alone.
 func (b *book) whole() ([]byte, error) {
-	text, err := line(nil, &record{Form: form, Began: &b.began, Last: b.last})
+	text, err := line(nil, &record{Version: form, OpenedAt: &b.began, Latest: b.last})
 	for _, e := range b.entries() {
 		if err == nil {
-			text, err = line(text, &record{Take: e})
+			text, err = line(text, &record{Accepted: e})
 		}
 	}
 	for _, n := range b.pending() {
@@ -168,7 +168,7 @@
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	if r.Take != nil && !l.rules.takes(l.book.live, len(b)) {
+	if r.Accepted != nil && !l.rules.takes(l.book.live, len(b)) {
 		return ErrFull
 	}
 	if err = l.write(b); err == nil || counts {
@@ -213,17 +213,17 @@
 
 // keep keeps a line for Repair.
 func (l *Ledger) keep(b []byte) {
-	if l.out.Damaged() {
+	if l.out.NeedsReplace() {
 		return // the file is to be written anew
 	}
 	if l.pending = append(l.pending, b...); len(l.pending) > pendingMost {
 		l.pending = l.pending[:0]
-		l.out.Damage()
+		l.out.RequireReplace()
 	}
 }
 
-// Broken is sent to when the ledger begins to fail: then Repair is to be called, until it returns nil.
-func (l *Ledger) Broken() <-chan struct{} { return l.broken }
+// FailureStarted is sent to when the ledger begins to fail: then Repair is to be called, until it returns nil.
+func (l *Ledger) FailureStarted() <-chan struct{} { return l.broken }
 
 // Failing tells whether the file is not up to date.
 func (l *Ledger) Failing() bool {
@@ -244,7 +244,7 @@
 	if len(lines) == 0 { // whether the disk works shows by a line that says nothing
 		lines, err = line(nil, &record{})
 	}
-	if l.out.Damaged() || l.rules.compacts(l.book.live, l.out.Size(), len(lines)) {
+	if l.out.NeedsReplace() || l.rules.compacts(l.book.live, l.out.Size(), len(lines)) {
 		err = l.rewrite()
 	} else if err == nil {
 		err = l.out.Append(lines)
@@ -257,39 +257,41 @@
 }
 
 // Take records a message as taken on.
-func (l *Ledger) Take(e *Entry) error { return l.put(&record{Take: e}, false) }
+func (l *Ledger) Accept(e *Entry) error { return l.put(&record{Accepted: e}, false) }
 
 // Out records a call before it leaves: at is when it begins, zone where it goes. counts tells that it leaves even if that can't
 // be written.
-func (l *Ledger) Out(names []string, at clock.Instant, zone int, counts bool) error {
-	return l.put(&record{Out: &sent{names, at, zone}}, counts)
+func (l *Ledger) StartAttempts(names []string, at clock.Instant, zone int, counts bool) error {
+	return l.put(&record{Started: &sent{names, at, zone}}, counts)
 }
 
 // Back records the end of an attempt whose message has not ended, also of one that never went out: ran tells that it may have
 // run, unsent that it does not count as an attempt.
-func (l *Ledger) Back(name string, ran, unsent bool) error {
-	return l.put(&record{Back: &back{name, ran, unsent}}, true)
+func (l *Ledger) EndAttempt(name string, ran, unsent bool) error {
+	return l.put(&record{Ended: &back{name, ran, unsent}}, true)
 }
 
-// TakeBack records that an attempt that was recorded was not made.
-func (l *Ledger) TakeBack(name string) error {
-	return l.put(&record{Back: &back{name, false, true}}, true)
+// RevokeAttempt records that an attempt that was recorded was not made.
+func (l *Ledger) RevokeAttempt(name string) error {
+	return l.put(&record{Ended: &back{name, false, true}}, true)
 }
 
 // Over records that nothing is owed for a message any more.
-func (l *Ledger) Over(name string) error { return l.put(&record{Over: name}, true) }
+func (l *Ledger) Complete(name string) error { return l.put(&record{Completed: name}, true) }
 
-// End records that a message ended with a notice.
-func (l *Ledger) End(n Notice) error { return l.put(&record{Notice: &n}, true) }
+// CompleteWithNotice records that a message ended with a notice.
+func (l *Ledger) CompleteWithNotice(n Notice) error { return l.put(&record{Notice: &n}, true) }
 
 // Acked records that the platform has taken notices.
-func (l *Ledger) Acked(names []string) error { return l.put(&record{Acked: names}, true) }
+func (l *Ledger) AcknowledgeNotices(names []string) error {
+	return l.put(&record{Acknowledged: names}, true)
+}
 
-// Follows tells whether a process before this one has used the folder.
-func (l *Ledger) Follows() bool { return l.follows }
+// Reopened tells whether a process before this one has used the folder.
+func (l *Ledger) Reopened() bool { return l.follows }
 
-// Owed returns what is owed: messages, and notices not acknowledged, each in the order in which they were taken down.
-func (l *Ledger) Owed() (entries []Entry, notices []Notice) {
+// Outstanding returns what is owed: messages, and notices not acknowledged, each in the order in which they were taken down.
+func (l *Ledger) Outstanding() (entries []Entry, notices []Notice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.book.entries() {
@@ -301,8 +303,8 @@
 	return entries, notices
 }
 
-// Has tells whether a message is owed its end, or a notice of it is not acknowledged.
-func (l *Ledger) Has(name string) bool {
+// Contains tells whether a message is owed its end, or a notice of it is not acknowledged.
+func (l *Ledger) Contains(name string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.book.owed[name] != nil || l.book.notices[name] != nil
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -18,8 +18,8 @@
 const mb = 1 << 20
 
 // thisBoot is a moment of the boot that the tests' processes run in.
-func thisBoot(at clock.Instant) Moment {
-	return Moment{Boot: "this", At: at, Wall: 5_000_000 + int64(at)}
+func thisBoot(at clock.Instant) ClockReading {
+	return ClockReading{Boot: "this", At: at, Wall: 5_000_000 + int64(at)}
 }
 
 func open(t *testing.T, fs disk.FS, limit int64) *Ledger {
@@ -49,42 +49,42 @@
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
 	for _, n := range []string{"a", "b", "c", "d", "e"} {
-		must(t, l.Take(&Entry{Name: n, Class: "k", Dest: 3, Due: 77, Key: "key-" + n, Body: []byte("body " + n)}))
+		must(t, l.Accept(&Entry{Name: n, Class: "k", Destination: 3, Deadline: 77, IdempotencyKey: "key-" + n, Body: []byte("body " + n)}))
 	}
-	must(t, l.Out([]string{"a", "b"}, 100, 1, false)) // out when the process ends: a
-	must(t, l.Back("b", false, false))                // b never ran
-	must(t, l.Out([]string{"c"}, 110, 1, false))
-	must(t, l.Back("c", true, false)) // c may have run, in zone 1
-	must(t, l.Out([]string{"c"}, 120, 0, false))
-	must(t, l.Over("d"))
-	must(t, l.End(Notice{Name: "e", Deferred: true, Again: 40}))
+	must(t, l.StartAttempts([]string{"a", "b"}, 100, 1, false)) // out when the process ends: a
+	must(t, l.EndAttempt("b", false, false))                    // b never ran
+	must(t, l.StartAttempts([]string{"c"}, 110, 1, false))
+	must(t, l.EndAttempt("c", true, false)) // c may have run, in zone 1
+	must(t, l.StartAttempts([]string{"c"}, 120, 0, false))
+	must(t, l.Complete("d"))
+	must(t, l.CompleteWithNotice(Notice{Name: "e", Deferred: true, RetryAfterMillis: 40}))
 	l = reopen(t, l, fs, mb)
-	entries, notices := l.Owed()
+	entries, notices := l.Outstanding()
 	want := []Entry{
-		{Name: "a", Attempts: 1, ExecutedAt: 100, ExecutedZone: 1}, {Name: "b", Attempts: 1}, {Name: "c", Attempts: 2, ExecutedAt: 110, ExecutedZone: 1},
+		{Name: "a", Attempts: 1, PossiblyExecutedAt: 100, PossiblyExecutedZone: 1}, {Name: "b", Attempts: 1}, {Name: "c", Attempts: 2, PossiblyExecutedAt: 110, PossiblyExecutedZone: 1},
 	}
 	if len(entries) != len(want) {
 		t.Fatalf("owed %+v", entries)
 	}
 	for i, e := range entries {
 		w := want[i]
-		if e.Name != w.Name || e.Attempts != w.Attempts || e.OutAt != w.OutAt || e.OutZone != w.OutZone || e.ExecutedAt != w.ExecutedAt || e.ExecutedZone != w.ExecutedZone ||
-			e.Due != 77 || e.Key != "key-"+e.Name || string(e.Body) != "body "+e.Name {
+		if e.Name != w.Name || e.Attempts != w.Attempts || e.InFlightSince != w.InFlightSince || e.InFlightZone != w.InFlightZone || e.PossiblyExecutedAt != w.PossiblyExecutedAt || e.PossiblyExecutedZone != w.PossiblyExecutedZone ||
+			e.Deadline != 77 || e.IdempotencyKey != "key-"+e.Name || string(e.Body) != "body "+e.Name {
 			t.Errorf("owed %+v, want %+v", e, w)
 		}
 	}
-	if len(notices) != 1 || notices[0].Name != "e" || !notices[0].Deferred || notices[0].Again != 40 {
+	if len(notices) != 1 || notices[0].Name != "e" || !notices[0].Deferred || notices[0].RetryAfterMillis != 40 {
 		t.Errorf("notices %+v", notices)
 	}
-	must(t, l.Acked([]string{"e"}))
+	must(t, l.AcknowledgeNotices([]string{"e"}))
 	l = reopen(t, l, fs, mb)
-	if _, notices = l.Owed(); len(notices) != 0 {
+	if _, notices = l.Outstanding(); len(notices) != 0 {
 		t.Errorf("notices %+v after they were acknowledged", notices)
 	}
 }
 
 // The folder never holds more than it may, a compaction in progress included, and a full ledger refuses.
-func TestStaysWithinTheDisk(t *testing.T) {
+func TestStaysWithinTheLimit(t *testing.T) {
 	const limit = 256 << 10
 	fs := disk.NewMemory()
 	l := open(t, fs, limit)
@@ -101,18 +101,18 @@
 	full := 0
 	for i := range 3000 {
 		n := fmt.Sprintf("m%05d", i)
-		switch err := l.Take(&Entry{Name: n, Class: "k", Body: body}); {
+		switch err := l.Accept(&Entry{Name: n, Class: "k", Body: body}); {
 		case errors.Is(err, ErrFull):
 			full++
 			for _, h := range held[:len(held)/2] {
-				must(t, l.Over(h))
+				must(t, l.Complete(h))
 			}
 			held = held[len(held)/2:]
 		case err != nil:
 			t.Fatal(err)
 		default:
 			held = append(held, n)
-			must(t, l.Out([]string{n}, clock.Instant(i), 0, false))
+			must(t, l.StartAttempts([]string{n}, clock.Instant(i), 0, false))
 		}
 		file, live := l.Size()
 		most = max(most, used(), file+live)
@@ -121,7 +121,7 @@
 		t.Errorf("%d refused, at most %d bytes of %d", full, most, limit)
 	}
 	l = reopen(t, l, fs, limit)
-	if entries, _ := l.Owed(); len(entries) != len(held) {
+	if entries, _ := l.Outstanding(); len(entries) != len(held) {
 		t.Errorf("%d owed, want %d", len(entries), len(held))
 	}
 }
@@ -131,7 +131,7 @@
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
 	for i := range 5 {
-		must(t, l.Take(&Entry{Name: fmt.Sprint("m", i), Class: "k", Body: []byte("body")}))
+		must(t, l.Accept(&Entry{Name: fmt.Sprint("m", i), Class: "k", Body: []byte("body")}))
 	}
 	whole := bytes.Clone(fs.Bytes(name))
 	for cut := range whole {
@@ -149,9 +149,9 @@
 	}
 }
 
-func TestNewerFormIsRefused(t *testing.T) {
+func TestNewerVersionIsRejected(t *testing.T) {
 	fs := disk.NewMemory()
-	b, err := line(nil, &record{Form: form + 1})
+	b, err := line(nil, &record{Version: form + 1})
 	must(t, err)
 	f, err := fs.Create(name)
 	must(t, err)
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	must(t, f.Close())
-	if _, err := Open(fs, mb, thisBoot(1)); !errors.Is(err, ErrForm) {
+	if _, err := Open(fs, mb, thisBoot(1)); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -185,13 +185,13 @@
 			body := bytes.Repeat([]byte("x"), 3000)
 			for i := range 60 {
 				m := fmt.Sprint("m", i)
-				if l.Take(&Entry{Name: m, Class: "k", Body: body}) == nil {
+				if l.Accept(&Entry{Name: m, Class: "k", Body: body}) == nil {
 					owed[m] = true
-					_ = l.Out([]string{m}, 5, 0, false)
+					_ = l.StartAttempts([]string{m}, 5, 0, false)
 				}
 				_ = l.Repair() // as often as something happens
 				if o := fmt.Sprint("m", i-3); owed[o] {
-					_ = l.Over(o) // it is over whatever the disk says
+					_ = l.Complete(o) // it is over whatever the disk says
 					delete(owed, o)
 					over[o] = true
 				}
@@ -199,10 +199,10 @@
 			last := n
 			fs.SetFail(nil)
 			must(t, l.Repair())
-			must(t, l.Take(&Entry{Name: "after", Class: "k"}))
+			must(t, l.Accept(&Entry{Name: "after", Class: "k"}))
 			owed["after"] = true
 			l = reopen(t, l, fs, 64<<10)
-			entries, _ := l.Owed()
+			entries, _ := l.Outstanding()
 			var got []string
 			for _, e := range entries {
 				got = append(got, e.Name)
@@ -244,30 +244,30 @@
 				}
 				if len(notices) > 20 { // the platform takes them in the end
 					all := slices.Sorted(maps.Keys(notices))
-					_ = l.Acked(all)
+					_ = l.AcknowledgeNotices(all)
 					clear(notices)
 				}
 				switch k := rng.IntN(5); {
 				case k < 2:
 					name = fmt.Sprint("m", next)
 					next++
-					if l.Take(&Entry{Name: name, Class: "k", Body: make([]byte, rng.IntN(900))}) == nil {
+					if l.Accept(&Entry{Name: name, Class: "k", Body: make([]byte, rng.IntN(900))}) == nil {
 						owed[name] = true
 					}
 				case name == "":
 				case k == 2:
-					_ = l.Over(name) // over it is, whatever the disk says
+					_ = l.Complete(name) // over it is, whatever the disk says
 					delete(owed, name)
-				case k == 3 && l.End(Notice{Name: name}) == nil:
+				case k == 3 && l.CompleteWithNotice(Notice{Name: name}) == nil:
 					delete(owed, name)
 					notices[name] = true
 				default:
-					_ = l.Out([]string{name}, 1, 0, false)
+					_ = l.StartAttempts([]string{name}, 1, 0, false)
 				}
 			}
 			fs.SetFail(nil)
 			l = reopen(t, l, fs, 32<<10)
-			entries, pending := l.Owed()
+			entries, pending := l.Outstanding()
 			have, told := map[string]bool{}, map[string]bool{}
 			for _, e := range entries {
 				have[e.Name] = true
@@ -290,7 +290,7 @@
 	}
 }
 
-func TestRulesLeaveRoomForACompaction(t *testing.T) {
+func TestSpaceForACompaction(t *testing.T) {
 	r := rules{room: 1000}
 	if !r.takes(0, 300) || r.takes(300, 100) || r.takes(0, 400) {
 		t.Error("what may be owed is not bounded as said")
@@ -301,9 +301,9 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	one, _ := line(nil, &record{Form: form})
-	one, _ = line(one, &record{Take: &Entry{Name: "a", Class: "k"}})
-	one, _ = line(one, &record{Out: &sent{Names: []string{"a"}, At: 3}})
+	one, _ := line(nil, &record{Version: form})
+	one, _ = line(one, &record{Accepted: &Entry{Name: "a", Class: "k"}})
+	one, _ = line(one, &record{Started: &sent{Names: []string{"a"}, At: 3}})
 	f.Add(one)
 	f.Add(slices.Concat(one, []byte{1, 2, 3}))
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/ledger/moment_test.go
+++ b/internal/ledger/moment_test.go
@@ -11,17 +11,17 @@
 
 // restartAt has a message taken on and called once by one process, and opens its ledger at another moment. The message is
 // taken on at 100 s with 8 s to live, its call leaves at 101 s.
-func restartAt(t *testing.T, now Moment) Entry {
+func restartAt(t *testing.T, now ClockReading) Entry {
 	t.Helper()
 	fs := disk.NewMemory()
-	l, err := Open(fs, mb, Moment{Boot: "this", At: 90 * second, Wall: int64(1000 * second)})
+	l, err := Open(fs, mb, ClockReading{Boot: "this", At: 90 * second, Wall: int64(1000 * second)})
 	must(t, err)
-	must(t, l.Take(&Entry{Name: "m", Class: "k", TakenAt: 100 * second, Due: 108 * second}))
-	must(t, l.Out([]string{"m"}, 101*second, 1, false))
+	must(t, l.Accept(&Entry{Name: "m", Class: "k", AcceptedAt: 100 * second, Deadline: 108 * second}))
+	must(t, l.StartAttempts([]string{"m"}, 101*second, 1, false))
 	must(t, l.Close())
 	l, err = Open(fs, mb, now)
 	must(t, err)
-	entries, _ := l.Owed()
+	entries, _ := l.Outstanding()
 	if len(entries) != 1 {
 		t.Fatalf("owed %+v", entries)
 	}
@@ -33,25 +33,25 @@
 	const wallThen = int64(1012 * second) // the wall clock at 102 s of the first boot
 	for _, c := range []struct {
 		name     string
-		now      Moment
+		now      ClockReading
 		left     clock.Instant // until its time is over
 		called   clock.Instant // since its call
 		longPast bool          // instead: so long ago that no window is open
 	}{
-		{"same boot", Moment{"this", 102 * second, wallThen}, 6 * second, second, false},
-		{"same boot, wall clock an hour back", Moment{"this", 102 * second, wallThen - int64(3600*second)}, 6 * second, second, false},
-		{"same boot, wall clock an hour on", Moment{"this", 102 * second, wallThen + int64(3600*second)}, 6 * second, second, false},
-		{"same boot, its time is over", Moment{"this", 120 * second, wallThen}, -12 * second, 19 * second, false},
-		{"another boot", Moment{"other", 5 * second, wallThen}, 6 * second, 0, true},
-		{"another boot, some seconds later", Moment{"other", 5 * second, wallThen + int64(4*second)}, 2 * second, 0, true},
-		{"another boot, long after", Moment{"other", 5 * second, wallThen + int64(600*second)}, 0, 0, true},
-		{"another boot, wall clock an hour back", Moment{"other", 5 * second, wallThen - int64(3600*second)}, 7 * second, 0, true},
-		{"the boot is not known", Moment{"", 102 * second, wallThen}, 6 * second, 0, true},
-		{"a clock that went back", Moment{"this", 95 * second, wallThen}, 6 * second, 0, true},
+		{"same boot", ClockReading{"this", 102 * second, wallThen}, 6 * second, second, false},
+		{"same boot, wall clock an hour back", ClockReading{"this", 102 * second, wallThen - int64(3600*second)}, 6 * second, second, false},
+		{"same boot, wall clock an hour on", ClockReading{"this", 102 * second, wallThen + int64(3600*second)}, 6 * second, second, false},
+		{"same boot, its time is over", ClockReading{"this", 120 * second, wallThen}, -12 * second, 19 * second, false},
+		{"another boot", ClockReading{"other", 5 * second, wallThen}, 6 * second, 0, true},
+		{"another boot, some seconds later", ClockReading{"other", 5 * second, wallThen + int64(4*second)}, 2 * second, 0, true},
+		{"another boot, long after", ClockReading{"other", 5 * second, wallThen + int64(600*second)}, 0, 0, true},
+		{"another boot, wall clock an hour back", ClockReading{"other", 5 * second, wallThen - int64(3600*second)}, 7 * second, 0, true},
+		{"the boot is not known", ClockReading{"", 102 * second, wallThen}, 6 * second, 0, true},
+		{"a clock that went back", ClockReading{"this", 95 * second, wallThen}, 6 * second, 0, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := restartAt(t, c.now)
-			if left := e.Due - c.now.At; left != c.left {
+			if left := e.Deadline - c.now.At; left != c.left {
 				t.Errorf("%d us left, want %d", left, c.left)
 			}
 			at, zone, ok := e.PossiblyExecuted()
@@ -66,36 +66,36 @@
 }
 
 // The careful reading is kept: what a process of another boot concludes holds for the next one of that boot.
-func TestCarefulReadingOutlivesTheProcess(t *testing.T) {
+func TestRebasedTimesAreKept(t *testing.T) {
 	fs := disk.NewMemory()
-	l, err := Open(fs, mb, Moment{Boot: "first", At: 100 * second, Wall: int64(100 * second)})
+	l, err := Open(fs, mb, ClockReading{Boot: "first", At: 100 * second, Wall: int64(100 * second)})
 	must(t, err)
-	must(t, l.Take(&Entry{Name: "m", Class: "k", TakenAt: 100 * second, Due: 130 * second}))
-	must(t, l.Out([]string{"m"}, 101*second, 0, false))
+	must(t, l.Accept(&Entry{Name: "m", Class: "k", AcceptedAt: 100 * second, Deadline: 130 * second}))
+	must(t, l.StartAttempts([]string{"m"}, 101*second, 0, false))
 	must(t, l.Close())
 	for _, at := range []clock.Instant{5 * second, 6 * second, 7 * second} {
-		l, err = Open(fs, mb, Moment{Boot: "second", At: at, Wall: int64(105*second + at)})
+		l, err = Open(fs, mb, ClockReading{Boot: "second", At: at, Wall: int64(105*second + at)})
 		must(t, err)
-		entries, _ := l.Owed()
+		entries, _ := l.Outstanding()
 		if since, _, ok := entries[0].PossiblyExecuted(); !ok || since != longAgo {
 			t.Errorf("at %d: possibly executed at %d, %v", at, since, ok)
 		}
-		if left := entries[0].Due - at; left != 20*second-(at-5*second) {
+		if left := entries[0].Deadline - at; left != 20*second-(at-5*second) {
 			t.Errorf("at %d: %d us left", at, left)
 		}
-		must(t, l.Out([]string{"m"}, at, 0, false))
-		must(t, l.Back("m", false, false))
+		must(t, l.StartAttempts([]string{"m"}, at, 0, false))
+		must(t, l.EndAttempt("m", false, false))
 		must(t, l.Close())
 	}
 }
 
 // A ledger of the first form, with Unix times, is read as one of another boot.
-func TestFirstFormIsRead(t *testing.T) {
+func TestFormatVersion1IsRead(t *testing.T) {
 	fs := disk.NewMemory()
 	unix := 1_700_000_000 * second
-	b, err := line(nil, &record{Form: 1})
+	b, err := line(nil, &record{Version: 1})
 	must(t, err)
-	for _, r := range []record{{Take: &Entry{Name: "m", Class: "k", Due: unix + 8*second}}, {Out: &sent{Names: []string{"m"}, At: unix}}} {
+	for _, r := range []record{{Accepted: &Entry{Name: "m", Class: "k", Deadline: unix + 8*second}}, {Started: &sent{Names: []string{"m"}, At: unix}}} {
 		b, err = line(b, &r)
 		must(t, err)
 	}
@@ -104,10 +104,10 @@
 	_, err = f.Write(b)
 	must(t, err)
 	must(t, f.Close())
-	l, err := Open(fs, mb, Moment{Boot: "this", At: 50 * second, Wall: int64(unix + 3*second)})
+	l, err := Open(fs, mb, ClockReading{Boot: "this", At: 50 * second, Wall: int64(unix + 3*second)})
 	must(t, err)
-	entries, _ := l.Owed()
-	if len(entries) != 1 || entries[0].Due != 55*second || entries[0].ExecutedAt != longAgo || entries[0].OutAt != 0 {
+	entries, _ := l.Outstanding()
+	if len(entries) != 1 || entries[0].Deadline != 55*second || entries[0].PossiblyExecutedAt != longAgo || entries[0].InFlightSince != 0 {
 		t.Errorf("owed %+v", entries)
 	}
 }
--- a/internal/ledger/outage.go
+++ b/internal/ledger/outage.go
@@ -10,25 +10,27 @@
 // Outage is what is known of the outage of an endpoint, or of its return from one (see control.Outage), by the name that
 // outlives processes.
 type Outage struct {
-	Host     string        `cbor:"1,keyasint"`
-	Suspect  bool          `cbor:"2,keyasint,omitempty"`
-	FailedAt clock.Instant `cbor:"3,keyasint,omitempty"`
-	DownAt   clock.Instant `cbor:"4,keyasint,omitempty"`
-	Failures int           `cbor:"5,keyasint,omitempty"`
-	Proven   bool          `cbor:"6,keyasint,omitempty"`
-	ColdAt   clock.Instant `cbor:"7,keyasint,omitempty"`
-	FullAt   clock.Instant `cbor:"8,keyasint,omitempty"`
-	Errors   int           `cbor:"9,keyasint,omitempty"`
-	Push     float64       `cbor:"10,keyasint,omitempty"`
+	Host                string        `cbor:"1,keyasint"`
+	Suspect             bool          `cbor:"2,keyasint,omitempty"`
+	LastFailedAt        clock.Instant `cbor:"3,keyasint,omitempty"`
+	FirstFailedAt       clock.Instant `cbor:"4,keyasint,omitempty"`
+	ConsecutiveFailures int           `cbor:"5,keyasint,omitempty"`
+	LastNotExecuted     bool          `cbor:"6,keyasint,omitempty"`
+	RecoveredAt         clock.Instant `cbor:"7,keyasint,omitempty"`
+	RefusingSince       clock.Instant `cbor:"8,keyasint,omitempty"`
+	ConsecutiveErrors   int           `cbor:"9,keyasint,omitempty"`
+	Push                float64       `cbor:"10,keyasint,omitempty"`
 }
 
 // over tells that nothing is left to be known.
-func (o *Outage) over() bool { return !o.Suspect && o.Errors == 0 && o.ColdAt == 0 && o.FullAt == 0 }
+func (o *Outage) over() bool {
+	return !o.Suspect && o.ConsecutiveErrors == 0 && o.RecoveredAt == 0 && o.RefusingSince == 0
+}
 
 // rebase puts an outage of another boot on this one's clock. How long ago anything was is not known: it counts as of now, so
 // that a return is taken as carefully as it ever was.
-func (o *Outage) rebase(now Moment) {
-	for _, at := range []*clock.Instant{&o.FailedAt, &o.DownAt, &o.ColdAt, &o.FullAt} {
+func (o *Outage) rebase(now ClockReading) {
+	for _, at := range []*clock.Instant{&o.LastFailedAt, &o.FirstFailedAt, &o.RecoveredAt, &o.RefusingSince} {
 		if *at > 0 {
 			*at = now.At
 		}
@@ -63,8 +65,8 @@
 	return all
 }
 
-// Learn records what is known of outages; an entry with nothing known takes its host off the record.
-func (l *Ledger) Learn(changed []Outage) error { return l.put(&record{Outages: changed}, true) }
+// UpdateOutages records what is known of outages; an entry with nothing known takes its host off the record.
+func (l *Ledger) UpdateOutages(changed []Outage) error { return l.put(&record{Outages: changed}, true) }
 
 // Outages returns those on record, by name.
 func (l *Ledger) Outages() []Outage {
--- a/internal/logstore/plan/plan.go
+++ b/internal/logstore/plan/plan.go
@@ -18,64 +18,64 @@
 	RetryEvery   time.Duration // a disk that failed is tried again after this
 }
 
-// Waiting is what has not been written.
-type Waiting struct {
-	Bytes  int
-	Since  time.Duration // when the oldest of it was appended
-	Urgent bool          // somebody waits for it to be on disk
-	Failed time.Duration // when the disk failed last, 0 while it works
+// Backlog is what has not been written.
+type Backlog struct {
+	Bytes    int
+	OldestAt time.Duration // when the oldest of it was appended
+	Urgent   bool          // somebody waits for it to be on disk
+	FailedAt time.Duration // when the disk failed last, 0 while it works
 }
 
-// Commit tells when what waits is to be written and synced; ok is false where nothing waits.
-func (p *Policy) Commit(w Waiting) (at time.Duration, ok bool) {
+// NextCommit tells when what waits is to be written and synced; ok is false where nothing waits.
+func (p *Policy) NextCommit(w Backlog) (at time.Duration, ok bool) {
 	switch {
-	case w.Failed > 0:
-		return w.Failed + p.RetryEvery, true
+	case w.FailedAt > 0:
+		return w.FailedAt + p.RetryEvery, true
 	case w.Bytes == 0:
 		return 0, false
 	case w.Urgent || w.Bytes >= p.SyncBytes:
-		return w.Since, true
+		return w.OldestAt, true
 	}
-	return w.Since + p.SyncWithin, true
+	return w.OldestAt + p.SyncWithin, true
 }
 
-// Rotate tells whether the open segment is to be closed before the next record.
-func (p *Policy) Rotate(bytes int64, age time.Duration) bool {
+// ShouldRotate tells whether the open segment is to be closed before the next record.
+func (p *Policy) ShouldRotate(bytes int64, age time.Duration) bool {
 	return bytes >= p.SegmentBytes || p.SegmentAge > 0 && age >= p.SegmentAge
 }
 
 // Segment is a closed one.
 type Segment struct {
-	First      uint64
+	FirstSeq   uint64
 	Bytes      int64     // on disk
-	Last       time.Time // when it was closed
+	ClosedAt   time.Time // when it was closed
 	Compressed bool
 }
 
-// Compress names the next segment to compress: the oldest that is not.
-func (p *Policy) Compress(closed []Segment) (first uint64, ok bool) {
+// NextToCompress names the next segment to compress: the oldest that is not.
+func (p *Policy) NextToCompress(closed []Segment) (first uint64, ok bool) {
 	for _, s := range closed {
 		if !s.Compressed {
-			return s.First, true
+			return s.FirstSeq, true
 		}
 	}
 	return 0, false
 }
 
-// Drop names the segments past what is kept, oldest first. A clock that was set back drops nothing by age.
-func (p *Policy) Drop(closed []Segment, now time.Time) (firsts []uint64) {
+// Expired names the segments past what is kept, oldest first. A clock that was set back drops nothing by age.
+func (p *Policy) Expired(closed []Segment, now time.Time) (firsts []uint64) {
 	var sum int64
 	for _, s := range closed {
 		sum += s.Bytes
 	}
 	old := slices.Clone(closed)
-	slices.SortFunc(old, func(a, b Segment) int { return int(min(max(int64(a.First)-int64(b.First), -1), 1)) })
+	slices.SortFunc(old, func(a, b Segment) int { return int(min(max(int64(a.FirstSeq)-int64(b.FirstSeq), -1), 1)) })
 	for _, s := range old {
-		if !(p.KeepBytes > 0 && sum > p.KeepBytes || p.KeepFor > 0 && now.Sub(s.Last) > p.KeepFor) {
+		if !(p.KeepBytes > 0 && sum > p.KeepBytes || p.KeepFor > 0 && now.Sub(s.ClosedAt) > p.KeepFor) {
 			break // what is kept has no holes
 		}
 		sum -= s.Bytes
-		firsts = append(firsts, s.First)
+		firsts = append(firsts, s.FirstSeq)
 	}
 	return firsts
 }
--- a/internal/logstore/read.go
+++ b/internal/logstore/read.go
@@ -10,7 +10,7 @@
 )
 
 // recover lists the segments, cuts the torn end of the last one and makes missing indexes anew.
-func (s *Store) recover(rep *Report) error {
+func (s *Store) recover(rep *RecoveryReport) error {
 	names, err := s.fs.List()
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 }
 
 // load takes one segment on. A compressed one whose plain file is still there was about to lose that.
-func (s *Store) load(first uint64, files map[string]bool, last bool, rep *Report) (g segment, err error) {
+func (s *Store) load(first uint64, files map[string]bool, last bool, rep *RecoveryReport) (g segment, err error) {
 	g = segment{first: first, packed: files[suffixPacked]}
 	if g.packed && files[suffixOpen] && !s.opt.ReadOnly {
 		if err := s.fs.Remove(fileName(first, suffixOpen)); err != nil {
@@ -80,7 +80,7 @@
 }
 
 // mend reads a segment that was not closed in order, up to the last whole record.
-func (s *Store) mend(g *segment, f disk.File, last bool, rep *Report) error {
+func (s *Store) mend(g *segment, f disk.File, last bool, rep *RecoveryReport) error {
 	b, err := s.segment(*g)
 	if err != nil && g.packed {
 		rep.Problems = append(rep.Problems, fmt.Sprintf("segment %x: %v", g.first, err))
@@ -97,7 +97,7 @@
 			return f.Close()
 		}
 		// A crash between making the file and its first sync: no record of it was ever durable.
-		rep.Torn += int64(len(b))
+		rep.TornBytes += int64(len(b))
 		if s.opt.ReadOnly {
 			return f.Close()
 		}
@@ -116,7 +116,7 @@
 		at = next
 	}
 	if torn := int64(len(b) - at); torn > 0 && !g.packed {
-		rep.Torn += torn
+		rep.TornBytes += torn
 		if s.opt.ReadOnly {
 			s.last.bytes = int64(at)
 			*g = s.last
@@ -140,7 +140,7 @@
 		s.closed = append(s.closed, *g)
 		return f.Close()
 	}
-	g.closed = s.opt.Wall()
+	g.closed = s.opt.WallClock()
 	s.closed = append(s.closed, *g)
 	err = s.replace(fileName(g.first, suffixIndex), appendIndex(nil, g.records, g.closed, s.marks))
 	return errors.Join(err, f.Close())
@@ -224,7 +224,7 @@
 	g := s.closed[s.verified]
 	s.mu.Unlock()
 	err := s.each(g, func(uint64, []byte) error { return nil })
-	if disk.NotExist(err) { // compressed or dropped meanwhile
+	if disk.IsNotExist(err) { // compressed or dropped meanwhile
 		return nil
 	}
 	return err
@@ -275,10 +275,10 @@
 
 // Usage is what the store takes on disk.
 type Usage struct {
-	Segments, Packed int
-	Bytes            int64
-	From, Next       uint64
-	Since            time.Time
+	Segments, Compressed int
+	Bytes                int64
+	FirstSeq, NextSeq    uint64
+	OldestCreatedAt      time.Time
 }
 
 // Usage sums the store up.
@@ -286,15 +286,15 @@
 	all := s.segments()
 	u := Usage{Segments: len(all)}
 	s.mu.Lock()
-	u.Next = s.next
+	u.NextSeq = s.next
 	s.mu.Unlock()
 	for i, g := range all {
 		u.Bytes += g.bytes
 		if g.packed {
-			u.Packed++
+			u.Compressed++
 		}
 		if i == 0 {
-			u.From, u.Since = g.first, g.made
+			u.FirstSeq, u.OldestCreatedAt = g.first, g.made
 		}
 	}
 	return u
--- a/internal/logstore/store.go
+++ b/internal/logstore/store.go
@@ -17,24 +17,24 @@
 	"whinrun/internal/logstore/plan"
 )
 
-// ErrBehind tells that the disk fails and no more records are kept for it.
-var ErrBehind = errors.New("the log can't be written, and what waits for it is at its bound")
+// ErrBacklogFull tells that the disk fails and no more records are kept for it.
+var ErrBacklogFull = errors.New("the log can't be written, and what waits for it is at its bound")
 
 // Options of a Store.
 type Options struct {
-	Policy plan.Policy
-	Buffer int                           // bytes that may wait for the disk
-	Labels func(payload []byte) []uint64 // labels of a record, for look-ups
-	Wall   func() time.Time
+	Policy          plan.Policy
+	MaxPendingBytes int                           // bytes that may wait for the disk
+	Labels          func(payload []byte) []uint64 // labels of a record, for look-ups
+	WallClock       func() time.Time
 	// ReadOnly opens beside a running writer: nothing is locked, mended or written, a torn end is passed over.
 	ReadOnly bool
 }
 
-// Report is what Open found.
-type Report struct {
-	Records  uint64   // that are there
-	Torn     int64    // bytes at the end of the last segment that were not whole; they are kept in a file of their own
-	Problems []string // gaps, indexes made anew
+// RecoveryReport is what Open found.
+type RecoveryReport struct {
+	Records   uint64   // that are there
+	TornBytes int64    // bytes at the end of the last segment that were not whole; they are kept in a file of their own
+	Problems  []string // gaps, indexes made anew
 }
 
 // segment is one file of records.
@@ -53,28 +53,28 @@
 	opt    Options
 	unlock io.Closer
 
-	mu       sync.Mutex
-	closed   []segment
-	last     segment
-	file     disk.File
-	marks    []mark // of the last segment, written and not
-	next     uint64 // number of the next record
-	durable  uint64 // all below are on disk
-	verified int    // of closed: read again last
-	pending  []byte // whole records, from written on
-	labels   []tag  // of those
-	written  uint64 // number of the first record in pending
-	since    time.Duration
-	urgent   bool
-	failed   time.Duration
-	lastErr  error
-	Dropped  uint64 // records for which there was no room while the disk failed
+	mu              sync.Mutex
+	closed          []segment
+	last            segment
+	file            disk.File
+	marks           []mark // of the last segment, written and not
+	next            uint64 // number of the next record
+	durable         uint64 // all below are on disk
+	verified        int    // of closed: read again last
+	pending         []byte // whole records, from written on
+	labels          []tag  // of those
+	written         uint64 // number of the first record in pending
+	since           time.Duration
+	urgent          bool
+	failed          time.Duration
+	lastErr         error
+	RejectedRecords uint64 // records for which there was no room while the disk failed
 }
 
 // Open reads what is there and makes it whole.
-func Open(fs disk.FS, opt Options) (*Store, Report, error) {
+func Open(fs disk.FS, opt Options) (*Store, RecoveryReport, error) {
 	s := &Store{fs: fs, opt: opt}
-	var rep Report
+	var rep RecoveryReport
 	if !opt.ReadOnly {
 		lock, err := fs.Lock()
 		if err != nil {
@@ -119,9 +119,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.pending)+len(payload)+recordHead > s.opt.Buffer {
-		s.Dropped++
-		return 0, ErrBehind
+	if len(s.pending)+len(payload)+recordHead > s.opt.MaxPendingBytes {
+		s.RejectedRecords++
+		return 0, ErrBacklogFull
 	}
 	if len(s.pending) == 0 {
 		s.since, s.written = now, s.next
@@ -141,8 +141,8 @@
 	return s.durable
 }
 
-// Urge has what waits written at once.
-func (s *Store) Urge() {
+// RequestCommit has what waits written at once.
+func (s *Store) RequestCommit() {
 	s.mu.Lock()
 	s.urgent = true
 	s.mu.Unlock()
@@ -158,11 +158,11 @@
 	return s.lastErr
 }
 
-// Due tells when Commit is to be called.
-func (s *Store) Due() (time.Duration, bool) {
+// NextCommit tells when Commit is to be called.
+func (s *Store) NextCommit() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opt.Policy.Commit(plan.Waiting{Bytes: len(s.pending), Since: s.since, Urgent: s.urgent, Failed: s.failed})
+	return s.opt.Policy.NextCommit(plan.Backlog{Bytes: len(s.pending), OldestAt: s.since, Urgent: s.urgent, FailedAt: s.failed})
 }
 
 // Commit writes and syncs what waits: one write and one sync for all of it. While the disk fails nothing of it is
@@ -195,7 +195,7 @@
 
 // write puts a batch into the open segment, which is closed before where that is due.
 func (s *Store) write(batch []byte, labels []tag, from, next uint64) error {
-	if s.file != nil && s.opt.Policy.Rotate(s.last.bytes, s.opt.Wall().Sub(s.last.made)) {
+	if s.file != nil && s.opt.Policy.ShouldRotate(s.last.bytes, s.opt.WallClock().Sub(s.last.made)) {
 		if err := s.rotate(); err != nil {
 			return fmt.Errorf("close segment %x: %w", s.last.first, err)
 		}
@@ -238,7 +238,7 @@
 
 // begin makes a new segment. Its head is on disk before it has a record.
 func (s *Store) begin(first uint64) error {
-	made := s.opt.Wall()
+	made := s.opt.WallClock()
 	f, err := s.fs.Create(fileName(first, suffixOpen))
 	if err != nil {
 		return err
@@ -262,7 +262,7 @@
 
 // rotate closes the open segment with its index.
 func (s *Store) rotate() error {
-	now := s.opt.Wall()
+	now := s.opt.WallClock()
 	if err := s.replace(fileName(s.last.first, suffixIndex), appendIndex(nil, s.last.records, now, s.marks)); err != nil {
 		return err
 	}
@@ -282,7 +282,7 @@
 	_ = s.file.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last.closed = s.opt.Wall()
+	s.last.closed = s.opt.WallClock()
 	s.closed = append(s.closed, s.last)
 	s.file, s.marks = nil, nil
 }
@@ -318,19 +318,19 @@
 	return s.fs.SyncDir()
 }
 
-// Tend does one piece of upkeep: it drops what is past its time, or compresses a closed segment. It tells whether
+// Maintain does one piece of upkeep: it drops what is past its time, or compresses a closed segment. It tells whether
 // there may be more to do.
-func (s *Store) Tend() (more bool, err error) {
+func (s *Store) Maintain() (more bool, err error) {
 	s.mu.Lock()
 	var all []plan.Segment
 	for _, g := range s.closed {
-		all = append(all, plan.Segment{First: g.first, Bytes: g.bytes, Last: g.closed, Compressed: g.packed})
+		all = append(all, plan.Segment{FirstSeq: g.first, Bytes: g.bytes, ClosedAt: g.closed, Compressed: g.packed})
 	}
 	s.mu.Unlock()
-	if drop := s.opt.Policy.Drop(all, s.opt.Wall()); len(drop) > 0 {
+	if drop := s.opt.Policy.Expired(all, s.opt.WallClock()); len(drop) > 0 {
 		return true, s.drop(drop[0])
 	}
-	if first, ok := s.opt.Policy.Compress(all); ok {
+	if first, ok := s.opt.Policy.NextToCompress(all); ok {
 		return true, s.pack(first)
 	}
 	return false, nil
@@ -344,7 +344,7 @@
 	s.closed = slices.Delete(s.closed, i, i+1)
 	s.mu.Unlock()
 	for _, suffix := range []string{g.suffix(), suffixIndex} {
-		if err := s.fs.Remove(fileName(first, suffix)); err != nil && !disk.NotExist(err) {
+		if err := s.fs.Remove(fileName(first, suffix)); err != nil && !disk.IsNotExist(err) {
 			return fmt.Errorf("drop segment %x: %w", first, err)
 		}
 	}
--- a/internal/logstore/store_test.go
+++ b/internal/logstore/store_test.go
@@ -17,9 +17,9 @@
 
 func options() Options {
 	wall := time.Unix(1e9, 0)
-	return Options{Buffer: 1 << 16, Policy: plan.Policy{SyncWithin: 10 * time.Millisecond, SyncBytes: 4096, SegmentBytes: 600, RetryEvery: time.Second},
-		Labels: func(p []byte) []uint64 { return []uint64{uint64(p[0]), 1000} },
-		Wall:   func() time.Time { wall = wall.Add(time.Second); return wall }}
+	return Options{MaxPendingBytes: 1 << 16, Policy: plan.Policy{SyncWithin: 10 * time.Millisecond, SyncBytes: 4096, SegmentBytes: 600, RetryEvery: time.Second},
+		Labels:    func(p []byte) []uint64 { return []uint64{uint64(p[0]), 1000} },
+		WallClock: func() time.Time { wall = wall.Add(time.Second); return wall }}
 }
 
 func payload(i int) []byte {
@@ -38,7 +38,7 @@
 
 func number(p []byte) int { return int(binary.LittleEndian.Uint64(p[1:])) }
 
-func open(t *testing.T, fs disk.FS) (*Store, Report) {
+func open(t *testing.T, fs disk.FS) (*Store, RecoveryReport) {
 	t.Helper()
 	s, rep, err := Open(fs, options())
 	if err != nil {
@@ -101,14 +101,14 @@
 	}
 	check(s)
 	for {
-		if more, err := s.Tend(); err != nil {
+		if more, err := s.Maintain(); err != nil {
 			t.Fatal(err)
 		} else if !more {
 			break
 		}
 	}
 	u := s.Usage()
-	if u.Packed < 5 || u.Packed != u.Segments-1 {
+	if u.Compressed < 5 || u.Compressed != u.Segments-1 {
 		t.Errorf("%+v", u)
 	}
 	check(s)
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	s, rep := open(t, fs)
-	if rep.Records != 200 || rep.Torn != 0 || len(rep.Problems) != 0 {
+	if rep.Records != 200 || rep.TornBytes != 0 || len(rep.Problems) != 0 {
 		t.Errorf("%+v", rep)
 	}
 	check(s)
@@ -153,9 +153,9 @@
 			t.Fatalf("crash %d: %d records, %d durable, %d appended", crash, len(got), durable, next)
 		}
 		next, durable = len(got), len(got)
-		ops := fs.Ops + rng.IntN(40)
+		ops := fs.OpCount + rng.IntN(40)
 		fs.Fail = func(string, string) error {
-			if fs.Ops >= ops {
+			if fs.OpCount >= ops {
 				return errDisk
 			}
 			return nil
@@ -170,7 +170,7 @@
 					durable = next
 				}
 			case 1:
-				_, _ = s.Tend()
+				_, _ = s.Maintain()
 			}
 		}
 		fs.Crash(rng)
@@ -185,9 +185,9 @@
 	for bad := range 60 {
 		fs := disk.NewMemory()
 		s, _ := open(t, fs)
-		start, failed := fs.Ops, false
+		start, failed := fs.OpCount, false
 		fs.Fail = func(string, string) error {
-			if fs.Ops == start+bad+1 && !failed {
+			if fs.OpCount == start+bad+1 && !failed {
 				failed = true
 				return errDisk
 			}
@@ -203,7 +203,7 @@
 				}
 			}
 			if i%10 == 9 {
-				_, _ = s.Tend()
+				_, _ = s.Maintain()
 			}
 		}
 		if err := s.Commit(time.Second); err != nil || s.Failing() != nil {
@@ -235,7 +235,7 @@
 	}
 	n := 10
 	for ; ; n++ {
-		if err := add(s, n); errors.Is(err, ErrBehind) {
+		if err := add(s, n); errors.Is(err, ErrBacklogFull) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -246,15 +246,15 @@
 			}
 		}
 	}
-	if at, ok := s.Due(); !ok || at != 2*time.Second {
+	if at, ok := s.NextCommit(); !ok || at != 2*time.Second {
 		t.Errorf("tried again at %v", at)
 	}
 	fs.Fail = nil
 	if err := s.Commit(2 * time.Second); err != nil || s.Failing() != nil {
 		t.Fatal(err)
 	}
-	if got := all(t, s); len(got) != n || s.Dropped != 1 {
-		t.Errorf("%d of %d records, %d dropped", len(got), n, s.Dropped)
+	if got := all(t, s); len(got) != n || s.RejectedRecords != 1 {
+		t.Errorf("%d of %d records, %d dropped", len(got), n, s.RejectedRecords)
 	}
 }
 
@@ -293,7 +293,7 @@
 	}
 	s, rep = open(t, fs)
 	u := s.Usage()
-	if u.From == 1 || len(rep.Problems) != 0 {
+	if u.FirstSeq == 1 || len(rep.Problems) != 0 {
 		t.Errorf("%+v %v", u, rep.Problems)
 	}
 	_ = s.Close(time.Second)
@@ -312,25 +312,25 @@
 func TestPlan(t *testing.T) {
 	p := plan.Policy{SyncWithin: 10, SyncBytes: 100, SegmentBytes: 1000, SegmentAge: time.Hour, KeepFor: 24 * time.Hour, KeepBytes: 250, RetryEvery: 50}
 	for _, c := range []struct {
-		w  plan.Waiting
+		w  plan.Backlog
 		at time.Duration
 		ok bool
-	}{{plan.Waiting{}, 0, false}, {plan.Waiting{Bytes: 5, Since: 100}, 110, true}, {plan.Waiting{Bytes: 100, Since: 100}, 100, true},
-		{plan.Waiting{Bytes: 5, Since: 100, Urgent: true}, 100, true}, {plan.Waiting{Failed: 200}, 250, true}} {
-		if at, ok := p.Commit(c.w); at != c.at || ok != c.ok {
+	}{{plan.Backlog{}, 0, false}, {plan.Backlog{Bytes: 5, OldestAt: 100}, 110, true}, {plan.Backlog{Bytes: 100, OldestAt: 100}, 100, true},
+		{plan.Backlog{Bytes: 5, OldestAt: 100, Urgent: true}, 100, true}, {plan.Backlog{FailedAt: 200}, 250, true}} {
+		if at, ok := p.NextCommit(c.w); at != c.at || ok != c.ok {
 			t.Errorf("%+v: %v %v", c.w, at, ok)
 		}
 	}
 	now := time.Unix(1e9, 0)
-	seg := []plan.Segment{{First: 9, Bytes: 100, Last: now}, {First: 1, Bytes: 100, Last: now.Add(-25 * time.Hour)}, {First: 5, Bytes: 100, Last: now}}
-	if got := fmt.Sprint(p.Drop(seg, now)); got != "[1]" {
+	seg := []plan.Segment{{FirstSeq: 9, Bytes: 100, ClosedAt: now}, {FirstSeq: 1, Bytes: 100, ClosedAt: now.Add(-25 * time.Hour)}, {FirstSeq: 5, Bytes: 100, ClosedAt: now}}
+	if got := fmt.Sprint(p.Expired(seg, now)); got != "[1]" {
 		t.Error(got)
 	}
 	p.KeepBytes = 120
-	if got := fmt.Sprint(p.Drop(seg, now)); got != "[1 5]" {
+	if got := fmt.Sprint(p.Expired(seg, now)); got != "[1 5]" {
 		t.Error(got)
 	}
-	if got := p.Drop(seg[2:], now.Add(-100*24*time.Hour)); len(got) != 0 {
+	if got := p.Expired(seg[2:], now.Add(-100*24*time.Hour)); len(got) != 0 {
 		t.Error("dropped by a clock set back", got)
 	}
 }
@@ -396,7 +396,7 @@
 func BenchmarkOpen(b *testing.B) {
 	fs := disk.NewMemory()
 	opt := options()
-	opt.Policy.SegmentBytes, opt.Buffer = 8<<20, 1<<20
+	opt.Policy.SegmentBytes, opt.MaxPendingBytes = 8<<20, 1<<20
 	s, _, _ := Open(fs, opt)
 	for i := range 1_000_000 {
 		_, _ = s.Append(time.Second, payload(i))
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -76,10 +76,10 @@
 // broken ends a connection on which the peer broke the protocol or a time limit.
 func (c *conn) broken(err error) {
 	c.gc.Write(c.l.output())
-	kind := engine.Malformed
+	kind := engine.ProtocolError
 	var ce *h2.ConnError
 	if errors.As(err, &ce) && ce.Code == h2.SettingsTimeout {
-		kind = engine.ResetUnanswered
+		kind = engine.ResetBeforeResponse
 	}
 	c.lose(kind, err.Error())
 	c.gc.Close()
@@ -92,12 +92,12 @@
 	if err != nil && !errors.Is(err, io.EOF) {
 		why = err.Error()
 	}
-	gc.Context.(*conn).lose(engine.ResetUnanswered, why)
+	gc.Context.(*conn).lose(engine.ResetBeforeResponse, why)
 }
 
 // lose takes a connection out of its pool, and ends all that was on it. What was never written has not run: it waits
 // for another connection, once.
-func (c *conn) lose(kind engine.EndKind, why string) {
+func (c *conn) lose(kind engine.OutcomeKind, why string) {
 	p := c.pool
 	p.mu.Lock()
 	held := c.site.conns[:0]
@@ -193,7 +193,7 @@
 		return
 	}
 	for _, t := range alive {
-		c.pool.end(t, engine.End{Kind: engine.TooLargeForPeer, Detail: err.Error()})
+		c.pool.end(t, engine.Outcome{Kind: engine.HeadersTooLarge, Detail: err.Error()})
 	}
 }
 
@@ -207,9 +207,9 @@
 		switch {
 		case ended:
 		case given:
-			p.end(t, engine.End{Kind: engine.Unsent})
-		case time.Duration(cmp.Or(t.a.Begin, t.a.Due))*time.Microsecond <= now:
-			p.end(t, engine.End{Kind: engine.Unsent, Detail: "its time, or that for repeats, is over"})
+			p.end(t, engine.Outcome{Kind: engine.Unsent})
+		case time.Duration(cmp.Or(t.a.WriteBefore, t.a.Deadline))*time.Microsecond <= now:
+			p.end(t, engine.Outcome{Kind: engine.Unsent, Detail: "its time, or that for repeats, is over"})
 		default:
 			alive = append(alive, t)
 		}
@@ -220,15 +220,15 @@
 // permitted are the attempts that may be written now, and are on record where they need to be; the others end.
 func (c *conn) permitted(tasks []*task) []*task {
 	p := c.pool
-	if p.cfg.Permits == nil || len(tasks) == 0 {
+	if p.cfg.Admission == nil || len(tasks) == 0 {
 		return tasks
 	}
 	now := p.clock.Now()
 	var alive []*task
 	var call []*engine.Attempt
 	for _, t := range tasks {
-		if err := p.cfg.Permits.Write(now, t.a); err != nil {
-			p.end(t, engine.End{Kind: engine.Unsent, Detail: err.Error()})
+		if err := p.cfg.Admission.Write(now, t.a); err != nil {
+			p.end(t, engine.Outcome{Kind: engine.Unsent, Detail: err.Error()})
 			continue
 		}
 		alive, call = append(alive, t), append(call, t.a)
@@ -236,7 +236,7 @@
 	if len(call) == 0 {
 		return nil
 	}
-	may, err := p.cfg.Permits.Record(call)
+	may, err := p.cfg.Admission.Record(call)
 	if err == nil {
 		return alive
 	}
@@ -245,15 +245,15 @@
 			return false
 		}
 		p.takenBack(t)
-		p.end(t, engine.End{Kind: engine.NotRecorded, Detail: err.Error()})
+		p.end(t, engine.Outcome{Kind: engine.NotRecorded, Detail: err.Error()})
 		return true
 	})
 }
 
 // takenBack tells that an attempt that was permitted was not written.
 func (p *Pool) takenBack(t *task) {
-	if p.cfg.Permits != nil {
-		p.cfg.Permits.TakenBack(t.a)
+	if p.cfg.Admission != nil {
+		p.cfg.Admission.TakenBack(t.a)
 	}
 }
 
@@ -291,7 +291,7 @@
 		return
 	}
 	for _, t := range given {
-		p.end(t, engine.End{Kind: engine.Unsent})
+		p.end(t, engine.Outcome{Kind: engine.Unsent})
 	}
 }
 
@@ -313,7 +313,7 @@
 
 // Tick is eventloop.Handler: it looks after time limits, of handshakes, windows held shut and idle connections.
 func (p *Pool) Tick() {
-	long := p.clock.Now() - control.Time(p.cfg.Idle/time.Microsecond)
+	long := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.active {
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -10,22 +10,22 @@
 	"whinrun/internal/h1"
 )
 
-// Calls turns calls into HTTP/1.1 requests and answers into ends.
-type Calls interface {
-	Addresses
+// HTTP1Codec turns calls into HTTP/1.1 requests and answers into ends.
+type HTTP1Codec interface {
+	Resolver
 	// Request appends the request of a call to b; left is the time that each of its attempts has.
 	Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte
 	// Answer makes a whole response into one end for each attempt of the call. The head is valid only until it returns.
-	Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End
+	Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome
 	// Assured is the end of a call that is sure from the first line of an answer, though the rest of it was spoilt or
 	// has not come; ok is false where the first line promises nothing.
-	Assured(as []*engine.Attempt, status int) (end engine.End, ok bool)
+	Assured(as []*engine.Attempt, status int) (end engine.Outcome, ok bool)
 }
 
 // NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
-func NewHTTP1(c Calls) Protocol { return http1{c} }
+func NewHTTP1(c HTTP1Codec) Protocol { return http1{c} }
 
-type http1 struct{ Calls }
+type http1 struct{ HTTP1Codec }
 
 func (http1) bulk() bool { return true }
 
@@ -37,7 +37,7 @@
 // h1Line is one HTTP/1.1 connection.
 type h1Line struct {
 	c     *conn
-	calls Calls
+	calls HTTP1Codec
 	out   []byte
 	in    []byte // of the answer, while it is not whole
 	used  bool   // something was written on it before
@@ -49,7 +49,7 @@
 	status int               // of the first line that counts, 0 before
 	head   *h1.Response
 	headAt time.Duration
-	chunks h1.Chunks
+	chunks h1.ChunkDecoder
 }
 
 func (l *h1Line) output() []byte {
@@ -81,13 +81,13 @@
 	}
 	// The message with the most time goes first. Guards against peers that reckon a call by its first message: its end
 	// before that of the others would leave these without theirs.
-	slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.a.Due, x.a.Due) })
+	slices.SortStableFunc(tasks, func(x, y *task) int { return cmp.Compare(y.a.Deadline, x.a.Deadline) })
 	l.used, l.call, l.tasks = true, k, tasks
 	l.as = make([]*engine.Attempt, len(tasks))
 	left := make([]time.Duration, len(tasks))
 	for i, t := range tasks {
 		l.as[i] = t.a
-		left[i] = time.Duration(t.a.Due)*time.Microsecond - now
+		left[i] = time.Duration(t.a.Deadline)*time.Microsecond - now
 	}
 	l.status, l.head, l.in = 0, nil, nil
 	l.out = l.calls.Request(l.out, l.as, left)
@@ -100,7 +100,7 @@
 	if l.call != t.call {
 		return
 	}
-	if t.kind == engine.OutOfTime && t.a.Due >= t.a.Ends && !l.assured() && l.waitsForOthers() {
+	if t.kind == engine.TimedOut && t.a.Deadline >= t.a.MessageDeadline && !l.assured() && l.waitsForOthers() {
 		return
 	}
 	l.over = true // lose reports it, once nothing can come any more
@@ -123,11 +123,11 @@
 		return false
 	}
 	l.over = true
-	l.finish([]engine.End{end})
+	l.finish([]engine.Outcome{end})
 	return true
 }
 
-func (l *h1Line) finish(ends []engine.End) {
+func (l *h1Line) finish(ends []engine.Outcome) {
 	if l.over { // before the ends make room for others
 		l.c.pool.mu.Lock()
 		l.c.usable = false
@@ -140,19 +140,19 @@
 	}
 }
 
-func (l *h1Line) lose(kind engine.EndKind, why string) {
+func (l *h1Line) lose(kind engine.OutcomeKind, why string) {
 	l.over = true
 	if l.call == nil || l.assured() {
 		return
 	}
-	ends := make([]engine.End, len(l.tasks))
+	ends := make([]engine.Outcome, len(l.tasks))
 	for i, t := range l.tasks {
-		ends[i] = engine.End{Kind: kind, Detail: why}
+		ends[i] = engine.Outcome{Kind: kind, Detail: why}
 		l.c.pool.mu.Lock()
 		if t.given {
-			ends[i] = engine.End{Kind: t.kind}
-		} else if l.head != nil && kind == engine.ResetUnanswered {
-			ends[i].Kind = engine.ResetMidAnswer
+			ends[i] = engine.Outcome{Kind: t.kind}
+		} else if l.head != nil && kind == engine.ResetBeforeResponse {
+			ends[i].Kind = engine.ResetDuringResponse
 		}
 		l.c.pool.mu.Unlock()
 	}
@@ -185,7 +185,7 @@
 // readHead reads the head of the answer; those of interim answers (1xx) are passed over.
 func (l *h1Line) readHead(now time.Duration) error {
 	for {
-		if s, ok := h1.Status(l.in); ok && s >= 200 {
+		if s, ok := h1.ParseStatus(l.in); ok && s >= 200 {
 			l.status = s
 		}
 		head, n, err := h1.ParseResponse(l.in)
@@ -194,7 +194,7 @@
 		}
 		l.in = l.in[n:]
 		if head.Status >= 200 {
-			l.head, l.headAt, l.chunks = head, now, h1.Chunks{}
+			l.head, l.headAt, l.chunks = head, now, h1.ChunkDecoder{}
 			return nil
 		}
 		if head.Status == 101 {
@@ -205,7 +205,7 @@
 
 // body takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
 func (l *h1Line) body(b []byte) error {
-	most := int64(l.c.pool.cfg.MaxAnswer)
+	most := int64(l.c.pool.cfg.MaxAnswerBytes)
 	if l.head.Length > most {
 		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, l.head.Length)
 	}
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -10,31 +10,31 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h1"
-	"whinrun/internal/opener"
 )
 
 // plain calls: the path has the names of the messages.
 type plain struct{ addr netip.AddrPort }
 
-func (p plain) Address(control.Endpoint) (netip.AddrPort, bool) { return p.addr, true }
+func (p plain) Address(control.EndpointID) (netip.AddrPort, bool) { return p.addr, true }
 func (p plain) Request(b []byte, as []*engine.Attempt, _ []time.Duration) []byte {
 	names := make([]string, len(as))
 	for i, a := range as {
-		names[i] = a.Msg.Name
+		names[i] = a.Message.ExternalID
 	}
 	return h1.AppendHead(b, "POST /"+strings.Join(names, ",")+" HTTP/1.1", "Content-Length", "0")
 }
-func (p plain) Answer(as []*engine.Attempt, head *h1.Response, _ []byte) []engine.End {
-	ends := make([]engine.End, len(as))
+func (p plain) Answer(as []*engine.Attempt, head *h1.Response, _ []byte) []engine.Outcome {
+	ends := make([]engine.Outcome, len(as))
 	for i := range ends {
-		ends[i] = engine.End{Kind: engine.Answered, Status: head.Status}
+		ends[i] = engine.Outcome{Kind: engine.Answered, Status: head.Status}
 	}
 	return ends
 }
-func (p plain) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status}, status == 200 && len(as) == 1
+func (p plain) Assured(as []*engine.Attempt, status int) (engine.Outcome, bool) {
+	return engine.Outcome{Kind: engine.Answered, Status: status}, status == 200 && len(as) == 1
 }
 
 // rig is a Pool and a peer whose connections the test has in its hand.
@@ -43,7 +43,7 @@
 	p     *Pool
 	clock clock.Clock
 	conns chan net.Conn
-	ends  chan engine.End
+	ends  chan engine.Outcome
 	seq   uint64
 	once  sync.Once
 }
@@ -51,13 +51,13 @@
 func newRig(t *testing.T) *rig { return newRigWith(t, nil) }
 
 // newRigWith makes a rig whose calls need permits.
-func newRigWith(t *testing.T, permits Permits) *rig {
+func newRigWith(t *testing.T, permits Admission) *rig {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.End, 64)}
+	r := &rig{t: t, clock: clock.New(), conns: make(chan net.Conn, 16), ends: make(chan engine.Outcome, 64)}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -67,9 +67,9 @@
 			r.conns <- c
 		}
 	}()
-	cfg := Config{Loops: 1, Conns: 3, Streams: 1, ConnectTimeout: time.Second, Idle: time.Minute, MaxAnswer: 1000, Permits: permits,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 2, Total: 3}}
-	r.p, err = New(cfg, NewHTTP1(plain{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.End) { r.ends <- e })
+	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: permits,
+		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 2, MaxConns: 3}}
+	r.p, err = New(cfg, NewHTTP1(plain{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.Outcome) { r.ends <- e })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 func (r *rig) start(names ...string) (call []*engine.Attempt) {
 	for _, n := range names {
 		r.seq++
-		call = append(call, &engine.Attempt{Seq: r.seq, Msg: &engine.Message{Name: n}, Endpoint: 1, Due: r.clock.Now() + 20*control.Second})
+		call = append(call, &engine.Attempt{Seq: r.seq, Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: r.clock.Now() + 20*control.Second})
 	}
 	r.p.Start(call)
 	return call
@@ -112,7 +112,7 @@
 	return string(b[:n])
 }
 
-func (r *rig) want(kind engine.EndKind, status int) {
+func (r *rig) want(kind engine.OutcomeKind, status int) {
 	r.t.Helper()
 	select {
 	case e := <-r.ends:
@@ -154,8 +154,8 @@
 	call := r.start("a")
 	c := r.conn()
 	r.read(c)
-	r.p.Abandon(call[0], engine.CalledOff)
-	r.want(engine.CalledOff, 0)
+	r.p.Cancel(call[0], engine.Cancelled)
+	r.want(engine.Cancelled, 0)
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := c.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the connection is open: %v", err)
@@ -169,7 +169,7 @@
 	call := r.start("a", "b")
 	c := r.conn()
 	r.read(c)
-	r.p.Abandon(call[0], engine.OutOfTime)
+	r.p.Cancel(call[0], engine.TimedOut)
 	select {
 	case e := <-r.ends:
 		t.Errorf("end %+v, and the call is out", e)
@@ -180,23 +180,23 @@
 	r.want(engine.Answered, 500)
 	call = r.start("c", "d")
 	r.read(c)
-	r.p.Abandon(call[0], engine.OutOfTime)
-	r.p.Abandon(call[1], engine.OutOfTime)
-	r.want(engine.OutOfTime, 0)
-	r.want(engine.OutOfTime, 0)
+	r.p.Cancel(call[0], engine.TimedOut)
+	r.p.Cancel(call[1], engine.TimedOut)
+	r.want(engine.TimedOut, 0)
+	r.want(engine.TimedOut, 0)
 }
 
 // A time-out ahead of the message's end gives up the whole call: the message goes again, and must not be out twice.
 func TestTimeOutOfOneThatGoesAgain(t *testing.T) {
 	r := newRig(t)
 	now := r.clock.Now()
-	call := []*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "a"}, Endpoint: 1, Due: now + 2*control.Second, Ends: now + 9*control.Second},
-		{Seq: 2, Msg: &engine.Message{Name: "b"}, Endpoint: 1, Due: now + 9*control.Second, Ends: now + 9*control.Second}}
+	call := []*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "a"}, Endpoint: 1, Deadline: now + 2*control.Second, MessageDeadline: now + 9*control.Second},
+		{Seq: 2, Message: &engine.Message{ExternalID: "b"}, Endpoint: 1, Deadline: now + 9*control.Second, MessageDeadline: now + 9*control.Second}}
 	r.p.Start(call)
 	c := r.conn()
 	r.read(c)
-	r.p.Abandon(call[0], engine.OutOfTime)
-	got := map[uint64]engine.EndKind{}
+	r.p.Cancel(call[0], engine.TimedOut)
+	got := map[uint64]engine.OutcomeKind{}
 	for range call {
 		select {
 		case e := <-r.ends:
@@ -205,7 +205,7 @@
 			t.Fatalf("ends: %v", got)
 		}
 	}
-	if got[1] != engine.OutOfTime || got[2] != engine.ResetUnanswered {
+	if got[1] != engine.TimedOut || got[2] != engine.ResetBeforeResponse {
 		t.Errorf("ends: %v", got)
 	}
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -221,14 +221,14 @@
 	now := r.clock.Now() // one moment for all: two of them have the same time
 	for i, n := range []string{"short", "long", "middle", "long2"} {
 		due := []control.Time{4, 12, 8, 12}[i]
-		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Msg: &engine.Message{Name: n}, Endpoint: 1, Due: now + due*control.Second})
+		call = append(call, &engine.Attempt{Seq: uint64(i + 1), Message: &engine.Message{ExternalID: n}, Endpoint: 1, Deadline: now + due*control.Second})
 	}
 	r.p.Start(call)
 	c := r.conn()
 	if got := r.read(c); !strings.HasPrefix(got, "POST /long,long2,middle,short ") {
 		t.Errorf("the call is %.40q", got)
 	}
-	r.p.Abandon(call[0], engine.OutOfTime)
+	r.p.Cancel(call[0], engine.TimedOut)
 	_, _ = c.Write([]byte(okAnswer))
 	for range call {
 		r.want(engine.Answered, 200)
@@ -241,8 +241,8 @@
 	r := newRig(t)
 	now := r.clock.Now()
 	due := now + 20*control.Second
-	r.p.Start([]*engine.Attempt{{Seq: 1, Msg: &engine.Message{Name: "late"}, Endpoint: 1, Due: due, Begin: now},
-		{Seq: 2, Msg: &engine.Message{Name: "early"}, Endpoint: 1, Due: due, Begin: due}})
+	r.p.Start([]*engine.Attempt{{Seq: 1, Message: &engine.Message{ExternalID: "late"}, Endpoint: 1, Deadline: due, WriteBefore: now},
+		{Seq: 2, Message: &engine.Message{ExternalID: "early"}, Endpoint: 1, Deadline: due, WriteBefore: due}})
 	c := r.conn()
 	if got := r.read(c); !strings.HasPrefix(got, "POST /early ") {
 		t.Errorf("the call is %.40q", got)
@@ -254,7 +254,7 @@
 func TestConnectionComesUpBehindTheGiveUp(t *testing.T) {
 	r := newRig(t)
 	call := r.start("gone")
-	r.p.Abandon(call[0], engine.CalledOff)
+	r.p.Cancel(call[0], engine.Cancelled)
 	r.want(engine.Unsent, 0)
 	r.start("next")
 	c := r.conn()
@@ -274,10 +274,10 @@
 		c := r.conn()
 		r.read(c)
 		go func() { _, _ = c.Write([]byte(okAnswer)) }()
-		r.p.Abandon(call[0], engine.CalledOff)
+		r.p.Cancel(call[0], engine.Cancelled)
 		select {
 		case e := <-r.ends:
-			if e.Kind != engine.CalledOff && (e.Kind != engine.Answered || e.Status != 200) {
+			if e.Kind != engine.Cancelled && (e.Kind != engine.Answered || e.Status != 200) {
 				t.Fatalf("end %+v", e)
 			}
 		case <-time.After(5 * time.Second):
@@ -323,7 +323,7 @@
 	for range 3 {
 		r.read(r.conn())
 	}
-	r.p.Unsend(calls[0][0]) // written: it stays out
+	r.p.CancelUnsent(calls[0][0]) // written: it stays out
 	waiting := calls[3][0]
 	r.p.mu.Lock()
 	for _, k := range calls {
@@ -332,7 +332,7 @@
 		}
 	}
 	r.p.mu.Unlock()
-	r.p.Unsend(waiting)
+	r.p.CancelUnsent(waiting)
 	select {
 	case e := <-r.ends:
 		if e.Seq != waiting.Seq || e.Kind != engine.Unsent {
@@ -364,14 +364,14 @@
 
 // The first line that says 200 is enough, whatever becomes of the rest; without it a broken answer may have run.
 func TestFirstLineDecides(t *testing.T) {
-	for text, want := range map[string]engine.EndKind{
+	for text, want := range map[string]engine.OutcomeKind{
 		"HTTP/1.1 200 OK\r\n":                              engine.Answered,
 		"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nabc": engine.Answered,
 		"HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\n":        engine.Answered,
-		"HTTP/1.1 200": engine.ResetUnanswered,
-		"HTTP/1.1 500 x\r\nContent-Length: 50\r\n\r\nabc": engine.ResetMidAnswer,
-		"noise": engine.Malformed,
-		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.Malformed,
+		"HTTP/1.1 200": engine.ResetBeforeResponse,
+		"HTTP/1.1 500 x\r\nContent-Length: 50\r\n\r\nabc": engine.ResetDuringResponse,
+		"noise": engine.ProtocolError,
+		"HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\nab": engine.ProtocolError,
 	} {
 		r := newRig(t)
 		r.start("a")
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -17,9 +17,9 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
 // TestMain is also the partner in a process of its own, so that it does not share this one's descriptors.
@@ -69,22 +69,22 @@
 // speech is the plainest: every endpoint is the peer.
 type speech struct{ addr netip.AddrPort }
 
-func (s speech) Address(control.Endpoint) (netip.AddrPort, bool) { return s.addr, true }
+func (s speech) Address(control.EndpointID) (netip.AddrPort, bool) { return s.addr, true }
 func (s speech) Request(*engine.Attempt, time.Duration) []h2.Field {
 	return []h2.Field{{Name: ":method", Value: "POST"}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: "p"}, {Name: ":path", Value: "/"}}
 }
-func (s speech) Answer(*engine.Attempt, []h2.Field, []byte) engine.End {
-	return engine.End{Kind: engine.Answered, Status: 201}
+func (s speech) Answer(*engine.Attempt, []h2.Field, []byte) engine.Outcome {
+	return engine.Outcome{Kind: engine.Answered, Status: 201}
 }
 
 // gather collects the ends of n attempts, each to an endpoint of its own.
-func gather(t *testing.T, cfg Config, n int) (ends map[engine.EndKind]int, most int) {
+func gather(t *testing.T, cfg Config, n int) (ends map[engine.OutcomeKind]int, most int) {
 	t.Helper()
 	var mu sync.Mutex
-	ends = map[engine.EndKind]int{}
+	ends = map[engine.OutcomeKind]int{}
 	all := make(chan struct{}, n)
 	clock := clock.New()
-	p, err := New(cfg, NewHTTP2(speech{peer(t)}), clock, func(e engine.End) {
+	p, err := New(cfg, NewHTTP2(speech{peer(t)}), clock, func(e engine.Outcome) {
 		mu.Lock()
 		ends[e.Kind]++
 		mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 	defer p.Close()
 	for i := range n {
-		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Msg: &engine.Message{}, Endpoint: control.Endpoint(i + 1), Due: clock.Now() + 60*control.Second}})
+		p.Start([]*engine.Attempt{{Seq: uint64(i + 1), Message: &engine.Message{}, Endpoint: control.EndpointID(i + 1), Deadline: clock.Now() + 60*control.Second}})
 	}
 	for range n {
 		<-all
@@ -107,14 +107,14 @@
 }
 
 func config() Config {
-	return Config{Loops: 1, Conns: 2, Streams: 10, ConnectTimeout: 20 * time.Second, Idle: time.Minute, MaxAnswer: 100,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 4, Total: 1000}}
+	return Config{Loops: 1, MaxConnsPerEndpoint: 2, MaxStreams: 10, ConnectTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 100,
+		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 4, MaxConns: 1000}}
 }
 
 // At the bound of connections the longest idle one is closed for a new one: all are served, and never more are open.
 func TestTotalMakesRoom(t *testing.T) {
 	cfg := config()
-	cfg.Opening.Total = 5
+	cfg.DialLimits.MaxConns = 5
 	ends, most := gather(t, cfg, 60)
 	if ends[engine.Answered] != 60 || most > 5 {
 		t.Errorf("ends %v, %d connections at once", ends, most)
--- a/internal/outbound/permits_test.go
+++ b/internal/outbound/permits_test.go
@@ -36,10 +36,10 @@
 }
 
 func (o *office) Write(_ control.Time, a *engine.Attempt) error {
-	o.put("write %s", a.Msg.Name)
+	o.put("write %s", a.Message.ExternalID)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.forbid[a.Msg.Name] {
+	if o.forbid[a.Message.ExternalID] {
 		return errors.New("forbidden")
 	}
 	return nil
@@ -48,8 +48,8 @@
 func (o *office) Record(call []*engine.Attempt) (may []*engine.Attempt, err error) {
 	var names []string
 	for _, a := range call {
-		names = append(names, a.Msg.Name)
-		if a.Msg.Name == o.without {
+		names = append(names, a.Message.ExternalID)
+		if a.Message.ExternalID == o.without {
 			may = append(may, a)
 		}
 	}
@@ -62,7 +62,7 @@
 	return call, nil
 }
 
-func (o *office) TakenBack(a *engine.Attempt) { o.put("taken back %s", a.Msg.Name) }
+func (o *office) TakenBack(a *engine.Attempt) { o.put("taken back %s", a.Message.ExternalID) }
 
 func (o *office) want(t *testing.T, lines ...string) {
 	t.Helper()
@@ -90,7 +90,7 @@
 	case <-time.After(50 * time.Millisecond): // all connections that there may be are taken
 	}
 	o.want(t)
-	r.p.Abandon(waiting[0], engine.CalledOff)
+	r.p.Cancel(waiting[0], engine.Cancelled)
 	r.want(engine.Unsent, 0)
 	o.want(t)
 }
@@ -108,21 +108,21 @@
 		name    string
 		o       *office
 		written string
-		ends    map[string]engine.EndKind
+		ends    map[string]engine.OutcomeKind
 	}{
-		{"one is forbidden", &office{forbid: map[string]bool{"a": true}}, "/b", map[string]engine.EndKind{"a": engine.Unsent}},
-		{"one needs no record", &office{broken: true, without: "b"}, "/b", map[string]engine.EndKind{"a": engine.NotRecorded}},
-		{"none can be recorded", &office{broken: true}, "", map[string]engine.EndKind{"a": engine.NotRecorded, "b": engine.NotRecorded}},
+		{"one is forbidden", &office{forbid: map[string]bool{"a": true}}, "/b", map[string]engine.OutcomeKind{"a": engine.Unsent}},
+		{"one needs no record", &office{broken: true, without: "b"}, "/b", map[string]engine.OutcomeKind{"a": engine.NotRecorded}},
+		{"none can be recorded", &office{broken: true}, "", map[string]engine.OutcomeKind{"a": engine.NotRecorded, "b": engine.NotRecorded}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRigWith(t, c.o)
 			call := r.start("a", "b")
 			conn := r.conn()
-			ends := map[string]engine.EndKind{}
+			ends := map[string]engine.OutcomeKind{}
 			for range c.ends {
 				select {
 				case e := <-r.ends:
-					ends[call[e.Seq-1].Msg.Name] = e.Kind
+					ends[call[e.Seq-1].Message.ExternalID] = e.Kind
 				case <-time.After(5 * time.Second):
 					t.Fatal("no end came")
 				}
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -12,14 +12,14 @@
 	"whinrun/internal/h1"
 )
 
-// Calls speaks to endpoints; it is outbound.Calls.
-type Calls struct {
+// CallCodec speaks to endpoints; it is outbound.Calls.
+type CallCodec struct {
 	*Directory
-	Reports []string // names of the values of a load report, in order
+	LoadMetrics []string // names of the values of a load report, in order
 }
 
 // Request appends one call: a message, or several in the form of bulk calls.
-func (c Calls) Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte {
+func (c CallCodec) Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte {
 	host := "endpoint"
 	if addr, ok := c.Address(as[0].Endpoint); ok {
 		host = addr.String()
@@ -34,41 +34,41 @@
 		b = h1.AppendHead(b, "POST /inbox/bulk HTTP/1.1", "Host", host, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(body)))
 		return append(b, body...)
 	}
-	m := as[0].Msg
-	pairs := []string{"Host", host, "X-Txn", m.Name, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(m.Body))}
-	if m.Repeat != "" {
-		pairs = append(pairs, "Idempotency-Key", m.Repeat)
+	m := as[0].Message
+	pairs := []string{"Host", host, "X-Txn", m.ExternalID, "X-Remaining", waits, "Content-Length", strconv.Itoa(len(m.Body))}
+	if m.IdempotencyKey != "" {
+		pairs = append(pairs, "Idempotency-Key", m.IdempotencyKey)
 	}
 	return append(h1.AppendHead(b, "POST /inbox HTTP/1.1", pairs...), m.Body...)
 }
 
 func bulk(as []*engine.Attempt) (b []byte) {
 	for _, a := range as {
-		key := a.Msg.Repeat
+		key := a.Message.IdempotencyKey
 		if key == "" {
 			key = "-"
 		}
-		b = append(b, a.Msg.Name+" "+key+" "+strconv.Itoa(len(a.Msg.Body))+"\r\n"...)
-		b = append(append(b, a.Msg.Body...), "\r\n"...)
+		b = append(b, a.Message.ExternalID+" "+key+" "+strconv.Itoa(len(a.Message.Body))+"\r\n"...)
+		b = append(append(b, a.Message.Body...), "\r\n"...)
 	}
 	return b
 }
 
 // Assured is outbound.Calls: a call with one message whose first line says 200 is delivered.
-func (c Calls) Assured(as []*engine.Attempt, status int) (engine.End, bool) {
-	return engine.End{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(as) == 1
+func (c CallCodec) Assured(as []*engine.Attempt, status int) (engine.Outcome, bool) {
+	return engine.Outcome{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(as) == 1
 }
 
 // statusOf are the ends that a bulk answer names, as the status that means the same for one message.
 var statusOf = map[string]int{"done": 200, "failed": 500, "busy": 503, "void": 410, "used_up": 504}
 
 // Answer makes an answer into one end for each message.
-func (c Calls) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.End {
-	e := engine.End{Kind: engine.Answered, Status: head.Status, Wait: wait(head.Fields), Report: c.report(head.Fields)}
+func (c CallCodec) Answer(as []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome {
+	e := engine.Outcome{Kind: engine.Answered, Status: head.Status, RetryAfter: wait(head.Fields), LoadReport: c.report(head.Fields)}
 	if head.Status == 503 && head.Fields.Get("x-line-busy") == "1" {
-		e.Kind, e.Detail = engine.NoSlot, "503"
+		e.Kind, e.Detail = engine.NoFreeSlot, "503"
 	}
-	ends := make([]engine.End, len(as))
+	ends := make([]engine.Outcome, len(as))
 	for i := range ends {
 		ends[i] = e
 	}
@@ -77,8 +77,8 @@
 	}
 	told, ok := bulkEnds(body)
 	for i, a := range as {
-		if ends[i].Status = told[a.Msg.Name]; !ok || ends[i].Status == 0 {
-			ends[i] = engine.End{Kind: engine.Malformed, Wait: e.Wait, Detail: "the answer does not tell its end"}
+		if ends[i].Status = told[a.Message.ExternalID]; !ok || ends[i].Status == 0 {
+			ends[i] = engine.Outcome{Kind: engine.ProtocolError, RetryAfter: e.RetryAfter, Detail: "the answer does not tell its end"}
 		}
 	}
 	return ends
@@ -130,19 +130,19 @@
 }
 
 // report reads a load report; one that can't be read is none.
-func (c Calls) report(f h1.Fields) []float32 {
+func (c CallCodec) report(f h1.Fields) []float32 {
 	text := f.Get("x-pressure")
-	if text == "" || len(c.Reports) == 0 {
+	if text == "" || len(c.LoadMetrics) == 0 {
 		return nil
 	}
-	out := make([]float32, len(c.Reports))
+	out := make([]float32, len(c.LoadMetrics))
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		v, ok := number(value)
 		if !ok {
 			return nil
 		}
-		for i, n := range c.Reports {
+		for i, n := range c.LoadMetrics {
 			if n == name {
 				out[i] = float32(v)
 			}
@@ -151,24 +151,24 @@
 	return out
 }
 
-// Judge tells what ends mean on the platform.
-func Judge(e engine.End) engine.Verdict {
+// Classify tells what ends mean on the platform.
+func Classify(e engine.Outcome) engine.Classification {
 	if e.Kind != engine.Answered {
-		return engine.Judge(e, false)
+		return engine.Classify(e, false)
 	}
 	switch e.Status {
 	case 200:
-		return engine.Verdict{Result: control.OK, Ran: true, Final: true, Why: "200: delivered"}
+		return engine.Classification{Result: control.OK, PossiblyExecuted: true, Final: true, Reason: "200: delivered"}
 	case 429:
-		return engine.Verdict{Result: control.Full, Why: "429: turned away, it never ran"}
+		return engine.Classification{Result: control.LimitExceeded, Reason: "429: turned away, it never ran"}
 	case 503:
-		return engine.Verdict{Result: control.Full, Why: "503: turned away, it never ran"}
+		return engine.Classification{Result: control.LimitExceeded, Reason: "503: turned away, it never ran"}
 	case 504:
-		return engine.Verdict{Result: control.Moot, Why: "504: it has had all its attempts, this one never ran"}
+		return engine.Classification{Result: control.NotExecuted, Reason: "504: it has had all its attempts, this one never ran"}
 	case 410:
-		return engine.Verdict{Result: control.Moot, Final: true, Why: "410: it is over"}
+		return engine.Classification{Result: control.NotExecuted, Final: true, Reason: "410: it is over"}
 	case 400, 413:
-		return engine.Verdict{Result: control.Moot, Why: "the endpoint can't use the call: it never ran"}
+		return engine.Classification{Result: control.NotExecuted, Reason: "the endpoint can't use the call: it never ran"}
 	}
-	return engine.Verdict{Result: control.Errored, Ran: true, Why: "error, it may have run"}
+	return engine.Classification{Result: control.ErrorResponse, PossiblyExecuted: true, Reason: "error, it may have run"}
 }
--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -176,9 +176,9 @@
 			t.Errorf("m%d was sent %d times", i, n)
 		}
 	}
-	if entries, _ := d.node.ledger.Owed(); len(entries) > 0 {
-		d.s.Await(5*time.Second, func([]testbed.Event) bool { e, _ := d.node.ledger.Owed(); return len(e) == 0 })
-		if entries, _ = d.node.ledger.Owed(); len(entries) > 0 {
+	if entries, _ := d.node.ledger.Outstanding(); len(entries) > 0 {
+		d.s.Await(5*time.Second, func([]testbed.Event) bool { e, _ := d.node.ledger.Outstanding(); return len(e) == 0 })
+		if entries, _ = d.node.ledger.Outstanding(); len(entries) > 0 {
 			t.Errorf("still owed: %+v", entries)
 		}
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -18,17 +18,17 @@
 
 // Config is what a dispatcher is told at its start.
 type Config struct {
-	Name      string
-	Listen    netip.AddrPort
-	Discovery netip.AddrPort
-	State     string // the folder that lasts
-	Seed      uint64
-	Limits    Limits
-	Known     List // the endpoint list as it was last had
-	Settings  control.Settings
-	Zones     []string // names, in the order of their numbers
-	Trace     bool     // log what happens to each message
-	Reports   []string // names of the values of a load report, in order
+	Name        string
+	Listen      netip.AddrPort
+	Discovery   netip.AddrPort
+	StateDir    string // the folder that lasts
+	Seed        uint64
+	Limits      Limits
+	Known       EndpointList // the endpoint list as it was last had
+	Settings    control.Settings
+	Zones       []string // names, in the order of their numbers
+	Trace       bool     // log what happens to each message
+	LoadMetrics []string // names of the values of a load report, in order
 }
 
 // Limits are what the platform gives a dispatcher.
@@ -39,8 +39,8 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// List is the endpoint list in discovery's form, whole or what changed of it.
-type List struct {
+// EndpointList is the endpoint list in discovery's form, whole or what changed of it.
+type EndpointList struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
@@ -65,7 +65,7 @@
 	Seed      string          `json:"seed"`
 	State     string          `json:"state"`
 	Limits    Limits          `json:"limits"`
-	Known     List            `json:"known"`
+	Known     EndpointList    `json:"known"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
@@ -114,8 +114,8 @@
 		}
 		return nil, err
 	}
-	c := &Config{Name: cmp.Or(f.Name, env("EDGE_NAME")), State: cmp.Or(env("EDGE_STATE"), f.State), Limits: f.Limits, Known: f.Known}
-	if c.State == "" {
+	c := &Config{Name: cmp.Or(f.Name, env("EDGE_NAME")), StateDir: cmp.Or(env("EDGE_STATE"), f.State), Limits: f.Limits, Known: f.Known}
+	if c.StateDir == "" {
 		return nil, errors.New("EDGE_STATE: not set")
 	}
 	var err error
@@ -164,6 +164,6 @@
 	if err := json.Unmarshal(text, &n); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Zones, c.Reports = n.Zones, n.Report.Names
+	c.Zones, c.LoadMetrics = n.Zones, n.Report.Names
 	return nil
 }
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -15,12 +15,12 @@
 // another. It is free of I/O; Address and Knows may be called from any goroutine.
 type Directory struct {
 	zones []string
-	kinds []control.Kind
+	kinds []control.DestinationKind
 
 	mu     sync.RWMutex
-	next   control.Endpoint
+	next   control.EndpointID
 	hosts  map[string]*place
-	byID   map[control.Endpoint]*place
+	byID   map[control.EndpointID]*place
 	dests  map[int]time.Duration // destinations that are listed, or were: when each was last seen listed
 	tidied time.Duration
 }
@@ -40,14 +40,14 @@
 )
 
 // NewDirectory returns a Directory for zones and kinds as the settings name them.
-func NewDirectory(zones []string, kinds []control.Kind) *Directory {
-	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*place{}, byID: map[control.Endpoint]*place{},
+func NewDirectory(zones []string, kinds []control.DestinationKind) *Directory {
+	return &Directory{zones: zones, kinds: kinds, hosts: map[string]*place{}, byID: map[control.EndpointID]*place{},
 		dests: map[int]time.Duration{}}
 }
 
 // Apply takes a list, or changes of one, and returns the entries that the module is told. A host that can't be used is
 // left out, and named in faults.
-func (d *Directory) Apply(l List, now time.Duration) (entries []control.Entry, faults []error) {
+func (d *Directory) Apply(l EndpointList, now time.Duration) (entries []control.Entry, faults []error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := map[string]bool{}
@@ -100,14 +100,14 @@
 	if err != nil {
 		return control.Entry{}, err
 	}
-	kind := slices.IndexFunc(d.kinds, func(k control.Kind) bool { return k.Name == h.Class })
+	kind := slices.IndexFunc(d.kinds, func(k control.DestinationKind) bool { return k.Name == h.Class })
 	if kind < 0 && len(d.kinds) > 0 {
 		return control.Entry{}, fmt.Errorf("class %.20q", h.Class)
 	}
 	if h.Name == "" || h.Block < 0 || h.Block > maxDest {
 		return control.Entry{}, fmt.Errorf("block %d", h.Block)
 	}
-	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), Kind: max(kind, 0), Health: health, Weight: h.Share}
+	e := control.Entry{Dest: h.Block, Zone: slices.Index(d.zones, h.Site), DestinationKind: max(kind, 0), Health: health, Weight: h.Share}
 	if p != nil && p.entry.Dest != e.Dest { // another destination is another endpoint
 		delete(d.hosts, h.Name)
 		p = nil
@@ -124,11 +124,11 @@
 	return e, nil
 }
 
-// Whole returns all that is listed, as one list of that version.
-func (d *Directory) Whole(seq int64) List {
+// Snapshot returns all that is listed, as one list of that version.
+func (d *Directory) Snapshot(seq int64) EndpointList {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	l := List{Seq: seq, Whole: true, Hosts: []Host{}}
+	l := EndpointList{Seq: seq, Whole: true, Hosts: []Host{}}
 	for _, p := range d.hosts {
 		if p.gone == 0 {
 			l.Hosts = append(l.Hosts, p.host)
@@ -163,7 +163,7 @@
 }
 
 // Address is outbound.Addresses.
-func (d *Directory) Address(ep control.Endpoint) (netip.AddrPort, bool) {
+func (d *Directory) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.byID[ep]
@@ -173,16 +173,16 @@
 	return p.addr, true
 }
 
-// Listed tells whether an endpoint is in the list.
-func (d *Directory) Listed(ep control.Endpoint) bool {
+// IsListed tells whether an endpoint is in the list.
+func (d *Directory) IsListed(ep control.EndpointID) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.byID[ep]
 	return p != nil && p.gone == 0
 }
 
-// Find returns what the list says of a host; ok is false where it is not listed.
-func (d *Directory) Find(host string) (e control.Entry, ok bool) {
+// Lookup returns what the list says of a host; ok is false where it is not listed.
+func (d *Directory) Lookup(host string) (e control.Entry, ok bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	p := d.hosts[host]
@@ -192,8 +192,8 @@
 	return p.entry, true
 }
 
-// Host is the name of an endpoint, for logs.
-func (d *Directory) Host(ep control.Endpoint) string {
+// HostName is the name of an endpoint, for logs.
+func (d *Directory) HostName(ep control.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	if p := d.byID[ep]; p != nil {
@@ -202,8 +202,8 @@
 	return "unknown"
 }
 
-// Knows tells whether a destination is listed, or was a short while ago.
-func (d *Directory) Knows(dest int) bool {
+// KnowsDestination tells whether a destination is listed, or was a short while ago.
+func (d *Directory) KnowsDestination(dest int) bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	_, ok := d.dests[dest]
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -124,7 +124,7 @@
 	agent *agent
 	now   func() time.Duration
 	seq   int64 // version of the list as told last, 0 behind a change of the address: any counts then
-	told  func(List)
+	told  func(EndpointList)
 	log   func(format string, a ...any)
 
 	plan   watchPlan
@@ -135,11 +135,11 @@
 // watchEvent is what a watch has to tell: a list, an empty line, or its end.
 type watchEvent struct {
 	id   uint64
-	list *List
+	list *EndpointList
 	err  error
 }
 
-func newWatcher(a *agent, now func() time.Duration, seq int64, told func(List), log func(string, ...any)) *watcher {
+func newWatcher(a *agent, now func() time.Duration, seq int64, told func(EndpointList), log func(string, ...any)) *watcher {
 	return &watcher{agent: a, now: now, seq: seq, told: told, log: log, stops: map[uint64]context.CancelFunc{}, events: make(chan watchEvent)}
 }
 
@@ -222,7 +222,7 @@
 	}
 	defer func() { _ = c.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	r := &listReader{told: func(l List) { tell(watchEvent{list: &l}) }, beat: func() { tell(watchEvent{}) }}
+	r := &listReader{told: func(l EndpointList) { tell(watchEvent{list: &l}) }, beat: func() { tell(watchEvent{}) }}
 	_, err = c.Write(h1.AppendHead(nil, fmt.Sprintf("GET /v1/endpoints?watch=1&from=%d HTTP/1.1", from), "Host", "discovery"))
 	buf := make([]byte, 16<<10)
 	for err == nil {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -177,7 +177,7 @@
 		for cut := range text {
 			var seqs []int64
 			beats, host := 0, ""
-			r := &listReader{beat: func() { beats++ }, told: func(l List) {
+			r := &listReader{beat: func() { beats++ }, told: func(l EndpointList) {
 				seqs = append(seqs, l.Seq)
 				if len(l.Hosts) > 0 {
 					host = l.Hosts[0].Name
@@ -195,7 +195,7 @@
 		}
 	}
 	for _, bad := range []string{"x\n", "{]}\n", "{\"seq\":\"a\"}\n", "}\n"} {
-		r := &listReader{told: func(List) {}, beat: func() {}}
+		r := &listReader{told: func(EndpointList) {}, beat: func() {}}
 		if err := r.read([]byte("HTTP/1.1 200 OK\r\n\r\n" + bad)); err == nil {
 			t.Errorf("%q is read as a list", bad)
 		}
@@ -358,8 +358,8 @@
 }
 
 // keeping is a kept list that follows a list of its own.
-func keeping(fs disk.FS, most int, now *List, said *[]string) *lastList {
-	return newLastList(fs, most, func() List { return *now }, func(f string, a ...any) { *said = append(*said, fmt.Sprintf(f, a...)) })
+func keeping(fs disk.FS, most int, now *EndpointList, said *[]string) *lastList {
+	return newLastList(fs, most, func() EndpointList { return *now }, func(f string, a ...any) { *said = append(*said, fmt.Sprintf(f, a...)) })
 }
 
 // The list that is kept: changes count behind the whole one, also over many of them; what does not fit is told once; a failing
@@ -367,7 +367,7 @@
 func TestLastList(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
-	now := List{Seq: 4, Whole: true, Hosts: keptHosts(40)}
+	now := EndpointList{Seq: 4, Whole: true, Hosts: keptHosts(40)}
 	k := keeping(fs, 20000, &now, &said)
 	if _, ok := k.load(); ok {
 		t.Error("a list out of nothing")
@@ -384,7 +384,7 @@
 		now.Hosts = slices.Clone(now.Hosts)
 		now.Hosts[i%40].Share++
 		now.Seq++
-		k.changed(List{Seq: now.Seq, Hosts: []Host{now.Hosts[i%40]}})
+		k.changed(EndpointList{Seq: now.Seq, Hosts: []Host{now.Hosts[i%40]}})
 	}
 	for i := range 500 {
 		change(i)
@@ -396,13 +396,13 @@
 	gone := now.Hosts[3]
 	gone.Health = "gone"
 	now.Hosts, now.Seq = slices.Delete(slices.Clone(now.Hosts), 3, 4), now.Seq+1
-	k.changed(List{Seq: now.Seq, Hosts: []Host{gone}})
+	k.changed(EndpointList{Seq: now.Seq, Hosts: []Host{gone}})
 	want()
 	before := now
 	fs.SetFail(func(op, name string) error { return fmt.Errorf("%s %s: %w", op, name, unix.EIO) })
 	now.Hosts = slices.Clone(now.Hosts)
 	now.Hosts[0].Health, now.Seq = "draining", now.Seq+1
-	k.changed(List{Seq: now.Seq, Hosts: now.Hosts[:1]})
+	k.changed(EndpointList{Seq: now.Seq, Hosts: now.Hosts[:1]})
 	if k.repair() == nil {
 		t.Error("repaired on a disk that fails")
 	}
@@ -417,7 +417,7 @@
 	if len(said) != 1 {
 		t.Errorf("said %q", said)
 	}
-	big := List{Seq: 9000, Whole: true, Hosts: keptHosts(3000)}
+	big := EndpointList{Seq: 9000, Whole: true, Hosts: keptHosts(3000)}
 	now, before = big, now
 	k.changed(big)
 	k.changed(big)
@@ -427,15 +427,15 @@
 }
 
 // Wherever the file is cut, what is read is a list that there was, with the changes up to there.
-func TestLastListIsCut(t *testing.T) {
+func TestLastListTruncated(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
-	now := List{Seq: 1, Whole: true, Hosts: keptHosts(3)}
+	now := EndpointList{Seq: 1, Whole: true, Hosts: keptHosts(3)}
 	k := keeping(fs, 20000, &now, &said)
 	k.changed(now)
 	base := len(fs.Bytes(listName))
 	for seq := int64(2); seq < 6; seq++ {
-		k.changed(List{Seq: seq, Hosts: []Host{{Name: fmt.Sprint("new", seq), Dial: "127.0.0.1:1", Health: "ready"}}})
+		k.changed(EndpointList{Seq: seq, Hosts: []Host{{Name: fmt.Sprint("new", seq), Dial: "127.0.0.1:1", Health: "ready"}}})
 	}
 	whole := slices.Clone(fs.Bytes(listName))
 	for cut := range whole {
@@ -455,7 +455,7 @@
 func TestLastListOfALargeFleet(t *testing.T) {
 	fs := disk.NewMemory()
 	var said []string
-	now := List{Seq: 1, Whole: true, Hosts: keptHosts(3200)}
+	now := EndpointList{Seq: 1, Whole: true, Hosts: keptHosts(3200)}
 	k := keeping(fs, int(math.Floor(listPart*3*(1<<20))), &now, &said)
 	k.changed(now)
 	if l, ok := k.load(); !ok || !slices.Equal(l.Hosts, now.Hosts) || len(said) > 0 {
--- a/internal/platform/keeper.go
+++ b/internal/platform/keeper.go
@@ -35,16 +35,16 @@
 	due    control.Time // the time of its message is over then
 }
 
-// Take is engine.Ledger.
-func (k *keeper) Take(m *engine.Message, due control.Time) error {
-	e := &ledger.Entry{Name: m.Name, Class: k.settings.Classes[m.Class].Name, Dest: m.Dest, Due: k.clock.Instant(due), TakenAt: k.clock.Instant(m.Taken), Key: m.Repeat,
-		Order: m.Key, Body: m.Body}
+// RecordAccept is engine.Ledger.
+func (k *keeper) RecordAccept(m *engine.Message, due control.Time) error {
+	e := &ledger.Entry{Name: m.ExternalID, Class: k.settings.Classes[m.Class].Name, Destination: m.Dest, Deadline: k.clock.ToInstant(due), AcceptedAt: k.clock.ToInstant(m.AcceptedAt), IdempotencyKey: m.IdempotencyKey,
+		OrderingKey: m.OrderKey, Body: m.Body}
 	if m.Tenant < len(k.settings.Tenants) {
 		e.Tenant = k.settings.Tenants[m.Tenant].Name
 	}
-	err := k.l.Take(e)
+	err := k.l.Accept(e)
 	if errors.Is(err, recordfile.ErrUncertain) && !k.repeatable(m) {
-		return fmt.Errorf("%w: %w", engine.ErrUncertain, err)
+		return fmt.Errorf("%w: %w", engine.ErrRecordUncertain, err)
 	}
 	return err
 }
@@ -52,38 +52,38 @@
 // repeatable tells whether executing a message again does no harm, whoever hands it in and when.
 func (k *keeper) repeatable(m *engine.Message) bool {
 	c := &k.settings.Classes[m.Class]
-	return c.Effect == control.Free || c.Effect == control.Guarded && !c.ZoneGroup
+	return c.Effect == control.Idempotent || c.Effect == control.Deduplicated && !c.DedupPerZone
 }
 
 // Write is outbound.Permits.
 func (k *keeper) Write(now control.Time, a *engine.Attempt) error {
-	return k.guard.Write(now, a.Call())
+	return k.guard.Write(now, a.SafetyCall())
 }
 
 // TakenBack is outbound.Permits.
 func (k *keeper) TakenBack(a *engine.Attempt) {
-	k.guard.TakenBack(a.Call())
-	k.told(k.l.TakeBack(a.Msg.Name))
+	k.guard.RevokeWrite(a.SafetyCall())
+	k.told(k.l.RevokeAttempt(a.Message.ExternalID))
 }
 
 // Record is outbound.Permits. What may be repeated at will needs no record before it is written.
 func (k *keeper) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
-	at, zone := k.clock.Instant(call[0].Sent), call[0].Place.Zone
-	err := k.l.Out(messageNames(call), at, zone, false)
+	at, zone := k.clock.ToInstant(call[0].StartedAt), call[0].Placement.Zone
+	err := k.l.StartAttempts(messageNames(call), at, zone, false)
 	if err == nil {
 		for _, a := range call {
-			k.verify(a.Msg)
+			k.verify(a.Message)
 		}
 		return call, nil
 	}
 	var may []*engine.Attempt
 	for _, a := range call {
-		if k.settings.Classes[a.Msg.Class].Effect == control.Free {
+		if k.settings.Classes[a.Message.Class].Effect == control.Idempotent {
 			may = append(may, a)
 		}
 	}
 	if len(may) > 0 {
-		_ = k.l.Out(messageNames(may), at, zone, true) // it is kept, and written when that works again
+		_ = k.l.StartAttempts(messageNames(may), at, zone, true) // it is kept, and written when that works again
 	}
 	return may, err
 }
@@ -91,46 +91,46 @@
 func messageNames(call []*engine.Attempt) []string {
 	names := make([]string, len(call))
 	for i, a := range call {
-		names[i] = a.Msg.Name
+		names[i] = a.Message.ExternalID
 	}
 	return names
 }
 
-// Back is engine.Ledger.
-func (k *keeper) Back(a *engine.Attempt, e safety.End) {
-	k.told(k.l.Back(a.Msg.Name, e.PossiblyExecuted, e.NoAttempt))
-	k.verify(a.Msg)
+// RecordAttemptEnd is engine.Ledger.
+func (k *keeper) RecordAttemptEnd(a *engine.Attempt, e safety.AttemptResult) {
+	k.told(k.l.EndAttempt(a.Message.ExternalID, e.PossiblyExecuted, e.NotCounted))
+	k.verify(a.Message)
 }
 
 // verify compares what is on record of a message's attempts with what this process knows of them. Guards against a record
 // from which another process would conclude that a repeat is allowed.
 func (k *keeper) verify(m *engine.Message) {
-	h, ok := k.l.History(m.Name)
+	h, ok := k.l.History(m.ExternalID)
 	if !ok {
 		return
 	}
-	if err := k.guard.Recorded(m.ID, h.Attempts, h.ExecutedAt > 0, k.clock.Time(h.ExecutedAt)); err != nil {
+	if err := k.guard.VerifyRecord(m.ID, h.Attempts, h.PossiblyExecutedAt > 0, k.clock.FromInstant(h.PossiblyExecutedAt)); err != nil {
 		k.fault(err.Error())
 	}
 }
 
-// Over is engine.Ledger.
-func (k *keeper) Over(m *engine.Message, a *engine.Answer) {
-	if a == nil || a.Final == engine.Served {
-		k.told(k.l.Over(m.Name))
+// RecordFinish is engine.Ledger.
+func (k *keeper) RecordFinish(m *engine.Message, a *engine.Answer) {
+	if a == nil || a.Kind == engine.Served {
+		k.told(k.l.Complete(m.ExternalID))
 		return
 	}
-	n := ledger.Notice{Name: m.Name}
-	if a.Final == engine.Refused {
-		n.Deferred, n.Again = true, int64((a.Wait+control.Millisecond-1)/control.Millisecond)
+	n := ledger.Notice{Name: m.ExternalID}
+	if a.Kind == engine.Refused {
+		n.Deferred, n.RetryAfterMillis = true, int64((a.RetryAfter+control.Millisecond-1)/control.Millisecond)
 	}
-	k.end(n, m.Taken+m.Life)
+	k.end(n, m.AcceptedAt+m.Lifetime)
 }
 
 // end records an end, and has the platform told once it is on record: a process that finds the message owed would send it,
 // while its sender hands it in again.
 func (k *keeper) end(n ledger.Notice, due control.Time) {
-	if err := k.l.End(n); err != nil {
+	if err := k.l.CompleteWithNotice(n); err != nil {
 		k.told(err)
 		k.mu.Lock()
 		k.unrecorded = append(k.unrecorded, unrecorded{n, due})
@@ -171,15 +171,15 @@
 	}
 }
 
-// Learn is engine.Ledger.
-func (k *keeper) Learn(changed []control.Outage) {
+// RecordOutages is engine.Ledger.
+func (k *keeper) RecordOutages(changed []control.Outage) {
 	all := make([]ledger.Outage, 0, len(changed))
 	for i := range changed {
-		if o := &changed[i]; k.dir.Listed(o.Endpoint) || o.Over() {
+		if o := &changed[i]; k.dir.IsListed(o.Endpoint) || o.Ended() {
 			all = append(all, k.outage(o))
 		}
 	}
-	k.told(k.l.Learn(all))
+	k.told(k.l.UpdateOutages(all))
 }
 
 // outage says an outage in the ledger's terms.
@@ -188,10 +188,10 @@
 		if t == 0 {
 			return 0
 		}
-		return k.clock.Instant(t)
+		return k.clock.ToInstant(t)
 	}
-	return ledger.Outage{Host: k.dir.Host(o.Endpoint), Suspect: o.Suspect, FailedAt: instant(o.FailedAt), DownAt: instant(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: instant(o.ColdAt), FullAt: instant(o.FullAt)}
+	return ledger.Outage{Host: k.dir.HostName(o.Endpoint), Suspect: o.Suspected, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownSince),
+		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Unreachable, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.RampStart), RefusingSince: instant(o.RefusingSince)}
 }
 
 // known says an outage of the ledger in the module's terms, of an endpoint.
@@ -200,17 +200,17 @@
 		if i == 0 {
 			return 0
 		}
-		if t := k.clock.Time(i); t != 0 { // which would say none
+		if t := k.clock.FromInstant(i); t != 0 { // which would say none
 			return t
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspect: o.Suspect, FailedAt: at(o.FailedAt), DownAt: at(o.DownAt),
-		Failures: o.Failures, Proven: o.Proven, Errors: o.Errors, Push: o.Push, ColdAt: at(o.ColdAt), FullAt: at(o.FullAt)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspected: o.Suspect, FailedAt: at(o.LastFailedAt), DownSince: at(o.FirstFailedAt),
+		Failures: o.ConsecutiveFailures, Unreachable: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, RampStart: at(o.RecoveredAt), RefusingSince: at(o.RefusingSince)}
 }
 
 // acked records that the platform has heard.
-func (k *keeper) acked(names []string) { k.told(k.l.Acked(names)) }
+func (k *keeper) acked(names []string) { k.told(k.l.AcknowledgeNotices(names)) }
 
 func (k *keeper) told(err error) {
 	if err != nil && !errors.Is(err, ledger.ErrFailing) { // what it fails for was told before
@@ -231,11 +231,11 @@
 			void = append(void, e.Name)
 			continue
 		}
-		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Dest, Key: e.Order, Name: e.Name, Repeat: e.Key, Body: e.Body,
-			Life: max(0, k.clock.Time(e.Due)-now), Came: now,
+		m := &engine.Message{Class: class, Tenant: tenant, Dest: e.Destination, OrderKey: e.OrderingKey, ExternalID: e.Name, IdempotencyKey: e.IdempotencyKey, Body: e.Body,
+			Lifetime: max(0, k.clock.FromInstant(e.Deadline)-now), ReceivedAt: now,
 			Recovered: engine.Recovered{Restored: true, Attempts: e.Attempts}}
 		if at, zone, ok := e.PossiblyExecuted(); ok {
-			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.Zone = true, k.clock.Time(at), zone
+			m.Recovered.PossiblyExecuted, m.Recovered.ExecutedAt, m.Recovered.ExecutedZone = true, k.clock.FromInstant(at), zone
 		}
 		all = append(all, m)
 	}
--- a/internal/platform/lastlist.go
+++ b/internal/platform/lastlist.go
@@ -29,11 +29,11 @@
 
 	mu     sync.Mutex
 	file   *recordfile.File
-	base   int           // bytes of the whole list in it
-	whole  func() List   // the list as it is now
-	behind bool          // the file lacks changes
-	tell   bool          // that the list is not kept has been told
-	broken chan struct{} // holds a token once saving has begun to fail
+	base   int                 // bytes of the whole list in it
+	whole  func() EndpointList // the list as it is now
+	behind bool                // the file lacks changes
+	tell   bool                // that the list is not kept has been told
+	broken chan struct{}       // holds a token once saving has begun to fail
 }
 
 const listName = "list"
@@ -48,22 +48,22 @@
 	changesLeast = 8 << 10
 )
 
-func newLastList(fs disk.FS, most int, whole func() List, log func(string, ...any)) *lastList {
+func newLastList(fs disk.FS, most int, whole func() EndpointList, log func(string, ...any)) *lastList {
 	return &lastList{fs: fs, most: most, whole: whole, log: log, file: recordfile.New(fs, listName), broken: make(chan struct{}, 1)}
 }
 
 // load returns the list that was kept; ok is false where there is none.
-func (k *lastList) load() (l List, ok bool) {
+func (k *lastList) load() (l EndpointList, ok bool) {
 	b, err := recordfile.Read(k.fs, listName, int64(k.most))
 	if err != nil {
-		return List{}, false
+		return EndpointList{}, false
 	}
 	text, at, err := logstore.NextRecord(b, 0, 0)
 	if err != nil {
-		return List{}, false
+		return EndpointList{}, false
 	}
 	if l, err = unpackList(text); err != nil {
-		return List{}, false
+		return EndpointList{}, false
 	}
 	merged := newMerge(l)
 	for at < len(b) {
@@ -71,7 +71,7 @@
 		if err != nil {
 			break
 		}
-		var change List
+		var change EndpointList
 		if json.Unmarshal(text, &change) != nil {
 			break
 		}
@@ -83,13 +83,13 @@
 
 // changed keeps what discovery told: changes behind the list that there is, a whole list in its place. Where that fails for now,
 // repair tries again.
-func (k *lastList) changed(l List) {
+func (k *lastList) changed(l EndpointList) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err := k.save(l); err != nil {
 		k.behind = true
 		k.say(err)
-		if disk.ForNow(err) {
+		if disk.IsTransient(err) {
 			select {
 			case k.broken <- struct{}{}:
 			default:
@@ -98,8 +98,8 @@
 	}
 }
 
-func (k *lastList) save(l List) error {
-	if l.Whole || k.behind || k.file.Damaged() {
+func (k *lastList) save(l EndpointList) error {
+	if l.Whole || k.behind || k.file.NeedsReplace() {
 		return k.rewrite()
 	}
 	text, err := json.Marshal(l)
@@ -142,7 +142,7 @@
 	if err != nil {
 		k.say(err)
 	}
-	if disk.ForNow(err) {
+	if disk.IsTransient(err) {
 		return err
 	}
 	return nil
@@ -167,7 +167,7 @@
 const packFrom = 32 << 10
 
 // packList is a list as it is kept.
-func packList(l List) ([]byte, error) {
+func packList(l EndpointList) ([]byte, error) {
 	text, err := json.Marshal(l)
 	if err != nil || len(text) < packFrom {
 		return text, err
@@ -181,15 +181,15 @@
 }
 
 // unpackList reads what packList made.
-func unpackList(b []byte) (l List, err error) {
+func unpackList(b []byte) (l EndpointList, err error) {
 	if len(b) > 0 && b[0] != '{' {
 		r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxList))
 		if err != nil {
-			return List{}, err
+			return EndpointList{}, err
 		}
 		defer r.Close()
 		if b, err = r.DecodeAll(b, nil); err != nil {
-			return List{}, err
+			return EndpointList{}, err
 		}
 	}
 	err = json.Unmarshal(b, &l)
@@ -205,13 +205,13 @@
 	hosts map[string]Host
 }
 
-func newMerge(l List) *merge {
+func newMerge(l EndpointList) *merge {
 	m := &merge{hosts: map[string]Host{}}
 	m.add(l)
 	return m
 }
 
-func (m *merge) add(l List) {
+func (m *merge) add(l EndpointList) {
 	m.seq = l.Seq
 	for _, h := range l.Hosts {
 		if h.Health == "gone" {
@@ -222,8 +222,8 @@
 	}
 }
 
-func (m *merge) list() List {
-	l := List{Seq: m.seq, Whole: true, Hosts: make([]Host, 0, len(m.hosts))}
+func (m *merge) list() EndpointList {
+	l := EndpointList{Seq: m.seq, Whole: true, Hosts: make([]Host, 0, len(m.hosts))}
 	for _, h := range m.hosts {
 		l.Hosts = append(l.Hosts, h)
 	}
--- a/internal/platform/listreader.go
+++ b/internal/platform/listreader.go
@@ -16,12 +16,12 @@
 // listReader reads the answer of a watch: a chunked body of JSON objects, each on a line or on several, and empty lines
 // while nothing changes. Pieces may end anywhere. It is free of I/O.
 type listReader struct {
-	told func(List)
+	told func(EndpointList)
 	beat func() // an empty line
 
 	head   *h1.Response
 	in     []byte // of the head, while it is not whole
-	chunks h1.Chunks
+	chunks h1.ChunkDecoder
 	object objectReader
 }
 
@@ -53,7 +53,7 @@
 }
 
 func (r *listReader) line(text []byte) error {
-	var l List
+	var l EndpointList
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("an object of the list: %w", err)
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/front"
 	"whinrun/internal/ledger"
 	"whinrun/internal/logs"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/safety"
 )
@@ -41,7 +41,7 @@
 	clock       *clock.Process
 	ledger      *ledger.Ledger
 	dir         *Directory
-	desk        *Desk
+	desk        *ClientHandler
 	pool        *outbound.Pool
 	loop        *engine.Loop
 	front       *front.Front
@@ -76,7 +76,7 @@
 
 // Start starts a dispatcher: what the ledger owes comes first.
 func Start(cfg *Config, log *logs.Logger) (*Node, error) {
-	folder, err := openFolder(cfg.State)
+	folder, err := openFolder(cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
@@ -86,9 +86,9 @@
 // startOn starts a dispatcher on a folder; system may be nil for the kernel.
 func startOn(folder disk.FS, system eventloop.System, cfg *Config, log *logs.Logger) (*Node, error) {
 	var err error
-	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.Kinds), agent: newAgent(cfg.Discovery),
+	n := &Node{cfg: cfg, log: log, system: system, clock: clock.New(), dir: NewDirectory(cfg.Zones, cfg.Settings.DestinationKinds), agent: newAgent(cfg.Discovery),
 		first: make(chan struct{}), quit: make(chan struct{}), storageDone: make(chan struct{})}
-	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() List { return n.dir.Whole(n.listSeq.Load()) }, n.warn("discovery"))
+	n.last = newLastList(folder, int(listPart*cfg.Limits.DiskMB*(1<<20)), func() EndpointList { return n.dir.Snapshot(n.listSeq.Load()) }, n.warn("discovery"))
 	if n.ledger, err = openLedger(folder, int64(cfg.Limits.DiskMB*(1<<20)), n.clock, n.warn("ledger")); err != nil {
 		return nil, err
 	}
@@ -104,15 +104,15 @@
 	set := &n.cfg.Settings
 	guard := safety.NewGuard(*set)
 	shares := newPlan(n.cfg.Limits.Sockets, set.Slots)
-	keep := &keeper{l: n.ledger, settings: set, clock: n.clock, guard: guard, dir: n.dir, log: n.warn("ledger"), fault: n.Fault}
+	keep := &keeper{l: n.ledger, settings: set, clock: n.clock, guard: guard, dir: n.dir, log: n.warn("ledger"), fault: n.InternalError}
 	if err := n.openPool(shares, keep); err != nil {
 		return err
 	}
 	n.notes = newNoticer(n.agent, keep.acked, n.warn("notices"))
 	keep.notes = n.notes
 	settings := *set
-	settings.Follows = n.ledger.Follows()
-	policy := engine.Policy{Settings: settings, Ledger: keep, Guard: guard, Judge: Judge, CallSize: maxBody}
+	settings.HasPredecessor = n.ledger.Reopened()
+	policy := engine.Options{Settings: settings, Ledger: keep, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
 		policy.Trail = trace{n.log, n.dir}
 	}
@@ -122,8 +122,8 @@
 		return err
 	}
 	hold := heldOver * set.MaxOpen
-	entries, owed := n.ledger.Owed()
-	n.loop = engine.NewLoop(core, n.clock, engine.Bounds{Queue: hold + len(entries), Hold: hold + len(entries)})
+	entries, owed := n.ledger.Outstanding()
+	n.loop = engine.NewLoop(core, n.clock, engine.Limits{MaxQueued: hold + len(entries), MaxHeld: hold + len(entries)})
 	n.notes.put(owed...)
 	n.discover()
 	n.restoreOutages(keep)
@@ -153,17 +153,17 @@
 }
 
 // openPool opens the connections' side towards endpoints.
-func (n *Node) openPool(shares plan, permits outbound.Permits) error {
+func (n *Node) openPool(shares plan, permits outbound.Admission) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxAnswer,
+		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxAnswer,
 		ConnectTimeout: span(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idlePart * float64(span(set.ConnIdle, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * shares.endpoints), Opening: shares.opening, Total: shares.endpoints},
-		Trace:          n.debug(), Permits: permits, System: n.system,
+		IdleTimeout:    time.Duration(idlePart * float64(span(set.ConnIdleTimeout, 5*time.Second))),
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * shares.endpoints), MaxHandshakes: shares.opening, MaxConns: shares.endpoints},
+		Trace:          n.debug(), Admission: permits, System: n.system,
 	}
-	calls := outbound.NewHTTP1(Calls{n.dir, n.cfg.Reports})
-	report := func(e engine.End) { n.loop.Put(engine.Input{End: &e}) }
+	calls := outbound.NewHTTP1(CallCodec{n.dir, n.cfg.LoadMetrics})
+	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
 	return untilItWorks(n.warn("node"), func() (err error) {
 		n.pool, err = outbound.New(cfg, calls, n.clock, report)
 		return err
@@ -174,13 +174,13 @@
 func (n *Node) openFront(shares plan, hold int) error {
 	set := &n.cfg.Settings
 	bytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: shares.clients, Bytes: bytes, Hold: hold, BlockAt: 1, UnblockAt: 1}
-	n.desk = NewDesk(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
-	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.Knows, n.ledger.Has, n.listed.Load
+	limits := admission.Limits{Conns: shares.clients, Bytes: bytes, Messages: hold, BlockAt: 1, UnblockAt: 1}
+	n.desk = NewClientHandler(*set, admission.New(limits, max(1, len(set.Tenants)), n.loop).AddFrontend("platform"))
+	n.desk.knows, n.desk.owes, n.desk.ready = n.dir.KnowsDestination, n.ledger.Contains, n.listed.Load
 	if n.cfg.Trace {
 		n.desk.trace = n.debug()
 	}
-	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debug(), System: n.system}
+	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, MaxUnread: 64 << 10, Trace: n.debug(), System: n.system}
 	log := func(t string) { n.log.Warn("clients", "%s", t) }
 	return untilItWorks(n.warn("node"), func() (err error) {
 		n.front, err = front.New(cfg, n.desk.side, n.clock, log, n.desk.Open)
@@ -229,7 +229,7 @@
 	for _, m := range all {
 		m.Origin = nobody{}
 		if err := n.loop.Submit(m); err != nil {
-			void = append(void, m.Name)
+			void = append(void, m.ExternalID)
 		}
 	}
 	for _, name := range void {
@@ -242,25 +242,25 @@
 func (n *Node) restoreOutages(k *keeper) {
 	var gone []ledger.Outage
 	for _, o := range n.ledger.Outages() {
-		if e, ok := n.dir.Find(o.Host); ok {
-			n.loop.Put(engine.Input{Outage: k.known(&o, e)})
+		if e, ok := n.dir.Lookup(o.Host); ok {
+			n.loop.Enqueue(engine.Input{Outage: k.known(&o, e)})
 		} else {
 			gone = append(gone, ledger.Outage{Host: o.Host})
 		}
 	}
 	if len(gone) > 0 {
-		k.told(k.l.Learn(gone))
+		k.told(k.l.UpdateOutages(gone))
 	}
 }
 
 // nobody is where restored messages came from: their senders have heard that they are taken on, and wait no more.
 type nobody struct{}
 
-// Final is engine.Origin.
-func (nobody) Final(*engine.Message, engine.Answer) {}
+// Answer is engine.Origin.
+func (nobody) Answer(*engine.Message, engine.Answer) {}
 
 // heard takes a list from discovery.
-func (n *Node) heard(l List) {
+func (n *Node) heard(l EndpointList) {
 	kind := control.ListDelta
 	if l.Whole {
 		kind = control.ListFull
@@ -272,12 +272,12 @@
 	n.heard1.Do(func() { close(n.first) })
 }
 
-func (n *Node) told(l List, kind control.ListKind) {
+func (n *Node) told(l EndpointList, kind control.ListKind) {
 	entries, faults := n.dir.Apply(l, n.elapsed())
 	for _, err := range faults {
 		n.log.Warn("discovery", "%v", err)
 	}
-	n.loop.Put(engine.Input{List: &engine.List{Kind: kind, Entries: entries}})
+	n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: kind, Entries: entries}})
 	if len(l.Hosts) > 0 || kind == control.ListFull {
 		n.listed.Store(true)
 	}
@@ -290,14 +290,14 @@
 func (l lists) Fetch() { l.answer() }
 
 func (l lists) answer() {
-	l.n.loop.Put(engine.Input{List: &engine.List{Kind: control.ListDelta}})
+	l.n.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: control.ListDelta}})
 }
 
-// Note is engine.Log.
-func (n *Node) Note(text string) { n.log.Info("module", "%s", text) }
+// Info is engine.Log.
+func (n *Node) Info(text string) { n.log.Info("module", "%s", text) }
 
-// Fault is engine.Log.
-func (n *Node) Fault(text string) { n.log.Error("engine", "%s", text) }
+// InternalError is engine.Log.
+func (n *Node) InternalError(text string) { n.log.Error("engine", "%s", text) }
 
 // Addr is where clients connect.
 func (n *Node) Addr() net.Addr { return n.front.Addr() }
@@ -317,12 +317,12 @@
 	n.log.Info("node", "stopping")
 	n.desk.closing.Store(true)
 	n.front.GoAway()
-	n.loop.Put(engine.Input{Stop: stopCalls, Kept: true})
+	n.loop.Enqueue(engine.Input{StopWithin: stopCalls, KeepMessages: true})
 	begun := n.elapsed()
 	for {
 		st := n.loop.Stats()
 		gone := n.elapsed() - begun
-		quiet := st.Out == 0 && n.notes.waiting() == 0
+		quiet := st.InFlight == 0 && n.notes.waiting() == 0
 		// Also with nothing left to do it stays: a client that is told when to come back fares better than one that
 		// finds nobody.
 		if gone > stopWithin || quiet && gone > time.Duration(stopCalls)*time.Microsecond {
@@ -339,7 +339,7 @@
 	done()
 	n.end()
 	st := n.loop.Stats()
-	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Taken,
+	n.log.Info("node", "stopped: %d taken, %d delivered, %d refused, %d failed, %d stay in the ledger, %d violations prevented", st.Accepted,
 		st.Served, st.Refused, st.Failed, st.Open, st.Violations)
 }
 
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -31,9 +31,9 @@
 	env   map[string]string
 	addr  string
 	node  *Node
-	disk  *disk.Memory          // in place of the folder, nil for the folder
-	calls *eventlooptest.Faulty // in place of the kernel, nil for the kernel
-	old   []byte                // the configuration, where it is not to be written anew
+	disk  *disk.Memory                // in place of the folder, nil for the folder
+	calls *eventlooptest.FaultySystem // in place of the kernel, nil for the kernel
+	old   []byte                      // the configuration, where it is not to be written anew
 	log   bytes.Buffer
 	logMu sync.Mutex
 }
@@ -97,7 +97,7 @@
 		d.node, err = startOn(d.disk, d.system(), cfg, log)
 	case d.calls != nil:
 		var folder disk.FS
-		if folder, err = openFolder(cfg.State); err == nil {
+		if folder, err = openFolder(cfg.StateDir); err == nil {
 			d.node, err = startOn(folder, d.system(), cfg, log)
 		}
 	default:
@@ -233,7 +233,7 @@
 
 func (d *day) count(k testbed.Kind, name string) int { return testbed.Count(d.s.Events(), k, name) }
 
-func TestCalmDay(t *testing.T) {
+func TestAllMessagesDelivered(t *testing.T) {
 	d := newDay(t)
 	var mu sync.Mutex
 	bodies, keys := map[string]string{}, map[string]string{}
@@ -565,7 +565,7 @@
 
 // Spoilt answers: a single call whose first line says 200 is delivered, all else may have run, and no connection that
 // had one is used again.
-func TestSpoiltAnswers(t *testing.T) {
+func TestMalformedAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply     testbed.Reply
 		delivered bool
@@ -781,7 +781,7 @@
 	}
 }
 
-func TestWaitTold(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	d := newDay(t)
 	d.endpoint("a", 1, "single", first(1, testbed.Reply{Status: 429, RetryAfter: 700 * time.Millisecond}))
 	d.start()
@@ -834,7 +834,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n{\"seq\":1,\"hosts\":[{\"host\":\"a\"}]}\n"), 10)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
 		d := NewDirectory(nil, nil)
-		r := &listReader{told: func(l List) { d.Apply(l, time.Second) }, beat: func() {}}
+		r := &listReader{told: func(l EndpointList) { d.Apply(l, time.Second) }, beat: func() {}}
 		if cut = max(0, min(cut, len(b))); r.read(b[:cut]) == nil {
 			_ = r.read(b[cut:])
 		}
@@ -843,21 +843,21 @@
 
 // Both forms of one object give equal settings.
 func TestKnownListIsOld(t *testing.T) {
-	var l List
+	var l EndpointList
 	if err := json.Unmarshal([]byte(`{"seq":3,"whole":true,"hosts":[{"host":"a","dial":"127.0.0.1:1","site":"west","class":"single","block":4,"health":"ready"}]}`), &l); err != nil {
 		t.Fatal(err)
 	}
 	d := NewDirectory([]string{"east", "west"}, nil)
 	entries, faults := d.Apply(l, time.Second)
-	if len(faults) != 0 || len(entries) != 1 || entries[0].Zone != 1 || entries[0].Dest != 4 || !d.Knows(4) || d.Knows(5) {
+	if len(faults) != 0 || len(entries) != 1 || entries[0].Zone != 1 || entries[0].Dest != 4 || !d.KnowsDestination(4) || d.KnowsDestination(5) {
 		t.Fatalf("%+v, %v", entries, faults)
 	}
-	entries, _ = d.Apply(List{Seq: 4, Whole: true}, 2*time.Second)
+	entries, _ = d.Apply(EndpointList{Seq: 4, Whole: true}, 2*time.Second)
 	if len(entries) != 1 || entries[0].Health != 2 {
 		t.Errorf("an endpoint that a whole list leaves out: %+v", entries)
 	}
-	d.Apply(List{Seq: 5, Whole: true}, 2*time.Second+2*forgetAfter)
-	if d.Knows(4) || len(d.hosts) != 0 || len(d.byID) != 0 {
+	d.Apply(EndpointList{Seq: 5, Whole: true}, 2*time.Second+2*forgetAfter)
+	if d.KnowsDestination(4) || len(d.hosts) != 0 || len(d.byID) != 0 {
 		t.Error("what is gone for long is kept")
 	}
 }
--- a/internal/platform/notices.go
+++ b/internal/platform/notices.go
@@ -116,16 +116,16 @@
 
 // outcome is one line of a request.
 type outcome struct {
-	ID     string `json:"id"`
-	Status string `json:"status"`
-	Again  int64  `json:"again_ms,omitempty"`
+	ID           string `json:"id"`
+	Status       string `json:"status"`
+	RetryAfterMs int64  `json:"again_ms,omitempty"`
 }
 
 func lines(batch []ledger.Notice) (b []byte) {
 	for _, x := range batch {
 		o := outcome{ID: x.Name, Status: "undeliverable"}
 		if x.Deferred {
-			o.Status, o.Again = "deferred", x.Again
+			o.Status, o.RetryAfterMs = "deferred", x.RetryAfterMillis
 		}
 		text, _ := json.Marshal(o) // plain strings and numbers: it can't fail
 		b = append(append(b, text...), '\n')
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"whinrun/control"
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h1"
@@ -27,25 +27,25 @@
 	pause      = time.Second     // told with refusals at the door
 )
 
-// Desk is what all client sessions share.
-type Desk struct {
+// ClientHandler is what all client sessions share.
+type ClientHandler struct {
 	classes map[string]int
 	keyed   []bool // classes whose messages carry an idempotency key
 	tenants map[string]int
 	knows   func(dest int) bool
 	owes    func(name string) bool // a message of that id is owed its end
 	ready   func() bool
-	side    *door.Side
+	side    *admission.Frontend
 	trace   func(format string, a ...any) // told of each answer and each connection that is given up
 	closing atomic.Bool
 }
 
-// NewDesk returns a Desk for classes and tenants as the settings name them.
-func NewDesk(s control.Settings, side *door.Side) *Desk {
-	d := &Desk{side: side, trace: func(string, ...any) {}}
+// NewClientHandler returns a Desk for classes and tenants as the settings name them.
+func NewClientHandler(s control.Settings, side *admission.Frontend) *ClientHandler {
+	d := &ClientHandler{side: side, trace: func(string, ...any) {}}
 	d.classes, d.tenants = numbers(&s)
 	for _, c := range s.Classes {
-		d.keyed = append(d.keyed, c.Effect == control.Guarded)
+		d.keyed = append(d.keyed, c.Effect == control.Deduplicated)
 	}
 	return d
 }
@@ -63,23 +63,23 @@
 }
 
 // Open makes the session of a new connection.
-func (d *Desk) Open(c *front.Conn, now time.Duration) front.Session {
+func (d *ClientHandler) Open(c *front.Conn, now time.Duration) front.Session {
 	return &session{d: d, peer: c.Peer(), post: c.Post, opened: now, last: now}
 }
 
 // session is one client connection. Requests are taken one at a time, in order, each answered in the round that takes its
 // message; what a client sends ahead of an answer waits (RFC 9112 section 9.3.2).
 type session struct {
-	d      *Desk
+	d      *ClientHandler
 	peer   string // address of the client, for the trace
 	name   string // id of the last message that it handed in, for the trace
-	post   func(front.Parcel) bool
+	post   func(front.Task) bool
 	opened time.Duration
 	last   time.Duration // when the last request was answered, or its first byte came
 	in     []byte        // not taken yet
 	head   *h1.Request   // its body is awaited
 	size   int           // of that head
-	room   *door.Ticket
+	room   *admission.Reservation
 	ask    *ask // a message whose answer is awaited
 	served bool // a request has been answered
 	away   bool
@@ -98,20 +98,20 @@
 // verdict is what a sender is to hear; it is a front.Parcel.
 type verdict struct {
 	ask   *ask
-	final engine.Final // Served stands for taken on
+	final engine.AnswerKind // Served stands for taken on
 	wait  control.Time
 }
 
-// Taken is engine.Taker.
-func (a *ask) Taken(*engine.Message) {
+// Accepted is engine.Taker.
+func (a *ask) Accepted(*engine.Message) {
 	a.taken = true
 	a.s.post(verdict{ask: a, final: engine.Served})
 }
 
-// Final is engine.Origin. The end of a message that was taken on is the keeper's to tell.
-func (a *ask) Final(_ *engine.Message, x engine.Answer) {
+// Answer is engine.Origin. The end of a message that was taken on is the keeper's to tell.
+func (a *ask) Answer(_ *engine.Message, x engine.Answer) {
 	if !a.taken {
-		a.s.post(verdict{a, x.Final, x.Wait})
+		a.s.post(verdict{a, x.Kind, x.RetryAfter})
 	}
 }
 
@@ -122,7 +122,7 @@
 		return
 	}
 	s.ask = nil
-	s.room.Answered(v.final, true)
+	s.room.Complete(v.final, true)
 	s.room = nil
 	switch v.final {
 	case engine.Served:
@@ -225,10 +225,10 @@
 		s.fault(now, "400 Bad Request")
 		return false
 	}
-	room := s.d.side.Ticket(0)
+	room := s.d.side.NewReservation(0)
 	s.head, s.size, s.room = head, n, &room
-	if err := s.room.Grow(int(head.Length)); err != nil {
-		s.room.Turn()
+	if err := s.room.Reserve(int(head.Length)); err != nil {
+		s.room.Reject()
 		s.room = nil
 		s.in, s.head = nil, nil
 		s.answer(now, "503 Service Unavailable", pause, true)
@@ -251,11 +251,11 @@
 			s.fault(now, status)
 			return
 		}
-		s.name = m.Name
+		s.name = m.ExternalID
 		s.submit(now, m, head.Close)
 		return
 	}
-	s.room.Turn()
+	s.room.Reject()
 	s.room = nil
 	switch {
 	case head.Method != "GET":
@@ -279,18 +279,18 @@
 		}
 	}
 	s.ask = nil
-	s.room.Turn()
+	s.room.Reject()
 	s.room = nil
 	s.answer(now, "503 Service Unavailable", pause, last || s.d.closing.Load())
 }
 
 // message makes a request into a message, or tells the status of what is wrong with it.
-func (d *Desk) message(r *h1.Request, body []byte, now time.Duration) (m *engine.Message, status string) {
+func (d *ClientHandler) message(r *h1.Request, body []byte, now time.Duration) (m *engine.Message, status string) {
 	const bad = "400 Bad Request"
 	var v [6]string
 	for i, name := range [...]string{"x-txn", "x-lane", "x-org", "x-remaining", "x-consignee", "idempotency-key"} {
 		var ok bool
-		if v[i], ok = r.Fields.One(name); !ok {
+		if v[i], ok = r.Fields.Single(name); !ok {
 			return nil, bad
 		}
 	}
@@ -320,8 +320,8 @@
 	if !ok {
 		return nil, bad
 	}
-	return &engine.Message{Class: class, Tenant: tenant, Dest: to, Key: order, Name: v[0], Repeat: v[5],
-		Life: control.Time(min(left, maxWait) * float64(control.Second)), Came: control.Time(now / time.Microsecond), Body: body}, ""
+	return &engine.Message{Class: class, Tenant: tenant, Dest: to, OrderKey: order, ExternalID: v[0], IdempotencyKey: v[5],
+		Lifetime: control.Time(min(left, maxWait) * float64(control.Second)), ReceivedAt: control.Time(now / time.Microsecond), Body: body}, ""
 }
 
 // beginsWith tells whether the class is the first part of a path.
@@ -359,7 +359,7 @@
 
 // orderKey reads what a message is about, in classes that keep their order.
 func orderKey(f h1.Fields) (uint64, bool) {
-	text, ok := f.One("x-entity")
+	text, ok := f.Single("x-entity")
 	if text == "" || !ok {
 		return 0, ok
 	}
--- a/internal/platform/storage.go
+++ b/internal/platform/storage.go
@@ -33,7 +33,7 @@
 // untilItWorks does something that a start needs, again while it fails by a fault that may pass by itself, for startWithin at
 // most: a process that ends for one would be started again, to find the same.
 func untilItWorks(log func(string, ...any), do func() error) error {
-	begun := clock.Start()
+	begun := clock.StartStopwatch()
 	gap := repairLeast
 	for {
 		err := do()
@@ -55,7 +55,7 @@
 			return true
 		}
 	}
-	return disk.ForNow(err)
+	return disk.IsTransient(err)
 }
 
 // openFolder makes and opens the folder that lasts.
@@ -68,8 +68,8 @@
 }
 
 // moment is now, for the ledger.
-func moment(c *clock.Process) ledger.Moment {
-	return ledger.Moment{Boot: c.Boot(), At: c.Instant(c.Now()), Wall: clock.Wall().UnixMicro()}
+func moment(c *clock.Process) ledger.ClockReading {
+	return ledger.ClockReading{Boot: c.BootID(), At: c.ToInstant(c.Now()), Wall: clock.Wall().UnixMicro()}
 }
 
 // keepStorage brings ledger and kept list up to date again whenever they fail, until the node ends. What waits for the ledger
@@ -80,7 +80,7 @@
 		select {
 		case <-n.quit:
 			return
-		case <-n.ledger.Broken():
+		case <-n.ledger.FailureStarted():
 		case <-n.last.broken:
 		}
 		n.repair(k)
@@ -96,7 +96,7 @@
 		err := errors.Join(n.ledger.Repair(), n.last.repair())
 		if failed && !n.ledger.Failing() {
 			k.recorded()
-			n.loop.Put(engine.Input{Recorded: true})
+			n.loop.Enqueue(engine.Input{LedgerWritable: true})
 			n.log.Info("ledger", "it is written again")
 			failed = false
 		}
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -27,7 +27,7 @@
 // awaitLine waits until the log says something.
 func (d *day) awaitLine(text string) {
 	d.t.Helper()
-	for watch := clock.Start(); !strings.Contains(d.text(), text); time.Sleep(time.Millisecond) {
+	for watch := clock.StartStopwatch(); !strings.Contains(d.text(), text); time.Sleep(time.Millisecond) {
 		if watch.Elapsed() > 10*time.Second {
 			d.t.Fatalf("the log does not say %q: %s", text, d.text())
 		}
@@ -139,7 +139,7 @@
 
 // load hands messages of all classes in for a while, and returns the names of those taken on.
 func (d *day) load(prefix string, span time.Duration) (names []string) {
-	watch := clock.Start()
+	watch := clock.StartStopwatch()
 	for i := 0; watch.Elapsed() < span; i++ {
 		c := []string{"status", "sync", "upload", "turns"}[i%4]
 		m := msg(fmt.Sprintf("%s-%s-%d", prefix, c, i), c, 1+i%2)
@@ -190,7 +190,7 @@
 	d.over(d.hand("before", 3, 1, "status"))
 	a.Close()
 	names := d.hand("x", 20, 1, "status")
-	for watch := clock.Start(); len(d.node.ledger.Outages()) == 0; time.Sleep(time.Millisecond) {
+	for watch := clock.StartStopwatch(); len(d.node.ledger.Outages()) == 0; time.Sleep(time.Millisecond) {
 		if watch.Elapsed() > 5*time.Second {
 			t.Fatal("the outage is not on record")
 		}
--- a/internal/platform/syscalls_test.go
+++ b/internal/platform/syscalls_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			d := newDay(t)
-			d.calls = &eventlooptest.Faulty{}
+			d.calls = &eventlooptest.FaultySystem{}
 			d.endpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
 				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%17 == 0}
 			})
@@ -27,21 +27,21 @@
 			faults := map[string][]error{
 				"socket": {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}, "connect": {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR, unix.ETIMEDOUT,
 					unix.ECONNREFUSED}, "epoll_ctl": {unix.ENOMEM, unix.ENOSPC}, "getsockopt": {unix.ENOBUFS}, "getpeername": {unix.ENOBUFS}}
-			for call, errs := range eventlooptest.PassingErrors {
+			for call, errs := range eventlooptest.TransientErrors {
 				faults[call] = errs
 			}
 			var names []string
 			for round := range 2 {
 				d.start()
-				d.calls.Set(eventlooptest.Sometimes(seed, 0.1, faults))
+				d.calls.SetFault(eventlooptest.RandomFaults(seed, 0.1, faults))
 				names = append(names, d.load(fmt.Sprint("r", round), 500*time.Millisecond)...)
 				d.kill()
-				d.calls.Set(nil)
+				d.calls.SetFault(nil)
 			}
 			d.start()
-			d.calls.Set(eventlooptest.Sometimes(seed+100, 0.1, faults))
+			d.calls.SetFault(eventlooptest.RandomFaults(seed+100, 0.1, faults))
 			d.over(names)
-			d.calls.Set(nil)
+			d.calls.SetFault(nil)
 			d.check()
 			if len(names) < 20 {
 				t.Errorf("only %d taken", len(names))
@@ -59,10 +59,10 @@
 		t.Run(c.call+" "+c.fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			d := newDay(t)
-			d.calls = &eventlooptest.Faulty{}
+			d.calls = &eventlooptest.FaultySystem{}
 			d.endpoint("a", 1, "single", ok)
 			d.start()
-			d.calls.Set(func(call string) error {
+			d.calls.SetFault(func(call string) error {
 				if call == c.call {
 					return c.fault
 				}
@@ -70,12 +70,12 @@
 			})
 			var names []string
 			if c.call == "epoll_ctl" { // clients can't be taken either: who was before is served
-				d.calls.Set(nil)
+				d.calls.SetFault(nil)
 				names = d.hand("x", 2, 1, "status", "upload")
 			} else {
 				names = d.hand("x", 2, 1, "status", "upload")
 				d.s.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") > 0 })
-				d.calls.Set(nil)
+				d.calls.SetFault(nil)
 			}
 			d.over(names)
 			d.check()
@@ -92,11 +92,11 @@
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			d := newDay(t)
-			d.calls = &eventlooptest.Faulty{}
+			d.calls = &eventlooptest.FaultySystem{}
 			d.endpoint("a", 1, "single", ok)
 			d.start()
 			met := make(chan struct{}, 1)
-			d.calls.Set(func(call string) error {
+			d.calls.SetFault(func(call string) error {
 				if call != "accept" {
 					return nil
 				}
@@ -112,7 +112,7 @@
 				answer <- status
 			}()
 			<-met
-			d.calls.Set(nil)
+			d.calls.SetFault(nil)
 			if status := <-answer; status != 202 {
 				t.Errorf("answer %d", status)
 			}
--- a/internal/push/inbound.go
+++ b/internal/push/inbound.go
@@ -13,18 +13,18 @@
 	"whinrun/internal/intake"
 )
 
-// Desk reads requests: it makes messages of them by the book.
-type Desk struct{ book *intake.Book }
+// RequestParser reads requests: it makes messages of them by the book.
+type RequestParser struct{ book *intake.Registry }
 
-// NewDesk returns a Desk.
-func NewDesk(book *intake.Book) *Desk { return &Desk{book} }
+// NewRequestParser returns a Desk.
+func NewRequestParser(book *intake.Registry) *RequestParser { return &RequestParser{book} }
 
 // Problem is a request that is not taken (RFC 9457); the message was never held.
 type Problem struct {
-	Status int
-	Title  string
-	Wait   time.Duration
-	Extra  []h2.Field
+	Status      int
+	Title       string
+	RetryAfter  time.Duration
+	ExtraFields []h2.Field
 }
 
 func (p *Problem) Error() string { return fmt.Sprintf("%d %s", p.Status, p.Title) }
@@ -34,7 +34,7 @@
 }
 
 // Read makes a message of a request's header section, or tells why not.
-func (d *Desk) Read(fields []h2.Field) (*engine.Message, *Problem) {
+func (d *RequestParser) Read(fields []h2.Field) (*engine.Message, *Problem) {
 	path, _, _ := strings.Cut(h2.Value(fields, ":path"), "?")
 	r, target := d.book.Find(path)
 	if r == nil {
@@ -42,19 +42,19 @@
 	}
 	if m := h2.Value(fields, ":method"); m != "POST" {
 		p := problem(405, "a push resource takes POST")
-		p.Extra = []h2.Field{{Name: "allow", Value: "POST"}}
+		p.ExtraFields = []h2.Field{{Name: "allow", Value: "POST"}}
 		return nil, p
 	}
-	if p := d.Allowed(r.Tenant, h2.Value(fields, "authorization")); p != nil {
+	if p := d.Authorize(r.Tenant, h2.Value(fields, "authorization")); p != nil {
 		return nil, p
 	}
 	if n := h2.Value(fields, "content-length"); n != "" {
 		if size, err := strconv.ParseUint(n, 10, 62); err == nil && size > uint64(d.MaxBody()) {
-			return nil, d.TooLong()
+			return nil, d.BodyTooLarge()
 		}
 	}
-	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, Target: target,
-		Type: h2.Value(fields, "content-type"), Coding: h2.Value(fields, "content-encoding")}
+	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, TargetPath: target,
+		ContentType: h2.Value(fields, "content-type"), ContentEncoding: h2.Value(fields, "content-encoding")}
 	if p := d.times(m, r, fields); p != nil {
 		return nil, p
 	}
@@ -64,35 +64,37 @@
 	return m, nil
 }
 
-// TooLong is the answer to a body above the limit.
-func (d *Desk) TooLong() *Problem { return problem(413, "body above %d bytes", d.MaxBody()) }
+// BodyTooLarge is the answer to a body above the limit.
+func (d *RequestParser) BodyTooLarge() *Problem {
+	return problem(413, "body above %d bytes", d.MaxBody())
+}
 
 // MaxBody is the largest body taken.
-func (d *Desk) MaxBody() int { return d.book.MaxBody() }
+func (d *RequestParser) MaxBody() int { return d.book.MaxBody() }
 
-// Book is what the Desk goes by.
-func (d *Desk) Book() *intake.Book { return d.book }
+// Rules is what the Desk goes by.
+func (d *RequestParser) Rules() *intake.Registry { return d.book }
 
-// Allowed looks at the bearer token (RFC 6750): 401 for none or an unknown one, 403 for another tenant's.
-func (d *Desk) Allowed(tenant int, authorization string) *Problem {
-	if d.book.Open(tenant) {
+// Authorize looks at the bearer token (RFC 6750): 401 for none or an unknown one, 403 for another tenant's.
+func (d *RequestParser) Authorize(tenant int, authorization string) *Problem {
+	if d.book.IsOpen(tenant) {
 		return nil
 	}
 	scheme, secret, _ := strings.Cut(authorization, " ")
-	standing := d.book.Check(tenant, strings.TrimSpace(secret))
+	standing := d.book.CheckSecret(tenant, strings.TrimSpace(secret))
 	switch {
-	case !strings.EqualFold(scheme, "Bearer") || standing == intake.Unknown:
+	case !strings.EqualFold(scheme, "Bearer") || standing == intake.UnknownSecret:
 		p := problem(401, "a bearer token of the tenant is needed")
-		p.Extra = []h2.Field{{Name: "www-authenticate", Value: `Bearer realm="push"`}}
+		p.ExtraFields = []h2.Field{{Name: "www-authenticate", Value: `Bearer realm="push"`}}
 		return p
-	case standing == intake.Another:
+	case standing == intake.OtherTenant:
 		return problem(403, "that is another tenant's")
 	}
 	return nil
 }
 
 // times reads TTL and Urgency (RFC 8030 sections 5.2 and 5.3).
-func (d *Desk) times(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
+func (d *RequestParser) times(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
 	v := h2.Value(fields, "ttl")
 	switch {
 	case v == "":
@@ -104,8 +106,8 @@
 	if n, err := strconv.ParseUint(v, 10, 31); err == nil {
 		asked = time.Duration(n) * time.Second
 	}
-	m.Life = d.book.Life(r.Life, asked)
-	if m.Urgency = h2.Value(fields, "urgency"); !intake.Urgency(m.Urgency) {
+	m.Lifetime = d.book.Lifetime(r.MaxLifetime, asked)
+	if m.Urgency = h2.Value(fields, "urgency"); !intake.ValidUrgency(m.Urgency) {
 		return problem(400, "Urgency %q (RFC 8030 section 5.3)", intake.Printable(m.Urgency))
 	}
 	return nil
@@ -114,7 +116,7 @@
 // keys reads Topic, which is the order key where the class asks for order, and Idempotency-Key.
 func keys(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
 	topic := h2.Value(fields, "topic")
-	if err := intake.Order(m, r.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
+	if err := intake.SetTopic(m, r.InOrder, topic); err != nil || h2.Count(fields, "topic") > 1 {
 		return problem(400, "Topic %q: one key of at most 32 characters (RFC 8030 section 5.4)", intake.Printable(topic))
 	}
 	v := h2.Value(fields, "idempotency-key")
@@ -125,8 +127,8 @@
 	if err != nil {
 		key = v // commonly sent without the quotes of a structured string
 	}
-	if err := intake.Repeat(m, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
-		return problem(400, "Idempotency-Key: %v", intake.ErrRepeat)
+	if err := intake.SetIdempotencyKey(m, key); err != nil || h2.Count(fields, "idempotency-key") > 1 {
+		return problem(400, "Idempotency-Key: %v", intake.ErrInvalidIdempotencyKey)
 	}
 	return nil
 }
@@ -138,21 +140,21 @@
 }
 
 // Response makes a final answer into a response: docs/answers.md says what each promises.
-func Response(n Names, m *engine.Message, a engine.Answer) Reply {
-	id := n.Of(m.ID)
-	switch a.Final {
+func Response(n ExternalIDs, m *engine.Message, a engine.Answer) Reply {
+	id := n.Format(m.ID)
+	switch a.Kind {
 	case engine.Served:
 		return Reply{Fields: []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: "/m/" + id},
-			{Name: "ttl", Value: strconv.Itoa(int(m.Life / control.Second))}, {Name: FieldMessage, Value: id, Sensitive: true}}}
+			{Name: "ttl", Value: strconv.Itoa(int(m.Lifetime / control.Second))}, {Name: FieldMessageID, Value: id, Sensitive: true}}}
 	case engine.Refused:
 		p := problem(503, "refused: nothing has taken effect beyond what the class allows to repeat")
 		if a.Status == 429 {
 			p.Status = 429
 		}
-		p.Wait = time.Duration(a.Wait) * time.Microsecond
+		p.RetryAfter = time.Duration(a.RetryAfter) * time.Microsecond
 		return p.reply(id, a)
 	}
-	if a.Late {
+	if a.DeadlineExceeded {
 		return problem(504, "failed: its time ended; whether it took effect is not known").reply(id, a)
 	}
 	return problem(502, "failed: whether it took effect is not known").reply(id, a)
@@ -171,16 +173,16 @@
 }
 
 func (p *Problem) reply(id string, a engine.Answer) Reply {
-	body, _ := json.Marshal(problemBody{p.Title, p.Status, a.Why, id, a.Tries, a.Status})
+	body, _ := json.Marshal(problemBody{p.Title, p.Status, a.AttemptDetail, id, a.Attempts, a.Status})
 	r := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
 		{Name: "content-type", Value: "application/problem+json"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}}
 	if p.Status == 429 || p.Status == 503 {
-		seconds := max(1, (p.Wait+time.Second-1)/time.Second)
+		seconds := max(1, (p.RetryAfter+time.Second-1)/time.Second)
 		r.Fields = append(r.Fields, h2.Field{Name: "retry-after", Value: strconv.Itoa(int(seconds))})
 	}
 	if id != "" {
-		r.Fields = append(r.Fields, h2.Field{Name: FieldMessage, Value: id, Sensitive: true})
+		r.Fields = append(r.Fields, h2.Field{Name: FieldMessageID, Value: id, Sensitive: true})
 	}
-	r.Fields = append(r.Fields, p.Extra...)
+	r.Fields = append(r.Fields, p.ExtraFields...)
 	return r
 }
--- a/internal/push/push_test.go
+++ b/internal/push/push_test.go
@@ -11,11 +11,11 @@
 	"whinrun/internal/intake"
 )
 
-func desk() *Desk {
-	return NewDesk(intake.NewBook(intake.Setup{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, Life: 10 * time.Second},
-		{Path: "/a/open", Class: 1, Tenant: 2, Life: 10 * time.Second}, {Path: "/d/*", Tenant: 1, Life: 10 * time.Second, Target: ""}},
+func desk() *RequestParser {
+	return NewRequestParser(intake.NewRegistry(intake.Config{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, MaxLifetime: 10 * time.Second},
+		{Path: "/a/open", Class: 1, Tenant: 2, MaxLifetime: 10 * time.Second}, {Path: "/d/*", Tenant: 1, MaxLifetime: 10 * time.Second, Target: ""}},
 		Tokens: []intake.Token{intake.NewToken("one", 0), intake.NewToken("two", 1)}, Tenants: []string{"x", "y", "z"},
-		MaxBody: 1000, LeastLife: time.Second}))
+		MaxBody: 1000, MinLifetime: time.Second}))
 }
 
 func request(path string, more ...string) []h2.Field {
@@ -26,7 +26,7 @@
 	return f
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejects(t *testing.T) {
 	auth := []string{"authorization", "Bearer one"}
 	with := func(more ...string) []string { return append(append([]string(nil), auth...), more...) }
 	for _, c := range []struct {
@@ -76,20 +76,20 @@
 	return p.Status
 }
 
-func TestReadMeaning(t *testing.T) {
+func TestReadSetsMessageFields(t *testing.T) {
 	m, p := desk().Read(request("/a/status", "authorization", "bearer one", "ttl", "3", "topic", "t1", "idempotency-key", `"k1"`, "urgency", "high"))
 	if p != nil {
 		t.Fatal(p)
 	}
-	if m.Life != 3*control.Second || m.Key == 0 || m.Repeat != "0/k1" || m.Dest != 1 || m.Urgency != "high" {
+	if m.Lifetime != 3*control.Second || m.OrderKey == 0 || m.IdempotencyKey != "0/k1" || m.Dest != 1 || m.Urgency != "high" {
 		t.Errorf("%+v", m)
 	}
 	bare, _ := desk().Read(request("/a/status", "authorization", "Bearer one", "ttl", "0", "topic", "t1", "idempotency-key", "k1"))
-	if bare.Life != control.Second || bare.Key != m.Key || bare.Repeat != m.Repeat {
+	if bare.Lifetime != control.Second || bare.OrderKey != m.OrderKey || bare.IdempotencyKey != m.IdempotencyKey {
 		t.Errorf("TTL 0, bare key: %+v", bare)
 	}
 	d, _ := desk().Read(request("/d/token9", "authorization", "Bearer two", "ttl", "100"))
-	if d.Target != "/token9" || d.Life != 10*control.Second {
+	if d.TargetPath != "/token9" || d.Lifetime != 10*control.Second {
 		t.Errorf("%+v", d)
 	}
 }
@@ -119,18 +119,18 @@
 
 // What attempts look like in both dialects; the id is the same on every attempt.
 func TestDialects(t *testing.T) {
-	m := &engine.Message{ID: 40, Topic: "t", Urgency: "high", Target: "/device9", Body: []byte("abc"), Type: "text/plain"}
-	a := &engine.Attempt{Msg: m, N: 2}
-	n := Names{Epoch: "e"}
+	m := &engine.Message{ID: 40, Topic: "t", Urgency: "high", TargetPath: "/device9", Body: []byte("abc"), ContentType: "text/plain"}
+	a := &engine.Attempt{Message: m, Number: 2}
+	n := ExternalIDs{Epoch: "e"}
 	wall := time.Unix(1000, 0)
-	f := Standard{}.Request(Site{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
-	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessage: "e-14",
+	f := Standard{}.Request(PartnerResource{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
+	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessageID: "e-14",
 		FieldAttempt: "2", "idempotency-key": `"e-14"`, "content-length": "3", ":authority": "h:1"} {
 		if got := h2.Value(f, name); got != want {
 			t.Errorf("push %s: %q, want %q", name, got, want)
 		}
 	}
-	f = Device{}.Request(Site{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
+	f = Device{}.Request(PartnerResource{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
 	for name, want := range map[string]string{":path": "/3/device/device9", "apns-expiration": "1003", "apns-priority": "10", "apns-topic": "app",
 		"apns-collapse-id": "t"} {
 		if got := h2.Value(f, name); got != want {
@@ -138,7 +138,7 @@
 		}
 	}
 	id := h2.Value(f, "apns-id")
-	again := Device{}.Request(Site{}, n, &engine.Attempt{Msg: m, N: 3}, 0, wall)
+	again := Device{}.Request(PartnerResource{}, n, &engine.Attempt{Message: m, Number: 3}, 0, wall)
 	if len(id) != 36 || h2.Value(again, "apns-id") != id {
 		t.Errorf("apns-id %q, then %q", id, h2.Value(again, "apns-id"))
 	}
@@ -152,19 +152,19 @@
 
 // Each final answer's form; a refusal always tells a wait.
 func TestResponse(t *testing.T) {
-	m := &engine.Message{ID: 40, Life: 3 * control.Second}
+	m := &engine.Message{ID: 40, Lifetime: 3 * control.Second}
 	for _, c := range []struct {
 		a      engine.Answer
 		status string
 		wait   string
 	}{
-		{engine.Answer{Final: engine.Served}, "201", ""},
-		{engine.Answer{Final: engine.Refused}, "503", "1"},
-		{engine.Answer{Final: engine.Refused, Wait: 1500 * control.Millisecond, Status: 429}, "429", "2"},
-		{engine.Answer{Final: engine.Failed}, "502", ""},
-		{engine.Answer{Final: engine.Failed, Late: true}, "504", ""},
+		{engine.Answer{Kind: engine.Served}, "201", ""},
+		{engine.Answer{Kind: engine.Refused}, "503", "1"},
+		{engine.Answer{Kind: engine.Refused, RetryAfter: 1500 * control.Millisecond, Status: 429}, "429", "2"},
+		{engine.Answer{Kind: engine.Failed}, "502", ""},
+		{engine.Answer{Kind: engine.Failed, DeadlineExceeded: true}, "504", ""},
 	} {
-		r := Response(Names{"e"}, m, c.a)
+		r := Response(ExternalIDs{"e"}, m, c.a)
 		if got := h2.Value(r.Fields, ":status"); got != c.status {
 			t.Errorf("%+v: status %s", c.a, got)
 		}
@@ -181,8 +181,8 @@
 		if (m == nil) == (p == nil) {
 			t.Error("neither a message nor a problem, or both")
 		}
-		if m != nil && (m.Life < control.Second || m.Life > 10*control.Second) {
-			t.Errorf("life %d", m.Life)
+		if m != nil && (m.Lifetime < control.Second || m.Lifetime > 10*control.Second) {
+			t.Errorf("life %d", m.Lifetime)
 		}
 	})
 }
--- a/internal/receipt/receipt.go
+++ b/internal/receipt/receipt.go
@@ -16,26 +16,26 @@
 
 // Receipt is the final answer of one message.
 type Receipt struct {
-	Message     string    `json:"message"` // the dispatcher's name of it
-	Answer      string    `json:"answer"`  // served, refused or failed
-	At          time.Time `json:"at"`
-	Detail      string    `json:"detail,omitempty"`
-	Reason      string    `json:"reason,omitempty"` // the dispatcher's own, where no partner's answer ended it
-	Attempts    int       `json:"attempts"`
-	Partner     int       `json:"partner-status,omitempty"`
-	RetryAfter  int64     `json:"retry-after-ms,omitempty"`
-	OutOfTime   bool      `json:"out-of-time,omitempty"`
-	MessageID   string    `json:"message-id,omitempty"`
-	Correlation string    `json:"correlation-id,omitempty"`
-	Exchange    string    `json:"exchange,omitempty"`
-	Key         string    `json:"routing-key,omitempty"`
-	Path        string    `json:"path,omitempty"`
+	Message          string    `json:"message"` // the dispatcher's name of it
+	Answer           string    `json:"answer"`  // served, refused or failed
+	At               time.Time `json:"at"`
+	Detail           string    `json:"detail,omitempty"`
+	Reason           string    `json:"reason,omitempty"` // the dispatcher's own, where no partner's answer ended it
+	Attempts         int       `json:"attempts"`
+	PartnerStatus    int       `json:"partner-status,omitempty"`
+	RetryAfterMillis int64     `json:"retry-after-ms,omitempty"`
+	OutOfTime        bool      `json:"out-of-time,omitempty"`
+	MessageID        string    `json:"message-id,omitempty"`
+	CorrelationID    string    `json:"correlation-id,omitempty"`
+	Exchange         string    `json:"exchange,omitempty"`
+	RoutingKey       string    `json:"routing-key,omitempty"`
+	Path             string    `json:"path,omitempty"`
 }
 
 // New makes a receipt of an answer.
 func New(name string, a *engine.Answer, at time.Time) *Receipt {
-	return &Receipt{Message: name, Answer: a.Final.String(), At: at.UTC(), Detail: a.Why, Reason: a.Reason, Attempts: a.Tries, Partner: a.Status,
-		RetryAfter: int64(a.Wait / 1000), OutOfTime: a.Late}
+	return &Receipt{Message: name, Answer: a.Kind.String(), At: at.UTC(), Detail: a.AttemptDetail, Reason: a.Reason, Attempts: a.Attempts, PartnerStatus: a.Status,
+		RetryAfterMillis: int64(a.RetryAfter / 1000), OutOfTime: a.DeadlineExceeded}
 }
 
 // JSON is the receipt unsigned.
@@ -50,8 +50,8 @@
 	Sign([]byte) []byte
 }
 
-// Media is the type of a signed receipt (RFC 7515 section 9.2.1).
-const Media = "application/jose"
+// MediaType is the type of a signed receipt (RFC 7515 section 9.2.1).
+const MediaType = "application/jose"
 
 type head struct {
 	Alg string `json:"alg"`
--- a/internal/receipt/receipt_test.go
+++ b/internal/receipt/receipt_test.go
@@ -19,10 +19,10 @@
 func TestSignedReceipts(t *testing.T) {
 	public, private, _ := ed25519.GenerateKey(nil)
 	other, _, _ := ed25519.GenerateKey(nil)
-	r := New("e-1", &engine.Answer{Final: engine.Refused, Wait: 2 * control.Second, Tries: 3, Why: "status 429"}, time.Unix(1e9, 0))
+	r := New("e-1", &engine.Answer{Kind: engine.Refused, RetryAfter: 2 * control.Second, Attempts: 3, AttemptDetail: "status 429"}, time.Unix(1e9, 0))
 	jws := r.Sign(key{private})
 	got, err := Verify(jws+"\n", map[string]ed25519.PublicKey{"k1": public})
-	if err != nil || *got != *r || got.RetryAfter != 2000 {
+	if err != nil || *got != *r || got.RetryAfterMillis != 2000 {
 		t.Errorf("%+v, %v", got, err)
 	}
 	if _, err := Verify(jws, map[string]ed25519.PublicKey{"k1": other}); !errors.Is(err, ErrSignature) {
@@ -43,7 +43,7 @@
 
 func FuzzVerify(f *testing.F) {
 	_, private, _ := ed25519.GenerateKey(nil)
-	f.Add(New("e-1", &engine.Answer{Final: engine.Served}, time.Unix(1e9, 0)).Sign(key{private}))
+	f.Add(New("e-1", &engine.Answer{Kind: engine.Served}, time.Unix(1e9, 0)).Sign(key{private}))
 	f.Fuzz(func(t *testing.T, s string) {
 		if r, err := Verify(s, nil); err == nil {
 			t.Errorf("taken without a key: %+v", r)
--- a/internal/recordfile/recordfile.go
+++ b/internal/recordfile/recordfile.go
@@ -14,8 +14,8 @@
 var (
 	// ErrUncertain tells that records may be in the file, or may not.
 	ErrUncertain = errors.New("it is not known whether it is in the file")
-	// ErrDamaged tells that nothing can be appended: the file is to be replaced.
-	ErrDamaged = errors.New("the file is to be written anew")
+	// ErrNeedsReplace tells that nothing can be appended: the file is to be replaced.
+	ErrNeedsReplace = errors.New("the file is to be written anew")
 )
 
 // File is one such file. It is not safe for concurrent use.
@@ -34,16 +34,16 @@
 // Size counts the bytes of whole records.
 func (f *File) Size() int64 { return f.size }
 
-// Damaged tells whether only Replace helps.
-func (f *File) Damaged() bool { return f.file == nil || f.damaged }
+// NeedsReplace tells whether only Replace helps.
+func (f *File) NeedsReplace() bool { return f.file == nil || f.damaged }
 
-// Damage has the file replaced before anything is appended again.
-func (f *File) Damage() { f.damaged = true }
+// RequireReplace has the file replaced before anything is appended again.
+func (f *File) RequireReplace() { f.damaged = true }
 
 // Append writes records. After an error none of them is in the file, or with ErrUncertain they may be and the file is damaged.
 func (f *File) Append(b []byte) error {
-	if f.Damaged() {
-		return ErrDamaged
+	if f.NeedsReplace() {
+		return ErrNeedsReplace
 	}
 	n, err := f.file.Write(b)
 	if err == nil && n == len(b) {
--- a/internal/safety/safety_test.go
+++ b/internal/safety/safety_test.go
@@ -18,18 +18,18 @@
 )
 
 func settings() control.Settings {
-	return control.Settings{Tick: 5 * control.Millisecond, MaxTries: 3, SettleAfterDoubt: s, Classes: []control.Class{
-		free:    {Effect: control.Free},
-		keyed:   {Effect: control.Guarded, Window: 5 * s},
-		once:    {Effect: control.SingleShot},
-		zoned:   {Effect: control.Guarded, Window: 5 * s, ZoneGroup: true},
-		ordered: {Effect: control.Free, InOrder: true},
+	return control.Settings{Tick: 5 * control.Millisecond, MaxAttempts: 3, SettleTime: s, Classes: []control.Class{
+		free:    {Effect: control.Idempotent},
+		keyed:   {Effect: control.Deduplicated, DedupWindow: 5 * s},
+		once:    {Effect: control.AtMostOnce},
+		zoned:   {Effect: control.Deduplicated, DedupWindow: 5 * s, DedupPerZone: true},
+		ordered: {Effect: control.Idempotent, InOrder: true},
 	}}
 }
 
 // Each reason to forbid a call, by what happened before it; at the decision and again at the writing.
-func TestCalls(t *testing.T) {
-	executed := End{PossiblyExecuted: true}
+func TestCallAuthorization(t *testing.T) {
+	executed := AttemptResult{PossiblyExecuted: true}
 	for _, c := range []struct {
 		name   string
 		class  int
@@ -39,27 +39,27 @@
 		want   error
 	}{
 		{"first", once, nil, s, nil, nil},
-		{"message ended", free, func(g *Guard, _ Call) { g.Finish(1) }, s, nil, ErrUnknown},
-		{"time over", free, nil, 20 * s, nil, ErrTimeOver},
-		{"endpoint drains", free, func(g *Guard, _ Call) { g.Listed(s, 7, control.Draining) }, s, nil, ErrDrained},
-		{"endpoint is back", free, func(g *Guard, _ Call) { g.Listed(s, 7, control.Gone); g.Listed(s, 7, control.Ready) }, s, nil, nil},
-		{"destination waits", free, func(g *Guard, c Call) { g.Told(c, 4*s) }, 3 * s, nil, ErrWait},
-		{"wait over", free, func(g *Guard, c Call) { g.Told(c, 4*s) }, 4 * s, nil, nil},
-		{"shorter wait behind a longer one", free, func(g *Guard, c Call) { g.Told(c, 4*s); g.Told(c, 2*s) }, 3 * s, nil, ErrWait},
-		{"another route waits", free, func(g *Guard, c Call) { c.Apart, c.Endpoint = true, 8; g.Told(c, 4*s) }, 3 * s, func(c *Call) { c.Apart = true }, nil},
-		{"its route waits", free, func(g *Guard, c Call) { c.Apart = true; g.Told(c, 4*s) }, 3 * s, func(c *Call) { c.Apart = true }, ErrWait},
+		{"message ended", free, func(g *Guard, _ Call) { g.FinishMessage(1) }, s, nil, ErrUnknownMessage},
+		{"time over", free, nil, 20 * s, nil, ErrDeadlineExceeded},
+		{"endpoint drains", free, func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Draining) }, s, nil, ErrEndpointWithdrawn},
+		{"endpoint is back", free, func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Gone); g.SetHealth(s, 7, control.Ready) }, s, nil, nil},
+		{"destination waits", free, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s) }, 3 * s, nil, ErrRetryAfterPending},
+		{"wait over", free, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s) }, 4 * s, nil, nil},
+		{"shorter wait behind a longer one", free, func(g *Guard, c Call) { g.SetRetryAfter(c, 4*s); g.SetRetryAfter(c, 2*s) }, 3 * s, nil, ErrRetryAfterPending},
+		{"another route waits", free, func(g *Guard, c Call) { c.PerEndpointLimits, c.Endpoint = true, 8; g.SetRetryAfter(c, 4*s) }, 3 * s, func(c *Call) { c.PerEndpointLimits = true }, nil},
+		{"its route waits", free, func(g *Guard, c Call) { c.PerEndpointLimits = true; g.SetRetryAfter(c, 4*s) }, 3 * s, func(c *Call) { c.PerEndpointLimits = true }, ErrRetryAfterPending},
 		{"free, executed", free, ended(executed), 19 * s, nil, nil},
-		{"once, never executed", once, ended(End{}), 3 * s, nil, nil},
-		{"once, executed", once, ended(executed), 3 * s, nil, ErrExecuted},
+		{"once, never executed", once, ended(AttemptResult{}), 3 * s, nil, nil},
+		{"once, executed", once, ended(executed), 3 * s, nil, ErrPossiblyExecuted},
 		{"keyed, executed, in its window", keyed, ended(executed), 6*s - control.StallMargin, nil, nil},
-		{"keyed, executed, a stall before its window's end", keyed, ended(executed), 6*s - control.StallMargin + 1, nil, ErrWindow},
-		{"keyed, never executed", keyed, ended(End{}), 19 * s, nil, nil},
+		{"keyed, executed, a stall before its window's end", keyed, ended(executed), 6*s - control.StallMargin + 1, nil, ErrWindowExpired},
+		{"keyed, never executed", keyed, ended(AttemptResult{}), 19 * s, nil, nil},
 		{"zone, executed here", zoned, ended(executed), 3 * s, nil, nil},
-		{"zone, executed elsewhere", zoned, ended(executed), 3 * s, func(c *Call) { c.Zone = 2 }, ErrZone},
+		{"zone, executed elsewhere", zoned, ended(executed), 3 * s, func(c *Call) { c.Zone = 2 }, ErrOtherZone},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGuard(settings())
-			g.Accept(Message{ID: 1, Class: c.class, Due: 20 * s})
+			g.Accept(Message{ID: 1, Class: c.class, Deadline: 20 * s})
 			call := Call{Message: 1, Endpoint: 7, Dest: 3, Zone: 1}
 			if c.before != nil {
 				c.before(g, call)
@@ -71,7 +71,7 @@
 				c.change(&call)
 			}
 			before := g.Violations()
-			err := g.Plan(c.at, call)
+			err := g.AuthorizeCall(c.at, call)
 			if !errors.Is(err, c.want) || err == nil != (g.Violations() == before) {
 				t.Errorf("planned: %v, want %v; %d violations", err, c.want, g.Violations())
 			}
@@ -81,7 +81,7 @@
 			if err := g.Write(c.at, call); err != nil {
 				t.Errorf("written: %v", err)
 			}
-			if err := g.Plan(c.at, call); !errors.Is(err, ErrOut) {
+			if err := g.AuthorizeCall(c.at, call); !errors.Is(err, ErrAttemptInFlight) {
 				t.Errorf("a second one: %v", err)
 			}
 		})
@@ -89,10 +89,10 @@
 }
 
 // ended has a first call made at 1 s, and its end come.
-func ended(e End) func(*Guard, Call) {
+func ended(e AttemptResult) func(*Guard, Call) {
 	return func(g *Guard, c Call) {
-		if g.Plan(s, c) == nil && g.Write(s, c) == nil {
-			_ = g.Ended(s, c, s, e)
+		if g.AuthorizeCall(s, c) == nil && g.Write(s, c) == nil {
+			_ = g.FinishAttempt(s, c, s, e)
 		}
 	}
 }
@@ -104,17 +104,17 @@
 		at      control.Time
 		want    error
 	}{
-		"its final answer": {func(g *Guard, _ Call) { g.Finish(1) }, s, ErrEnded},
-		"a drain":          {func(g *Guard, _ Call) { g.Listed(s, 7, control.Gone) }, s, ErrDrained},
-		"a wait":           {func(g *Guard, c Call) { g.Told(c, 9*s) }, s, ErrWait},
-		"its time":         {func(*Guard, Call) {}, 20 * s, ErrTimeOver},
+		"its final answer": {func(g *Guard, _ Call) { g.FinishMessage(1) }, s, ErrMessageFinished},
+		"a drain":          {func(g *Guard, _ Call) { g.SetHealth(s, 7, control.Gone) }, s, ErrEndpointWithdrawn},
+		"a wait":           {func(g *Guard, c Call) { g.SetRetryAfter(c, 9*s) }, s, ErrRetryAfterPending},
+		"its time":         {func(*Guard, Call) {}, 20 * s, ErrDeadlineExceeded},
 		"nothing":          {func(*Guard, Call) {}, s, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewGuard(settings())
-			g.Accept(Message{ID: 1, Class: once, Due: 20 * s})
+			g.Accept(Message{ID: 1, Class: once, Deadline: 20 * s})
 			call := Call{Message: 1, Endpoint: 7}
-			if err := g.Plan(s, call); err != nil {
+			if err := g.AuthorizeCall(s, call); err != nil {
 				t.Fatal(err)
 			}
 			c.between(g, call)
@@ -131,19 +131,19 @@
 // An end that claims that nothing was sent of a call that was written is not believed.
 func TestEndAsUnsent(t *testing.T) {
 	g := NewGuard(settings())
-	g.Accept(Message{ID: 1, Class: once, Due: 20 * s})
+	g.Accept(Message{ID: 1, Class: once, Deadline: 20 * s})
 	first := Call{Message: 1, Endpoint: 7}
-	_, _ = g.Plan(s, first), g.Write(s, first)
-	g.TakenBack(first)
-	if err := g.Ended(s, first, s, End{Unsent: true}); err != nil {
+	_, _ = g.AuthorizeCall(s, first), g.Write(s, first)
+	g.RevokeWrite(first)
+	if err := g.FinishAttempt(s, first, s, AttemptResult{Unsent: true}); err != nil {
 		t.Errorf("taken back: %v", err)
 	}
 	second := Call{Message: 1, Attempt: 1, Endpoint: 7}
-	_, _ = g.Plan(2*s, second), g.Write(2*s, second)
-	if err := g.Ended(2*s, second, 2*s, End{Unsent: true}); !errors.Is(err, ErrWritten) {
+	_, _ = g.AuthorizeCall(2*s, second), g.Write(2*s, second)
+	if err := g.FinishAttempt(2*s, second, 2*s, AttemptResult{Unsent: true}); !errors.Is(err, ErrAlreadyWritten) {
 		t.Errorf("written: %v", err)
 	}
-	if at, _, ok := g.Execution(1); !ok || at != 2*s {
+	if at, _, ok := g.FirstExecution(1); !ok || at != 2*s {
 		t.Errorf("possibly executed at %d, %v", at, ok)
 	}
 }
@@ -157,22 +157,22 @@
 		want   error
 	}{
 		{"never called", once, nil, nil},
-		{"once, never executed", once, ended(End{}), nil},
-		{"once, executed", once, ended(End{PossiblyExecuted: true}), ErrRepeated},
-		{"once, planned and not written", once, func(g *Guard, c Call) { _ = g.Plan(s, c) }, nil},
-		{"once, out", once, func(g *Guard, c Call) { _, _ = g.Plan(s, c), g.Write(s, c) }, ErrRepeated},
-		{"keyed, executed", keyed, ended(End{PossiblyExecuted: true}), nil},
-		{"zone, executed", zoned, ended(End{PossiblyExecuted: true}), ErrRepeated},
-		{"free, executed", free, ended(End{PossiblyExecuted: true}), nil},
-		{"ended", once, func(g *Guard, c Call) { _, _ = g.Plan(s, c), g.Write(s, c); g.Finish(1) }, ErrEnded},
+		{"once, never executed", once, ended(AttemptResult{}), nil},
+		{"once, executed", once, ended(AttemptResult{PossiblyExecuted: true}), ErrUnsafeRepeat},
+		{"once, planned and not written", once, func(g *Guard, c Call) { _ = g.AuthorizeCall(s, c) }, nil},
+		{"once, out", once, func(g *Guard, c Call) { _, _ = g.AuthorizeCall(s, c), g.Write(s, c) }, ErrUnsafeRepeat},
+		{"keyed, executed", keyed, ended(AttemptResult{PossiblyExecuted: true}), nil},
+		{"zone, executed", zoned, ended(AttemptResult{PossiblyExecuted: true}), ErrUnsafeRepeat},
+		{"free, executed", free, ended(AttemptResult{PossiblyExecuted: true}), nil},
+		{"ended", once, func(g *Guard, c Call) { _, _ = g.AuthorizeCall(s, c), g.Write(s, c); g.FinishMessage(1) }, ErrMessageFinished},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewGuard(settings())
-			g.Accept(Message{ID: 1, Class: c.class, Due: 20 * s})
+			g.Accept(Message{ID: 1, Class: c.class, Deadline: 20 * s})
 			if c.before != nil {
 				c.before(g, Call{Message: 1, Endpoint: 7})
 			}
-			if err := g.Refuse(1); !errors.Is(err, c.want) {
+			if err := g.AuthorizeRefusal(1); !errors.Is(err, c.want) {
 				t.Errorf("%v, want %v", err, c.want)
 			}
 		})
@@ -183,27 +183,27 @@
 func TestOrder(t *testing.T) {
 	g := NewGuard(settings())
 	for id := range control.MessageID(3) {
-		g.Accept(Message{ID: id + 1, Class: ordered, Key: 5, Due: 20 * s})
+		g.Accept(Message{ID: id + 1, Class: ordered, OrderKey: 5, Deadline: 20 * s})
 	}
 	first, second := Call{Message: 1}, Call{Message: 2}
-	if err := g.Plan(s, second); !errors.Is(err, ErrOrder) {
+	if err := g.AuthorizeCall(s, second); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("out of turn: %v", err)
 	}
-	_, _ = g.Plan(s, first), g.Write(s, first)
-	g.Finish(1)
-	if err := g.Plan(s, second); !errors.Is(err, ErrOrder) {
+	_, _ = g.AuthorizeCall(s, first), g.Write(s, first)
+	g.FinishMessage(1)
+	if err := g.AuthorizeCall(s, second); !errors.Is(err, ErrOutOfOrder) {
 		t.Errorf("while the first is out: %v", err)
 	}
-	_ = g.Ended(2*s, first, s, End{PossiblyExecuted: true, Unheard: true})
-	if err := g.Plan(3*s-1, second); !errors.Is(err, ErrRest) {
+	_ = g.FinishAttempt(2*s, first, s, AttemptResult{PossiblyExecuted: true, Unconfirmed: true})
+	if err := g.AuthorizeCall(3*s-1, second); !errors.Is(err, ErrKeyBlocked) {
 		t.Errorf("while the key rests: %v", err)
 	}
-	if err := g.Plan(3*s, second); err != nil {
+	if err := g.AuthorizeCall(3*s, second); err != nil {
 		t.Error(err)
 	}
-	_ = g.Ended(3*s, second, 3*s, End{})
+	_ = g.FinishAttempt(3*s, second, 3*s, AttemptResult{})
 	for id := range control.MessageID(3) {
-		g.Finish(id + 1)
+		g.FinishMessage(id + 1)
 	}
 	if len(g.messages)+len(g.keys) != 0 {
 		t.Errorf("%d messages and %d keys are kept", len(g.messages), len(g.keys))
@@ -213,11 +213,11 @@
 // What a process before this one did binds as if it had been done here.
 func TestRestored(t *testing.T) {
 	g := NewGuard(settings())
-	g.Accept(Message{ID: 1, Class: once, Due: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -s})
-	g.Accept(Message{ID: 2, Class: keyed, Due: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -3 * s})
-	g.Accept(Message{ID: 3, Class: free, Due: 20 * s, Attempts: 3})
-	for id, want := range map[control.MessageID]error{1: ErrExecuted, 2: ErrWindow, 3: ErrAttempts} {
-		if err := g.Plan(2*s, Call{Message: id}); !errors.Is(err, want) {
+	g.Accept(Message{ID: 1, Class: once, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -s})
+	g.Accept(Message{ID: 2, Class: keyed, Deadline: 20 * s, Attempts: 1, PossiblyExecuted: true, ExecutedAt: -3 * s})
+	g.Accept(Message{ID: 3, Class: free, Deadline: 20 * s, Attempts: 3})
+	for id, want := range map[control.MessageID]error{1: ErrPossiblyExecuted, 2: ErrWindowExpired, 3: ErrAttemptsExhausted} {
+		if err := g.AuthorizeCall(2*s, Call{Message: id}); !errors.Is(err, want) {
 			t.Errorf("message %d: %v, want %v", id, err, want)
 		}
 	}
@@ -226,8 +226,8 @@
 // What is kept of endpoints that left the list is bounded.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	g := NewGuard(settings())
-	for e := range control.Endpoint(20000) {
-		g.Listed(control.Time(e)*s, e, control.Gone)
+	for e := range control.EndpointID(20000) {
+		g.SetHealth(control.Time(e)*s, e, control.Gone)
 	}
 	if len(g.withdrawn) > tidyAbove+1 {
 		t.Errorf("%d are kept", len(g.withdrawn))
--- a/internal/service/receipt_test.go
+++ b/internal/service/receipt_test.go
@@ -193,7 +193,7 @@
 		}
 		return nil
 	})
-	s.keeper.Put(&audit.Record{Kind: audit.Begin})
+	s.keeper.Enqueue(&audit.Record{Kind: audit.DispatcherStarted})
 	for s.keeper.Failing() == nil {
 		time.Sleep(time.Millisecond)
 	}
@@ -251,7 +251,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, all, err := audit.Unfetched(store, time.Time{}); err == nil {
+		if _, all, err := audit.UnfetchedReceipts(store, time.Time{}); err == nil {
 			owed = len(all)
 		}
 	}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -114,7 +114,7 @@
 	// at least one.
 	queueSeconds = 0.5
 	// destination and endpoint identify the only destination and its only endpoint.
-	destination, endpoint = 1, control.Endpoint(10)
+	destination, endpoint = 1, control.EndpointID(10)
 )
 
 // dispatcher is one of the simulated dispatchers.
@@ -127,7 +127,7 @@
 	// sawOutage is set once a call that it sent during the outage failed.
 	sawOutage bool
 	// outageRecords are the outages in its ledger.
-	outageRecords map[control.Endpoint]control.Outage
+	outageRecords map[control.EndpointID]control.Outage
 	// openAttempts holds the open attempts of messages, by the attempt's number.
 	openAttempts map[control.MessageID]int
 	// pending holds the accepted messages in its ledger that have not ended.
@@ -233,16 +233,16 @@
 	p.outageStart = steadyPeriod
 	p.outageEnd = p.outageStart + seconds(between(minOutageSeconds, maxOutageSeconds))
 	classes := []control.Class{
-		{Name: "status", Aim: seconds(1.5), Deadline: seconds(5), Worth: 2},
-		{Name: "sync", Effect: control.Guarded, Window: seconds(10), Aim: seconds(2.5), Deadline: seconds(24), Worth: 1, LateWorth: 0.5},
-		{Name: "upload", Effect: control.SingleShot, Aim: seconds(2.5), Deadline: seconds(28), Worth: 5, LateWorth: 0.4},
+		{Name: "status", Target: seconds(1.5), Deadline: seconds(5), Value: 2},
+		{Name: "sync", Effect: control.Deduplicated, DedupWindow: seconds(10), Target: seconds(2.5), Deadline: seconds(24), Value: 1, LateValue: 0.5},
+		{Name: "upload", Effect: control.AtMostOnce, Target: seconds(2.5), Deadline: seconds(28), Value: 5, LateValue: 0.4},
 	}
 	ownDemand := p.demand / float64(p.cfg.Dispatchers)
-	p.settings = control.Settings{Instances: p.cfg.Dispatchers, Tick: tickInterval, Classes: classes, Kinds: []control.Kind{{Name: "partners", Batch: 1}},
-		Weights: control.WeightNominal, Slots: max(3, int(2*ownDemand)), MaxOpen: max(16, int(10*ownDemand)), MaxTries: 6, MayCancel: true, RetryAfter: true,
-		MaxRetryAfter: seconds(2), ConnIdle: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportLeft: -1, ReportLimit: -1,
-		StopSendingWithin: seconds(1), ColdFrom: between(minColdFraction, maxColdFraction), WarmUp: seconds(between(minWarmUpSeconds, maxWarmUpSeconds)),
-		TipMultiple: overloadFactor, OverloadFor: overloadWindow, SettleAfterDoubt: seconds(1), KeepOutages: true}
+	p.settings = control.Settings{Instances: p.cfg.Dispatchers, Tick: tickInterval, Classes: classes, DestinationKinds: []control.DestinationKind{{Name: "partners", MaxBatch: 1}},
+		Weights: control.WeightNominal, Slots: max(3, int(2*ownDemand)), MaxOpen: max(16, int(10*ownDemand)), MaxAttempts: 6, MayCancel: true, RetryAfter: true,
+		MaxRetryAfter: seconds(2), ConnIdleTimeout: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		StopSendingWithin: seconds(1), ColdCapacity: between(minColdFraction, maxColdFraction), WarmUp: seconds(between(minWarmUpSeconds, maxWarmUpSeconds)),
+		CollapseMultiple: overloadFactor, MaxOverload: overloadWindow, SettleTime: seconds(1), TrackOutages: true}
 	p.result = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
 }
 
@@ -253,7 +253,7 @@
 func (p *simulation) startDispatchers() {
 	sum := 0.0
 	for i := range p.cfg.Dispatchers {
-		d := &dispatcher{number: i, share: math.Exp(p.cfg.TrafficSpread * p.rng.NormFloat64()), outageRecords: map[control.Endpoint]control.Outage{}, pending: map[control.MessageID]*message{}}
+		d := &dispatcher{number: i, share: math.Exp(p.cfg.TrafficSpread * p.rng.NormFloat64()), outageRecords: map[control.EndpointID]control.Outage{}, pending: map[control.MessageID]*message{}}
 		sum += d.share
 		p.dispatchers = append(p.dispatchers, d)
 	}
@@ -271,7 +271,7 @@
 // startProcess starts a new process of a dispatcher. Its outages and pending messages are restored, all else is lost.
 func (p *simulation) startProcess(d *dispatcher) {
 	settings := p.settings
-	settings.Me = d.number
+	settings.InstanceIndex = d.number
 	core, err := control.New(settings, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
 	if err != nil {
 		// The settings are this package's own, so an error is a fault of the package.
@@ -280,7 +280,7 @@
 	d.core = core
 	d.epoch++
 	entry := control.Entry{Endpoint: endpoint, Dest: destination, Health: control.Ready, Weight: p.capacity}
-	events := []control.Event{{Kind: control.List, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
+	events := []control.Event{{Kind: control.ListUpdate, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
 	for _, o := range d.outageRecords {
 		events = append(events, control.Event{Kind: control.OutageRestored, Outage: &o})
 	}
@@ -295,8 +295,8 @@
 		if attempt, open := d.openAttempts[id]; open && attempt == m.attempts-1 && m.possiblyExecutedSince == 0 {
 			m.possiblyExecutedSince = m.lastAttemptAt
 		}
-		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, Grace: max(0, m.deadline-p.now),
-			Restored: true, Attempt: m.attempts, Doubt: m.possiblyExecutedSince > 0, Lag: p.now - m.possiblyExecutedSince})
+		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, TimeLeft: max(0, m.deadline-p.now),
+			Restored: true, Attempt: m.attempts, PossiblyExecuted: m.possiblyExecutedSince > 0, Elapsed: p.now - m.possiblyExecutedSince})
 	}
 	d.openAttempts = map[control.MessageID]int{}
 	return events
@@ -321,7 +321,7 @@
 		p.nextID++
 		class := p.rng.IntN(len(p.settings.Classes))
 		d.pending[p.nextID] = &message{class: class, deadline: p.now + p.settings.Classes[class].Deadline}
-		p.runDispatcher(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, Grace: p.settings.Classes[class].Deadline})
+		p.runDispatcher(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, TimeLeft: p.settings.Classes[class].Deadline})
 	}})
 }
 
@@ -357,7 +357,7 @@
 		p.servedAt = append(p.servedAt, p.now)
 		delete(d.pending, e.Message)
 		e.Closed = true
-	case m != nil && m.possiblyExecutedSince == 0 && e.Result != control.Full && e.Result != control.ConnectFailed:
+	case m != nil && m.possiblyExecutedSince == 0 && e.Result != control.LimitExceeded && e.Result != control.ConnectFailed:
 		m.possiblyExecutedSince = m.lastAttemptAt
 	}
 }
@@ -367,7 +367,7 @@
 	for _, a := range d.core.Step(p.now, events, nil) {
 		switch a.Kind {
 		case control.Timer:
-			p.schedule(&scheduledEvent{at: p.now + a.After, dispatcher: d, event: control.Event{Kind: control.Tick, Mark: a.Mark}})
+			p.schedule(&scheduledEvent{at: p.now + a.After, dispatcher: d, event: control.Event{Kind: control.TimerFired, TimerToken: a.TimerToken}})
 		case control.Send:
 			p.sendCall(d, a)
 		case control.Refuse, control.Fail:
@@ -379,7 +379,7 @@
 		}
 	}
 	for _, o := range d.core.Outages() {
-		if o.Over() {
+		if o.Ended() {
 			delete(d.outageRecords, o.Endpoint)
 		} else {
 			d.outageRecords[o.Endpoint] = o
@@ -390,7 +390,7 @@
 // scheduleAttemptEnd schedules the end of an attempt after a delay.
 func (p *simulation) scheduleAttemptEnd(d *dispatcher, id control.MessageID, attempt int, result control.Result, delay, wait control.Time) {
 	p.schedule(&scheduledEvent{at: p.now + delay, dispatcher: d, event: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: result,
-		Lag: delay, Wait: wait}})
+		Elapsed: delay, RetryAfter: wait}})
 }
 
 // sendCall delivers a call to the destination and schedules its end.
@@ -414,7 +414,7 @@
 		p.scheduleAttemptEnd(d, a.Message, attempt, control.OK, min(delay, timeLeft), 0)
 		return
 	}
-	p.scheduleAttemptEnd(d, a.Message, attempt, control.Full, 2*networkDelay, 0)
+	p.scheduleAttemptEnd(d, a.Message, attempt, control.LimitExceeded, 2*networkDelay, 0)
 }
 
 // failCall schedules the end of a call that reaches the destination during the outage.
@@ -426,13 +426,13 @@
 	case NeverAnswers:
 		p.scheduleAttemptEnd(d, id, attempt, control.TimedOut, timeLeft, 0)
 	case AnswersErrors:
-		p.scheduleAttemptEnd(d, id, attempt, control.Errored, 2*networkDelay, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.ErrorResponse, 2*networkDelay, 0)
 	case ResetsConnections:
 		p.scheduleAttemptEnd(d, id, attempt, control.Reset, 2*networkDelay, 0)
 	case RejectsWithWait:
-		p.scheduleAttemptEnd(d, id, attempt, control.Full, 2*networkDelay, p.outageEnd-p.now)
+		p.scheduleAttemptEnd(d, id, attempt, control.LimitExceeded, 2*networkDelay, p.outageEnd-p.now)
 	default:
-		p.scheduleAttemptEnd(d, id, attempt, control.Full, 2*networkDelay, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.LimitExceeded, 2*networkDelay, 0)
 	}
 }
 
@@ -506,7 +506,7 @@
 // capacityFraction returns the part of its capacity that the destination has now.
 func (p *simulation) capacityFraction() float64 {
 	if p.now < p.outageEnd {
-		return p.settings.ColdFrom
+		return p.settings.ColdCapacity
 	}
-	return min(1, p.settings.ColdFrom+(1-p.settings.ColdFrom)*float64(p.now-p.outageEnd)/float64(p.settings.WarmUp))
+	return min(1, p.settings.ColdCapacity+(1-p.settings.ColdCapacity)*float64(p.now-p.outageEnd)/float64(p.settings.WarmUp))
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -108,7 +108,7 @@
 	n.cmd, n.exited = cmd, exited
 	n.mu.Unlock()
 	go func() { exited <- cmd.Wait() }()
-	for stopwatch := clock.Start(); ; time.Sleep(5 * time.Millisecond) {
+	for stopwatch := clock.StartStopwatch(); ; time.Sleep(5 * time.Millisecond) {
 		select {
 		case err := <-exited:
 			return fmt.Errorf("%s exited before it was ready: %w", n.name, errors.Join(err))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -72,7 +72,7 @@
 
 // Run executes one run. It returns an error where the run could not be set up. Violations are in the result.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
-	r := &run{cfg: cfg, testbed: testbed.New(), watch: clock.Start(), faultRNG: rand.New(rand.NewPCG(cfg.Seed, 7))}
+	r := &run{cfg: cfg, testbed: testbed.New(), watch: clock.StartStopwatch(), faultRNG: rand.New(rand.NewPCG(cfg.Seed, 7))}
 	if cfg.Folder == "" {
 		folder, err := os.MkdirTemp("", "soak")
 		if err != nil {
@@ -129,7 +129,7 @@
 
 // runPlan starts the faults at their times, and returns at the end of the run's duration or of ctx.
 func (r *run) runPlan(ctx context.Context, plan []Fault) {
-	stopwatch := clock.Start()
+	stopwatch := clock.StartStopwatch()
 	for _, f := range plan {
 		select {
 		case <-ctx.Done():
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -131,33 +131,33 @@
 		}
 	}
 	s := control.Settings{
-		Me: p.count("me", false, 0), Instances: p.count("instances", true, 1), Zone: p.count("zone", false, 0),
-		Tick: p.span("tick", true), LateHalving: p.at["extra.late"] == "halving",
-		OverShare: p.num("over-share-worth", false, 1),
-		Slots:     p.count("extra.slots", true, 1), MaxOpen: p.count("limits.max-open", true, 1),
-		MaxTries: p.count("limits.most-tries", true, 1), MayCancel: p.yes("limits.may-cancel"),
+		InstanceIndex: p.count("me", false, 0), Instances: p.count("instances", true, 1), Zone: p.count("zone", false, 0),
+		Tick: p.span("tick", true), HalveLateValue: p.at["extra.late"] == "halving",
+		OverQuotaFactor: p.num("over-share-worth", false, 1),
+		Slots:           p.count("extra.slots", true, 1), MaxOpen: p.count("limits.max-open", true, 1),
+		MaxAttempts: p.count("limits.most-tries", true, 1), MayCancel: p.yes("limits.may-cancel"),
 		Probes: p.yes("limits.probes"), RetryAfter: p.yes("limits.retry-after"),
-		MaxRetryAfter: p.span("limits.max-retry-after", false), ConnIdle: p.span("limits.conn-idle", false),
+		MaxRetryAfter: p.span("limits.max-retry-after", false), ConnIdleTimeout: p.span("limits.conn-idle", false),
 		ConnectTimeout: p.span("limits.connect-timeout", false), StreamsPerConn: p.count("limits.streams-per-conn", false, 1),
-		StopSendingWithin: p.span("rules.stop-sending-within", false), ColdFrom: p.num("rules.cold-from", false, 1),
-		WarmUp: p.span("rules.warm-up", false), TipMultiple: p.num("rules.tip-multiple", false, 1),
-		OverloadFor: p.span("rules.overload-for", false), SettleAfterDoubt: p.span("rules.settle-after-doubt", false),
-		ReportLeft: -1, ReportLimit: -1,
-		Peers: p.yes("limits.peer-messages"), PeerPrice: p.num("deductions.peer", false, 0) / maxNote,
-		AskList: p.at["membership-mode"] == "subscribe", AskEvery: p.span("rules.ask-every", false),
+		StopSendingWithin: p.span("rules.stop-sending-within", false), ColdCapacity: p.num("rules.cold-from", false, 1),
+		WarmUp: p.span("rules.warm-up", false), CollapseMultiple: p.num("rules.tip-multiple", false, 1),
+		MaxOverload: p.span("rules.overload-for", false), SettleTime: p.span("rules.settle-after-doubt", false),
+		ReportRemainingIndex: -1, ReportLimitIndex: -1,
+		Gossip: p.yes("limits.peer-messages"), GossipCost: p.num("deductions.peer", false, 0) / maxNote,
+		PullList: p.at["membership-mode"] == "subscribe", PullInterval: p.span("rules.ask-every", false),
 	}
 	switch p.at["weights"] {
 	case "nominal":
 		s.Weights = control.WeightNominal
 	case "rough":
-		s.Weights = control.WeightRough
+		s.Weights = control.WeightApproximate
 	}
 	for i, name := range p.list("report.names") {
 		switch name {
 		case "x0":
-			s.ReportLeft = i
+			s.ReportRemainingIndex = i
 		case "x1":
-			s.ReportLimit = i
+			s.ReportLimitIndex = i
 		}
 	}
 	for _, text := range p.list("extra.carriage") {
@@ -165,7 +165,7 @@
 		if err != nil || !(fee >= 0) || math.IsInf(fee, 0) {
 			p.fault("extra.carriage", fmt.Sprintf("%q is out of range", text))
 		}
-		s.Fees = append(s.Fees, fee)
+		s.ZoneCosts = append(s.ZoneCosts, fee)
 	}
 	p.kinds(&s)
 	p.classes(&s)
@@ -182,16 +182,16 @@
 func (p *pairs) kinds(s *control.Settings) {
 	batch, apart := p.list("extra.batch-by-kind"), p.list("extra.routes-apart")
 	for i, name := range p.list("host-types") {
-		k := control.Kind{Name: name, Batch: 1}
+		k := control.DestinationKind{Name: name, MaxBatch: 1}
 		if i < len(batch) {
 			n, err := strconv.Atoi(batch[i])
 			if err != nil || n < 1 {
 				p.fault("extra.batch-by-kind", fmt.Sprintf("%q is not a count", batch[i]))
 			}
-			k.Batch = n
+			k.MaxBatch = n
 		}
-		k.RoutesApart = i < len(apart) && apart[i] == "true"
-		s.Kinds = append(s.Kinds, k)
+		k.PerEndpointLimits = i < len(apart) && apart[i] == "true"
+		s.DestinationKinds = append(s.DestinationKinds, k)
 	}
 }
 
@@ -199,17 +199,17 @@
 	for i := range p.count("classes.count", true, 0) {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := control.Class{
-			Name: p.at[at+"name"], ZoneGroup: p.at[at+"group"] == "zone", Window: p.span(at+"window", false),
-			Aim: p.span(at+"target", true), Deadline: p.span(at+"hard-limit", true), Worth: p.num(at+"gain", true, 1),
-			LateWorth: p.num(at+"late-worth", false, 0), InOrder: p.yes(at + "by-arrival"),
+			Name: p.at[at+"name"], DedupPerZone: p.at[at+"group"] == "zone", DedupWindow: p.span(at+"window", false),
+			Target: p.span(at+"target", true), Deadline: p.span(at+"hard-limit", true), Value: p.num(at+"gain", true, 1),
+			LateValue: p.num(at+"late-worth", false, 0), InOrder: p.yes(at + "by-arrival"),
 		}
 		switch effect := p.at[at+"effect"]; effect {
 		case "free":
-			c.Effect = control.Free
+			c.Effect = control.Idempotent
 		case "guarded":
-			c.Effect = control.Guarded
+			c.Effect = control.Deduplicated
 		case "single_shot":
-			c.Effect = control.SingleShot
+			c.Effect = control.AtMostOnce
 		default:
 			p.fault(at+"effect", fmt.Sprintf("%q is unknown", effect))
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,20 +50,20 @@
 	acQueryAll
 )
 
-// Kind tells what a Record is about.
-type Kind uint8
+// RecordKind tells what a Record is about.
+type RecordKind uint8
 
 // Kinds of record.
 const (
-	Decision Kind = iota // an event for the module
-	Attach               // an instance starts
-	Exit                 // an instance is killed
-	Other                // well-formed, of no use to the module
+	ModuleEvent RecordKind = iota // an event for the module
+	Attach                        // an instance starts
+	Exit                          // an instance is killed
+	Ignored                       // well-formed, of no use to the module
 )
 
 // Record is one event with the instance it is for.
 type Record struct {
-	Kind     Kind
+	Kind     RecordKind
 	Instance uint16
 	Seed     uint64
 	Settings string
@@ -116,7 +116,7 @@
 		if err != nil {
 			return b, fmt.Errorf("batch %d, record %d: %w", b.Seq, i, err)
 		}
-		if rec.Kind != Other {
+		if rec.Kind != Ignored {
 			b.Records = append(b.Records, rec)
 		}
 	}
@@ -152,10 +152,10 @@
 }
 func (c *cursor) us() control.Time { return control.Time(c.u32()) }
 
-func (c *cursor) endpoint() control.Endpoint {
+func (c *cursor) endpoint() control.EndpointID {
 	b := c.take(4)
 	addr := uint64(binary.LittleEndian.Uint32(b))
-	return control.Endpoint(addr<<16 | uint64(c.u16()))
+	return control.EndpointID(addr<<16 | uint64(c.u16()))
 }
 
 func (c *cursor) report() []float32 {
@@ -175,7 +175,7 @@
 func (d *Decoder) record(c *cursor) (Record, error) {
 	code := c.u8()
 	if code == evPool {
-		return Record{Kind: Other}, d.pool(c)
+		return Record{Kind: Ignored}, d.pool(c)
 	}
 	r := Record{Instance: c.u16()}
 	e := &r.Event
@@ -190,7 +190,7 @@
 	case evExit:
 		r.Kind = Exit
 	case evDirectory:
-		e.Kind, e.ListKind = control.List, control.ListKind(c.u8())
+		e.Kind, e.ListKind = control.ListUpdate, control.ListKind(c.u8())
 		c.u64()
 		roster := c.u16()
 		if e.ListKind > control.ListFailed {
@@ -208,27 +208,27 @@
 		c.u8()
 		e.Class = int(c.u8())
 		c.u32()
-		e.Grace, e.Dest, e.Key = c.us(), int(c.f32()), c.u64()
+		e.TimeLeft, e.Dest, e.Key = c.us(), int(c.f32()), c.u64()
 	case evFlowing:
 		e.Kind, e.Message, e.Attempt, e.Endpoint = control.Started, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
-		e.Lag = c.us()
+		e.Elapsed = c.us()
 	case evResolved:
 		return r, c.resolved(e)
 	case evWithdrawn:
 		e.Kind, e.Message = control.Withdrawn, control.MessageID(c.u64())
 	case evTickDue:
-		e.Kind, e.Mark = control.Tick, c.u64()
+		e.Kind, e.TimerToken = control.TimerFired, c.u64()
 	case evProbed:
-		e.Kind, e.Lag, e.Endpoint = control.Probed, c.us(), c.endpoint()
+		e.Kind, e.Elapsed, e.Endpoint = control.ProbeResult, c.us(), c.endpoint()
 		var err error
 		if e.Result, err = result(c.u8()); err != nil && !c.short {
 			return r, err
 		}
 		e.Report = c.report()
 	case evNoteFrom:
-		e.Kind = control.NoteFrom
+		e.Kind = control.GossipReceived
 		c.u16()
-		e.Content = string(c.take(int(c.u16())))
+		e.Payload = string(c.take(int(c.u16())))
 	default:
 		if c.short {
 			return r, io.ErrUnexpectedEOF
@@ -244,10 +244,10 @@
 func (c *cursor) resolved(e *control.Event) error {
 	e.Kind, e.Message, e.Attempt, e.Endpoint = control.Outcome, control.MessageID(c.u64()), int(c.u16()), c.endpoint()
 	res, err := result(c.u8())
-	e.Result, e.Lag, e.Closed = res, c.us(), c.u8() != 0
+	e.Result, e.Elapsed, e.Closed = res, c.us(), c.u8() != 0
 	note := c.u32()
-	if res == control.Full {
-		e.Wait = control.Time(note) * control.Millisecond
+	if res == control.LimitExceeded {
+		e.RetryAfter = control.Time(note) * control.Millisecond
 	}
 	e.Report = c.report()
 	if c.short {
@@ -266,7 +266,7 @@
 	list := make([]control.Entry, n)
 	for i := range list {
 		l := &list[i]
-		l.Endpoint, l.Zone, l.Kind, l.Dest = c.endpoint(), int(c.u8()), int(c.u8()), int(c.u16())
+		l.Endpoint, l.Zone, l.DestinationKind, l.Dest = c.endpoint(), int(c.u8()), int(c.u8()), int(c.u16())
 		l.Health = control.Health(c.u8())
 		l.Weight = float64(c.f32())
 		c.u64()
@@ -287,9 +287,9 @@
 	case 0:
 		return control.OK, nil
 	case 13:
-		return control.Errored, nil
+		return control.ErrorResponse, nil
 	case 8:
-		return control.Full, nil
+		return control.LimitExceeded, nil
 	case 4:
 		return control.TimedOut, nil
 	case 14:
@@ -299,7 +299,7 @@
 	case 1:
 		return control.Cancelled, nil
 	case 9:
-		return control.Moot, nil
+		return control.NotExecuted, nil
 	}
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
@@ -319,7 +319,7 @@
 	r.body = binary.LittleEndian.AppendUint16(r.body, who)
 }
 
-func (r *Reply) endpoint(e control.Endpoint) {
+func (r *Reply) endpoint(e control.EndpointID) {
 	r.body = binary.LittleEndian.AppendUint32(r.body, uint32(e>>16))
 	r.body = binary.LittleEndian.AppendUint16(r.body, uint16(e))
 }
@@ -361,14 +361,14 @@
 	case control.Timer:
 		r.head(acTimer, who)
 		r.span(a.After)
-		r.body = le.AppendUint64(r.body, a.Mark)
+		r.body = le.AppendUint64(r.body, a.TimerToken)
 	case control.Probe:
 		r.head(acAskLoad, who)
 		r.endpoint(a.Endpoint)
 	case control.Close:
 		r.head(acHangUp, who)
 		r.endpoint(a.Endpoint)
-	case control.Share:
+	case control.SendGossip:
 		text := a.Text[:min(len(a.Text), maxNote)]
 		r.head(acShare, who)
 		r.body = le.AppendUint32(r.body, math.MaxUint32)
@@ -379,7 +379,7 @@
 		r.body = append(r.body, 1)
 	case control.Fetch:
 		r.head(acQueryAll, who)
-	case control.Note:
+	case control.Log:
 		r.text(acNoteDown, who, a.Text)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,10 +35,10 @@
 		t.Fatalf("batch %+v", b)
 	}
 	e := b.Records[0].Event
-	if e.Kind != control.Arrival || e.Message != 0xcc1825d3a91c4 || e.Dest != 57 || e.Grace != 240000 || e.Key == 0 {
+	if e.Kind != control.Arrival || e.Message != 0xcc1825d3a91c4 || e.Dest != 57 || e.TimeLeft != 240000 || e.Key == 0 {
 		t.Errorf("arrival %+v", e)
 	}
-	if b.Records[1].Event.Mark != 77 || b.Records[2].Instance != 5 {
+	if b.Records[1].Event.TimerToken != 77 || b.Records[2].Instance != 5 {
 		t.Errorf("records %+v", b.Records)
 	}
 	if _, err := d.Next(); !errors.Is(err, io.EOF) {
@@ -49,10 +49,10 @@
 func TestEncodeReply(t *testing.T) {
 	var r Reply
 	r.Add(3, control.Action{
-		Kind: control.Send, Message: 0xcc1825d3a91c4, Endpoint: control.Endpoint(0x074a120a)<<16 | 0x1f93, After: 80000,
+		Kind: control.Send, Message: 0xcc1825d3a91c4, Endpoint: control.EndpointID(0x074a120a)<<16 | 0x1f93, After: 80000,
 	})
-	r.Add(3, control.Action{Kind: control.Timer, After: 500000, Mark: 77})
-	r.Add(5, control.Action{Kind: control.Note, Text: "two servers unknown"[:17]})
+	r.Add(3, control.Action{Kind: control.Timer, After: 500000, TimerToken: 77})
+	r.Add(5, control.Action{Kind: control.Log, Text: "two servers unknown"[:17]})
 	var out bytes.Buffer
 	if err := r.Write(&out, 12); err != nil {
 		t.Fatal(err)
@@ -119,8 +119,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Slots != 13 || s.MaxOpen != 313 || s.Classes[0].Effect != control.Guarded || s.Classes[0].Worth != 2 ||
-		s.Kinds[0].Batch != 10 || !s.Kinds[1].RoutesApart || s.ReportLimit != 1 {
+	if s.Slots != 13 || s.MaxOpen != 313 || s.Classes[0].Effect != control.Deduplicated || s.Classes[0].Value != 2 ||
+		s.DestinationKinds[0].MaxBatch != 10 || !s.DestinationKinds[1].PerEndpointLimits || s.ReportLimitIndex != 1 {
 		t.Errorf("settings %+v", s)
 	}
 	for from, key := range map[string]string{
@@ -139,7 +139,7 @@
 func TestCloseIsHangUp(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
-	r.Add(3, control.Action{Kind: control.Close, Endpoint: control.Endpoint(0xf211900a<<16 | 0x1fbc)})
+	r.Add(3, control.Action{Kind: control.Close, Endpoint: control.EndpointID(0xf211900a<<16 | 0x1fbc)})
 	if err := r.Write(&out, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -153,8 +153,8 @@
 	var r Reply
 	r.Add(3, control.Action{Kind: control.Watch})
 	r.Add(3, control.Action{Kind: control.Fetch})
-	r.Add(3, control.Action{Kind: control.Share, Text: "hi 7"})
-	r.Add(3, control.Action{Kind: control.Share, Text: strings.Repeat("x", 300)})
+	r.Add(3, control.Action{Kind: control.SendGossip, Text: "hi 7"})
+	r.Add(3, control.Action{Kind: control.SendGossip, Text: strings.Repeat("x", 300)})
 	want := unhex(t, "1a 0300 01  1b 0300  17 0300 ffffffff 0400 68692037  17 0300 ffffffff 0001")
 	if !bytes.HasPrefix(r.body, want) || len(r.body) != len(want)+maxNote {
 		t.Errorf("encoded %x, %d bytes", r.body[:len(want)], len(r.body))
@@ -165,8 +165,8 @@
 		return append(append(head, unhex(t, "5a5c800000000000")...), b...)
 	}
 	b, err := NewDecoder(bytes.NewReader(frame("18 0300 0200 0400 68692037"))).Next()
-	if err != nil || len(b.Records) != 1 || b.Records[0].Event.Kind != control.NoteFrom ||
-		b.Records[0].Event.Content != "hi 7" || b.Records[0].Instance != 3 {
+	if err != nil || len(b.Records) != 1 || b.Records[0].Event.Kind != control.GossipReceived ||
+		b.Records[0].Event.Payload != "hi 7" || b.Records[0].Instance != 3 {
 		t.Errorf("note %+v, %v", b.Records, err)
 	}
 	if _, err = NewDecoder(bytes.NewReader(frame("18 0300 0200 0900 68692037"))).Next(); err == nil ||
@@ -180,11 +180,11 @@
 		"classes.0.effect=free\nclasses.0.gain=1\nclasses.0.target=1\nclasses.0.hard-limit=2\n"
 	s, err := ParseSettings(base + "membership-mode=subscribe\nrules.ask-every=10000000\nlimits.peer-messages=true\n" +
 		"deductions.peer=0.01\nextra.carriage=0.0,0.05\n")
-	if err != nil || !s.AskList || s.AskEvery != 10*control.Second || !s.Peers || s.PeerPrice != 0.01/256 ||
-		len(s.Fees) != 2 || s.Fees[1] != 0.05 {
+	if err != nil || !s.PullList || s.PullInterval != 10*control.Second || !s.Gossip || s.GossipCost != 0.01/256 ||
+		len(s.ZoneCosts) != 2 || s.ZoneCosts[1] != 0.05 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if s, err = ParseSettings(base + "membership-mode=automatic\n"); err != nil || s.AskList || s.Peers || s.Fees != nil {
+	if s, err = ParseSettings(base + "membership-mode=automatic\n"); err != nil || s.PullList || s.Gossip || s.ZoneCosts != nil {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for key, line := range map[string]string{
