--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -1,4 +1,5 @@
-// Command whinlab is the lab: stand-in partners, load, and scripted days for a dispatcher.
+// Command whinlab is a laboratory for the dispatcher on loopback: it has stand-in partners, load, measurements, scripted
+// days, runs under random faults, and tools for the deploy files.
 package main
 
 import (
@@ -24,6 +25,7 @@
 	"whinrun/internal/soak"
 )
 
+// cli holds the commands of whinlab.
 var cli struct {
 	Partner partnerCmd `cmd:"" help:"Run stand-in partners until interrupted, and print what they saw."`
 	Send    sendCmd    `cmd:"" help:"Hand messages to a dispatcher at a fixed rate and report what came of them."`
@@ -38,6 +40,7 @@
 	Gate    gateCmd    `cmd:"" help:"Judge a run of the tests (go test -json on standard input) by the record of those known to fail."`
 }
 
+// partnerCmd runs stand-in partners.
 type partnerCmd struct {
 	Listen    []string      `required:"" help:"Addresses, a partner each."`
 	Pace      time.Duration `default:"5ms" help:"Mean time that a call takes."`
@@ -52,6 +55,7 @@
 	Seed      uint64        `default:"1"`
 }
 
+// sendCmd submits messages at a fixed rate.
 type sendCmd struct {
 	To    string        `required:"" help:"Address of the dispatcher."`
 	Path  []string      `required:"" help:"Push resources, in turns."`
@@ -64,6 +68,7 @@
 	Most  int           `default:"10000" help:"Messages out at once; more wait, and their latency counts."`
 }
 
+// dayCmd plays scripted days.
 type dayCmd struct {
 	Scripts []string `arg:"" type:"existingfile" help:"Scripts, played one after the other."`
 	Seed    uint64   `help:"Another seed than the script's."`
@@ -72,6 +77,7 @@
 	Log     bool     `help:"Show the dispatcher's own log."`
 }
 
+// compareCmd measures the dispatcher beside a reverse proxy. Its fields are those of compare.Options.
 type compareCmd struct {
 	Conns       int           `default:"4" help:"Client connections."`
 	Concurrency int           `default:"128" help:"Messages out at once when measuring throughput."`
@@ -82,22 +88,27 @@
 	Rate        float64       `help:"Messages a second at which latency is measured. Default: half of what the slowest bears."`
 }
 
+// frontsCmd measures the AMQP front beside the HTTP/2 front.
 type frontsCmd compareCmd
 
+// Run measures until the rounds are over or it is interrupted.
 func (c *frontsCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Fronts(ctx, os.Stdout, compare.Options(*c))
 }
 
+// trailCmd measures delivery with and without the audit trail.
 type trailCmd compareCmd
 
+// Run measures until the rounds are over or it is interrupted.
 func (c *trailCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.AuditTrail(ctx, os.Stdout, compare.Options(*c))
 }
 
+// idleCmd measures busy partners beside idle ones. Its fields are those of compare.IdleOptions.
 type idleCmd struct {
 	Partners int           `default:"20000" help:"Partners in all."`
 	Busy     int           `default:"100" help:"Of them, with the steady load."`
@@ -107,72 +118,76 @@
 	Pairs    int           `default:"5" help:"Pairs of runs."`
 }
 
+// Run measures until the pairs of runs are over or it is interrupted.
 func (c *idleCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Idle(ctx, os.Stdout, compare.IdleOptions(*c))
 }
 
+// Run measures until the rounds are over or it is interrupted.
 func (c *compareCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	return compare.Run(ctx, os.Stdout, compare.Options(*c))
 }
 
 func main() {
 	k := kong.Parse(&cli, kong.Name("whinlab"), kong.Description("Stand-ins, load and scripted days for whinrun. Loopback only."), kong.UsageOnError(),
-		kong.Vars{"faults": strings.Join(soak.Kinds(), ", ")})
+		kong.Vars{"faults": strings.Join(soak.FaultKinds(), ", ")})
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "whinlab:", err)
 		os.Exit(1)
 	}
 }
 
-// loopback refuses addresses beyond this machine: the lab is no tool to load others with.
-func loopback(addr string) error {
+// requireLoopback returns an error for an address beyond this machine, because whinlab must not put load on others.
+func requireLoopback(addr string) error {
 	if strings.HasPrefix(addr, "127.") || strings.HasPrefix(addr, "[::1]:") {
 		return nil
 	}
 	return fmt.Errorf("%s is not a loopback address", addr)
 }
 
-func interrupted() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that ends at SIGINT or SIGTERM.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// Run serves partners and reads commands from standard input until it is interrupted, and prints counts of the calls.
 func (c *partnerCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	log := partner.NewLog(1 << 20)
-	var ends []*partner.Endpoint
+	var endpoints []*partner.Endpoint
 	for i, addr := range c.Listen {
-		if err := loopback(addr); err != nil {
+		if err := requireLoopback(addr); err != nil {
 			return err
 		}
-		p := partner.New(partner.Config{Name: addr, ServiceTime: c.Pace, Concurrency: c.Servers, Capacity: c.Rate, ColdShare: 0.2, WarmUp: 10 * time.Second,
+		standIn := partner.New(partner.Config{Name: addr, ServiceTime: c.Pace, Concurrency: c.Servers, Capacity: c.Rate, ColdShare: 0.2, WarmUp: 10 * time.Second,
 			OverloadFactor: 2, OverloadWindow: 2 * time.Second, RateLimit: c.Limit, SendRetryAfter: c.Wait, MaxConns: c.Conns, MaxStreams: c.Streams, SettingsDelay: c.Handshake,
 			IdleTimeout: c.Reap, Seed: c.Seed + uint64(i)}, log)
-		e, err := p.Listen(addr)
+		endpoint, err := standIn.Listen(addr)
 		if err != nil {
 			return err
 		}
-		defer p.Close()
-		ends = append(ends, e)
-		fmt.Printf("stand-in partner %d on %v\n", i+1, e.Addr())
+		defer standIn.Close()
+		endpoints = append(endpoints, endpoint)
+		fmt.Printf("stand-in partner %d on %v\n", i+1, endpoint.Addr())
 	}
 	fmt.Println("commands: NUMBER WORD VALUES, as in docs/days.md, e.g. '1 hang', '2 lose 0.1', '1 goaway', '1 heal'")
 	lines := make(chan string)
 	go func() {
-		in := bufio.NewScanner(os.Stdin)
-		for in.Scan() {
-			lines <- in.Text()
+		scanner := bufio.NewScanner(os.Stdin)
+		for scanner.Scan() {
+			lines <- scanner.Text()
 		}
 	}()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case line := <-lines:
-			if err := command(ends, strings.Fields(line)); err != nil {
+			if err := runCommand(endpoints, strings.Fields(line)); err != nil {
 				fmt.Println(err)
 			}
 		}
@@ -186,46 +201,47 @@
 	return nil
 }
 
-// command puts a fault in force at a stand-in.
-func command(ends []*partner.Endpoint, words []string) error {
+// runCommand injects a fault at one of the stand-in partners, as a line of standard input says.
+func runCommand(endpoints []*partner.Endpoint, words []string) error {
 	if len(words) < 2 {
-		return errors.New("NUMBER WORD VALUES")
+		return errors.New("usage: NUMBER WORD VALUES")
 	}
 	n, err := strconv.Atoi(words[0])
-	if err != nil || n < 1 || n > len(ends) {
-		return fmt.Errorf("there is no stand-in %q", words[0])
+	if err != nil || n < 1 || n > len(endpoints) {
+		return fmt.Errorf("there is no stand-in partner %q", words[0])
 	}
-	e := ends[n-1]
+	endpoint := endpoints[n-1]
 	switch words[1] {
 	case "goaway":
-		e.GoAway()
+		endpoint.GoAway()
 		return nil
 	case "streams":
-		var k uint64
+		var streams uint64
 		if len(words) > 2 {
-			k, err = strconv.ParseUint(words[2], 10, 31)
+			streams, err = strconv.ParseUint(words[2], 10, 31)
 		}
-		if err != nil || k == 0 {
-			return errors.New("streams NUMBER")
+		if err != nil || streams == 0 {
+			return errors.New("usage: NUMBER streams LIMIT, with a LIMIT above 0")
 		}
-		e.SetMaxStreams(uint32(k))
+		endpoint.SetMaxStreams(uint32(streams))
 		return nil
 	}
-	f, err := scenario.ParseFault(words[1:])
+	fault, err := scenario.ParseFault(words[1:])
 	if err != nil {
 		return err
 	}
-	return e.SetFault(f)
+	return endpoint.SetFault(fault)
 }
 
+// Run submits the messages and prints a report of their outcomes.
 func (c *sendCmd) Run() error {
-	if err := loopback(c.To); err != nil {
+	if err := requireLoopback(c.To); err != nil {
 		return err
 	}
 	if c.Rate <= 0 || c.Rate*c.For.Seconds() > 1e7 {
-		return errors.New("rate and time make no sensible number of messages")
+		return errors.New("the rate must be above 0, and rate times duration at most 1e7 messages")
 	}
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	client := load.NewClient(c.To, c.Conns)
 	defer client.Close()
@@ -237,17 +253,18 @@
 			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, BodySize: c.Size}
 	}
 	start := clock.StartStopwatch()
-	out := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
-	load.Write(os.Stdout, load.Summarize(out), start.Elapsed())
+	outcomes := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
+	load.Write(os.Stdout, load.Summarize(outcomes), start.Elapsed())
 	return nil
 }
 
+// Run plays the scripts. It fails where a rule was violated or too little was served.
 func (c *dayCmd) Run() error {
-	ctx, stop := interrupted()
+	ctx, stop := interruptContext()
 	defer stop()
 	broken := 0
 	for _, file := range c.Scripts {
-		ok, err := c.play(ctx, file)
+		ok, err := c.runScript(ctx, file)
 		if err != nil {
 			return err
 		}
@@ -261,38 +278,40 @@
 	return nil
 }
 
-func (c *dayCmd) play(ctx context.Context, file string) (ok bool, err error) {
+// runScript plays one script and prints its outcome. It returns false where a rule was violated or too little was
+// served.
+func (c *dayCmd) runScript(ctx context.Context, file string) (ok bool, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return false, err
 	}
-	s, err := scenario.Parse(file, string(text))
+	script, err := scenario.Parse(file, string(text))
 	if err != nil {
 		return false, err
 	}
-	s.RateScale = c.Scale
-	if s.AMQPShare == 0 {
-		s.AMQPShare = c.AMQP
+	script.RateScale = c.Scale
+	if script.AMQPShare == 0 {
+		script.AMQPShare = c.AMQP
 	}
 	if c.Seed > 0 {
-		s.Seed = c.Seed
+		script.Seed = c.Seed
 	}
-	fmt.Printf("== %s: %s\n", file, s.Name)
-	lines := io.Discard
+	fmt.Printf("== %s: %s\n", file, script.Name)
+	dispatcherLog := io.Discard
 	if c.Log {
-		lines = os.Stderr
+		dispatcherLog = os.Stderr
 	}
 	start := clock.StartStopwatch()
-	r, err := scenario.Run(ctx, s, lines)
+	run, err := scenario.Run(ctx, script, dispatcherLog)
 	if err != nil {
 		return false, err
 	}
-	load.Write(os.Stdout, load.Summarize(r.Outcomes), start.Elapsed())
-	sum := scenario.Summarize(r)
-	sum.Write(os.Stdout)
-	if share := float64(sum.Served) / float64(max(1, sum.Messages)); share < s.MinServed {
-		fmt.Printf("served %.3f, expected %.3f\n", share, s.MinServed)
+	load.Write(os.Stdout, load.Summarize(run.Outcomes), start.Elapsed())
+	summary := scenario.Summarize(run)
+	summary.Write(os.Stdout)
+	if share := float64(summary.Served) / float64(max(1, summary.Messages)); share < script.MinServed {
+		fmt.Printf("served %.3f, expected %.3f\n", share, script.MinServed)
 		return false, nil
 	}
-	return len(sum.Violations) == 0, nil
+	return len(summary.Violations) == 0, nil
 }
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -27,10 +27,11 @@
 	Keep   string        `type:"path" help:"Folder for the logs and events of runs that broke a rule."`
 }
 
+// Run runs the seeds. It fails where one of them violated a rule or it is interrupted.
 func (c *soakCmd) Run() error {
 	for _, f := range c.Faults {
-		if !slices.Contains(soak.Kinds(), f) {
-			return fmt.Errorf("fault %q: there are %s", f, strings.Join(soak.Kinds(), ", "))
+		if !slices.Contains(soak.FaultKinds(), f) {
+			return fmt.Errorf("unknown fault %q: the kinds of fault are %s", f, strings.Join(soak.FaultKinds(), ", "))
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -41,7 +42,7 @@
 	}
 	broken := 0
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds) && ctx.Err() == nil; seed++ {
-		cfg := soak.Config{Binary: binary, Folder: c.Keep, Seed: seed, Nodes: c.Nodes, Span: c.For, Rate: c.Rate, Faults: c.Faults}
+		cfg := soak.Config{Binary: binary, Folder: c.Keep, Seed: seed, Nodes: c.Nodes, Duration: c.For, Rate: c.Rate, FaultKinds: c.Faults}
 		res, err := soak.Run(ctx, cfg)
 		if err != nil {
 			return err
@@ -57,19 +58,20 @@
 	return errors.Join(ctx.Err())
 }
 
-// violationsShown of a run are printed; the others are counted.
-const violationsShown = 20
+// maxViolationsShown is the number of violations of a run that are printed. The others are counted.
+const maxViolationsShown = 20
 
-func printSoak(r *soak.Result) {
+// printSoak prints the outcome of a run.
+func printSoak(result *soak.Result) {
 	verdict := "kept"
-	if len(r.Violations) > 0 {
-		verdict = fmt.Sprintf("%d violations, see %s", len(r.Violations), r.Folder)
+	if len(result.Violations) > 0 {
+		verdict = fmt.Sprintf("%d violations, see %s", len(result.Violations), result.Folder)
 	}
-	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", r.Seed, len(r.Faults), r.Taken,
-		r.Delivered, r.Ended, r.Calls, r.Took.Seconds(), verdict)
-	for i, v := range r.Violations {
-		if i == violationsShown {
-			fmt.Printf("  and %d more\n", len(r.Violations)-i)
+	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", result.Seed, len(result.Faults), result.Accepted,
+		result.Delivered, result.EndedByNotice, result.Calls, result.Elapsed.Seconds(), verdict)
+	for i, v := range result.Violations {
+		if i == maxViolationsShown {
+			fmt.Printf("  and %d more\n", len(result.Violations)-i)
 			break
 		}
 		fmt.Println(" ", v)
--- a/cmd/whinrun/node_test.go
+++ b/cmd/whinrun/node_test.go
@@ -95,7 +95,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
 	_, _ = c.Write([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"))
-	status, err := testbed.Status(c)
+	status, err := testbed.ReadStatus(c)
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -107,13 +107,13 @@
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
 	endpoint, err := bed.Endpoint("a", 1, "", func(c testbed.Call) testbed.Reply {
-		return testbed.Reply{Status: []int{200, 200, 500, 503}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%11 == 0}
+		return testbed.Reply{Status: []int{200, 200, 500, 503}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%11 == 0}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer endpoint.Close()
-	node.agent.Set(testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
+	node.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
 	var mu sync.Mutex
 	var names []string
 	for round := range 5 {
@@ -130,7 +130,7 @@
 					}
 					name := fmt.Sprintf("r%d-w%d-%d", round, worker, i)
 					class := []string{"status", "upload"}[i%2]
-					if bed.Hand(node.addr, testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: 1, Left: 3 * time.Second, Body: name}) == 202 {
+					if bed.Submit(node.addr, testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: 1, Remaining: 3 * time.Second, Body: name}) == 202 {
 						mu.Lock()
 						names = append(names, name)
 						mu.Unlock()
@@ -142,14 +142,14 @@
 		bed.Await(5*time.Second, func(ev []testbed.Event) bool { return len(ev) > eventsBefore+150+37*round })
 		_ = node.cmd.Process.Signal(syscall.SIGKILL)
 		_ = node.cmd.Wait()
-		bed.Note(testbed.Event{Kind: testbed.Restarted})
+		bed.Record(testbed.Event{Kind: testbed.Restarted})
 		close(stop)
 		clients.Wait()
 	}
 	node.start()
 	bed.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
-	for _, f := range testbed.Check(bed.Events(), testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
-		WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}, time.Now()) {
+	for _, f := range testbed.Check(bed.Events(), testbed.Rules{EndSlack: 2 * time.Second, DrainGrace: time.Second, AtMostOnce: []string{"upload"}, ColdBudget: 1 << 20,
+		WaitGrace: 150 * time.Millisecond, ObservationLag: 100 * time.Millisecond}, time.Now()) {
 		t.Error(f)
 	}
 	if len(names) < 50 {
@@ -158,7 +158,7 @@
 }
 
 // startWithFailingEndpoint starts the program with one endpoint, which answers every call with status 500.
-func startWithFailingEndpoint(t *testing.T) (*testbed.Testbed, *nodeProcess, testbed.Host) {
+func startWithFailingEndpoint(t *testing.T) (*testbed.Testbed, *nodeProcess, testbed.EndpointEntry) {
 	t.Helper()
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
@@ -167,8 +167,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(endpoint.Close)
-	host := testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"}
-	node.agent.Set(host)
+	host := testbed.EndpointEntry{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"}
+	node.agent.Publish(host)
 	node.start()
 	return bed, node, host
 }
@@ -187,14 +187,14 @@
 		t.Fatal(err)
 	}
 	defer node.agent.Close()
-	node.agent.Set(host)
+	node.agent.Publish(host)
 	node.configure()
 	_ = node.cmd.Process.Signal(syscall.SIGHUP)
 	old.Close()
-	if status := bed.Hand(node.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
+	if status := bed.Submit(node.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Remaining: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.NoticeReceived, "m") > 0 }) {
 		t.Error("no notice at the new address")
 	}
 	start := time.Now()
@@ -214,11 +214,11 @@
 // applies a new agent address, and the pending notice is delivered there.
 func TestNodeReloadedWhileItStops(t *testing.T) {
 	bed, node, _ := startWithFailingEndpoint(t)
-	node.agent.Fail(503)
-	if status := bed.Hand(node.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
+	node.agent.FailNotices(503)
+	if status := bed.Submit(node.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Remaining: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") > 0 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "m") > 0 }) {
 		t.Fatal("no call")
 	}
 	var err error
@@ -235,7 +235,7 @@
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		_ = node.cmd.Process.Signal(sig)
 	}
-	if !bed.Await(3*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
+	if !bed.Await(3*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.NoticeReceived, "m") > 0 }) {
 		t.Error("no notice at the new address")
 	}
 	if err := node.cmd.Wait(); err != nil {
@@ -250,16 +250,16 @@
 func TestNodeStoppedBeforeItIsReady(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
-	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	node.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
 	// The start waits for the first answer of discovery.
-	node.agent.Mute(true)
+	node.agent.SetMuted(true)
 	node.configure()
 	node.cmd = node.command()
 	if err := node.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = node.cmd.Process.Kill() }()
-	if !bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Watched, "") > 0 }) {
+	if !bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.WatchOpened, "") > 0 }) {
 		t.Fatal("the program sent no request to discovery")
 	}
 	start := time.Now()
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -28,13 +28,13 @@
 func (n *nodeProcess) kill(bed *testbed.Testbed) {
 	_ = n.cmd.Process.Signal(syscall.SIGKILL)
 	_ = n.cmd.Wait()
-	bed.Note(testbed.Event{Kind: testbed.Restarted})
+	bed.Record(testbed.Event{Kind: testbed.Restarted})
 }
 
 // callTimes returns the start times of the calls for a message.
 func callTimes(events []testbed.Event, name string) (at []time.Time) {
 	for _, e := range events {
-		if e.Kind == testbed.Called && e.Name == name {
+		if e.Kind == testbed.CallReceived && e.Name == name {
 			at = append(at, e.At)
 		}
 	}
@@ -55,19 +55,19 @@
 		t.Fatal(err)
 	}
 	defer endpoint.Close()
-	node.agent.Set(testbed.Host{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
+	node.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: endpoint.Addr, Class: "single", Block: 1, Health: "ready"})
 	node.start()
-	message := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, Key: "key-m", Left: 4 * time.Second}
-	if status := bed.Hand(node.addr, message); status != 202 {
+	message := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, IdempotencyKey: "key-m", Remaining: 4 * time.Second}
+	if status := bed.Submit(node.addr, message); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "m") == 1 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "m") == 1 }) {
 		t.Fatal("no call by the first process")
 	}
 	node.kill(bed)
-	reply.Store(&testbed.Reply{Status: 429, Wait: dedupWindow / 4}) // the wait lets the second process make one call only
+	reply.Store(&testbed.Reply{Status: 429, RetryAfter: dedupWindow / 4}) // the wait lets the second process make one call only
 	node.start()
-	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
+	if !bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "m") == 1 }) {
 		t.Fatal("no call by the second process")
 	}
 	node.kill(bed)
@@ -88,8 +88,8 @@
 // nodeRules returns the rules for the settings of the testbed with deduplication windows of dedupWindow. The tolerances allow
 // for a machine that also runs other processes.
 func nodeRules() testbed.Rules {
-	return testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
-		Windows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
+	return testbed.Rules{EndSlack: 2 * time.Second, DrainGrace: time.Second, AtMostOnce: []string{"upload"}, ColdBudget: 1 << 20,
+		DedupWindows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, WaitGrace: 150 * time.Millisecond, ObservationLag: 100 * time.Millisecond}
 }
 
 // writeConfig writes the configuration file.
@@ -108,7 +108,7 @@
 func TestNodeStateFolder(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
-	node.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	node.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
 	folder := node.stateDir
 	node.stateDir = filepath.Join(node.configFile, "state") // a path below a file cannot be a folder
 	node.configure()
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,6 +1,6 @@
-// Package slowstart plays the return of a destination from an outage against many dispatchers in one process, and measures what
-// they send it together beside what it bears. Dispatchers are the decision module itself; the destination is a model. One seed
-// gives one sequence of events.
+// Package slowstart simulates the end of a destination's outage with many dispatchers in one process, and compares the
+// calls that they send together with the calls that the destination can serve. Each dispatcher is the decision library
+// itself; the destination is a model. One seed gives one sequence of events.
 package slowstart
 
 import (
@@ -13,429 +13,500 @@
 	"whinrun/control"
 )
 
-// Outage is how a destination fails.
+// Outage is a way in which a destination fails.
 type Outage uint8
 
-// Outages.
+// Kinds of outage.
 const (
-	Refuses  Outage = iota // connections are refused
-	Silent                 // calls are taken and never answered
-	Errors                 // calls are answered with errors
-	Resets                 // calls are broken off
-	Shut                   // calls are turned away and told to wait until it opens
-	ShutMute               // calls are turned away, and nothing is told
-	outages
+	// RefusesConnections refuses connections.
+	RefusesConnections Outage = iota
+	// NeverAnswers takes calls and never answers them.
+	NeverAnswers
+	// AnswersErrors answers calls with errors.
+	AnswersErrors
+	// ResetsConnections resets the connections of calls.
+	ResetsConnections
+	// RejectsWithWait rejects calls as overloaded and tells to wait until the end of the outage.
+	RejectsWithWait
+	// RejectsWithoutWait rejects calls as overloaded and tells no wait.
+	RejectsWithoutWait
+	// outageCount is the number of kinds of outage.
+	outageCount
 )
 
+// outageNames holds the name of each kind of outage in reports.
 var outageNames = [...]string{"refuses", "silent", "errors", "resets", "shut", "shut, nothing told"}
 
+// String returns the name of the kind of outage in reports.
 func (o Outage) String() string { return outageNames[o] }
 
-// Config is of one play.
+// Config configures one simulation.
 type Config struct {
-	Seed        uint64
+	// Seed determines the destination, the times and all random events.
+	Seed uint64
+	// Dispatchers is the number of dispatchers.
 	Dispatchers int
 	Outage      Outage
-	Restarts    float64 // share of the dispatchers that restart within the outage, or within a second after it
-	Uneven      float64 // deviation of the logarithm of the dispatchers' shares of the traffic
+	// RestartShare is the share of the dispatchers that restart during the outage or within a second after it.
+	RestartShare float64
+	// TrafficSpread is the standard deviation of the logarithm of the dispatchers' shares of the traffic.
+	TrafficSpread float64
 }
 
-// Draw makes a play of a number of dispatchers from a seed.
-func Draw(seed uint64, dispatchers int) Config {
+// RandomConfig returns the configuration of a simulation that a seed selects for a number of dispatchers.
+func RandomConfig(seed uint64, dispatchers int) Config {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outages))), Restarts: 0.6 * float64(rng.IntN(2)),
-		Uneven: 1.2 * rng.Float64()}
+	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outageCount))), RestartShare: 0.6 * float64(rng.IntN(2)),
+		TrafficSpread: 1.2 * rng.Float64()}
 }
 
-// Result is what a play came to.
+// Result is the outcome of one simulation.
 type Result struct {
 	Config
-	Capacity float64 // calls a second that the destination bears when warm
-	Load     float64 // demand, as a part of that
-	Worst    float64 // the most calls in a span, beside what is borne then
-	At       float64 // when that was, in seconds after the return
-	Calls    int     // in that span
-	Bound    float64
-	Told     float64 // part of them of dispatchers that had seen the outage
-	Broken   bool    // the rule: past the bound, and over two thirds of those that had seen it
-	Back     float64 // seconds after the return until nine tenths of the demand are served; -1 for never
+	// Capacity is the number of calls a second that the destination can serve when warm.
+	Capacity float64
+	// Load is the demand as a fraction of Capacity.
+	Load float64
+	// WorstRatio is the largest ratio of the calls in a window of 2 s to the budget at its end, during the warm-up.
+	WorstRatio float64
+	// WorstAt is the end of that window, in seconds after the end of the outage.
+	WorstAt float64
+	// WorstCalls is the number of calls in that window.
+	WorstCalls int
+	// WorstBound is the budget at the end of that window, in calls.
+	WorstBound float64
+	// AwareShare is the share of the calls in that window that came from dispatchers that had seen the outage.
+	AwareShare float64
+	// Violated is set when a window exceeded the budget and more than two thirds of its calls came from dispatchers that
+	// had seen the outage.
+	Violated bool
+	// RecoverySeconds is the time in seconds from the end of the outage until nine tenths of the demand are served, -1
+	// for never.
+	RecoverySeconds float64
 }
 
-// Figures of the destination, in the ranges of the users' deployments.
+// Parameters of the simulation. Those of the destination are within the ranges of the users' deployments.
 const (
-	coldLeast, coldMost   = 0.14, 0.27
-	warmLeast, warmMost   = 7.9, 11.0 // seconds
-	tipMultiple           = 2.0
-	span                  = 2 * control.Second
-	toldPart              = 2.0 / 3
-	quiet                 = 20 * control.Second // ahead of the outage
-	downLeast, downMost   = 5.0, 18.0           // seconds
-	watched               = 14 * control.Second // behind the return
-	latency               = 60 * control.Millisecond
-	crossing              = 5 * control.Millisecond
-	tick                  = 5 * control.Millisecond
-	queueSeconds          = 0.5 // of its capacity may wait at the destination
+	// minColdFraction and maxColdFraction limit the part of its capacity that the destination has when the outage ends.
+	minColdFraction, maxColdFraction = 0.14, 0.27
+	// minWarmUpSeconds and maxWarmUpSeconds limit the time until the destination has all of its capacity.
+	minWarmUpSeconds, maxWarmUpSeconds = 7.9, 11.0
+	// overloadFactor times the present capacity is the rate that the dispatchers may send over overloadWindow.
+	overloadFactor = 2.0
+	// overloadWindow is the span in which calls are counted.
+	overloadWindow = 2 * control.Second
+	// maxAwareShare is the share of calls from dispatchers that had seen the outage above which an overload is a
+	// violation.
+	maxAwareShare = 2.0 / 3
+	// steadyPeriod is the time before the outage.
+	steadyPeriod = 20 * control.Second
+	// minOutageSeconds and maxOutageSeconds limit the length of the outage.
+	minOutageSeconds, maxOutageSeconds = 5.0, 18.0
+	// observationPeriod is the time after the outage for which the simulation runs.
+	observationPeriod = 14 * control.Second
+	// meanServiceTime is the mean of the exponentially distributed time that the destination takes for a call.
+	meanServiceTime = 60 * control.Millisecond
+	// networkDelay is the time that a call or an answer takes on the network.
+	networkDelay = 5 * control.Millisecond
+	// tickInterval is the tick of the decision library.
+	tickInterval = 5 * control.Millisecond
+	// queueSeconds times the present capacity is the number of calls that the destination can take on at once. It takes on
+	// at least one.
+	queueSeconds = 0.5
+	// destination and endpoint identify the only destination and its only endpoint.
 	destination, endpoint = 1, control.EndpointID(10)
 )
 
-// dispatcher is one of them.
+// dispatcher is one of the simulated dispatchers.
 type dispatcher struct {
-	mod    *control.Dispatcher
+	// core is the decision library of the present process.
+	core   *control.Dispatcher
 	number int
-	share  float64
-	told   bool
-	memory map[control.EndpointID]control.Outage // what is on record of outages
-	out    map[control.MessageID]int             // attempts out, by their number
-	held   map[control.MessageID]*message        // what it owes, on record
-	epoch  int                                   // processes so far
+	// share is its part of the traffic.
+	share float64
+	// sawOutage is set once a call that it sent during the outage failed.
+	sawOutage bool
+	// outageRecords are the outages in its ledger.
+	outageRecords map[control.EndpointID]control.Outage
+	// openAttempts holds the open attempts of messages, by the attempt's number.
+	openAttempts map[control.MessageID]int
+	// pending holds the accepted messages in its ledger that have not ended.
+	pending map[control.MessageID]*message
+	// epoch counts its processes.
+	epoch int
 }
 
-// message is one that a dispatcher owes.
+// message is an accepted message that has not ended.
 type message struct {
 	class    int
 	deadline control.Time
-	tries    int
-	sent     control.Time // when its last attempt began
-	doubt    control.Time // when the first began that may have been executed, 0 for none
+	// attempts counts the attempts so far.
+	attempts int
+	// lastAttemptAt is when the last attempt began.
+	lastAttemptAt control.Time
+	// possiblyExecutedSince is when the first possibly executed attempt began, 0 for none.
+	possiblyExecutedSince control.Time
 }
 
-// happening is something due at a moment.
-type happening struct {
-	at   control.Time
-	seq  int
-	who  *dispatcher
-	what control.Event
-	then func() // instead of an event of a dispatcher
-	era  int    // epoch of the dispatcher that it is for
+// scheduledEvent is an event at a time of the simulation. It is either a function or an event for a dispatcher.
+type scheduledEvent struct {
+	// at is the virtual time of the event.
+	at control.Time
+	// seq keeps the order of events of the same time.
+	seq int
+	// dispatcher receives event. It is nil where run is set.
+	dispatcher *dispatcher
+	event      control.Event
+	// run is called instead of giving an event to a dispatcher.
+	run func()
+	// epoch is the dispatcher's epoch at scheduling. The event is dropped in a later epoch.
+	epoch int
 }
 
-type agenda []*happening
+// eventQueue is a heap of events by their times.
+type eventQueue []*scheduledEvent
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].seq < a[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(*happening)) }
-func (a *agenda) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	*a = (*a)[:last]
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*scheduledEvent)) }
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	x := (*q)[last]
+	*q = (*q)[:last]
 	return x
 }
 
-// arrival is a call at the destination.
-type arrival struct {
-	at   control.Time
-	told bool // its dispatcher had seen the outage before
+// call is a call that reached the destination.
+type call struct {
+	at control.Time
+	// sawOutage is set when its dispatcher had seen the outage before.
+	sawOutage bool
 }
 
-// play is one play under way.
-type play struct {
-	cfg      Config
-	set      control.Settings
-	rng      *rand.Rand
-	now      control.Time
-	seq      int
-	agenda   agenda
-	fleet    []*dispatcher
-	nextID   control.MessageID
-	capacity float64
-	demand   float64
-	down, up control.Time // the outage
-	budget   float64      // calls that the destination can begin now
-	refilled control.Time
-	calls    []arrival // of the last span
-	served   []control.Time
-	res      Result
+// simulation is the state of one simulation.
+type simulation struct {
+	cfg         Config
+	settings    control.Settings
+	rng         *rand.Rand
+	now         control.Time
+	seq         int
+	queue       eventQueue
+	dispatchers []*dispatcher
+	nextID      control.MessageID
+	capacity    float64
+	demand      float64
+	// outageStart and outageEnd limit the outage.
+	outageStart, outageEnd control.Time
+	// tokens is the number of calls that the destination can take on now, as a token bucket.
+	tokens float64
+	// refilledAt is when tokens was last refilled.
+	refilledAt control.Time
+	// recentCalls are the calls of the last overloadWindow.
+	recentCalls []call
+	// servedAt holds the times of the successful answers, in order.
+	servedAt []control.Time
+	result   Result
 }
 
-// Play plays one play.
-func Play(cfg Config) Result {
-	p := &play{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Dispatchers)))}
-	p.draw()
-	p.open()
-	end := p.up + watched
-	for len(p.agenda) > 0 && p.agenda[0].at <= end {
-		p.step()
+// Simulate runs one simulation.
+func Simulate(cfg Config) Result {
+	p := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Dispatchers)))}
+	p.drawParameters()
+	p.startDispatchers()
+	end := p.outageEnd + observationPeriod
+	for len(p.queue) > 0 && p.queue[0].at <= end {
+		p.runNext()
 	}
-	p.res.Back = p.back()
-	return p.res
+	p.result.RecoverySeconds = p.recoverySeconds()
+	return p.result
 }
 
-// draw draws the destination and the times.
-func (p *play) draw() {
-	between := func(least, most float64) float64 { return least + p.rng.Float64()*(most-least) }
+// drawParameters sets the destination, the times and the settings at random.
+func (p *simulation) drawParameters() {
+	between := func(low, high float64) float64 { return low + p.rng.Float64()*(high-low) }
 	p.capacity = math.Exp(between(math.Log(4), math.Log(400)))
 	load := between(0.4, 1.15)
 	p.demand = load * p.capacity
-	p.down = quiet
-	p.up = p.down + seconds(between(downLeast, downMost))
+	p.outageStart = steadyPeriod
+	p.outageEnd = p.outageStart + seconds(between(minOutageSeconds, maxOutageSeconds))
 	classes := []control.Class{
 		{Name: "status", Target: seconds(1.5), Deadline: seconds(5), Value: 2},
 		{Name: "sync", Effect: control.Deduplicated, DedupWindow: seconds(10), Target: seconds(2.5), Deadline: seconds(24), Value: 1, LateValue: 0.5},
 		{Name: "upload", Effect: control.AtMostOnce, Target: seconds(2.5), Deadline: seconds(28), Value: 5, LateValue: 0.4},
 	}
-	mine := p.demand / float64(p.cfg.Dispatchers)
-	p.set = control.Settings{Instances: p.cfg.Dispatchers, Tick: tick, Classes: classes, DestinationKinds: []control.DestinationKind{{Name: "partners", MaxBatch: 1}},
-		Weights: control.WeightNominal, Slots: max(3, int(2*mine)), MaxOpen: max(16, int(10*mine)), MaxAttempts: 6, MayCancel: true, RetryAfter: true,
+	ownDemand := p.demand / float64(p.cfg.Dispatchers)
+	p.settings = control.Settings{Instances: p.cfg.Dispatchers, Tick: tickInterval, Classes: classes, DestinationKinds: []control.DestinationKind{{Name: "partners", MaxBatch: 1}},
+		Weights: control.WeightNominal, Slots: max(3, int(2*ownDemand)), MaxOpen: max(16, int(10*ownDemand)), MaxAttempts: 6, MayCancel: true, RetryAfter: true,
 		MaxRetryAfter: seconds(2), ConnIdleTimeout: seconds(5), ConnectTimeout: seconds(1.5), StreamsPerConn: 1, ReportRemainingIndex: -1, ReportLimitIndex: -1,
-		StopSendingWithin: seconds(1), ColdCapacity: between(coldLeast, coldMost), WarmUp: seconds(between(warmLeast, warmMost)),
-		CollapseMultiple: tipMultiple, MaxOverload: span, SettleTime: seconds(1), TrackOutages: true}
-	p.res = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
+		StopSendingWithin: seconds(1), ColdCapacity: between(minColdFraction, maxColdFraction), WarmUp: seconds(between(minWarmUpSeconds, maxWarmUpSeconds)),
+		CollapseMultiple: overloadFactor, MaxOverload: overloadWindow, SettleTime: seconds(1), TrackOutages: true}
+	p.result = Result{Config: p.cfg, Capacity: p.capacity, Load: load}
 }
 
+// seconds converts seconds to the time of the decision library.
 func seconds(s float64) control.Time { return control.Time(s * float64(control.Second)) }
 
-// open starts the dispatchers and their traffic.
-func (p *play) open() {
+// startDispatchers creates the dispatchers and schedules their traffic and restarts.
+func (p *simulation) startDispatchers() {
 	sum := 0.0
 	for i := range p.cfg.Dispatchers {
-		d := &dispatcher{number: i, share: math.Exp(p.cfg.Uneven * p.rng.NormFloat64()), memory: map[control.EndpointID]control.Outage{}, held: map[control.MessageID]*message{}}
+		d := &dispatcher{number: i, share: math.Exp(p.cfg.TrafficSpread * p.rng.NormFloat64()), outageRecords: map[control.EndpointID]control.Outage{}, pending: map[control.MessageID]*message{}}
 		sum += d.share
-		p.fleet = append(p.fleet, d)
+		p.dispatchers = append(p.dispatchers, d)
 	}
-	for _, d := range p.fleet {
+	for _, d := range p.dispatchers {
 		d.share /= sum
-		p.start(d)
-		p.arrive(d)
-		if p.rng.Float64() < p.cfg.Restarts {
-			at := p.down + control.Time(p.rng.Float64()*float64(p.up+control.Second-p.down))
-			p.put(&happening{at: at, then: func() { p.start(d) }})
+		p.startProcess(d)
+		p.scheduleArrival(d)
+		if p.rng.Float64() < p.cfg.RestartShare {
+			at := p.outageStart + control.Time(p.rng.Float64()*float64(p.outageEnd+control.Second-p.outageStart))
+			p.schedule(&scheduledEvent{at: at, run: func() { p.startProcess(d) }})
 		}
 	}
 }
 
-// start gives a dispatcher a process: what the one before knew of outages is on record, all else is gone.
-func (p *play) start(d *dispatcher) {
-	set := p.set
-	set.InstanceIndex = d.number
-	mod, err := control.New(set, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
+// startProcess starts a new process of a dispatcher. Its outages and pending messages are restored, all else is lost.
+func (p *simulation) startProcess(d *dispatcher) {
+	settings := p.settings
+	settings.InstanceIndex = d.number
+	core, err := control.New(settings, p.cfg.Seed*1000+uint64(d.number)*7+uint64(d.epoch))
 	if err != nil {
-		panic(err) // the settings are this package's own
+		// The settings are this package's own, so an error is a fault of the package.
+		panic(err)
 	}
-	d.mod = mod
+	d.core = core
 	d.epoch++
 	entry := control.Entry{Endpoint: endpoint, Dest: destination, Health: control.Ready, Weight: p.capacity}
 	events := []control.Event{{Kind: control.ListUpdate, ListKind: control.ListFull, Entries: []control.Entry{entry}}}
-	for _, o := range d.memory {
+	for _, o := range d.outageRecords {
 		events = append(events, control.Event{Kind: control.OutageRestored, Outage: &o})
 	}
-	p.run(d, append(events, p.restored(d)...)...)
+	p.runDispatcher(d, append(events, p.restoredMessages(d)...)...)
 }
 
-// restored are the messages that a process before had taken on.
-func (p *play) restored(d *dispatcher) (events []control.Event) {
-	for _, id := range slices.Sorted(maps.Keys(d.held)) {
-		m := d.held[id]
-		if n, out := d.out[id]; out && n == m.tries-1 && m.doubt == 0 {
-			m.doubt = m.sent // its end is not known
+// restoredMessages returns the events that restore the pending messages after a restart. An attempt that was open at the
+// restart counts as possibly executed.
+func (p *simulation) restoredMessages(d *dispatcher) (events []control.Event) {
+	for _, id := range slices.Sorted(maps.Keys(d.pending)) {
+		m := d.pending[id]
+		if attempt, open := d.openAttempts[id]; open && attempt == m.attempts-1 && m.possiblyExecutedSince == 0 {
+			m.possiblyExecutedSince = m.lastAttemptAt
 		}
 		events = append(events, control.Event{Kind: control.Arrival, Message: id, Class: m.class, Dest: destination, TimeLeft: max(0, m.deadline-p.now),
-			Restored: true, Attempt: m.tries, PossiblyExecuted: m.doubt > 0, Elapsed: p.now - m.doubt})
+			Restored: true, Attempt: m.attempts, PossiblyExecuted: m.possiblyExecutedSince > 0, Elapsed: p.now - m.possiblyExecutedSince})
 	}
-	d.out = map[control.MessageID]int{}
+	d.openAttempts = map[control.MessageID]int{}
 	return events
 }
 
-func (p *play) put(h *happening) {
+// schedule adds an event to the queue.
+func (p *simulation) schedule(event *scheduledEvent) {
 	p.seq++
-	h.seq = p.seq
-	if h.who != nil {
-		h.era = h.who.epoch
+	event.seq = p.seq
+	if event.dispatcher != nil {
+		event.epoch = event.dispatcher.epoch
 	}
-	heap.Push(&p.agenda, h)
+	heap.Push(&p.queue, event)
 }
 
-// arrive has the next message come to a dispatcher.
-func (p *play) arrive(d *dispatcher) {
+// scheduleArrival schedules the next message of a dispatcher. The arrivals are a Poisson process.
+func (p *simulation) scheduleArrival(d *dispatcher) {
 	rate := p.demand * d.share
 	at := p.now + seconds(p.rng.ExpFloat64()/rate)
-	p.put(&happening{at: at, then: func() {
-		p.arrive(d)
+	p.schedule(&scheduledEvent{at: at, run: func() {
+		p.scheduleArrival(d)
 		p.nextID++
-		class := p.rng.IntN(len(p.set.Classes))
-		d.held[p.nextID] = &message{class: class, deadline: p.now + p.set.Classes[class].Deadline}
-		p.run(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, TimeLeft: p.set.Classes[class].Deadline})
+		class := p.rng.IntN(len(p.settings.Classes))
+		d.pending[p.nextID] = &message{class: class, deadline: p.now + p.settings.Classes[class].Deadline}
+		p.runDispatcher(d, control.Event{Kind: control.Arrival, Message: p.nextID, Class: class, Dest: destination, TimeLeft: p.settings.Classes[class].Deadline})
 	}})
 }
 
-// step takes what is due next.
-func (p *play) step() {
-	h := heap.Pop(&p.agenda).(*happening)
-	p.now = h.at
+// runNext removes the next event from the queue and runs it.
+func (p *simulation) runNext() {
+	next := heap.Pop(&p.queue).(*scheduledEvent)
+	p.now = next.at
 	switch {
-	case h.then != nil:
-		h.then()
-	case h.era == h.who.epoch: // else it was for a process that has ended
-		if h.what.Kind == control.Outcome {
-			if n, out := h.who.out[h.what.Message]; !out || n != h.what.Attempt {
-				return // its end has come already
+	case next.run != nil:
+		next.run()
+	// An event for a process that has ended is dropped.
+	case next.epoch == next.dispatcher.epoch:
+		if next.event.Kind == control.Outcome {
+			if attempt, open := next.dispatcher.openAttempts[next.event.Message]; !open || attempt != next.event.Attempt {
+				// The attempt has already ended.
+				return
 			}
-			delete(h.who.out, h.what.Message)
-			p.ended(h.who, &h.what)
+			delete(next.dispatcher.openAttempts, next.event.Message)
+			p.applyAttemptEnd(next.dispatcher, &next.event)
 		}
-		p.run(h.who, h.what)
+		p.runDispatcher(next.dispatcher, next.event)
 	}
 }
 
-// ended notes the end of an attempt.
-func (p *play) ended(d *dispatcher, e *control.Event) {
-	m := d.held[e.Message]
-	if m != nil && e.Result != control.OK && m.sent >= p.down && m.sent < p.up {
-		d.told = true
+// applyAttemptEnd records the end of an attempt.
+func (p *simulation) applyAttemptEnd(d *dispatcher, e *control.Event) {
+	m := d.pending[e.Message]
+	if m != nil && e.Result != control.OK && m.lastAttemptAt >= p.outageStart && m.lastAttemptAt < p.outageEnd {
+		d.sawOutage = true
 	}
 	switch {
 	case e.Result == control.OK:
-		p.served = append(p.served, p.now)
-		delete(d.held, e.Message)
+		p.servedAt = append(p.servedAt, p.now)
+		delete(d.pending, e.Message)
 		e.Closed = true
-	case m != nil && m.doubt == 0 && e.Result != control.LimitExceeded && e.Result != control.ConnectFailed:
-		m.doubt = m.sent
+	case m != nil && m.possiblyExecutedSince == 0 && e.Result != control.LimitExceeded && e.Result != control.ConnectFailed:
+		m.possiblyExecutedSince = m.lastAttemptAt
 	}
 }
 
-// run has a dispatcher decide, and carries out what it wants.
-func (p *play) run(d *dispatcher, events ...control.Event) {
-	for _, a := range d.mod.Step(p.now, events, nil) {
+// runDispatcher gives events to a dispatcher and carries out the actions that it returns.
+func (p *simulation) runDispatcher(d *dispatcher, events ...control.Event) {
+	for _, a := range d.core.Step(p.now, events, nil) {
 		switch a.Kind {
 		case control.Timer:
-			p.put(&happening{at: p.now + a.After, who: d, what: control.Event{Kind: control.TimerFired, TimerToken: a.TimerToken}})
+			p.schedule(&scheduledEvent{at: p.now + a.After, dispatcher: d, event: control.Event{Kind: control.TimerFired, TimerToken: a.TimerToken}})
 		case control.Send:
-			p.send(d, a)
+			p.sendCall(d, a)
 		case control.Refuse, control.Fail:
-			delete(d.held, a.Message)
+			delete(d.pending, a.Message)
 		case control.Cancel:
-			if n, out := d.out[a.Message]; out && n == a.Attempt {
-				p.end(d, a.Message, n, control.Cancelled, 0, 0)
+			if attempt, open := d.openAttempts[a.Message]; open && attempt == a.Attempt {
+				p.scheduleAttemptEnd(d, a.Message, attempt, control.Cancelled, 0, 0)
 			}
 		}
 	}
-	for _, o := range d.mod.Outages() {
+	for _, o := range d.core.Outages() {
 		if o.Ended() {
-			delete(d.memory, o.Endpoint)
+			delete(d.outageRecords, o.Endpoint)
 		} else {
-			d.memory[o.Endpoint] = o
+			d.outageRecords[o.Endpoint] = o
 		}
 	}
 }
 
-// end has an attempt end after a while.
-func (p *play) end(d *dispatcher, id control.MessageID, attempt int, r control.Result, after, wait control.Time) {
-	p.put(&happening{at: p.now + after, who: d, what: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: r,
-		Elapsed: after, RetryAfter: wait}})
+// scheduleAttemptEnd schedules the end of an attempt after a delay.
+func (p *simulation) scheduleAttemptEnd(d *dispatcher, id control.MessageID, attempt int, result control.Result, delay, wait control.Time) {
+	p.schedule(&scheduledEvent{at: p.now + delay, dispatcher: d, event: control.Event{Kind: control.Outcome, Message: id, Attempt: attempt, Endpoint: endpoint, Result: result,
+		Elapsed: delay, RetryAfter: wait}})
 }
 
-// send has a call reach the destination, and its end come back.
-func (p *play) send(d *dispatcher, a control.Action) {
-	m := d.held[a.Message]
-	n := m.tries
-	m.tries++
-	m.sent = p.now
-	d.out[a.Message] = n
-	due := m.deadline - p.now
+// sendCall delivers a call to the destination and schedules its end.
+func (p *simulation) sendCall(d *dispatcher, a control.Action) {
+	m := d.pending[a.Message]
+	attempt := m.attempts
+	m.attempts++
+	m.lastAttemptAt = p.now
+	d.openAttempts[a.Message] = attempt
+	timeLeft := m.deadline - p.now
 	if a.After > 0 {
-		due = min(due, a.After)
+		timeLeft = min(timeLeft, a.After)
 	}
-	if p.now >= p.down && p.now < p.up {
-		p.fails(d, a.Message, n, due)
+	if p.now >= p.outageStart && p.now < p.outageEnd {
+		p.failCall(d, a.Message, attempt, timeLeft)
 		return
 	}
-	p.reached(d)
-	if p.borne() {
-		wait := control.Time(p.rng.ExpFloat64()*float64(latency)) + crossing
-		p.end(d, a.Message, n, control.OK, min(wait, due), 0)
+	p.recordCall(d)
+	if p.takeToken() {
+		delay := control.Time(p.rng.ExpFloat64()*float64(meanServiceTime)) + networkDelay
+		p.scheduleAttemptEnd(d, a.Message, attempt, control.OK, min(delay, timeLeft), 0)
 		return
 	}
-	p.end(d, a.Message, n, control.LimitExceeded, 2*crossing, 0)
+	p.scheduleAttemptEnd(d, a.Message, attempt, control.LimitExceeded, 2*networkDelay, 0)
 }
 
-// fails has a call meet the outage.
-func (p *play) fails(d *dispatcher, id control.MessageID, n int, due control.Time) {
-	p.reached(d)
+// failCall schedules the end of a call that reaches the destination during the outage.
+func (p *simulation) failCall(d *dispatcher, id control.MessageID, attempt int, timeLeft control.Time) {
+	p.recordCall(d)
 	switch p.cfg.Outage {
-	case Refuses:
-		p.end(d, id, n, control.ConnectFailed, 2*crossing, 0)
-	case Silent:
-		p.end(d, id, n, control.TimedOut, due, 0)
-	case Errors:
-		p.end(d, id, n, control.ErrorResponse, 2*crossing, 0)
-	case Resets:
-		p.end(d, id, n, control.Reset, 2*crossing, 0)
-	case Shut:
-		p.end(d, id, n, control.LimitExceeded, 2*crossing, p.up-p.now)
+	case RefusesConnections:
+		p.scheduleAttemptEnd(d, id, attempt, control.ConnectFailed, 2*networkDelay, 0)
+	case NeverAnswers:
+		p.scheduleAttemptEnd(d, id, attempt, control.TimedOut, timeLeft, 0)
+	case AnswersErrors:
+		p.scheduleAttemptEnd(d, id, attempt, control.ErrorResponse, 2*networkDelay, 0)
+	case ResetsConnections:
+		p.scheduleAttemptEnd(d, id, attempt, control.Reset, 2*networkDelay, 0)
+	case RejectsWithWait:
+		p.scheduleAttemptEnd(d, id, attempt, control.LimitExceeded, 2*networkDelay, p.outageEnd-p.now)
 	default:
-		p.end(d, id, n, control.LimitExceeded, 2*crossing, 0)
+		p.scheduleAttemptEnd(d, id, attempt, control.LimitExceeded, 2*networkDelay, 0)
 	}
 }
 
-// reached notes a call at the destination, and compares what came within the last span with what is borne.
-func (p *play) reached(d *dispatcher) {
-	p.calls = append(p.calls, arrival{p.now, d.told})
-	for p.now-p.calls[0].at > span {
-		p.calls = p.calls[1:]
+// recordCall records a call at the destination. During the warm-up it compares the calls of the last window with the
+// budget.
+func (p *simulation) recordCall(d *dispatcher) {
+	p.recentCalls = append(p.recentCalls, call{p.now, d.sawOutage})
+	for p.now-p.recentCalls[0].at > overloadWindow {
+		p.recentCalls = p.recentCalls[1:]
 	}
-	if p.now < p.up || p.now >= p.up+p.set.WarmUp {
+	if p.now < p.outageEnd || p.now >= p.outageEnd+p.settings.WarmUp {
 		return
 	}
-	bound := bound(tipMultiple * p.capacity * p.warmth() * float64(span) / float64(control.Second))
-	share := float64(len(p.calls)) / bound
-	if share <= p.res.Worst {
+	bound := callBudget(overloadFactor * p.capacity * p.capacityFraction() * float64(overloadWindow) / float64(control.Second))
+	ratio := float64(len(p.recentCalls)) / bound
+	if ratio <= p.result.WorstRatio {
 		return
 	}
-	told := 0
-	for _, c := range p.calls {
-		if c.told {
-			told++
+	aware := 0
+	for _, c := range p.recentCalls {
+		if c.sawOutage {
+			aware++
 		}
 	}
-	p.res.Worst, p.res.At, p.res.Calls, p.res.Bound = share, float64(p.now-p.up)/float64(control.Second), len(p.calls), bound
-	p.res.Told = float64(told) / float64(len(p.calls))
-	p.res.Broken = p.res.Broken || share > 1 && p.res.Told > toldPart
+	p.result.WorstRatio, p.result.WorstAt, p.result.WorstCalls, p.result.WorstBound = ratio, float64(p.now-p.outageEnd)/float64(control.Second), len(p.recentCalls), bound
+	p.result.AwareShare = float64(aware) / float64(len(p.recentCalls))
+	p.result.Violated = p.result.Violated || ratio > 1 && p.result.AwareShare > maxAwareShare
 }
 
-// bound is how many calls a span may have where the settings allow n.
-func bound(n float64) float64 {
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+// callBudget returns how many calls a window may have where the settings allow an expected number. Two to three standard
+// deviations are added, because the arrivals are random.
+func callBudget(expected float64) float64 {
+	if expected < 30 {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// borne tells whether the destination takes one call more.
-func (p *play) borne() bool {
-	p.budget = min(p.budget+p.capacity*p.warmth()*float64(p.now-p.refilled)/float64(control.Second), max(1, queueSeconds*p.capacity*p.warmth()))
-	p.refilled = p.now
-	if p.budget < 1 {
+// takeToken reports whether the destination takes on one more call.
+func (p *simulation) takeToken() bool {
+	p.tokens = min(p.tokens+p.capacity*p.capacityFraction()*float64(p.now-p.refilledAt)/float64(control.Second), max(1, queueSeconds*p.capacity*p.capacityFraction()))
+	p.refilledAt = p.now
+	if p.tokens < 1 {
 		return false
 	}
-	p.budget--
+	p.tokens--
 	return true
 }
 
-// back tells when the destination served nine tenths of the demand again, or of its capacity, over a span.
-func (p *play) back() float64 {
-	want := 0.9 * min(p.demand, p.capacity) * float64(span) / float64(control.Second)
-	want -= 2 * math.Sqrt(want) // chance
-	for i, at := range p.served {
-		if at < p.up+span {
+// recoverySeconds returns the time in seconds from the end of the outage until the calls served in a window reach nine
+// tenths of the demand, or of the capacity where that is less. It returns -1 for never.
+func (p *simulation) recoverySeconds() float64 {
+	wanted := 0.9 * min(p.demand, p.capacity) * float64(overloadWindow) / float64(control.Second)
+	// Two standard deviations are allowed for random arrivals.
+	wanted -= 2 * math.Sqrt(wanted)
+	for i, at := range p.servedAt {
+		if at < p.outageEnd+overloadWindow {
 			continue
 		}
-		n := 0
-		for j := i; j >= 0 && at-p.served[j] <= span; j-- {
-			n++
+		served := 0
+		for j := i; j >= 0 && at-p.servedAt[j] <= overloadWindow; j-- {
+			served++
 		}
-		if float64(n) >= want {
-			return float64(at-p.up) / float64(control.Second)
+		if float64(served) >= wanted {
+			return float64(at-p.outageEnd) / float64(control.Second)
 		}
 	}
 	return -1
 }
 
-// warmth is the part of its capacity that the destination has.
-func (p *play) warmth() float64 {
-	if p.now < p.up {
-		return p.set.ColdCapacity
+// capacityFraction returns the part of its capacity that the destination has now.
+func (p *simulation) capacityFraction() float64 {
+	if p.now < p.outageEnd {
+		return p.settings.ColdCapacity
 	}
-	return min(1, p.set.ColdCapacity+(1-p.set.ColdCapacity)*float64(p.now-p.up)/float64(p.set.WarmUp))
+	return min(1, p.settings.ColdCapacity+(1-p.settings.ColdCapacity)*float64(p.now-p.outageEnd)/float64(p.settings.WarmUp))
 }
--- /dev/null
+++ b/internal/soak/environment.go
@@ -0,0 +1,291 @@
+package soak
+
+import (
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"whinrun/internal/testbed"
+)
+
+// proxiedEndpoint is an endpoint behind a proxy.
+type proxiedEndpoint struct {
+	// entry is the endpoint as it was last listed.
+	entry    testbed.EndpointEntry
+	endpoint *testbed.Endpoint
+	proxy    *testbed.Proxy
+	// mode is the present fault, nil for none.
+	mode atomic.Pointer[faultMode]
+	// removed is set when the endpoint has been listed as gone.
+	removed bool
+}
+
+// faultMode is a fault of an endpoint for a limited time.
+type faultMode struct {
+	kind string
+	// until is when the fault ends.
+	until time.Time
+}
+
+// environment holds the endpoints and agents that the dispatchers of a run talk to.
+type environment struct {
+	testbed *testbed.Testbed
+
+	mu        sync.Mutex
+	endpoints []*proxiedEndpoint
+	// endpointCount counts the endpoints created so far.
+	endpointCount int
+	// agents holds the agent of each node, by the node's number.
+	agents []*nodeAgent
+}
+
+// nodeAgent is the agent of one node, with the changes that its node has not been told yet.
+type nodeAgent struct {
+	*testbed.Agent
+	// muted is set while the agent answers no watches.
+	muted bool
+	// deferred holds the changes to publish when the agent answers again.
+	deferred []testbed.EndpointEntry
+	// silentUntil is the time from which the node has a new watch at the latest. Changes published before count as
+	// listed then.
+	silentUntil time.Time
+}
+
+const (
+	// destinations is the number of destinations. Those with odd numbers take several messages in a call.
+	destinations = 8
+	// watchSilenceLimit is how long after a watch fell silent a change counts as listed at the latest.
+	watchSilenceLimit = 6 * time.Second
+	// reloadLimit is how long after SIGHUP a change counts as listed at the latest.
+	reloadLimit = 4 * time.Second
+)
+
+// newEnvironment starts one to three endpoints for each destination.
+func newEnvironment(bed *testbed.Testbed) (*environment, error) {
+	w := &environment{testbed: bed}
+	for dest := range destinations {
+		for range 1 + dest%3 {
+			if _, err := w.addEndpoint(dest); err != nil {
+				return nil, err
+			}
+		}
+	}
+	return w, nil
+}
+
+// endpointClass returns the class of a destination's endpoints in the list.
+func endpointClass(dest int) string {
+	if dest%2 == 1 {
+		return "bulk"
+	}
+	return "single"
+}
+
+// addEndpoint starts an endpoint of a destination and publishes it to all agents.
+func (w *environment) addEndpoint(dest int) (*proxiedEndpoint, error) {
+	w.mu.Lock()
+	w.endpointCount++
+	name := fmt.Sprintf("e%d", w.endpointCount)
+	w.mu.Unlock()
+	p := &proxiedEndpoint{}
+	var err error
+	if p.endpoint, err = w.testbed.Endpoint(name, dest, "", p.handle); err != nil {
+		return nil, err
+	}
+	if p.proxy, err = w.testbed.Proxy(p.endpoint); err != nil {
+		return nil, err
+	}
+	site := []string{"east", "west"}[w.endpointCount%2]
+	p.entry = testbed.EndpointEntry{Host: name, Dial: p.proxy.Addr, Site: site, Class: endpointClass(dest), Block: dest, Health: "ready", Share: 50}
+	w.mu.Lock()
+	w.endpoints = append(w.endpoints, p)
+	w.mu.Unlock()
+	w.publish(p.entry)
+	return p, nil
+}
+
+// pickReady returns an endpoint that is listed as ready, selected by n, or nil where there is none.
+func (w *environment) pickReady(n int) *proxiedEndpoint {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for i := range w.endpoints {
+		if p := w.endpoints[(n+i)%len(w.endpoints)]; p.entry.Health == "ready" {
+			return p
+		}
+	}
+	return nil
+}
+
+// publish publishes a changed endpoint to all agents.
+func (w *environment) publish(entry testbed.EndpointEntry) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, a := range w.agents {
+		a.publishEntry(entry, w.testbed.Now())
+	}
+}
+
+// publishEntry publishes a changed endpoint, or defers it while the agent is muted. The caller holds the environment's
+// lock.
+func (a *nodeAgent) publishEntry(entry testbed.EndpointEntry, now time.Time) {
+	if a.muted {
+		a.deferred = append(a.deferred, entry)
+		return
+	}
+	at := now
+	if a.silentUntil.After(now) {
+		at = a.silentUntil
+	}
+	a.PublishAt(at, entry)
+}
+
+// newAgent starts an agent for a node. Its list has all endpoints that are not removed.
+func (w *environment) newAgent(node string) (*nodeAgent, error) {
+	base, err := w.testbed.Agent()
+	if err != nil {
+		return nil, err
+	}
+	base.Node = node
+	a := &nodeAgent{Agent: base}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, p := range w.endpoints {
+		if !p.removed {
+			a.publishEntry(p.entry, w.testbed.Now())
+		}
+	}
+	return a, nil
+}
+
+// agentOf returns the present agent of a node.
+func (w *environment) agentOf(node int) *nodeAgent {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.agents[node]
+}
+
+// replaceAgent gives a node another agent and returns the previous one.
+func (w *environment) replaceAgent(node int, next *nodeAgent) *nodeAgent {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	previous := w.agents[node]
+	w.agents[node] = next
+	next.silentUntil = w.testbed.Now().Add(reloadLimit)
+	return previous
+}
+
+// setMuted stops the answers of an agent, or resumes them and publishes the deferred changes.
+func (w *environment) setMuted(a *nodeAgent, muted bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	a.muted = muted
+	a.SetMuted(muted)
+	if !muted {
+		for _, h := range a.deferred {
+			a.publishEntry(h, w.testbed.Now())
+		}
+		a.deferred = nil
+	}
+}
+
+// silenceOpenWatches stops the answers to the open watches of an agent.
+func (w *environment) silenceOpenWatches(a *nodeAgent) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	a.SilenceOpenWatches()
+	a.silentUntil = w.testbed.Now().Add(watchSilenceLimit)
+}
+
+// drain adds a replacement for an endpoint, lists the endpoint as draining, and lists it as gone after a time.
+func (w *environment) drain(p *proxiedEndpoint, after time.Duration) error {
+	if _, err := w.addEndpoint(p.entry.Block); err != nil {
+		return err
+	}
+	setHealth := func(health string) {
+		w.mu.Lock()
+		p.entry.Health = health
+		p.removed = health == "gone"
+		entry := p.entry
+		w.mu.Unlock()
+		w.publish(entry)
+	}
+	setHealth("draining")
+	time.AfterFunc(after, func() { setHealth("gone") })
+	return nil
+}
+
+// close closes the endpoints, proxies and agents.
+func (w *environment) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, p := range w.endpoints {
+		p.proxy.Close()
+		p.endpoint.Close()
+	}
+	for _, a := range w.agents {
+		a.Close()
+	}
+}
+
+// setFaultMode sets a fault of an endpoint for a duration. It records the beginning and the end of an outage.
+func (w *environment) setFaultMode(p *proxiedEndpoint, kind string, duration time.Duration) {
+	outage := kind == "drop" || kind == "hang" || kind == "errors"
+	if outage {
+		w.testbed.Record(testbed.Event{Kind: testbed.OutageBegan, Host: p.entry.Host})
+	}
+	m := &faultMode{kind, w.testbed.Now().Add(duration)}
+	p.mode.Store(m)
+	time.AfterFunc(duration, func() {
+		if p.mode.CompareAndSwap(m, nil) && outage {
+			w.testbed.Record(testbed.Event{Kind: testbed.OutageEnded, Host: p.entry.Host})
+		}
+	})
+}
+
+// handle answers a call as the fault mode says. Without a fault, 3 calls of 97 fail, and the others are answered 200.
+func (p *proxiedEndpoint) handle(call testbed.Call) testbed.Reply {
+	delay := time.Duration(2+call.Number*7%20) * time.Millisecond
+	mode := p.mode.Load()
+	if mode == nil {
+		switch call.Number % 97 {
+		case 13:
+			return testbed.Reply{Status: 500, Delay: delay}
+		case 31:
+			return testbed.Reply{Status: 503, Delay: delay}
+		case 57:
+			return testbed.Reply{Drop: true, Delay: delay}
+		}
+		return testbed.Reply{Status: 200, Delay: delay}
+	}
+	switch mode.kind {
+	case "hang":
+		return testbed.Reply{Hang: true}
+	case "drop":
+		return testbed.Reply{Drop: true, Delay: delay}
+	case "errors":
+		return testbed.Reply{Status: 500, Delay: delay}
+	case "busy":
+		return testbed.Reply{Status: 503, Delay: delay}
+	case "waits":
+		return testbed.Reply{Status: 429, RetryAfter: time.Duration(200+call.Number*37%700) * time.Millisecond, Delay: delay}
+	case "slow":
+		return testbed.Reply{Status: 200, Delay: time.Duration(200+call.Number*53%900) * time.Millisecond}
+	}
+	return malformedReply(call, delay)
+}
+
+// malformedReply returns an answer that cannot be parsed, or one with extra bytes after it.
+func malformedReply(call testbed.Call, delay time.Duration) testbed.Reply {
+	single := len(call.MessageNames) == 1
+	switch {
+	case call.Number%4 == 0:
+		return testbed.Reply{Status: 500, Raw: "\x16\x03\x01 noise\r\n\r\n", Delay: delay}
+	// The status line is valid, so the checker counts the call as delivered.
+	case call.Number%4 == 1 && single:
+		return testbed.Reply{Status: 200, Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore to come", Delay: delay}
+	case call.Number%4 == 2:
+		return testbed.Reply{Status: 500, Raw: "HTTP/1.1 5", Close: true, Delay: delay}
+	}
+	return testbed.Reply{Status: 200, TrailingBytes: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Delay: delay}
+}
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -20,16 +20,19 @@
 	"whinrun/internal/testbed"
 )
 
-// state is how a node stands.
-type state int32
+// nodeState is the state of a node's process.
+type nodeState int32
 
 const (
-	down     state = iota // its process is not there, or not ready
-	up                    // it takes messages
-	stopping              // it was told to end
+	// down means that there is no process, or that it is not ready.
+	down nodeState = iota
+	// up means that the process accepts messages.
+	up
+	// stopping means that the process has been told to end.
+	stopping
 )
 
-// node is one dispatcher: a process at a time, with a folder that outlasts them.
+// node is one dispatcher. It has one process at a time, and a folder that outlives the processes.
 type node struct {
 	run    *run
 	number int
@@ -38,16 +41,22 @@
 	folder string
 	log    *os.File
 
-	busy  sync.Mutex // one fault at a time ends or starts its process
-	state atomic.Int32
-	epoch atomic.Int64 // counts its processes and their ends
-	crowd atomic.Int64 // connections that may be turned away unread: faults that fill it up
+	// processMu is held by the fault that ends or starts the process.
+	processMu sync.Mutex
+	state     atomic.Int32
+	// epoch counts the starts and ends of processes.
+	epoch atomic.Int64
+	// exhaustions counts the running faults that use up connections or descriptors. While it is not 0, the node may
+	// close connections without reading them.
+	exhaustions atomic.Int64
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	end chan error // of the process that runs
+	// exited receives the result of the running process when it ends.
+	exited chan error
 }
 
+// newNode creates a node with its folder and its log file. Its process is not started.
 func (r *run) newNode(number int) (*node, error) {
 	addr, err := testbed.FreeAddr()
 	if err != nil {
@@ -62,44 +71,47 @@
 	return n, err
 }
 
-// keyWindow is how long partners remember keys: short, so that restarts and faults pass it.
-const keyWindow = 1500 * time.Millisecond
+// dedupWindow is the time for which partners remember idempotency keys. It is short, so that restarts and faults last
+// longer.
+const dedupWindow = 1500 * time.Millisecond
 
-func (n *node) config() string { return filepath.Join(n.folder, "config.json") }
+// configPath returns the path of the node's configuration file.
+func (n *node) configPath() string { return filepath.Join(n.folder, "config.json") }
 
-// configure writes the configuration with the discovery of the moment.
-func (n *node) configure() error {
-	a := n.run.world.agentOf(n.number)
-	text := testbed.Configuration(n.addr, a.Agent)
+// writeConfig writes the configuration file with the node's present agent.
+func (n *node) writeConfig() error {
+	agent := n.run.environment.agentOf(n.number)
+	text := testbed.Configuration(n.addr, agent.Agent)
 	text = bytes.ReplaceAll(text, []byte(`"instances":1`), fmt.Appendf(nil, `"instances":%d`, n.run.cfg.Nodes))
 	text = bytes.ReplaceAll(text, []byte(`"name":"n0"`), fmt.Appendf(nil, `"name":%q`, n.name))
-	text = bytes.ReplaceAll(text, []byte(`"window":4000000`), fmt.Appendf(nil, `"window":%d`, keyWindow.Microseconds()))
-	return os.WriteFile(n.config(), text, 0o600)
+	text = bytes.ReplaceAll(text, []byte(`"window":4000000`), fmt.Appendf(nil, `"window":%d`, dedupWindow.Microseconds()))
+	return os.WriteFile(n.configPath(), text, 0o600)
 }
 
-// readyWithin is how soon a process has to be ready.
-const readyWithin = 10 * time.Second
+// readyTimeout is how soon a process has to be ready.
+const readyTimeout = 10 * time.Second
 
-// start starts a process and waits until it is ready.
+// start starts a process and waits until it is ready. It returns an error where the process ends or is not ready in
+// time.
 func (n *node) start() error {
-	if err := n.configure(); err != nil {
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
 	cmd := exec.Command(n.run.cfg.Binary, "node")
-	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.config(), "EDGE_STATE="+filepath.Join(n.folder, "state"), "WHINRUN_TRACE=1")
+	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+n.configPath(), "EDGE_STATE="+filepath.Join(n.folder, "state"), "WHINRUN_TRACE=1")
 	cmd.Stdout, cmd.Stderr = n.log, n.log
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	end := make(chan error, 1)
+	exited := make(chan error, 1)
 	n.mu.Lock()
-	n.cmd, n.end = cmd, end
+	n.cmd, n.exited = cmd, exited
 	n.mu.Unlock()
-	go func() { end <- cmd.Wait() }()
-	for watch := clock.StartStopwatch(); ; time.Sleep(5 * time.Millisecond) {
+	go func() { exited <- cmd.Wait() }()
+	for stopwatch := clock.StartStopwatch(); ; time.Sleep(5 * time.Millisecond) {
 		select {
-		case err := <-end:
-			return fmt.Errorf("%s ended as it started: %w", n.name, errors.Join(err))
+		case err := <-exited:
+			return fmt.Errorf("%s exited before it was ready: %w", n.name, errors.Join(err))
 		default:
 		}
 		if n.ready() {
@@ -107,13 +119,13 @@
 			n.state.Store(int32(up))
 			return nil
 		}
-		if watch.Elapsed() > readyWithin {
-			return fmt.Errorf("%s is not ready after %v", n.name, readyWithin)
+		if stopwatch.Elapsed() > readyTimeout {
+			return fmt.Errorf("%s is not ready after %v", n.name, readyTimeout)
 		}
 	}
 }
 
-// ready asks for its state.
+// ready reports whether the process answers the readiness request by 200.
 func (n *node) ready() bool {
 	c, err := net.DialTimeout("tcp", n.addr, 200*time.Millisecond)
 	if err != nil {
@@ -124,70 +136,71 @@
 	if _, err := c.Write([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 		return false
 	}
-	status, _ := testbed.Status(c)
+	status, _ := testbed.ReadStatus(c)
 	return status == 200
 }
 
 // signal sends a signal to the process.
-func (n *node) signal(s syscall.Signal) {
+func (n *node) signal(sig syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil {
-		_ = n.cmd.Process.Signal(s)
+		_ = n.cmd.Process.Signal(sig)
 	}
 }
 
-// leave marks the process as one that ends.
-func (n *node) leave(s state) {
-	n.state.Store(int32(s))
+// markEnding sets the state of a process that is about to end, and starts a new epoch.
+func (n *node) markEnding(state nodeState) {
+	n.state.Store(int32(state))
 	n.epoch.Add(1)
 }
 
-// gone waits for the end of the process; it is nil where that ended with 0 or by SIGKILL.
-func (n *node) gone() error {
+// awaitExit waits for the end of the process, and kills it where that takes too long. It returns nil for exit code 0 and
+// for SIGKILL from another caller.
+func (n *node) awaitExit() error {
 	n.mu.Lock()
-	end := n.end
+	exited := n.exited
 	n.mu.Unlock()
 	var err error
 	select {
-	case err = <-end:
-	case <-time.After(stopWithin + time.Second):
+	case err = <-exited:
+	case <-time.After(stopTimeout + time.Second):
 		n.signal(syscall.SIGKILL)
-		<-end
-		err = fmt.Errorf("%s has not ended %v after SIGTERM", n.name, stopWithin+time.Second)
+		<-exited
+		err = fmt.Errorf("%s has not ended %v after SIGTERM", n.name, stopTimeout+time.Second)
 	}
-	n.run.bed.Note(testbed.Event{Kind: testbed.Restarted, Node: n.name})
-	var exit *exec.ExitError
-	if errors.As(err, &exit) {
-		if w, ok := exit.Sys().(syscall.WaitStatus); ok && w.Signaled() && w.Signal() == syscall.SIGKILL {
+	n.run.testbed.Record(testbed.Event{Kind: testbed.Restarted, Node: n.name})
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) {
+		if status, ok := exitErr.Sys().(syscall.WaitStatus); ok && status.Signaled() && status.Signal() == syscall.SIGKILL {
 			return nil
 		}
 	}
 	return err
 }
 
-// stopWithin is how soon a process ends behind SIGTERM: the platform kills after this.
-const stopWithin = 3700 * time.Millisecond
+// stopTimeout is how soon a process has to end after SIGTERM. The platform kills it after this time.
+const stopTimeout = 3700 * time.Millisecond
 
-// kill ends the process as SIGKILL does.
+// kill ends the process by SIGKILL.
 func (n *node) kill() error {
-	n.leave(down)
+	n.markEnding(down)
 	n.signal(syscall.SIGKILL)
-	return n.gone()
+	return n.awaitExit()
 }
 
-// stop ends it in order.
+// stop ends the process by SIGTERM.
 func (n *node) stop() error {
-	n.leave(stopping)
+	n.markEnding(stopping)
 	n.signal(syscall.SIGTERM)
-	err := n.gone()
+	err := n.awaitExit()
 	n.state.Store(int32(down))
 	return err
 }
 
-// limitFiles lowers the process's limit of descriptors to what it has open, and returns what raises it again. The limit of a
-// child may be changed without privileges (prlimit(2)).
-func (n *node) limitFiles() (restore func(), err error) {
+// exhaustDescriptors lowers the process's limit of descriptors to the number that it has open. The returned function
+// restores the limit. The limit of a child process can be changed without privileges (prlimit(2)).
+func (n *node) exhaustDescriptors() (restore func(), err error) {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
 	n.mu.Unlock()
@@ -195,19 +208,19 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &old); err != nil {
 		return nil, err
 	}
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		return nil, err
 	}
-	low := unix.Rlimit{Cur: uint64(len(open)), Max: old.Max}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &low, nil); err != nil {
+	lowered := unix.Rlimit{Cur: uint64(len(descriptors)), Max: old.Max}
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &lowered, nil); err != nil {
 		return nil, err
 	}
 	return func() { _ = unix.Prlimit(pid, unix.RLIMIT_NOFILE, &old, nil) }, nil
 }
 
-// faults are the lines of its log that must not be there.
-func (n *node) faults() (lines []string) {
+// logViolations returns the lines of the node's log that must not be there: errors, panics, and prevented violations.
+func (n *node) logViolations() (lines []string) {
 	_ = n.log.Close()
 	text, err := os.ReadFile(n.log.Name())
 	if err != nil {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -16,53 +16,63 @@
 	"whinrun/internal/testbed"
 )
 
-// Result is what a run came to.
+// Result is the outcome of one run.
 type Result struct {
-	Seed       uint64
-	Faults     []Fault
-	Took       time.Duration
-	Taken      int64
-	Delivered  int
-	Ended      int // by a notice
-	Calls      int
+	// Seed is the seed of the run.
+	Seed uint64
+	// Faults are the planned faults.
+	Faults []Fault
+	// Elapsed is the time from the start of the run until the result.
+	Elapsed time.Duration
+	// Accepted counts the accepted messages.
+	Accepted int64
+	// Delivered counts the messages that a call was answered 200 for.
+	Delivered int
+	// EndedByNotice counts the notices.
+	EndedByNotice int
+	// Calls counts the calls at the endpoints.
+	Calls int
+	// Violations describes each violation of a rule, sorted.
 	Violations []string
-	Folder     string // where the logs are, if it was kept
+	// Folder is the folder with logs and events. It is empty where it was removed.
+	Folder string
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
-	cfg   Config
-	bed   *testbed.Testbed
-	world *world
-	nodes []*node
-	watch clock.Stopwatch
-	rng   *rand.Rand // of the faults, under mu
+	cfg         Config
+	testbed     *testbed.Testbed
+	environment *environment
+	nodes       []*node
+	watch       clock.Stopwatch
+	// faultRNG gives each fault its seed. It is guarded by mu.
+	faultRNG *rand.Rand
 
-	names, out, taken counter
-	clients           sync.WaitGroup
-	faults            sync.WaitGroup
+	messageCount, openClients, acceptedCount counter
+	runningClients                           sync.WaitGroup
+	runningFaults                            sync.WaitGroup
 
 	mu         sync.Mutex
 	violations []string
 }
 
-// fail notes something that must not happen.
-func (r *run) fail(format string, a ...any) {
+// violation records a violation with the time since the start of the run.
+func (r *run) violation(format string, a ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.violations = append(r.violations, fmt.Sprintf("at %.3f s: ", r.watch.Elapsed().Seconds())+fmt.Sprintf(format, a...))
 }
 
-// draw gives a fault its own random numbers.
-func (r *run) draw() *rand.Rand {
+// newFaultRNG returns a random number generator for one fault.
+func (r *run) newFaultRNG() *rand.Rand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return rand.New(rand.NewPCG(r.rng.Uint64(), 1))
+	return rand.New(rand.NewPCG(r.faultRNG.Uint64(), 1))
 }
 
-// Run plays one run. An error tells that it could not be played; what it found is in the result.
+// Run executes one run. It returns an error where the run could not be set up. Violations are in the result.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
-	r := &run{cfg: cfg, bed: testbed.New(), watch: clock.StartStopwatch(), rng: rand.New(rand.NewPCG(cfg.Seed, 7))}
+	r := &run{cfg: cfg, testbed: testbed.New(), watch: clock.StartStopwatch(), faultRNG: rand.New(rand.NewPCG(cfg.Seed, 7))}
 	if cfg.Folder == "" {
 		folder, err := os.MkdirTemp("", "soak")
 		if err != nil {
@@ -72,29 +82,29 @@
 	} else {
 		r.cfg.Folder = filepath.Join(cfg.Folder, fmt.Sprint("seed-", cfg.Seed))
 	}
-	if err := r.open(); err != nil {
+	if err := r.startNodes(); err != nil {
 		return nil, err
 	}
-	defer r.world.close()
-	load, stop := context.WithCancel(ctx)
-	var loads sync.WaitGroup
+	defer r.environment.close()
+	loadCtx, stop := context.WithCancel(ctx)
+	var loadGenerators sync.WaitGroup
 	for _, n := range r.nodes {
-		loads.Go(func() { r.load(load, n) })
+		loadGenerators.Go(func() { r.generateLoad(loadCtx, n) })
 	}
 	plan := r.cfg.plan()
-	r.play(ctx, plan)
+	r.runPlan(ctx, plan)
 	stop()
-	loads.Wait()
-	r.faults.Wait()
-	r.clients.Wait()
+	loadGenerators.Wait()
+	r.runningFaults.Wait()
+	r.runningClients.Wait()
 	r.settle()
 	return r.result(plan), nil
 }
 
-// open starts all nodes.
-func (r *run) open() error {
+// startNodes creates the environment and starts all nodes.
+func (r *run) startNodes() error {
 	var err error
-	if r.world, err = newWorld(r.bed); err != nil {
+	if r.environment, err = newEnvironment(r.testbed); err != nil {
 		return err
 	}
 	for i := range r.cfg.Nodes {
@@ -102,11 +112,11 @@
 		if err != nil {
 			return err
 		}
-		a, err := r.world.agent(n.name)
+		agent, err := r.environment.newAgent(n.name)
 		if err != nil {
 			return err
 		}
-		r.world.agents = append(r.world.agents, a)
+		r.environment.agents = append(r.environment.agents, agent)
 		r.nodes = append(r.nodes, n)
 	}
 	for _, n := range r.nodes {
@@ -117,261 +127,265 @@
 	return nil
 }
 
-// play has the faults happen at their times.
-func (r *run) play(ctx context.Context, plan []Fault) {
-	begun := clock.StartStopwatch()
+// runPlan starts the faults at their times, and returns at the end of the run's duration or of ctx.
+func (r *run) runPlan(ctx context.Context, plan []Fault) {
+	stopwatch := clock.StartStopwatch()
 	for _, f := range plan {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(f.At - begun.Elapsed()):
+		case <-time.After(f.At - stopwatch.Elapsed()):
 		}
-		r.faults.Go(func() { r.fault(f) })
+		r.runningFaults.Go(func() { r.runFault(f) })
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(r.cfg.Span - begun.Elapsed()):
+	case <-time.After(r.cfg.Duration - stopwatch.Elapsed()):
 	}
 }
 
-// fault plays one fault.
-func (r *run) fault(f Fault) {
+// runFault executes one fault.
+func (r *run) runFault(f Fault) {
 	n := r.nodes[f.Target%len(r.nodes)]
-	rng := r.draw()
+	rng := r.newFaultRNG()
 	switch f.Kind {
 	case "kill", "kill-twice", "stop", "pause", "reload", "files":
-		r.process(f, n, rng)
+		r.runProcessFault(f, n, rng)
 	case "rude", "halves", "crowd", "pipeline", "impatience":
-		r.bother(f, n, rng)
+		r.runClientFault(f, n, rng)
 	case "mute", "silence", "notices":
-		r.discovery(f, n)
+		r.runDiscoveryFault(f, n)
 	default:
-		if p := r.world.pick(f.Target); p != nil {
-			r.endpoint(f, p)
+		if p := r.environment.pickReady(f.Target); p != nil {
+			r.runEndpointFault(f, p)
 		}
 	}
 }
 
-// process plays a fault of a node's process. One that another fault has in hand is left alone.
-func (r *run) process(f Fault, n *node, rng *rand.Rand) {
-	if !n.busy.TryLock() {
+// runProcessFault executes a fault of a node's process. It does nothing while another fault works on the same process.
+func (r *run) runProcessFault(f Fault, n *node, rng *rand.Rand) {
+	if !n.processMu.TryLock() {
 		return
 	}
-	defer n.busy.Unlock()
+	defer n.processMu.Unlock()
 	switch f.Kind {
 	case "kill":
-		r.restart(n, n.kill, f.For/4)
+		r.restartNode(n, n.kill, f.Duration/4)
 	case "kill-twice":
-		r.restart(n, n.kill, f.For/4)
+		r.restartNode(n, n.kill, f.Duration/4)
 		time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
-		r.restart(n, n.kill, f.For/4)
+		r.restartNode(n, n.kill, f.Duration/4)
 	case "stop":
-		r.restart(n, n.stop, f.For/4)
+		r.restartNode(n, n.stop, f.Duration/4)
 	case "pause":
 		n.signal(syscall.SIGSTOP)
 		time.Sleep(time.Duration(20+rng.IntN(130)) * time.Millisecond)
 		n.signal(syscall.SIGCONT)
 	case "reload":
-		if err := r.reload(n, rng.IntN(2) == 0); err != nil {
-			r.fail("%s: reload: %v", n.name, err)
+		if err := r.reloadNode(n, rng.IntN(2) == 0); err != nil {
+			r.violation("%s: reload: %v", n.name, err)
 		}
 	case "files":
-		n.crowd.Add(1)
-		defer n.crowd.Add(-1)
-		restore, err := n.limitFiles()
+		n.exhaustions.Add(1)
+		defer n.exhaustions.Add(-1)
+		restore, err := n.exhaustDescriptors()
 		if err != nil {
 			return
 		}
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		restore()
-		time.Sleep(time.Second) // accepting goes on after a pause
+		// After it failed to accept connections, the node resumes only after a pause.
+		time.Sleep(time.Second)
 	}
 }
 
-// restart ends a process and starts the next, some time later.
-func (r *run) restart(n *node, end func() error, after time.Duration) {
-	if err := end(); err != nil {
-		r.fail("%s: %v", n.name, err)
+// restartNode ends a process and starts the next one after a pause.
+func (r *run) restartNode(n *node, endProcess func() error, pause time.Duration) {
+	if err := endProcess(); err != nil {
+		r.violation("%s: %v", n.name, err)
 	}
-	time.Sleep(after)
+	time.Sleep(pause)
 	if err := n.start(); err != nil {
-		r.fail("%v", err)
+		r.violation("%v", err)
 	}
 }
 
-// reload moves a node to another discovery, at times behind a file that can't be read.
-func (r *run) reload(n *node, broken bool) error {
+// reloadNode moves a node to another agent by SIGHUP. With broken set, it first reloads a malformed configuration file.
+func (r *run) reloadNode(n *node, broken bool) error {
 	if broken {
-		if err := os.WriteFile(n.config(), []byte("{"), 0o600); err != nil {
+		if err := os.WriteFile(n.configPath(), []byte("{"), 0o600); err != nil {
 			return err
 		}
 		n.signal(syscall.SIGHUP)
 		time.Sleep(50 * time.Millisecond)
 	}
-	to, err := r.world.agent(n.name)
+	next, err := r.environment.newAgent(n.name)
 	if err != nil {
 		return err
 	}
-	old := r.world.move(n.number, to)
-	if err := n.configure(); err != nil {
+	previous := r.environment.replaceAgent(n.number, next)
+	if err := n.writeConfig(); err != nil {
 		return err
 	}
 	n.signal(syscall.SIGHUP)
 	time.Sleep(1500 * time.Millisecond)
-	old.Close()
+	previous.Close()
 	return nil
 }
 
-// bother has clients behave badly.
-func (r *run) bother(f Fault, n *node, rng *rand.Rand) {
+// runClientFault executes a fault of clients.
+func (r *run) runClientFault(f Fault, n *node, rng *rand.Rand) {
 	switch f.Kind {
 	case "rude":
 		for range 10 {
-			r.clients.Go(func() { r.rude(n, rudeTexts[f.Target%len(rudeTexts)]) })
+			r.runningClients.Go(func() { r.sendMalformed(n, malformedRequests[f.Target%len(malformedRequests)]) })
 		}
 	case "halves":
 		for range 10 {
-			text := string(testbed.Form(r.message(rng, n)))
+			text := string(testbed.EncodeRequest(r.newMessage(rng, n)))
 			cut := 1 + rng.IntN(len(text)-1)
-			r.clients.Go(func() { r.rude(n, text[:cut]) })
+			r.runningClients.Go(func() { r.sendMalformed(n, text[:cut]) })
 		}
 	case "crowd":
-		n.crowd.Add(1)
-		defer n.crowd.Add(-1)
+		n.exhaustions.Add(1)
+		defer n.exhaustions.Add(-1)
 		for range 200 {
-			if c, err := net.DialTimeout("tcp", n.addr, handIn); err == nil {
+			if c, err := net.DialTimeout("tcp", n.addr, submitTimeout); err == nil {
 				defer func() { _ = c.Close() }()
 			}
 		}
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 	case "pipeline":
-		r.pipeline(n, rng)
+		r.sendPipelined(n, rng)
 	case "impatience":
 		for range 20 {
-			if c, err := net.DialTimeout("tcp", n.addr, handIn); err == nil {
-				_, _ = c.Write(testbed.Form(r.message(rng, n)))
+			if c, err := net.DialTimeout("tcp", n.addr, submitTimeout); err == nil {
+				_, _ = c.Write(testbed.EncodeRequest(r.newMessage(rng, n)))
 				_ = c.Close()
 			}
 		}
 	}
 }
 
-// discovery plays a fault of a node's discovery.
-func (r *run) discovery(f Fault, n *node) {
-	a := r.world.agentOf(n.number)
+// runDiscoveryFault executes a fault of a node's agent.
+func (r *run) runDiscoveryFault(f Fault, n *node) {
+	agent := r.environment.agentOf(n.number)
 	switch f.Kind {
 	case "mute":
-		r.world.mute(a, true)
-		time.Sleep(f.For)
-		r.world.mute(a, false)
+		r.environment.setMuted(agent, true)
+		time.Sleep(f.Duration)
+		r.environment.setMuted(agent, false)
 	case "silence":
-		r.world.silence(a)
+		r.environment.silenceOpenWatches(agent)
 	case "notices":
-		a.Fail(503)
-		time.Sleep(min(f.For, 250*time.Millisecond)) // longer, and notices could not come in time
-		a.Fail(0)
+		agent.FailNotices(503)
+		// A longer failure would delay notices beyond their deadlines.
+		time.Sleep(min(f.Duration, 250*time.Millisecond))
+		agent.FailNotices(0)
 	}
 }
 
-// endpoint plays a fault of an endpoint, or of the network to it.
-func (r *run) endpoint(f Fault, p *place) {
+// runEndpointFault executes a fault of an endpoint or of the network to it.
+func (r *run) runEndpointFault(f Fault, p *proxiedEndpoint) {
 	switch f.Kind {
 	case "refuse":
-		p.proxy.Refuse(f.For)
+		p.proxy.RefuseConnections(f.Duration)
 	case "hold":
-		p.proxy.Hold(f.For)
+		p.proxy.Stall(f.Duration)
 	case "trickle":
-		p.proxy.Slow(f.For, time.Millisecond, true)
+		p.proxy.Throttle(f.Duration, time.Millisecond, true)
 	case "reset":
-		p.proxy.Reset()
+		p.proxy.ResetConnections()
 	case "drain":
-		if err := r.world.drain(p, f.For); err != nil {
-			r.fail("drain: %v", err)
+		if err := r.environment.drain(p, f.Duration); err != nil {
+			r.violation("drain: %v", err)
 		}
 	default:
-		r.world.behave(p, f.Kind, f.For)
+		r.environment.setFaultMode(p, f.Kind, f.Duration)
 	}
 }
 
-// settleWithin is how long messages may still take when nothing is wrong any more: their lives, and what may pass behind them.
-const settleWithin = 6 * time.Second
+// settleTimeout is how long messages may take to end after the last fault. It covers the longest lifetime of a message
+// (4.5 s) and the slack of the rules.
+const settleTimeout = 6 * time.Second
 
-// settle waits until what was taken has its end, and ends all nodes in order.
+// settle waits until the accepted messages have ended, and then stops all nodes.
 func (r *run) settle() {
-	r.bed.Await(settleWithin, func(all []testbed.Event) bool {
+	r.testbed.Await(settleTimeout, func(events []testbed.Event) bool {
 		var names []string
-		for _, e := range all {
-			if e.Kind == testbed.Taken {
+		for _, e := range events {
+			if e.Kind == testbed.Accepted {
 				names = append(names, e.Name)
 			}
 		}
-		return testbed.AllEnded(all, names)
+		return testbed.AllEnded(events, names)
 	})
-	var ends sync.WaitGroup
+	var stops sync.WaitGroup
 	for _, n := range r.nodes {
-		ends.Go(func() {
+		stops.Go(func() {
 			if err := n.stop(); err != nil {
-				r.fail("%s: %v", n.name, err)
+				r.violation("%s: %v", n.name, err)
 			}
 		})
 	}
-	ends.Wait()
+	stops.Wait()
 }
 
-// spareCapacity is what an endpoint bears, as a multiple of its demand.
+// spareCapacity is the capacity of an endpoint as a multiple of its demand.
 const spareCapacity = 1.5
 
-// rules are the platform's, with slack for a machine that is shared by all processes of a run.
+// rules returns the platform's rules, with slack for a machine that all processes of a run share.
 func (r *run) rules() testbed.Rules {
-	demand := r.cfg.Rate * float64(r.cfg.Nodes) / destinations // of a destination, all of which may come to one endpoint
-	return testbed.Rules{Slack: 700 * time.Millisecond, Grace: 1250 * time.Millisecond, Once: []string{"upload"}, InOrder: []string{"turns"},
-		Windows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, ColdBudget: 1 << 30,
-		WaitExcused: 200 * time.Millisecond, Lag: 250 * time.Millisecond,
-		SlowStart: &testbed.SlowStart{Capacity: spareCapacity * demand, From: 0.5, WarmUp: 2 * time.Second, Multiple: 2, Span: 2 * time.Second, Told: 2. / 3}}
+	// The demand of one destination may all go to one endpoint.
+	demand := r.cfg.Rate * float64(r.cfg.Nodes) / destinations
+	return testbed.Rules{EndSlack: 700 * time.Millisecond, DrainGrace: 1250 * time.Millisecond, AtMostOnce: []string{"upload"}, Ordered: []string{"turns"},
+		DedupWindows: map[string]time.Duration{"sync": dedupWindow, "turns": dedupWindow}, ColdBudget: 1 << 30,
+		WaitGrace: 200 * time.Millisecond, ObservationLag: 250 * time.Millisecond,
+		SlowStart: &testbed.SlowStart{Capacity: spareCapacity * demand, InitialFraction: 0.5, WarmUp: 2 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second, MaxAwareShare: 2. / 3}}
 }
 
-// result judges what passed.
+// result checks the recorded events and returns the outcome. It removes the folder where there is no violation.
 func (r *run) result(plan []Fault) *Result {
-	events := r.bed.Events()
-	res := &Result{Seed: r.cfg.Seed, Faults: plan, Taken: r.taken.Load(), Folder: r.cfg.Folder}
-	res.Violations = append(r.violations, testbed.Check(events, r.rules(), r.bed.Now())...)
+	events := r.testbed.Events()
+	res := &Result{Seed: r.cfg.Seed, Faults: plan, Accepted: r.acceptedCount.Load(), Folder: r.cfg.Folder}
+	res.Violations = append(r.violations, testbed.Check(events, r.rules(), r.testbed.Now())...)
 	for _, n := range r.nodes {
-		res.Violations = append(res.Violations, n.faults()...)
+		res.Violations = append(res.Violations, n.logViolations()...)
 	}
 	calls := map[int]bool{}
 	delivered := map[string]bool{}
 	for _, e := range events {
 		switch {
-		case e.Kind == testbed.Called:
+		case e.Kind == testbed.CallReceived:
 			calls[e.Call] = true
-		case e.Kind == testbed.Answered && e.Status == 200:
+		case e.Kind == testbed.CallAnswered && e.Status == 200:
 			delivered[e.Name] = true
-		case e.Kind == testbed.Noticed:
-			res.Ended++
+		case e.Kind == testbed.NoticeReceived:
+			res.EndedByNotice++
 		}
 	}
-	res.Calls, res.Delivered, res.Took = len(calls), len(delivered), r.watch.Elapsed()
+	res.Calls, res.Delivered, res.Elapsed = len(calls), len(delivered), r.watch.Elapsed()
 	slices.Sort(res.Violations)
 	if len(res.Violations) == 0 && r.cfg.Folder != "" {
 		_ = os.RemoveAll(r.cfg.Folder)
 		res.Folder = ""
 	} else {
-		r.write(events)
+		r.writeEvents(events)
 	}
 	return res
 }
 
-// write keeps what passed beside the logs.
-func (r *run) write(events []testbed.Event) {
-	f, err := os.Create(filepath.Join(r.cfg.Folder, "events.txt"))
+// writeEvents writes the faults and the events to events.txt in the folder of the run.
+func (r *run) writeEvents(events []testbed.Event) {
+	file, err := os.Create(filepath.Join(r.cfg.Folder, "events.txt"))
 	if err != nil {
 		return
 	}
-	defer func() { _ = f.Close() }()
-	for _, f2 := range r.cfg.plan() {
-		_, _ = fmt.Fprintf(f, "fault %8.3f %s target %d for %v\n", f2.At.Seconds(), f2.Kind, f2.Target, f2.For)
+	defer func() { _ = file.Close() }()
+	for _, fault := range r.cfg.plan() {
+		_, _ = fmt.Fprintf(file, "fault %8.3f %s target %d for %v\n", fault.At.Seconds(), fault.Kind, fault.Target, fault.Duration)
 	}
 	for _, e := range events {
-		_, _ = fmt.Fprintf(f, "%s\n", e)
+		_, _ = fmt.Fprintf(file, "%s\n", e)
 	}
 }
--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -7,33 +7,52 @@
 	"time"
 )
 
-// Kind is what happened.
+// Kind says what an event records.
 type Kind uint8
 
-// Kinds of event. Those of one dispatcher among several name it in Node.
+// Kinds of event. The comment of each names the fields of Event that it sets, in brackets. Where there are several
+// dispatchers, the events of one dispatcher name it in Node.
 const (
-	Taken       Kind = iota + 1 // a client heard 202 [Name Dest Class Due Key Node]
-	Refused                     // a client heard anything else, or nothing [Name Status Node]
-	Called                      // the last byte of a call arrived, an event for each message [Name Host Dest Call]
-	Answered                    // the call's answer was written [Name Host Dest Call Status Wait]
-	Broke                       // the call's connection ended without an answer [Name Host Dest Call]
-	Noticed                     // a notice came [Name Status]
-	Listed                      // the list told of a host [Host Health Node]
-	OutageBegan                 // calls at a host fail from now on [Host]
-	Outage                      // a host's outage ended: it is cold [Host]
-	Restarted                   // the dispatcher was started anew: told waits end [Node]
-	Watched                     // a watch of the list was opened
-	Told                        // a list was written to a watch
-	Unheard                     // the network to a host is spoilt until Due: answers from a second ahead may be lost, calls come late [Host Due]
-	Closed                      // the dispatcher ended a connection under a whole request, with no answer [Name Node]
+	// Accepted records that a client received 202 or 200 for a message [Name Class Dest Due Key Node].
+	Accepted Kind = iota + 1
+	// Refused records that a client received another status, or none, for a message [Name Status Node].
+	Refused
+	// CallReceived records that the last byte of a call arrived. There is one event for each message of the call [Name
+	// Host Dest Call].
+	CallReceived
+	// CallAnswered records that the answer to a call was written [Name Host Dest Call Status Wait].
+	CallAnswered
+	// CallBroken records that the connection of a call ended without an answer [Name Host Dest Call].
+	CallBroken
+	// NoticeReceived records a notice about the outcome of a message [Name Text Wait].
+	NoticeReceived
+	// HealthListed records that discovery published the health of an endpoint [Host Health Node].
+	HealthListed
+	// OutageBegan records that calls to an endpoint fail from now on [Host].
+	OutageBegan
+	// OutageEnded records that the outage of an endpoint ended and that the endpoint is cold [Host].
+	OutageEnded
+	// Restarted records that a dispatcher's process ended, and with it the waits that it was told [Node].
+	Restarted
+	// WatchOpened records that a watch of the endpoint list was opened.
+	WatchOpened
+	// ListSent records that a list was written to a watch.
+	ListSent
+	// NetworkDisturbed records that the network to an endpoint is disturbed until Due. Answers written up to a second
+	// earlier may be lost, and calls may arrive late [Host Due].
+	NetworkDisturbed
+	// ClosedUnanswered records that a dispatcher closed a connection on a whole request without an answer [Name Node].
+	ClosedUnanswered
 )
 
-// Event is one thing that passed on the sockets.
+// Event is one observation on the sockets of the test bed. Kind decides which of the fields are set.
 type Event struct {
-	At     time.Time
-	Kind   Kind
-	Node   string // the dispatcher, where there are several
-	Name   string // of a message
+	At   time.Time
+	Kind Kind
+	// Node is the dispatcher, where there are several.
+	Node string
+	// Name is the name of a message.
+	Name   string
 	Class  string
 	Dest   int
 	Host   string
@@ -46,383 +65,444 @@
 	Text   string
 }
 
-// SlowStart are the figures of a cold host's budget.
+// SlowStart describes how many calls a recovered endpoint may receive during slow start.
 type SlowStart struct {
-	Capacity float64       // calls a second that a warm host bears
-	From     float64       // part of that which it bears as it returns
-	WarmUp   time.Duration // until it bears all
-	Multiple float64       // of what it bears ...
-	Span     time.Duration // ... in any span of this it may be sent
-	Told     float64       // broken where more than this part came from dispatchers that had seen the outage
+	// Capacity is the number of calls a second that a warm endpoint can serve.
+	Capacity float64
+	// InitialFraction is the part of Capacity that the endpoint has when its outage ends.
+	InitialFraction float64
+	// WarmUp is the time from the end of the outage until the endpoint has all of its capacity.
+	WarmUp time.Duration
+	// OverloadFactor times the present capacity is the rate that is still allowed over OverloadWindow.
+	OverloadFactor float64
+	// OverloadWindow is the span in which calls are counted.
+	OverloadWindow time.Duration
+	// MaxAwareShare limits which overloads count as a violation: those in which more than this share of the calls came
+	// from dispatchers that had seen the outage.
+	MaxAwareShare float64
 }
 
-// budget is how many calls may come within Span, so long after the return: N, and something for chance.
-func (s *SlowStart) budget(since time.Duration) float64 {
-	warmth := min(1, s.From+(1-s.From)*since.Seconds()/s.WarmUp.Seconds())
-	n := s.Multiple * s.Capacity * warmth * s.Span.Seconds()
-	if n < 30 {
-		return n + 3*math.Sqrt(n) + 3
+// callBudget returns how many calls may arrive within OverloadWindow at a time since the end of the outage. Two to three
+// standard deviations are added, because the arrivals are random.
+func (s *SlowStart) callBudget(since time.Duration) float64 {
+	capacityFraction := min(1, s.InitialFraction+(1-s.InitialFraction)*since.Seconds()/s.WarmUp.Seconds())
+	expected := s.OverloadFactor * s.Capacity * capacityFraction * s.OverloadWindow.Seconds()
+	if expected < 30 {
+		return expected + 3*math.Sqrt(expected) + 3
 	}
-	return n + 2*math.Sqrt(n) + 2
+	return expected + 2*math.Sqrt(expected) + 2
 }
 
-// Rules are the figures that the checker needs.
+// Rules holds the parameters of the six rules that Check verifies.
 type Rules struct {
-	Slack       time.Duration            // after a message's time in which its end still counts
-	Grace       time.Duration            // after a drain in which calls may still begin
-	Once        []string                 // classes that must not take effect twice
-	Windows     map[string]time.Duration // keyed classes: how long after a call that may have run another may begin
-	InOrder     []string                 // classes that take turns by key
-	ColdBudget  int                      // calls that a cold host bears ...
-	ColdWindow  time.Duration            // ... in any span of this
-	SlowStart   *SlowStart               // the same by the platform's figures, for all dispatchers together; nil for none
-	WaitExcused time.Duration            // after a told wait's answer in which calls are let through
-	Lag         time.Duration            // after which the end of a connection is seen here at the latest
+	// EndSlack is the time after a message's deadline in which its end still counts.
+	EndSlack time.Duration
+	// DrainGrace is the time after an endpoint is listed as not ready in which calls to it may still begin.
+	DrainGrace time.Duration
+	// AtMostOnce lists the classes whose messages must not take effect twice.
+	AtMostOnce []string
+	// DedupWindows holds the classes with idempotency keys. The value is how long after the start of a possibly executed
+	// call another call may begin.
+	DedupWindows map[string]time.Duration
+	// Ordered lists the classes whose messages are delivered in order within a key.
+	Ordered []string
+	// ColdBudget is the number of calls that a cold endpoint may receive within ColdWindow.
+	ColdBudget int
+	// ColdWindow is the span for ColdBudget.
+	ColdWindow time.Duration
+	// SlowStart is the budget of a cold endpoint for all dispatchers together, by the platform's parameters. It is nil
+	// where that is not checked.
+	SlowStart *SlowStart
+	// WaitGrace is the time after the answer with a wait in which calls are still allowed.
+	WaitGrace time.Duration
+	// ObservationLag is the longest time until the test bed sees the end of a connection.
+	ObservationLag time.Duration
 }
 
-// message is what the checker knows of one message.
-type message struct {
-	taken     *Event
-	refused   bool // its client heard that handing it in again is harmless
-	delivered time.Time
-	ended     time.Time         // by a notice
-	out       int               // the call that is out, 0 for none
-	mayRun    bool              // a call that ended may have run
-	begun     map[int]time.Time // when each call began
-	doubtful  time.Time         // when the first call that may have run began
-	served    bool              // a process that still runs heard that it was delivered
-	orphan    int               // the call that was out when a process ended: nobody hears its answer, 0 for none
+// messageState is what the checker knows about one message.
+type messageState struct {
+	// accepted is the event of its acceptance. It is nil for a message that was not accepted.
+	accepted *Event
+	// rejected is set when the client received 429 or 503, after which it may safely submit the message again.
+	rejected bool
+	// deliveredAt is when a call first got the answer 200.
+	deliveredAt time.Time
+	// noticedAt is when the first notice about the message arrived.
+	noticedAt time.Time
+	// openCall is the call that has not ended, 0 for none.
+	openCall int
+	// possiblyExecuted is set when a call ended in a way that leaves the message possibly executed.
+	possiblyExecuted bool
+	// callStarts holds when each call began.
+	callStarts map[int]time.Time
+	// possiblyExecutedSince is when the first possibly executed call began.
+	possiblyExecutedSince time.Time
+	// deliveryKnown is set when a process that still runs has received the answer of the delivery.
+	deliveryKnown bool
+	// orphanedCall is the call that was open when a process ended, 0 for none. Nobody receives its answer.
+	orphanedCall int
 }
 
-// node is the dispatcher that a message was handed to.
-func (m *message) node() string {
-	if m.taken == nil {
+// node returns the dispatcher that accepted the message.
+func (m *messageState) node() string {
+	if m.accepted == nil {
 		return ""
 	}
-	return m.taken.Node
+	return m.accepted.Node
 }
 
-// host is what the checker knows of an endpoint.
-type host struct {
-	unheard []Event         // spans in which answers may not arrive
-	cold    []time.Time     // calls since its outage ended, for ColdBudget; nil where there was none
-	down    bool            // its outage goes on
-	told    map[string]bool // dispatchers that saw a call fail in its last outage
-	back    time.Time       // when that ended
-	calls   []arrival       // since then
-	fell    bool
+// hostState is what the checker knows about one endpoint.
+type hostState struct {
+	// disturbances are the spans in which answers may not arrive.
+	disturbances []Event
+	// coldCalls are the calls since the end of an outage, for ColdBudget. It is nil where there was none, or where an
+	// OutageBegan came before its end, so that the budget of SlowStart applies.
+	coldCalls []time.Time
+	// down is set while an outage lasts.
+	down bool
+	// awareNodes are the dispatchers that saw a call fail in the last outage. It is nil before the first outage.
+	awareNodes map[string]bool
+	// recoveredAt is when the last outage ended.
+	recoveredAt time.Time
+	// recentCalls are the calls since the last outage began, for SlowStart. Calls before the last OverloadWindow are
+	// dropped.
+	recentCalls []arrival
+	// overloaded is set when the calls have exceeded the budget since the last outage. It is then not checked again.
+	overloaded bool
 }
 
-// arrival is a call at a cold host.
+// arrival is a call to an endpoint.
 type arrival struct {
 	at   time.Time
 	call int
 	node string
 }
 
-// Check tells which of the six rules were broken, from what passed on the sockets.
-func Check(events []Event, r Rules, end time.Time) (faults []string) {
-	c := &checker{r: r, msgs: map[string]*message{}, told: map[listing]Event{}, waits: map[waiting]Event{}, hosts: map[string]*host{},
-		ends: map[out]time.Time{}, over: map[string]time.Time{}}
+// Check returns the violations of the six rules in the events, sorted. Messages whose deadline and slack reach beyond
+// end need not have ended.
+func Check(events []Event, rules Rules, end time.Time) (violations []string) {
+	c := &checker{rules: rules, messages: map[string]*messageState{}, unavailable: map[listedHost]Event{}, waits: map[waitingDest]Event{}, hosts: map[string]*hostState{},
+		callEnds: map[messageCall]time.Time{}, messageEnds: map[string]time.Time{}}
 	events = slices.Clone(events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
 	for i := range events {
-		c.foresee(&events[i])
+		c.indexEvent(&events[i])
 	}
 	for i := range events {
-		c.event(&events[i])
+		c.applyEvent(&events[i])
 	}
-	for name, m := range c.msgs {
-		c.finish(name, m, end)
+	for name, m := range c.messages {
+		c.checkEnd(name, m, end)
 	}
-	slices.Sort(c.faults)
-	return c.faults
+	slices.Sort(c.violations)
+	return c.violations
 }
 
+// checker applies the events in the order of their times and collects violations.
 type checker struct {
-	r      Rules
-	msgs   map[string]*message
-	told   map[listing]Event // hosts that are draining or gone
-	waits  map[waiting]Event
-	hosts  map[string]*host
-	ends   map[out]time.Time    // of calls
-	over   map[string]time.Time // of messages: delivered, or told by a notice
-	faults []string
+	rules    Rules
+	messages map[string]*messageState
+	// unavailable holds the endpoints that are listed as draining or gone.
+	unavailable map[listedHost]Event
+	// waits holds the answers with a wait, one for each destination of a dispatcher.
+	waits map[waitingDest]Event
+	hosts map[string]*hostState
+	// callEnds holds when each call ended.
+	callEnds map[messageCall]time.Time
+	// messageEnds holds when each message was delivered or a notice about it arrived, whichever came first.
+	messageEnds map[string]time.Time
+	violations  []string
 }
 
-// listing is a host as a dispatcher's list has it.
-type listing struct{ node, host string }
+// listedHost is an endpoint in the list of one dispatcher.
+type listedHost struct{ node, host string }
 
-// waiting is a destination that told a dispatcher to wait.
-type waiting struct {
+// waitingDest is a destination that told a dispatcher to wait.
+type waitingDest struct {
 	node string
 	dest int
 }
 
-// out is one message of a call.
-type out struct {
+// messageCall is one message of a call.
+type messageCall struct {
 	name string
 	call int
 }
 
-func (c *checker) fault(f string, a ...any) { c.faults = append(c.faults, fmt.Sprintf(f, a...)) }
+// violation records a violation of a rule.
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
 
-func (c *checker) get(name string) *message {
-	m := c.msgs[name]
+// message returns the state of a message, and creates it at the first use.
+func (c *checker) message(name string) *messageState {
+	m := c.messages[name]
 	if m == nil {
-		m = &message{begun: map[int]time.Time{}}
-		c.msgs[name] = m
+		m = &messageState{callStarts: map[int]time.Time{}}
+		c.messages[name] = m
 	}
 	return m
 }
 
-func (c *checker) host(name string) *host {
+// host returns the state of an endpoint, and creates it at the first use.
+func (c *checker) host(name string) *hostState {
 	h := c.hosts[name]
 	if h == nil {
-		h = &host{}
+		h = &hostState{}
 		c.hosts[name] = h
 	}
 	return h
 }
 
-// foresee takes what is known late: the 202 may be behind the call.
-func (c *checker) foresee(e *Event) {
+// indexEvent stores what the checks need ahead of time: the 202 of a message, for instance, may be recorded after its
+// first call.
+func (c *checker) indexEvent(e *Event) {
 	switch e.Kind {
-	case Taken:
-		c.get(e.Name).taken = e
-	case Answered, Broke:
-		c.ends[out{e.Name, e.Call}] = e.At
-		if e.Kind == Answered && e.Status == 200 {
-			c.ended(e)
+	case Accepted:
+		c.message(e.Name).accepted = e
+	case CallAnswered, CallBroken:
+		c.callEnds[messageCall{e.Name, e.Call}] = e.At
+		if e.Kind == CallAnswered && e.Status == 200 {
+			c.noteMessageEnd(e)
 		}
-	case Noticed:
-		c.ended(e)
-	case Unheard:
+	case NoticeReceived:
+		c.noteMessageEnd(e)
+	case NetworkDisturbed:
 		h := c.host(e.Host)
-		h.unheard = append(h.unheard, *e)
+		h.disturbances = append(h.disturbances, *e)
 	case Refused:
 		if e.Status == 429 || e.Status == 503 {
-			c.get(e.Name).refused = true
+			c.message(e.Name).rejected = true
 		}
 	}
 }
 
-// ended notes the first end of a message.
-func (c *checker) ended(e *Event) {
-	if _, ok := c.over[e.Name]; !ok {
-		c.over[e.Name] = e.At
+// noteMessageEnd records the first end of a message.
+func (c *checker) noteMessageEnd(e *Event) {
+	if _, ok := c.messageEnds[e.Name]; !ok {
+		c.messageEnds[e.Name] = e.At
 	}
 }
 
-func (c *checker) event(e *Event) {
+// applyEvent updates the state with one event and checks the rules that it concerns.
+func (c *checker) applyEvent(e *Event) {
 	switch e.Kind {
-	case Called:
-		c.called(e)
-	case Answered, Broke:
-		c.back(e)
-	case Noticed:
-		if m := c.get(e.Name); m.ended.IsZero() {
-			m.ended = e.At
+	case CallReceived:
+		c.applyCallStart(e)
+	case CallAnswered, CallBroken:
+		c.applyCallEnd(e)
+	case NoticeReceived:
+		if m := c.message(e.Name); m.noticedAt.IsZero() {
+			m.noticedAt = e.At
 		}
-	case Listed:
-		if at := (listing{e.Node, e.Host}); e.Health == "ready" {
-			delete(c.told, at)
-		} else if _, ok := c.told[at]; !ok {
-			c.told[at] = *e
+	case HealthListed:
+		if at := (listedHost{e.Node, e.Host}); e.Health == "ready" {
+			delete(c.unavailable, at)
+		} else if _, ok := c.unavailable[at]; !ok {
+			c.unavailable[at] = *e
 		}
 	case OutageBegan:
 		h := c.host(e.Host)
-		h.down, h.told, h.calls = true, map[string]bool{}, nil
-	case Outage:
+		h.down, h.awareNodes, h.recentCalls = true, map[string]bool{}, nil
+	case OutageEnded:
 		h := c.host(e.Host)
-		h.down, h.back, h.fell = false, e.At, false
-		if h.told == nil { // nothing is known of who saw it
-			h.cold = []time.Time{}
+		h.down, h.recoveredAt, h.overloaded = false, e.At, false
+		if h.awareNodes == nil {
+			// The start of the outage was not recorded, so the dispatchers that saw it are unknown.
+			h.coldCalls = []time.Time{}
 		}
 	case Restarted:
-		c.restarted(e.Node)
-	case Closed:
-		c.fault("rule 1: the connection of %s was ended with no answer", e.Name)
+		c.applyRestart(e.Node)
+	case ClosedUnanswered:
+		c.violation("rule 1: the connection of %s was ended with no answer", e.Name)
 	}
 }
 
-// restarted ends the waits that a dispatcher was told. An answer that was on its way is lost: what may be repeated may come
-// again.
-func (c *checker) restarted(node string) {
+// applyRestart ends the waits that a dispatcher was told. An answer in flight to the old process is lost, so messages
+// that may be repeated may be sent again.
+func (c *checker) applyRestart(node string) {
 	for at := range c.waits {
 		if at.node == node {
 			delete(c.waits, at)
 		}
 	}
-	for _, m := range c.msgs {
+	for _, m := range c.messages {
 		if m.node() == node {
-			m.served, m.orphan = false, m.out
+			m.deliveryKnown, m.orphanedCall = false, m.openCall
 		}
 	}
 }
 
-func (c *checker) called(e *Event) {
-	m := c.get(e.Name)
-	late := c.host(e.Host).loses(e.At)
-	if m.served && e.At.Sub(m.delivered) < c.r.Lag { // given up as its answer came
-		m.served = false
+// applyCallStart checks a call that arrived at an endpoint.
+func (c *checker) applyCallStart(e *Event) {
+	m := c.message(e.Name)
+	disturbed := c.host(e.Host).mayLoseAnswer(e.At)
+	// The dispatcher gave up the earlier call at the moment when its answer arrived.
+	if m.deliveryKnown && e.At.Sub(m.deliveredAt) < c.rules.ObservationLag {
+		m.deliveryKnown = false
 	}
 	switch {
-	case late: // what it crossed on its way can't be told
-	case !m.ended.IsZero() && e.At.After(m.ended.Add(c.r.Lag)): // a call that left before is seen here a little later
-		c.fault("rule 1: %s is called after its notice", e.Name)
-	case m.served:
-		c.fault("rule 1: %s is called after it was delivered", e.Name)
-	case m.refused:
-		c.fault("rule 1: %s is called though it was refused", e.Name)
-	}
-	c.repeat(e, m, late)
-	m.begun[e.Call] = e.At
-	m.out = e.Call
-	if t, ok := c.told[listing{m.node(), e.Host}]; ok && !late && e.At.After(t.At.Add(c.r.Grace)) {
-		c.fault("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(t.At), t.Health)
-	}
-	c.push(e, m)
-	if w, ok := c.waits[waiting{m.node(), e.Dest}]; ok && !late && !c.host(w.Host).loses(w.At) && e.At.After(w.At.Add(c.r.WaitExcused)) && e.At.Before(w.At.Add(w.Wait)) {
-		c.fault("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
-	}
-	if m.taken != nil && !late && m.taken.Key != "" && slices.Contains(c.r.InOrder, m.taken.Class) {
-		c.turn(e, m)
+	// The call may have left before the events that it would be checked against.
+	case disturbed:
+	// A call that left before the notice may be seen up to ObservationLag later.
+	case !m.noticedAt.IsZero() && e.At.After(m.noticedAt.Add(c.rules.ObservationLag)):
+		c.violation("rule 1: %s is called after its notice", e.Name)
+	case m.deliveryKnown:
+		c.violation("rule 1: %s is called after it was delivered", e.Name)
+	case m.rejected:
+		c.violation("rule 1: %s is called though it was refused", e.Name)
+	}
+	c.checkRepeat(e, m, disturbed)
+	m.callStarts[e.Call] = e.At
+	m.openCall = e.Call
+	if listed, ok := c.unavailable[listedHost{m.node(), e.Host}]; ok && !disturbed && e.At.After(listed.At.Add(c.rules.DrainGrace)) {
+		c.violation("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(listed.At), listed.Health)
+	}
+	c.checkColdCall(e, m)
+	if answer, ok := c.waits[waitingDest{m.node(), e.Dest}]; ok && !disturbed && !c.host(answer.Host).mayLoseAnswer(answer.At) && e.At.After(answer.At.Add(c.rules.WaitGrace)) && e.At.Before(answer.At.Add(answer.Wait)) {
+		c.violation("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
+	}
+	if m.accepted != nil && !disturbed && m.accepted.Key != "" && slices.Contains(c.rules.Ordered, m.accepted.Class) {
+		c.checkOrder(e, m)
 	}
 }
 
-// repeat checks a call beside those before it; late tells that it may have left long before it came.
-func (c *checker) repeat(e *Event, m *message, late bool) {
-	if end, ok := c.ends[out{e.Name, m.out}]; m.out != 0 && (!ok || end.After(e.At.Add(c.r.Lag))) {
-		c.fault("rule 2: %s has two calls out", e.Name)
+// checkRepeat checks a call against the earlier calls of the same message. With disturbed set, the call may have left
+// long before it arrived.
+func (c *checker) checkRepeat(e *Event, m *messageState, disturbed bool) {
+	if endedAt, ok := c.callEnds[messageCall{e.Name, m.openCall}]; m.openCall != 0 && (!ok || endedAt.After(e.At.Add(c.rules.ObservationLag))) {
+		c.violation("rule 2: %s has two calls out", e.Name)
 	}
-	if m.taken == nil {
+	if m.accepted == nil {
 		return
 	}
-	if slices.Contains(c.r.Once, m.taken.Class) && (m.mayRun || m.out != 0) {
-		c.fault("rule 2: %s is called again though it may have run", e.Name)
+	if slices.Contains(c.rules.AtMostOnce, m.accepted.Class) && (m.possiblyExecuted || m.openCall != 0) {
+		c.violation("rule 2: %s is called again though it may have run", e.Name)
 	}
-	window, keyed := c.r.Windows[m.taken.Class]
-	if keyed && !late && !m.doubtful.IsZero() && e.At.After(m.doubtful.Add(window)) {
-		c.fault("rule 2: %s is repeated %v after a call that may have run, its window is %v", e.Name, e.At.Sub(m.doubtful), window)
+	window, keyed := c.rules.DedupWindows[m.accepted.Class]
+	if keyed && !disturbed && !m.possiblyExecutedSince.IsZero() && e.At.After(m.possiblyExecutedSince.Add(window)) {
+		c.violation("rule 2: %s is repeated %v after a call that may have run, its window is %v", e.Name, e.At.Sub(m.possiblyExecutedSince), window)
 	}
 }
 
-// push checks a call at a host that is cold.
-func (c *checker) push(e *Event, m *message) {
+// checkColdCall checks a call against the budgets of a cold endpoint.
+func (c *checker) checkColdCall(e *Event, m *messageState) {
 	h := c.host(e.Host)
-	if h.cold != nil {
-		h.cold = append(h.cold, e.At)
-		if n := len(h.cold); n > c.r.ColdBudget && e.At.Sub(h.cold[n-1-c.r.ColdBudget]) < c.r.ColdWindow {
-			c.fault("rule 4: %s is pushed over by %s", e.Host, e.Name)
+	if h.coldCalls != nil {
+		h.coldCalls = append(h.coldCalls, e.At)
+		if n := len(h.coldCalls); n > c.rules.ColdBudget && e.At.Sub(h.coldCalls[n-1-c.rules.ColdBudget]) < c.rules.ColdWindow {
+			c.violation("rule 4: %s is pushed over by %s", e.Host, e.Name)
 		}
 	}
-	s := c.r.SlowStart
-	if s == nil || h.told == nil || h.fell {
+	slowStart := c.rules.SlowStart
+	if slowStart == nil || h.awareNodes == nil || h.overloaded {
 		return
 	}
-	if n := len(h.calls); n == 0 || h.calls[n-1].call != e.Call {
-		h.calls = append(h.calls, arrival{e.At, e.Call, m.node()})
+	if n := len(h.recentCalls); n == 0 || h.recentCalls[n-1].call != e.Call {
+		h.recentCalls = append(h.recentCalls, arrival{e.At, e.Call, m.node()})
 	}
-	if since := e.At.Sub(h.back); !h.down && since < s.WarmUp {
-		c.fall(e, h, s, since)
+	if since := e.At.Sub(h.recoveredAt); !h.down && since < slowStart.WarmUp {
+		c.checkSlowStart(e, h, slowStart, since)
 	}
 }
 
-// fall checks the calls of the last span against the budget.
-func (c *checker) fall(e *Event, h *host, s *SlowStart, since time.Duration) {
-	h.calls = slices.DeleteFunc(h.calls, func(a arrival) bool { return e.At.Sub(a.at) > s.Span })
-	budget := s.budget(since)
-	if float64(len(h.calls)) <= budget {
+// checkSlowStart compares the calls of the last window with the budget.
+func (c *checker) checkSlowStart(e *Event, h *hostState, slowStart *SlowStart, since time.Duration) {
+	h.recentCalls = slices.DeleteFunc(h.recentCalls, func(a arrival) bool { return e.At.Sub(a.at) > slowStart.OverloadWindow })
+	budget := slowStart.callBudget(since)
+	if float64(len(h.recentCalls)) <= budget {
 		return
 	}
-	h.fell = true
-	told := 0
-	for _, a := range h.calls {
-		if h.told[a.node] {
-			told++
+	h.overloaded = true
+	aware := 0
+	for _, call := range h.recentCalls {
+		if h.awareNodes[call.node] {
+			aware++
 		}
 	}
-	if float64(told) > s.Told*float64(len(h.calls)) {
-		c.fault("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
-			len(h.calls), s.Span, told, budget)
+	if float64(aware) > slowStart.MaxAwareShare*float64(len(h.recentCalls)) {
+		c.violation("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
+			len(h.recentCalls), slowStart.OverloadWindow, aware, budget)
 	}
 }
 
-// turn checks the order within a key: no call while an earlier one is unfinished.
-func (c *checker) turn(e *Event, m *message) {
-	for name, o := range c.msgs {
-		if name == e.Name || o.taken == nil || o.taken.Key != m.taken.Key || o.taken.Node != m.taken.Node || !o.taken.At.Before(m.taken.At) {
+// checkOrder checks the order within a key: no call may begin while an earlier message of the key is unfinished.
+func (c *checker) checkOrder(e *Event, m *messageState) {
+	for name, other := range c.messages {
+		if name == e.Name || other.accepted == nil || other.accepted.Key != m.accepted.Key || other.accepted.Node != m.accepted.Node || !other.accepted.At.Before(m.accepted.At) {
 			continue
 		}
-		ended, ok := c.over[name]
-		if o.out != 0 || !ok || ended.After(e.At.Add(c.r.Lag)) { // its end may be seen here a little later than it came
-			c.fault("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
+		endedAt, ok := c.messageEnds[name]
+		// The end of the earlier message may be seen here up to ObservationLag late.
+		if other.openCall != 0 || !ok || endedAt.After(e.At.Add(c.rules.ObservationLag)) {
+			c.violation("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
 		}
 	}
 }
 
-func (c *checker) back(e *Event) {
-	m := c.get(e.Name)
-	if m.out == e.Call {
-		m.out = 0
+// applyCallEnd updates the state with the end of a call.
+func (c *checker) applyCallEnd(e *Event) {
+	m := c.message(e.Name)
+	if m.openCall == e.Call {
+		m.openCall = 0
 	}
 	h := c.host(e.Host)
 	switch {
-	case e.Kind == Answered && e.Status == 200:
-		m.served, m.mayRun = m.served || e.Call != m.orphan && !h.loses(e.At), true
-		if m.delivered.IsZero() {
-			m.delivered = e.At
+	case e.Kind == CallAnswered && e.Status == 200:
+		m.deliveryKnown, m.possiblyExecuted = m.deliveryKnown || e.Call != m.orphanedCall && !h.mayLoseAnswer(e.At), true
+		if m.deliveredAt.IsZero() {
+			m.deliveredAt = e.At
 		}
-	case e.Kind == Broke || e.Status >= 500 && e.Status != 503 && e.Status != 504:
-		m.mayRun = true
+	case e.Kind == CallBroken || e.Status >= 500 && e.Status != 503 && e.Status != 504:
+		m.possiblyExecuted = true
 	}
-	if m.mayRun && m.doubtful.IsZero() {
-		m.doubtful = m.begun[e.Call]
+	if m.possiblyExecuted && m.possiblyExecutedSince.IsZero() {
+		m.possiblyExecutedSince = m.callStarts[e.Call]
 	}
-	if h.down && (e.Kind == Broke || e.Status != 200) {
-		h.told[m.node()] = true
+	if h.down && (e.Kind == CallBroken || e.Status != 200) {
+		h.awareNodes[m.node()] = true
 	}
 	if e.Wait > 0 {
-		at := waiting{m.node(), e.Dest}
-		if w, ok := c.waits[at]; !ok || e.At.Add(e.Wait).After(w.At.Add(w.Wait)) {
+		at := waitingDest{m.node(), e.Dest}
+		if previous, ok := c.waits[at]; !ok || e.At.Add(e.Wait).After(previous.At.Add(previous.Wait)) {
 			c.waits[at] = *e
 		}
 	}
 }
 
-// unheardBefore is how long ahead of a network's fault an answer may have been written that it still takes away.
-const unheardBefore = time.Second
+// disturbanceLead is how long before a disturbance of the network an answer may have been written and still be lost.
+const disturbanceLead = time.Second
 
-// loses tells whether an answer written then may not arrive.
-func (h *host) loses(at time.Time) bool {
-	return slices.ContainsFunc(h.unheard, func(e Event) bool { return at.After(e.At.Add(-unheardBefore)) && at.Before(e.Due) })
+// mayLoseAnswer reports whether an answer written at that time may not arrive.
+func (h *hostState) mayLoseAnswer(at time.Time) bool {
+	return slices.ContainsFunc(h.disturbances, func(e Event) bool { return at.After(e.At.Add(-disturbanceLead)) && at.Before(e.Due) })
 }
 
-// finish checks that a message has its end in time.
-func (c *checker) finish(name string, m *message, end time.Time) {
-	if m.taken == nil || m.taken.Due.Add(c.r.Slack).After(end) {
+// checkEnd checks that an accepted message was delivered or ended by a notice in time.
+func (c *checker) checkEnd(name string, m *messageState, end time.Time) {
+	if m.accepted == nil || m.accepted.Due.Add(c.rules.EndSlack).After(end) {
 		return
 	}
-	last := m.taken.Due.Add(c.r.Slack)
-	if (m.delivered.IsZero() || m.delivered.After(last)) && (m.ended.IsZero() || m.ended.After(last)) {
-		c.fault("rule 1: %s was taken and has no end in time", name)
+	deadline := m.accepted.Due.Add(c.rules.EndSlack)
+	if (m.deliveredAt.IsZero() || m.deliveredAt.After(deadline)) && (m.noticedAt.IsZero() || m.noticedAt.After(deadline)) {
+		c.violation("rule 1: %s was taken and has no end in time", name)
 	}
 }
 
-var kindNames = [...]string{Taken: "taken", Refused: "refused", Called: "called", Answered: "answered", Broke: "broke", Noticed: "noticed",
-	Listed: "listed", OutageBegan: "outage began", Outage: "outage ended", Restarted: "restarted", Watched: "watched", Told: "told",
-	Unheard: "unheard", Closed: "closed"}
+// kindNames holds the name of each kind in a printed event.
+var kindNames = [...]string{Accepted: "taken", Refused: "refused", CallReceived: "called", CallAnswered: "answered", CallBroken: "broke", NoticeReceived: "noticed",
+	HealthListed: "listed", OutageBegan: "outage began", OutageEnded: "outage ended", Restarted: "restarted", WatchOpened: "watched", ListSent: "told",
+	NetworkDisturbed: "unheard", ClosedUnanswered: "closed"}
 
-// String is the event as a line.
+// String formats the event as one line.
 func (e Event) String() string {
 	line := fmt.Sprintf("%s %s", e.At.Format("15:04:05.000000"), kindNames[e.Kind])
-	for _, x := range []struct{ name, text string }{{"node", e.Node}, {"message", e.Name}, {"class", e.Class}, {"host", e.Host}, {"health", e.Health}, {"key", e.Key}, {"", e.Text}} {
-		if x.text != "" {
-			line += " " + x.name + " " + x.text
+	for _, field := range []struct{ name, text string }{{"node", e.Node}, {"message", e.Name}, {"class", e.Class}, {"host", e.Host}, {"health", e.Health}, {"key", e.Key}, {"", e.Text}} {
+		if field.text != "" {
+			line += " " + field.name + " " + field.text
 		}
 	}
-	if e.Kind == Called || e.Kind == Answered || e.Kind == Broke {
+	if e.Kind == CallReceived || e.Kind == CallAnswered || e.Kind == CallBroken {
 		line += fmt.Sprintf(" dest %d call %d", e.Dest, e.Call)
 	}
 	if e.Status != 0 {
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -6,54 +6,62 @@
 	"time"
 )
 
-// Proxy stands before an endpoint and spoils the network on command. The end of a connection by the dispatcher passes at once in
-// every state, as its peer would be told it by the machine that ended it.
+// Proxy is a TCP proxy before an endpoint that disturbs the network on command. When the dispatcher closes a connection,
+// the endpoint sees it at once in every state, as the kernel of the closing machine would tell it.
 type Proxy struct {
-	s    *Testbed
-	host string
-	to   string
+	testbed *Testbed
+	host    string
+	// target is the address of the endpoint.
+	target string
+	// Addr is the address that the proxy listens on.
 	Addr string
 
 	mu    sync.Mutex
 	ln    net.Listener
-	pairs map[*pair]bool
-	state network
-	clear chan struct{} // closed when the state changes
-}
-
-// network is how a proxy treats bytes.
-type network struct {
-	held    bool          // nothing passes
-	trickle bool          // a byte at a time
-	delay   time.Duration // of each piece
-}
-
-// pair is one connection through a proxy.
-type pair struct {
-	near, far net.Conn
-	once      sync.Once
-	over      chan struct{} // closed with it
-}
-
-func (p *pair) close() {
-	p.once.Do(func() { close(p.over) })
-	_ = p.near.Close()
-	_ = p.far.Close()
-}
-
-// reset ends a connection as a machine does that knows nothing of it.
-func (p *pair) reset() {
-	for _, c := range []net.Conn{p.near, p.far} {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0)
+	conns map[*proxiedConn]bool
+	state networkState
+	// stateChanged is closed and replaced when the state changes.
+	stateChanged chan struct{}
+}
+
+// networkState is how a proxy treats bytes.
+type networkState struct {
+	// stalled lets nothing pass.
+	stalled bool
+	// trickle passes one byte at a time.
+	trickle bool
+	// delay is added before each write.
+	delay time.Duration
+}
+
+// proxiedConn is one connection through a proxy.
+type proxiedConn struct {
+	client, endpoint net.Conn
+	closeOnce        sync.Once
+	// closed is closed with the connection.
+	closed chan struct{}
+}
+
+// close closes both sides.
+func (p *proxiedConn) close() {
+	p.closeOnce.Do(func() { close(p.closed) })
+	_ = p.client.Close()
+	_ = p.endpoint.Close()
+}
+
+// reset closes both sides with a TCP reset, as a machine does that has lost the connection's state.
+func (p *proxiedConn) reset() {
+	for _, c := range []net.Conn{p.client, p.endpoint} {
+		if tcp, ok := c.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
 		}
 	}
 	p.close()
 }
 
-// Proxy opens a proxy before an endpoint.
-func (s *Testbed) Proxy(e *Endpoint) (*Proxy, error) {
-	p := &Proxy{s: s, host: e.Host, to: e.Addr, pairs: map[*pair]bool{}, clear: make(chan struct{})}
+// Proxy starts a proxy before an endpoint.
+func (s *Testbed) Proxy(endpoint *Endpoint) (*Proxy, error) {
+	p := &Proxy{testbed: s, host: endpoint.Host, target: endpoint.Addr, conns: map[*proxiedConn]bool{}, stateChanged: make(chan struct{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -63,136 +71,139 @@
 	return p, nil
 }
 
+// accept accepts connections until the listener is closed.
 func (p *Proxy) accept(ln net.Listener) {
 	for {
-		near, err := ln.Accept()
+		client, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go p.carry(near)
+		go p.serve(client)
 	}
 }
 
-func (p *Proxy) carry(near net.Conn) {
-	far, err := net.DialTimeout("tcp", p.to, time.Second)
+// serve connects to the endpoint and copies bytes both ways until either side ends.
+func (p *Proxy) serve(client net.Conn) {
+	endpoint, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		_ = near.Close()
+		_ = client.Close()
 		return
 	}
-	c := &pair{near: near, far: far, over: make(chan struct{})}
+	conn := &proxiedConn{client: client, endpoint: endpoint, closed: make(chan struct{})}
 	p.mu.Lock()
-	p.pairs[c] = true
+	p.conns[conn] = true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.pass(far, near, c, false) })
-	both.Go(func() { p.pass(near, far, c, true) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { p.copyBytes(endpoint, client, conn, false) })
+	directions.Go(func() { p.copyBytes(client, endpoint, conn, true) })
+	directions.Wait()
 	p.mu.Lock()
-	delete(p.pairs, c)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
-// pieces are what is read ahead of the other side, at most.
-const pieces = 64
+// readAhead is the largest number of chunks, of up to 4 KiB, that are read before the other side takes them.
+const readAhead = 64
 
-// pass carries bytes one way until either side ends. last tells that what came before the end still passes: what an endpoint
-// wrote does, what a dispatcher wrote and then gave up does not.
-func (p *Proxy) pass(to, from net.Conn, c *pair, last bool) {
-	defer c.close()
-	queue := make(chan []byte, pieces)
+// copyBytes copies bytes one way until either side ends. With deliverPending set, bytes read before the end still pass:
+// what an endpoint wrote is delivered, what a dispatcher wrote before it gave up is not.
+func (p *Proxy) copyBytes(dst, src net.Conn, conn *proxiedConn, deliverPending bool) {
+	defer conn.close()
+	queue := make(chan []byte, readAhead)
 	go func() {
 		defer close(queue)
 		for {
 			buf := make([]byte, 4<<10)
-			n, err := from.Read(buf)
+			n, err := src.Read(buf)
 			if n > 0 {
 				select {
 				case queue <- buf[:n]:
-				case <-c.over:
+				case <-conn.closed:
 					return
 				}
 			}
 			if err != nil {
-				if !last {
-					c.close()
+				if !deliverPending {
+					conn.close()
 				}
 				return
 			}
 		}
 	}()
 	for b := range queue {
-		if !p.send(to, b, c) {
+		if !p.send(dst, b, conn) {
 			return
 		}
 	}
 }
 
-// send writes bytes as the network's state has it; it is false where the connection has ended.
-func (p *Proxy) send(to net.Conn, b []byte, c *pair) bool {
-	for len(b) > 0 {
+// send writes data as the network's state allows. It returns false when the connection has ended.
+func (p *Proxy) send(dst net.Conn, data []byte, conn *proxiedConn) bool {
+	for len(data) > 0 {
 		p.mu.Lock()
-		state, clear := p.state, p.clear
+		state, stateChanged := p.state, p.stateChanged
 		p.mu.Unlock()
-		if state.held {
+		if state.stalled {
 			select {
-			case <-clear:
-			case <-c.over:
+			case <-stateChanged:
+			case <-conn.closed:
 				return false
 			}
 			continue
 		}
 		time.Sleep(state.delay)
-		n := len(b)
+		n := len(data)
 		if state.trickle {
 			n = 1
 		}
-		if _, err := to.Write(b[:n]); err != nil {
+		if _, err := dst.Write(data[:n]); err != nil {
 			return false
 		}
-		b = b[n:]
+		data = data[n:]
 	}
 	return true
 }
 
-func (p *Proxy) set(state network) {
+// setState sets the state of the network and wakes stalled connections.
+func (p *Proxy) setState(state networkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.state = state
-	close(p.clear)
-	p.clear = make(chan struct{})
+	close(p.stateChanged)
+	p.stateChanged = make(chan struct{})
 }
 
-// Hold has nothing pass for a while; nothing is said of it.
-func (p *Proxy) Hold(span time.Duration) {
-	p.unheard(span + time.Second)
-	p.set(network{held: true})
-	time.AfterFunc(span, func() { p.set(network{}) })
+// Stall lets no bytes pass for a duration. Neither side is told.
+func (p *Proxy) Stall(duration time.Duration) {
+	p.recordDisturbance(duration + time.Second)
+	p.setState(networkState{stalled: true})
+	time.AfterFunc(duration, func() { p.setState(networkState{}) })
 }
 
-// Slow has bytes pass late, or one at a time, for a while.
-func (p *Proxy) Slow(span, delay time.Duration, trickle bool) {
-	p.unheard(span + time.Second)
-	p.set(network{delay: delay, trickle: trickle})
-	time.AfterFunc(span, func() { p.set(network{}) })
+// Throttle delays each write for a duration; with trickle set, each write has one byte.
+func (p *Proxy) Throttle(duration, delay time.Duration, trickle bool) {
+	p.recordDisturbance(duration + time.Second)
+	p.setState(networkState{delay: delay, trickle: trickle})
+	time.AfterFunc(duration, func() { p.setState(networkState{}) })
 }
 
-// Reset resets the connections that are open.
-func (p *Proxy) Reset() {
-	p.unheard(time.Second)
+// ResetConnections resets the open connections.
+func (p *Proxy) ResetConnections() {
+	p.recordDisturbance(time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.pairs {
+	for c := range p.conns {
 		c.reset()
 	}
 }
 
-// Refuse has connections refused for a while, and resets those that are open.
-func (p *Proxy) Refuse(span time.Duration) {
+// RefuseConnections resets the open connections and refuses new ones for a duration.
+func (p *Proxy) RefuseConnections(duration time.Duration) {
 	p.mu.Lock()
 	_ = p.ln.Close()
 	p.mu.Unlock()
-	p.Reset()
-	time.AfterFunc(span, func() {
+	p.ResetConnections()
+	time.AfterFunc(duration, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if ln, err := net.Listen("tcp", p.Addr); err == nil {
@@ -202,19 +213,19 @@
 	})
 }
 
-// Close ends the proxy.
+// Close closes the listener and the connections.
 func (p *Proxy) Close() {
-	p.set(network{})
+	p.setState(networkState{})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_ = p.ln.Close()
-	for c := range p.pairs {
+	for c := range p.conns {
 		c.close()
 	}
 }
 
-// unheard notes that answers may not arrive.
-func (p *Proxy) unheard(span time.Duration) {
-	now := p.s.Now()
-	p.s.Note(Event{At: now, Kind: Unheard, Host: p.host, Due: now.Add(span)})
+// recordDisturbance records that answers may be lost for a duration from now on.
+func (p *Proxy) recordDisturbance(duration time.Duration) {
+	now := p.testbed.Now()
+	p.testbed.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(duration)})
 }
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -1,6 +1,6 @@
-// Package testbed is a stand-in for the platform: clients, endpoints, discovery and the place for notices, on loopback.
-// Everything that passes on its sockets is written down, faults are played on command, and Check tells which rule was
-// broken. It knows the protocol of the platform, and nothing of the dispatcher.
+// Package testbed is a stand-in for the platform on loopback: clients, endpoints, and an agent for discovery and
+// notices. It records what passes on its sockets, injects faults on command, and Check reports which rules were
+// violated. It implements the protocol of the platform and knows nothing about the dispatcher's code.
 package testbed
 
 import (
@@ -21,12 +21,14 @@
 	"whinrun/internal/h1"
 )
 
-var addresses atomic.Uint32
+// addressCount counts the addresses that FreeAddr has returned.
+var addressCount atomic.Uint32
 
-// FreeAddr returns an address for one dispatcher to listen on, again after a restart. It is one of loopback's that no
-// other socket of the tests uses: a port that was merely free a moment ago may be taken in the meantime.
+// FreeAddr returns an address for one dispatcher to listen on, also after a restart. The address is in 127.0.0.0/8 and
+// derived from the process id and a counter, so that no other socket of the tests uses it. A port of 127.0.0.1 that was
+// free a moment ago may be taken in the meantime.
 func FreeAddr() (string, error) {
-	pid, n := os.Getpid(), addresses.Add(1)
+	pid, n := os.Getpid(), addressCount.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 64+pid%128, pid/128%256, 1+n%250))
 	if err != nil {
 		return "", err
@@ -36,105 +38,117 @@
 
 // Reply is what an endpoint does with a call.
 type Reply struct {
-	After  time.Duration
-	Status int           // of a plain answer
-	Wait   time.Duration // told by Retry-After
-	Head   []string      // further fields, pairs of name and value
-	Body   string
-	Raw    string // instead of all that: these bytes; Status tells what they are worth to the checker
-	Hang   bool   // say nothing
-	Drop   bool   // end the connection instead of an answer
-	Then   string // bytes behind the answer
-	Close  bool   // end the connection behind it
-}
-
-// Call is a call as it came.
+	// Delay is the time from the call until the answer.
+	Delay time.Duration
+	// Status is the HTTP status of the answer. With Raw, it only tells the checker how to count the answer.
+	Status int
+	// RetryAfter is the wait in the Retry-After header, 0 for none.
+	RetryAfter time.Duration
+	// ExtraHeaders are further header fields: names and values in turn.
+	ExtraHeaders []string
+	Body         string
+	// Raw is sent instead of a formatted answer where it is not empty.
+	Raw string
+	// Hang leaves the call unanswered and the connection open.
+	Hang bool
+	// Drop closes the connection instead of an answer.
+	Drop bool
+	// TrailingBytes are sent directly after the answer.
+	TrailingBytes string
+	// Close closes the connection after the answer.
+	Close bool
+}
+
+// Call is a call as an endpoint received it.
 type Call struct {
-	Host  string
-	Dest  int
-	Names []string
-	N     int // number of the call
-	Keys  []string
-	Body  string
+	Host         string
+	Dest         int
+	MessageNames []string
+	// Number numbers the calls of a test bed from 1.
+	Number          int
+	IdempotencyKeys []string
+	Body            string
 }
 
-// Testbed is the stand-in.
+// Testbed records events and creates the endpoints, agents and proxies that report them.
 type Testbed struct {
-	mu     sync.Mutex
-	events []Event
-	calls  int
-	change chan struct{} // closed at each event
+	mu        sync.Mutex
+	events    []Event
+	callCount int
+	// changed is closed and replaced at each event.
+	changed chan struct{}
 }
 
-// New makes an empty test bed.
-func New() *Testbed { return &Testbed{change: make(chan struct{})} }
+// New returns a test bed without events.
+func New() *Testbed { return &Testbed{changed: make(chan struct{})} }
 
-// Now is the time that events are noted by.
+// Now returns the time on the clock that stamps events.
 func (s *Testbed) Now() time.Time { return clock.Wall() }
 
-// Note writes an event down.
-func (s *Testbed) Note(all ...Event) {
+// Record appends events. An event without a time gets the present one.
+func (s *Testbed) Record(events ...Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Wall()
-	for _, e := range all {
+	for _, e := range events {
 		if e.At.IsZero() {
 			e.At = now
 		}
 		s.events = append(s.events, e)
 	}
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Events returns what has passed.
+// Events returns the events so far.
 func (s *Testbed) Events() []Event {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.events[:len(s.events):len(s.events)]
 }
 
-// Await waits until what has passed is enough, or the time is over; it tells whether it was.
-func (s *Testbed) Await(within time.Duration, enough func([]Event) bool) bool {
-	over := time.After(within)
+// Await waits until enough returns true for the events so far. It returns false if that does not happen within timeout.
+func (s *Testbed) Await(timeout time.Duration, enough func([]Event) bool) bool {
+	timedOut := time.After(timeout)
 	for {
 		s.mu.Lock()
-		events, change := s.events[:len(s.events):len(s.events)], s.change
+		events, changed := s.events[:len(s.events):len(s.events)], s.changed
 		s.mu.Unlock()
 		if enough(events) {
 			return true
 		}
 		select {
-		case <-change:
-		case <-over:
+		case <-changed:
+		case <-timedOut:
 			return false
 		}
 	}
 }
 
-// Count counts events of a kind; name may be empty for all.
-func Count(events []Event, k Kind, name string) (n int) {
+// Count counts the events of a kind for the message name, or for all messages where name is empty.
+func Count(events []Event, kind Kind, name string) (n int) {
 	for _, e := range events {
-		if e.Kind == k && (name == "" || e.Name == name) {
+		if e.Kind == kind && (name == "" || e.Name == name) {
 			n++
 		}
 	}
 	return n
 }
 
-// AllEnded tells whether every one of the messages was delivered or ended by a notice.
+// AllEnded reports whether each of the messages was delivered or ended by a notice.
 func AllEnded(events []Event, names []string) bool {
 	ended := map[string]bool{}
 	for _, e := range events {
-		if e.Kind == Noticed || e.Kind == Answered && e.Status == 200 {
+		if e.Kind == NoticeReceived || e.Kind == CallAnswered && e.Status == 200 {
 			ended[e.Name] = true
 		}
 	}
 	return !slices.ContainsFunc(names, func(n string) bool { return !ended[n] })
 }
 
-// Settings are settings for a dispatcher on a test bed, in the platform's form: classes of each effect, one that keeps its
-// order, a kind of destination that takes several messages in a call and one that does not.
+// Settings are the settings of a dispatcher on a test bed, in the platform's format. They have classes of each repeat
+// effect, one class that keeps its order, a kind of destination that takes several messages in a call, and one that does
+// not.
 const Settings = `{"classes":[
  {"effect":"free","gain":2,"group":"all","hard-limit":4000000,"late-worth":0,"name":"status","target":1000000,"window":1000000},
  {"effect":"guarded","gain":1,"group":"all","hard-limit":5000000,"late-worth":0.5,"name":"sync","target":1000000,"window":4000000},
@@ -147,29 +161,32 @@
  "report":{"names":[],"via":"none"},"rules":{"cold-from":0.5,"overload-for":2000000,"stop-sending-within":1000000,"tip-multiple":2,
   "warm-up":2000000,"settle-after-doubt":200000},"tenants":[{"name":"acme","quota-per-s":1000}]}`
 
-// Configuration is the file of a dispatcher that listens on an address and learns from an agent, with the agent's list
-// as the one that it had.
-func Configuration(listen string, a *Agent) []byte {
+// Configuration returns the configuration file of a dispatcher that listens on an address and uses an agent. The agent's
+// present list is the last known list in it.
+func Configuration(listen string, agent *Agent) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
- "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, a.Addr, a.Whole(), Settings)
+ "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, agent.Addr, agent.FullList(), Settings)
 }
 
-// Endpoint is one stand-in endpoint.
+// Endpoint is a stand-in for an endpoint of a partner.
 type Endpoint struct {
-	s    *Testbed
-	Host string
-	Dest int
-	Addr string
-	ln   net.Listener
-
-	mu    sync.Mutex
-	act   func(c Call) Reply
+	testbed *Testbed
+	Host    string
+	Dest    int
+	Addr    string
+	ln      net.Listener
+
+	mu      sync.Mutex
+	handler func(c Call) Reply
+	// conns are the open connections.
 	conns map[net.Conn]bool
-	Conns int // taken so far
+	// Conns counts the connections accepted so far.
+	Conns int
 }
 
-// Endpoint opens an endpoint; addr may be empty for a free port, or that of one that has closed.
-func (s *Testbed) Endpoint(host string, dest int, addr string, act func(Call) Reply) (*Endpoint, error) {
+// Endpoint starts an endpoint that answers calls by handler. An empty addr takes a free port; the address of a closed
+// endpoint can be used again. It fails where it cannot listen on the address.
+func (s *Testbed) Endpoint(host string, dest int, addr string, handler func(Call) Reply) (*Endpoint, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
@@ -177,7 +194,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Endpoint{s: s, Host: host, Dest: dest, Addr: ln.Addr().String(), ln: ln, act: act, conns: map[net.Conn]bool{}}
+	e := &Endpoint{testbed: s, Host: host, Dest: dest, Addr: ln.Addr().String(), ln: ln, handler: handler, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -194,14 +211,14 @@
 	return e, nil
 }
 
-// Act changes what the endpoint does.
-func (e *Endpoint) Act(act func(Call) Reply) {
+// SetHandler replaces the handler for calls from now on.
+func (e *Endpoint) SetHandler(handler func(Call) Reply) {
 	e.mu.Lock()
-	e.act = act
+	e.handler = handler
 	e.mu.Unlock()
 }
 
-// Close ends the endpoint and its connections.
+// Close stops listening and closes the connections.
 func (e *Endpoint) Close() {
 	_ = e.ln.Close()
 	e.mu.Lock()
@@ -211,13 +228,14 @@
 	}
 }
 
-// Opened counts the connections taken so far.
-func (e *Endpoint) Opened() int {
+// AcceptedConns returns the number of connections accepted so far.
+func (e *Endpoint) AcceptedConns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Conns
 }
 
+// serve answers the requests of a connection one after the other.
 func (e *Endpoint) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
@@ -225,133 +243,136 @@
 		delete(e.conns, c)
 		e.mu.Unlock()
 	}()
-	var in []byte
+	var buffered []byte
 	for {
-		r, body, rest, err := readRequest(c, in)
+		r, body, rest, err := readRequest(c, buffered)
 		if err != nil {
 			return
 		}
-		in = rest
-		if !e.call(c, r, body) {
+		buffered = rest
+		if !e.serveCall(c, r, body) {
 			return
 		}
 	}
 }
 
-// readRequest reads one request with its body.
-func readRequest(c net.Conn, in []byte) (r *h1.Request, body, rest []byte, err error) {
-	buf := make([]byte, 32<<10)
+// readRequest reads one request with its body. It returns the bytes read beyond the request as rest.
+func readRequest(c net.Conn, buffered []byte) (r *h1.Request, body, rest []byte, err error) {
+	chunk := make([]byte, 32<<10)
 	for {
-		r, n, err := h1.ParseRequest(in)
+		r, headLen, err := h1.ParseRequest(buffered)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		if n > 0 && len(in) >= n+int(r.Length) {
-			return r, in[n : n+int(r.Length)], in[n+int(r.Length):], nil
+		if headLen > 0 && len(buffered) >= headLen+int(r.Length) {
+			return r, buffered[headLen : headLen+int(r.Length)], buffered[headLen+int(r.Length):], nil
 		}
-		m, err := c.Read(buf)
+		n, err := c.Read(chunk)
 		if err != nil {
 			return nil, nil, nil, err
 		}
-		in = append(in, buf[:m]...)
+		buffered = append(buffered, chunk[:n]...)
 	}
 }
 
-// call plays one call; false ends the connection.
-func (e *Endpoint) call(c net.Conn, r *h1.Request, body []byte) bool {
-	k := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
+// serveCall answers one call. It returns false when the connection is to be closed.
+func (e *Endpoint) serveCall(c net.Conn, r *h1.Request, body []byte) bool {
+	call := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
 	if r.Target == "/inbox/bulk" {
-		k.Names, k.Keys = bulkNames(string(body))
+		call.MessageNames, call.IdempotencyKeys = parseBulkBody(string(body))
 	} else {
-		k.Names, k.Keys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
+		call.MessageNames, call.IdempotencyKeys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
 	}
-	e.s.mu.Lock()
-	e.s.calls++
-	k.N = e.s.calls
-	e.s.mu.Unlock()
-	e.note(k, Event{Kind: Called})
+	e.testbed.mu.Lock()
+	e.testbed.callCount++
+	call.Number = e.testbed.callCount
+	e.testbed.mu.Unlock()
+	e.record(call, Event{Kind: CallReceived})
 	e.mu.Lock()
-	act := e.act
+	handler := e.handler
 	e.mu.Unlock()
-	p := act(k)
-	gone := make(chan struct{})
-	if p.After > 0 || p.Hang {
-		// Only the dispatcher's end of the connection is watched meanwhile: no second request may come.
+	reply := handler(call)
+	readEnded := make(chan struct{})
+	if reply.Delay > 0 || reply.Hang {
+		// Meanwhile the connection is read only to see the dispatcher close it, because no second request may arrive.
 		go func() {
-			defer close(gone)
+			defer close(readEnded)
 			_, _ = c.Read(make([]byte, 1))
 		}()
-		var over <-chan time.Time
-		if !p.Hang {
-			over = time.After(p.After)
+		var replyDue <-chan time.Time
+		if !reply.Hang {
+			replyDue = time.After(reply.Delay)
 		}
 		select {
-		case <-gone:
-			e.note(k, Event{Kind: Broke})
+		case <-readEnded:
+			e.record(call, Event{Kind: CallBroken})
 			return false
-		case <-over:
+		case <-replyDue:
 			_ = c.SetReadDeadline(clock.Wall())
-			<-gone
+			<-readEnded
 			_ = c.SetReadDeadline(time.Time{})
 		}
 	}
-	if p.Drop {
-		e.note(k, Event{Kind: Broke})
+	if reply.Drop {
+		e.record(call, Event{Kind: CallBroken})
 		return false
 	}
-	text := p.Raw
+	text := reply.Raw
 	if text == "" {
-		text = answer(p, k)
+		text = formatResponse(reply, call)
 	}
-	e.note(k, Event{Kind: Answered, Status: p.Status, Wait: p.Wait})
-	if _, err := io.WriteString(c, text+p.Then); err != nil {
+	e.record(call, Event{Kind: CallAnswered, Status: reply.Status, Wait: reply.RetryAfter})
+	if _, err := io.WriteString(c, text+reply.TrailingBytes); err != nil {
 		return false
 	}
-	return !p.Close
+	return !reply.Close
 }
 
-func answer(p Reply, k Call) string {
-	body := p.Body
-	if p.Status == 200 && len(k.Names) > 1 && body == "" {
-		for _, n := range k.Names {
+// formatResponse formats an answer. A 200 for several messages gets a body that confirms each of them.
+func formatResponse(reply Reply, call Call) string {
+	body := reply.Body
+	if reply.Status == 200 && len(call.MessageNames) > 1 && body == "" {
+		for _, n := range call.MessageNames {
 			body += n + " done\r\n"
 		}
 	}
-	pairs := append([]string{"Content-Length", strconv.Itoa(len(body))}, p.Head...)
-	if p.Wait > 0 {
-		pairs = append(pairs, "Retry-After", strconv.FormatFloat(p.Wait.Seconds(), 'f', 3, 64))
+	headers := append([]string{"Content-Length", strconv.Itoa(len(body))}, reply.ExtraHeaders...)
+	if reply.RetryAfter > 0 {
+		headers = append(headers, "Retry-After", strconv.FormatFloat(reply.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", p.Status), pairs...)) + body
+	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", reply.Status), headers...)) + body
 }
 
-func (e *Endpoint) note(k Call, x Event) {
-	x.Host, x.Dest, x.Call = k.Host, k.Dest, k.N
-	all := make([]Event, len(k.Names))
-	for i, n := range k.Names {
-		all[i] = x
-		all[i].Name = n
+// record records an event for each message of a call.
+func (e *Endpoint) record(call Call, event Event) {
+	event.Host, event.Dest, event.Call = call.Host, call.Dest, call.Number
+	events := make([]Event, len(call.MessageNames))
+	for i, n := range call.MessageNames {
+		events[i] = event
+		events[i].Name = n
 	}
-	e.s.Note(all...)
+	e.testbed.Record(events...)
 }
 
-func bulkNames(body string) (names, keys []string) {
+// parseBulkBody returns the names and idempotency keys of the messages in a bulk body, up to the first malformed one.
+func parseBulkBody(body string) (names, keys []string) {
 	for len(body) > 0 {
 		line, rest, _ := strings.Cut(body, "\r\n")
-		f := strings.Fields(line)
-		if len(f) != 3 {
+		fields := strings.Fields(line)
+		if len(fields) != 3 {
 			return names, keys
 		}
-		n, _ := strconv.Atoi(f[2])
-		if n+2 > len(rest) {
+		bodyLen, _ := strconv.Atoi(fields[2])
+		if bodyLen+2 > len(rest) {
 			return names, keys
 		}
-		names, keys, body = append(names, f[0]), append(keys, f[1]), rest[n+2:]
+		names, keys, body = append(names, fields[0]), append(keys, fields[1]), rest[bodyLen+2:]
 	}
 	return names, keys
 }
 
-// Host is an endpoint as the list has it.
-type Host struct {
+// EndpointEntry is an endpoint in the list of discovery.
+type EndpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -361,143 +382,153 @@
 	Share  float64 `json:"share"`
 }
 
-// Agent is discovery and the place for notices.
+// Agent is a stand-in for the platform's agent: it serves the endpoint list and takes notices.
 type Agent struct {
-	s    *Testbed
-	Addr string
-	Node string // the dispatcher that it belongs to, where there are several; set before use
+	testbed *Testbed
+	Addr    string
+	// Node is the dispatcher that the agent belongs to, where there are several. It is set before the first use.
+	Node string
 	srv  *http.Server
 
 	mu      sync.Mutex
-	seq     int
-	hosts   map[string]Host
-	changes [][]Host // since the start, by version
-	more    chan struct{}
-	mute    bool // nothing is answered
-	deaf    int  // watches opened before this one have fallen silent for good
-	opened  int  // watches so far
-	indent  bool // lists come over several lines
-	status  int  // of answers to notices, 0 for 204
-	conns   int
-}
-
-// Agent opens discovery.
+	version int
+	hosts   map[string]EndpointEntry
+	// changes holds the published entries of each version, from version 1.
+	changes [][]EndpointEntry
+	// changed is closed and replaced when watches have to look again.
+	changed chan struct{}
+	// muted stops all answers to watches.
+	muted bool
+	// silencedWatches is the number of the last watch that is silenced for good. Watches are numbered from 1.
+	silencedWatches int
+	// openedWatches counts the watches so far.
+	openedWatches int
+	// indent formats lists over several lines.
+	indent bool
+	// noticeStatus is the status of answers to notices, 0 for 204 after they are recorded.
+	noticeStatus int
+	conns        int
+}
+
+// Agent starts an agent on a free port.
 func (s *Testbed) Agent() (*Agent, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{s: s, Addr: ln.Addr().String(), hosts: map[string]Host{}, more: make(chan struct{})}
+	a := &Agent{testbed: s, Addr: ln.Addr().String(), hosts: map[string]EndpointEntry{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/endpoints", a.list)
-	mux.HandleFunc("POST /v1/outcomes", a.outcomes)
+	mux.HandleFunc("GET /v1/endpoints", a.serveList)
+	mux.HandleFunc("POST /v1/outcomes", a.serveNotices)
 	a.srv = &http.Server{Handler: mux}
 	go func() { _ = a.srv.Serve(ln) }()
 	return a, nil
 }
 
-// Close ends it.
+// Close stops the agent.
 func (a *Agent) Close() { _ = a.srv.Close() }
 
-// Mute has discovery say nothing any more, or speak again.
-func (a *Agent) Mute(on bool) {
+// SetMuted stops the answers to all watches, or resumes them.
+func (a *Agent) SetMuted(muted bool) {
 	a.mu.Lock()
-	a.mute = on
-	a.wake()
+	a.muted = muted
+	a.wakeWatches()
 	a.mu.Unlock()
 }
 
-// Silence has the watches that are open now say nothing any more; those opened later are answered.
-func (a *Agent) Silence() {
+// SilenceOpenWatches stops the answers to the watches that are open now. Later watches are answered.
+func (a *Agent) SilenceOpenWatches() {
 	a.mu.Lock()
-	a.deaf = a.opened
-	a.wake()
+	a.silencedWatches = a.openedWatches
+	a.wakeWatches()
 	a.mu.Unlock()
 }
 
-// Indent has lists laid out over several lines.
-func (a *Agent) Indent() {
+// IndentLists formats the lists sent from now on over several lines.
+func (a *Agent) IndentLists() {
 	a.mu.Lock()
 	a.indent = true
 	a.mu.Unlock()
 }
 
-// Fail has notices answered with a status, 0 for as usual.
-func (a *Agent) Fail(status int) {
+// FailNotices answers notices with a status and does not record them. A status of 0 restores the normal answers.
+func (a *Agent) FailNotices(status int) {
 	a.mu.Lock()
-	a.status = status
+	a.noticeStatus = status
 	a.mu.Unlock()
 }
 
-func (a *Agent) wake() {
-	close(a.more)
-	a.more = make(chan struct{})
+// wakeWatches wakes the open watches. The caller holds the lock.
+func (a *Agent) wakeWatches() {
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// Set tells of changes of hosts.
-func (a *Agent) Set(all ...Host) { a.SetAt(a.s.Now(), all...) }
+// Publish publishes changed endpoints.
+func (a *Agent) Publish(entries ...EndpointEntry) { a.PublishAt(a.testbed.Now(), entries...) }
 
-// SetAt tells of changes that count as told from a moment on.
-func (a *Agent) SetAt(at time.Time, all ...Host) {
+// PublishAt publishes changed endpoints now, and records them as listed at the given time.
+func (a *Agent) PublishAt(at time.Time, entries ...EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.seq++
-	for _, h := range all {
-		a.hosts[h.Host] = h
-		if h.Health == "gone" {
-			delete(a.hosts, h.Host)
+	a.version++
+	for _, entry := range entries {
+		a.hosts[entry.Host] = entry
+		if entry.Health == "gone" {
+			delete(a.hosts, entry.Host)
 		}
-		a.s.Note(Event{At: at, Kind: Listed, Host: h.Host, Health: h.Health, Node: a.Node})
+		a.testbed.Record(Event{At: at, Kind: HealthListed, Host: entry.Host, Health: entry.Health, Node: a.Node})
 	}
-	a.changes = append(a.changes, all)
-	a.wake()
+	a.changes = append(a.changes, entries)
+	a.wakeWatches()
 }
 
-// Whole returns the whole list.
-func (a *Agent) Whole() string {
+// FullList returns the full list as JSON.
+func (a *Agent) FullList() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	hosts := []Host{}
+	entries := []EndpointEntry{}
 	for _, h := range a.hosts {
-		hosts = append(hosts, h)
+		entries = append(entries, h)
 	}
-	text, _ := json.Marshal(map[string]any{"seq": a.seq, "whole": true, "hosts": hosts})
+	text, _ := json.Marshal(map[string]any{"seq": a.version, "whole": true, "hosts": entries})
 	return string(text)
 }
 
-// list answers at once with what changed after a version, or with the whole list, and goes on as it changes. While mute it
-// says nothing; what is asked then is answered afterwards.
-func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
+// serveList answers a request for the list. Without a watch it sends the full list once. With a watch it sends the
+// changes after a version, or the full list, and continues with later changes; an empty line every 2 s keeps the
+// connection alive. While the agent is muted it sends nothing, and answers afterwards.
+func (a *Agent) serveList(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
-		_, _ = io.WriteString(w, a.Whole())
+		_, _ = io.WriteString(w, a.FullList())
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	flush := w.(http.Flusher)
+	flusher := w.(http.Flusher)
 	a.mu.Lock()
-	a.opened++
-	me := a.opened
+	a.openedWatches++
+	watch := a.openedWatches
 	a.mu.Unlock()
-	a.s.Note(Event{Kind: Watched})
+	a.testbed.Record(Event{Kind: WatchOpened})
 	for first := true; ; {
 		a.mu.Lock()
-		more, mute := a.more, a.mute || me <= a.deaf
+		changed, muted := a.changed, a.muted || watch <= a.silencedWatches
 		text := ""
-		if !mute && (first || from < a.seq) {
-			text, first, from = a.since(from), false, a.seq
+		if !muted && (first || from < a.version) {
+			text, first, from = a.changesSince(from), false, a.version
 		}
 		a.mu.Unlock()
 		_, _ = io.WriteString(w, text)
-		flush.Flush()
+		flusher.Flush()
 		if text != "" {
-			a.s.Note(Event{Kind: Told})
+			a.testbed.Record(Event{Kind: ListSent})
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-time.After(2 * time.Second):
-			if !mute {
+			if !muted {
 				_, _ = io.WriteString(w, "\n")
-				flush.Flush()
+				flusher.Flush()
 			}
 		case <-r.Context().Done():
 			return
@@ -505,31 +536,32 @@
 	}
 }
 
-// since is what changed after a version: changes, or the whole list where that version is not known. It is called with the
-// lock held.
-func (a *Agent) since(from int) string {
-	whole := from <= 0 || from > a.seq
-	hosts := []Host{}
+// changesSince returns the changes after a version, or the full list where that version is unknown. The caller holds the
+// lock.
+func (a *Agent) changesSince(from int) string {
+	whole := from <= 0 || from > a.version
+	entries := []EndpointEntry{}
 	if whole {
 		for _, h := range a.hosts {
-			hosts = append(hosts, h)
+			entries = append(entries, h)
 		}
 	} else {
 		for _, change := range a.changes[from:] {
-			hosts = append(hosts, change...)
+			entries = append(entries, change...)
 		}
 	}
-	v := map[string]any{"seq": a.seq, "whole": whole, "hosts": hosts}
-	text, _ := json.Marshal(v)
+	list := map[string]any{"seq": a.version, "whole": whole, "hosts": entries}
+	text, _ := json.Marshal(list)
 	if a.indent {
-		text, _ = json.MarshalIndent(v, "", "  ")
+		text, _ = json.MarshalIndent(list, "", "  ")
 	}
 	return string(text) + "\n"
 }
 
-func (a *Agent) outcomes(w http.ResponseWriter, r *http.Request) {
+// serveNotices records the notices of a request, one JSON value each.
+func (a *Agent) serveNotices(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
-	status := a.status
+	status := a.noticeStatus
 	a.mu.Unlock()
 	if status != 0 {
 		w.WriteHeader(status)
@@ -537,61 +569,65 @@
 	}
 	dec := json.NewDecoder(r.Body)
 	for {
-		var o struct {
+		var notice struct {
 			ID     string `json:"id"`
 			Status string `json:"status"`
 			Again  int64  `json:"again_ms"`
 		}
-		if err := dec.Decode(&o); err != nil {
+		if err := dec.Decode(&notice); err != nil {
 			break
 		}
-		a.s.Note(Event{Kind: Noticed, Name: o.ID, Text: o.Status, Wait: time.Duration(o.Again) * time.Millisecond})
+		a.testbed.Record(Event{Kind: NoticeReceived, Name: notice.ID, Text: notice.Status, Wait: time.Duration(notice.Again) * time.Millisecond})
 	}
 	w.WriteHeader(204)
 }
 
-// Message is what a client hands in.
+// Message is a message that a client submits.
 type Message struct {
-	Name, Class, Tenant, Key, Order string
-	Dest                            int
-	Left                            time.Duration
-	Body                            string
+	// Name identifies the message, IdempotencyKey is its key at the partner, and OrderKey is the key of its order.
+	Name, Class, Tenant, IdempotencyKey, OrderKey string
+	Dest                                          int
+	// Remaining is the time until the deadline.
+	Remaining time.Duration
+	Body      string
 }
 
-// Hand hands a message in on a connection of its own, and returns the status of the answer, 0 for none in time.
-func (s *Testbed) Hand(addr string, m Message) int {
+// Submit submits a message on a new connection and records the result. It returns the status of the answer, 0 where none
+// came within 400 ms.
+func (s *Testbed) Submit(addr string, m Message) int {
 	sent := clock.Wall()
-	status := hand(addr, m)
+	status := submit(addr, m)
 	e := Event{Kind: Refused, Name: m.Name, Status: status}
 	if status == 202 || status == 200 {
-		e = Event{Kind: Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Left), Key: m.Order}
+		e = Event{Kind: Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Key: m.OrderKey}
 	}
-	s.Note(e)
+	s.Record(e)
 	return status
 }
 
-func hand(addr string, m Message) int {
+// submit submits a message on a new connection and returns the status of the answer, 0 for none.
+func submit(addr string, m Message) int {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(clock.After(400 * time.Millisecond))
-	if _, err := c.Write(Form(m)); err != nil {
+	if _, err := c.Write(EncodeRequest(m)); err != nil {
 		return 0
 	}
-	status, _ := Status(c)
+	status, _ := ReadStatus(c)
 	return status
 }
 
-// Status reads the status of the first answer on a connection; it is 0, with the error, where none comes.
-func Status(c net.Conn) (int, error) {
-	var in []byte
+// ReadStatus reads the status of the first answer on a connection. It returns 0 and the error where none can be read.
+func ReadStatus(c net.Conn) (int, error) {
+	var buffered []byte
 	buf := make([]byte, 4096)
 	for {
 		n, err := c.Read(buf)
-		in = append(in, buf[:n]...)
-		if r, size, perr := h1.ParseResponse(in); perr == nil && size > 0 {
+		buffered = append(buffered, buf[:n]...)
+		if r, size, perr := h1.ParseResponse(buffered); perr == nil && size > 0 {
 			return r.Status, nil
 		}
 		if err != nil {
@@ -600,20 +636,21 @@
 	}
 }
 
-// Statuses reads so many answers on a connection and returns their statuses; fewer where it ends or its time is over.
-func Statuses(c net.Conn, enough int) (statuses []int) {
-	var in []byte
+// ReadStatuses reads up to count answers on a connection and returns their statuses. It returns fewer where the
+// connection ends, an answer is malformed or the read deadline passes.
+func ReadStatuses(c net.Conn, count int) (statuses []int) {
+	var buffered []byte
 	buf := make([]byte, 4096)
-	for len(statuses) < enough {
+	for len(statuses) < count {
 		n, err := c.Read(buf)
-		in = append(in, buf[:n]...)
+		buffered = append(buffered, buf[:n]...)
 		for {
-			r, size, perr := h1.ParseResponse(in)
+			r, size, perr := h1.ParseResponse(buffered)
 			if perr != nil || size == 0 {
 				break
 			}
 			statuses = append(statuses, r.Status)
-			in = in[size:]
+			buffered = buffered[size:]
 		}
 		if err != nil {
 			break
@@ -622,15 +659,15 @@
 	return statuses
 }
 
-// Form is a message as it is handed in.
-func Form(m Message) []byte {
-	pairs := []string{"Host", "api.internal", "X-Txn", m.Name, "X-Lane", m.Class, "X-Org", m.Tenant, "X-Remaining",
-		strconv.FormatFloat(m.Left.Seconds(), 'f', 3, 64), "Content-Length", strconv.Itoa(len(m.Body)), "X-Consignee", fmt.Sprintf("dest=%d", m.Dest)}
-	if m.Key != "" {
-		pairs = append(pairs, "Idempotency-Key", m.Key)
+// EncodeRequest returns the HTTP/1.1 request that submits a message.
+func EncodeRequest(m Message) []byte {
+	headers := []string{"Host", "api.internal", "X-Txn", m.Name, "X-Lane", m.Class, "X-Org", m.Tenant, "X-Remaining",
+		strconv.FormatFloat(m.Remaining.Seconds(), 'f', 3, 64), "Content-Length", strconv.Itoa(len(m.Body)), "X-Consignee", fmt.Sprintf("dest=%d", m.Dest)}
+	if m.IdempotencyKey != "" {
+		headers = append(headers, "Idempotency-Key", m.IdempotencyKey)
 	}
-	if m.Order != "" {
-		pairs = append(pairs, "X-Entity", "key="+m.Order)
+	if m.OrderKey != "" {
+		headers = append(headers, "X-Entity", "key="+m.OrderKey)
 	}
-	return append(h1.AppendHead(nil, "POST /"+m.Class+" HTTP/1.1", pairs...), m.Body...)
+	return append(h1.AppendHead(nil, "POST /"+m.Class+" HTTP/1.1", headers...), m.Body...)
 }
