--- a/control/control_test.go
+++ b/control/control_test.go
@@ -9,66 +9,66 @@
 	"testing"
 )
 
-const s = Second
+const sec = Second
 
 // classes of the scripted tests, by number.
 const (
-	free = iota
-	guarded
-	single
+	idempotent = iota
+	deduplicated
+	atMostOnce
 	ordered
 )
 
 func testSettings() Settings {
 	return Settings{
 		Instances: 2, Tick: 5 * Millisecond, Slots: 8, MaxOpen: 200, MaxAttempts: 6, MayCancel: true, StreamsPerConn: 8,
-		ConnIdleTimeout: 5 * s, ConnectTimeout: s, ColdCapacity: 0.2, WarmUp: 10 * s, CollapseMultiple: 2, MaxOverload: 2 * s,
-		SettleTime: 3 * s, ReportRemainingIndex: -1, ReportLimitIndex: -1, OverQuotaFactor: 0.05,
+		ConnIdleTimeout: 5 * sec, ConnectTimeout: sec, ColdCapacity: 0.2, WarmUp: 10 * sec, CollapseMultiple: 2, MaxOverload: 2 * sec,
+		SettleTime: 3 * sec, ReportRemainingIndex: -1, ReportLimitIndex: -1, OverQuotaFactor: 0.05,
 		DestinationKinds: []DestinationKind{{Name: "plain", MaxBatch: 1}, {Name: "batch", MaxBatch: 3}, {Name: "apart", MaxBatch: 1, PerEndpointLimits: true}},
 		Classes: []Class{
-			{Name: "free", Effect: Idempotent, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
-			{Name: "guarded", Effect: Deduplicated, DedupWindow: 10 * s, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
-			{Name: "single", Effect: AtMostOnce, Target: 2 * s, Deadline: 20 * s, Value: 1, LateValue: 0.5},
-			{Name: "ordered", Effect: Deduplicated, DedupWindow: 10 * s, Target: 2 * s, Deadline: 20 * s, Value: 1, InOrder: true},
+			{Name: "free", Effect: Idempotent, Target: 2 * sec, Deadline: 20 * sec, Value: 1, LateValue: 0.5},
+			{Name: "guarded", Effect: Deduplicated, DedupWindow: 10 * sec, Target: 2 * sec, Deadline: 20 * sec, Value: 1, LateValue: 0.5},
+			{Name: "single", Effect: AtMostOnce, Target: 2 * sec, Deadline: 20 * sec, Value: 1, LateValue: 0.5},
+			{Name: "ordered", Effect: Deduplicated, DedupWindow: 10 * sec, Target: 2 * sec, Deadline: 20 * sec, Value: 1, InOrder: true},
 		},
 	}
 }
 
-// rig drives a Dispatcher by script.
-type rig struct {
-	t   *testing.T
-	d   *Dispatcher
-	now Time
-	id  MessageID
+// runner drives a Dispatcher by script.
+type runner struct {
+	t          *testing.T
+	dispatcher *Dispatcher
+	now        Time
+	lastID     MessageID
 
 	timers []Action // asked for with a mark, After being when they are due
 }
 
-func newRig(t *testing.T, set Settings, entries ...Entry) *rig {
+func newRunner(t *testing.T, set Settings, entries ...Entry) *runner {
 	t.Helper()
 	d, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, d: d, now: 1000 * s}
-	r.at(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: entries})
+	r := &runner{t: t, dispatcher: d, now: 1000 * sec}
+	r.step(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: entries})
 	return r
 }
 
 // ep returns an endpoint, of a destination that nothing was asked for yet, too.
-func (r *rig) ep(id EndpointID) *endpoint {
-	r.d.destination(int(id) / 10)
-	return r.d.endpointByID[id]
+func (r *runner) endpoint(id EndpointID) *endpoint {
+	r.dispatcher.destination(int(id) / 10)
+	return r.dispatcher.endpointByID[id]
 }
 
-func ep(dest, n int) EndpointID { return EndpointID(dest*10 + n) }
+func endpointID(dest, n int) EndpointID { return EndpointID(dest*10 + n) }
 
 func entry(dest, n, kind int) Entry {
-	return Entry{Endpoint: ep(dest, n), Dest: dest, DestinationKind: kind, Health: Ready}
+	return Entry{Endpoint: endpointID(dest, n), Dest: dest, DestinationKind: kind, Health: Ready}
 }
 
-// at moves the clock on and plays one round with the ticks due; timers are left out of what is returned.
-func (r *rig) at(after Time, events ...Event) []Action {
+// step moves the clock on and plays one round with the ticks due; timers are left out of what is returned.
+func (r *runner) step(after Time, events ...Event) []Action {
 	r.now += after
 	r.timers = slices.DeleteFunc(r.timers, func(a Action) bool {
 		if a.After <= r.now {
@@ -76,7 +76,7 @@
 		}
 		return a.After <= r.now
 	})
-	acts := r.d.Step(r.now, events, nil)
+	acts := r.dispatcher.Step(r.now, events, nil)
 	for _, a := range acts {
 		if a.Kind == Timer && a.TimerToken != 0 {
 			a.After += r.now
@@ -86,29 +86,29 @@
 	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Log })
 }
 
-// msg makes the arrival of the next message.
-func (r *rig) msg(class, dest int) Event {
-	r.id++
-	return Event{Kind: Arrival, Message: r.id, Class: class, Dest: dest, TimeLeft: 20 * s}
+// arrival makes the arrival of the next message.
+func (r *runner) arrival(class, dest int) Event {
+	r.lastID++
+	return Event{Kind: Arrival, Message: r.lastID, Class: class, Dest: dest, TimeLeft: 20 * sec}
 }
 
-func (r *rig) keyed(key uint64) Event {
-	e := r.msg(ordered, 1)
+func (r *runner) keyedArrival(key uint64) Event {
+	e := r.arrival(ordered, 1)
 	e.Key = key
 	return e
 }
 
-func done(m MessageID, attempt int, res Result) Event {
+func outcome(m MessageID, attempt int, res Result) Event {
 	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Elapsed: 100 * Millisecond}
 }
 
-func full(m MessageID, attempt int, wait Time) Event {
-	e := done(m, attempt, LimitExceeded)
+func refusal(m MessageID, attempt int, wait Time) Event {
+	e := outcome(m, attempt, LimitExceeded)
 	e.RetryAfter = wait
 	return e
 }
 
-func sent(acts []Action) (ids []MessageID) {
+func sentMessages(acts []Action) (ids []MessageID) {
 	for _, a := range acts {
 		if a.Kind == Send {
 			ids = append(ids, a.Message)
@@ -117,24 +117,24 @@
 	return ids
 }
 
-func (r *rig) want(acts []Action, ids ...MessageID) {
+func (r *runner) wantSent(acts []Action, ids ...MessageID) {
 	r.t.Helper()
-	if got := sent(acts); !slices.Equal(got, ids) {
+	if got := sentMessages(acts); !slices.Equal(got, ids) {
 		r.t.Fatalf("at %v sent %v, want %v (%+v)", r.now, got, ids, acts)
 	}
 }
 
-func (r *rig) wantEnd(acts []Action, kind ActionKind, id MessageID) {
+func (r *runner) wantAnswer(acts []Action, kind ActionKind, id MessageID) {
 	r.t.Helper()
 	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == kind && a.Message == id }) {
 		r.t.Fatalf("at %v: no action %d for message %d in %+v", r.now, kind, id, acts)
 	}
 }
 
-// wait plays empty rounds of 20 ms and gathers their actions.
-func (r *rig) wait(span Time) (acts []Action) {
+// runFor plays empty rounds of 20 ms and gathers their actions.
+func (r *runner) runFor(span Time) (acts []Action) {
 	for end := r.now + span; r.now < end; {
-		acts = append(acts, r.at(min(20*Millisecond, end-r.now))...)
+		acts = append(acts, r.step(min(20*Millisecond, end-r.now))...)
 	}
 	return acts
 }
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestNewNamesTheSetting(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"extra.slots":       func(s *Settings) { s.Slots = 0 },
 		"limits.max-open":   func(s *Settings) { s.MaxOpen = 0 },
@@ -194,71 +194,71 @@
 
 // One slot, two destinations. A's call holds it 2 s, so A stands at 2; B, reviving, took the least other
 // counter, 0. B goes first, for 1 s; at 1 it is still the smaller and goes again; at 3 A has its turn.
-func TestTurnsBySlotTime(t *testing.T) {
+func TestDestinationsTakeTurnsBySlotTime(t *testing.T) {
 	set := testSettings()
 	set.Slots, set.Weights = 1, WeightNominal
 	one, two := entry(1, 0, 0), entry(2, 0, 0)
 	one.Weight, two.Weight = 1, 1
-	r := newRig(t, set, one, two)
-	r.want(r.at(0, r.msg(free, 1)), 1) // free slot and window: leaves at once
-	r.want(r.at(s/10, r.msg(free, 1), r.msg(free, 2), r.msg(free, 2), r.msg(free, 2)))
-	r.want(r.at(2*s-s/10, done(1, 0, OK)), 3)
-	r.want(r.at(s, done(3, 0, OK)), 4)
-	r.want(r.at(2*s, done(4, 0, OK)), 2)
-	if a, b := r.d.destination(1).virtualTime, r.d.destination(2).virtualTime; a != 2 || b != 3 {
+	r := newRunner(t, set, one, two)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1) // free slot and window: leaves at once
+	r.wantSent(r.step(sec/10, r.arrival(idempotent, 1), r.arrival(idempotent, 2), r.arrival(idempotent, 2), r.arrival(idempotent, 2)))
+	r.wantSent(r.step(2*sec-sec/10, outcome(1, 0, OK)), 3)
+	r.wantSent(r.step(sec, outcome(3, 0, OK)), 4)
+	r.wantSent(r.step(2*sec, outcome(4, 0, OK)), 2)
+	if a, b := r.dispatcher.destination(1).virtualTime, r.dispatcher.destination(2).virtualTime; a != 2 || b != 3 {
 		t.Errorf("counters %v and %v, want 2 and 3", a, b)
 	}
 }
 
-func TestWeightDividesTheCharge(t *testing.T) {
+func TestWeightDividesSlotTime(t *testing.T) {
 	for _, c := range []struct{ weight, want float64 }{{4, 0.5}, {1, 2}} {
 		set := testSettings()
 		set.Weights = WeightNominal
 		e := entry(1, 0, 0)
 		e.Weight = c.weight
-		r := newRig(t, set, e)
-		r.want(r.at(0, r.msg(free, 1)), 1)
-		r.at(2*s, done(1, 0, OK))
-		if got := r.d.destination(1).virtualTime; got != c.want {
+		r := newRunner(t, set, e)
+		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+		r.step(2*sec, outcome(1, 0, OK))
+		if got := r.dispatcher.destination(1).virtualTime; got != c.want {
 			t.Errorf("weight %v: charged %v, want %v", c.weight, got, c.want)
 		}
 	}
 }
 
-func TestRevivalTakesTheLeastOtherCounter(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
-	r.at(0, r.msg(free, 1), r.msg(free, 2))
-	r.d.destination(1).virtualTime, r.d.destination(2).virtualTime, r.d.destination(3).virtualTime = 7, 5, 90
-	r.d.reindex(r.d.destination(1))
-	r.d.reindex(r.d.destination(2))
-	r.at(s/10, r.msg(free, 3))
-	if got := r.d.destination(3).virtualTime; got != 5 {
+func TestReactivatedDestinationTakesMinVirtualTime(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	r.step(0, r.arrival(idempotent, 1), r.arrival(idempotent, 2))
+	r.dispatcher.destination(1).virtualTime, r.dispatcher.destination(2).virtualTime, r.dispatcher.destination(3).virtualTime = 7, 5, 90
+	r.dispatcher.reindex(r.dispatcher.destination(1))
+	r.dispatcher.reindex(r.dispatcher.destination(2))
+	r.step(sec/10, r.arrival(idempotent, 3))
+	if got := r.dispatcher.destination(3).virtualTime; got != 5 {
 		t.Errorf("revived at %v, want 5", got)
 	}
-	r.at(s/10, done(1, 0, OK), done(2, 0, OK), done(3, 0, OK))
-	r.at(s/10, r.msg(free, 1))
-	if got := r.d.destination(1).virtualTime; got != 0 {
+	r.step(sec/10, outcome(1, 0, OK), outcome(2, 0, OK), outcome(3, 0, OK))
+	r.step(sec/10, r.arrival(idempotent, 1))
+	if got := r.dispatcher.destination(1).virtualTime; got != 0 {
 		t.Errorf("revived alone at %v, want 0: idle counters are dropped", got)
 	}
 }
 
 // Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
-	d := r.d.destination(1)
-	if r.d.effectiveWindow(d); d.window != 4 {
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
+	d := r.dispatcher.destination(1)
+	if r.dispatcher.effectiveWindow(d); d.window != 4 {
 		t.Fatalf("Wmax starts at %d, want 4", d.window)
 	}
 	for i := range 3 {
-		r.at(s/10, r.msg(free, 1))
-		r.at(s/10, done(MessageID(i+1), 0, OK))
+		r.step(sec/10, r.arrival(idempotent, 1))
+		r.step(sec/10, outcome(MessageID(i+1), 0, OK))
 	}
 	if d.window != 5 {
 		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.window)
 	}
 }
 
-func TestWindowIntervalTest(t *testing.T) {
+func TestWindowReview(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		bad, w     int
@@ -266,15 +266,15 @@
 	}{
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
-		d := r.d.destination(1)
+		r := newRunner(t, testSettings(), entry(1, 0, 0))
+		d := r.dispatcher.destination(1)
 		d.windowStarting, d.window, d.inFlight = false, c.wmax, c.w
 		for i := range windowReviewFactor * c.wmax {
 			res := OK
 			if i < c.bad {
 				res = ErrorResponse
 			}
-			r.d.adjustWindow(d, res)
+			r.dispatcher.adjustWindow(d, res)
 		}
 		if d.window != c.want {
 			t.Errorf("%s: Wmax %d, want %d", c.name, d.window, c.want)
@@ -282,16 +282,16 @@
 	}
 }
 
-func TestBatchSharesOneSlotAndOneCharge(t *testing.T) {
+func TestBatchUsesOneSlotAndIsChargedOnce(t *testing.T) {
 	set := testSettings()
 	set.Slots, set.Weights = 1, WeightNominal
 	e := entry(1, 0, 1)
 	e.Weight = 1
-	r := newRig(t, set, e)
-	r.want(r.at(0, r.msg(free, 1), r.msg(free, 1), r.msg(free, 1), r.msg(free, 1)), 1, 2, 3)
-	r.want(r.at(s, done(1, 0, OK), done(2, 0, OK))) // the slot is held until the last outcome
-	r.want(r.at(s, done(3, 0, OK)), 4)
-	if got := r.d.destination(1).virtualTime; got != 2 {
+	r := newRunner(t, set, e)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1), r.arrival(idempotent, 1), r.arrival(idempotent, 1), r.arrival(idempotent, 1)), 1, 2, 3)
+	r.wantSent(r.step(sec, outcome(1, 0, OK), outcome(2, 0, OK))) // the slot is held until the last outcome
+	r.wantSent(r.step(sec, outcome(3, 0, OK)), 4)
+	if got := r.dispatcher.destination(1).virtualTime; got != 2 {
 		t.Errorf("a batch of three charged %v, want 2", got)
 	}
 }
@@ -305,24 +305,24 @@
 		resent bool
 		end    ActionKind
 	}{
-		{"free is resent", free, TimedOut, 3 * s, true, 0},
-		{"guarded inside its window", guarded, ErrorResponse, 10*s - StallMargin - 100*Millisecond, true, 0},
-		{"guarded so near its window's end that a stall passes it", guarded, ErrorResponse, 9900 * Millisecond, false, Refuse},
-		{"guarded past its window is handed back", guarded, ErrorResponse, 10 * s, false, Refuse},
-		{"unsafe in doubt only fails", single, Reset, s, false, Fail},
-		{"unsafe turned away is resent", single, LimitExceeded, s, true, 0},
-		{"unsafe that met nobody is resent", single, ConnectFailed, s, true, 0},
+		{"free is resent", idempotent, TimedOut, 3 * sec, true, 0},
+		{"guarded inside its window", deduplicated, ErrorResponse, 10*sec - StallMargin - 100*Millisecond, true, 0},
+		{"guarded so near its window's end that a stall passes it", deduplicated, ErrorResponse, 9900 * Millisecond, false, Refuse},
+		{"guarded past its window is handed back", deduplicated, ErrorResponse, 10 * sec, false, Refuse},
+		{"unsafe in doubt only fails", atMostOnce, Reset, sec, false, Fail},
+		{"unsafe turned away is resent", atMostOnce, LimitExceeded, sec, true, 0},
+		{"unsafe that met nobody is resent", atMostOnce, ConnectFailed, sec, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-			r.want(r.at(0, r.msg(c.class, 1)), 1)
-			acts := r.at(c.after, done(1, 0, c.res))
-			acts = append(acts, r.wait(3*s)...)
-			if c.resent != slices.Equal(sent(acts), []MessageID{1}) {
+			r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
+			r.wantSent(r.step(0, r.arrival(c.class, 1)), 1)
+			acts := r.step(c.after, outcome(1, 0, c.res))
+			acts = append(acts, r.runFor(3*sec)...)
+			if c.resent != slices.Equal(sentMessages(acts), []MessageID{1}) {
 				t.Fatalf("resent %v: %+v", !c.resent, acts)
 			}
 			if c.end != 0 {
-				r.wantEnd(acts, c.end, 1)
+				r.wantAnswer(acts, c.end, 1)
 			}
 		})
 	}
@@ -338,41 +338,41 @@
 		return acts[i].SendWithin
 	}
 	tick := testSettings().Tick
-	for class, want := range map[int]Time{free: 18*s - tick, guarded: 8*s - StallMargin - tick} { // the deadline, the window
-		r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-		if got := within(r.at(0, r.msg(class, 1))); got != 20*s-tick {
+	for class, want := range map[int]Time{idempotent: 18*sec - tick, deduplicated: 8*sec - StallMargin - tick} { // the deadline, the window
+		r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
+		if got := within(r.step(0, r.arrival(class, 1))); got != 20*sec-tick {
 			t.Errorf("class %d: a first attempt may begin within %d", class, got)
 		}
-		if got := within(r.at(2*s, done(1, 0, ErrorResponse))); got != want {
+		if got := within(r.step(2*sec, outcome(1, 0, ErrorResponse))); got != want {
 			t.Errorf("class %d: a repeat may begin within %d, want %d", class, got, want)
 		}
 	}
 }
 
-func TestGuardedByZoneStaysInItsZoneAndIsNotHandedBack(t *testing.T) {
+func TestDedupPerZoneRepeatsStayInTheirZone(t *testing.T) {
 	set := testSettings()
-	set.Classes[guarded].DedupPerZone = true
+	set.Classes[deduplicated].DedupPerZone = true
 	far := entry(1, 1, 0)
 	far.Zone = 1
-	r := newRig(t, set, entry(1, 0, 0), far)
-	acts := r.at(0, r.msg(guarded, 1))
-	if acts[0].Endpoint != ep(1, 0) {
+	r := newRunner(t, set, entry(1, 0, 0), far)
+	acts := r.step(0, r.arrival(deduplicated, 1))
+	if acts[0].Endpoint != endpointID(1, 0) {
 		t.Fatalf("the own zone comes first, sent to %d", acts[0].Endpoint)
 	}
 	gone := entry(1, 0, 0)
 	gone.Health = Draining
-	r.at(s/10, Event{Kind: ListUpdate, Entries: []Entry{gone}})
-	r.want(r.at(s/10, done(1, 0, ErrorResponse)))
-	r.wantEnd(r.wait(11*s), Fail, 1)
+	r.step(sec/10, Event{Kind: ListUpdate, Entries: []Entry{gone}})
+	r.wantSent(r.step(sec/10, outcome(1, 0, ErrorResponse)))
+	r.wantAnswer(r.runFor(11*sec), Fail, 1)
 }
 
-func TestAnswerBeforeTheTimeIsUp(t *testing.T) {
+func TestFinalAnswerComesBeforeTheDeadline(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		end   ActionKind
-	}{{free, Refuse}, {single, Fail}} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
-		acts := r.d.Step(r.now, []Event{r.msg(c.class, 1)}, nil)
+	}{{idempotent, Refuse}, {atMostOnce, Fail}} {
+		r := newRunner(t, testSettings(), entry(1, 0, 0))
+		acts := r.dispatcher.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
 		var mark uint64
 		var due Time
 		for _, a := range acts {
@@ -380,124 +380,124 @@
 				mark, due = a.TimerToken, a.After
 			}
 		}
-		if due >= 20*s {
+		if due >= 20*sec {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantEnd(r.at(due, Event{Kind: TimerFired, TimerToken: mark}), c.end, 1)
-		if more := r.at(s, Event{Kind: TimerFired, TimerToken: mark}, done(1, 0, TimedOut), done(1, 0, OK)); len(more) > 0 {
+		r.wantAnswer(r.step(due, Event{Kind: TimerFired, TimerToken: mark}), c.end, 1)
+		if more := r.step(sec, Event{Kind: TimerFired, TimerToken: mark}, outcome(1, 0, TimedOut), outcome(1, 0, OK)); len(more) > 0 {
 			t.Errorf("acts for an ended message: %+v", more)
 		}
 	}
 }
 
-func TestWaitBindsTheDestinationToItsLastMoment(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.at(0, r.msg(free, 1), r.msg(single, 1))
-	r.want(r.at(s/10, full(1, 0, 2*s), r.msg(guarded, 1)))
-	r.want(r.at(2*s, r.msg(free, 1))) // the last permitted moment to be still
-	if got := sent(r.wait(s)); len(got) == 0 {
+func TestRetryAfterAppliesToTheWholeDestination(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
+	r.step(0, r.arrival(idempotent, 1), r.arrival(atMostOnce, 1))
+	r.wantSent(r.step(sec/10, refusal(1, 0, 2*sec), r.arrival(deduplicated, 1)))
+	r.wantSent(r.step(2*sec, r.arrival(idempotent, 1))) // the last permitted moment to be still
+	if got := sentMessages(r.runFor(sec)); len(got) == 0 {
 		t.Error("nothing sent after the wait")
 	}
 }
 
-func TestWaitBindsOnlyTheRouteWhereRoutesAreApart(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 2), entry(1, 1, 2))
-	acts := r.at(0, r.msg(free, 1))
-	again := r.at(s/10, full(1, 0, 5*s))
-	r.want(again, 1)
+func TestRetryAfterAppliesToOneEndpointWithPerEndpointLimits(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 2), entry(1, 1, 2))
+	acts := r.step(0, r.arrival(idempotent, 1))
+	again := r.step(sec/10, refusal(1, 0, 5*sec))
+	r.wantSent(again, 1)
 	if again[0].Endpoint == acts[0].Endpoint {
 		t.Error("sent again to the route that told a wait")
 	}
 }
 
 // A wait told with a later outcome of a batched call was once missed, as the call had been learned from.
-func TestEveryOutcomeOfABatchTellsItsWait(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 1))
-	r.at(0, r.msg(free, 1), r.msg(free, 1))
-	r.at(s/10, full(1, 0, s), full(2, 0, 3*s))
-	r.want(r.wait(2900 * Millisecond))
+func TestRetryAfterOfEveryBatchOutcomeCounts(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 1))
+	r.step(0, r.arrival(idempotent, 1), r.arrival(idempotent, 1))
+	r.step(sec/10, refusal(1, 0, sec), refusal(2, 0, 3*sec))
+	r.wantSent(r.runFor(2900 * Millisecond))
 }
 
 func TestDrainingAndGoneEndpointsGetNothing(t *testing.T) {
 	for _, h := range []Health{Draining, Gone} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
+		r := newRunner(t, testSettings(), entry(1, 0, 0))
 		e := entry(1, 0, 0)
 		e.Health = h
-		r.at(0, Event{Kind: ListUpdate, Entries: []Entry{e}})
-		r.want(r.at(s/10, r.msg(free, 1)))
-		r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFailed})
-		r.want(r.wait(s)) // held, not answered
+		r.step(0, Event{Kind: ListUpdate, Entries: []Entry{e}})
+		r.wantSent(r.step(sec/10, r.arrival(idempotent, 1)))
+		r.step(sec/10, Event{Kind: ListUpdate, ListKind: ListFailed})
+		r.wantSent(r.runFor(sec)) // held, not answered
 		fresh := entry(1, 1, 0)
-		r.want(r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
+		r.wantSent(r.step(sec/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{fresh}}), 1)
 	}
 }
 
 func TestOrderByKey(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.want(r.at(0, r.keyed(9), r.keyed(9), r.keyed(5)), 1, 3)
-	r.want(r.at(s/10, done(1, 0, OK)), 2)
-	r.want(r.at(s/10, done(2, 0, Reset), r.keyed(9)), 2) // another try is not delayed, the next one waits
-	r.want(r.at(s/10, done(2, 1, OK)))
-	r.want(r.at(2700 * Millisecond)) // the key rests 3 s from the doubt, to its last moment
-	if got := sent(r.wait(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
+	r.wantSent(r.step(0, r.keyedArrival(9), r.keyedArrival(9), r.keyedArrival(5)), 1, 3)
+	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2)
+	r.wantSent(r.step(sec/10, outcome(2, 0, Reset), r.keyedArrival(9)), 2) // another try is not delayed, the next one waits
+	r.wantSent(r.step(sec/10, outcome(2, 1, OK)))
+	r.wantSent(r.step(2700 * Millisecond)) // the key rests 3 s from the doubt, to its last moment
+	if got := sentMessages(r.runFor(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
 		t.Errorf("after the rest sent %v, want 4", got)
 	}
 }
 
-func TestFailedHeadKeepsItsTurnUntilItsOutcome(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.keyed(9), r.keyed(9)), 1)
-	r.at(s/10, Event{Kind: Withdrawn, Message: 1})
-	r.want(r.at(s / 10))
-	r.want(r.at(s/10, done(1, 0, OK)), 2)
+func TestWithdrawnMessageBlocksItsKeyUntilItsOutcome(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	r.wantSent(r.step(0, r.keyedArrival(9), r.keyedArrival(9)), 1)
+	r.step(sec/10, Event{Kind: Withdrawn, Message: 1})
+	r.wantSent(r.step(sec / 10))
+	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2)
 }
 
-func TestTriesAreCounted(t *testing.T) {
+func TestMaxAttempts(t *testing.T) {
 	set := testSettings()
 	set.MaxAttempts = 2
-	r := newRig(t, set, entry(1, 0, 0), entry(1, 1, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/10, done(1, 0, ErrorResponse)), 1)
-	r.wantEnd(r.at(s/10, done(1, 1, ErrorResponse)), Refuse, 1)
+	r := newRunner(t, set, entry(1, 0, 0), entry(1, 1, 0))
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.wantSent(r.step(sec/10, outcome(1, 0, ErrorResponse)), 1)
+	r.wantAnswer(r.step(sec/10, outcome(1, 1, ErrorResponse)), Refuse, 1)
 }
 
 // A hang shows as age, long before any time-out: the destination is not fed, and a trial is harmless.
-func TestHangIsJudgedByAge(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
+func TestHungEndpointIsSuspectedByCallAge(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
 	for i := range 4 {
-		r.at(s/10, r.msg(free, 1))
-		r.at(s/10, done(MessageID(i+1), 0, OK))
+		r.step(sec/10, r.arrival(idempotent, 1))
+		r.step(sec/10, outcome(MessageID(i+1), 0, OK))
 	}
-	r.want(r.at(0, r.msg(single, 1)), 5)
-	r.wait(2 * s)
-	if e := r.ep(ep(1, 0)); !e.suspected {
+	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 5)
+	r.runFor(2 * sec)
+	if e := r.endpoint(endpointID(1, 0)); !e.suspected {
 		t.Fatal("a call out for 20 times the usual raises no suspicion")
 	}
-	if got := sent(append(r.at(0, r.msg(single, 1)), r.wait(300*Millisecond)...)); len(got) > 0 {
+	if got := sentMessages(append(r.step(0, r.arrival(atMostOnce, 1)), r.runFor(300*Millisecond)...)); len(got) > 0 {
 		t.Errorf("an unsafe message was risked: %v", got)
 	}
-	if got := sent(append(r.at(0, r.msg(free, 1)), r.wait(2*s)...)); !slices.Contains(got, 7) {
+	if got := sentMessages(append(r.step(0, r.arrival(idempotent, 1)), r.runFor(2*sec)...)); !slices.Contains(got, 7) {
 		t.Errorf("no harmless trial: %v", got)
 	}
 }
 
 // A sender with little traffic sees one refused connection and no second: it must not come back at full rate.
 func TestOneRefusedConnectionSuspectsAndReturnIsRamped(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/10, done(1, 0, ConnectFailed))
-	if !r.ep(ep(1, 0)).suspected {
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.step(sec/10, outcome(1, 0, ConnectFailed))
+	if !r.endpoint(endpointID(1, 0)).suspected {
 		t.Fatal("not suspect")
 	}
 	var trials []MessageID
 	for range 30 {
-		trials = append(trials, sent(r.at(s/10, r.msg(free, 1)))...)
+		trials = append(trials, sentMessages(r.step(sec/10, r.arrival(idempotent, 1)))...)
 	}
 	if len(trials) != 1 {
 		t.Fatalf("trials %v, want a single one", trials)
 	}
-	r.at(s/10, done(trials[0], r.d.messages[trials[0]].attempts-1, OK))
-	if got := sent(r.wait(s)); len(got) > 5 {
+	r.step(sec/10, outcome(trials[0], r.dispatcher.messages[trials[0]].attempts-1, OK))
+	if got := sentMessages(r.runFor(sec)); len(got) > 5 {
 		t.Errorf("%d messages in the first second of its return", len(got))
 	}
 }
@@ -507,79 +507,79 @@
 func TestConnectionsAreClosedWhereTheyAreScarce(t *testing.T) {
 	set := testSettings()
 	set.Instances = 20
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
+	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
 	closed := func(acts []Action, e EndpointID) bool {
 		return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
 	}
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	if closed(r.at(s/10, done(1, 0, OK)), ep(1, 0)) {
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	if closed(r.step(sec/10, outcome(1, 0, OK)), endpointID(1, 0)) {
 		t.Fatal("closed without need")
 	}
-	r.want(r.at(s/10, r.msg(free, 1), r.msg(free, 2), r.msg(free, 3)), 2, 3, 4)
-	r.at(s/10, done(2, 0, ConnectFailed))
-	if !closed(r.at(s/10, done(3, 0, OK)), ep(2, 0)) {
+	r.wantSent(r.step(sec/10, r.arrival(idempotent, 1), r.arrival(idempotent, 2), r.arrival(idempotent, 3)), 2, 3, 4)
+	r.step(sec/10, outcome(2, 0, ConnectFailed))
+	if !closed(r.step(sec/10, outcome(3, 0, OK)), endpointID(2, 0)) {
 		t.Error("left open at the kind that had no room")
 	}
-	if closed(r.at(s/10, done(4, 0, OK)), ep(3, 0)) {
+	if closed(r.step(sec/10, outcome(4, 0, OK)), endpointID(3, 0)) {
 		t.Error("closed at another kind")
 	}
-	r.wait(connScarcityPeriod)
-	r.at(s/10, r.msg(free, 2))
-	if closed(r.at(s/10, done(5, 0, OK)), ep(2, 0)) {
+	r.runFor(connScarcityPeriod)
+	r.step(sec/10, r.arrival(idempotent, 2))
+	if closed(r.step(sec/10, outcome(5, 0, OK)), endpointID(2, 0)) {
 		t.Error("the lesson is never forgotten")
 	}
 }
 
 // Connections that were dropped unseen after a while without use: the next call goes out on a fresh one.
 func TestReapedConnectionsAreClosedBeforeUse(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/10, done(1, 0, OK))
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.step(sec/10, outcome(1, 0, OK))
 	for range 2 { // two signs are needed
-		r.want(r.at(3*s, r.msg(free, 1)), r.id)
-		acts := r.at(s/10, done(r.id, 0, Reset)) // goes again at once, on a new connection
-		r.want(acts, r.id)
+		r.wantSent(r.step(3*sec, r.arrival(idempotent, 1)), r.lastID)
+		acts := r.step(sec/10, outcome(r.lastID, 0, Reset)) // goes again at once, on a new connection
+		r.wantSent(acts, r.lastID)
 		if acts[0].Kind != Close {
 			t.Fatalf("sent again without closing: %+v", acts)
 		}
-		r.at(s/10, done(r.id, 1, OK))
+		r.step(sec/10, outcome(r.lastID, 1, OK))
 	}
-	acts := r.at(2900*Millisecond, r.msg(single, 1))
+	acts := r.step(2900*Millisecond, r.arrival(atMostOnce, 1))
 	if len(acts) != 2 || acts[0].Kind != Close || acts[1].Kind != Send {
 		t.Errorf("an unsafe message was risked on a connection idle for as long: %+v", acts)
 	}
-	r.at(s/10, done(r.id, 0, OK))
-	if acts = r.at(s/2, r.msg(free, 1)); len(acts) != 1 {
+	r.step(sec/10, outcome(r.lastID, 0, OK))
+	if acts = r.step(sec/2, r.arrival(idempotent, 1)); len(acts) != 1 {
 		t.Errorf("closed one that is young: %+v", acts)
 	}
 }
 
 // Errors of three calls in four are no outage to a sender whose traffic shows that the fourth goes well.
 func TestScatteredErrorsAreNoOutage(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	for i := range 72 {
-		r.at(s/10, r.msg(single, 1))
+		r.step(sec/10, r.arrival(atMostOnce, 1))
 		res := ErrorResponse
 		if i < 60 || i%4 == 3 {
 			res = OK
 		}
-		r.at(s/10, done(MessageID(i+1), 0, res))
+		r.step(sec/10, outcome(MessageID(i+1), 0, res))
 	}
-	if r.ep(ep(1, 0)).suspected {
+	if r.endpoint(endpointID(1, 0)).suspected {
 		t.Error("an endpoint that answers every fourth call is shut off")
 	}
 }
 
 // To senders with little traffic two errors in a row are one: what hundreds of them spend to make sure would push an endpoint
 // over that returns.
-func TestErrorsInARowWithLittleTraffic(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.wait(20 * s)
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/50, done(1, 0, ErrorResponse)), 1)
-	acts := slices.Concat(r.at(s/50, done(1, 1, ErrorResponse)), r.wait(s/2))
-	r.want(acts)
-	if e := r.ep(ep(1, 0)); !e.suspected || !r.d.outageConfirmed(e) {
+func TestConsecutiveErrorsWithLittleTraffic(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	r.runFor(20 * sec)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.wantSent(r.step(sec/50, outcome(1, 0, ErrorResponse)), 1)
+	acts := slices.Concat(r.step(sec/50, outcome(1, 1, ErrorResponse)), r.runFor(sec/2))
+	r.wantSent(acts)
+	if e := r.endpoint(endpointID(1, 0)); !e.suspected || !r.dispatcher.outageConfirmed(e) {
 		t.Error("two errors of a sender with one message in 20 s are no outage")
 	}
 }
@@ -587,20 +587,20 @@
 // A silence that the next call does not bear out was a lost answer, but not where other calls of that time are out still.
 func TestSilenceOfManyCallsIsAnOutage(t *testing.T) {
 	for _, calls := range []int{1, 2, 3} {
-		r := newRig(t, testSettings(), entry(1, 0, 0))
+		r := newRunner(t, testSettings(), entry(1, 0, 0))
 		for range calls {
-			r.at(0, r.msg(single, 1))
+			r.step(0, r.arrival(atMostOnce, 1))
 		}
-		e := r.ep(ep(1, 0))
-		for r.wait(3 * s); !e.suspected; r.wait(s) {
+		e := r.endpoint(endpointID(1, 0))
+		for r.runFor(3 * sec); !e.suspected; r.runFor(sec) {
 		}
-		r.at(0, r.msg(single, 1))
-		r.wait(s)
+		r.step(0, r.arrival(atMostOnce, 1))
+		r.runFor(sec)
 		trial := e.calls[len(e.calls)-1]
 		if !e.suspected || !trial.trial || len(e.calls) != calls+1 {
 			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, e.suspected, trial.trial, len(e.calls))
 		}
-		r.at(0, done(trial.messages[0].id, 0, OK))
+		r.step(0, outcome(trial.messages[0].id, 0, OK))
 		if ramps := e.rampStart != 0; e.suspected || ramps != (calls == 3) {
 			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, e.suspected, ramps)
 		}
@@ -609,34 +609,34 @@
 
 // A fresh endpoint listed while all others of its destination are down once got the whole held backlog.
 func TestEndpointJoiningADownDestinationStartsCold(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.at(0, r.msg(free, 1))
-	r.at(s/10, done(1, 0, ConnectFailed))
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	r.step(0, r.arrival(idempotent, 1))
+	r.step(sec/10, outcome(1, 0, ConnectFailed))
 	for range 20 {
-		r.at(s/20, r.msg(single, 1))
+		r.step(sec/20, r.arrival(atMostOnce, 1))
 	}
-	acts := r.at(s/20, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}})
-	if got := sent(acts); len(got) > 1 {
+	acts := r.step(sec/20, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}})
+	if got := sentMessages(acts); len(got) > 1 {
 		t.Errorf("dumped %d messages on it", len(got))
 	}
 }
 
 // After refusals the release rate comes back within seconds; it once took half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	p := r.d.destination(1).limiter
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	p := r.dispatcher.destination(1).limiter
 	n, served := 0, 0
 	var next []Event
-	for r.now < 1030*s {
+	for r.now < 1030*sec {
 		events := next
 		next = nil
 		if n++; n%2 == 0 {
-			events = append(events, r.msg(free, 1))
+			events = append(events, r.arrival(idempotent, 1))
 		}
-		for _, id := range sent(r.at(s/20, events...)) {
-			e := done(id, r.d.messages[id].attempts-1, OK)
-			if r.now > 1005*s && r.now < 1006*s {
-				e = full(id, r.d.messages[id].attempts-1, 0)
+		for _, id := range sentMessages(r.step(sec/20, events...)) {
+			e := outcome(id, r.dispatcher.messages[id].attempts-1, OK)
+			if r.now > 1005*sec && r.now < 1006*sec {
+				e = refusal(id, r.dispatcher.messages[id].attempts-1, 0)
 			} else {
 				served++
 			}
@@ -650,29 +650,29 @@
 }
 
 // Late worth that has reached its floor yields to messages still in time.
-func TestOldLateMessagesYield(t *testing.T) {
+func TestMessagesAtLateValueYield(t *testing.T) {
 	set := testSettings()
 	set.HalveLateValue, set.Slots = true, 1
-	r := newRig(t, set, entry(1, 0, 0))
-	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(2, 0, 0)}})
-	r.want(r.at(0, r.msg(free, 2)), 1)
-	r.want(r.at(0, r.msg(free, 1)))
-	r.at(8*s, r.msg(free, 1))
-	r.want(r.at(s/10, done(1, 0, OK)), 3)
+	r := newRunner(t, set, entry(1, 0, 0))
+	r.step(0, Event{Kind: ListUpdate, Entries: []Entry{entry(2, 0, 0)}})
+	r.wantSent(r.step(0, r.arrival(idempotent, 2)), 1)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)))
+	r.step(8*sec, r.arrival(idempotent, 1))
+	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 3)
 }
 
-func TestSheddingKeepsTheBetter(t *testing.T) {
+func TestSheddingKeepsMessagesOfMoreValue(t *testing.T) {
 	set := testSettings()
 	set.MaxOpen, set.Slots = 8, 1
-	set.Classes[single].Value = 5
-	r := newRig(t, set, entry(1, 0, 0))
+	set.Classes[atMostOnce].Value = 5
+	r := newRunner(t, set, entry(1, 0, 0))
 	var acts []Action
 	for i := range 12 {
-		class := free
+		class := idempotent
 		if i%2 == 1 {
-			class = single
+			class = atMostOnce
 		}
-		acts = append(acts, r.at(Millisecond, r.msg(class, 1))...)
+		acts = append(acts, r.step(Millisecond, r.arrival(class, 1))...)
 	}
 	refused := 0
 	for _, a := range acts {
@@ -683,43 +683,43 @@
 			}
 		}
 	}
-	if refused == 0 || r.d.openMessages > 8 {
-		t.Errorf("%d refused, %d held", refused, r.d.openMessages)
+	if refused == 0 || r.dispatcher.openMessages > 8 {
+		t.Errorf("%d refused, %d held", refused, r.dispatcher.openMessages)
 	}
 }
 
 // A hang must not starve the others of slots.
-func TestReclaimTakesSlotsBackFromASuspect(t *testing.T) {
+func TestSlotsAreReclaimedFromASuspectedEndpoint(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
-	r.want(r.at(0, r.msg(single, 1), r.msg(single, 2)), 1, 2)
-	r.at(s, r.msg(free, 3))
-	acts := r.wait(8 * s)
+	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	r.wantSent(r.step(0, r.arrival(atMostOnce, 1), r.arrival(atMostOnce, 2)), 1, 2)
+	r.step(sec, r.arrival(idempotent, 3))
+	acts := r.runFor(8 * sec)
 	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Cancel }) {
 		t.Error("no slot was taken back")
 	}
 }
 
-func TestStrangeEventsDoNothing(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	acts := r.at(0, done(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: TimerFired, TimerToken: 12345},
+func TestUnexpectedEventsAreIgnored(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	acts := r.step(0, outcome(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: TimerFired, TimerToken: 12345},
 		Event{Kind: ProbeResult, Endpoint: 4}, Event{Kind: Started, Message: 3})
 	if len(acts) > 0 {
 		t.Errorf("acts: %+v", acts)
 	}
-	bad := r.msg(99, 1)
-	r.wantEnd(r.at(0, bad), Refuse, bad.Message)
-	r.want(r.at(s, r.msg(free, 77))) // no endpoint is listed: held
+	bad := r.arrival(99, 1)
+	r.wantAnswer(r.step(0, bad), Refuse, bad.Message)
+	r.wantSent(r.step(sec, r.arrival(idempotent, 77))) // no endpoint is listed: held
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	play := func() (all []Action) {
-		r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 1))
+		r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 1))
 		for i := range 200 {
-			acts := r.at(s/50, r.msg(i%3, 1+i%2))
-			for _, id := range sent(acts) {
-				acts = append(acts, r.at(s/50, done(id, r.d.messages[id].attempts-1, Result(i%6)))...)
+			acts := r.step(sec/50, r.arrival(i%3, 1+i%2))
+			for _, id := range sentMessages(acts) {
+				acts = append(acts, r.step(sec/50, outcome(id, r.dispatcher.messages[id].attempts-1, Result(i%6)))...)
 			}
 			all = append(all, acts...)
 		}
@@ -731,15 +731,15 @@
 }
 
 // Slow is not dead: the late answer to a call sent before the silence lifts suspicion without a ramp.
-func TestLateAnswerLiftsSuspicionWithoutRamp(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(single, 1)), 1)
-	r.wait(3 * s)
-	e := r.ep(ep(1, 0))
+func TestLateAnswerEndsSuspicionWithoutRamp(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 1)
+	r.runFor(3 * sec)
+	e := r.endpoint(endpointID(1, 0))
 	if !e.suspected {
 		t.Fatal("not suspect after 3 s")
 	}
-	r.at(0, done(1, 0, OK))
+	r.step(0, outcome(1, 0, OK))
 	if e.suspected || e.rampStart != 0 {
 		t.Errorf("suspect %v, cold since %v", e.suspected, e.rampStart)
 	}
@@ -747,20 +747,20 @@
 
 // Several sick destinations together must leave half of the slots to the others.
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.d.destination(n)
-		r.d.initWindow(d)
+		d := r.dispatcher.destination(n)
+		r.dispatcher.initWindow(d)
 		d.window, d.baselineLatency, d.latency.mean, d.inFlight = 5, 100, 100, 0
 	}
-	one, two := r.d.destination(1), r.d.destination(2)
-	r.d.calling = []*destination{one, two}
+	one, two := r.dispatcher.destination(1), r.dispatcher.destination(2)
+	r.dispatcher.calling = []*destination{one, two}
 	one.latency.mean, two.latency.mean, two.inFlight = 900, 900, 3
-	if got := r.d.effectiveWindow(one); got != 1 {
+	if got := r.dispatcher.effectiveWindow(one); got != 1 {
 		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
 	}
 	two.latency.mean = 100
-	if got := r.d.effectiveWindow(one); got != 4 {
+	if got := r.dispatcher.effectiveWindow(one); got != 4 {
 		t.Errorf("room %d as the only sick one, want half of the slots", got)
 	}
 }
@@ -770,29 +770,29 @@
 func TestDemandStandsInForAnUnlistedWeight(t *testing.T) {
 	set := testSettings()
 	set.Slots, set.MaxOpen = 2, 60
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0), entry(4, 0, 0))
+	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0), entry(4, 0, 0))
 	ends := map[MessageID]Time{}
 	served := 0
 	for i := range 1200 {
 		var events []Event
 		if i%4 == 0 {
-			events = append(events, r.msg(free, 1))
+			events = append(events, r.arrival(idempotent, 1))
 		}
 		if i%60 < 3 {
-			events = append(events, r.msg(free, 2+i%60))
+			events = append(events, r.arrival(idempotent, 2+i%60))
 		}
-		for id := MessageID(1); id <= r.id; id++ {
+		for id := MessageID(1); id <= r.lastID; id++ {
 			if at, out := ends[id]; out && r.now >= at {
 				delete(ends, id)
-				events = append(events, done(id, r.d.messages[id].attempts-1, OK))
+				events = append(events, outcome(id, r.dispatcher.messages[id].attempts-1, OK))
 			}
 		}
-		for _, a := range r.at(50*Millisecond, events...) {
+		for _, a := range r.step(50*Millisecond, events...) {
 			if a.Kind != Send {
 				continue
 			}
-			span := 2 * s
-			if a.Endpoint == ep(1, 0) {
+			span := 2 * sec
+			if a.Endpoint == endpointID(1, 0) {
 				span, served = 300*Millisecond, served+1
 			}
 			ends[a.Message] = r.now + span
@@ -804,14 +804,14 @@
 }
 
 // Of two free routes the one without a fee is taken, though it is in another zone; a plain destination pays none.
-func TestFeeWeighsInTheChoiceOfARoute(t *testing.T) {
+func TestZoneCostAffectsTheChoiceOfAnEndpoint(t *testing.T) {
 	for kind, want := range map[int]int{2: 1, 0: 0} {
 		set := testSettings()
 		set.ZoneCosts = []float64{0.05, 0}
 		far := entry(1, 1, kind)
 		far.Zone = 1
-		r := newRig(t, set, entry(1, 0, kind), far)
-		if acts := r.at(0, r.msg(free, 1)); acts[0].Endpoint != ep(1, want) {
+		r := newRunner(t, set, entry(1, 0, kind), far)
+		if acts := r.step(0, r.arrival(idempotent, 1)); acts[0].Endpoint != endpointID(1, want) {
 			t.Errorf("kind %d: sent to %d, want endpoint %d", kind, acts[0].Endpoint, want)
 		}
 	}
--- a/control/drops_test.go
+++ b/control/drops_test.go
@@ -2,22 +2,22 @@
 
 import "testing"
 
-// drops plays calls on a connection idle for so long that now and then end in a result, and go well the next time.
-func drops(t *testing.T, idle Time, end Result) *rig {
+// runConnDrops plays calls on a connection idle for so long that now and then end in a result, and go well the next time.
+func runConnDrops(t *testing.T, idle Time, end Result) *runner {
 	t.Helper()
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	send := func(res Result) {
-		r.want(r.at(idle, r.msg(free, 1)), r.id)
-		r.at(s/50, done(r.id, 0, res))
+		r.wantSent(r.step(idle, r.arrival(idempotent, 1)), r.lastID)
+		r.step(sec/50, outcome(r.lastID, 0, res))
 	}
 	send(OK)
 	for range 20 {
 		send(end)
-		r.at(s / 50)
-		if m := r.d.messages[r.id]; m == nil || m.call == nil {
+		r.step(sec / 50)
+		if m := r.dispatcher.messages[r.lastID]; m == nil || m.call == nil {
 			t.Fatal("it does not go again")
 		}
-		r.at(s/50, done(r.id, 1, OK))
+		r.step(sec/50, outcome(r.lastID, 1, OK))
 		send(OK)
 	}
 	return r
@@ -28,24 +28,24 @@
 	for _, c := range []struct {
 		idle Time
 		less bool
-	}{{50 * Millisecond, false}, {400 * Millisecond, false}, {3 * s, true}} {
-		r := drops(t, c.idle, Reset)
-		if got := r.d.kinds[0].safeIdleAge < 2*r.d.settings.ConnIdleTimeout; got != c.less {
-			t.Errorf("idle for %v: used up to %v", c.idle, r.d.kinds[0].safeIdleAge)
+	}{{50 * Millisecond, false}, {400 * Millisecond, false}, {3 * sec, true}} {
+		r := runConnDrops(t, c.idle, Reset)
+		if got := r.dispatcher.kinds[0].safeIdleAge < 2*r.dispatcher.settings.ConnIdleTimeout; got != c.less {
+			t.Errorf("idle for %v: used up to %v", c.idle, r.dispatcher.kinds[0].safeIdleAge)
 		}
 	}
 }
 
 // Where kept connections are reset, what must not run twice goes on new ones; silence after a short rest tells nothing.
-func TestSingleShotOnNewConnections(t *testing.T) {
+func TestAtMostOnceUsesNewConnections(t *testing.T) {
 	for _, c := range []struct {
 		end   Result
 		class int
 		close bool
-	}{{Reset, single, true}, {Reset, free, false}, {TimedOut, single, false}} {
-		r := drops(t, 200*Millisecond, c.end)
+	}{{Reset, atMostOnce, true}, {Reset, idempotent, false}, {TimedOut, atMostOnce, false}} {
+		r := runConnDrops(t, 200*Millisecond, c.end)
 		closed := false
-		for _, a := range r.at(s/5, r.msg(c.class, 1)) {
+		for _, a := range r.step(sec/5, r.arrival(c.class, 1)) {
 			closed = closed || a.Kind == Close
 		}
 		if closed != c.close {
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// fleet makes dispatchers that differ only in their seeds, each told of the same endpoints.
-func fleet(t *testing.T, n int, set Settings, entries ...Entry) []*rig {
+// newRunners makes dispatchers that differ only in their seeds, each told of the same endpoints.
+func newRunners(t *testing.T, n int, set Settings, entries ...Entry) []*runner {
 	t.Helper()
 	set.Instances = n
-	rigs := make([]*rig, n)
+	rigs := make([]*runner, n)
 	for i := range rigs {
-		r := newRig(t, set, entries...)
-		r.d.rng += uint64(i) * 2862933555777941757
-		r.wait(20 * s) // the memory of the demand is filled
+		r := newRunner(t, set, entries...)
+		r.dispatcher.rng += uint64(i) * 2862933555777941757
+		r.runFor(20 * sec) // the memory of the demand is filled
 		rigs[i] = r
 	}
 	return rigs
@@ -23,13 +23,13 @@
 func TestTrialsOfManySendersAddUpToAPartOfTheDemand(t *testing.T) {
 	const n = 60
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), entry(1, 0, 0)) {
-		r.want(r.at(0, r.msg(free, 1)), 1)
-		again := sent(append(r.at(s/50, done(1, 0, ConnectFailed)), r.wait(4*s)...))
+	for _, r := range newRunners(t, n, testSettings(), entry(1, 0, 0)) {
+		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+		again := sentMessages(append(r.step(sec/50, outcome(1, 0, ConnectFailed)), r.runFor(4*sec)...))
 		if len(again) != 1 {
 			t.Fatalf("%d tries to make sure, want one", len(again))
 		}
-		sends += len(sent(append(r.at(s/50, done(1, 1, ConnectFailed)), r.wait(2*s)...)))
+		sends += len(sentMessages(append(r.step(sec/50, outcome(1, 1, ConnectFailed)), r.runFor(2*sec)...)))
 	}
 	if sends > n/4 {
 		t.Errorf("%d trials of %d senders in two seconds", sends, n)
@@ -41,12 +41,12 @@
 
 // An outage mostly takes all endpoints of a destination: the second to fail makes sure, and neither is tried on.
 func TestFailingEndpointsBearEachOtherOut(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.wait(20 * s)
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.want(r.at(s/50, done(1, 0, ConnectFailed)), 1)
-	r.want(r.at(s/50, done(1, 1, ConnectFailed)))
-	if a, b := r.ep(ep(1, 0)), r.ep(ep(1, 1)); !r.d.outageConfirmed(a) || !r.d.outageConfirmed(b) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
+	r.runFor(20 * sec)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.wantSent(r.step(sec/50, outcome(1, 0, ConnectFailed)), 1)
+	r.wantSent(r.step(sec/50, outcome(1, 1, ConnectFailed)))
+	if a, b := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1)); !r.dispatcher.outageConfirmed(a) || !r.dispatcher.outageConfirmed(b) {
 		t.Error("two endpoints of one destination failed and the outage is not taken as sure")
 	}
 }
@@ -55,14 +55,14 @@
 func TestRetriesAfterRefusalsStayWithinTheOwnDemand(t *testing.T) {
 	const n = 50
 	sends := 0
-	for _, r := range fleet(t, n, testSettings(), entry(1, 0, 0)) {
-		next := []Event{r.msg(free, 1)}
-		for end := r.now + 15*s; r.now < end; {
+	for _, r := range newRunners(t, n, testSettings(), entry(1, 0, 0)) {
+		next := []Event{r.arrival(idempotent, 1)}
+		for end := r.now + 15*sec; r.now < end; {
 			events := next
 			next = nil
-			for _, id := range sent(r.at(s/20, events...)) {
+			for _, id := range sentMessages(r.step(sec/20, events...)) {
 				sends++
-				next = append(next, full(id, r.d.messages[id].attempts-1, 0))
+				next = append(next, refusal(id, r.dispatcher.messages[id].attempts-1, 0))
 			}
 		}
 	}
@@ -76,13 +76,13 @@
 	for _, c := range []struct {
 		again float64
 		most  Time
-	}{{1, 8 * s}, {0.05, 0}} {
+	}{{1, 8 * sec}, {0.05, 0}} {
 		served := 0
-		for _, r := range fleet(t, 20, testSettings(), entry(1, 0, 0)) {
-			r.d.kinds[0].retrySuccess = c.again
-			r.want(r.at(0, r.msg(free, 1)), 1)
-			r.at(s/10, full(1, 0, 0))
-			if got := sent(r.wait(8 * s)); len(got) > 0 {
+		for _, r := range newRunners(t, 20, testSettings(), entry(1, 0, 0)) {
+			r.dispatcher.kinds[0].retrySuccess = c.again
+			r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+			r.step(sec/10, refusal(1, 0, 0))
+			if got := sentMessages(r.runFor(8 * sec)); len(got) > 0 {
 				served++
 			}
 		}
@@ -94,25 +94,25 @@
 
 // A lost answer is no outage: the next call at once, no ramp, and silence is borne for less time from then on.
 func TestLostAnswersAreLearned(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	for range 20 {
-		r.want(r.at(s/2, r.msg(free, 1)), r.id)
-		r.at(s/10, done(r.id, 0, OK))
+		r.wantSent(r.step(sec/2, r.arrival(idempotent, 1)), r.lastID)
+		r.step(sec/10, outcome(r.lastID, 0, OK))
 	}
-	before := r.d.silenceTimeout(r.d.destination(1))
+	before := r.dispatcher.silenceTimeout(r.dispatcher.destination(1))
 	for range 6 {
-		r.want(r.at(s/2, r.msg(single, 1)), r.id)
-		lost := r.id
-		r.wait(s)
-		r.want(r.at(0, r.msg(free, 1)), r.id)
-		r.at(s/10, done(r.id, 0, OK))
-		r.at(0, done(lost, 0, Cancelled))
-		if e := r.ep(ep(1, 0)); e.suspected || e.rampStart != 0 {
+		r.wantSent(r.step(sec/2, r.arrival(atMostOnce, 1)), r.lastID)
+		lost := r.lastID
+		r.runFor(sec)
+		r.wantSent(r.step(0, r.arrival(idempotent, 1)), r.lastID)
+		r.step(sec/10, outcome(r.lastID, 0, OK))
+		r.step(0, outcome(lost, 0, Cancelled))
+		if e := r.endpoint(endpointID(1, 0)); e.suspected || e.rampStart != 0 {
 			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspected, e.rampStart)
 		}
 	}
-	if after := r.d.silenceTimeout(r.d.destination(1)); r.d.lossShare < 0.2 || after >= before {
-		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.d.lossShare, after, before)
+	if after := r.dispatcher.silenceTimeout(r.dispatcher.destination(1)); r.dispatcher.lossShare < 0.2 || after >= before {
+		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.dispatcher.lossShare, after, before)
 	}
 }
 
@@ -124,12 +124,12 @@
 	}{{0.2, Fail}, {unlimitedAllowance, Refuse}} {
 		set := testSettings()
 		set.MaxOpen = 3
-		r := newRig(t, set, entry(1, 0, 0))
-		r.wait(20 * s)
-		r.at(0, r.msg(free, 1))
-		r.at(s/10, full(1, 0, 10*s))
-		r.d.destination(1).limiter.allowance = c.allow
-		acts := append(r.at(s/10, r.msg(free, 1)), r.at(s/10, r.msg(free, 1))...)
+		r := newRunner(t, set, entry(1, 0, 0))
+		r.runFor(20 * sec)
+		r.step(0, r.arrival(idempotent, 1))
+		r.step(sec/10, refusal(1, 0, 10*sec))
+		r.dispatcher.destination(1).limiter.allowance = c.allow
+		acts := append(r.step(sec/10, r.arrival(idempotent, 1)), r.step(sec/10, r.arrival(idempotent, 1))...)
 		if len(acts) != 1 || acts[0].Kind != c.want {
 			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, acts, c.want)
 		}
@@ -140,53 +140,53 @@
 func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
 	set := testSettings()
 	set.Slots = 2
-	r := newRig(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
-	r.want(r.at(0, r.msg(single, 1)), 1)
-	r.wait(4 * s)
-	r.at(0, r.msg(single, 2))
-	r.wait(4 * s)
-	one, two := r.d.destination(1), r.d.destination(2)
-	if !r.d.degraded(one) || !r.d.degraded(two) {
+	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 1)
+	r.runFor(4 * sec)
+	r.step(0, r.arrival(atMostOnce, 2))
+	r.runFor(4 * sec)
+	one, two := r.dispatcher.destination(1), r.dispatcher.destination(2)
+	if !r.dispatcher.degraded(one) || !r.dispatcher.degraded(two) {
 		t.Fatal("not both are taken as hung")
 	}
-	acts := r.at(0, r.msg(free, 3))
-	want := r.id
+	acts := r.step(0, r.arrival(idempotent, 3))
+	want := r.lastID
 	for range 150 {
 		var ends []Event
 		for _, a := range acts {
 			if a.Kind == Cancel {
-				ends = append(ends, done(a.Message, a.Attempt, Cancelled))
+				ends = append(ends, outcome(a.Message, a.Attempt, Cancelled))
 			}
 			if a.Kind == Send && a.Message == want {
 				return
 			}
 		}
-		acts = r.at(s/50, ends...)
+		acts = r.step(sec/50, ends...)
 	}
 	t.Error("a message for a well destination waits for a slot held by hung ones")
 }
 
 // What is of no more use goes: endpoints replaced, destinations unlisted, keys that rested.
 func TestStateDoesNotGrow(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	for i := range 200 {
 		e := entry(1, i+2, 0)
 		o := entry(100+i, 0, 0)
-		r.at(0, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{e, o}})
-		m, n, k := r.msg(free, 1), r.msg(free, 100+i), r.keyed(uint64(1000+i))
-		acts := r.at(s/10, m, n, k)
-		for _, id := range sent(acts) {
+		r.step(0, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{e, o}})
+		m, n, k := r.arrival(idempotent, 1), r.arrival(idempotent, 100+i), r.keyedArrival(uint64(1000+i))
+		acts := r.step(sec/10, m, n, k)
+		for _, id := range sentMessages(acts) {
 			res := OK
 			if id == k.Message {
 				res = Reset
 			}
-			r.at(s/50, done(id, 0, res))
+			r.step(sec/50, outcome(id, 0, res))
 		}
-		r.at(s/50, Event{Kind: Withdrawn, Message: k.Message}, done(k.Message, 1, OK))
-		r.wait(s)
+		r.step(sec/50, Event{Kind: Withdrawn, Message: k.Message}, outcome(k.Message, 1, OK))
+		r.runFor(sec)
 	}
-	r.wait(2 * housekeepingInterval)
-	d := r.d
+	r.runFor(2 * housekeepingInterval)
+	d := r.dispatcher
 	if len(d.endpointByID) > 2 || len(d.destByNumber) > 2 || len(d.dests) > 2 || len(d.messages) > 0 || len(d.keys) > 0 || len(d.restingKeys) > 0 {
 		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
 			len(d.endpointByID), len(d.destByNumber), len(d.dests), len(d.messages), len(d.keys), len(d.restingKeys))
@@ -194,35 +194,35 @@
 }
 
 // A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
-func TestRestAndWaitOutliveTheirMessages(t *testing.T) {
+func TestKeyRestAndRetryAfterOutliveTheirMessages(t *testing.T) {
 	set := testSettings()
-	set.SettleTime = 30 * s
-	r := newRig(t, set, entry(1, 0, 0))
-	r.want(r.at(0, r.keyed(9)), 1)
-	r.at(s/10, Event{Kind: Withdrawn, Message: 1}, done(1, 0, Reset))
-	r.wait(2 * housekeepingInterval)
-	e := r.keyed(9)
-	e.TimeLeft = 40 * s
-	r.want(append(r.at(0, e), r.wait(9*s)...))
-	if got := sent(r.wait(2 * s)); len(got) != 1 {
+	set.SettleTime = 30 * sec
+	r := newRunner(t, set, entry(1, 0, 0))
+	r.wantSent(r.step(0, r.keyedArrival(9)), 1)
+	r.step(sec/10, Event{Kind: Withdrawn, Message: 1}, outcome(1, 0, Reset))
+	r.runFor(2 * housekeepingInterval)
+	e := r.keyedArrival(9)
+	e.TimeLeft = 40 * sec
+	r.wantSent(append(r.step(0, e), r.runFor(9*sec)...))
+	if got := sentMessages(r.runFor(2 * sec)); len(got) != 1 {
 		t.Errorf("after the rest sent %v", got)
 	}
-	r.at(0, done(2, 0, OK))
-	r.want(r.at(s, r.msg(free, 1)), 3)
+	r.step(0, outcome(2, 0, OK))
+	r.wantSent(r.step(sec, r.arrival(idempotent, 1)), 3)
 	gone := entry(1, 0, 0)
 	gone.Health = Gone
-	r.at(s/10, full(3, 0, 60*s), Event{Kind: ListUpdate, Entries: []Entry{gone}})
-	r.wait(30 * s)
-	r.want(append(r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}}, r.msg(free, 1)), r.wait(10*s)...))
+	r.step(sec/10, refusal(3, 0, 60*sec), Event{Kind: ListUpdate, Entries: []Entry{gone}})
+	r.runFor(30 * sec)
+	r.wantSent(append(r.step(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}}, r.arrival(idempotent, 1)), r.runFor(10*sec)...))
 }
 
-func TestNotesAreRare(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0))
+func TestLogLinesAreRateLimited(t *testing.T) {
+	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	notes := 0
 	for range 40 {
-		r.d.startSlowStart(r.ep(ep(1, 0)), r.now)
-		r.now += s / 2
-		for _, a := range r.d.Step(r.now, nil, nil) {
+		r.dispatcher.startSlowStart(r.endpoint(endpointID(1, 0)), r.now)
+		r.now += sec / 2
+		for _, a := range r.dispatcher.Step(r.now, nil, nil) {
 			if a.Kind == Log {
 				notes++
 			}
@@ -236,61 +236,61 @@
 // A failed endpoint that leaves the list takes nothing of what is known with it: hundreds of senders once tried
 // its sibling at the same moment, when the gone one was forgotten.
 func TestOutageOutlivesTheEndpointsThatShowedIt(t *testing.T) {
-	r := newRig(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
-	r.wait(20 * s)
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	acts := r.at(s/50, done(1, 0, ConnectFailed))
-	r.want(acts, 1)
+	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
+	r.runFor(20 * sec)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	acts := r.step(sec/50, outcome(1, 0, ConnectFailed))
+	r.wantSent(acts, 1)
 	gone := entry(1, int(acts[0].Endpoint)%10, 0)
 	gone.Health = Gone
-	r.at(s/50, done(1, 1, ConnectFailed), Event{Kind: ListUpdate, Entries: []Entry{gone}})
-	r.wait(2 * housekeepingInterval)
-	left := r.d.destination(1).endpoints
-	if len(left) != 1 || !r.d.outageConfirmed(left[0]) {
+	r.step(sec/50, outcome(1, 1, ConnectFailed), Event{Kind: ListUpdate, Entries: []Entry{gone}})
+	r.runFor(2 * housekeepingInterval)
+	left := r.dispatcher.destination(1).endpoints
+	if len(left) != 1 || !r.dispatcher.outageConfirmed(left[0]) {
 		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
 	}
-	r.at(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 2, 0)}})
-	if e := r.ep(ep(1, 2)); e.rampStart == 0 {
+	r.step(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 2, 0)}})
+	if e := r.endpoint(endpointID(1, 2)); e.rampStart == 0 {
 		t.Error("an endpoint that joins does not start cold")
 	}
 }
 
 // Aims of nothing are legal settings: shares and waits stay finite, and messages are sent and answered.
-func TestAimOfNothingIsHarmless(t *testing.T) {
+func TestZeroTargetIsHarmless(t *testing.T) {
 	set := testSettings()
 	for i := range set.Classes {
 		set.Classes[i].Target = 0
 	}
-	r := newRig(t, set, entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/10, full(1, 0, 0))
-	p := r.d.destination(1).limiter
-	if r.wait(5 * s); p.tokens != p.tokens || p.waitUntil > r.now+maxBackoff {
+	r := newRunner(t, set, entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.step(sec/10, refusal(1, 0, 0))
+	p := r.dispatcher.destination(1).limiter
+	if r.runFor(5 * sec); p.tokens != p.tokens || p.waitUntil > r.now+maxBackoff {
 		t.Errorf("tokens %v, wait until %v at %v", p.tokens, p.waitUntil, r.now)
 	}
-	if d := r.d; !(d.minTarget > 0) {
+	if d := r.dispatcher; !(d.minTarget > 0) {
 		t.Errorf("aim %v", d.minTarget)
 	}
 }
 
 // Replaced endpoints, failed lists and notes, over many cycles: nothing is kept of them.
-func TestStateDoesNotGrowWithNotesAndFailedLists(t *testing.T) {
-	set := peers()
-	set.PullList, set.PullInterval = true, 10*s
-	r := newRig(t, set, entry(1, 0, 2))
+func TestStateDoesNotGrowWithHintsAndFailedLists(t *testing.T) {
+	set := gossipSettings()
+	set.PullList, set.PullInterval = true, 10*sec
+	r := newRunner(t, set, entry(1, 0, 2))
 	for i := range 200 {
-		n := hintID(ep(1, i+2))
-		r.at(s/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, i+2, 2)}}, Event{Kind: ListUpdate, ListKind: ListFailed})
-		m := r.msg(free, 1)
-		r.at(s/10, m, Event{Kind: GossipReceived, Payload: string([]byte{byte(i), byte(n >> 16), byte(n >> 8), byte(n)})})
-		r.wait(s)
-		if r.d.messages[m.Message] != nil && r.d.messages[m.Message].call != nil {
-			r.at(0, usedUp(m.Message, r.d.messages[m.Message].attempts-1, 0))
+		n := hintID(endpointID(1, i+2))
+		r.step(sec/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, i+2, 2)}}, Event{Kind: ListUpdate, ListKind: ListFailed})
+		m := r.arrival(idempotent, 1)
+		r.step(sec/10, m, Event{Kind: GossipReceived, Payload: string([]byte{byte(i), byte(n >> 16), byte(n >> 8), byte(n)})})
+		r.runFor(sec)
+		if r.dispatcher.messages[m.Message] != nil && r.dispatcher.messages[m.Message].call != nil {
+			r.step(0, usedUpRefusal(m.Message, r.dispatcher.messages[m.Message].attempts-1, 0))
 		}
-		r.at(s/10, Event{Kind: Withdrawn, Message: m.Message})
+		r.step(sec/10, Event{Kind: Withdrawn, Message: m.Message})
 	}
-	r.wait(3 * housekeepingInterval)
-	if d := r.d; len(d.endpointByHint) > 2 || len(d.endpointByID) > 2 || len(d.hints) > 0 || len(d.messages) > 0 || len(r.timers) > 40 {
+	r.runFor(3 * housekeepingInterval)
+	if d := r.dispatcher; len(d.endpointByHint) > 2 || len(d.endpointByID) > 2 || len(d.hints) > 0 || len(d.messages) > 0 || len(r.timers) > 40 {
 		t.Errorf("left: %d names, %d endpoints, %d bytes of notes, %d messages, %d timers",
 			len(d.endpointByHint), len(d.endpointByID), len(d.hints), len(d.messages), len(r.timers))
 	}
@@ -302,15 +302,15 @@
 	const n = 60
 	set := testSettings()
 	atOnce, soon := 0, 0
-	for _, r := range fleet(t, n, set, entry(1, 0, 0)) {
-		r.want(r.at(0, r.msg(free, 1)), 1)
-		opens := r.now + 8*s
-		r.at(s/50, full(1, 0, opens-r.now-s/50))
-		for r.now < opens-s/2 {
-			r.at(s/2, r.msg(free, 1))
+	for _, r := range newRunners(t, n, set, entry(1, 0, 0)) {
+		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+		opens := r.now + 8*sec
+		r.step(sec/50, refusal(1, 0, opens-r.now-sec/50))
+		for r.now < opens-sec/2 {
+			r.step(sec/2, r.arrival(idempotent, 1))
 		}
-		atOnce += len(sent(r.wait(opens + s/10 - r.now)))
-		soon += len(sent(r.wait(2 * s)))
+		atOnce += len(sentMessages(r.runFor(opens + sec/10 - r.now)))
+		soon += len(sentMessages(r.runFor(2 * sec)))
 	}
 	// Each has a demand of two a second. Cold, a destination of that demand bears about 0.2 of it; 120 x 0.2 x 0.1 s are 2.4.
 	if atOnce > n/6 {
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// peers makes the settings of dispatchers that may send each other notes and read reports.
-func peers() Settings {
+// gossipSettings makes the settings of dispatchers that may send each other notes and read reports.
+func gossipSettings() Settings {
 	set := testSettings()
 	set.Gossip, set.GossipCost, set.Instances = true, 0.01/256, 100
 	set.ReportRemainingIndex, set.ReportLimitIndex = 0, 1
 	return set
 }
 
-func usedUp(m MessageID, attempt int, left float32) Event {
-	e := full(m, attempt, 0)
+func usedUpRefusal(m MessageID, attempt int, left float32) Event {
+	e := refusal(m, attempt, 0)
 	e.Report = []float32{left, 10}
 	return e
 }
 
-func note(acts []Action) string {
+func sentHints(acts []Action) string {
 	for _, a := range acts {
 		if a.Kind == SendGossip {
 			return a.Text
@@ -32,25 +32,25 @@
 // Hundreds of senders each learning of a limit from their own refusals once kept it at nothing: refused calls used
 // it up. One tells, all hold, and go on spread.
 func TestUsedUpLimitIsToldAndHeldByAll(t *testing.T) {
-	a, b := newRig(t, peers(), entry(1, 0, 0)), newRig(t, peers(), entry(1, 0, 0))
-	a.want(a.at(0, a.msg(free, 1)), 1)
-	told := note(a.at(s/50, usedUp(1, 0, 0)))
+	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
+	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
+	told := sentHints(a.step(sec/50, usedUpRefusal(1, 0, 0)))
 	if told == "" {
 		t.Fatal("a used-up limit is not told")
 	}
 	heard := Event{Kind: GossipReceived, Payload: told}
-	b.want(b.at(0, heard, b.msg(free, 1)))
-	b.want(b.wait(defaultHold - s/50))
-	if got := sent(b.wait(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
+	b.wantSent(b.step(0, heard, b.arrival(idempotent, 1)))
+	b.wantSent(b.runFor(defaultHold - sec/50))
+	if got := sentMessages(b.runFor(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
 		t.Errorf("after the hold sent %v", got)
 	}
 	var at []Time // many receivers: their releases are apart
 	for seed := range uint64(20) {
-		r := newRig(t, peers(), entry(1, 0, 0))
-		r.d.rng += seed * 2862933555777941757
+		r := newRunner(t, gossipSettings(), entry(1, 0, 0))
+		r.dispatcher.rng += seed * 2862933555777941757
 		start := r.now
-		r.at(0, heard, r.msg(free, 1))
-		for r.now < start+2*maxSpread && len(sent(r.at(20*Millisecond))) == 0 {
+		r.step(0, heard, r.arrival(idempotent, 1))
+		for r.now < start+2*maxSpread && len(sentMessages(r.step(20*Millisecond))) == 0 {
 		}
 		at = append(at, r.now-start)
 	}
@@ -62,35 +62,35 @@
 // A report is late: two refusals in a row are told though it shows the limit as left, more are not, as a shut
 // destination shows it so, too; nor is one that an endpoint gives that fails or is cold. The refusals are further
 // apart than a shut endpoint's calls are paced.
-func TestRefusalsWithLimitLeftAreToldTwice(t *testing.T) {
-	r := newRig(t, peers(), entry(1, 0, 0))
-	r.d.gossipCredit = 1000
-	apart := unseenWarmUps*r.d.settings.WarmUp + s
+func TestRefusalsWithLimitLeftAreGossipedTwice(t *testing.T) {
+	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
+	r.dispatcher.gossipCredit = 1000
+	apart := unseenWarmUps*r.dispatcher.settings.WarmUp + sec
 	told := 0
 	for i := range 5 {
-		r.want(r.at(apart, r.msg(free, 1)), r.id)
-		if note(r.at(s/50, usedUp(r.id, 0, 0.9))) != "" {
+		r.wantSent(r.step(apart, r.arrival(idempotent, 1)), r.lastID)
+		if sentHints(r.step(sec/50, usedUpRefusal(r.lastID, 0, 0.9))) != "" {
 			told++
 		}
-		r.at(0, Event{Kind: Withdrawn, Message: r.id})
+		r.step(0, Event{Kind: Withdrawn, Message: r.lastID})
 		if want := min(i+1, minConfirmFailures); told != want {
 			t.Fatalf("%d refusals in a row, %d told, want %d", i+1, told, want)
 		}
-		r.d.destination(1).limiter.tokens, r.ep(ep(1, 0)).rampStart = 1, 0
+		r.dispatcher.destination(1).limiter.tokens, r.endpoint(endpointID(1, 0)).rampStart = 1, 0
 	}
-	r = newRig(t, peers(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.ep(ep(1, 0)).rampStart = r.now
-	if got := note(r.at(s/50, usedUp(1, 0, 0.9))); got != "" {
+	r = newRunner(t, gossipSettings(), entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.endpoint(endpointID(1, 0)).rampStart = r.now
+	if got := sentHints(r.step(sec/50, usedUpRefusal(1, 0, 0.9))); got != "" {
 		t.Errorf("a cold one's refusal was told: %q", got)
 	}
 }
 
-// untilSent plays rounds of 20 ms until something is sent.
-func (r *rig) untilSent(most Time) {
+// runUntilSent plays rounds of 20 ms until something is sent.
+func (r *runner) runUntilSent(most Time) {
 	r.t.Helper()
 	for end := r.now + most; r.now < end; {
-		if len(sent(r.at(20*Millisecond))) > 0 {
+		if len(sentMessages(r.step(20*Millisecond))) > 0 {
 			return
 		}
 	}
@@ -98,41 +98,41 @@
 }
 
 // Of a return seen elsewhere: a sender with rare traffic once found it after tens of seconds.
-func TestReturnIsToldAndHeard(t *testing.T) {
-	a, b := newRig(t, peers(), entry(1, 0, 0)), newRig(t, peers(), entry(1, 0, 0))
-	a.want(a.at(0, a.msg(free, 1)), 1)
-	a.at(s/50, done(1, 0, ConnectFailed))
-	a.untilSent(5 * s)
-	b.want(b.at(0, b.msg(free, 1)), 1)
-	b.at(s/50, done(1, 0, ConnectFailed))
-	b.untilSent(5 * s)
-	b.at(0, done(1, 1, ConnectFailed))
-	a.ep(ep(1, 0)).downSince -= 5 * s // here it has lasted longer
-	e := b.ep(ep(1, 0))
-	if !e.suspected || !b.d.outageConfirmed(e) {
+func TestReturnIsGossiped(t *testing.T) {
+	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
+	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
+	a.step(sec/50, outcome(1, 0, ConnectFailed))
+	a.runUntilSent(5 * sec)
+	b.wantSent(b.step(0, b.arrival(idempotent, 1)), 1)
+	b.step(sec/50, outcome(1, 0, ConnectFailed))
+	b.runUntilSent(5 * sec)
+	b.step(0, outcome(1, 1, ConnectFailed))
+	a.endpoint(endpointID(1, 0)).downSince -= 5 * sec // here it has lasted longer
+	e := b.endpoint(endpointID(1, 0))
+	if !e.suspected || !b.dispatcher.outageConfirmed(e) {
 		t.Fatal("not sure of an outage")
 	}
-	told := note(a.at(0, done(1, 1, OK)))
-	b.at(0, Event{Kind: GossipReceived, Payload: told})
+	told := sentHints(a.step(0, outcome(1, 1, OK)))
+	b.step(0, Event{Kind: GossipReceived, Payload: told})
 	if e.suspected || e.rampStart == 0 {
 		t.Errorf("suspect %v, ramp since %v after a told return", e.suspected, e.rampStart)
 	}
 }
 
 // Notes of any content are harmless, and what they cost is bounded.
-func TestStrangeNotesDoNothingAndNotesAreBounded(t *testing.T) {
-	r := newRig(t, peers(), entry(1, 0, 0))
+func TestInvalidHintsAreIgnoredAndHintsAreBounded(t *testing.T) {
+	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 	for _, c := range []string{"", "a", "abc", "\x00\x00\x00\x00\x01", string(make([]byte, 999)), "\xff\xff\xff\xff"} {
-		if acts := r.at(0, Event{Kind: GossipReceived, Payload: c}); len(acts) > 0 {
+		if acts := r.step(0, Event{Kind: GossipReceived, Payload: c}); len(acts) > 0 {
 			t.Errorf("%q: %+v", c, acts)
 		}
 	}
 	bytes := 0
 	for range 400 {
-		r.at(s/10, r.msg(free, 1))
-		for m := range r.d.messages {
-			if r.d.messages[m].call != nil {
-				bytes += len(note(r.at(s/100, usedUp(m, r.d.messages[m].attempts-1, 0))))
+		r.step(sec/10, r.arrival(idempotent, 1))
+		for m := range r.dispatcher.messages {
+			if r.dispatcher.messages[m].call != nil {
+				bytes += len(sentHints(r.step(sec/100, usedUpRefusal(m, r.dispatcher.messages[m].attempts-1, 0))))
 				break
 			}
 		}
@@ -140,9 +140,9 @@
 	if cost := float64(bytes) * 99 / 256 / 400 * 0.01; cost > 2*gossipBudget || bytes == 0 {
 		t.Errorf("%d bytes, %v of the result spent on notes", bytes, cost)
 	}
-	if r := newRig(t, testSettings(), entry(1, 0, 0)); true { // where peers are not allowed nothing is told
-		r.want(r.at(0, r.msg(free, 1)), 1)
-		if got := note(r.at(s/50, usedUp(1, 0, 0))); got != "" {
+	if r := newRunner(t, testSettings(), entry(1, 0, 0)); true { // where peers are not allowed nothing is told
+		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+		if got := sentHints(r.step(sec/50, usedUpRefusal(1, 0, 0))); got != "" {
 			t.Errorf("told %q without peers", got)
 		}
 	}
@@ -154,18 +154,18 @@
 	sends := 0
 	set := testSettings()
 	set.ReportRemainingIndex, set.ReportLimitIndex = 0, 1
-	for _, r := range fleet(t, n, set, entry(1, 0, 0)) { // 10 a second for 50 senders of one message a second each
+	for _, r := range newRunners(t, n, set, entry(1, 0, 0)) { // 10 a second for 50 senders of one message a second each
 		var next []Event
 		for i := range 30 * 20 {
 			events := next
 			if next = nil; i%20 == 0 {
-				events = append(events, r.msg(free, 1))
+				events = append(events, r.arrival(idempotent, 1))
 			}
-			for _, id := range sent(r.at(s/20, events...)) {
+			for _, id := range sentMessages(r.step(sec/20, events...)) {
 				if i >= 10*20 {
 					sends++
 				}
-				next = append(next, usedUp(id, r.d.messages[id].attempts-1, 0))
+				next = append(next, usedUpRefusal(id, r.dispatcher.messages[id].attempts-1, 0))
 			}
 		}
 	}
@@ -175,22 +175,22 @@
 }
 
 // With a tip-multiple of 1.5 a ramp of 1.2 times the demand was over it by chance.
-func TestRampKeepsItsDistanceFromTheTipMultiple(t *testing.T) {
+func TestRampStaysBelowCollapseMultiple(t *testing.T) {
 	sends := 0
 	set := testSettings()
 	set.CollapseMultiple, set.ColdCapacity = 1.5, 0.3
 	const n = 40
-	for _, r := range fleet(t, n, set, entry(1, 0, 0)) {
-		e := r.ep(ep(1, 0))
+	for _, r := range newRunners(t, n, set, entry(1, 0, 0)) {
+		e := r.endpoint(endpointID(1, 0))
 		for range 20 * 20 {
-			for _, id := range sent(r.at(s/20, r.msg(free, 1))) {
-				r.at(0, done(id, 0, OK))
+			for _, id := range sentMessages(r.step(sec/20, r.arrival(idempotent, 1))) {
+				r.step(0, outcome(id, 0, OK))
 			}
 		}
-		r.d.startSlowStart(e, r.now)
+		r.dispatcher.startSlowStart(e, r.now)
 		for range 3 * 20 {
-			for _, id := range sent(r.at(s/20, r.msg(free, 1))) {
-				r.at(0, done(id, r.d.messages[id].attempts-1, OK))
+			for _, id := range sentMessages(r.step(sec/20, r.arrival(idempotent, 1))) {
+				r.step(0, outcome(id, r.dispatcher.messages[id].attempts-1, OK))
 				sends++
 			}
 		}
@@ -202,14 +202,14 @@
 }
 
 // Shut, it told hundreds of senders when it opens: all let go what they held in the same moment, onto a cold one.
-func TestOpeningTimeThatWasToldStartsARamp(t *testing.T) {
+func TestEndOfALongRetryAfterStartsARamp(t *testing.T) {
 	sends, held := 0, 0
-	for _, r := range fleet(t, 30, testSettings(), entry(1, 0, 0)) {
-		r.want(r.at(0, r.msg(free, 1)), r.id)
-		r.at(s/10, full(r.id, 0, 8*s), r.msg(free, 1), r.msg(free, 1))
+	for _, r := range newRunners(t, 30, testSettings(), entry(1, 0, 0)) {
+		r.wantSent(r.step(0, r.arrival(idempotent, 1)), r.lastID)
+		r.step(sec/10, refusal(r.lastID, 0, 8*sec), r.arrival(idempotent, 1), r.arrival(idempotent, 1))
 		held += 3
-		r.wait(8 * s)
-		sends += len(sent(r.wait(2 * s)))
+		r.runFor(8 * sec)
+		sends += len(sentMessages(r.runFor(2 * sec)))
 	}
 	if sends > held/4 {
 		t.Errorf("%d of %d held messages in the first two seconds", sends, held)
@@ -218,52 +218,52 @@
 
 // One endpoint of a destination was told to be back: its siblings were no longer taken as surely down, and all
 // who had one failure there tried them in the same moment.
-func TestReturnOfOneEndpointLeavesTheOthersSurelyDown(t *testing.T) {
-	r := newRig(t, peers(), entry(1, 0, 0), entry(1, 1, 0))
-	r.wait(20 * s)
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	first := r.at(s/50, done(1, 0, ConnectFailed))
-	r.want(first, 1) // the other endpoint
-	r.at(s/50, done(1, 1, ConnectFailed))
-	r.wait(4 * s)
-	a, b := r.ep(ep(1, 0)), r.ep(ep(1, 1))
+func TestReturnOfOneEndpointLeavesTheOthersConfirmedDown(t *testing.T) {
+	r := newRunner(t, gossipSettings(), entry(1, 0, 0), entry(1, 1, 0))
+	r.runFor(20 * sec)
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	first := r.step(sec/50, outcome(1, 0, ConnectFailed))
+	r.wantSent(first, 1) // the other endpoint
+	r.step(sec/50, outcome(1, 1, ConnectFailed))
+	r.runFor(4 * sec)
+	a, b := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1))
 	n := hintID(a.id)
-	r.at(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
-	if a.suspected || !b.suspected || !r.d.outageConfirmed(b) {
-		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspected, b.suspected, r.d.outageConfirmed(b))
+	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
+	if a.suspected || !b.suspected || !r.dispatcher.outageConfirmed(b) {
+		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspected, b.suspected, r.dispatcher.outageConfirmed(b))
 	}
 }
 
 // Figures that are no numbers, in reports and lists, once could stop a destination for good.
-func TestFiguresOutOfRangeAreHarmless(t *testing.T) {
+func TestReportsAndWeightsOutOfRangeAreHarmless(t *testing.T) {
 	inf, nan := float32(math.Inf(1)), float32(math.NaN())
 	for _, rep := range [][]float32{{nan, nan}, {inf, inf}, {-1, -1}, {0, inf}, {nan}, {}} {
-		set := peers()
+		set := gossipSettings()
 		set.Weights = WeightNominal
 		e := entry(1, 0, 0)
 		e.Weight = float64(inf)
-		r := newRig(t, set, e)
+		r := newRunner(t, set, e)
 		for range 4 {
-			r.want(r.at(s/10, r.msg(free, 1)), r.id)
-			end := done(r.id, 0, OK)
+			r.wantSent(r.step(sec/10, r.arrival(idempotent, 1)), r.lastID)
+			end := outcome(r.lastID, 0, OK)
 			end.Report = rep
-			r.at(0, end)
-			r.at(0, r.msg(free, 1)) // two rounds at one instant
-			r.at(s, done(r.id, 0, OK))
+			r.step(0, end)
+			r.step(0, r.arrival(idempotent, 1)) // two rounds at one instant
+			r.step(sec, outcome(r.lastID, 0, OK))
 		}
 	}
 }
 
 // A return told by a peer is one of this moment, however long ago the own failure was; and demand over a known
 // limit does not make the ramp steeper.
-func TestToldReturnIsOfThisMoment(t *testing.T) {
-	r := newRig(t, peers(), entry(1, 0, 0))
-	r.want(r.at(0, r.msg(free, 1)), 1)
-	r.at(s/50, done(1, 0, ConnectFailed), Event{Kind: Withdrawn, Message: 1})
-	r.wait(15 * s)
-	e := r.ep(ep(1, 0))
+func TestGossipedReturnStartsTheRampNow(t *testing.T) {
+	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+	r.step(sec/50, outcome(1, 0, ConnectFailed), Event{Kind: Withdrawn, Message: 1})
+	r.runFor(15 * sec)
+	e := r.endpoint(endpointID(1, 0))
 	n := hintID(e.id)
-	r.at(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
+	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
 	if e.rampStart != r.now {
 		t.Errorf("ramp since %v, told at %v", e.rampStart, r.now)
 	}
@@ -276,25 +276,25 @@
 	e := entry(1, 0, 0)
 	e.Weight = 10
 	const n = 20 // asked for 2 a second each, 40 a second in all at a limit of 10
-	for _, r := range fleet(t, n, set, e) {
+	for _, r := range newRunners(t, n, set, e) {
 		for i := range 400 {
 			var events []Event
 			if i%10 == 0 {
-				events = append(events, r.msg(free, 1))
+				events = append(events, r.arrival(idempotent, 1))
 			}
-			for _, id := range sent(r.at(s/20, events...)) {
-				r.at(0, done(id, 0, OK))
+			for _, id := range sentMessages(r.step(sec/20, events...)) {
+				r.step(0, outcome(id, 0, OK))
 			}
 		}
-		r.d.startSlowStart(r.ep(ep(1, 0)), r.now)
+		r.dispatcher.startSlowStart(r.endpoint(endpointID(1, 0)), r.now)
 		for i := range 40 {
 			var events []Event
 			if i%10 == 0 {
-				events = append(events, r.msg(free, 1))
+				events = append(events, r.arrival(idempotent, 1))
 			}
-			for _, id := range sent(r.at(s/20, events...)) {
+			for _, id := range sentMessages(r.step(sec/20, events...)) {
 				sends++
-				r.at(0, done(id, r.d.messages[id].attempts-1, OK))
+				r.step(0, outcome(id, r.dispatcher.messages[id].attempts-1, OK))
 			}
 		}
 	}
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -14,42 +14,42 @@
 
 var record = flag.Bool("record", false, "record the answers of the plays anew")
 
-// recording is one random play: what is asked and how partners answer comes from the seed alone, so that two modules with
+// scenario is one random play: what is asked and how partners answer comes from the seed alone, so that two modules with
 // the same actions see the same events.
-type recording struct {
-	name    string
-	seed    int64
-	dests   int
-	slots   int
-	rate    float64 // messages a second
-	weights WeightKind
-	fail    float64 // share of attempts that meet nobody or silence
-	full    float64 // share refused, half of them with a told wait
-	batch   int
-	inOrder bool
+type scenario struct {
+	name         string
+	seed         int64
+	destinations int
+	slots        int
+	rate         float64 // messages a second
+	weights      WeightKind
+	failShare    float64 // share of attempts that meet nobody or silence
+	refusedShare float64 // share refused, half of them with a told wait
+	maxBatch     int
+	inOrder      bool
 }
 
-func plays() (all []recording) {
+func scenarios() (all []scenario) {
 	for seed := range int64(6) {
 		all = append(all,
-			recording{name: "plenty of slots", seed: seed, dests: 20, slots: 64, rate: 300, batch: 1},
-			recording{name: "few slots", seed: seed, dests: 30, slots: 4, rate: 150, batch: 1, weights: WeightNominal},
-			recording{name: "few slots, no weights", seed: seed, dests: 30, slots: 4, rate: 150, batch: 1},
-			recording{name: "failures", seed: seed, dests: 12, slots: 16, rate: 200, batch: 1, fail: 0.1, weights: WeightNominal},
-			recording{name: "order and batches", seed: seed, dests: 8, slots: 8, rate: 200, batch: 4, inOrder: true, fail: 0.02},
-			recording{name: "refusals", seed: seed, dests: 12, slots: 16, rate: 200, batch: 1, full: 0.1, fail: 0.02},
+			scenario{name: "plenty of slots", seed: seed, destinations: 20, slots: 64, rate: 300, maxBatch: 1},
+			scenario{name: "few slots", seed: seed, destinations: 30, slots: 4, rate: 150, maxBatch: 1, weights: WeightNominal},
+			scenario{name: "few slots, no weights", seed: seed, destinations: 30, slots: 4, rate: 150, maxBatch: 1},
+			scenario{name: "failures", seed: seed, destinations: 12, slots: 16, rate: 200, maxBatch: 1, failShare: 0.1, weights: WeightNominal},
+			scenario{name: "order and batches", seed: seed, destinations: 8, slots: 8, rate: 200, maxBatch: 4, inOrder: true, failShare: 0.02},
+			scenario{name: "refusals", seed: seed, destinations: 12, slots: 16, rate: 200, maxBatch: 1, refusedShare: 0.1, failShare: 0.02},
 		)
 	}
 	return all
 }
 
-// answers runs a play and returns a hash of its actions, and how many there were of each kind. Ticks without a mark
+// run runs a play and returns a hash of its actions, and how many there were of each kind. Ticks without a mark
 // are left out: when the module asks to be woken is no decision about messages.
-func (p recording) answers(t testing.TB) string {
+func (p scenario) run(t testing.TB) string {
 	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: p.slots, MaxOpen: 600, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, ConnIdleTimeout: 10 * Second, ConnectTimeout: Second, StreamsPerConn: 100,
 		StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second, SettleTime: Second / 2,
-		Weights: p.weights, DestinationKinds: []DestinationKind{{MaxBatch: p.batch}, {MaxBatch: 1, PerEndpointLimits: true}},
+		Weights: p.weights, DestinationKinds: []DestinationKind{{MaxBatch: p.maxBatch}, {MaxBatch: 1, PerEndpointLimits: true}},
 		Classes: []Class{{Target: Second, Deadline: 4 * Second, Value: 1, LateValue: 0.3, InOrder: p.inOrder},
 			{Effect: AtMostOnce, Target: Second, Deadline: 8 * Second, Value: 4}, {Effect: Deduplicated, DedupWindow: 3 * Second, Target: 2 * Second, Deadline: 6 * Second, Value: 2}}}
 	d, err := New(set, uint64(p.seed)+1)
@@ -67,7 +67,7 @@
 		due = slices.Insert(due, i, later{at, e})
 	}
 	var entries []Entry
-	for n := range p.dests {
+	for n := range p.destinations {
 		for k := range 1 + n%3 {
 			entries = append(entries, Entry{Endpoint: EndpointID(10*n + k + 1), Dest: n, DestinationKind: n % 2, Health: Ready, Weight: float64(1 + n%5)})
 		}
@@ -78,7 +78,7 @@
 	for at := 1.1; at < length.seconds(); at += rng.ExpFloat64() / p.rate {
 		id++
 		class := rng.Intn(3)
-		e := Event{Kind: Arrival, Message: id, Class: class, Dest: int(float64(p.dests) * rng.Float64() * rng.Float64()), TimeLeft: set.Classes[class].Deadline}
+		e := Event{Kind: Arrival, Message: id, Class: class, Dest: int(float64(p.destinations) * rng.Float64() * rng.Float64()), TimeLeft: set.Classes[class].Deadline}
 		if class == 0 {
 			e.Key = uint64(rng.Intn(20))
 		}
@@ -131,15 +131,15 @@
 				fate := rand.New(rand.NewSource(p.seed<<32 + int64(a.Message)*16 + int64(e.Attempt)))
 				e.Elapsed = Time(20+fate.Intn(30)+10*(int(a.Endpoint)%7)) * Millisecond
 				switch f := fate.Float64(); {
-				case f < p.fail/3:
+				case f < p.failShare/3:
 					e.Result = ConnectFailed
-				case f < p.fail*2/3:
+				case f < p.failShare*2/3:
 					e.Result, e.Elapsed = TimedOut, 3*Second
-				case f < p.fail:
+				case f < p.failShare:
 					e.Result = ErrorResponse
-				case f < p.fail+p.full/2:
+				case f < p.failShare+p.refusedShare/2:
 					e.Result, e.RetryAfter = LimitExceeded, 300*Millisecond
-				case f < p.fail+p.full:
+				case f < p.failShare+p.refusedShare:
 					e.Result = LimitExceeded
 				}
 				out[[2]uint64{uint64(e.Message), uint64(e.Attempt)}] = e
@@ -159,7 +159,7 @@
 	return fmt.Sprintf("%016x %d sent, %d refused, %d failed, %d cancelled", hash.Sum64(), counts[Send], counts[Refuse], counts[Fail], counts[Cancel])
 }
 
-const golden = "testdata/plays.txt"
+const goldenFile = "testdata/plays.txt"
 
 // The plays' actions are those recorded. When rounds were made to cost what happens in them and not what lives, 27 of
 // the 36 stayed the same to the last action; in nine, with few slots and endpoints that drain, a destination that can
@@ -168,33 +168,33 @@
 func TestPlaysAsRecorded(t *testing.T) {
 	if *record {
 		var b strings.Builder
-		for _, p := range plays() {
-			fmt.Fprintf(&b, "%s, seed %d: %s\n", p.name, p.seed, p.answers(t))
+		for _, p := range scenarios() {
+			fmt.Fprintf(&b, "%s, seed %d: %s\n", p.name, p.seed, p.run(t))
 		}
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(golden, []byte(b.String()), 0o644); err != nil {
+		if err := os.WriteFile(goldenFile, []byte(b.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f, err := os.Open(golden)
+	f, err := os.Open(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	lines := bufio.NewScanner(f)
-	for _, p := range plays() {
+	for _, p := range scenarios() {
 		lines.Scan()
-		if got := fmt.Sprintf("%s, seed %d: %s", p.name, p.seed, p.answers(t)); got != lines.Text() {
+		if got := fmt.Sprintf("%s, seed %d: %s", p.name, p.seed, p.run(t)); got != lines.Text() {
 			t.Errorf("%s\nrecorded: %s", got, lines.Text())
 		}
 	}
 }
 
-// size makes a module with n destinations, of which live have a message held that can't go, as their endpoint drains, beside
+// newDispatcherWithMessages makes a module with n destinations, of which live have a message held that can't go, as their endpoint drains, beside
 // one busy destination.
-func size(b testing.TB, n, live, slots int) *Dispatcher {
+func newDispatcherWithMessages(b testing.TB, n, live, slots int) *Dispatcher {
 	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: slots, MaxOpen: 4 * n, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		ConnIdleTimeout: 10 * Second, StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second,
 		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, Classes: []Class{{Target: Second, Deadline: 3000 * Second, Value: 1}}}
@@ -220,7 +220,7 @@
 // as the fair wait, which is the time in which all of them have one slot once.
 func TestManyDestinationsFewSlotsTakeTurns(t *testing.T) {
 	const n, slots, lag = 3000, 50, 20 * Millisecond
-	d := size(t, n, 0, slots)
+	d := newDispatcherWithMessages(t, n, 0, slots)
 	events := make([]Event, 0, 3*n)
 	for k := range 3 {
 		for i := range n {
@@ -253,9 +253,9 @@
 
 // A message costs the same work beside 20,000 destinations that hold one as beside 100, counted and not timed: each
 // release once walked all of them.
-func TestWorkDoesNotGrowWithWhatLives(t *testing.T) {
+func TestWorkDoesNotGrowWithActiveDestinations(t *testing.T) {
 	work := func(live int) uint64 {
-		d := size(t, live+1, live, 256)
+		d := newDispatcherWithMessages(t, live+1, live, 256)
 		d.Step(3*Second, nil, nil)
 		before := d.scanCount
 		now := 4 * Second
@@ -275,8 +275,8 @@
 func BenchmarkLive(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			d := size(b, n+1, n, 256)
-			benchBusy(b, d)
+			d := newDispatcherWithMessages(b, n+1, n, 256)
+			benchmarkBusyDestination(b, d)
 		})
 	}
 }
@@ -284,11 +284,11 @@
 // BenchmarkIdle is the same beside destinations that hold nothing.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{100, 20000, 100000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { benchBusy(b, size(b, n+1, 0, 256)) })
+		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkBusyDestination(b, newDispatcherWithMessages(b, n+1, 0, 256)) })
 	}
 }
 
-func benchBusy(b *testing.B, d *Dispatcher) {
+func benchmarkBusyDestination(b *testing.B, d *Dispatcher) {
 	now := 100 * Second
 	id := MessageID(1)
 	var acts []Action
--- a/control/prompt_test.go
+++ b/control/prompt_test.go
@@ -14,19 +14,19 @@
 		end   ActionKind
 		after Time
 	}{
-		{"free, told wait past its time", free, 30 * s, Refuse, 3 * s},
-		{"guarded, told wait past its time", guarded, 30 * s, Refuse, 3 * s},
-		{"unsafe, told wait past its time", single, 30 * s, Refuse, 3 * s},
-		{"free, in time after the wait", free, 2 * s, 0, 0},
+		{"free, told wait past its time", idempotent, 30 * sec, Refuse, 3 * sec},
+		{"guarded, told wait past its time", deduplicated, 30 * sec, Refuse, 3 * sec},
+		{"unsafe, told wait past its time", atMostOnce, 30 * sec, Refuse, 3 * sec},
+		{"free, in time after the wait", idempotent, 2 * sec, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.RetryAfter, set.MaxRetryAfter, set.Slots = true, 3*s, 1
-			r := newRig(t, set, entry(1, 0, 0))
-			r.want(r.at(0, r.msg(free, 1)), 1)
-			r.at(s/10, r.msg(c.class, 1), r.msg(c.class, 1), r.msg(c.class, 1)) // held behind the slot
-			acts := r.at(s/10, full(1, 0, c.wait))
-			late := r.at(s/10, r.msg(c.class, 1)) // one that arrives into the wait
+			set.RetryAfter, set.MaxRetryAfter, set.Slots = true, 3*sec, 1
+			r := newRunner(t, set, entry(1, 0, 0))
+			r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
+			r.step(sec/10, r.arrival(c.class, 1), r.arrival(c.class, 1), r.arrival(c.class, 1)) // held behind the slot
+			acts := r.step(sec/10, refusal(1, 0, c.wait))
+			late := r.step(sec/10, r.arrival(c.class, 1)) // one that arrives into the wait
 			if c.end == 0 {
 				if len(acts)+len(late) > 0 {
 					t.Fatalf("answered early: %+v %+v", acts, late)
@@ -34,53 +34,53 @@
 				return
 			}
 			for id := MessageID(1); id <= 4; id++ {
-				r.wantEnd(acts, c.end, id)
+				r.wantAnswer(acts, c.end, id)
 			}
-			r.wantEnd(late, c.end, 5)
+			r.wantAnswer(late, c.end, 5)
 			if acts[0].After != c.after {
 				t.Errorf("told to stay away for %v, want %v", acts[0].After, c.after)
 			}
-			if d := r.d.destination(1); len(r.d.messages) > 0 || d.queuedCount > 0 || r.d.openMessages > 0 {
-				t.Errorf("left in the hold: %d messages, %d held, %d open", len(r.d.messages), d.queuedCount, r.d.openMessages)
+			if d := r.dispatcher.destination(1); len(r.dispatcher.messages) > 0 || d.queuedCount > 0 || r.dispatcher.openMessages > 0 {
+				t.Errorf("left in the hold: %d messages, %d held, %d open", len(r.dispatcher.messages), d.queuedCount, r.dispatcher.openMessages)
 			}
 		})
 	}
 }
 
 // A repeat window that ends ends the message, though the destination is blocked and it is not first in its hold.
-func TestRepeatWindowOverIsAnsweredInTheHold(t *testing.T) {
+func TestEndedDedupWindowIsAnsweredWhileQueued(t *testing.T) {
 	set := testSettings()
-	set.RetryAfter, set.MaxRetryAfter = true, 3*s
-	r := newRig(t, set, entry(1, 0, 0))
-	r.want(r.at(0, r.msg(guarded, 1), r.msg(guarded, 1)), 1, 2)
-	r.at(s/10, full(1, 0, 9*s), done(2, 0, Reset)) // both held; the second may have run
-	acts := r.wait(9800 * Millisecond)
+	set.RetryAfter, set.MaxRetryAfter = true, 3*sec
+	r := newRunner(t, set, entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(deduplicated, 1), r.arrival(deduplicated, 1)), 1, 2)
+	r.step(sec/10, refusal(1, 0, 9*sec), outcome(2, 0, Reset)) // both held; the second may have run
+	acts := r.runFor(9800 * Millisecond)
 	for _, a := range acts {
-		if a.Kind == Fail || a.Kind == Refuse && r.now < 1009*s {
+		if a.Kind == Fail || a.Kind == Refuse && r.now < 1009*sec {
 			t.Errorf("answered: %+v", a)
 		}
 	}
-	r = newRig(t, set, entry(1, 0, 0))
-	r.want(r.at(0, r.msg(guarded, 1), r.msg(guarded, 1)), 1, 2)
-	acts = r.at(s/10, full(1, 0, 12*s), done(2, 0, Reset))
-	r.wantEnd(acts, Refuse, 2) // the wait outlasts its window of 10 s
-	if r.d.messages[1] == nil {
+	r = newRunner(t, set, entry(1, 0, 0))
+	r.wantSent(r.step(0, r.arrival(deduplicated, 1), r.arrival(deduplicated, 1)), 1, 2)
+	acts = r.step(sec/10, refusal(1, 0, 12*sec), outcome(2, 0, Reset))
+	r.wantAnswer(acts, Refuse, 2) // the wait outlasts its window of 10 s
+	if r.dispatcher.messages[1] == nil {
 		t.Error("one that may still go was answered, too")
 	}
 }
 
-func TestNoWaitIsToldWhereNoneIsKnownOrAllowed(t *testing.T) {
+func TestNoRetryAfterWhereNoneIsKnownOrAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		set := testSettings()
-		set.RetryAfter, set.MaxRetryAfter, set.MaxAttempts = allowed, 3*s, 1
-		r := newRig(t, set, entry(1, 0, 0))
-		r.want(r.at(0, r.msg(free, 1), r.msg(free, 1)), 1, 2)
-		acts := r.at(s/10, done(1, 0, ErrorResponse))
-		r.wantEnd(acts, Refuse, 1)
+		set.RetryAfter, set.MaxRetryAfter, set.MaxAttempts = allowed, 3*sec, 1
+		r := newRunner(t, set, entry(1, 0, 0))
+		r.wantSent(r.step(0, r.arrival(idempotent, 1), r.arrival(idempotent, 1)), 1, 2)
+		acts := r.step(sec/10, outcome(1, 0, ErrorResponse))
+		r.wantAnswer(acts, Refuse, 1)
 		if acts[0].After != 0 {
 			t.Errorf("allowed %v: told %v though nothing is known", allowed, acts[0].After)
 		}
-		if acts = r.at(s/10, full(2, 0, 2*s)); !allowed && acts[0].After != 0 || allowed && acts[0].After < 2*s {
+		if acts = r.step(sec/10, refusal(2, 0, 2*sec)); !allowed && acts[0].After != 0 || allowed && acts[0].After < 2*sec {
 			t.Errorf("allowed %v: told to stay away for %v", allowed, acts[0].After)
 		}
 	}
@@ -88,7 +88,7 @@
 
 // A dispatcher that stops answers all it holds within the time given, by the rules for final answers: what may have
 // run of an unsafe class is failed, the rest handed back. Without the event clients were cut off without an answer.
-func TestClosingAnswersAll(t *testing.T) {
+func TestShutdownAnswersAllMessages(t *testing.T) {
 	d, err := New(Settings{Instances: 1, Tick: 5 * Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		Classes: []Class{{Effect: AtMostOnce, Target: Second, Deadline: 60 * Second, Value: 1}}}, 1)
 	if err != nil {
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -6,52 +6,52 @@
 	"testing"
 )
 
-// judge follows a Dispatcher from outside and holds what it does against the rules.
-type judge struct {
-	t     *testing.T
-	set   Settings
-	now   Time
-	msgs  map[MessageID]*judged
-	wait  map[int]Time        // until when a destination, or a route apart, told to wait
-	ready map[EndpointID]bool // listed ready
-	calls map[[2]int64]int    // messages out by round and endpoint: one call
-	order map[uint64][]*judged
-	rest  map[uint64]Time
-	marks []Action
-	out   []*judged
-	open  []*judged // without a final answer
+// ruleChecker follows a Dispatcher from outside and holds what it does against the rules.
+type ruleChecker struct {
+	t             *testing.T
+	settings      Settings
+	now           Time
+	messages      map[MessageID]*trackedMessage
+	waitUntil     map[int]Time        // until when a destination, or a route apart, told to wait
+	ready         map[EndpointID]bool // listed ready
+	calls         map[[2]int64]int    // messages out by round and endpoint: one call
+	messagesByKey map[uint64][]*trackedMessage
+	keyRestUntil  map[uint64]Time
+	timers        []Action
+	inFlight      []*trackedMessage
+	unanswered    []*trackedMessage // without a final answer
 }
 
-type judged struct {
-	id        MessageID
-	class     *Class
-	dest      int
-	key       uint64
-	deadline  Time
-	ended     bool
-	tries     int
-	ep        EndpointID
-	round     Time
-	out       bool
-	doubt     bool
-	doubtAt   Time
-	firstSent Time
+type trackedMessage struct {
+	id                 MessageID
+	class              *Class
+	dest               int
+	key                uint64
+	deadline           Time
+	ended              bool
+	attempts           int
+	endpoint           EndpointID
+	sentAt             Time
+	inFlight           bool
+	possiblyExecuted   bool
+	possiblyExecutedAt Time
+	lastSentAt         Time
 }
 
-func (j *judge) check(ok bool, m *judged, rule string) {
+func (j *ruleChecker) check(ok bool, m *trackedMessage, rule string) {
 	j.t.Helper()
 	if !ok {
 		j.t.Fatalf("at %d: %s: %+v", j.now, rule, *m)
 	}
 }
 
-func (j *judge) act(a Action) {
-	m := j.msgs[a.Message]
+func (j *ruleChecker) onAction(a Action) {
+	m := j.messages[a.Message]
 	switch a.Kind {
 	case Timer:
 		if a.TimerToken != 0 {
 			a.After += j.now
-			j.marks = append(j.marks, a)
+			j.timers = append(j.timers, a)
 		}
 		return
 	case Log, Close, Watch, Fetch, SendGossip:
@@ -63,54 +63,54 @@
 	switch a.Kind {
 	case Refuse, Fail:
 		j.check(!m.ended, m, "a second final answer")
-		maybe := (m.doubt || m.out) && m.class.Effect != Idempotent
+		maybe := (m.possiblyExecuted || m.inFlight) && m.class.Effect != Idempotent
 		j.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "handed back though it may have run")
 		m.ended = true
 	case Send:
-		j.send(m, a)
+		j.onSend(m, a)
 	}
 }
 
-func (j *judge) send(m *judged, a Action) {
-	j.check(!m.ended && !m.out, m, "sent though ended or out")
+func (j *ruleChecker) onSend(m *trackedMessage, a Action) {
+	j.check(!m.ended && !m.inFlight, m, "sent though ended or out")
 	j.check(j.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
-	j.check(j.now >= j.wait[bound(m.dest, a.Endpoint)], m, "sent during a told wait")
-	j.check(m.tries < j.set.MaxAttempts && j.now < m.deadline, m, "sent too often or too late")
-	if m.doubt {
+	j.check(j.now >= j.waitUntil[waitKey(m.dest, a.Endpoint)], m, "sent during a told wait")
+	j.check(m.attempts < j.settings.MaxAttempts && j.now < m.deadline, m, "sent too often or too late")
+	if m.possiblyExecuted {
 		j.check(m.class.Effect != AtMostOnce, m, "unsafe message sent again in doubt")
-		j.check(m.class.Effect == Idempotent || j.now < m.doubtAt+m.class.DedupWindow, m, "repeat past its window")
+		j.check(m.class.Effect == Idempotent || j.now < m.possiblyExecutedAt+m.class.DedupWindow, m, "repeat past its window")
 	}
 	if m.key != 0 {
-		q := j.order[m.key]
-		for len(q) > 0 && q[0].ended && !q[0].out {
+		q := j.messagesByKey[m.key]
+		for len(q) > 0 && q[0].ended && !q[0].inFlight {
 			q = q[1:]
 		}
-		j.order[m.key] = q
+		j.messagesByKey[m.key] = q
 		j.check(q[0] == m, m, "out of order")
-		j.check(m.tries > 0 || j.now >= j.rest[m.key], m, "sent while its key rests")
+		j.check(m.attempts > 0 || j.now >= j.keyRestUntil[m.key], m, "sent while its key rests")
 	}
-	m.tries++
-	m.out, m.ep, m.round, m.firstSent = true, a.Endpoint, j.now, j.now
+	m.attempts++
+	m.inFlight, m.endpoint, m.sentAt, m.lastSentAt = true, a.Endpoint, j.now, j.now
 	j.calls[[2]int64{int64(j.now), int64(a.Endpoint)}]++
-	j.out = append(j.out, m)
-	j.check(len(j.calls) <= j.set.Slots, m, "more calls than slots")
+	j.inFlight = append(j.inFlight, m)
+	j.check(len(j.calls) <= j.settings.Slots, m, "more calls than slots")
 }
 
-// apart is the destination of the random plays whose endpoints are routes apart.
-const apart = 4
+// perEndpointDest is the destination of the random plays whose endpoints are routes apart.
+const perEndpointDest = 4
 
-// bound is what a told wait binds: the destination, or the route where routes are apart.
-func bound(dest int, e EndpointID) int {
-	if dest == apart {
+// waitKey is what a told wait binds: the destination, or the route where routes are apart.
+func waitKey(dest int, e EndpointID) int {
+	if dest == perEndpointDest {
 		return int(e)
 	}
 	return -dest
 }
 
-// resolve makes the outcome of one attempt out and notes what it tells.
-func (j *judge) resolve(m *judged, res Result, wait Time) Event {
-	m.out = false
-	call := [2]int64{int64(m.round), int64(m.ep)}
+// endAttempt makes the outcome of one attempt out and notes what it tells.
+func (j *ruleChecker) endAttempt(m *trackedMessage, res Result, wait Time) Event {
+	m.inFlight = false
+	call := [2]int64{int64(m.sentAt), int64(m.endpoint)}
 	if j.calls[call]--; j.calls[call] == 0 {
 		delete(j.calls, call)
 	}
@@ -119,45 +119,45 @@
 		m.ended = true
 	case LimitExceeded:
 		if wait > 0 {
-			k := bound(m.dest, m.ep)
-			j.wait[k] = max(j.wait[k], j.now+wait)
+			k := waitKey(m.dest, m.endpoint)
+			j.waitUntil[k] = max(j.waitUntil[k], j.now+wait)
 		}
 	case ConnectFailed:
 	default:
-		if !m.doubt {
-			m.doubt, m.doubtAt = true, m.firstSent
+		if !m.possiblyExecuted {
+			m.possiblyExecuted, m.possiblyExecutedAt = true, m.lastSentAt
 		}
 		if m.key != 0 && res != ErrorResponse {
-			j.rest[m.key] = j.now + j.set.SettleTime
+			j.keyRestUntil[m.key] = j.now + j.settings.SettleTime
 		}
 	}
-	return Event{Kind: Outcome, Message: m.id, Attempt: m.tries - 1, Endpoint: m.ep, Result: res, Closed: m.ended,
-		Elapsed: j.now - m.round, RetryAfter: wait, Report: []float32{float32(j.now%3) / 2, 5}}
+	return Event{Kind: Outcome, Message: m.id, Attempt: m.attempts - 1, Endpoint: m.endpoint, Result: res, Closed: m.ended,
+		Elapsed: j.now - m.sentAt, RetryAfter: wait, Report: []float32{float32(j.now%3) / 2, 5}}
 }
 
 // Random events, legal and not, for several seeds: whatever comes, the rules hold and each message has one answer.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
-		play(t, seed)
+		runRandomEvents(t, seed)
 	}
 }
 
-func play(t *testing.T, seed int64) {
+func runRandomEvents(t *testing.T, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
 	set := testSettings()
 	set.Slots, set.MaxOpen, set.Instances = 2+rng.Intn(8), 16+rng.Intn(60), 1+rng.Intn(40)
 	set.Tick = 20 * Millisecond
 	if seed%2 == 1 { // the newer settings
-		set.PullList, set.PullInterval, set.Gossip, set.GossipCost = true, 10*s, true, 0.01/256
-		set.RetryAfter, set.MaxRetryAfter, set.ReportRemainingIndex, set.ReportLimitIndex = true, 3*s, 0, 1
+		set.PullList, set.PullInterval, set.Gossip, set.GossipCost = true, 10*sec, true, 0.01/256
+		set.RetryAfter, set.MaxRetryAfter, set.ReportRemainingIndex, set.ReportLimitIndex = true, 3*sec, 0, 1
 		set.ZoneCosts = []float64{0.05}
 	}
 	d, err := New(set, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &judge{t: t, set: set, msgs: map[MessageID]*judged{}, wait: map[int]Time{}, ready: map[EndpointID]bool{},
-		calls: map[[2]int64]int{}, order: map[uint64][]*judged{}, rest: map[uint64]Time{}}
+	j := &ruleChecker{t: t, settings: set, messages: map[MessageID]*trackedMessage{}, waitUntil: map[int]Time{}, ready: map[EndpointID]bool{},
+		calls: map[[2]int64]int{}, messagesByKey: map[uint64][]*trackedMessage{}, keyRestUntil: map[uint64]Time{}}
 	sick := map[int]Result{}
 	for round := Time(0); round < 6000; round++ {
 		j.now = round * 20 * Millisecond
@@ -169,7 +169,7 @@
 		}
 		if round == 0 || rng.Intn(100) == 0 {
 			e := entry(1+rng.Intn(4), rng.Intn(3), rng.Intn(2))
-			if e.Health = Health(rng.Intn(3)); e.Dest == apart {
+			if e.Health = Health(rng.Intn(3)); e.Dest == perEndpointDest {
 				e.DestinationKind = 2
 			}
 			if round < 3 {
@@ -181,37 +181,37 @@
 		if round < 4500 && rng.Intn(4) == 0 {
 			events = append(events, j.arrival(rng))
 		}
-		rest := j.out[:0]
-		for _, m := range j.out {
+		rest := j.inFlight[:0]
+		for _, m := range j.inFlight {
 			res, lost := sick[m.dest], sick[m.dest] == TimedOut
 			switch {
 			case j.now >= m.deadline:
-				events = append(events, j.resolve(m, TimedOut, 0))
+				events = append(events, j.endAttempt(m, TimedOut, 0))
 			case lost || rng.Intn(10) > 0:
 				rest = append(rest, m)
 			case res == LimitExceeded && rng.Intn(2) == 0:
-				events = append(events, j.resolve(m, LimitExceeded, Time(rng.Intn(3000))*Millisecond))
+				events = append(events, j.endAttempt(m, LimitExceeded, Time(rng.Intn(3000))*Millisecond))
 			default:
-				events = append(events, j.resolve(m, res, 0))
+				events = append(events, j.endAttempt(m, res, 0))
 			}
 		}
-		j.out = rest
-		j.marks = slices.DeleteFunc(j.marks, func(a Action) bool {
+		j.inFlight = rest
+		j.timers = slices.DeleteFunc(j.timers, func(a Action) bool {
 			if j.now < a.After {
 				return false
 			}
 			events = append(events, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 			return true
 		})
-		events = append(events, illegal(rng)...)
+		events = append(events, illegalEvents(rng)...)
 		for _, a := range d.Step(j.now, events, nil) {
 			if a.Kind == Cancel {
-				j.cancel(a)
+				j.onCancel(a)
 				continue
 			}
-			j.act(a)
+			j.onAction(a)
 		}
-		j.open = slices.DeleteFunc(j.open, func(m *judged) bool {
+		j.unanswered = slices.DeleteFunc(j.unanswered, func(m *trackedMessage) bool {
 			j.check(m.ended || j.now <= m.deadline, m, "no answer in time")
 			return m.ended
 		})
@@ -221,40 +221,40 @@
 	}
 }
 
-// cancel checks that what is called off is out; its outcome comes like any other, sometimes never before its time.
-func (j *judge) cancel(a Action) {
-	m := j.msgs[a.Message]
-	j.check(m != nil && m.out && m.tries-1 == a.Attempt, m, "cancels what is not out")
+// onCancel checks that what is called off is out; its outcome comes like any other, sometimes never before its time.
+func (j *ruleChecker) onCancel(a Action) {
+	m := j.messages[a.Message]
+	j.check(m != nil && m.inFlight && m.attempts-1 == a.Attempt, m, "cancels what is not out")
 }
 
-func (j *judge) arrival(rng *rand.Rand) Event {
+func (j *ruleChecker) arrival(rng *rand.Rand) Event {
 	class := rng.Intn(4)
-	m := &judged{id: MessageID(len(j.msgs) + 1), class: &j.set.Classes[class], dest: 1 + rng.Intn(4)}
-	grace := Time(1+rng.Intn(20)) * s
+	m := &trackedMessage{id: MessageID(len(j.messages) + 1), class: &j.settings.Classes[class], dest: 1 + rng.Intn(4)}
+	grace := Time(1+rng.Intn(20)) * sec
 	if rng.Intn(4) == 0 {
 		grace = Time(rng.Intn(1500)) * Millisecond // short patience
 	}
 	m.deadline = j.now + grace
 	if m.class.InOrder {
 		m.key = uint64(1 + m.dest)
-		j.order[m.key] = append(j.order[m.key], m)
+		j.messagesByKey[m.key] = append(j.messagesByKey[m.key], m)
 	}
-	j.msgs[m.id] = m
-	j.open = append(j.open, m)
+	j.messages[m.id] = m
+	j.unanswered = append(j.unanswered, m)
 	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, TimeLeft: grace}
 }
 
-// illegal makes events that no honest caller sends: they must change nothing that the rules see.
-func illegal(rng *rand.Rand) []Event {
+// illegalEvents makes events that no honest caller sends: they must change nothing that the rules see.
+func illegalEvents(rng *rand.Rand) []Event {
 	switch rng.Intn(8) {
 	case 0:
-		return []Event{done(MessageID(1e9), 0, Result(rng.Intn(9))), {Kind: Withdrawn, Message: 1e9}}
+		return []Event{outcome(MessageID(1e9), 0, Result(rng.Intn(9))), {Kind: Withdrawn, Message: 1e9}}
 	case 1:
 		return []Event{{Kind: TimerFired, TimerToken: 1e12}, {Kind: ProbeResult, Endpoint: 999}, {Kind: EventKind(77)}}
 	case 2:
-		return []Event{done(MessageID(1+rng.Intn(50)), 90, OK), {Kind: ListUpdate, ListKind: ListFailed}}
+		return []Event{outcome(MessageID(1+rng.Intn(50)), 90, OK), {Kind: ListUpdate, ListKind: ListFailed}}
 	case 3:
-		n := hintID(ep(1+rng.Intn(4), rng.Intn(3)))
+		n := hintID(endpointID(1+rng.Intn(4), rng.Intn(3)))
 		return []Event{{Kind: GossipReceived, Payload: string([]byte{byte(rng.Intn(256)), byte(n >> 16), byte(n >> 8), byte(n), 7})}}
 	}
 	return nil
