--- a/control/control_test.go
+++ b/control/control_test.go
@@ -44,13 +44,13 @@
 	timers []Action // asked for with a mark, After being when they are due
 }
 
-func newRunner(t *testing.T, set Settings, entries ...Entry) *runner {
+func newRunner(t *testing.T, settings Settings, entries ...Entry) *runner {
 	t.Helper()
-	d, err := New(set, 7)
+	dispatcher, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{t: t, dispatcher: d, now: 1000 * sec}
+	r := &runner{t: t, dispatcher: dispatcher, now: 1000 * sec}
 	r.step(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: entries})
 	return r
 }
@@ -76,14 +76,14 @@
 		}
 		return a.After <= r.now
 	})
-	acts := r.dispatcher.Step(r.now, events, nil)
-	for _, a := range acts {
+	actions := r.dispatcher.Step(r.now, events, nil)
+	for _, a := range actions {
 		if a.Kind == Timer && a.TimerToken != 0 {
 			a.After += r.now
 			r.timers = append(r.timers, a)
 		}
 	}
-	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == Timer || a.Kind == Log })
+	return slices.DeleteFunc(actions, func(a Action) bool { return a.Kind == Timer || a.Kind == Log })
 }
 
 // arrival makes the arrival of the next message.
@@ -108,8 +108,8 @@
 	return e
 }
 
-func sentMessages(acts []Action) (ids []MessageID) {
-	for _, a := range acts {
+func sentMessages(actions []Action) (ids []MessageID) {
+	for _, a := range actions {
 		if a.Kind == Send {
 			ids = append(ids, a.Message)
 		}
@@ -117,26 +117,26 @@
 	return ids
 }
 
-func (r *runner) wantSent(acts []Action, ids ...MessageID) {
+func (r *runner) wantSent(actions []Action, ids ...MessageID) {
 	r.t.Helper()
-	if got := sentMessages(acts); !slices.Equal(got, ids) {
-		r.t.Fatalf("at %v sent %v, want %v (%+v)", r.now, got, ids, acts)
+	if got := sentMessages(actions); !slices.Equal(got, ids) {
+		r.t.Fatalf("at %v sent %v, want %v (%+v)", r.now, got, ids, actions)
 	}
 }
 
-func (r *runner) wantAnswer(acts []Action, kind ActionKind, id MessageID) {
+func (r *runner) wantAnswer(actions []Action, kind ActionKind, id MessageID) {
 	r.t.Helper()
-	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == kind && a.Message == id }) {
-		r.t.Fatalf("at %v: no action %d for message %d in %+v", r.now, kind, id, acts)
+	if !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == kind && a.Message == id }) {
+		r.t.Fatalf("at %v: no action %d for message %d in %+v", r.now, kind, id, actions)
 	}
 }
 
 // runFor plays empty rounds of 20 ms and gathers their actions.
-func (r *runner) runFor(span Time) (acts []Action) {
+func (r *runner) runFor(span Time) (actions []Action) {
 	for end := r.now + span; r.now < end; {
-		acts = append(acts, r.step(min(20*Millisecond, end-r.now))...)
+		actions = append(actions, r.step(min(20*Millisecond, end-r.now))...)
 	}
-	return acts
+	return actions
 }
 
 func TestPolicySize(t *testing.T) {
@@ -160,7 +160,7 @@
 }
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"extra.slots":       func(s *Settings) { s.Slots = 0 },
 		"limits.max-open":   func(s *Settings) { s.MaxOpen = 0 },
 		"limits.most-tries": func(s *Settings) { s.MaxAttempts = 0 },
@@ -184,9 +184,9 @@
 		"deductions.peer":          func(s *Settings) { s.GossipCost = math.NaN() },
 		"rules.settle-after-doubt": func(s *Settings) { s.SettleTime = -1 },
 	} {
-		set := testSettings()
-		spoil(&set)
-		if _, err := New(set, 1); err == nil || !strings.Contains(err.Error(), name) {
+		settings := testSettings()
+		invalidate(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("error %v does not name %s", err, name)
 		}
 	}
@@ -195,11 +195,11 @@
 // One slot, two destinations. A's call holds it 2 s, so A stands at 2; B, reviving, took the least other
 // counter, 0. B goes first, for 1 s; at 1 it is still the smaller and goes again; at 3 A has its turn.
 func TestDestinationsTakeTurnsBySlotTime(t *testing.T) {
-	set := testSettings()
-	set.Slots, set.Weights = 1, WeightNominal
-	one, two := entry(1, 0, 0), entry(2, 0, 0)
-	one.Weight, two.Weight = 1, 1
-	r := newRunner(t, set, one, two)
+	settings := testSettings()
+	settings.Slots, settings.Weights = 1, WeightNominal
+	first, second := entry(1, 0, 0), entry(2, 0, 0)
+	first.Weight, second.Weight = 1, 1
+	r := newRunner(t, settings, first, second)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1) // free slot and window: leaves at once
 	r.wantSent(r.step(sec/10, r.arrival(idempotent, 1), r.arrival(idempotent, 2), r.arrival(idempotent, 2), r.arrival(idempotent, 2)))
 	r.wantSent(r.step(2*sec-sec/10, outcome(1, 0, OK)), 3)
@@ -212,11 +212,11 @@
 
 func TestWeightDividesSlotTime(t *testing.T) {
 	for _, c := range []struct{ weight, want float64 }{{4, 0.5}, {1, 2}} {
-		set := testSettings()
-		set.Weights = WeightNominal
-		e := entry(1, 0, 0)
-		e.Weight = c.weight
-		r := newRunner(t, set, e)
+		settings := testSettings()
+		settings.Weights = WeightNominal
+		listed := entry(1, 0, 0)
+		listed.Weight = c.weight
+		r := newRunner(t, settings, listed)
 		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 		r.step(2*sec, outcome(1, 0, OK))
 		if got := r.dispatcher.destination(1).virtualTime; got != c.want {
@@ -245,16 +245,16 @@
 // Eight slots, two destinations: Wmax starts at 4, gains one an ok, and stays under three quarters (5).
 func TestWindowStartGrowthAndCap(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0))
-	d := r.dispatcher.destination(1)
-	if r.dispatcher.effectiveWindow(d); d.window != 4 {
-		t.Fatalf("Wmax starts at %d, want 4", d.window)
+	dest := r.dispatcher.destination(1)
+	if r.dispatcher.effectiveWindow(dest); dest.window != 4 {
+		t.Fatalf("Wmax starts at %d, want 4", dest.window)
 	}
 	for i := range 3 {
 		r.step(sec/10, r.arrival(idempotent, 1))
 		r.step(sec/10, outcome(MessageID(i+1), 0, OK))
 	}
-	if d.window != 5 {
-		t.Errorf("Wmax is %d after three oks, want the cap of 5", d.window)
+	if dest.window != 5 {
+		t.Errorf("Wmax is %d after three oks, want the cap of 5", dest.window)
 	}
 }
 
@@ -267,27 +267,27 @@
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
 		r := newRunner(t, testSettings(), entry(1, 0, 0))
-		d := r.dispatcher.destination(1)
-		d.windowStarting, d.window, d.inFlight = false, c.wmax, c.w
+		dest := r.dispatcher.destination(1)
+		dest.windowStarting, dest.window, dest.inFlight = false, c.wmax, c.w
 		for i := range windowReviewFactor * c.wmax {
 			res := OK
 			if i < c.bad {
 				res = ErrorResponse
 			}
-			r.dispatcher.adjustWindow(d, res)
+			r.dispatcher.adjustWindow(dest, res)
 		}
-		if d.window != c.want {
-			t.Errorf("%s: Wmax %d, want %d", c.name, d.window, c.want)
+		if dest.window != c.want {
+			t.Errorf("%s: Wmax %d, want %d", c.name, dest.window, c.want)
 		}
 	}
 }
 
 func TestBatchUsesOneSlotAndIsChargedOnce(t *testing.T) {
-	set := testSettings()
-	set.Slots, set.Weights = 1, WeightNominal
-	e := entry(1, 0, 1)
-	e.Weight = 1
-	r := newRunner(t, set, e)
+	settings := testSettings()
+	settings.Slots, settings.Weights = 1, WeightNominal
+	listed := entry(1, 0, 1)
+	listed.Weight = 1
+	r := newRunner(t, settings, listed)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1), r.arrival(idempotent, 1), r.arrival(idempotent, 1), r.arrival(idempotent, 1)), 1, 2, 3)
 	r.wantSent(r.step(sec, outcome(1, 0, OK), outcome(2, 0, OK))) // the slot is held until the last outcome
 	r.wantSent(r.step(sec, outcome(3, 0, OK)), 4)
@@ -316,13 +316,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 			r.wantSent(r.step(0, r.arrival(c.class, 1)), 1)
-			acts := r.step(c.after, outcome(1, 0, c.res))
-			acts = append(acts, r.runFor(3*sec)...)
-			if c.resent != slices.Equal(sentMessages(acts), []MessageID{1}) {
-				t.Fatalf("resent %v: %+v", !c.resent, acts)
+			actions := r.step(c.after, outcome(1, 0, c.res))
+			actions = append(actions, r.runFor(3*sec)...)
+			if c.resent != slices.Equal(sentMessages(actions), []MessageID{1}) {
+				t.Fatalf("resent %v: %+v", !c.resent, actions)
 			}
 			if c.end != 0 {
-				r.wantAnswer(acts, c.end, 1)
+				r.wantAnswer(actions, c.end, 1)
 			}
 		})
 	}
@@ -330,12 +330,12 @@
 
 // A send tells until when it may begin: a repeat that waits for a connection must not go past its window.
 func TestSendsTellUntilWhenTheyMayBegin(t *testing.T) {
-	within := func(acts []Action) Time {
-		i := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == Send })
+	within := func(actions []Action) Time {
+		i := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == Send })
 		if i < 0 {
-			t.Fatalf("nothing is sent: %+v", acts)
+			t.Fatalf("nothing is sent: %+v", actions)
 		}
-		return acts[i].SendWithin
+		return actions[i].SendWithin
 	}
 	tick := testSettings().Tick
 	for class, want := range map[int]Time{idempotent: 18*sec - tick, deduplicated: 8*sec - StallMargin - tick} { // the deadline, the window
@@ -350,18 +350,18 @@
 }
 
 func TestDedupPerZoneRepeatsStayInTheirZone(t *testing.T) {
-	set := testSettings()
-	set.Classes[deduplicated].DedupPerZone = true
-	far := entry(1, 1, 0)
-	far.Zone = 1
-	r := newRunner(t, set, entry(1, 0, 0), far)
-	acts := r.step(0, r.arrival(deduplicated, 1))
-	if acts[0].Endpoint != endpointID(1, 0) {
-		t.Fatalf("the own zone comes first, sent to %d", acts[0].Endpoint)
-	}
-	gone := entry(1, 0, 0)
-	gone.Health = Draining
-	r.step(sec/10, Event{Kind: ListUpdate, Entries: []Entry{gone}})
+	settings := testSettings()
+	settings.Classes[deduplicated].DedupPerZone = true
+	otherZone := entry(1, 1, 0)
+	otherZone.Zone = 1
+	r := newRunner(t, settings, entry(1, 0, 0), otherZone)
+	actions := r.step(0, r.arrival(deduplicated, 1))
+	if actions[0].Endpoint != endpointID(1, 0) {
+		t.Fatalf("the own zone comes first, sent to %d", actions[0].Endpoint)
+	}
+	drained := entry(1, 0, 0)
+	drained.Health = Draining
+	r.step(sec/10, Event{Kind: ListUpdate, Entries: []Entry{drained}})
 	r.wantSent(r.step(sec/10, outcome(1, 0, ErrorResponse)))
 	r.wantAnswer(r.runFor(11*sec), Fail, 1)
 }
@@ -372,19 +372,19 @@
 		end   ActionKind
 	}{{idempotent, Refuse}, {atMostOnce, Fail}} {
 		r := newRunner(t, testSettings(), entry(1, 0, 0))
-		acts := r.dispatcher.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
-		var mark uint64
+		actions := r.dispatcher.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
+		var token uint64
 		var due Time
-		for _, a := range acts {
+		for _, a := range actions {
 			if a.Kind == Timer && a.TimerToken != 0 {
-				mark, due = a.TimerToken, a.After
+				token, due = a.TimerToken, a.After
 			}
 		}
 		if due >= 20*sec {
 			t.Fatalf("timer at %v is too late", due)
 		}
-		r.wantAnswer(r.step(due, Event{Kind: TimerFired, TimerToken: mark}), c.end, 1)
-		if more := r.step(sec, Event{Kind: TimerFired, TimerToken: mark}, outcome(1, 0, TimedOut), outcome(1, 0, OK)); len(more) > 0 {
+		r.wantAnswer(r.step(due, Event{Kind: TimerFired, TimerToken: token}), c.end, 1)
+		if more := r.step(sec, Event{Kind: TimerFired, TimerToken: token}, outcome(1, 0, TimedOut), outcome(1, 0, OK)); len(more) > 0 {
 			t.Errorf("acts for an ended message: %+v", more)
 		}
 	}
@@ -402,10 +402,10 @@
 
 func TestRetryAfterAppliesToOneEndpointWithPerEndpointLimits(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 2), entry(1, 1, 2))
-	acts := r.step(0, r.arrival(idempotent, 1))
-	again := r.step(sec/10, refusal(1, 0, 5*sec))
-	r.wantSent(again, 1)
-	if again[0].Endpoint == acts[0].Endpoint {
+	actions := r.step(0, r.arrival(idempotent, 1))
+	repeats := r.step(sec/10, refusal(1, 0, 5*sec))
+	r.wantSent(repeats, 1)
+	if repeats[0].Endpoint == actions[0].Endpoint {
 		t.Error("sent again to the route that told a wait")
 	}
 }
@@ -421,9 +421,9 @@
 func TestDrainingAndGoneEndpointsGetNothing(t *testing.T) {
 	for _, h := range []Health{Draining, Gone} {
 		r := newRunner(t, testSettings(), entry(1, 0, 0))
-		e := entry(1, 0, 0)
-		e.Health = h
-		r.step(0, Event{Kind: ListUpdate, Entries: []Entry{e}})
+		listed := entry(1, 0, 0)
+		listed.Health = h
+		r.step(0, Event{Kind: ListUpdate, Entries: []Entry{listed}})
 		r.wantSent(r.step(sec/10, r.arrival(idempotent, 1)))
 		r.step(sec/10, Event{Kind: ListUpdate, ListKind: ListFailed})
 		r.wantSent(r.runFor(sec)) // held, not answered
@@ -453,9 +453,9 @@
 }
 
 func TestMaxAttempts(t *testing.T) {
-	set := testSettings()
-	set.MaxAttempts = 2
-	r := newRunner(t, set, entry(1, 0, 0), entry(1, 1, 0))
+	settings := testSettings()
+	settings.MaxAttempts = 2
+	r := newRunner(t, settings, entry(1, 0, 0), entry(1, 1, 0))
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.wantSent(r.step(sec/10, outcome(1, 0, ErrorResponse)), 1)
 	r.wantAnswer(r.step(sec/10, outcome(1, 1, ErrorResponse)), Refuse, 1)
@@ -505,11 +505,11 @@
 // Hundreds of senders' idle connections fill a destination's table: after a failed connect those of its kind are
 // closed after use, and left open again when nothing of the sort has been seen for a while.
 func TestConnectionsAreClosedWhereTheyAreScarce(t *testing.T) {
-	set := testSettings()
-	set.Instances = 20
-	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
-	closed := func(acts []Action, e EndpointID) bool {
-		return slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
+	settings := testSettings()
+	settings.Instances = 20
+	r := newRunner(t, settings, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
+	closed := func(actions []Action, e EndpointID) bool {
+		return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
 	}
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	if closed(r.step(sec/10, outcome(1, 0, OK)), endpointID(1, 0)) {
@@ -537,20 +537,20 @@
 	r.step(sec/10, outcome(1, 0, OK))
 	for range 2 { // two signs are needed
 		r.wantSent(r.step(3*sec, r.arrival(idempotent, 1)), r.lastID)
-		acts := r.step(sec/10, outcome(r.lastID, 0, Reset)) // goes again at once, on a new connection
-		r.wantSent(acts, r.lastID)
-		if acts[0].Kind != Close {
-			t.Fatalf("sent again without closing: %+v", acts)
+		actions := r.step(sec/10, outcome(r.lastID, 0, Reset)) // goes again at once, on a new connection
+		r.wantSent(actions, r.lastID)
+		if actions[0].Kind != Close {
+			t.Fatalf("sent again without closing: %+v", actions)
 		}
 		r.step(sec/10, outcome(r.lastID, 1, OK))
 	}
-	acts := r.step(2900*Millisecond, r.arrival(atMostOnce, 1))
-	if len(acts) != 2 || acts[0].Kind != Close || acts[1].Kind != Send {
-		t.Errorf("an unsafe message was risked on a connection idle for as long: %+v", acts)
+	actions := r.step(2900*Millisecond, r.arrival(atMostOnce, 1))
+	if len(actions) != 2 || actions[0].Kind != Close || actions[1].Kind != Send {
+		t.Errorf("an unsafe message was risked on a connection idle for as long: %+v", actions)
 	}
 	r.step(sec/10, outcome(r.lastID, 0, OK))
-	if acts = r.step(sec/2, r.arrival(idempotent, 1)); len(acts) != 1 {
-		t.Errorf("closed one that is young: %+v", acts)
+	if actions = r.step(sec/2, r.arrival(idempotent, 1)); len(actions) != 1 {
+		t.Errorf("closed one that is young: %+v", actions)
 	}
 }
 
@@ -577,8 +577,8 @@
 	r.runFor(20 * sec)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.wantSent(r.step(sec/50, outcome(1, 0, ErrorResponse)), 1)
-	acts := slices.Concat(r.step(sec/50, outcome(1, 1, ErrorResponse)), r.runFor(sec/2))
-	r.wantSent(acts)
+	actions := slices.Concat(r.step(sec/50, outcome(1, 1, ErrorResponse)), r.runFor(sec/2))
+	r.wantSent(actions)
 	if e := r.endpoint(endpointID(1, 0)); !e.suspected || !r.dispatcher.outageConfirmed(e) {
 		t.Error("two errors of a sender with one message in 20 s are no outage")
 	}
@@ -591,18 +591,18 @@
 		for range calls {
 			r.step(0, r.arrival(atMostOnce, 1))
 		}
-		e := r.endpoint(endpointID(1, 0))
-		for r.runFor(3 * sec); !e.suspected; r.runFor(sec) {
+		ep := r.endpoint(endpointID(1, 0))
+		for r.runFor(3 * sec); !ep.suspected; r.runFor(sec) {
 		}
 		r.step(0, r.arrival(atMostOnce, 1))
 		r.runFor(sec)
-		trial := e.calls[len(e.calls)-1]
-		if !e.suspected || !trial.trial || len(e.calls) != calls+1 {
-			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, e.suspected, trial.trial, len(e.calls))
+		trial := ep.calls[len(ep.calls)-1]
+		if !ep.suspected || !trial.trial || len(ep.calls) != calls+1 {
+			t.Fatalf("%d calls without an answer: suspect %v, trial %v, %d out", calls, ep.suspected, trial.trial, len(ep.calls))
 		}
 		r.step(0, outcome(trial.messages[0].id, 0, OK))
-		if ramps := e.rampStart != 0; e.suspected || ramps != (calls == 3) {
-			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, e.suspected, ramps)
+		if ramps := ep.rampStart != 0; ep.suspected || ramps != (calls == 3) {
+			t.Errorf("%d calls without an answer: suspect %v, ramps %v", calls, ep.suspected, ramps)
 		}
 	}
 }
@@ -615,8 +615,8 @@
 	for range 20 {
 		r.step(sec/20, r.arrival(atMostOnce, 1))
 	}
-	acts := r.step(sec/20, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}})
-	if got := sentMessages(acts); len(got) > 1 {
+	actions := r.step(sec/20, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}})
+	if got := sentMessages(actions); len(got) > 1 {
 		t.Errorf("dumped %d messages on it", len(got))
 	}
 }
@@ -624,36 +624,36 @@
 // After refusals the release rate comes back within seconds; it once took half a minute.
 func TestReleaseRateRecovers(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
-	p := r.dispatcher.destination(1).limiter
-	n, served := 0, 0
+	limiter := r.dispatcher.destination(1).limiter
+	arrivals, served := 0, 0
 	var next []Event
 	for r.now < 1030*sec {
 		events := next
 		next = nil
-		if n++; n%2 == 0 {
+		if arrivals++; arrivals%2 == 0 {
 			events = append(events, r.arrival(idempotent, 1))
 		}
 		for _, id := range sentMessages(r.step(sec/20, events...)) {
-			e := outcome(id, r.dispatcher.messages[id].attempts-1, OK)
+			event := outcome(id, r.dispatcher.messages[id].attempts-1, OK)
 			if r.now > 1005*sec && r.now < 1006*sec {
-				e = refusal(id, r.dispatcher.messages[id].attempts-1, 0)
+				event = refusal(id, r.dispatcher.messages[id].attempts-1, 0)
 			} else {
 				served++
 			}
-			next = append(next, e)
+			next = append(next, event)
 		}
 	}
-	n /= 2
-	if p.allowance < 1 || served < n*8/10 {
-		t.Errorf("allowed share %v after 24 s, %d of %d served", p.allowance, served, n)
+	arrivals /= 2
+	if limiter.allowance < 1 || served < arrivals*8/10 {
+		t.Errorf("allowed share %v after 24 s, %d of %d served", limiter.allowance, served, arrivals)
 	}
 }
 
 // Late worth that has reached its floor yields to messages still in time.
 func TestMessagesAtLateValueYield(t *testing.T) {
-	set := testSettings()
-	set.HalveLateValue, set.Slots = true, 1
-	r := newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.HalveLateValue, settings.Slots = true, 1
+	r := newRunner(t, settings, entry(1, 0, 0))
 	r.step(0, Event{Kind: ListUpdate, Entries: []Entry{entry(2, 0, 0)}})
 	r.wantSent(r.step(0, r.arrival(idempotent, 2)), 1)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)))
@@ -662,20 +662,20 @@
 }
 
 func TestSheddingKeepsMessagesOfMoreValue(t *testing.T) {
-	set := testSettings()
-	set.MaxOpen, set.Slots = 8, 1
-	set.Classes[atMostOnce].Value = 5
-	r := newRunner(t, set, entry(1, 0, 0))
-	var acts []Action
+	settings := testSettings()
+	settings.MaxOpen, settings.Slots = 8, 1
+	settings.Classes[atMostOnce].Value = 5
+	r := newRunner(t, settings, entry(1, 0, 0))
+	var actions []Action
 	for i := range 12 {
 		class := idempotent
 		if i%2 == 1 {
 			class = atMostOnce
 		}
-		acts = append(acts, r.step(Millisecond, r.arrival(class, 1))...)
+		actions = append(actions, r.step(Millisecond, r.arrival(class, 1))...)
 	}
 	refused := 0
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind == Refuse {
 			refused++
 			if a.Message%2 == 0 {
@@ -690,23 +690,23 @@
 
 // A hang must not starve the others of slots.
 func TestSlotsAreReclaimedFromASuspectedEndpoint(t *testing.T) {
-	set := testSettings()
-	set.Slots = 2
-	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	settings := testSettings()
+	settings.Slots = 2
+	r := newRunner(t, settings, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	r.wantSent(r.step(0, r.arrival(atMostOnce, 1), r.arrival(atMostOnce, 2)), 1, 2)
 	r.step(sec, r.arrival(idempotent, 3))
-	acts := r.runFor(8 * sec)
-	if !slices.ContainsFunc(acts, func(a Action) bool { return a.Kind == Cancel }) {
+	actions := r.runFor(8 * sec)
+	if !slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Cancel }) {
 		t.Error("no slot was taken back")
 	}
 }
 
 func TestUnexpectedEventsAreIgnored(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
-	acts := r.step(0, outcome(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: TimerFired, TimerToken: 12345},
+	actions := r.step(0, outcome(99, 0, OK), Event{Kind: Withdrawn, Message: 99}, Event{Kind: TimerFired, TimerToken: 12345},
 		Event{Kind: ProbeResult, Endpoint: 4}, Event{Kind: Started, Message: 3})
-	if len(acts) > 0 {
-		t.Errorf("acts: %+v", acts)
+	if len(actions) > 0 {
+		t.Errorf("acts: %+v", actions)
 	}
 	bad := r.arrival(99, 1)
 	r.wantAnswer(r.step(0, bad), Refuse, bad.Message)
@@ -717,11 +717,11 @@
 	play := func() (all []Action) {
 		r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 1))
 		for i := range 200 {
-			acts := r.step(sec/50, r.arrival(i%3, 1+i%2))
-			for _, id := range sentMessages(acts) {
-				acts = append(acts, r.step(sec/50, outcome(id, r.dispatcher.messages[id].attempts-1, Result(i%6)))...)
+			actions := r.step(sec/50, r.arrival(i%3, 1+i%2))
+			for _, id := range sentMessages(actions) {
+				actions = append(actions, r.step(sec/50, outcome(id, r.dispatcher.messages[id].attempts-1, Result(i%6)))...)
 			}
-			all = append(all, acts...)
+			all = append(all, actions...)
 		}
 		return all
 	}
@@ -735,13 +735,13 @@
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 1)
 	r.runFor(3 * sec)
-	e := r.endpoint(endpointID(1, 0))
-	if !e.suspected {
+	ep := r.endpoint(endpointID(1, 0))
+	if !ep.suspected {
 		t.Fatal("not suspect after 3 s")
 	}
 	r.step(0, outcome(1, 0, OK))
-	if e.suspected || e.rampStart != 0 {
-		t.Errorf("suspect %v, cold since %v", e.suspected, e.rampStart)
+	if ep.suspected || ep.rampStart != 0 {
+		t.Errorf("suspect %v, cold since %v", ep.suspected, ep.rampStart)
 	}
 }
 
@@ -749,18 +749,18 @@
 func TestSickDestinationsShareHalfOfTheSlots(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	for n := 1; n <= 3; n++ {
-		d := r.dispatcher.destination(n)
-		r.dispatcher.initWindow(d)
-		d.window, d.baselineLatency, d.latency.mean, d.inFlight = 5, 100, 100, 0
-	}
-	one, two := r.dispatcher.destination(1), r.dispatcher.destination(2)
-	r.dispatcher.calling = []*destination{one, two}
-	one.latency.mean, two.latency.mean, two.inFlight = 900, 900, 3
-	if got := r.dispatcher.effectiveWindow(one); got != 1 {
+		dest := r.dispatcher.destination(n)
+		r.dispatcher.initWindow(dest)
+		dest.window, dest.baselineLatency, dest.latency.mean, dest.inFlight = 5, 100, 100, 0
+	}
+	first, second := r.dispatcher.destination(1), r.dispatcher.destination(2)
+	r.dispatcher.calling = []*destination{first, second}
+	first.latency.mean, second.latency.mean, second.inFlight = 900, 900, 3
+	if got := r.dispatcher.effectiveWindow(first); got != 1 {
 		t.Errorf("room %d beside a sick destination with three calls out, want 1", got)
 	}
-	two.latency.mean = 100
-	if got := r.dispatcher.effectiveWindow(one); got != 4 {
+	second.latency.mean = 100
+	if got := r.dispatcher.effectiveWindow(first); got != 4 {
 		t.Errorf("room %d as the only sick one, want half of the slots", got)
 	}
 }
@@ -768,9 +768,9 @@
 // Where no weight is listed a destination asked for nine tenths of the calls has its part of scarce slots: those
 // with little traffic and slow answers once took their turn first whenever they revived.
 func TestDemandStandsInForAnUnlistedWeight(t *testing.T) {
-	set := testSettings()
-	set.Slots, set.MaxOpen = 2, 60
-	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0), entry(4, 0, 0))
+	settings := testSettings()
+	settings.Slots, settings.MaxOpen = 2, 60
+	r := newRunner(t, settings, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0), entry(4, 0, 0))
 	ends := map[MessageID]Time{}
 	served := 0
 	for i := range 1200 {
@@ -782,7 +782,7 @@
 			events = append(events, r.arrival(idempotent, 2+i%60))
 		}
 		for id := MessageID(1); id <= r.lastID; id++ {
-			if at, out := ends[id]; out && r.now >= at {
+			if at, inFlight := ends[id]; inFlight && r.now >= at {
 				delete(ends, id)
 				events = append(events, outcome(id, r.dispatcher.messages[id].attempts-1, OK))
 			}
@@ -806,13 +806,13 @@
 // Of two free routes the one without a fee is taken, though it is in another zone; a plain destination pays none.
 func TestZoneCostAffectsTheChoiceOfAnEndpoint(t *testing.T) {
 	for kind, want := range map[int]int{2: 1, 0: 0} {
-		set := testSettings()
-		set.ZoneCosts = []float64{0.05, 0}
-		far := entry(1, 1, kind)
-		far.Zone = 1
-		r := newRunner(t, set, entry(1, 0, kind), far)
-		if acts := r.step(0, r.arrival(idempotent, 1)); acts[0].Endpoint != endpointID(1, want) {
-			t.Errorf("kind %d: sent to %d, want endpoint %d", kind, acts[0].Endpoint, want)
+		settings := testSettings()
+		settings.ZoneCosts = []float64{0.05, 0}
+		otherZone := entry(1, 1, kind)
+		otherZone.Zone = 1
+		r := newRunner(t, settings, entry(1, 0, kind), otherZone)
+		if actions := r.step(0, r.arrival(idempotent, 1)); actions[0].Endpoint != endpointID(1, want) {
+			t.Errorf("kind %d: sent to %d, want endpoint %d", kind, actions[0].Endpoint, want)
 		}
 	}
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -5,12 +5,12 @@
 )
 
 // newRunners makes dispatchers that differ only in their seeds, each told of the same endpoints.
-func newRunners(t *testing.T, n int, set Settings, entries ...Entry) []*runner {
+func newRunners(t *testing.T, n int, settings Settings, entries ...Entry) []*runner {
 	t.Helper()
-	set.Instances = n
+	settings.Instances = n
 	rigs := make([]*runner, n)
 	for i := range rigs {
-		r := newRunner(t, set, entries...)
+		r := newRunner(t, settings, entries...)
 		r.dispatcher.rng += uint64(i) * 2862933555777941757
 		r.runFor(20 * sec) // the memory of the demand is filled
 		rigs[i] = r
@@ -25,9 +25,9 @@
 	sends := 0
 	for _, r := range newRunners(t, n, testSettings(), entry(1, 0, 0)) {
 		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
-		again := sentMessages(append(r.step(sec/50, outcome(1, 0, ConnectFailed)), r.runFor(4*sec)...))
-		if len(again) != 1 {
-			t.Fatalf("%d tries to make sure, want one", len(again))
+		repeats := sentMessages(append(r.step(sec/50, outcome(1, 0, ConnectFailed)), r.runFor(4*sec)...))
+		if len(repeats) != 1 {
+			t.Fatalf("%d tries to make sure, want one", len(repeats))
 		}
 		sends += len(sentMessages(append(r.step(sec/50, outcome(1, 1, ConnectFailed)), r.runFor(2*sec)...)))
 	}
@@ -122,38 +122,38 @@
 		allow float64
 		want  ActionKind
 	}{{0.2, Fail}, {unlimitedAllowance, Refuse}} {
-		set := testSettings()
-		set.MaxOpen = 3
-		r := newRunner(t, set, entry(1, 0, 0))
+		settings := testSettings()
+		settings.MaxOpen = 3
+		r := newRunner(t, settings, entry(1, 0, 0))
 		r.runFor(20 * sec)
 		r.step(0, r.arrival(idempotent, 1))
 		r.step(sec/10, refusal(1, 0, 10*sec))
 		r.dispatcher.destination(1).limiter.allowance = c.allow
-		acts := append(r.step(sec/10, r.arrival(idempotent, 1)), r.step(sec/10, r.arrival(idempotent, 1))...)
-		if len(acts) != 1 || acts[0].Kind != c.want {
-			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, acts, c.want)
+		actions := append(r.step(sec/10, r.arrival(idempotent, 1)), r.step(sec/10, r.arrival(idempotent, 1))...)
+		if len(actions) != 1 || actions[0].Kind != c.want {
+			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, actions, c.want)
 		}
 	}
 }
 
 // Two slots, two hung destinations: they must not hold both.
 func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
-	set := testSettings()
-	set.Slots = 2
-	r := newRunner(t, set, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
+	settings := testSettings()
+	settings.Slots = 2
+	r := newRunner(t, settings, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 0))
 	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 1)
 	r.runFor(4 * sec)
 	r.step(0, r.arrival(atMostOnce, 2))
 	r.runFor(4 * sec)
-	one, two := r.dispatcher.destination(1), r.dispatcher.destination(2)
-	if !r.dispatcher.degraded(one) || !r.dispatcher.degraded(two) {
+	first, second := r.dispatcher.destination(1), r.dispatcher.destination(2)
+	if !r.dispatcher.degraded(first) || !r.dispatcher.degraded(second) {
 		t.Fatal("not both are taken as hung")
 	}
-	acts := r.step(0, r.arrival(idempotent, 3))
+	actions := r.step(0, r.arrival(idempotent, 3))
 	want := r.lastID
 	for range 150 {
 		var ends []Event
-		for _, a := range acts {
+		for _, a := range actions {
 			if a.Kind == Cancel {
 				ends = append(ends, outcome(a.Message, a.Attempt, Cancelled))
 			}
@@ -161,7 +161,7 @@
 				return
 			}
 		}
-		acts = r.step(sec/50, ends...)
+		actions = r.step(sec/50, ends...)
 	}
 	t.Error("a message for a well destination waits for a slot held by hung ones")
 }
@@ -170,40 +170,40 @@
 func TestStateDoesNotGrow(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	for i := range 200 {
-		e := entry(1, i+2, 0)
-		o := entry(100+i, 0, 0)
-		r.step(0, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{e, o}})
-		m, n, k := r.arrival(idempotent, 1), r.arrival(idempotent, 100+i), r.keyedArrival(uint64(1000+i))
-		acts := r.step(sec/10, m, n, k)
-		for _, id := range sentMessages(acts) {
+		replacement := entry(1, i+2, 0)
+		otherDest := entry(100+i, 0, 0)
+		r.step(0, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{replacement, otherDest}})
+		first, second, keyed := r.arrival(idempotent, 1), r.arrival(idempotent, 100+i), r.keyedArrival(uint64(1000+i))
+		actions := r.step(sec/10, first, second, keyed)
+		for _, id := range sentMessages(actions) {
 			res := OK
-			if id == k.Message {
+			if id == keyed.Message {
 				res = Reset
 			}
 			r.step(sec/50, outcome(id, 0, res))
 		}
-		r.step(sec/50, Event{Kind: Withdrawn, Message: k.Message}, outcome(k.Message, 1, OK))
+		r.step(sec/50, Event{Kind: Withdrawn, Message: keyed.Message}, outcome(keyed.Message, 1, OK))
 		r.runFor(sec)
 	}
 	r.runFor(2 * housekeepingInterval)
-	d := r.dispatcher
-	if len(d.endpointByID) > 2 || len(d.destByNumber) > 2 || len(d.dests) > 2 || len(d.messages) > 0 || len(d.keys) > 0 || len(d.restingKeys) > 0 {
+	dispatcher := r.dispatcher
+	if len(dispatcher.endpointByID) > 2 || len(dispatcher.destByNumber) > 2 || len(dispatcher.dests) > 2 || len(dispatcher.messages) > 0 || len(dispatcher.keys) > 0 || len(dispatcher.restingKeys) > 0 {
 		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
-			len(d.endpointByID), len(d.destByNumber), len(d.dests), len(d.messages), len(d.keys), len(d.restingKeys))
+			len(dispatcher.endpointByID), len(dispatcher.destByNumber), len(dispatcher.dests), len(dispatcher.messages), len(dispatcher.keys), len(dispatcher.restingKeys))
 	}
 }
 
 // A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
 func TestKeyRestAndRetryAfterOutliveTheirMessages(t *testing.T) {
-	set := testSettings()
-	set.SettleTime = 30 * sec
-	r := newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.SettleTime = 30 * sec
+	r := newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.keyedArrival(9)), 1)
 	r.step(sec/10, Event{Kind: Withdrawn, Message: 1}, outcome(1, 0, Reset))
 	r.runFor(2 * housekeepingInterval)
-	e := r.keyedArrival(9)
-	e.TimeLeft = 40 * sec
-	r.wantSent(append(r.step(0, e), r.runFor(9*sec)...))
+	event := r.keyedArrival(9)
+	event.TimeLeft = 40 * sec
+	r.wantSent(append(r.step(0, event), r.runFor(9*sec)...))
 	if got := sentMessages(r.runFor(2 * sec)); len(got) != 1 {
 		t.Errorf("after the rest sent %v", got)
 	}
@@ -218,18 +218,18 @@
 
 func TestLogLinesAreRateLimited(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
-	notes := 0
+	lines := 0
 	for range 40 {
 		r.dispatcher.startSlowStart(r.endpoint(endpointID(1, 0)), r.now)
 		r.now += sec / 2
 		for _, a := range r.dispatcher.Step(r.now, nil, nil) {
 			if a.Kind == Log {
-				notes++
+				lines++
 			}
 		}
 	}
-	if notes > 3 {
-		t.Errorf("%d notes in 20 s", notes)
+	if lines > 3 {
+		t.Errorf("%d notes in 20 s", lines)
 	}
 }
 
@@ -239,9 +239,9 @@
 	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.runFor(20 * sec)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
-	acts := r.step(sec/50, outcome(1, 0, ConnectFailed))
-	r.wantSent(acts, 1)
-	gone := entry(1, int(acts[0].Endpoint)%10, 0)
+	actions := r.step(sec/50, outcome(1, 0, ConnectFailed))
+	r.wantSent(actions, 1)
+	gone := entry(1, int(actions[0].Endpoint)%10, 0)
 	gone.Health = Gone
 	r.step(sec/50, outcome(1, 1, ConnectFailed), Event{Kind: ListUpdate, Entries: []Entry{gone}})
 	r.runFor(2 * housekeepingInterval)
@@ -257,16 +257,16 @@
 
 // Aims of nothing are legal settings: shares and waits stay finite, and messages are sent and answered.
 func TestZeroTargetIsHarmless(t *testing.T) {
-	set := testSettings()
-	for i := range set.Classes {
-		set.Classes[i].Target = 0
+	settings := testSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].Target = 0
 	}
-	r := newRunner(t, set, entry(1, 0, 0))
+	r := newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.step(sec/10, refusal(1, 0, 0))
-	p := r.dispatcher.destination(1).limiter
-	if r.runFor(5 * sec); p.tokens != p.tokens || p.waitUntil > r.now+maxBackoff {
-		t.Errorf("tokens %v, wait until %v at %v", p.tokens, p.waitUntil, r.now)
+	limiter := r.dispatcher.destination(1).limiter
+	if r.runFor(5 * sec); limiter.tokens != limiter.tokens || limiter.waitUntil > r.now+maxBackoff {
+		t.Errorf("tokens %v, wait until %v at %v", limiter.tokens, limiter.waitUntil, r.now)
 	}
 	if d := r.dispatcher; !(d.minTarget > 0) {
 		t.Errorf("aim %v", d.minTarget)
@@ -275,14 +275,14 @@
 
 // Replaced endpoints, failed lists and notes, over many cycles: nothing is kept of them.
 func TestStateDoesNotGrowWithHintsAndFailedLists(t *testing.T) {
-	set := gossipSettings()
-	set.PullList, set.PullInterval = true, 10*sec
-	r := newRunner(t, set, entry(1, 0, 2))
+	settings := gossipSettings()
+	settings.PullList, settings.PullInterval = true, 10*sec
+	r := newRunner(t, settings, entry(1, 0, 2))
 	for i := range 200 {
-		n := hintID(endpointID(1, i+2))
+		hint := hintID(endpointID(1, i+2))
 		r.step(sec/10, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, i+2, 2)}}, Event{Kind: ListUpdate, ListKind: ListFailed})
 		m := r.arrival(idempotent, 1)
-		r.step(sec/10, m, Event{Kind: GossipReceived, Payload: string([]byte{byte(i), byte(n >> 16), byte(n >> 8), byte(n)})})
+		r.step(sec/10, m, Event{Kind: GossipReceived, Payload: string([]byte{byte(i), byte(hint >> 16), byte(hint >> 8), byte(hint)})})
 		r.runFor(sec)
 		if r.dispatcher.messages[m.Message] != nil && r.dispatcher.messages[m.Message].call != nil {
 			r.step(0, usedUpRefusal(m.Message, r.dispatcher.messages[m.Message].attempts-1, 0))
@@ -300,16 +300,16 @@
 // what they send at once then is a part of their demand, and not a call each.
 func TestAllWaitForTheSameMoment(t *testing.T) {
 	const n = 60
-	set := testSettings()
+	settings := testSettings()
 	atOnce, soon := 0, 0
-	for _, r := range newRunners(t, n, set, entry(1, 0, 0)) {
+	for _, r := range newRunners(t, n, settings, entry(1, 0, 0)) {
 		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
-		opens := r.now + 8*sec
-		r.step(sec/50, refusal(1, 0, opens-r.now-sec/50))
-		for r.now < opens-sec/2 {
+		waitEnd := r.now + 8*sec
+		r.step(sec/50, refusal(1, 0, waitEnd-r.now-sec/50))
+		for r.now < waitEnd-sec/2 {
 			r.step(sec/2, r.arrival(idempotent, 1))
 		}
-		atOnce += len(sentMessages(r.runFor(opens + sec/10 - r.now)))
+		atOnce += len(sentMessages(r.runFor(waitEnd + sec/10 - r.now)))
 		soon += len(sentMessages(r.runFor(2 * sec)))
 	}
 	// Each has a demand of two a second. Cold, a destination of that demand bears about 0.2 of it; 120 x 0.2 x 0.1 s are 2.4.
--- a/control/list_test.go
+++ b/control/list_test.go
@@ -8,13 +8,13 @@
 // newPullRunner starts a Dispatcher whose list comes only when asked for.
 func newPullRunner(t *testing.T, seed uint64) *runner {
 	t.Helper()
-	set := testSettings()
-	set.PullList, set.PullInterval = true, 10*sec
-	d, err := New(set, seed)
+	settings := testSettings()
+	settings.PullList, settings.PullInterval = true, 10*sec
+	dispatcher, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{t: t, dispatcher: d, now: 1000 * sec}
+	r := &runner{t: t, dispatcher: dispatcher, now: 1000 * sec}
 	r.step(0, Event{Kind: ListUpdate, ListKind: ListCached, Entries: []Entry{entry(1, 0, 0)}})
 	return r
 }
@@ -23,9 +23,9 @@
 func (r *runner) listRequests(span Time, answer func() Event) (at []Time, kinds []ActionKind) {
 	var next []Event
 	for end := r.now + span; r.now < end; {
-		acts := r.step(20*Millisecond, next...)
+		actions := r.step(20*Millisecond, next...)
 		next = nil
-		for _, a := range acts {
+		for _, a := range actions {
 			if a.Kind == Watch || a.Kind == Fetch {
 				at, kinds = append(at, r.now), append(kinds, a.Kind)
 				next = append(next, answer())
@@ -101,9 +101,9 @@
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.step(sec/10, outcome(1, 0, OK))
 	r.step(sec, Event{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, 1, 0)}})
-	acts := r.step(sec/10, r.arrival(idempotent, 1))
-	r.wantSent(acts, 2)
-	if acts[0].Endpoint != endpointID(1, 1) {
+	actions := r.step(sec/10, r.arrival(idempotent, 1))
+	r.wantSent(actions, 2)
+	if actions[0].Endpoint != endpointID(1, 1) {
 		t.Error("sent to an endpoint that the whole list left out")
 	}
 	drains := entry(1, 1, 0)
@@ -119,8 +119,8 @@
 	if len(r.dispatcher.dests) != 0 || len(r.dispatcher.unusedEntries) != 2 {
 		t.Fatalf("%d destinations in full before anything was asked for", len(r.dispatcher.dests))
 	}
-	one, two := r.arrival(idempotent, 1), r.arrival(idempotent, 2)
-	r.step(sec/10, one, two)
+	first, second := r.arrival(idempotent, 1), r.arrival(idempotent, 2)
+	r.step(sec/10, first, second)
 	r.step(sec/10, outcome(1, 0, OK), Event{Kind: Outcome, Message: 2, Endpoint: endpointID(2, 0), Result: LimitExceeded, RetryAfter: 2000 * sec})
 	if len(r.dispatcher.dests) != 2 {
 		t.Fatalf("%d destinations in full, want 2", len(r.dispatcher.dests))
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -7,17 +7,17 @@
 
 // newOutageRunner makes a dispatcher that keeps what it knows of outages, of one destination with one endpoint.
 func newOutageRunner(t *testing.T) *runner {
-	set := testSettings()
-	set.TrackOutages = true
-	return newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.TrackOutages = true
+	return newRunner(t, settings, entry(1, 0, 0))
 }
 
 // restart hands what one dispatcher had told of outages to another, as a process that follows it does.
-func (r *runner) restart(told map[EndpointID]Outage, now Time) *runner {
+func (r *runner) restart(recorded map[EndpointID]Outage, now Time) *runner {
 	next := newOutageRunner(r.t)
 	next.now = now
 	events := []Event{{Kind: ListUpdate, ListKind: ListFull, Entries: []Entry{entry(1, 0, 0)}}}
-	for _, o := range told {
+	for _, o := range recorded {
 		events = append(events, Event{Kind: OutageRestored, Outage: &o})
 	}
 	next.step(0, events...)
@@ -25,12 +25,12 @@
 }
 
 // recordOutages keeps what is told, as a record does.
-func recordOutages(told map[EndpointID]Outage, changed []Outage) {
+func recordOutages(recorded map[EndpointID]Outage, changed []Outage) {
 	for _, o := range changed {
 		if o.Ended() {
-			delete(told, o.Endpoint)
+			delete(recorded, o.Endpoint)
 		} else {
-			told[o.Endpoint] = o
+			recorded[o.Endpoint] = o
 		}
 	}
 }
@@ -38,23 +38,23 @@
 // A dispatcher that restarts within an outage goes on as one that has seen it: single trials, and a ramp on the return.
 func TestOutageOutlivesTheProcess(t *testing.T) {
 	r := newOutageRunner(t)
-	told := map[EndpointID]Outage{}
+	recorded := map[EndpointID]Outage{}
 	r.runFor(20 * sec)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	for n := range 3 {
 		r.step(sec/50, outcome(1, n, ConnectFailed))
-		recordOutages(told, r.dispatcher.Outages())
+		recordOutages(recorded, r.dispatcher.Outages())
 		for range 1000 {
 			if len(sentMessages(r.step(sec/50))) > 0 {
 				break
 			}
 		}
 	}
-	if o := told[endpointID(1, 0)]; !o.Suspected || o.Failures < 2 || !o.Unreachable {
-		t.Fatalf("told %+v", told)
+	if o := recorded[endpointID(1, 0)]; !o.Suspected || o.Failures < 2 || !o.Unreachable {
+		t.Fatalf("told %+v", recorded)
 	}
 	for range 2 { // also a second process that follows
-		r = r.restart(told, r.now+2*sec)
+		r = r.restart(recorded, r.now+2*sec)
 		var batch []Event
 		for range 30 {
 			batch = append(batch, r.arrival(idempotent, 1))
@@ -63,7 +63,7 @@
 		if len(first) > 1 {
 			t.Errorf("%d calls at once to an endpoint that was down", len(first))
 		}
-		recordOutages(told, r.dispatcher.Outages())
+		recordOutages(recorded, r.dispatcher.Outages())
 	}
 	if e := r.endpoint(endpointID(1, 0)); !e.suspected || !r.dispatcher.outageConfirmed(e) {
 		t.Error("the outage is forgotten")
@@ -75,20 +75,20 @@
 			res = OK
 		}
 	}
-	recordOutages(told, r.dispatcher.Outages())
-	if e := r.endpoint(endpointID(1, 0)); e.suspected || e.rampStart == 0 || told[endpointID(1, 0)].RampStart != e.rampStart {
-		t.Errorf("after the return: suspect %v, cold since %d, told %+v", e.suspected, e.rampStart, told)
+	recordOutages(recorded, r.dispatcher.Outages())
+	if e := r.endpoint(endpointID(1, 0)); e.suspected || e.rampStart == 0 || recorded[endpointID(1, 0)].RampStart != e.rampStart {
+		t.Errorf("after the return: suspect %v, cold since %d, told %+v", e.suspected, e.rampStart, recorded)
 	}
-	cold := r.endpoint(endpointID(1, 0)).rampStart
-	if r = r.restart(told, r.now+sec); r.endpoint(endpointID(1, 0)).rampStart != cold {
-		t.Errorf("the ramp began at %d, the next process has it begin at %d", cold, r.endpoint(endpointID(1, 0)).rampStart)
+	rampStart := r.endpoint(endpointID(1, 0)).rampStart
+	if r = r.restart(recorded, r.now+sec); r.endpoint(endpointID(1, 0)).rampStart != rampStart {
+		t.Errorf("the ramp began at %d, the next process has it begin at %d", rampStart, r.endpoint(endpointID(1, 0)).rampStart)
 	}
 }
 
 // What is over is told as over: the record must not grow with outages that have passed.
 func TestOutagesEnd(t *testing.T) {
 	r := newOutageRunner(t)
-	told := map[EndpointID]Outage{}
+	recorded := map[EndpointID]Outage{}
 	r.runFor(20 * sec)
 	for n := range 200 {
 		r.step(sec/2, r.arrival(idempotent, 1))
@@ -102,29 +102,29 @@
 			}
 			r.step(sec/50, outcome(m.id, m.attempts-1, res))
 		}
-		recordOutages(told, r.dispatcher.Outages())
+		recordOutages(recorded, r.dispatcher.Outages())
 	}
-	if len(told) != 0 {
-		t.Errorf("left: %+v", told)
+	if len(recorded) != 0 {
+		t.Errorf("left: %+v", recorded)
 	}
 }
 
 // An endpoint that leaves the list, or was never in it, takes its outage off the record or leaves no trace.
 func TestOutageOfAGoneEndpointEnds(t *testing.T) {
 	r := newOutageRunner(t)
-	told := map[EndpointID]Outage{}
+	recorded := map[EndpointID]Outage{}
 	r.runFor(20 * sec)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.step(sec/50, outcome(1, 0, ConnectFailed))
-	recordOutages(told, r.dispatcher.Outages())
+	recordOutages(recorded, r.dispatcher.Outages())
 	gone := entry(1, 0, 0)
 	gone.Health = Gone
 	r.step(0, Event{Kind: ListUpdate, Entries: []Entry{gone}}, Event{Kind: OutageRestored, Outage: &Outage{Endpoint: 99, Dest: 7, Suspected: true}})
 	for range 100 {
 		r.step(sec)
-		recordOutages(told, r.dispatcher.Outages())
+		recordOutages(recorded, r.dispatcher.Outages())
 	}
-	if len(told) != 0 {
-		t.Errorf("left: %+v", told)
+	if len(recorded) != 0 {
+		t.Errorf("left: %+v", recorded)
 	}
 }
--- a/control/peers_test.go
+++ b/control/peers_test.go
@@ -8,20 +8,20 @@
 
 // gossipSettings makes the settings of dispatchers that may send each other notes and read reports.
 func gossipSettings() Settings {
-	set := testSettings()
-	set.Gossip, set.GossipCost, set.Instances = true, 0.01/256, 100
-	set.ReportRemainingIndex, set.ReportLimitIndex = 0, 1
-	return set
+	settings := testSettings()
+	settings.Gossip, settings.GossipCost, settings.Instances = true, 0.01/256, 100
+	settings.ReportRemainingIndex, settings.ReportLimitIndex = 0, 1
+	return settings
 }
 
 func usedUpRefusal(m MessageID, attempt int, left float32) Event {
-	e := refusal(m, attempt, 0)
-	e.Report = []float32{left, 10}
-	return e
+	event := refusal(m, attempt, 0)
+	event.Report = []float32{left, 10}
+	return event
 }
 
-func sentHints(acts []Action) string {
-	for _, a := range acts {
+func sentHints(actions []Action) string {
+	for _, a := range actions {
 		if a.Kind == SendGossip {
 			return a.Text
 		}
@@ -34,12 +34,12 @@
 func TestUsedUpLimitIsToldAndHeldByAll(t *testing.T) {
 	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
 	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
-	told := sentHints(a.step(sec/50, usedUpRefusal(1, 0, 0)))
-	if told == "" {
+	hints := sentHints(a.step(sec/50, usedUpRefusal(1, 0, 0)))
+	if hints == "" {
 		t.Fatal("a used-up limit is not told")
 	}
-	heard := Event{Kind: GossipReceived, Payload: told}
-	b.wantSent(b.step(0, heard, b.arrival(idempotent, 1)))
+	received := Event{Kind: GossipReceived, Payload: hints}
+	b.wantSent(b.step(0, received, b.arrival(idempotent, 1)))
 	b.wantSent(b.runFor(defaultHold - sec/50))
 	if got := sentMessages(b.runFor(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
 		t.Errorf("after the hold sent %v", got)
@@ -49,7 +49,7 @@
 		r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 		r.dispatcher.rng += seed * 2862933555777941757
 		start := r.now
-		r.step(0, heard, r.arrival(idempotent, 1))
+		r.step(0, received, r.arrival(idempotent, 1))
 		for r.now < start+2*maxSpread && len(sentMessages(r.step(20*Millisecond))) == 0 {
 		}
 		at = append(at, r.now-start)
@@ -66,15 +66,15 @@
 	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 	r.dispatcher.gossipCredit = 1000
 	apart := unseenWarmUps*r.dispatcher.settings.WarmUp + sec
-	told := 0
+	gossiped := 0
 	for i := range 5 {
 		r.wantSent(r.step(apart, r.arrival(idempotent, 1)), r.lastID)
 		if sentHints(r.step(sec/50, usedUpRefusal(r.lastID, 0, 0.9))) != "" {
-			told++
+			gossiped++
 		}
 		r.step(0, Event{Kind: Withdrawn, Message: r.lastID})
-		if want := min(i+1, minConfirmFailures); told != want {
-			t.Fatalf("%d refusals in a row, %d told, want %d", i+1, told, want)
+		if want := min(i+1, minConfirmFailures); gossiped != want {
+			t.Fatalf("%d refusals in a row, %d told, want %d", i+1, gossiped, want)
 		}
 		r.dispatcher.destination(1).limiter.tokens, r.endpoint(endpointID(1, 0)).rampStart = 1, 0
 	}
@@ -87,9 +87,9 @@
 }
 
 // runUntilSent plays rounds of 20 ms until something is sent.
-func (r *runner) runUntilSent(most Time) {
+func (r *runner) runUntilSent(limit Time) {
 	r.t.Helper()
-	for end := r.now + most; r.now < end; {
+	for end := r.now + limit; r.now < end; {
 		if len(sentMessages(r.step(20*Millisecond))) > 0 {
 			return
 		}
@@ -108,14 +108,14 @@
 	b.runUntilSent(5 * sec)
 	b.step(0, outcome(1, 1, ConnectFailed))
 	a.endpoint(endpointID(1, 0)).downSince -= 5 * sec // here it has lasted longer
-	e := b.endpoint(endpointID(1, 0))
-	if !e.suspected || !b.dispatcher.outageConfirmed(e) {
+	ep := b.endpoint(endpointID(1, 0))
+	if !ep.suspected || !b.dispatcher.outageConfirmed(ep) {
 		t.Fatal("not sure of an outage")
 	}
-	told := sentHints(a.step(0, outcome(1, 1, OK)))
-	b.step(0, Event{Kind: GossipReceived, Payload: told})
-	if e.suspected || e.rampStart == 0 {
-		t.Errorf("suspect %v, ramp since %v after a told return", e.suspected, e.rampStart)
+	hints := sentHints(a.step(0, outcome(1, 1, OK)))
+	b.step(0, Event{Kind: GossipReceived, Payload: hints})
+	if ep.suspected || ep.rampStart == 0 {
+		t.Errorf("suspect %v, ramp since %v after a told return", ep.suspected, ep.rampStart)
 	}
 }
 
@@ -123,8 +123,8 @@
 func TestInvalidHintsAreIgnoredAndHintsAreBounded(t *testing.T) {
 	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 	for _, c := range []string{"", "a", "abc", "\x00\x00\x00\x00\x01", string(make([]byte, 999)), "\xff\xff\xff\xff"} {
-		if acts := r.step(0, Event{Kind: GossipReceived, Payload: c}); len(acts) > 0 {
-			t.Errorf("%q: %+v", c, acts)
+		if actions := r.step(0, Event{Kind: GossipReceived, Payload: c}); len(actions) > 0 {
+			t.Errorf("%q: %+v", c, actions)
 		}
 	}
 	bytes := 0
@@ -152,9 +152,9 @@
 func TestKnownLimitIsSharedEvenlyWhereItIsFelt(t *testing.T) {
 	const n = 50
 	sends := 0
-	set := testSettings()
-	set.ReportRemainingIndex, set.ReportLimitIndex = 0, 1
-	for _, r := range newRunners(t, n, set, entry(1, 0, 0)) { // 10 a second for 50 senders of one message a second each
+	settings := testSettings()
+	settings.ReportRemainingIndex, settings.ReportLimitIndex = 0, 1
+	for _, r := range newRunners(t, n, settings, entry(1, 0, 0)) { // 10 a second for 50 senders of one message a second each
 		var next []Event
 		for i := range 30 * 20 {
 			events := next
@@ -177,17 +177,17 @@
 // With a tip-multiple of 1.5 a ramp of 1.2 times the demand was over it by chance.
 func TestRampStaysBelowCollapseMultiple(t *testing.T) {
 	sends := 0
-	set := testSettings()
-	set.CollapseMultiple, set.ColdCapacity = 1.5, 0.3
+	settings := testSettings()
+	settings.CollapseMultiple, settings.ColdCapacity = 1.5, 0.3
 	const n = 40
-	for _, r := range newRunners(t, n, set, entry(1, 0, 0)) {
-		e := r.endpoint(endpointID(1, 0))
+	for _, r := range newRunners(t, n, settings, entry(1, 0, 0)) {
+		ep := r.endpoint(endpointID(1, 0))
 		for range 20 * 20 {
 			for _, id := range sentMessages(r.step(sec/20, r.arrival(idempotent, 1))) {
 				r.step(0, outcome(id, 0, OK))
 			}
 		}
-		r.dispatcher.startSlowStart(e, r.now)
+		r.dispatcher.startSlowStart(ep, r.now)
 		for range 3 * 20 {
 			for _, id := range sentMessages(r.step(sec/20, r.arrival(idempotent, 1))) {
 				r.step(0, outcome(id, r.dispatcher.messages[id].attempts-1, OK))
@@ -227,8 +227,8 @@
 	r.step(sec/50, outcome(1, 1, ConnectFailed))
 	r.runFor(4 * sec)
 	a, b := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1))
-	n := hintID(a.id)
-	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
+	hint := hintID(a.id)
+	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(hint >> 16), byte(hint >> 8), byte(hint)})})
 	if a.suspected || !b.suspected || !r.dispatcher.outageConfirmed(b) {
 		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspected, b.suspected, r.dispatcher.outageConfirmed(b))
 	}
@@ -237,17 +237,17 @@
 // Figures that are no numbers, in reports and lists, once could stop a destination for good.
 func TestReportsAndWeightsOutOfRangeAreHarmless(t *testing.T) {
 	inf, nan := float32(math.Inf(1)), float32(math.NaN())
-	for _, rep := range [][]float32{{nan, nan}, {inf, inf}, {-1, -1}, {0, inf}, {nan}, {}} {
-		set := gossipSettings()
-		set.Weights = WeightNominal
-		e := entry(1, 0, 0)
-		e.Weight = float64(inf)
-		r := newRunner(t, set, e)
+	for _, report := range [][]float32{{nan, nan}, {inf, inf}, {-1, -1}, {0, inf}, {nan}, {}} {
+		settings := gossipSettings()
+		settings.Weights = WeightNominal
+		listed := entry(1, 0, 0)
+		listed.Weight = float64(inf)
+		r := newRunner(t, settings, listed)
 		for range 4 {
 			r.wantSent(r.step(sec/10, r.arrival(idempotent, 1)), r.lastID)
-			end := outcome(r.lastID, 0, OK)
-			end.Report = rep
-			r.step(0, end)
+			event := outcome(r.lastID, 0, OK)
+			event.Report = report
+			r.step(0, event)
 			r.step(0, r.arrival(idempotent, 1)) // two rounds at one instant
 			r.step(sec, outcome(r.lastID, 0, OK))
 		}
@@ -261,22 +261,22 @@
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.step(sec/50, outcome(1, 0, ConnectFailed), Event{Kind: Withdrawn, Message: 1})
 	r.runFor(15 * sec)
-	e := r.endpoint(endpointID(1, 0))
-	n := hintID(e.id)
-	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(n >> 16), byte(n >> 8), byte(n)})})
-	if e.rampStart != r.now {
-		t.Errorf("ramp since %v, told at %v", e.rampStart, r.now)
+	ep := r.endpoint(endpointID(1, 0))
+	hint := hintID(ep.id)
+	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(hint >> 16), byte(hint >> 8), byte(hint)})})
+	if ep.rampStart != r.now {
+		t.Errorf("ramp since %v, told at %v", ep.rampStart, r.now)
 	}
 }
 
 func TestRampKeepsToAKnownLimit(t *testing.T) {
 	sends := 0
-	set := testSettings()
-	set.Weights = WeightNominal
-	e := entry(1, 0, 0)
-	e.Weight = 10
+	settings := testSettings()
+	settings.Weights = WeightNominal
+	listed := entry(1, 0, 0)
+	listed.Weight = 10
 	const n = 20 // asked for 2 a second each, 40 a second in all at a limit of 10
-	for _, r := range newRunners(t, n, set, e) {
+	for _, r := range newRunners(t, n, settings, listed) {
 		for i := range 400 {
 			var events []Event
 			if i%10 == 0 {
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -46,25 +46,25 @@
 // run runs a play and returns a hash of its actions, and how many there were of each kind. Ticks without a mark
 // are left out: when the module asks to be woken is no decision about messages.
 func (p scenario) run(t testing.TB) string {
-	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: p.slots, MaxOpen: 600, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+	settings := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: p.slots, MaxOpen: 600, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, ConnIdleTimeout: 10 * Second, ConnectTimeout: Second, StreamsPerConn: 100,
 		StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second, SettleTime: Second / 2,
 		Weights: p.weights, DestinationKinds: []DestinationKind{{MaxBatch: p.maxBatch}, {MaxBatch: 1, PerEndpointLimits: true}},
 		Classes: []Class{{Target: Second, Deadline: 4 * Second, Value: 1, LateValue: 0.3, InOrder: p.inOrder},
 			{Effect: AtMostOnce, Target: Second, Deadline: 8 * Second, Value: 4}, {Effect: Deduplicated, DedupWindow: 3 * Second, Target: 2 * Second, Deadline: 6 * Second, Value: 2}}}
-	d, err := New(set, uint64(p.seed)+1)
+	dispatcher, err := New(settings, uint64(p.seed)+1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewSource(p.seed))
-	type later struct {
+	type scheduledEvent struct {
 		at Time
 		e  Event
 	}
-	var due []later
-	put := func(at Time, e Event) {
-		i, _ := slices.BinarySearchFunc(due, at+1, func(l later, at Time) int { return int(l.at - at) })
-		due = slices.Insert(due, i, later{at, e})
+	var due []scheduledEvent
+	schedule := func(at Time, e Event) {
+		i, _ := slices.BinarySearchFunc(due, at+1, func(l scheduledEvent, at Time) int { return int(l.at - at) })
+		due = slices.Insert(due, i, scheduledEvent{at, e})
 	}
 	var entries []Entry
 	for n := range p.destinations {
@@ -72,50 +72,50 @@
 			entries = append(entries, Entry{Endpoint: EndpointID(10*n + k + 1), Dest: n, DestinationKind: n % 2, Health: Ready, Weight: float64(1 + n%5)})
 		}
 	}
-	put(Second, Event{Kind: ListUpdate, ListKind: ListFull, Entries: entries})
+	schedule(Second, Event{Kind: ListUpdate, ListKind: ListFull, Entries: entries})
 	const length = 12 * Second
 	id := MessageID(0)
 	for at := 1.1; at < length.seconds(); at += rng.ExpFloat64() / p.rate {
 		id++
 		class := rng.Intn(3)
-		e := Event{Kind: Arrival, Message: id, Class: class, Dest: int(float64(p.destinations) * rng.Float64() * rng.Float64()), TimeLeft: set.Classes[class].Deadline}
+		e := Event{Kind: Arrival, Message: id, Class: class, Dest: int(float64(p.destinations) * rng.Float64() * rng.Float64()), TimeLeft: settings.Classes[class].Deadline}
 		if class == 0 {
 			e.Key = uint64(rng.Intn(20))
 		}
-		put(Time(at*float64(Second)), e)
+		schedule(Time(at*float64(Second)), e)
 	}
 	for k := range 10 { // endpoints drain and come back
 		e := entries[rng.Intn(len(entries))]
 		e.Health = Draining
-		put(Time(2+k)*Second, Event{Kind: ListUpdate, Entries: []Entry{e}})
+		schedule(Time(2+k)*Second, Event{Kind: ListUpdate, Entries: []Entry{e}})
 		e.Health = Ready
-		put(Time(2+k)*Second+Second/2, Event{Kind: ListUpdate, Entries: []Entry{e}})
+		schedule(Time(2+k)*Second+Second/2, Event{Kind: ListUpdate, Entries: []Entry{e}})
 	}
 	hash := fnv.New64a()
 	counts := map[ActionKind]int{}
-	tries := map[MessageID]int{}
-	out := map[[2]uint64]Event{}
-	var acts []Action
+	attempts := map[MessageID]int{}
+	inFlight := map[[2]uint64]Event{}
+	var actions []Action
 	var events []Event
-	for now := Second; now < length+10*Second; now += set.Tick {
+	for now := Second; now < length+10*Second; now += settings.Tick {
 		events = events[:0]
 		for len(due) > 0 && due[0].at <= now {
 			e := due[0].e
 			due = due[1:]
 			if e.Kind == Outcome {
 				k := [2]uint64{uint64(e.Message), uint64(e.Attempt)}
-				if _, is := out[k]; !is {
+				if _, found := inFlight[k]; !found {
 					continue // called off meanwhile
 				}
-				delete(out, k)
+				delete(inFlight, k)
 			}
 			events = append(events, e)
 		}
-		acts = d.Step(now, events, acts[:0])
-		for _, a := range acts {
+		actions = dispatcher.Step(now, events, actions[:0])
+		for _, a := range actions {
 			if a.Kind == Timer {
 				if a.TimerToken > 0 {
-					put(now+a.After, Event{Kind: TimerFired, TimerToken: a.TimerToken})
+					schedule(now+a.After, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 				}
 				continue
 			}
@@ -126,11 +126,11 @@
 			fmt.Fprintln(hash, now, a.Kind, a.Message, a.Attempt, a.Endpoint, a.After)
 			switch a.Kind {
 			case Send:
-				e := Event{Kind: Outcome, Message: a.Message, Attempt: tries[a.Message], Endpoint: a.Endpoint}
-				tries[a.Message]++
-				fate := rand.New(rand.NewSource(p.seed<<32 + int64(a.Message)*16 + int64(e.Attempt)))
-				e.Elapsed = Time(20+fate.Intn(30)+10*(int(a.Endpoint)%7)) * Millisecond
-				switch f := fate.Float64(); {
+				e := Event{Kind: Outcome, Message: a.Message, Attempt: attempts[a.Message], Endpoint: a.Endpoint}
+				attempts[a.Message]++
+				outcomeRNG := rand.New(rand.NewSource(p.seed<<32 + int64(a.Message)*16 + int64(e.Attempt)))
+				e.Elapsed = Time(20+outcomeRNG.Intn(30)+10*(int(a.Endpoint)%7)) * Millisecond
+				switch f := outcomeRNG.Float64(); {
 				case f < p.failShare/3:
 					e.Result = ConnectFailed
 				case f < p.failShare*2/3:
@@ -142,16 +142,16 @@
 				case f < p.failShare+p.refusedShare:
 					e.Result = LimitExceeded
 				}
-				out[[2]uint64{uint64(e.Message), uint64(e.Attempt)}] = e
-				put(now+e.Elapsed, e)
+				inFlight[[2]uint64{uint64(e.Message), uint64(e.Attempt)}] = e
+				schedule(now+e.Elapsed, e)
 			case Cancel:
 				k := [2]uint64{uint64(a.Message), uint64(a.Attempt)}
-				if e, is := out[k]; is {
-					delete(out, k)
+				if e, found := inFlight[k]; found {
+					delete(inFlight, k)
 					e.Result, e.RetryAfter = Cancelled, 0
 					e.Elapsed = 0
-					put(now+set.Tick, e)
-					out[k] = e
+					schedule(now+settings.Tick, e)
+					inFlight[k] = e
 				}
 			}
 		}
@@ -195,10 +195,10 @@
 // newDispatcherWithMessages makes a module with n destinations, of which live have a message held that can't go, as their endpoint drains, beside
 // one busy destination.
 func newDispatcherWithMessages(b testing.TB, n, live, slots int) *Dispatcher {
-	set := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: slots, MaxOpen: 4 * n, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+	settings := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: slots, MaxOpen: 4 * n, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		ConnIdleTimeout: 10 * Second, StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second,
 		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, Classes: []Class{{Target: Second, Deadline: 3000 * Second, Value: 1}}}
-	d, err := New(set, 1)
+	dispatcher, err := New(settings, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -211,16 +211,16 @@
 			events = append(events, Event{Kind: Arrival, Message: MessageID(1<<30 + i), Dest: i, TimeLeft: 3000 * Second})
 		}
 	}
-	d.Step(Second, []Event{{Kind: ListUpdate, ListKind: ListFull, Entries: entries}}, nil)
-	d.Step(2*Second, events, nil)
-	return d
+	dispatcher.Step(Second, []Event{{Kind: ListUpdate, ListKind: ListFull, Entries: entries}}, nil)
+	dispatcher.Step(2*Second, events, nil)
+	return dispatcher
 }
 
 // With thousands of destinations and few slots none starves: each has its first message out within half as much again
 // as the fair wait, which is the time in which all of them have one slot once.
 func TestManyDestinationsFewSlotsTakeTurns(t *testing.T) {
 	const n, slots, lag = 3000, 50, 20 * Millisecond
-	d := newDispatcherWithMessages(t, n, 0, slots)
+	dispatcher := newDispatcherWithMessages(t, n, 0, slots)
 	events := make([]Event, 0, 3*n)
 	for k := range 3 {
 		for i := range n {
@@ -229,11 +229,11 @@
 	}
 	first := map[EndpointID]Time{}
 	start := 10 * Second
-	fair := Time(n/slots) * lag
-	for now := start; len(first) < n && now < start+10*fair; now += lag {
-		acts := d.Step(now, events, nil)
+	fairWait := Time(n/slots) * lag
+	for now := start; len(first) < n && now < start+10*fairWait; now += lag {
+		actions := dispatcher.Step(now, events, nil)
 		events = events[:0]
-		for _, a := range acts {
+		for _, a := range actions {
 			if a.Kind == Send {
 				if _, seen := first[a.Endpoint]; !seen {
 					first[a.Endpoint] = now - start
@@ -246,8 +246,8 @@
 	for _, at := range first {
 		longest = max(longest, at)
 	}
-	if len(first) < n || longest > fair*3/2 {
-		t.Errorf("%d of %d destinations served, the last after %d ms, the fair wait is %d ms", len(first), n, longest/1000, fair/1000)
+	if len(first) < n || longest > fairWait*3/2 {
+		t.Errorf("%d of %d destinations served, the last after %d ms, the fair wait is %d ms", len(first), n, longest/1000, fairWait/1000)
 	}
 }
 
@@ -255,16 +255,16 @@
 // release once walked all of them.
 func TestWorkDoesNotGrowWithActiveDestinations(t *testing.T) {
 	work := func(live int) uint64 {
-		d := newDispatcherWithMessages(t, live+1, live, 256)
-		d.Step(3*Second, nil, nil)
-		before := d.scanCount
+		dispatcher := newDispatcherWithMessages(t, live+1, live, 256)
+		dispatcher.Step(3*Second, nil, nil)
+		before := dispatcher.scanCount
 		now := 4 * Second
 		for id := range MessageID(1000) {
 			now += 100
-			d.Step(now, []Event{{Kind: Arrival, Message: id + 1, Dest: 0, TimeLeft: 3000 * Second}}, nil)
-			d.Step(now+50, []Event{{Kind: Outcome, Message: id + 1, Endpoint: 1, Elapsed: 50}}, nil)
+			dispatcher.Step(now, []Event{{Kind: Arrival, Message: id + 1, Dest: 0, TimeLeft: 3000 * Second}}, nil)
+			dispatcher.Step(now+50, []Event{{Kind: Outcome, Message: id + 1, Endpoint: 1, Elapsed: 50}}, nil)
 		}
-		return d.scanCount - before
+		return dispatcher.scanCount - before
 	}
 	if few, many := work(100), work(20000); many > 3*few || many > 5000 {
 		t.Errorf("work for 1000 messages: %d beside 100 live destinations, %d beside 20,000", few, many)
@@ -291,12 +291,12 @@
 func benchmarkBusyDestination(b *testing.B, d *Dispatcher) {
 	now := 100 * Second
 	id := MessageID(1)
-	var acts []Action
+	var actions []Action
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
 		now += Millisecond
-		acts = d.Step(now, []Event{{Kind: Arrival, Message: id, Dest: 0, TimeLeft: 3000 * Second}}, acts[:0])
-		acts = d.Step(now+100, []Event{{Kind: Outcome, Message: id, Endpoint: 1, Elapsed: 100}}, acts[:0])
+		actions = d.Step(now, []Event{{Kind: Arrival, Message: id, Dest: 0, TimeLeft: 3000 * Second}}, actions[:0])
+		actions = d.Step(now+100, []Event{{Kind: Outcome, Message: id, Endpoint: 1, Elapsed: 100}}, actions[:0])
 	}
 }
--- a/control/prompt_test.go
+++ b/control/prompt_test.go
@@ -20,25 +20,25 @@
 		{"free, in time after the wait", idempotent, 2 * sec, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			set := testSettings()
-			set.RetryAfter, set.MaxRetryAfter, set.Slots = true, 3*sec, 1
-			r := newRunner(t, set, entry(1, 0, 0))
+			settings := testSettings()
+			settings.RetryAfter, settings.MaxRetryAfter, settings.Slots = true, 3*sec, 1
+			r := newRunner(t, settings, entry(1, 0, 0))
 			r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 			r.step(sec/10, r.arrival(c.class, 1), r.arrival(c.class, 1), r.arrival(c.class, 1)) // held behind the slot
-			acts := r.step(sec/10, refusal(1, 0, c.wait))
+			actions := r.step(sec/10, refusal(1, 0, c.wait))
 			late := r.step(sec/10, r.arrival(c.class, 1)) // one that arrives into the wait
 			if c.end == 0 {
-				if len(acts)+len(late) > 0 {
-					t.Fatalf("answered early: %+v %+v", acts, late)
+				if len(actions)+len(late) > 0 {
+					t.Fatalf("answered early: %+v %+v", actions, late)
 				}
 				return
 			}
 			for id := MessageID(1); id <= 4; id++ {
-				r.wantAnswer(acts, c.end, id)
+				r.wantAnswer(actions, c.end, id)
 			}
 			r.wantAnswer(late, c.end, 5)
-			if acts[0].After != c.after {
-				t.Errorf("told to stay away for %v, want %v", acts[0].After, c.after)
+			if actions[0].After != c.after {
+				t.Errorf("told to stay away for %v, want %v", actions[0].After, c.after)
 			}
 			if d := r.dispatcher.destination(1); len(r.dispatcher.messages) > 0 || d.queuedCount > 0 || r.dispatcher.openMessages > 0 {
 				t.Errorf("left in the hold: %d messages, %d held, %d open", len(r.dispatcher.messages), d.queuedCount, r.dispatcher.openMessages)
@@ -49,21 +49,21 @@
 
 // A repeat window that ends ends the message, though the destination is blocked and it is not first in its hold.
 func TestEndedDedupWindowIsAnsweredWhileQueued(t *testing.T) {
-	set := testSettings()
-	set.RetryAfter, set.MaxRetryAfter = true, 3*sec
-	r := newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.RetryAfter, settings.MaxRetryAfter = true, 3*sec
+	r := newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(deduplicated, 1), r.arrival(deduplicated, 1)), 1, 2)
 	r.step(sec/10, refusal(1, 0, 9*sec), outcome(2, 0, Reset)) // both held; the second may have run
-	acts := r.runFor(9800 * Millisecond)
-	for _, a := range acts {
+	actions := r.runFor(9800 * Millisecond)
+	for _, a := range actions {
 		if a.Kind == Fail || a.Kind == Refuse && r.now < 1009*sec {
 			t.Errorf("answered: %+v", a)
 		}
 	}
-	r = newRunner(t, set, entry(1, 0, 0))
+	r = newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(deduplicated, 1), r.arrival(deduplicated, 1)), 1, 2)
-	acts = r.step(sec/10, refusal(1, 0, 12*sec), outcome(2, 0, Reset))
-	r.wantAnswer(acts, Refuse, 2) // the wait outlasts its window of 10 s
+	actions = r.step(sec/10, refusal(1, 0, 12*sec), outcome(2, 0, Reset))
+	r.wantAnswer(actions, Refuse, 2) // the wait outlasts its window of 10 s
 	if r.dispatcher.messages[1] == nil {
 		t.Error("one that may still go was answered, too")
 	}
@@ -71,17 +71,17 @@
 
 func TestNoRetryAfterWhereNoneIsKnownOrAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
-		set := testSettings()
-		set.RetryAfter, set.MaxRetryAfter, set.MaxAttempts = allowed, 3*sec, 1
-		r := newRunner(t, set, entry(1, 0, 0))
+		settings := testSettings()
+		settings.RetryAfter, settings.MaxRetryAfter, settings.MaxAttempts = allowed, 3*sec, 1
+		r := newRunner(t, settings, entry(1, 0, 0))
 		r.wantSent(r.step(0, r.arrival(idempotent, 1), r.arrival(idempotent, 1)), 1, 2)
-		acts := r.step(sec/10, outcome(1, 0, ErrorResponse))
-		r.wantAnswer(acts, Refuse, 1)
-		if acts[0].After != 0 {
-			t.Errorf("allowed %v: told %v though nothing is known", allowed, acts[0].After)
+		actions := r.step(sec/10, outcome(1, 0, ErrorResponse))
+		r.wantAnswer(actions, Refuse, 1)
+		if actions[0].After != 0 {
+			t.Errorf("allowed %v: told %v though nothing is known", allowed, actions[0].After)
 		}
-		if acts = r.step(sec/10, refusal(2, 0, 2*sec)); !allowed && acts[0].After != 0 || allowed && acts[0].After < 2*sec {
-			t.Errorf("allowed %v: told to stay away for %v", allowed, acts[0].After)
+		if actions = r.step(sec/10, refusal(2, 0, 2*sec)); !allowed && actions[0].After != 0 || allowed && actions[0].After < 2*sec {
+			t.Errorf("allowed %v: told to stay away for %v", allowed, actions[0].After)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 // A dispatcher that stops answers all it holds within the time given, by the rules for final answers: what may have
 // run of an unsafe class is failed, the rest handed back. Without the event clients were cut off without an answer.
 func TestShutdownAnswersAllMessages(t *testing.T) {
-	d, err := New(Settings{Instances: 1, Tick: 5 * Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
+	dispatcher, err := New(Settings{Instances: 1, Tick: 5 * Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		Classes: []Class{{Effect: AtMostOnce, Target: Second, Deadline: 60 * Second, Value: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 	sent, answers := map[MessageID]bool{}, map[MessageID]ActionKind{}
 	now, due := Second, Time(0)
 	for round := 0; len(answers) < 10 && round < 1000; round++ {
-		for _, a := range d.Step(now, events, nil) {
+		for _, a := range dispatcher.Step(now, events, nil) {
 			switch a.Kind {
 			case Send:
 				sent[a.Message] = true
--- a/control/resume_test.go
+++ b/control/resume_test.go
@@ -31,13 +31,13 @@
 			r := newRunner(t, testSettings(), entry(1, 0, 0))
 			e := r.arrival(c.class, 1)
 			e.Attempt, e.PossiblyExecuted, e.Elapsed, e.Zone = c.tries, c.doubt, c.ago, c.zone
-			acts := r.step(0, e)
+			actions := r.step(0, e)
 			if c.sent {
-				r.wantSent(acts, 1)
+				r.wantSent(actions, 1)
 				return
 			}
-			r.wantSent(acts)
-			r.wantAnswer(acts, c.end, 1)
+			r.wantSent(actions)
+			r.wantAnswer(actions, c.end, 1)
 		})
 	}
 }
@@ -45,21 +45,21 @@
 // A dispatcher whose successor goes on with what is held refuses what is new, with the longest wait that it may tell,
 // begins no call that may not end in time, and ends nothing that is held.
 func TestShutdownThatKeepsMessages(t *testing.T) {
-	set := testSettings()
-	set.RetryAfter, set.MaxRetryAfter, set.Slots = true, 2*sec, 1
-	r := newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.RetryAfter, settings.MaxRetryAfter, settings.Slots = true, 2*sec, 1
+	r := newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 1)
 	r.step(sec/10, r.arrival(atMostOnce, 1), r.arrival(atMostOnce, 1)) // held behind the slot
 	r.step(0, Event{Kind: Shutdown, TimeLeft: 3 * sec, KeepHeld: true})
-	acts := r.step(sec/100, r.arrival(atMostOnce, 1))
-	r.wantAnswer(acts, Refuse, 4)
-	if i := slices.IndexFunc(acts, func(a Action) bool { return a.Kind == Refuse }); acts[i].After != 2*sec {
-		t.Errorf("told to stay away for %v", acts[i].After)
+	actions := r.step(sec/100, r.arrival(atMostOnce, 1))
+	r.wantAnswer(actions, Refuse, 4)
+	if i := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == Refuse }); actions[i].After != 2*sec {
+		t.Errorf("told to stay away for %v", actions[i].After)
 	}
 	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2) // there is time for one more
-	acts = slices.Concat(r.runFor(2700*Millisecond), r.step(0, outcome(2, 0, OK)), r.runFor(sec))
-	r.wantSent(acts)
-	for _, a := range acts {
+	actions = slices.Concat(r.runFor(2700*Millisecond), r.step(0, outcome(2, 0, OK)), r.runFor(sec))
+	r.wantSent(actions)
+	for _, a := range actions {
 		if a.Kind == Refuse || a.Kind == Fail {
 			t.Errorf("what is kept was ended: %+v", a)
 		}
@@ -84,28 +84,28 @@
 
 // Attempts that were not sent do not count: the message has all that it may have.
 func TestNotSentIsNotCountedAsAnAttempt(t *testing.T) {
-	set := testSettings()
-	r := newRunner(t, set, entry(1, 0, 0))
-	acts := r.step(0, r.arrival(atMostOnce, 1))
-	sends := len(sentMessages(acts))
-	for n := range 3 * set.MaxAttempts {
-		acts = slices.Concat(r.step(sec/100, outcome(1, n, NotSent)), r.runFor(sec/20))
-		sends += len(sentMessages(acts))
+	settings := testSettings()
+	r := newRunner(t, settings, entry(1, 0, 0))
+	actions := r.step(0, r.arrival(atMostOnce, 1))
+	sends := len(sentMessages(actions))
+	for n := range 3 * settings.MaxAttempts {
+		actions = slices.Concat(r.step(sec/100, outcome(1, n, NotSent)), r.runFor(sec/20))
+		sends += len(sentMessages(actions))
 	}
-	if sends != 3*set.MaxAttempts+1 {
-		t.Errorf("%d times sent, want %d", sends, 3*set.MaxAttempts+1)
+	if sends != 3*settings.MaxAttempts+1 {
+		t.Errorf("%d times sent, want %d", sends, 3*settings.MaxAttempts+1)
 	}
-	for n := range set.MaxAttempts {
-		acts = slices.Concat(r.step(sec/100, outcome(1, 3*set.MaxAttempts+n, NotExecuted)), r.runFor(sec/20))
+	for n := range settings.MaxAttempts {
+		actions = slices.Concat(r.step(sec/100, outcome(1, 3*settings.MaxAttempts+n, NotExecuted)), r.runFor(sec/20))
 	}
-	r.wantAnswer(acts, Refuse, 1)
+	r.wantAnswer(actions, Refuse, 1)
 }
 
 // Behind another process all keys rest first: calls that it made may be executed yet. What it had begun itself goes on.
 func TestKeysRestBehindAnotherProcess(t *testing.T) {
-	set := testSettings()
-	set.HasPredecessor, set.SettleTime = true, 2*sec
-	r := newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.HasPredecessor, settings.SettleTime = true, 2*sec
+	r := newRunner(t, settings, entry(1, 0, 0))
 	begun := r.keyedArrival(8)
 	begun.Restored, begun.Attempt = true, 1
 	r.wantSent(r.step(0, begun, r.keyedArrival(9)), begun.Message)
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -38,62 +38,62 @@
 	lastSentAt         Time
 }
 
-func (j *ruleChecker) check(ok bool, m *trackedMessage, rule string) {
-	j.t.Helper()
+func (c *ruleChecker) check(ok bool, m *trackedMessage, rule string) {
+	c.t.Helper()
 	if !ok {
-		j.t.Fatalf("at %d: %s: %+v", j.now, rule, *m)
+		c.t.Fatalf("at %d: %s: %+v", c.now, rule, *m)
 	}
 }
 
-func (j *ruleChecker) onAction(a Action) {
-	m := j.messages[a.Message]
+func (c *ruleChecker) onAction(a Action) {
+	m := c.messages[a.Message]
 	switch a.Kind {
 	case Timer:
 		if a.TimerToken != 0 {
-			a.After += j.now
-			j.timers = append(j.timers, a)
+			a.After += c.now
+			c.timers = append(c.timers, a)
 		}
 		return
 	case Log, Close, Watch, Fetch, SendGossip:
 		return
 	}
 	if m == nil {
-		j.t.Fatalf("acts for a message never taken: %+v", a)
+		c.t.Fatalf("acts for a message never taken: %+v", a)
 	}
 	switch a.Kind {
 	case Refuse, Fail:
-		j.check(!m.ended, m, "a second final answer")
+		c.check(!m.ended, m, "a second final answer")
 		maybe := (m.possiblyExecuted || m.inFlight) && m.class.Effect != Idempotent
-		j.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "handed back though it may have run")
+		c.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "handed back though it may have run")
 		m.ended = true
 	case Send:
-		j.onSend(m, a)
+		c.onSend(m, a)
 	}
 }
 
-func (j *ruleChecker) onSend(m *trackedMessage, a Action) {
-	j.check(!m.ended && !m.inFlight, m, "sent though ended or out")
-	j.check(j.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
-	j.check(j.now >= j.waitUntil[waitKey(m.dest, a.Endpoint)], m, "sent during a told wait")
-	j.check(m.attempts < j.settings.MaxAttempts && j.now < m.deadline, m, "sent too often or too late")
+func (c *ruleChecker) onSend(m *trackedMessage, a Action) {
+	c.check(!m.ended && !m.inFlight, m, "sent though ended or out")
+	c.check(c.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
+	c.check(c.now >= c.waitUntil[waitKey(m.dest, a.Endpoint)], m, "sent during a told wait")
+	c.check(m.attempts < c.settings.MaxAttempts && c.now < m.deadline, m, "sent too often or too late")
 	if m.possiblyExecuted {
-		j.check(m.class.Effect != AtMostOnce, m, "unsafe message sent again in doubt")
-		j.check(m.class.Effect == Idempotent || j.now < m.possiblyExecutedAt+m.class.DedupWindow, m, "repeat past its window")
+		c.check(m.class.Effect != AtMostOnce, m, "unsafe message sent again in doubt")
+		c.check(m.class.Effect == Idempotent || c.now < m.possiblyExecutedAt+m.class.DedupWindow, m, "repeat past its window")
 	}
 	if m.key != 0 {
-		q := j.messagesByKey[m.key]
+		q := c.messagesByKey[m.key]
 		for len(q) > 0 && q[0].ended && !q[0].inFlight {
 			q = q[1:]
 		}
-		j.messagesByKey[m.key] = q
-		j.check(q[0] == m, m, "out of order")
-		j.check(m.attempts > 0 || j.now >= j.keyRestUntil[m.key], m, "sent while its key rests")
+		c.messagesByKey[m.key] = q
+		c.check(q[0] == m, m, "out of order")
+		c.check(m.attempts > 0 || c.now >= c.keyRestUntil[m.key], m, "sent while its key rests")
 	}
 	m.attempts++
-	m.inFlight, m.endpoint, m.sentAt, m.lastSentAt = true, a.Endpoint, j.now, j.now
-	j.calls[[2]int64{int64(j.now), int64(a.Endpoint)}]++
-	j.inFlight = append(j.inFlight, m)
-	j.check(len(j.calls) <= j.settings.Slots, m, "more calls than slots")
+	m.inFlight, m.endpoint, m.sentAt, m.lastSentAt = true, a.Endpoint, c.now, c.now
+	c.calls[[2]int64{int64(c.now), int64(a.Endpoint)}]++
+	c.inFlight = append(c.inFlight, m)
+	c.check(len(c.calls) <= c.settings.Slots, m, "more calls than slots")
 }
 
 // perEndpointDest is the destination of the random plays whose endpoints are routes apart.
@@ -108,19 +108,19 @@
 }
 
 // endAttempt makes the outcome of one attempt out and notes what it tells.
-func (j *ruleChecker) endAttempt(m *trackedMessage, res Result, wait Time) Event {
+func (c *ruleChecker) endAttempt(m *trackedMessage, res Result, wait Time) Event {
 	m.inFlight = false
 	call := [2]int64{int64(m.sentAt), int64(m.endpoint)}
-	if j.calls[call]--; j.calls[call] == 0 {
-		delete(j.calls, call)
+	if c.calls[call]--; c.calls[call] == 0 {
+		delete(c.calls, call)
 	}
 	switch res {
 	case OK:
 		m.ended = true
 	case LimitExceeded:
 		if wait > 0 {
-			k := waitKey(m.dest, m.endpoint)
-			j.waitUntil[k] = max(j.waitUntil[k], j.now+wait)
+			key := waitKey(m.dest, m.endpoint)
+			c.waitUntil[key] = max(c.waitUntil[key], c.now+wait)
 		}
 	case ConnectFailed:
 	default:
@@ -128,11 +128,11 @@
 			m.possiblyExecuted, m.possiblyExecutedAt = true, m.lastSentAt
 		}
 		if m.key != 0 && res != ErrorResponse {
-			j.keyRestUntil[m.key] = j.now + j.settings.SettleTime
+			c.keyRestUntil[m.key] = c.now + c.settings.SettleTime
 		}
 	}
 	return Event{Kind: Outcome, Message: m.id, Attempt: m.attempts - 1, Endpoint: m.endpoint, Result: res, Closed: m.ended,
-		Elapsed: j.now - m.sentAt, RetryAfter: wait, Report: []float32{float32(j.now%3) / 2, 5}}
+		Elapsed: c.now - m.sentAt, RetryAfter: wait, Report: []float32{float32(c.now%3) / 2, 5}}
 }
 
 // Random events, legal and not, for several seeds: whatever comes, the rules hold and each message has one answer.
@@ -144,27 +144,27 @@
 
 func runRandomEvents(t *testing.T, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
-	set := testSettings()
-	set.Slots, set.MaxOpen, set.Instances = 2+rng.Intn(8), 16+rng.Intn(60), 1+rng.Intn(40)
-	set.Tick = 20 * Millisecond
+	settings := testSettings()
+	settings.Slots, settings.MaxOpen, settings.Instances = 2+rng.Intn(8), 16+rng.Intn(60), 1+rng.Intn(40)
+	settings.Tick = 20 * Millisecond
 	if seed%2 == 1 { // the newer settings
-		set.PullList, set.PullInterval, set.Gossip, set.GossipCost = true, 10*sec, true, 0.01/256
-		set.RetryAfter, set.MaxRetryAfter, set.ReportRemainingIndex, set.ReportLimitIndex = true, 3*sec, 0, 1
-		set.ZoneCosts = []float64{0.05}
+		settings.PullList, settings.PullInterval, settings.Gossip, settings.GossipCost = true, 10*sec, true, 0.01/256
+		settings.RetryAfter, settings.MaxRetryAfter, settings.ReportRemainingIndex, settings.ReportLimitIndex = true, 3*sec, 0, 1
+		settings.ZoneCosts = []float64{0.05}
 	}
-	d, err := New(set, uint64(seed))
+	dispatcher, err := New(settings, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
 	}
-	j := &ruleChecker{t: t, settings: set, messages: map[MessageID]*trackedMessage{}, waitUntil: map[int]Time{}, ready: map[EndpointID]bool{},
+	checker := &ruleChecker{t: t, settings: settings, messages: map[MessageID]*trackedMessage{}, waitUntil: map[int]Time{}, ready: map[EndpointID]bool{},
 		calls: map[[2]int64]int{}, messagesByKey: map[uint64][]*trackedMessage{}, keyRestUntil: map[uint64]Time{}}
-	sick := map[int]Result{}
+	failing := map[int]Result{}
 	for round := Time(0); round < 6000; round++ {
-		j.now = round * 20 * Millisecond
+		checker.now = round * 20 * Millisecond
 		var events []Event
 		for dest := 1; dest <= 4; dest++ { // destinations fall ill and well
 			if rng.Intn(300) == 0 {
-				sick[dest] = Result(rng.Intn(int(NotExecuted)))
+				failing[dest] = Result(rng.Intn(int(NotExecuted)))
 			}
 		}
 		if round == 0 || rng.Intn(100) == 0 {
@@ -175,73 +175,73 @@
 			if round < 3 {
 				e.Health = Ready
 			}
-			j.ready[e.Endpoint] = e.Health == Ready
+			checker.ready[e.Endpoint] = e.Health == Ready
 			events = append(events, Event{Kind: ListUpdate, Entries: []Entry{e}})
 		}
 		if round < 4500 && rng.Intn(4) == 0 {
-			events = append(events, j.arrival(rng))
+			events = append(events, checker.arrival(rng))
 		}
-		rest := j.inFlight[:0]
-		for _, m := range j.inFlight {
-			res, lost := sick[m.dest], sick[m.dest] == TimedOut
+		stillInFlight := checker.inFlight[:0]
+		for _, m := range checker.inFlight {
+			res, lost := failing[m.dest], failing[m.dest] == TimedOut
 			switch {
-			case j.now >= m.deadline:
-				events = append(events, j.endAttempt(m, TimedOut, 0))
+			case checker.now >= m.deadline:
+				events = append(events, checker.endAttempt(m, TimedOut, 0))
 			case lost || rng.Intn(10) > 0:
-				rest = append(rest, m)
+				stillInFlight = append(stillInFlight, m)
 			case res == LimitExceeded && rng.Intn(2) == 0:
-				events = append(events, j.endAttempt(m, LimitExceeded, Time(rng.Intn(3000))*Millisecond))
+				events = append(events, checker.endAttempt(m, LimitExceeded, Time(rng.Intn(3000))*Millisecond))
 			default:
-				events = append(events, j.endAttempt(m, res, 0))
+				events = append(events, checker.endAttempt(m, res, 0))
 			}
 		}
-		j.inFlight = rest
-		j.timers = slices.DeleteFunc(j.timers, func(a Action) bool {
-			if j.now < a.After {
+		checker.inFlight = stillInFlight
+		checker.timers = slices.DeleteFunc(checker.timers, func(a Action) bool {
+			if checker.now < a.After {
 				return false
 			}
 			events = append(events, Event{Kind: TimerFired, TimerToken: a.TimerToken})
 			return true
 		})
 		events = append(events, illegalEvents(rng)...)
-		for _, a := range d.Step(j.now, events, nil) {
+		for _, a := range dispatcher.Step(checker.now, events, nil) {
 			if a.Kind == Cancel {
-				j.onCancel(a)
+				checker.onCancel(a)
 				continue
 			}
-			j.onAction(a)
+			checker.onAction(a)
 		}
-		j.unanswered = slices.DeleteFunc(j.unanswered, func(m *trackedMessage) bool {
-			j.check(m.ended || j.now <= m.deadline, m, "no answer in time")
+		checker.unanswered = slices.DeleteFunc(checker.unanswered, func(m *trackedMessage) bool {
+			checker.check(m.ended || checker.now <= m.deadline, m, "no answer in time")
 			return m.ended
 		})
 	}
-	if len(d.messages) > 0 || d.busySlots != 0 || d.openMessages != 0 {
-		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(d.messages), d.busySlots, d.openMessages)
+	if len(dispatcher.messages) > 0 || dispatcher.busySlots != 0 || dispatcher.openMessages != 0 {
+		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(dispatcher.messages), dispatcher.busySlots, dispatcher.openMessages)
 	}
 }
 
 // onCancel checks that what is called off is out; its outcome comes like any other, sometimes never before its time.
-func (j *ruleChecker) onCancel(a Action) {
-	m := j.messages[a.Message]
-	j.check(m != nil && m.inFlight && m.attempts-1 == a.Attempt, m, "cancels what is not out")
+func (c *ruleChecker) onCancel(a Action) {
+	m := c.messages[a.Message]
+	c.check(m != nil && m.inFlight && m.attempts-1 == a.Attempt, m, "cancels what is not out")
 }
 
-func (j *ruleChecker) arrival(rng *rand.Rand) Event {
+func (c *ruleChecker) arrival(rng *rand.Rand) Event {
 	class := rng.Intn(4)
-	m := &trackedMessage{id: MessageID(len(j.messages) + 1), class: &j.settings.Classes[class], dest: 1 + rng.Intn(4)}
-	grace := Time(1+rng.Intn(20)) * sec
+	m := &trackedMessage{id: MessageID(len(c.messages) + 1), class: &c.settings.Classes[class], dest: 1 + rng.Intn(4)}
+	timeLeft := Time(1+rng.Intn(20)) * sec
 	if rng.Intn(4) == 0 {
-		grace = Time(rng.Intn(1500)) * Millisecond // short patience
+		timeLeft = Time(rng.Intn(1500)) * Millisecond // short patience
 	}
-	m.deadline = j.now + grace
+	m.deadline = c.now + timeLeft
 	if m.class.InOrder {
 		m.key = uint64(1 + m.dest)
-		j.messagesByKey[m.key] = append(j.messagesByKey[m.key], m)
+		c.messagesByKey[m.key] = append(c.messagesByKey[m.key], m)
 	}
-	j.messages[m.id] = m
-	j.unanswered = append(j.unanswered, m)
-	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, TimeLeft: grace}
+	c.messages[m.id] = m
+	c.unanswered = append(c.unanswered, m)
+	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, TimeLeft: timeLeft}
 }
 
 // illegalEvents makes events that no honest caller sends: they must change nothing that the rules see.
@@ -254,8 +254,8 @@
 	case 2:
 		return []Event{outcome(MessageID(1+rng.Intn(50)), 90, OK), {Kind: ListUpdate, ListKind: ListFailed}}
 	case 3:
-		n := hintID(endpointID(1+rng.Intn(4), rng.Intn(3)))
-		return []Event{{Kind: GossipReceived, Payload: string([]byte{byte(rng.Intn(256)), byte(n >> 16), byte(n >> 8), byte(n), 7})}}
+		hint := hintID(endpointID(1+rng.Intn(4), rng.Intn(3)))
+		return []Event{{Kind: GossipReceived, Payload: string([]byte{byte(rng.Intn(256)), byte(hint >> 16), byte(hint >> 8), byte(hint), 7})}}
 	}
 	return nil
 }
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -4,9 +4,9 @@
 
 // newEarlyAckRunner makes a dispatcher whose senders hear at once that a message is taken on, with room for a few.
 func newEarlyAckRunner(t *testing.T) *runner {
-	set := testSettings()
-	set.EarlyAck, set.MaxOpen, set.Slots = true, 4, 1
-	return newRunner(t, set, entry(1, 0, 0))
+	settings := testSettings()
+	settings.EarlyAck, settings.MaxOpen, settings.Slots = true, 4, 1
+	return newRunner(t, settings, entry(1, 0, 0))
 }
 
 // Where more comes than there is room for, what has just come is refused ahead of what was promised to be delivered, unless that
@@ -15,10 +15,10 @@
 	r := newEarlyAckRunner(t)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.step(sec/100, r.arrival(idempotent, 1), r.arrival(idempotent, 1)) // held behind the slot
-	acts := r.step(sec/100, r.arrival(idempotent, 1))
-	r.wantAnswer(acts, Refuse, 4)
-	if len(acts) == 0 || r.dispatcher.messages[2] == nil || r.dispatcher.messages[3] == nil {
-		t.Errorf("%+v", acts)
+	actions := r.step(sec/100, r.arrival(idempotent, 1))
+	r.wantAnswer(actions, Refuse, 4)
+	if len(actions) == 0 || r.dispatcher.messages[2] == nil || r.dispatcher.messages[3] == nil {
+		t.Errorf("%+v", actions)
 	}
 }
 
