--- a/control/control_test.go
+++ b/control/control_test.go
@@ -260,18 +260,18 @@
 
 func TestWindowReview(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		bad, w     int
-		wmax, want int
+		name               string
+		failures, inFlight int
+		window, want       int
 	}{
 		{"clean and full", 0, 2, 2, 3}, {"not clean", 3, 2, 2, 1}, {"window not full", 0, 1, 2, 2}, {"floor", 4, 1, 1, 1},
 	} {
 		r := newRunner(t, testSettings(), entry(1, 0, 0))
 		dest := r.dispatcher.destination(1)
-		dest.windowStarting, dest.window, dest.inFlight = false, c.wmax, c.w
-		for i := range windowReviewFactor * c.wmax {
+		dest.windowStarting, dest.window, dest.inFlight = false, c.window, c.inFlight
+		for i := range windowReviewFactor * c.window {
 			res := OK
-			if i < c.bad {
+			if i < c.failures {
 				res = ErrorResponse
 			}
 			r.dispatcher.adjustWindow(dest, res)
@@ -298,12 +298,12 @@
 
 func TestEffectsAfterDoubt(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		class  int
-		res    Result
-		after  Time
-		resent bool
-		end    ActionKind
+		name      string
+		class     int
+		res       Result
+		after     Time
+		sentAgain bool
+		end       ActionKind
 	}{
 		{"free is resent", idempotent, TimedOut, 3 * sec, true, 0},
 		{"guarded inside its window", deduplicated, ErrorResponse, 10*sec - StallMargin - 100*Millisecond, true, 0},
@@ -318,8 +318,8 @@
 			r.wantSent(r.step(0, r.arrival(c.class, 1)), 1)
 			actions := r.step(c.after, outcome(1, 0, c.res))
 			actions = append(actions, r.runFor(3*sec)...)
-			if c.resent != slices.Equal(sentMessages(actions), []MessageID{1}) {
-				t.Fatalf("resent %v: %+v", !c.resent, actions)
+			if c.sentAgain != slices.Equal(sentMessages(actions), []MessageID{1}) {
+				t.Fatalf("resent %v: %+v", !c.sentAgain, actions)
 			}
 			if c.end != 0 {
 				r.wantAnswer(actions, c.end, 1)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -74,20 +74,20 @@
 // Where calls after refusals mostly go well, a held message has its turn again within some aims.
 func TestHeldMessagesGoAgainWhereRetriesGoWell(t *testing.T) {
 	for _, c := range []struct {
-		again float64
-		most  Time
+		retrySuccess float64
+		most         Time
 	}{{1, 8 * sec}, {0.05, 0}} {
 		served := 0
 		for _, r := range newRunners(t, 20, testSettings(), entry(1, 0, 0)) {
-			r.dispatcher.kinds[0].retrySuccess = c.again
+			r.dispatcher.kinds[0].retrySuccess = c.retrySuccess
 			r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 			r.step(sec/10, refusal(1, 0, 0))
 			if got := sentMessages(r.runFor(8 * sec)); len(got) > 0 {
 				served++
 			}
 		}
-		if c.again == 1 && served < 15 || c.again < 1 && served > 14 {
-			t.Errorf("record %v: %d of 20 went again within 8 s", c.again, served)
+		if c.retrySuccess == 1 && served < 15 || c.retrySuccess < 1 && served > 14 {
+			t.Errorf("record %v: %d of 20 went again within 8 s", c.retrySuccess, served)
 		}
 	}
 }
@@ -119,8 +119,8 @@
 // Clients of a sender with rare traffic would come again at others that know nothing of a limit.
 func TestShedMessagesAreFailedWhereALimitIsFeltAndTrafficIsRare(t *testing.T) {
 	for _, c := range []struct {
-		allow float64
-		want  ActionKind
+		allowance float64
+		want      ActionKind
 	}{{0.2, Fail}, {unlimitedAllowance, Refuse}} {
 		settings := testSettings()
 		settings.MaxOpen = 3
@@ -128,10 +128,10 @@
 		r.runFor(20 * sec)
 		r.step(0, r.arrival(idempotent, 1))
 		r.step(sec/10, refusal(1, 0, 10*sec))
-		r.dispatcher.destination(1).limiter.allowance = c.allow
+		r.dispatcher.destination(1).limiter.allowance = c.allowance
 		actions := append(r.step(sec/10, r.arrival(idempotent, 1)), r.step(sec/10, r.arrival(idempotent, 1))...)
 		if len(actions) != 1 || actions[0].Kind != c.want {
-			t.Errorf("allowed share %v: %+v, want a single action %d", c.allow, actions, c.want)
+			t.Errorf("allowed share %v: %+v, want a single action %d", c.allowance, actions, c.want)
 		}
 	}
 }
--- a/control/resume_test.go
+++ b/control/resume_test.go
@@ -9,14 +9,14 @@
 // again only as its class allows. What can't go is answered in that round.
 func TestRestoredMessages(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		tries int
-		doubt bool
-		ago   Time
-		zone  int
-		sent  bool
-		end   ActionKind
+		name             string
+		class            int
+		attempts         int
+		possiblyExecuted bool
+		sentAgo          Time
+		zone             int
+		sent             bool
+		end              ActionKind
 	}{
 		{"unsafe, never sent", atMostOnce, 0, false, 0, 0, true, 0},
 		{"unsafe, refused before", atMostOnce, 2, false, 0, 0, true, 0},
@@ -30,7 +30,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRunner(t, testSettings(), entry(1, 0, 0))
 			e := r.arrival(c.class, 1)
-			e.Attempt, e.PossiblyExecuted, e.Elapsed, e.Zone = c.tries, c.doubt, c.ago, c.zone
+			e.Attempt, e.PossiblyExecuted, e.Elapsed, e.Zone = c.attempts, c.possiblyExecuted, c.sentAgo, c.zone
 			actions := r.step(0, e)
 			if c.sent {
 				r.wantSent(actions, 1)
