--- a/control/conndrops_test.go
+++ b/control/conndrops_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// runConnDrops plays calls on a connection idle for so long that now and then end in a result, and go well the next time.
+// runConnDrops sends messages on a connection that was idle for the given time. The first attempt of every second message ends
+// with the given result, and the next one succeeds.
 func runConnDrops(t *testing.T, idle Time, end Result) *runner {
 	t.Helper()
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
@@ -15,7 +16,7 @@
 		send(end)
 		r.step(sec / 50)
 		if m := r.dispatcher.messages[r.lastID]; m == nil || m.call == nil {
-			t.Fatal("it does not go again")
+			t.Fatal("the message is not sent again")
 		}
 		r.step(sec/50, outcome(r.lastID, 1, OK))
 		send(OK)
@@ -23,7 +24,7 @@
 	return r
 }
 
-// A short idle age is never learned as the one after which connections are dropped: all calls would go on new ones.
+// A short idle age is never learned as the age at which connections are dropped. Otherwise all calls would use new connections.
 func TestShortIdleAgeIsNotLearned(t *testing.T) {
 	for _, c := range []struct {
 		idle Time
@@ -31,12 +32,13 @@
 	}{{50 * Millisecond, false}, {400 * Millisecond, false}, {3 * sec, true}} {
 		r := runConnDrops(t, c.idle, Reset)
 		if got := r.dispatcher.kinds[0].safeIdleAge < 2*r.dispatcher.settings.ConnIdleTimeout; got != c.less {
-			t.Errorf("idle for %v: used up to %v", c.idle, r.dispatcher.kinds[0].safeIdleAge)
+			t.Errorf("after drops at an idle age of %v us: idle connections are used up to %v us", c.idle, r.dispatcher.kinds[0].safeIdleAge)
 		}
 	}
 }
 
-// Where kept connections are reset, what must not run twice goes on new ones; silence after a short rest tells nothing.
+// Where idle connections are often reset, AtMostOnce messages are sent on new ones. A missing answer after a short idle time is
+// no sign of a dropped connection.
 func TestAtMostOnceUsesNewConnections(t *testing.T) {
 	for _, c := range []struct {
 		end   Result
@@ -49,7 +51,7 @@
 			closed = closed || a.Kind == Close
 		}
 		if closed != c.close {
-			t.Errorf("after %d, class %d: closed %v", c.end, c.class, closed)
+			t.Errorf("after result %d, class %d: connection closed %v", c.end, c.class, closed)
 		}
 	}
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -67,7 +67,8 @@
 	return r.dispatcher.endpointByID[id]
 }
 
-// endpointID returns the ID of endpoint n of a destination. n is from 0 to 9, except where a test does not map the ID back.
+// endpointID returns the ID of endpoint n of a destination. If n is below 10, a tenth of the ID is the number of the
+// destination.
 func endpointID(dest, n int) EndpointID { return EndpointID(dest*10 + n) }
 
 // entry returns a list entry of endpoint n of a destination, which is ready.
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -6,7 +6,7 @@
 	"whinrun/control"
 )
 
-// A dispatcher is told what happened and answers with what to do.
+// A Dispatcher receives events and returns actions.
 func Example() {
 	d, err := control.New(control.Settings{
 		Instances: 1, Tick: 5 * control.Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
--- a/control/finalanswers_test.go
+++ b/control/finalanswers_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A message that can't be sent any more has its final answer in that round, wherever it lies in its hold, also
-// while its destination is blocked; none is kept back.
+// A message that cannot be sent any more gets its final answer in the same round. This holds wherever it is queued and also
+// while its destination has to wait.
 func TestGivenUpMessagesAreAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -14,22 +14,22 @@
 		end   ActionKind
 		after Time
 	}{
-		{"free, told wait past its time", idempotent, 30 * sec, Refuse, 3 * sec},
-		{"guarded, told wait past its time", deduplicated, 30 * sec, Refuse, 3 * sec},
-		{"unsafe, told wait past its time", atMostOnce, 30 * sec, Refuse, 3 * sec},
-		{"free, in time after the wait", idempotent, 2 * sec, 0, 0},
+		{"idempotent, wait past its deadline", idempotent, 30 * sec, Refuse, 3 * sec},
+		{"deduplicated, wait past its deadline", deduplicated, 30 * sec, Refuse, 3 * sec},
+		{"at most once, wait past its deadline", atMostOnce, 30 * sec, Refuse, 3 * sec},
+		{"idempotent, wait within its deadline", idempotent, 2 * sec, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := testSettings()
 			settings.RetryAfter, settings.MaxRetryAfter, settings.Slots = true, 3*sec, 1
 			r := newRunner(t, settings, entry(1, 0, 0))
 			r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
-			r.step(sec/10, r.arrival(c.class, 1), r.arrival(c.class, 1), r.arrival(c.class, 1)) // held behind the slot
+			r.step(sec/10, r.arrival(c.class, 1), r.arrival(c.class, 1), r.arrival(c.class, 1)) // They are queued because the only slot is busy.
 			actions := r.step(sec/10, refusal(1, 0, c.wait))
-			late := r.step(sec/10, r.arrival(c.class, 1)) // one that arrives into the wait
+			late := r.step(sec/10, r.arrival(c.class, 1)) // This one arrives during the wait.
 			if c.end == 0 {
 				if len(actions)+len(late) > 0 {
-					t.Fatalf("answered early: %+v %+v", actions, late)
+					t.Fatalf("answered although there is time after the wait: %+v %+v", actions, late)
 				}
 				return
 			}
@@ -38,37 +38,39 @@
 			}
 			r.wantAnswer(late, c.end, 5)
 			if actions[0].After != c.after {
-				t.Errorf("told to stay away for %v, want %v", actions[0].After, c.after)
+				t.Errorf("the refusal carries a wait of %v, want %v", actions[0].After, c.after)
 			}
 			if d := r.dispatcher.destination(1); len(r.dispatcher.messages) > 0 || d.queuedCount > 0 || r.dispatcher.openMessages > 0 {
-				t.Errorf("left in the hold: %d messages, %d held, %d open", len(r.dispatcher.messages), d.queuedCount, r.dispatcher.openMessages)
+				t.Errorf("left: %d messages, %d queued, %d open", len(r.dispatcher.messages), d.queuedCount, r.dispatcher.openMessages)
 			}
 		})
 	}
 }
 
-// A repeat window that ends ends the message, though the destination is blocked and it is not first in its hold.
+// A possibly executed message whose deduplication window ends before it can be sent again is answered. This holds although its
+// destination has to wait and it is not first in its queue.
 func TestEndedDedupWindowIsAnsweredWhileQueued(t *testing.T) {
 	settings := testSettings()
 	settings.RetryAfter, settings.MaxRetryAfter = true, 3*sec
 	r := newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(deduplicated, 1), r.arrival(deduplicated, 1)), 1, 2)
-	r.step(sec/10, refusal(1, 0, 9*sec), outcome(2, 0, Reset)) // both held; the second may have run
+	r.step(sec/10, refusal(1, 0, 9*sec), outcome(2, 0, Reset)) // Both are queued. The second was possibly executed.
 	actions := r.runFor(9800 * Millisecond)
 	for _, a := range actions {
 		if a.Kind == Fail || a.Kind == Refuse && r.now < 1009*sec {
-			t.Errorf("answered: %+v", a)
+			t.Errorf("answered within its window: %+v", a)
 		}
 	}
 	r = newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(deduplicated, 1), r.arrival(deduplicated, 1)), 1, 2)
 	actions = r.step(sec/10, refusal(1, 0, 12*sec), outcome(2, 0, Reset))
-	r.wantAnswer(actions, Refuse, 2) // the wait outlasts its window of 10 s
+	r.wantAnswer(actions, Refuse, 2) // The wait is longer than its window of 10 s.
 	if r.dispatcher.messages[1] == nil {
-		t.Error("one that may still go was answered, too")
+		t.Error("a message that may still be sent was answered, too")
 	}
 }
 
+// A refusal carries a wait only if RetryAfter permits it and a wait is known.
 func TestNoRetryAfterWhereNoneIsKnownOrAllowed(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		settings := testSettings()
@@ -78,16 +80,16 @@
 		actions := r.step(sec/10, outcome(1, 0, ErrorResponse))
 		r.wantAnswer(actions, Refuse, 1)
 		if actions[0].After != 0 {
-			t.Errorf("allowed %v: told %v though nothing is known", allowed, actions[0].After)
+			t.Errorf("RetryAfter %v: the refusal carries a wait of %v although none is known", allowed, actions[0].After)
 		}
 		if actions = r.step(sec/10, refusal(2, 0, 2*sec)); !allowed && actions[0].After != 0 || allowed && actions[0].After < 2*sec {
-			t.Errorf("allowed %v: told to stay away for %v", allowed, actions[0].After)
+			t.Errorf("RetryAfter %v: the refusal carries a wait of %v", allowed, actions[0].After)
 		}
 	}
 }
 
-// A dispatcher that stops answers all it holds within the time given, by the rules for final answers: what may have
-// run of an unsafe class is failed, the rest handed back. Without the event clients were cut off without an answer.
+// A dispatcher that stops answers all open messages within the time of the Shutdown event. Those of an AtMostOnce class that
+// were possibly executed fail and the others are refused. Without the event, clients were cut off without an answer.
 func TestShutdownAnswersAllMessages(t *testing.T) {
 	dispatcher, err := New(Settings{Instances: 1, Tick: 5 * Millisecond, Slots: 4, MaxOpen: 100, MaxAttempts: 3, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		Classes: []Class{{Effect: AtMostOnce, Target: Second, Deadline: 60 * Second, Value: 1}}}, 1)
@@ -119,11 +121,11 @@
 		}
 	}
 	if now > due || len(answers) != 10 {
-		t.Errorf("%d of 10 answered at %d, due %d", len(answers), now, due)
+		t.Errorf("%d of 10 messages answered at %d, want all by %d", len(answers), now, due)
 	}
 	for id, kind := range answers {
 		if (kind == Fail) != sent[id] {
-			t.Errorf("message %d, sent %v, has answer %d", id, sent[id], kind)
+			t.Errorf("message %d: sent %v, answered by an action of kind %d", id, sent[id], kind)
 		}
 	}
 }
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// gossipSettings makes the settings of dispatchers that may send each other notes and read reports.
+// gossipSettings returns the settings of dispatchers that send hints to each other and read reports.
 func gossipSettings() Settings {
 	settings := testSettings()
 	settings.Gossip, settings.GossipCost, settings.Instances = true, 0.01/256, 100
@@ -14,12 +14,14 @@
 	return settings
 }
 
+// usedUpRefusal returns a refusal with a report: the share of the limit that is left, and a limit of 10 calls a second.
 func usedUpRefusal(m MessageID, attempt int, left float32) Event {
 	event := refusal(m, attempt, 0)
 	event.Report = []float32{left, 10}
 	return event
 }
 
+// sentHints returns the payload of the first SendGossip action, or an empty string.
 func sentHints(actions []Action) string {
 	for _, a := range actions {
 		if a.Kind == SendGossip {
@@ -29,22 +31,22 @@
 	return ""
 }
 
-// Hundreds of senders each learning of a limit from their own refusals once kept it at nothing: refused calls used
-// it up. One tells, all hold, and go on spread.
+// Hundreds of dispatchers that learned of a limit only from their own refusals once kept it used up, as refused calls counted
+// against it. Now one dispatcher sends a hint, all hold their calls and resume at different times.
 func TestUsedUpLimitIsToldAndHeldByAll(t *testing.T) {
 	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
 	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
 	hints := sentHints(a.step(sec/50, usedUpRefusal(1, 0, 0)))
 	if hints == "" {
-		t.Fatal("a used-up limit is not told")
+		t.Fatal("no hint about a used-up limit")
 	}
 	received := Event{Kind: GossipReceived, Payload: hints}
 	b.wantSent(b.step(0, received, b.arrival(idempotent, 1)))
 	b.wantSent(b.runFor(defaultHold - sec/50))
 	if got := sentMessages(b.runFor(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
-		t.Errorf("after the hold sent %v", got)
+		t.Errorf("sent %v after the hold, want message 1", got)
 	}
-	var at []Time // many receivers: their releases are apart
+	var at []Time // These are the release times of many receivers, which are spread.
 	for seed := range uint64(20) {
 		r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 		r.dispatcher.rng += seed * 2862933555777941757
@@ -55,13 +57,14 @@
 		at = append(at, r.now-start)
 	}
 	if slices.Sort(at); at[17]-at[2] < defaultHold/4 {
-		t.Errorf("20 senders go on within %v us", at[17]-at[2])
+		t.Errorf("20 dispatchers resume within %v us", at[17]-at[2])
 	}
 }
 
-// A report is late: two refusals in a row are told though it shows the limit as left, more are not, as a shut
-// destination shows it so, too; nor is one that an endpoint gives that fails or is cold. The refusals are further
-// apart than a shut endpoint's calls are paced.
+// A report may be late, so the first two consecutive refusals lead to hints even if the report shows that the limit is not used
+// up. More refusals do not, because a destination that is down for other reasons refuses with the same reports. Nor do refusals
+// of an endpoint that is suspected or has a ramp. The refusals are further apart than the ramp of a presumed outage spaces
+// calls.
 func TestRefusalsWithLimitLeftAreGossipedTwice(t *testing.T) {
 	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 	r.dispatcher.gossipCredit = 1000
@@ -74,7 +77,7 @@
 		}
 		r.step(0, Event{Kind: Withdrawn, Message: r.lastID})
 		if want := min(i+1, minConfirmFailures); gossiped != want {
-			t.Fatalf("%d refusals in a row, %d told, want %d", i+1, gossiped, want)
+			t.Fatalf("%d consecutive refusals led to %d hints, want %d", i+1, gossiped, want)
 		}
 		r.dispatcher.destination(1).limiter.tokens, r.endpoint(endpointID(1, 0)).rampStart = 1, 0
 	}
@@ -82,11 +85,11 @@
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	r.endpoint(endpointID(1, 0)).rampStart = r.now
 	if got := sentHints(r.step(sec/50, usedUpRefusal(1, 0, 0.9))); got != "" {
-		t.Errorf("a cold one's refusal was told: %q", got)
+		t.Errorf("a refusal during the ramp led to hints %q", got)
 	}
 }
 
-// runUntilSent plays rounds of 20 ms until something is sent.
+// runUntilSent runs rounds of 20 ms until a message is sent. It fails the test if none is sent within the limit.
 func (r *runner) runUntilSent(limit Time) {
 	r.t.Helper()
 	for end := r.now + limit; r.now < end; {
@@ -94,10 +97,11 @@
 			return
 		}
 	}
-	r.t.Fatal("nothing was sent")
+	r.t.Fatal("no message was sent")
 }
 
-// Of a return seen elsewhere: a sender with rare traffic once found it after tens of seconds.
+// A hint tells other dispatchers that an endpoint has returned. Without it, a dispatcher with rare traffic noticed the return
+// only after tens of seconds.
 func TestReturnIsGossiped(t *testing.T) {
 	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
 	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
@@ -107,24 +111,24 @@
 	b.step(sec/50, outcome(1, 0, ConnectFailed))
 	b.runUntilSent(5 * sec)
 	b.step(0, outcome(1, 1, ConnectFailed))
-	a.endpoint(endpointID(1, 0)).downSince -= 5 * sec // here it has lasted longer
+	a.endpoint(endpointID(1, 0)).downSince -= 5 * sec // For this dispatcher the outage has lasted longer.
 	ep := b.endpoint(endpointID(1, 0))
 	if !ep.suspected || !b.dispatcher.outageConfirmed(ep) {
-		t.Fatal("not sure of an outage")
+		t.Fatal("the outage is not confirmed")
 	}
 	hints := sentHints(a.step(0, outcome(1, 1, OK)))
 	b.step(0, Event{Kind: GossipReceived, Payload: hints})
 	if ep.suspected || ep.rampStart == 0 {
-		t.Errorf("suspect %v, ramp since %v after a told return", ep.suspected, ep.rampStart)
+		t.Errorf("suspected %v, ramp since %v after a hint about the return", ep.suspected, ep.rampStart)
 	}
 }
 
-// Notes of any content are harmless, and what they cost is bounded.
+// Hints with any content are harmless, and the cost of hints is bounded.
 func TestInvalidHintsAreIgnoredAndHintsAreBounded(t *testing.T) {
 	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 	for _, c := range []string{"", "a", "abc", "\x00\x00\x00\x00\x01", string(make([]byte, 999)), "\xff\xff\xff\xff"} {
 		if actions := r.step(0, Event{Kind: GossipReceived, Payload: c}); len(actions) > 0 {
-			t.Errorf("%q: %+v", c, actions)
+			t.Errorf("hints %q lead to %+v", c, actions)
 		}
 	}
 	bytes := 0
@@ -138,23 +142,23 @@
 		}
 	}
 	if cost := float64(bytes) * 99 / 256 / 400 * 0.01; cost > 2*gossipBudget || bytes == 0 {
-		t.Errorf("%d bytes, %v of the result spent on notes", bytes, cost)
+		t.Errorf("%d bytes, %v of the total value spent on gossip", bytes, cost)
 	}
-	if r := newRunner(t, testSettings(), entry(1, 0, 0)); true { // where peers are not allowed nothing is told
+	if r := newRunner(t, testSettings(), entry(1, 0, 0)); true { // Without Gossip no hints are sent.
 		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 		if got := sentHints(r.step(sec/50, usedUpRefusal(1, 0, 0))); got != "" {
-			t.Errorf("told %q without peers", got)
+			t.Errorf("hints %q without Gossip", got)
 		}
 	}
 }
 
-// The even share of a known limit: a sender whose calls are refused again and again keeps to it, and no more.
+// A dispatcher whose calls are refused again and again uses its equal share of a known limit and no more.
 func TestKnownLimitIsSharedEvenlyWhereItIsFelt(t *testing.T) {
 	const n = 50
 	sends := 0
 	settings := testSettings()
 	settings.ReportRemainingIndex, settings.ReportLimitIndex = 0, 1
-	for _, r := range newRunners(t, n, settings, entry(1, 0, 0)) { // 10 a second for 50 senders of one message a second each
+	for _, r := range newRunners(t, n, settings, entry(1, 0, 0)) { // The limit is 10 a second for 50 dispatchers with one message a second each.
 		var next []Event
 		for i := range 30 * 20 {
 			events := next
@@ -174,7 +178,7 @@
 	}
 }
 
-// With a tip-multiple of 1.5 a ramp of 1.2 times the demand was over it by chance.
+// With a CollapseMultiple of 1.5, a ramp of 1.2 times the demand exceeded it by chance.
 func TestRampStaysBelowCollapseMultiple(t *testing.T) {
 	sends := 0
 	settings := testSettings()
@@ -195,13 +199,14 @@
 			}
 		}
 	}
-	mean := 0.3 + 0.7*1.5/10 // warmth in the middle of the three seconds
+	mean := 0.3 + 0.7*1.5/10 // the capacity in the middle of the three seconds
 	if part := float64(sends) / (n * 60); part > 1.05*mean {
-		t.Errorf("%v of the demand in the first 3 s, a cold destination can do %v", part, mean)
+		t.Errorf("%v of the demand was sent in the first 3 s, but a cold destination can do %v", part, mean)
 	}
 }
 
-// Shut, it told hundreds of senders when it opens: all let go what they held in the same moment, onto a cold one.
+// A destination that was down told hundreds of dispatchers when its wait ends. They all sent their queued messages at that
+// moment, while the destination was cold.
 func TestEndOfALongRetryAfterStartsARamp(t *testing.T) {
 	sends, held := 0, 0
 	for _, r := range newRunners(t, 30, testSettings(), entry(1, 0, 0)) {
@@ -212,29 +217,29 @@
 		sends += len(sentMessages(r.runFor(2 * sec)))
 	}
 	if sends > held/4 {
-		t.Errorf("%d of %d held messages in the first two seconds", sends, held)
+		t.Errorf("%d of %d queued messages were sent in the first two seconds", sends, held)
 	}
 }
 
-// One endpoint of a destination was told to be back: its siblings were no longer taken as surely down, and all
-// who had one failure there tried them in the same moment.
+// A hint about the return of one endpoint must leave the outages of the other endpoints confirmed. They once were not, and all
+// dispatchers with one failure there tried them at the same moment.
 func TestReturnOfOneEndpointLeavesTheOthersConfirmedDown(t *testing.T) {
 	r := newRunner(t, gossipSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.runFor(20 * sec)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	first := r.step(sec/50, outcome(1, 0, ConnectFailed))
-	r.wantSent(first, 1) // the other endpoint
+	r.wantSent(first, 1) // It is sent to the other endpoint.
 	r.step(sec/50, outcome(1, 1, ConnectFailed))
 	r.runFor(4 * sec)
 	a, b := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1))
 	hint := hintID(a.id)
 	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(hint >> 16), byte(hint >> 8), byte(hint)})})
 	if a.suspected || !b.suspected || !r.dispatcher.outageConfirmed(b) {
-		t.Errorf("told back: suspect %v; the other: suspect %v, sure %v", a.suspected, b.suspected, r.dispatcher.outageConfirmed(b))
+		t.Errorf("endpoint that returned: suspected %v; the other one: suspected %v, confirmed %v", a.suspected, b.suspected, r.dispatcher.outageConfirmed(b))
 	}
 }
 
-// Figures that are no numbers, in reports and lists, once could stop a destination for good.
+// NaN, infinite and negative figures in reports and lists are harmless. They once stopped a destination for good.
 func TestReportsAndWeightsOutOfRangeAreHarmless(t *testing.T) {
 	inf, nan := float32(math.Inf(1)), float32(math.NaN())
 	for _, report := range [][]float32{{nan, nan}, {inf, inf}, {-1, -1}, {0, inf}, {nan}, {}} {
@@ -248,14 +253,13 @@
 			event := outcome(r.lastID, 0, OK)
 			event.Report = report
 			r.step(0, event)
-			r.step(0, r.arrival(idempotent, 1)) // two rounds at one instant
+			r.step(0, r.arrival(idempotent, 1)) // These are two rounds at the same instant.
 			r.step(sec, outcome(r.lastID, 0, OK))
 		}
 	}
 }
 
-// A return told by a peer is one of this moment, however long ago the own failure was; and demand over a known
-// limit does not make the ramp steeper.
+// The ramp after a hint about a return starts at the time of the hint, however long ago the own failure was.
 func TestGossipedReturnStartsTheRampNow(t *testing.T) {
 	r := newRunner(t, gossipSettings(), entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
@@ -265,17 +269,18 @@
 	hint := hintID(ep.id)
 	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(hint >> 16), byte(hint >> 8), byte(hint)})})
 	if ep.rampStart != r.now {
-		t.Errorf("ramp since %v, told at %v", ep.rampStart, r.now)
+		t.Errorf("ramp since %v, hint at %v", ep.rampStart, r.now)
 	}
 }
 
+// Demand above a known limit does not make the ramp steeper.
 func TestRampKeepsToAKnownLimit(t *testing.T) {
 	sends := 0
 	settings := testSettings()
 	settings.Weights = WeightNominal
 	listed := entry(1, 0, 0)
 	listed.Weight = 10
-	const n = 20 // asked for 2 a second each, 40 a second in all at a limit of 10
+	const n = 20 // Each has 2 messages a second, which is 40 a second in all at a limit of 10.
 	for _, r := range newRunners(t, n, settings, listed) {
 		for i := range 400 {
 			var events []Event
@@ -298,7 +303,7 @@
 			}
 		}
 	}
-	if sends > 20 { // 10 a second at a third of the warmth, and chance
-		t.Errorf("%d calls in two seconds", sends)
+	if sends > 20 { // At a third of the capacity, 10 a second make about 7 calls. The rest allows for chance.
+		t.Errorf("%d calls in two seconds, want 20 at most", sends)
 	}
 }
--- a/control/manydispatchers_test.go
+++ b/control/manydispatchers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// newRunners makes dispatchers that differ only in their seeds, each told of the same endpoints.
+// newRunners returns runners for n dispatchers that differ only in their seeds. Each has received the same endpoints.
 func newRunners(t *testing.T, n int, settings Settings, entries ...Entry) []*runner {
 	t.Helper()
 	settings.Instances = n
@@ -12,14 +12,14 @@
 	for i := range rigs {
 		r := newRunner(t, settings, entries...)
 		r.dispatcher.rng += uint64(i) * 2862933555777941757
-		r.runFor(20 * sec) // the memory of the demand is filled
+		r.runFor(20 * sec) // The history of the demand is complete after this.
 		rigs[i] = r
 	}
 	return rigs
 }
 
-// Each of many senders with one held message saw two failed connections: what they try alone must add up to
-// a part of their demand, not to a trial each.
+// Each of many dispatchers has one queued message and saw two failed connects. Their trials together must stay a part of their
+// demand and not be one for each dispatcher.
 func TestTrialsOfManySendersAddUpToAPartOfTheDemand(t *testing.T) {
 	const n = 60
 	sends := 0
@@ -27,19 +27,20 @@
 		r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 		repeats := sentMessages(append(r.step(sec/50, outcome(1, 0, ConnectFailed)), r.runFor(4*sec)...))
 		if len(repeats) != 1 {
-			t.Fatalf("%d tries to make sure, want one", len(repeats))
+			t.Fatalf("%d attempts to confirm the outage, want one", len(repeats))
 		}
 		sends += len(sentMessages(append(r.step(sec/50, outcome(1, 1, ConnectFailed)), r.runFor(2*sec)...)))
 	}
 	if sends > n/4 {
-		t.Errorf("%d trials of %d senders in two seconds", sends, n)
+		t.Errorf("%d trials of %d dispatchers in two seconds", sends, n)
 	}
 	if sends == 0 {
-		t.Error("nobody tries")
+		t.Error("no dispatcher made a trial")
 	}
 }
 
-// An outage mostly takes all endpoints of a destination: the second to fail makes sure, and neither is tried on.
+// An outage mostly affects all endpoints of a destination. A failure of a second endpoint confirms the outage of both, and no
+// further attempt is made at once.
 func TestFailingEndpointsBearEachOtherOut(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.runFor(20 * sec)
@@ -47,11 +48,11 @@
 	r.wantSent(r.step(sec/50, outcome(1, 0, ConnectFailed)), 1)
 	r.wantSent(r.step(sec/50, outcome(1, 1, ConnectFailed)))
 	if a, b := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1)); !r.dispatcher.outageConfirmed(a) || !r.dispatcher.outageConfirmed(b) {
-		t.Error("two endpoints of one destination failed and the outage is not taken as sure")
+		t.Error("two endpoints of one destination failed and the outage is not confirmed")
 	}
 }
 
-// Where refused calls use up the limit, many senders retrying on their own would keep it at nothing for good.
+// Refused calls may count against the limit. If many dispatchers retried independently, they would keep the limit used up.
 func TestRetriesAfterRefusalsStayWithinTheOwnDemand(t *testing.T) {
 	const n = 50
 	sends := 0
@@ -71,7 +72,7 @@
 	}
 }
 
-// Where calls after refusals mostly go well, a held message has its turn again within some aims.
+// Where calls after refusals mostly succeed, a queued message is sent again within a few target times.
 func TestHeldMessagesGoAgainWhereRetriesGoWell(t *testing.T) {
 	for _, c := range []struct {
 		retrySuccess float64
@@ -87,12 +88,13 @@
 			}
 		}
 		if c.retrySuccess == 1 && served < 15 || c.retrySuccess < 1 && served > 14 {
-			t.Errorf("record %v: %d of 20 went again within 8 s", c.retrySuccess, served)
+			t.Errorf("retry success %v: %d of 20 messages were sent again within 8 s", c.retrySuccess, served)
 		}
 	}
 }
 
-// A lost answer is no outage: the next call at once, no ramp, and silence is borne for less time from then on.
+// A lost answer is no outage: the next call is sent at once and there is no ramp. Frequent lost answers shorten the silence
+// timeout.
 func TestLostAnswersAreLearned(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	for range 20 {
@@ -108,15 +110,16 @@
 		r.step(sec/10, outcome(r.lastID, 0, OK))
 		r.step(0, outcome(lost, 0, Cancelled))
 		if e := r.endpoint(endpointID(1, 0)); e.suspected || e.rampStart != 0 {
-			t.Fatalf("suspect %v, cold since %v after one lost answer", e.suspected, e.rampStart)
+			t.Fatalf("suspected %v, ramp since %v after one lost answer", e.suspected, e.rampStart)
 		}
 	}
 	if after := r.dispatcher.silenceTimeout(r.dispatcher.destination(1)); r.dispatcher.lossShare < 0.2 || after >= before {
-		t.Errorf("share of lost answers %v, silence borne %v and %v before", r.dispatcher.lossShare, after, before)
+		t.Errorf("share of lost answers %v, silence timeout %v and %v before", r.dispatcher.lossShare, after, before)
 	}
 }
 
-// Clients of a sender with rare traffic would come again at others that know nothing of a limit.
+// Where a limit applies and traffic is rare, shed messages fail and are not refused. Their clients would otherwise try other
+// dispatchers, which know nothing about the limit.
 func TestShedMessagesAreFailedWhereALimitIsFeltAndTrafficIsRare(t *testing.T) {
 	for _, c := range []struct {
 		allowance float64
@@ -131,12 +134,12 @@
 		r.dispatcher.destination(1).limiter.allowance = c.allowance
 		actions := append(r.step(sec/10, r.arrival(idempotent, 1)), r.step(sec/10, r.arrival(idempotent, 1))...)
 		if len(actions) != 1 || actions[0].Kind != c.want {
-			t.Errorf("allowed share %v: %+v, want a single action %d", c.allowance, actions, c.want)
+			t.Errorf("allowance %v: %+v, want one action of kind %d", c.allowance, actions, c.want)
 		}
 	}
 }
 
-// Two slots, two hung destinations: they must not hold both.
+// With two slots, two hung destinations must not occupy both.
 func TestTwoHungDestinationsDoNotHoldTwoSlots(t *testing.T) {
 	settings := testSettings()
 	settings.Slots = 2
@@ -147,7 +150,7 @@
 	r.runFor(4 * sec)
 	first, second := r.dispatcher.destination(1), r.dispatcher.destination(2)
 	if !r.dispatcher.degraded(first) || !r.dispatcher.degraded(second) {
-		t.Fatal("not both are taken as hung")
+		t.Fatal("not both destinations count as degraded")
 	}
 	actions := r.step(0, r.arrival(idempotent, 3))
 	want := r.lastID
@@ -163,10 +166,10 @@
 		}
 		actions = r.step(sec/50, ends...)
 	}
-	t.Error("a message for a well destination waits for a slot held by hung ones")
+	t.Error("a message for a healthy destination still waits for a slot that hung ones occupy")
 }
 
-// What is of no more use goes: endpoints replaced, destinations unlisted, keys that rested.
+// State that is not needed any more is dropped: replaced endpoints, unlisted destinations and keys whose settle time is over.
 func TestStateDoesNotGrow(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	for i := range 200 {
@@ -188,12 +191,12 @@
 	r.runFor(2 * housekeepingInterval)
 	dispatcher := r.dispatcher
 	if len(dispatcher.endpointByID) > 2 || len(dispatcher.destByNumber) > 2 || len(dispatcher.dests) > 2 || len(dispatcher.messages) > 0 || len(dispatcher.keys) > 0 || len(dispatcher.restingKeys) > 0 {
-		t.Errorf("left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
+		t.Errorf("state left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
 			len(dispatcher.endpointByID), len(dispatcher.destByNumber), len(dispatcher.dests), len(dispatcher.messages), len(dispatcher.keys), len(dispatcher.restingKeys))
 	}
 }
 
-// A key whose messages have all ended still rests, and those to come wait; a told wait outlives its endpoints.
+// A key whose messages are all over still rests, and its next messages wait. A wait outlives the endpoints that asked for it.
 func TestKeyRestAndRetryAfterOutliveTheirMessages(t *testing.T) {
 	settings := testSettings()
 	settings.SettleTime = 30 * sec
@@ -205,7 +208,7 @@
 	event.TimeLeft = 40 * sec
 	r.wantSent(append(r.step(0, event), r.runFor(9*sec)...))
 	if got := sentMessages(r.runFor(2 * sec)); len(got) != 1 {
-		t.Errorf("after the rest sent %v", got)
+		t.Errorf("sent %v after the settle time, want one message", got)
 	}
 	r.step(0, outcome(2, 0, OK))
 	r.wantSent(r.step(sec, r.arrival(idempotent, 1)), 3)
@@ -216,6 +219,7 @@
 	r.wantSent(append(r.step(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 1, 0)}}, r.arrival(idempotent, 1)), r.runFor(10*sec)...))
 }
 
+// Log lines are at least housekeepingInterval apart.
 func TestLogLinesAreRateLimited(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0))
 	lines := 0
@@ -229,12 +233,12 @@
 		}
 	}
 	if lines > 3 {
-		t.Errorf("%d notes in 20 s", lines)
+		t.Errorf("%d log lines in 20 s", lines)
 	}
 }
 
-// A failed endpoint that leaves the list takes nothing of what is known with it: hundreds of senders once tried
-// its sibling at the same moment, when the gone one was forgotten.
+// An observed outage of a destination is remembered after the failed endpoint leaves the list. When it was forgotten, hundreds
+// of dispatchers tried the other endpoint at the same moment.
 func TestOutageOutlivesTheEndpointsThatShowedIt(t *testing.T) {
 	r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 	r.runFor(20 * sec)
@@ -247,15 +251,15 @@
 	r.runFor(2 * housekeepingInterval)
 	left := r.dispatcher.destination(1).endpoints
 	if len(left) != 1 || !r.dispatcher.outageConfirmed(left[0]) {
-		t.Fatalf("%d endpoints left, the outage is forgotten", len(left))
+		t.Fatalf("%d endpoints left, want one with a confirmed outage", len(left))
 	}
 	r.step(0, Event{Kind: ListUpdate, Entries: []Entry{entry(1, 2, 0)}})
 	if e := r.endpoint(endpointID(1, 2)); e.rampStart == 0 {
-		t.Error("an endpoint that joins does not start cold")
+		t.Error("an endpoint that joins has no ramp")
 	}
 }
 
-// Aims of nothing are legal settings: shares and waits stay finite, and messages are sent and answered.
+// A Target of 0 is a legal setting. Shares and waits stay finite, and messages are sent and answered.
 func TestZeroTargetIsHarmless(t *testing.T) {
 	settings := testSettings()
 	for i := range settings.Classes {
@@ -269,11 +273,11 @@
 		t.Errorf("tokens %v, wait until %v at %v", limiter.tokens, limiter.waitUntil, r.now)
 	}
 	if d := r.dispatcher; !(d.minTarget > 0) {
-		t.Errorf("aim %v", d.minTarget)
+		t.Errorf("minTarget is %v", d.minTarget)
 	}
 }
 
-// Replaced endpoints, failed lists and notes, over many cycles: nothing is kept of them.
+// State does not grow over many cycles of replaced endpoints, failed lists and hints.
 func TestStateDoesNotGrowWithHintsAndFailedLists(t *testing.T) {
 	settings := gossipSettings()
 	settings.PullList, settings.PullInterval = true, 10*sec
@@ -291,13 +295,13 @@
 	}
 	r.runFor(3 * housekeepingInterval)
 	if d := r.dispatcher; len(d.endpointByHint) > 2 || len(d.endpointByID) > 2 || len(d.hints) > 0 || len(d.messages) > 0 || len(r.timers) > 40 {
-		t.Errorf("left: %d names, %d endpoints, %d bytes of notes, %d messages, %d timers",
+		t.Errorf("state left: %d hint IDs, %d endpoints, %d bytes of hints, %d messages, %d timers",
 			len(d.endpointByHint), len(d.endpointByID), len(d.hints), len(d.messages), len(r.timers))
 	}
 }
 
-// A destination that is shut tells all senders to wait for the same moment. Demand that comes meanwhile is not saved up for it:
-// what they send at once then is a part of their demand, and not a call each.
+// A destination that refuses tells all dispatchers to wait until the same moment. Demand during the wait does not earn tokens.
+// What the dispatchers send when the wait ends is a part of their demand and not a call each.
 func TestAllWaitForTheSameMoment(t *testing.T) {
 	const n = 60
 	settings := testSettings()
@@ -312,11 +316,12 @@
 		atOnce += len(sentMessages(r.runFor(waitEnd + sec/10 - r.now)))
 		soon += len(sentMessages(r.runFor(2 * sec)))
 	}
-	// Each has a demand of two a second. Cold, a destination of that demand bears about 0.2 of it; 120 x 0.2 x 0.1 s are 2.4.
+	// Each dispatcher has a demand of 2 messages a second, which is 120 in all. A cold destination can do about 0.2 of that. In
+	// 0.1 s this makes 120 x 0.2 x 0.1 = 2.4 calls.
 	if atOnce > n/6 {
-		t.Errorf("%d of %d senders call in the tenth of a second in which a destination opens", atOnce, n)
+		t.Errorf("%d calls of %d dispatchers in the tenth of a second after the wait", atOnce, n)
 	}
 	if soon < n/3 {
-		t.Errorf("only %d calls of %d senders in the next two seconds", soon, n)
+		t.Errorf("only %d calls of %d dispatchers in the next two seconds", soon, n)
 	}
 }
--- a/control/outage_test.go
+++ b/control/outage_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// newOutageRunner makes a dispatcher that keeps what it knows of outages, of one destination with one endpoint.
+// newOutageRunner returns a runner for a dispatcher with TrackOutages and one destination with one endpoint.
 func newOutageRunner(t *testing.T) *runner {
 	settings := testSettings()
 	settings.TrackOutages = true
 	return newRunner(t, settings, entry(1, 0, 0))
 }
 
-// restart hands what one dispatcher had told of outages to another, as a process that follows it does.
+// restart returns a runner for the next process, which gets the recorded outages.
 func (r *runner) restart(recorded map[EndpointID]Outage, now Time) *runner {
 	next := newOutageRunner(r.t)
 	next.now = now
@@ -24,7 +24,7 @@
 	return next
 }
 
-// recordOutages keeps what is told, as a record does.
+// recordOutages updates the recorded outages with what has changed.
 func recordOutages(recorded map[EndpointID]Outage, changed []Outage) {
 	for _, o := range changed {
 		if o.Ended() {
@@ -35,7 +35,8 @@
 	}
 }
 
-// A dispatcher that restarts within an outage goes on as one that has seen it: single trials, and a ramp on the return.
+// A dispatcher that restarts during an outage continues as one that has observed it. It makes single trials and starts a ramp
+// when the endpoint returns.
 func TestOutageOutlivesTheProcess(t *testing.T) {
 	r := newOutageRunner(t)
 	recorded := map[EndpointID]Outage{}
@@ -51,9 +52,9 @@
 		}
 	}
 	if o := recorded[endpointID(1, 0)]; !o.Suspected || o.Failures < 2 || !o.Unreachable {
-		t.Fatalf("told %+v", recorded)
+		t.Fatalf("recorded %+v, want a confirmed outage of an unreachable endpoint", recorded)
 	}
-	for range 2 { // also a second process that follows
+	for range 2 { // This restarts twice.
 		r = r.restart(recorded, r.now+2*sec)
 		var batch []Event
 		for range 30 {
@@ -61,15 +62,16 @@
 		}
 		first := sentMessages(slices.Concat(r.step(0, batch...), r.runFor(sec)))
 		if len(first) > 1 {
-			t.Errorf("%d calls at once to an endpoint that was down", len(first))
+			t.Errorf("%d calls within a second to an endpoint that was down", len(first))
 		}
 		recordOutages(recorded, r.dispatcher.Outages())
 	}
 	if e := r.endpoint(endpointID(1, 0)); !e.suspected || !r.dispatcher.outageConfirmed(e) {
-		t.Error("the outage is forgotten")
+		t.Error("the outage is not confirmed after the restarts")
 	}
 	res := ConnectFailed
-	for n := 0; r.endpoint(endpointID(1, 0)).suspected && n < 2000; n++ { // with some demand a trial comes soon, fails first, and goes well then
+	// With some demand a trial comes soon. The first one fails and the second one succeeds.
+	for n := 0; r.endpoint(endpointID(1, 0)).suspected && n < 2000; n++ {
 		for _, id := range sentMessages(r.step(sec/20, r.arrival(idempotent, 1))) {
 			r.step(sec/50, outcome(id, r.dispatcher.messages[id].attempts-1, res))
 			res = OK
@@ -77,15 +79,15 @@
 	}
 	recordOutages(recorded, r.dispatcher.Outages())
 	if e := r.endpoint(endpointID(1, 0)); e.suspected || e.rampStart == 0 || recorded[endpointID(1, 0)].RampStart != e.rampStart {
-		t.Errorf("after the return: suspect %v, cold since %d, told %+v", e.suspected, e.rampStart, recorded)
+		t.Errorf("after the return: suspected %v, ramp since %d, recorded %+v", e.suspected, e.rampStart, recorded)
 	}
 	rampStart := r.endpoint(endpointID(1, 0)).rampStart
 	if r = r.restart(recorded, r.now+sec); r.endpoint(endpointID(1, 0)).rampStart != rampStart {
-		t.Errorf("the ramp began at %d, the next process has it begin at %d", rampStart, r.endpoint(endpointID(1, 0)).rampStart)
+		t.Errorf("the ramp began at %d, but at %d in the next process", rampStart, r.endpoint(endpointID(1, 0)).rampStart)
 	}
 }
 
-// What is over is told as over: the record must not grow with outages that have passed.
+// Outages that are over are reported as ended. Otherwise the record would grow without bound.
 func TestOutagesEnd(t *testing.T) {
 	r := newOutageRunner(t)
 	recorded := map[EndpointID]Outage{}
@@ -105,11 +107,12 @@
 		recordOutages(recorded, r.dispatcher.Outages())
 	}
 	if len(recorded) != 0 {
-		t.Errorf("left: %+v", recorded)
+		t.Errorf("outages left: %+v", recorded)
 	}
 }
 
-// An endpoint that leaves the list, or was never in it, takes its outage off the record or leaves no trace.
+// The outage of an endpoint that leaves the list is reported as ended. A restored outage of an endpoint that is not listed is
+// ignored.
 func TestOutageOfAGoneEndpointEnds(t *testing.T) {
 	r := newOutageRunner(t)
 	recorded := map[EndpointID]Outage{}
@@ -125,6 +128,6 @@
 		recordOutages(recorded, r.dispatcher.Outages())
 	}
 	if len(recorded) != 0 {
-		t.Errorf("left: %+v", recorded)
+		t.Errorf("outages left: %+v", recorded)
 	}
 }
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -12,23 +12,28 @@
 	"testing"
 )
 
-var record = flag.Bool("record", false, "record the answers of the plays anew")
+// record makes TestPlaysAsRecorded write the golden file before it compares.
+var record = flag.Bool("record", false, "record the actions of the scenarios again")
 
-// scenario is one random play: what is asked and how partners answer comes from the seed alone, so that two modules with
-// the same actions see the same events.
+// scenario is a random simulation of messages and partners. Its messages and outcomes depend only on the seed and on the
+// actions, so two versions of the library with the same actions get the same events.
 type scenario struct {
 	name         string
 	seed         int64
 	destinations int
 	slots        int
-	rate         float64 // messages a second
-	weights      WeightKind
-	failShare    float64 // share of attempts that meet nobody or silence
-	refusedShare float64 // share refused, half of them with a told wait
+	// rate is the number of messages a second.
+	rate    float64
+	weights WeightKind
+	// failShare is the share of attempts that fail: a third each by a failed connect, a timeout and an error.
+	failShare float64
+	// refusedShare is the share of attempts that are refused, half of them with a wait.
+	refusedShare float64
 	maxBatch     int
 	inOrder      bool
 }
 
+// scenarios returns all scenarios in the order of the golden file.
 func scenarios() (all []scenario) {
 	for seed := range int64(6) {
 		all = append(all,
@@ -43,8 +48,8 @@
 	return all
 }
 
-// run runs a play and returns a hash of its actions, and how many there were of each kind. Ticks without a mark
-// are left out: when the module asks to be woken is no decision about messages.
+// run simulates the scenario. It returns a hash of the actions and the number of actions of each kind. Log actions and timers
+// that are not for a message are left out, because they are no decisions about messages.
 func (p scenario) run(t testing.TB) string {
 	settings := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: p.slots, MaxOpen: 600, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		MayCancel: true, RetryAfter: true, MaxRetryAfter: 60 * Second, ConnIdleTimeout: 10 * Second, ConnectTimeout: Second, StreamsPerConn: 100,
@@ -84,7 +89,7 @@
 		}
 		schedule(Time(at*float64(Second)), e)
 	}
-	for k := range 10 { // endpoints drain and come back
+	for k := range 10 { // Endpoints drain and become ready again.
 		e := entries[rng.Intn(len(entries))]
 		e.Health = Draining
 		schedule(Time(2+k)*Second, Event{Kind: ListUpdate, Entries: []Entry{e}})
@@ -105,7 +110,7 @@
 			if e.Kind == Outcome {
 				k := [2]uint64{uint64(e.Message), uint64(e.Attempt)}
 				if _, found := inFlight[k]; !found {
-					continue // called off meanwhile
+					continue // The attempt was cancelled meanwhile.
 				}
 				delete(inFlight, k)
 			}
@@ -159,12 +164,13 @@
 	return fmt.Sprintf("%016x %d sent, %d refused, %d failed, %d cancelled", hash.Sum64(), counts[Send], counts[Refuse], counts[Fail], counts[Cancel])
 }
 
+// goldenFile holds the recorded result of each scenario.
 const goldenFile = "testdata/plays.txt"
 
-// The plays' actions are those recorded. When rounds were made to cost what happens in them and not what lives, 27 of
-// the 36 stayed the same to the last action; in nine, with few slots and endpoints that drain, a destination that can
-// release nothing no longer takes the one turn that goes by tag. `go test ./control -run Plays -record` records anew; a
-// change of decisions that was measured on the bench is the one reason for it.
+// The actions of the scenarios must be those in the golden file. `go test ./control -run Plays -record` records them again. The
+// only reason for that is a deliberate change of decisions whose effect was measured. One such change is in the recording: with
+// few slots and draining endpoints, a destination that cannot send no longer takes a turn by finish tag. It changed 9 of the 36
+// scenarios.
 func TestPlaysAsRecorded(t *testing.T) {
 	if *record {
 		var b strings.Builder
@@ -187,13 +193,13 @@
 	for _, p := range scenarios() {
 		lines.Scan()
 		if got := fmt.Sprintf("%s, seed %d: %s", p.name, p.seed, p.run(t)); got != lines.Text() {
-			t.Errorf("%s\nrecorded: %s", got, lines.Text())
+			t.Errorf("got:      %s\nrecorded: %s", got, lines.Text())
 		}
 	}
 }
 
-// newDispatcherWithMessages makes a module with n destinations, of which live have a message held that can't go, as their endpoint drains, beside
-// one busy destination.
+// newDispatcherWithMessages returns a Dispatcher with n destinations of one endpoint each. live of them have a queued message
+// that cannot be sent because the endpoint is draining. Destination 0 is ready and has no messages.
 func newDispatcherWithMessages(b testing.TB, n, live, slots int) *Dispatcher {
 	settings := Settings{Instances: 1, Tick: 5 * Millisecond, Slots: slots, MaxOpen: 4 * n, MaxAttempts: 4, ReportRemainingIndex: -1, ReportLimitIndex: -1,
 		ConnIdleTimeout: 10 * Second, StopSendingWithin: Second, ColdCapacity: 0.2, WarmUp: 3 * Second, CollapseMultiple: 2, MaxOverload: Second,
@@ -216,8 +222,8 @@
 	return dispatcher
 }
 
-// With thousands of destinations and few slots none starves: each has its first message out within half as much again
-// as the fair wait, which is the time in which all of them have one slot once.
+// With thousands of destinations and few slots none of them starves. The first message of each is sent within 1.5 times the fair
+// wait. The fair wait is the time in which each destination gets one slot once.
 func TestManyDestinationsFewSlotsTakeTurns(t *testing.T) {
 	const n, slots, lag = 3000, 50, 20 * Millisecond
 	dispatcher := newDispatcherWithMessages(t, n, 0, slots)
@@ -247,12 +253,12 @@
 		longest = max(longest, at)
 	}
 	if len(first) < n || longest > fairWait*3/2 {
-		t.Errorf("%d of %d destinations served, the last after %d ms, the fair wait is %d ms", len(first), n, longest/1000, fairWait/1000)
+		t.Errorf("%d of %d destinations were sent to, the last one after %d ms, the fair wait is %d ms", len(first), n, longest/1000, fairWait/1000)
 	}
 }
 
-// A message costs the same work beside 20,000 destinations that hold one as beside 100, counted and not timed: each
-// release once walked all of them.
+// A message causes as much work beside 20,000 destinations with a queued message as beside 100. The work is counted and not
+// timed. Each dispatch once looked at all of these destinations.
 func TestWorkDoesNotGrowWithActiveDestinations(t *testing.T) {
 	work := func(live int) uint64 {
 		dispatcher := newDispatcherWithMessages(t, live+1, live, 256)
@@ -267,11 +273,11 @@
 		return dispatcher.scanCount - before
 	}
 	if few, many := work(100), work(20000); many > 3*few || many > 5000 {
-		t.Errorf("work for 1000 messages: %d beside 100 live destinations, %d beside 20,000", few, many)
+		t.Errorf("scans for 1000 messages: %d beside 100 active destinations, %d beside 20,000", few, many)
 	}
 }
 
-// BenchmarkLive is one message of the busy destination, in two rounds, beside destinations that hold a message.
+// BenchmarkLive measures one message of a busy destination, in two rounds, beside destinations with a queued message.
 func BenchmarkLive(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -281,13 +287,14 @@
 	}
 }
 
-// BenchmarkIdle is the same beside destinations that hold nothing.
+// BenchmarkIdle measures one message of a busy destination, in two rounds, beside destinations without messages.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{100, 20000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkBusyDestination(b, newDispatcherWithMessages(b, n+1, 0, 256)) })
 	}
 }
 
+// benchmarkBusyDestination sends messages to destination 0, each with an arrival and an outcome in rounds of their own.
 func benchmarkBusyDestination(b *testing.B, d *Dispatcher) {
 	now := 100 * Second
 	id := MessageID(1)
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// What a process that ended had done for a message binds its successor: attempts count, and what may have run goes
-// again only as its class allows. What can't go is answered in that round.
+// What an earlier process did for a message also restricts this one. Its attempts count, and a possibly executed message is sent
+// again only as its class permits. A message that cannot be sent is answered in the same round.
 func TestRestoredMessages(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -18,14 +18,14 @@
 		sent             bool
 		end              ActionKind
 	}{
-		{"unsafe, never sent", atMostOnce, 0, false, 0, 0, true, 0},
-		{"unsafe, refused before", atMostOnce, 2, false, 0, 0, true, 0},
-		{"unsafe, may have run", atMostOnce, 1, true, sec, 0, false, Fail},
-		{"free, may have run", idempotent, 1, true, sec, 0, true, 0},
-		{"guarded, in its window", deduplicated, 1, true, sec, 0, true, 0},
-		{"guarded, past its window", deduplicated, 1, true, 100 * sec, 0, false, Refuse},
+		{"at most once, never sent", atMostOnce, 0, false, 0, 0, true, 0},
+		{"at most once, refused before", atMostOnce, 2, false, 0, 0, true, 0},
+		{"at most once, possibly executed", atMostOnce, 1, true, sec, 0, false, Fail},
+		{"idempotent, possibly executed", idempotent, 1, true, sec, 0, true, 0},
+		{"deduplicated, within its window", deduplicated, 1, true, sec, 0, true, 0},
+		{"deduplicated, after its window", deduplicated, 1, true, 100 * sec, 0, false, Refuse},
 		{"all attempts made", idempotent, 6, false, 0, 0, false, Refuse},
-		{"all but one made", idempotent, 5, true, sec, 0, true, 0},
+		{"all attempts but one made", idempotent, 5, true, sec, 0, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRunner(t, testSettings(), entry(1, 0, 0))
@@ -42,38 +42,39 @@
 	}
 }
 
-// A dispatcher whose successor goes on with what is held refuses what is new, with the longest wait that it may tell,
-// begins no call that may not end in time, and ends nothing that is held.
+// With KeepHeld the next process goes on with the open messages. Until then this dispatcher refuses new messages with the
+// longest wait that is permitted. It starts no call that may not end in time, and it ends no queued message.
 func TestShutdownThatKeepsMessages(t *testing.T) {
 	settings := testSettings()
 	settings.RetryAfter, settings.MaxRetryAfter, settings.Slots = true, 2*sec, 1
 	r := newRunner(t, settings, entry(1, 0, 0))
 	r.wantSent(r.step(0, r.arrival(atMostOnce, 1)), 1)
-	r.step(sec/10, r.arrival(atMostOnce, 1), r.arrival(atMostOnce, 1)) // held behind the slot
+	r.step(sec/10, r.arrival(atMostOnce, 1), r.arrival(atMostOnce, 1)) // They are queued because the only slot is busy.
 	r.step(0, Event{Kind: Shutdown, TimeLeft: 3 * sec, KeepHeld: true})
 	actions := r.step(sec/100, r.arrival(atMostOnce, 1))
 	r.wantAnswer(actions, Refuse, 4)
 	if i := slices.IndexFunc(actions, func(a Action) bool { return a.Kind == Refuse }); actions[i].After != 2*sec {
-		t.Errorf("told to stay away for %v", actions[i].After)
+		t.Errorf("the refusal carries a wait of %v", actions[i].After)
 	}
-	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2) // there is time for one more
+	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2) // There is time for one more call.
 	actions = slices.Concat(r.runFor(2700*Millisecond), r.step(0, outcome(2, 0, OK)), r.runFor(sec))
 	r.wantSent(actions)
 	for _, a := range actions {
 		if a.Kind == Refuse || a.Kind == Fail {
-			t.Errorf("what is kept was ended: %+v", a)
+			t.Errorf("a message for the next process was ended: %+v", a)
 		}
 	}
 }
 
-// While attempts can't be put on record only what may be repeated at will is sent; what waits goes on when they can.
+// While attempts cannot be recorded, only messages of Idempotent classes are sent. The others are sent as soon as recording
+// works again.
 func TestOnlyIdempotentMessagesAreSentWhileRecordingFails(t *testing.T) {
 	for class, sentMeanwhile := range map[int]bool{idempotent: true, deduplicated: false, atMostOnce: false} {
 		r := newRunner(t, testSettings(), entry(1, 0, 0))
 		r.step(0, Event{Kind: RecordingStatus, RecordingFails: true})
 		meanwhile := slices.Concat(r.step(sec/10, r.arrival(class, 1)), r.runFor(sec))
 		if got := len(sentMessages(meanwhile)) > 0; got != sentMeanwhile {
-			t.Errorf("class %d: sent %v: %+v", class, got, meanwhile)
+			t.Errorf("class %d: sent while recording fails: %v: %+v", class, got, meanwhile)
 		}
 		if sentMeanwhile {
 			continue
@@ -82,7 +83,7 @@
 	}
 }
 
-// Attempts that were not sent do not count: the message has all that it may have.
+// Attempts that were not sent do not count towards MaxAttempts. Attempts that were sent and surely not executed do.
 func TestNotSentIsNotCountedAsAnAttempt(t *testing.T) {
 	settings := testSettings()
 	r := newRunner(t, settings, entry(1, 0, 0))
@@ -93,7 +94,7 @@
 		sends += len(sentMessages(actions))
 	}
 	if sends != 3*settings.MaxAttempts+1 {
-		t.Errorf("%d times sent, want %d", sends, 3*settings.MaxAttempts+1)
+		t.Errorf("%d Send actions, want %d", sends, 3*settings.MaxAttempts+1)
 	}
 	for n := range settings.MaxAttempts {
 		actions = slices.Concat(r.step(sec/100, outcome(1, 3*settings.MaxAttempts+n, NotExecuted)), r.runFor(sec/20))
@@ -101,7 +102,8 @@
 	r.wantAnswer(actions, Refuse, 1)
 }
 
-// Behind another process all keys rest first: calls that it made may be executed yet. What it had begun itself goes on.
+// After an earlier process all keys first rest for SettleTime, because its last calls may still be executed. A restored message
+// that already had an attempt is sent at once.
 func TestKeysRestBehindAnotherProcess(t *testing.T) {
 	settings := testSettings()
 	settings.HasPredecessor, settings.SettleTime = true, 2*sec
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -6,38 +6,51 @@
 	"testing"
 )
 
-// ruleChecker follows a Dispatcher from outside and holds what it does against the rules.
+// ruleChecker observes the events and actions of a Dispatcher and checks them against the rules of the interface.
 type ruleChecker struct {
-	t             *testing.T
-	settings      Settings
-	now           Time
-	messages      map[MessageID]*trackedMessage
-	waitUntil     map[int]Time        // until when a destination, or a route apart, told to wait
-	ready         map[EndpointID]bool // listed ready
-	calls         map[[2]int64]int    // messages out by round and endpoint: one call
+	t        *testing.T
+	settings Settings
+	now      Time
+	messages map[MessageID]*trackedMessage
+	// waitUntil is the end of the wait by the key that waitKey returns.
+	waitUntil map[int]Time
+	// ready tells which endpoints are listed as ready.
+	ready map[EndpointID]bool
+	// calls counts the messages in flight of each call. The key is the time of the round and the endpoint.
+	calls map[[2]int64]int
+	// messagesByKey are the messages of each ordering key in order of arrival.
 	messagesByKey map[uint64][]*trackedMessage
-	keyRestUntil  map[uint64]Time
-	timers        []Action
-	inFlight      []*trackedMessage
-	unanswered    []*trackedMessage // without a final answer
+	// keyRestUntil is when the next message of a key may have its first attempt.
+	keyRestUntil map[uint64]Time
+	// timers are the pending timers of messages. After is changed to the instant at which the timer is due.
+	timers   []Action
+	inFlight []*trackedMessage
+	// unanswered are the messages without a final answer.
+	unanswered []*trackedMessage
 }
 
+// trackedMessage is what the ruleChecker knows about a message.
 type trackedMessage struct {
-	id                 MessageID
-	class              *Class
-	dest               int
-	key                uint64
-	deadline           Time
-	ended              bool
-	attempts           int
-	endpoint           EndpointID
-	sentAt             Time
-	inFlight           bool
-	possiblyExecuted   bool
+	id       MessageID
+	class    *Class
+	dest     int
+	key      uint64
+	deadline Time
+	// ended tells that the message has its final answer or was delivered.
+	ended    bool
+	attempts int
+	endpoint EndpointID
+	// sentAt is when its last attempt was sent. With the endpoint it identifies the call.
+	sentAt           Time
+	inFlight         bool
+	possiblyExecuted bool
+	// possiblyExecutedAt is when the first attempt that was possibly executed was sent.
 	possiblyExecutedAt Time
-	lastSentAt         Time
+	// lastSentAt equals sentAt.
+	lastSentAt Time
 }
 
+// check fails the test with the broken rule unless ok.
 func (c *ruleChecker) check(ok bool, m *trackedMessage, rule string) {
 	c.t.Helper()
 	if !ok {
@@ -45,6 +58,7 @@
 	}
 }
 
+// onAction checks an action other than Cancel.
 func (c *ruleChecker) onAction(a Action) {
 	m := c.messages[a.Message]
 	switch a.Kind {
@@ -58,27 +72,28 @@
 		return
 	}
 	if m == nil {
-		c.t.Fatalf("acts for a message never taken: %+v", a)
+		c.t.Fatalf("action for an unknown message: %+v", a)
 	}
 	switch a.Kind {
 	case Refuse, Fail:
-		c.check(!m.ended, m, "a second final answer")
+		c.check(!m.ended, m, "second final answer")
 		maybe := (m.possiblyExecuted || m.inFlight) && m.class.Effect != Idempotent
-		c.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "handed back though it may have run")
+		c.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "refused although it was possibly executed")
 		m.ended = true
 	case Send:
 		c.onSend(m, a)
 	}
 }
 
+// onSend checks that an attempt is permitted and records it.
 func (c *ruleChecker) onSend(m *trackedMessage, a Action) {
-	c.check(!m.ended && !m.inFlight, m, "sent though ended or out")
-	c.check(c.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint not listed ready")
-	c.check(c.now >= c.waitUntil[waitKey(m.dest, a.Endpoint)], m, "sent during a told wait")
+	c.check(!m.ended && !m.inFlight, m, "sent although ended or in flight")
+	c.check(c.ready[a.Endpoint] && int(a.Endpoint)/10 == m.dest, m, "sent to an endpoint that is not ready or not of its destination")
+	c.check(c.now >= c.waitUntil[waitKey(m.dest, a.Endpoint)], m, "sent during a wait")
 	c.check(m.attempts < c.settings.MaxAttempts && c.now < m.deadline, m, "sent too often or too late")
 	if m.possiblyExecuted {
-		c.check(m.class.Effect != AtMostOnce, m, "unsafe message sent again in doubt")
-		c.check(m.class.Effect == Idempotent || c.now < m.possiblyExecutedAt+m.class.DedupWindow, m, "repeat past its window")
+		c.check(m.class.Effect != AtMostOnce, m, "possibly executed at-most-once message sent again")
+		c.check(m.class.Effect == Idempotent || c.now < m.possiblyExecutedAt+m.class.DedupWindow, m, "repeated after its deduplication window")
 	}
 	if m.key != 0 {
 		q := c.messagesByKey[m.key]
@@ -86,8 +101,8 @@
 			q = q[1:]
 		}
 		c.messagesByKey[m.key] = q
-		c.check(q[0] == m, m, "out of order")
-		c.check(m.attempts > 0 || c.now >= c.keyRestUntil[m.key], m, "sent while its key rests")
+		c.check(q[0] == m, m, "sent out of order")
+		c.check(m.attempts > 0 || c.now >= c.keyRestUntil[m.key], m, "first attempt while its key rests")
 	}
 	m.attempts++
 	m.inFlight, m.endpoint, m.sentAt, m.lastSentAt = true, a.Endpoint, c.now, c.now
@@ -96,10 +111,10 @@
 	c.check(len(c.calls) <= c.settings.Slots, m, "more calls than slots")
 }
 
-// perEndpointDest is the destination of the random plays whose endpoints are routes apart.
+// perEndpointDest is the destination whose kind has PerEndpointLimits.
 const perEndpointDest = 4
 
-// waitKey is what a told wait binds: the destination, or the route where routes are apart.
+// waitKey identifies what a wait applies to: the endpoint for perEndpointDest, otherwise the destination.
 func waitKey(dest int, e EndpointID) int {
 	if dest == perEndpointDest {
 		return int(e)
@@ -107,7 +122,7 @@
 	return -dest
 }
 
-// endAttempt makes the outcome of one attempt out and notes what it tells.
+// endAttempt returns the outcome of an attempt in flight and records what follows from it.
 func (c *ruleChecker) endAttempt(m *trackedMessage, res Result, wait Time) Event {
 	m.inFlight = false
 	call := [2]int64{int64(m.sentAt), int64(m.endpoint)}
@@ -135,19 +150,20 @@
 		Elapsed: c.now - m.sentAt, RetryAfter: wait, Report: []float32{float32(c.now%3) / 2, 5}}
 }
 
-// Random events, legal and not, for several seeds: whatever comes, the rules hold and each message has one answer.
+// With random valid and invalid events for several seeds, the rules hold and each message gets exactly one final answer in time.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range int64(12) {
 		runRandomEvents(t, seed)
 	}
 }
 
+// runRandomEvents simulates two minutes of random events and checks every action.
 func runRandomEvents(t *testing.T, seed int64) {
 	rng := rand.New(rand.NewSource(seed))
 	settings := testSettings()
 	settings.Slots, settings.MaxOpen, settings.Instances = 2+rng.Intn(8), 16+rng.Intn(60), 1+rng.Intn(40)
 	settings.Tick = 20 * Millisecond
-	if seed%2 == 1 { // the newer settings
+	if seed%2 == 1 { // Odd seeds also use the optional features.
 		settings.PullList, settings.PullInterval, settings.Gossip, settings.GossipCost = true, 10*sec, true, 0.01/256
 		settings.RetryAfter, settings.MaxRetryAfter, settings.ReportRemainingIndex, settings.ReportLimitIndex = true, 3*sec, 0, 1
 		settings.ZoneCosts = []float64{0.05}
@@ -162,7 +178,7 @@
 	for round := Time(0); round < 6000; round++ {
 		checker.now = round * 20 * Millisecond
 		var events []Event
-		for dest := 1; dest <= 4; dest++ { // destinations fall ill and well
+		for dest := 1; dest <= 4; dest++ { // Destinations change between failures and success.
 			if rng.Intn(300) == 0 {
 				failing[dest] = Result(rng.Intn(int(NotExecuted)))
 			}
@@ -212,27 +228,29 @@
 			checker.onAction(a)
 		}
 		checker.unanswered = slices.DeleteFunc(checker.unanswered, func(m *trackedMessage) bool {
-			checker.check(m.ended || checker.now <= m.deadline, m, "no answer in time")
+			checker.check(m.ended || checker.now <= m.deadline, m, "no final answer by the deadline")
 			return m.ended
 		})
 	}
 	if len(dispatcher.messages) > 0 || dispatcher.busySlots != 0 || dispatcher.openMessages != 0 {
-		t.Errorf("seed %d: left %d messages, %d slots, %d open", seed, len(dispatcher.messages), dispatcher.busySlots, dispatcher.openMessages)
+		t.Errorf("seed %d: left: %d messages, %d busy slots, %d open messages", seed, len(dispatcher.messages), dispatcher.busySlots, dispatcher.openMessages)
 	}
 }
 
-// onCancel checks that what is called off is out; its outcome comes like any other, sometimes never before its time.
+// onCancel checks that a cancelled attempt is in flight. Its outcome comes like that of any other attempt, so it may come only
+// at the deadline.
 func (c *ruleChecker) onCancel(a Action) {
 	m := c.messages[a.Message]
-	c.check(m != nil && m.inFlight && m.attempts-1 == a.Attempt, m, "cancels what is not out")
+	c.check(m != nil && m.inFlight && m.attempts-1 == a.Attempt, m, "cancelled without an attempt in flight")
 }
 
+// arrival returns the Arrival event of a new random message.
 func (c *ruleChecker) arrival(rng *rand.Rand) Event {
 	class := rng.Intn(4)
 	m := &trackedMessage{id: MessageID(len(c.messages) + 1), class: &c.settings.Classes[class], dest: 1 + rng.Intn(4)}
 	timeLeft := Time(1+rng.Intn(20)) * sec
 	if rng.Intn(4) == 0 {
-		timeLeft = Time(rng.Intn(1500)) * Millisecond // short patience
+		timeLeft = Time(rng.Intn(1500)) * Millisecond // This is a client with a short timeout.
 	}
 	m.deadline = c.now + timeLeft
 	if m.class.InOrder {
@@ -244,7 +262,7 @@
 	return Event{Kind: Arrival, Message: m.id, Class: class, Dest: m.dest, Key: m.key, TimeLeft: timeLeft}
 }
 
-// illegalEvents makes events that no honest caller sends: they must change nothing that the rules see.
+// illegalEvents returns random events that no correct caller sends. They must not break any rule.
 func illegalEvents(rng *rand.Rand) []Event {
 	switch rng.Intn(8) {
 	case 0:
--- a/control/shedding_test.go
+++ b/control/shedding_test.go
@@ -2,27 +2,27 @@
 
 import "testing"
 
-// newEarlyAckRunner makes a dispatcher whose senders hear at once that a message is taken on, with room for a few.
+// newEarlyAckRunner returns a runner for a dispatcher with EarlyAck that has room for a few open messages.
 func newEarlyAckRunner(t *testing.T) *runner {
 	settings := testSettings()
 	settings.EarlyAck, settings.MaxOpen, settings.Slots = true, 4, 1
 	return newRunner(t, settings, entry(1, 0, 0))
 }
 
-// Where more comes than there is room for, what has just come is refused ahead of what was promised to be delivered, unless that
-// is worth clearly less.
+// When there are too many open messages, new ones are refused before acknowledged ones, unless the acknowledged ones have
+// clearly less value.
 func TestPromisedMessagesAreShedLast(t *testing.T) {
 	r := newEarlyAckRunner(t)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
-	r.step(sec/100, r.arrival(idempotent, 1), r.arrival(idempotent, 1)) // held behind the slot
+	r.step(sec/100, r.arrival(idempotent, 1), r.arrival(idempotent, 1)) // They are queued because the only slot is busy.
 	actions := r.step(sec/100, r.arrival(idempotent, 1))
 	r.wantAnswer(actions, Refuse, 4)
 	if len(actions) == 0 || r.dispatcher.messages[2] == nil || r.dispatcher.messages[3] == nil {
-		t.Errorf("%+v", actions)
+		t.Errorf("an acknowledged message was shed: %+v", actions)
 	}
 }
 
-// What a process before this one had taken on, and found untried, is given up early only where nothing else may go.
+// A message that an earlier process had acknowledged and never sent is shed early only if no other message can be.
 func TestRestoredMessagesAreKept(t *testing.T) {
 	r := newEarlyAckRunner(t)
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
@@ -32,10 +32,10 @@
 	}
 	r.step(sec/100, restored...)
 	for range 20 {
-		next := r.arrival(atMostOnce, 1) // worth more
+		next := r.arrival(atMostOnce, 1) // It is newer and therefore worth a little more.
 		r.wantAnswer(r.step(sec/100, next), Refuse, next.Message)
 	}
 	if r.dispatcher.messages[2] == nil || r.dispatcher.messages[3] == nil {
-		t.Error("a restored message was given up")
+		t.Error("a restored message was shed")
 	}
 }
