--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -18,7 +18,7 @@
 	ready map[EndpointID]bool
 	// calls counts the messages in flight of each call. The key is the time of the round and the endpoint.
 	calls map[[2]int64]int
-	// messagesByKey are the messages of each ordering key in order of arrival.
+	// messagesByKey are the messages of each ordering key in order of arrival. Leading ones that are over are dropped.
 	messagesByKey map[uint64][]*trackedMessage
 	// keyRestUntil is when the next message of a key may have its first attempt.
 	keyRestUntil map[uint64]Time
