--- a/control/control_test.go
+++ b/control/control_test.go
@@ -110,8 +110,8 @@
 }
 
 // outcome returns the Outcome event of an attempt that took 100 ms.
-func outcome(m MessageID, attempt int, res Result) Event {
-	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: res, Closed: res == OK, Elapsed: 100 * Millisecond}
+func outcome(m MessageID, attempt int, result Result) Event {
+	return Event{Kind: Outcome, Message: m, Attempt: attempt, Result: result, Closed: result == OK, Elapsed: 100 * Millisecond}
 }
 
 // refusal returns the Outcome event of an attempt that was refused, with the wait that the endpoint asked for.
@@ -327,10 +327,10 @@
 	for _, c := range []struct {
 		name      string
 		class     int
-		res       Result
+		result    Result
 		after     Time
 		sentAgain bool
-		end       ActionKind
+		answer    ActionKind
 	}{
 		{"an idempotent message is sent again", idempotent, TimedOut, 3 * sec, true, 0},
 		{"a deduplicated message is sent again within its window", deduplicated, ErrorResponse, 10*sec - StallMargin - 100*Millisecond, true, 0},
@@ -343,13 +343,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRunner(t, testSettings(), entry(1, 0, 0), entry(1, 1, 0))
 			r.wantSent(r.step(0, r.arrival(c.class, 1)), 1)
-			actions := r.step(c.after, outcome(1, 0, c.res))
+			actions := r.step(c.after, outcome(1, 0, c.result))
 			actions = append(actions, r.runFor(3*sec)...)
 			if c.sentAgain != slices.Equal(sentMessages(actions), []MessageID{1}) {
 				t.Fatalf("sent again %v: %+v", !c.sentAgain, actions)
 			}
-			if c.end != 0 {
-				r.wantAnswer(actions, c.end, 1)
+			if c.answer != 0 {
+				r.wantAnswer(actions, c.answer, 1)
 			}
 		})
 	}
@@ -399,8 +399,8 @@
 // The timer of a message is due before its deadline and leads to the final answer. Later events for the message are ignored.
 func TestFinalAnswerComesBeforeTheDeadline(t *testing.T) {
 	for _, c := range []struct {
-		class int
-		end   ActionKind
+		class  int
+		answer ActionKind
 	}{{idempotent, Refuse}, {atMostOnce, Fail}} {
 		r := newRunner(t, testSettings(), entry(1, 0, 0))
 		actions := r.dispatcher.Step(r.now, []Event{r.arrival(c.class, 1)}, nil)
@@ -414,7 +414,7 @@
 		if due >= 20*sec {
 			t.Fatalf("the timer is due after %v, which is too late", due)
 		}
-		r.wantAnswer(r.step(due, Event{Kind: TimerFired, TimerToken: token}), c.end, 1)
+		r.wantAnswer(r.step(due, Event{Kind: TimerFired, TimerToken: token}), c.answer, 1)
 		if more := r.step(sec, Event{Kind: TimerFired, TimerToken: token}, outcome(1, 0, TimedOut), outcome(1, 0, OK)); len(more) > 0 {
 			t.Errorf("actions for a message that has its final answer: %+v", more)
 		}
--- a/control/finalanswers_test.go
+++ b/control/finalanswers_test.go
@@ -8,11 +8,11 @@
 // while its destination has to wait.
 func TestGivenUpMessagesAreAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		class int
-		wait  Time
-		end   ActionKind
-		after Time
+		name   string
+		class  int
+		wait   Time
+		answer ActionKind
+		after  Time
 	}{
 		{"idempotent, wait past its deadline", idempotent, 30 * sec, Refuse, 3 * sec},
 		{"deduplicated, wait past its deadline", deduplicated, 30 * sec, Refuse, 3 * sec},
@@ -27,16 +27,16 @@
 			r.step(sec/10, r.arrival(c.class, 1), r.arrival(c.class, 1), r.arrival(c.class, 1)) // They are queued because the only slot is busy.
 			actions := r.step(sec/10, refusal(1, 0, c.wait))
 			late := r.step(sec/10, r.arrival(c.class, 1)) // This one arrives during the wait.
-			if c.end == 0 {
+			if c.answer == 0 {
 				if len(actions)+len(late) > 0 {
 					t.Fatalf("answered although there is time after the wait: %+v %+v", actions, late)
 				}
 				return
 			}
 			for id := MessageID(1); id <= 4; id++ {
-				r.wantAnswer(actions, c.end, id)
+				r.wantAnswer(actions, c.answer, id)
 			}
-			r.wantAnswer(late, c.end, 5)
+			r.wantAnswer(late, c.answer, 5)
 			if actions[0].After != c.after {
 				t.Errorf("the refusal carries a wait of %v, want %v", actions[0].After, c.after)
 			}
--- a/control/gossip_test.go
+++ b/control/gossip_test.go
@@ -34,16 +34,16 @@
 // Hundreds of dispatchers that learned of a limit only from their own refusals once kept it used up, as refused calls counted
 // against it. Now one dispatcher sends a hint, all hold their calls and resume at different times.
 func TestUsedUpLimitIsToldAndHeldByAll(t *testing.T) {
-	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
-	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
-	hints := sentHints(a.step(sec/50, usedUpRefusal(1, 0, 0)))
+	sender, receiver := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
+	sender.wantSent(sender.step(0, sender.arrival(idempotent, 1)), 1)
+	hints := sentHints(sender.step(sec/50, usedUpRefusal(1, 0, 0)))
 	if hints == "" {
 		t.Fatal("no hint about a used-up limit")
 	}
 	received := Event{Kind: GossipReceived, Payload: hints}
-	b.wantSent(b.step(0, received, b.arrival(idempotent, 1)))
-	b.wantSent(b.runFor(defaultHold - sec/50))
-	if got := sentMessages(b.runFor(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
+	receiver.wantSent(receiver.step(0, received, receiver.arrival(idempotent, 1)))
+	receiver.wantSent(receiver.runFor(defaultHold - sec/50))
+	if got := sentMessages(receiver.runFor(2 * maxSpread)); !slices.Equal(got, []MessageID{1}) {
 		t.Errorf("sent %v after the hold, want message 1", got)
 	}
 	var at []Time // These are the release times of many receivers, which are spread.
@@ -103,21 +103,21 @@
 // A hint tells other dispatchers that an endpoint has returned. Without it, a dispatcher with rare traffic noticed the return
 // only after tens of seconds.
 func TestReturnIsGossiped(t *testing.T) {
-	a, b := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
-	a.wantSent(a.step(0, a.arrival(idempotent, 1)), 1)
-	a.step(sec/50, outcome(1, 0, ConnectFailed))
-	a.runUntilSent(5 * sec)
-	b.wantSent(b.step(0, b.arrival(idempotent, 1)), 1)
-	b.step(sec/50, outcome(1, 0, ConnectFailed))
-	b.runUntilSent(5 * sec)
-	b.step(0, outcome(1, 1, ConnectFailed))
-	a.endpoint(endpointID(1, 0)).downSince -= 5 * sec // For this dispatcher the outage has lasted longer.
-	ep := b.endpoint(endpointID(1, 0))
-	if !ep.suspected || !b.dispatcher.outageConfirmed(ep) {
+	sender, receiver := newRunner(t, gossipSettings(), entry(1, 0, 0)), newRunner(t, gossipSettings(), entry(1, 0, 0))
+	sender.wantSent(sender.step(0, sender.arrival(idempotent, 1)), 1)
+	sender.step(sec/50, outcome(1, 0, ConnectFailed))
+	sender.runUntilSent(5 * sec)
+	receiver.wantSent(receiver.step(0, receiver.arrival(idempotent, 1)), 1)
+	receiver.step(sec/50, outcome(1, 0, ConnectFailed))
+	receiver.runUntilSent(5 * sec)
+	receiver.step(0, outcome(1, 1, ConnectFailed))
+	sender.endpoint(endpointID(1, 0)).downSince -= 5 * sec // For this dispatcher the outage has lasted longer.
+	ep := receiver.endpoint(endpointID(1, 0))
+	if !ep.suspected || !receiver.dispatcher.outageConfirmed(ep) {
 		t.Fatal("the outage is not confirmed")
 	}
-	hints := sentHints(a.step(0, outcome(1, 1, OK)))
-	b.step(0, Event{Kind: GossipReceived, Payload: hints})
+	hints := sentHints(sender.step(0, outcome(1, 1, OK)))
+	receiver.step(0, Event{Kind: GossipReceived, Payload: hints})
 	if ep.suspected || ep.rampStart == 0 {
 		t.Errorf("suspected %v, ramp since %v after a hint about the return", ep.suspected, ep.rampStart)
 	}
@@ -208,16 +208,16 @@
 // A destination that was down told hundreds of dispatchers when its wait ends. They all sent their queued messages at that
 // moment, while the destination was cold.
 func TestEndOfALongRetryAfterStartsARamp(t *testing.T) {
-	sends, held := 0, 0
+	sends, queued := 0, 0
 	for _, r := range newRunners(t, 30, testSettings(), entry(1, 0, 0)) {
 		r.wantSent(r.step(0, r.arrival(idempotent, 1)), r.lastID)
 		r.step(sec/10, refusal(r.lastID, 0, 8*sec), r.arrival(idempotent, 1), r.arrival(idempotent, 1))
-		held += 3
+		queued += 3
 		r.runFor(8 * sec)
 		sends += len(sentMessages(r.runFor(2 * sec)))
 	}
-	if sends > held/4 {
-		t.Errorf("%d of %d queued messages were sent in the first two seconds", sends, held)
+	if sends > queued/4 {
+		t.Errorf("%d of %d queued messages were sent in the first two seconds", sends, queued)
 	}
 }
 
@@ -231,11 +231,11 @@
 	r.wantSent(first, 1) // It is sent to the other endpoint.
 	r.step(sec/50, outcome(1, 1, ConnectFailed))
 	r.runFor(4 * sec)
-	a, b := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1))
-	hint := hintID(a.id)
+	returned, other := r.endpoint(endpointID(1, 0)), r.endpoint(endpointID(1, 1))
+	hint := hintID(returned.id)
 	r.step(0, Event{Kind: GossipReceived, Payload: string([]byte{0, byte(hint >> 16), byte(hint >> 8), byte(hint)})})
-	if a.suspected || !b.suspected || !r.dispatcher.outageConfirmed(b) {
-		t.Errorf("endpoint that returned: suspected %v; the other one: suspected %v, confirmed %v", a.suspected, b.suspected, r.dispatcher.outageConfirmed(b))
+	if returned.suspected || !other.suspected || !r.dispatcher.outageConfirmed(other) {
+		t.Errorf("endpoint that returned: suspected %v; the other one: suspected %v, confirmed %v", returned.suspected, other.suspected, r.dispatcher.outageConfirmed(other))
 	}
 }
 
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -225,7 +225,7 @@
 // With thousands of destinations and few slots none of them starves. The first message of each is sent within 1.5 times the fair
 // wait. The fair wait is the time in which each destination gets one slot once.
 func TestManyDestinationsFewSlotsTakeTurns(t *testing.T) {
-	const n, slots, lag = 3000, 50, 20 * Millisecond
+	const n, slots, latency = 3000, 50, 20 * Millisecond
 	dispatcher := newDispatcherWithMessages(t, n, 0, slots)
 	events := make([]Event, 0, 3*n)
 	for k := range 3 {
@@ -235,8 +235,8 @@
 	}
 	first := map[EndpointID]Time{}
 	start := 10 * Second
-	fairWait := Time(n/slots) * lag
-	for now := start; len(first) < n && now < start+10*fairWait; now += lag {
+	fairWait := Time(n/slots) * latency
+	for now := start; len(first) < n && now < start+10*fairWait; now += latency {
 		actions := dispatcher.Step(now, events, nil)
 		events = events[:0]
 		for _, a := range actions {
@@ -244,7 +244,7 @@
 				if _, seen := first[a.Endpoint]; !seen {
 					first[a.Endpoint] = now - start
 				}
-				events = append(events, Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Elapsed: lag})
+				events = append(events, Event{Kind: Outcome, Message: a.Message, Endpoint: a.Endpoint, Elapsed: latency})
 			}
 		}
 	}
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -16,7 +16,7 @@
 		sentAgo          Time
 		zone             int
 		sent             bool
-		end              ActionKind
+		answer           ActionKind
 	}{
 		{"at most once, never sent", atMostOnce, 0, false, 0, 0, true, 0},
 		{"at most once, refused before", atMostOnce, 2, false, 0, 0, true, 0},
@@ -37,7 +37,7 @@
 				return
 			}
 			r.wantSent(actions)
-			r.wantAnswer(actions, c.end, 1)
+			r.wantAnswer(actions, c.answer, 1)
 		})
 	}
 }
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -77,8 +77,8 @@
 	switch a.Kind {
 	case Refuse, Fail:
 		c.check(!m.ended, m, "second final answer")
-		maybe := (m.possiblyExecuted || m.inFlight) && m.class.Effect != Idempotent
-		c.check(a.Kind == Fail || !maybe || m.class.Effect == Deduplicated, m, "refused although it was possibly executed")
+		possiblyExecuted := (m.possiblyExecuted || m.inFlight) && m.class.Effect != Idempotent
+		c.check(a.Kind == Fail || !possiblyExecuted || m.class.Effect == Deduplicated, m, "refused although it was possibly executed")
 		m.ended = true
 	case Send:
 		c.onSend(m, a)
@@ -96,12 +96,12 @@
 		c.check(m.class.Effect == Idempotent || c.now < m.possiblyExecutedAt+m.class.DedupWindow, m, "repeated after its deduplication window")
 	}
 	if m.key != 0 {
-		q := c.messagesByKey[m.key]
-		for len(q) > 0 && q[0].ended && !q[0].inFlight {
-			q = q[1:]
+		queue := c.messagesByKey[m.key]
+		for len(queue) > 0 && queue[0].ended && !queue[0].inFlight {
+			queue = queue[1:]
 		}
-		c.messagesByKey[m.key] = q
-		c.check(q[0] == m, m, "sent out of order")
+		c.messagesByKey[m.key] = queue
+		c.check(queue[0] == m, m, "sent out of order")
 		c.check(m.attempts > 0 || c.now >= c.keyRestUntil[m.key], m, "first attempt while its key rests")
 	}
 	m.attempts++
@@ -123,13 +123,13 @@
 }
 
 // endAttempt returns the outcome of an attempt in flight and records what follows from it.
-func (c *ruleChecker) endAttempt(m *trackedMessage, res Result, wait Time) Event {
+func (c *ruleChecker) endAttempt(m *trackedMessage, result Result, wait Time) Event {
 	m.inFlight = false
-	call := [2]int64{int64(m.sentAt), int64(m.endpoint)}
-	if c.calls[call]--; c.calls[call] == 0 {
-		delete(c.calls, call)
+	callKey := [2]int64{int64(m.sentAt), int64(m.endpoint)}
+	if c.calls[callKey]--; c.calls[callKey] == 0 {
+		delete(c.calls, callKey)
 	}
-	switch res {
+	switch result {
 	case OK:
 		m.ended = true
 	case LimitExceeded:
@@ -142,11 +142,11 @@
 		if !m.possiblyExecuted {
 			m.possiblyExecuted, m.possiblyExecutedAt = true, m.lastSentAt
 		}
-		if m.key != 0 && res != ErrorResponse {
+		if m.key != 0 && result != ErrorResponse {
 			c.keyRestUntil[m.key] = c.now + c.settings.SettleTime
 		}
 	}
-	return Event{Kind: Outcome, Message: m.id, Attempt: m.attempts - 1, Endpoint: m.endpoint, Result: res, Closed: m.ended,
+	return Event{Kind: Outcome, Message: m.id, Attempt: m.attempts - 1, Endpoint: m.endpoint, Result: result, Closed: m.ended,
 		Elapsed: c.now - m.sentAt, RetryAfter: wait, Report: []float32{float32(c.now%3) / 2, 5}}
 }
 
