--- a/cmd/whinlab/deploy.go
+++ b/cmd/whinlab/deploy.go
@@ -16,7 +16,7 @@
 }
 
 func (c *lineCmd) Run() error {
-	text, err := sitefile.Line(c.File, c.Key)
+	text, err := sitefile.Text(c.File, c.Key)
 	if err == nil {
 		fmt.Println(text)
 	}
@@ -30,7 +30,7 @@
 }
 
 func (c *siteCmd) Run() error {
-	path, err := sitefile.Variant(c.Site, c.Overrides, c.Out)
+	path, err := sitefile.WriteVariant(c.Site, c.Overrides, c.Out)
 	if err == nil {
 		fmt.Println(path)
 	}
@@ -44,16 +44,16 @@
 // Run judges go test -json on standard input.
 func (c *gateCmd) Run() error {
 	f, err := os.Open(c.Known)
-	var known []testgate.Known
+	var known []testgate.KnownFailure
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
 		return err
 	default:
-		known, err = testgate.ParseKnown(f)
+		known, err = testgate.ParseKnownFailures(f)
 		if err = errors.Join(err, f.Close()); err != nil {
 			return fmt.Errorf("%s: %w", c.Known, err)
 		}
 	}
-	return testgate.Judge(os.Stdin, known, os.Stdout)
+	return testgate.Evaluate(os.Stdin, known, os.Stdout)
 }
--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -18,9 +18,9 @@
 
 	"whinrun/internal/clock"
 	"whinrun/internal/compare"
-	"whinrun/internal/day"
 	"whinrun/internal/load"
 	"whinrun/internal/partner"
+	"whinrun/internal/scenario"
 	"whinrun/internal/soak"
 )
 
@@ -95,7 +95,7 @@
 func (c *trailCmd) Run() error {
 	ctx, stop := interrupted()
 	defer stop()
-	return compare.Trail(ctx, os.Stdout, compare.Options(*c))
+	return compare.AuditTrail(ctx, os.Stdout, compare.Options(*c))
 }
 
 type idleCmd struct {
@@ -149,9 +149,9 @@
 		if err := loopback(addr); err != nil {
 			return err
 		}
-		p := partner.New(partner.Config{Name: addr, Pace: c.Pace, Servers: c.Servers, Rate: c.Rate, ColdFrom: 0.2, WarmUp: 10 * time.Second,
-			Tip: 2, TipFor: 2 * time.Second, Limit: c.Limit, TellWait: c.Wait, Conns: c.Conns, Streams: c.Streams, Handshake: c.Handshake,
-			IdleReap: c.Reap, Seed: c.Seed + uint64(i)}, log)
+		p := partner.New(partner.Config{Name: addr, ServiceTime: c.Pace, Concurrency: c.Servers, Capacity: c.Rate, ColdShare: 0.2, WarmUp: 10 * time.Second,
+			OverloadFactor: 2, OverloadWindow: 2 * time.Second, RateLimit: c.Limit, SendRetryAfter: c.Wait, MaxConns: c.Conns, MaxStreams: c.Streams, SettingsDelay: c.Handshake,
+			IdleTimeout: c.Reap, Seed: c.Seed + uint64(i)}, log)
 		e, err := p.Listen(addr)
 		if err != nil {
 			return err
@@ -181,8 +181,8 @@
 	for _, e := range log.Events() {
 		counts[e.Kind]++
 	}
-	fmt.Printf("%d calls arrived, %d applied, %d answered, %d left without an answer\n", counts[partner.Arrived], counts[partner.Applied],
-		counts[partner.Answer], counts[partner.Mute])
+	fmt.Printf("%d calls arrived, %d applied, %d answered, %d left without an answer\n", counts[partner.RequestReceived], counts[partner.Applied],
+		counts[partner.Responded], counts[partner.NoResponse])
 	return nil
 }
 
@@ -208,14 +208,14 @@
 		if err != nil || k == 0 {
 			return errors.New("streams NUMBER")
 		}
-		e.Streams(uint32(k))
+		e.SetMaxStreams(uint32(k))
 		return nil
 	}
-	f, err := day.ParseFault(words[1:])
+	f, err := scenario.ParseFault(words[1:])
 	if err != nil {
 		return err
 	}
-	return e.Set(f)
+	return e.SetFault(f)
 }
 
 func (c *sendCmd) Run() error {
@@ -233,12 +233,12 @@
 	msgs := make([]load.Message, n)
 	for i := range msgs {
 		path := c.Path[i%len(c.Path)]
-		msgs[i] = load.Message{At: time.Duration(float64(i) / c.Rate * float64(time.Second)), Test: fmt.Sprintf("s%d", i),
-			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, Size: c.Size}
+		msgs[i] = load.Message{At: time.Duration(float64(i) / c.Rate * float64(time.Second)), CorrelationID: fmt.Sprintf("s%d", i),
+			Class: path[strings.LastIndexByte(path, '/')+1:], Path: path, Token: c.Token, TTL: c.TTL, BodySize: c.Size}
 	}
 	start := clock.StartStopwatch()
 	out := load.Run(ctx, client, msgs, func() time.Duration { return start.Elapsed() }, c.Most)
-	load.Write(os.Stdout, load.Report(out), start.Elapsed())
+	load.Write(os.Stdout, load.Summarize(out), start.Elapsed())
 	return nil
 }
 
@@ -266,13 +266,13 @@
 	if err != nil {
 		return false, err
 	}
-	s, err := day.Parse(file, string(text))
+	s, err := scenario.Parse(file, string(text))
 	if err != nil {
 		return false, err
 	}
-	s.Scale = c.Scale
-	if s.AMQP == 0 {
-		s.AMQP = c.AMQP
+	s.RateScale = c.Scale
+	if s.AMQPShare == 0 {
+		s.AMQPShare = c.AMQP
 	}
 	if c.Seed > 0 {
 		s.Seed = c.Seed
@@ -283,16 +283,16 @@
 		lines = os.Stderr
 	}
 	start := clock.StartStopwatch()
-	r, err := day.Run(ctx, s, lines)
+	r, err := scenario.Run(ctx, s, lines)
 	if err != nil {
 		return false, err
 	}
-	load.Write(os.Stdout, load.Report(r.Outcomes), start.Elapsed())
-	sum := day.Sum(r)
+	load.Write(os.Stdout, load.Summarize(r.Outcomes), start.Elapsed())
+	sum := scenario.Summarize(r)
 	sum.Write(os.Stdout)
-	if share := float64(sum.Served) / float64(max(1, sum.Messages)); share < s.Served {
-		fmt.Printf("served %.3f, expected %.3f\n", share, s.Served)
+	if share := float64(sum.Served) / float64(max(1, sum.Messages)); share < s.MinServed {
+		fmt.Printf("served %.3f, expected %.3f\n", share, s.MinServed)
 		return false, nil
 	}
-	return len(sum.Breaches) == 0, nil
+	return len(sum.Violations) == 0, nil
 }
--- a/cmd/whinrun/main.go
+++ b/cmd/whinrun/main.go
@@ -79,12 +79,12 @@
 	if err != nil {
 		return errUsage{err}
 	}
-	log, err := logs.New(os.Stderr, cfg.LogLevel, cfg.LogLines)
+	log, err := logs.New(os.Stderr, cfg.LogLevel, cfg.LogLinesPerSecond)
 	if err != nil {
 		return errUsage{err}
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(cfg.Garbage)
+		debug.SetGCPercent(cfg.GCPercent)
 	}
 	// Before anything is taken: a signal that comes while starting counts, too.
 	signals := make(chan os.Signal, 2)
@@ -94,7 +94,7 @@
 		return err
 	}
 	<-signals
-	ctx, stop := context.WithTimeout(context.Background(), cfg.StopWithin*5/4)
+	ctx, stop := context.WithTimeout(context.Background(), cfg.StopTimeout*5/4)
 	defer stop()
 	stopped := make(chan bool, 1)
 	go func() { stopped <- s.Stop(ctx) }()
--- a/cmd/whinrun/main_test.go
+++ b/cmd/whinrun/main_test.go
@@ -91,7 +91,7 @@
 	defer c.Close()
 	answer := make(chan int, 1)
 	go func() {
-		status, _, _, _ := c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		status, _, _, _ := c.Send(context.Background(), &load.Message{CorrelationID: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 		answer <- status
 	}()
 	<-arrived
@@ -117,7 +117,7 @@
 	c := load.NewClient(addr, 1)
 	defer c.Close()
 	go func() {
-		_, _, _, _ = c.Post(context.Background(), &load.Message{Test: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
+		_, _, _, _ = c.Send(context.Background(), &load.Message{CorrelationID: "x", Path: "/archive/upload", Token: "quickstart", TTL: 20})
 	}()
 	<-arrived
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -181,7 +181,7 @@
 		for i := range 8 {
 			all.Go(func() {
 				for ctx.Err() == nil {
-					_, _, _, _ = c.Post(ctx, &load.Message{Test: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
+					_, _, _, _ = c.Send(ctx, &load.Message{CorrelationID: "x", Path: []string{"/archive/upload", "/archive/status"}[i%2], Token: "quickstart", TTL: 20})
 				}
 			})
 		}
--- a/cmd/whinrun/node_test.go
+++ b/cmd/whinrun/node_test.go
@@ -266,7 +266,7 @@
 }
 
 // A fault of the configuration is one line that names file and key.
-func TestNodeConfigurationFault(t *testing.T) {
+func TestNodeInvalidConfiguration(t *testing.T) {
 	bin := build(t)
 	file := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(file, []byte(`{"listen":"127.0.0.1:0","discovery":"x"}`), 0o600); err != nil {
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -43,7 +43,7 @@
 
 // A call is out when a first process is killed. What a second process learns of its own calls, each turned away unrun, says
 // nothing of that one: a third process must not repeat the message once partners have forgotten its key.
-func TestSecondRestartKnowsTheFirstCall(t *testing.T) {
+func TestSecondRestartRemembersFirstCall(t *testing.T) {
 	s := testbed.New()
 	n := newNode(t, s)
 	n.shortenWindow()
@@ -102,7 +102,7 @@
 }
 
 // A folder that can't be used ends the start with one line and exit 1; one that another process still has is waited for.
-func TestNodeFolder(t *testing.T) {
+func TestNodeStateFolder(t *testing.T) {
 	s := testbed.New()
 	n := newNode(t, s)
 	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
--- a/internal/door/door.go
+++ b/internal/admission/admission.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"errors"
@@ -21,49 +21,49 @@
 	Channels    int   // channels on them, where the protocol has channels that cost memory
 	Bytes       int64 // bytes of bodies, from their first byte until the answer
 	TenantBytes int64 // of them, for one tenant
-	Hold        int   // messages owed an answer, as the engine bounds them
+	Messages    int   // messages owed an answer, as the engine bounds them
 	BlockAt     float64
 	UnblockAt   float64 // publishers are asked to stop from one share of Bytes or Hold until the other
 }
 
-// Core is what messages are handed to: the engine's loop.
-type Core interface {
+// Engine is what messages are handed to: the engine's loop.
+type Engine interface {
 	Submit(m *engine.Message) error
 	Withdraw(id control.MessageID)
 }
 
-// Counts is what came of it all at one front.
-type Counts struct {
+// Counters is what came of it all at one front.
+type Counters struct {
 	Conns, ConnsRefused, Malformed atomic.Int64 // connections taken, turned away, ended for what they sent
-	Taken, Rejected                atomic.Int64 // messages taken; turned away at the door
+	Accepted, Rejected             atomic.Int64 // messages taken; turned away at the door
 	Served, Refused, Failed        atomic.Int64 // final answers
-	Withdrawn, Unheard             atomic.Int64 // by their senders; answers that nobody was there to hear
+	Withdrawn, Undelivered         atomic.Int64 // by their senders; answers that nobody was there to hear
 }
 
-// Door is the one way in.
-type Door struct {
+// Controller is the one way in.
+type Controller struct {
 	limits  Limits
-	core    Core
+	core    Engine
 	blocked atomic.Bool
 	shut    atomic.Pointer[error]
 
 	mu       sync.Mutex
-	valve    Valve
+	valve    Watermarks
 	conns    int
 	channels int
 	held     int
 	bytes    int64
 	tenants  []int64
-	sides    []*Side
+	sides    []*Frontend
 }
 
 // New makes a Door for so many tenants.
-func New(l Limits, tenants int, core Core) *Door {
-	return &Door{limits: l, core: core, tenants: make([]int64, tenants), valve: Valve{High: l.BlockAt, Low: l.UnblockAt}}
+func New(l Limits, tenants int, core Engine) *Controller {
+	return &Controller{limits: l, core: core, tenants: make([]int64, tenants), valve: Watermarks{High: l.BlockAt, Low: l.UnblockAt}}
 }
 
-// Shut has no more messages taken, for the reason given, until it is called with nil. Those taken are not touched.
-func (d *Door) Shut(reason error) {
+// Suspend has no more messages taken, for the reason given, until it is called with nil. Those taken are not touched.
+func (d *Controller) Suspend(reason error) {
 	if reason == nil {
 		d.shut.Store(nil)
 		return
@@ -72,23 +72,23 @@
 }
 
 // Side is one front's way through the door.
-type Side struct {
+type Frontend struct {
 	Name string
-	Counts
-	d *Door
+	Counters
+	d *Controller
 }
 
 // Side adds a front.
-func (d *Door) Side(name string) *Side {
-	s := &Side{Name: name, d: d}
+func (d *Controller) AddFrontend(name string) *Frontend {
+	s := &Frontend{Name: name, d: d}
 	d.mu.Lock()
 	d.sides = append(d.sides, s)
 	d.mu.Unlock()
 	return s
 }
 
-// Sides returns all fronts, for their counts.
-func (d *Door) Sides() []*Side {
+// Frontends returns all fronts, for their counts.
+func (d *Controller) Frontends() []*Frontend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.sides[:len(d.sides):len(d.sides)]
@@ -96,32 +96,32 @@
 
 // Usage is what is held now.
 type Usage struct {
-	Conns, Channels, Held int
-	Bytes                 int64
-	Blocked               bool
+	Conns, Channels, Messages int
+	Bytes                     int64
+	Blocked                   bool
 }
 
 // Usage returns what is held now.
-func (d *Door) Usage() Usage {
+func (d *Controller) Usage() Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return Usage{d.conns, d.channels, d.held, d.bytes, d.Blocked()}
 }
 
 // Blocked tells whether publishers are to stop for a while: too much is held, or the door is shut.
-func (d *Door) Blocked() bool { return d.blocked.Load() || d.shut.Load() != nil }
+func (d *Controller) Blocked() bool { return d.blocked.Load() || d.shut.Load() != nil }
 
 // level is called with the lock held after every change.
-func (d *Door) level() {
+func (d *Controller) level() {
 	l := float64(d.bytes) / float64(max(1, d.limits.Bytes))
-	if d.limits.Hold > 0 {
-		l = max(l, float64(d.held)/float64(d.limits.Hold))
+	if d.limits.Messages > 0 {
+		l = max(l, float64(d.held)/float64(d.limits.Messages))
 	}
 	d.blocked.Store(d.valve.Update(l))
 }
 
-// Enter asks for room for a connection.
-func (s *Side) Enter() bool {
+// AcquireConn asks for room for a connection.
+func (s *Frontend) AcquireConn() bool {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if s.d.conns >= s.d.limits.Conns {
@@ -137,22 +137,22 @@
 // they have gone.
 const crowdedAt = 0.75
 
-// Crowded tells whether so many connections are open that idle ones are to make room.
-func (s *Side) Crowded() bool {
+// NearConnLimit tells whether so many connections are open that idle ones are to make room.
+func (s *Frontend) NearConnLimit() bool {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	return float64(s.d.conns) > crowdedAt*float64(s.d.limits.Conns)
 }
 
-// Leave gives a connection's room back.
-func (s *Side) Leave() {
+// ReleaseConn gives a connection's room back.
+func (s *Frontend) ReleaseConn() {
 	s.d.mu.Lock()
 	s.d.conns--
 	s.d.mu.Unlock()
 }
 
-// OpenChannel asks for room for a channel.
-func (s *Side) OpenChannel() bool {
+// AcquireChannel asks for room for a channel.
+func (s *Frontend) AcquireChannel() bool {
 	s.d.mu.Lock()
 	defer s.d.mu.Unlock()
 	if s.d.channels >= s.d.limits.Channels {
@@ -162,20 +162,20 @@
 	return true
 }
 
-// CloseChannels gives the room of n channels back.
-func (s *Side) CloseChannels(n int) {
+// ReleaseChannels gives the room of n channels back.
+func (s *Frontend) ReleaseChannels(n int) {
 	s.d.mu.Lock()
 	s.d.channels -= n
 	s.d.mu.Unlock()
 }
 
 // Blocked tells whether publishers are to stop for a while.
-func (s *Side) Blocked() bool { return s.d.Blocked() }
+func (s *Frontend) Blocked() bool { return s.d.Blocked() }
 
 // Ticket is one message's way through the door, from its first byte to its answer. It is used by one goroutine at a
 // time. Each Ticket ends once, by Answered, Withdraw or Turn; ends after the first do nothing.
-type Ticket struct {
-	side   *Side
+type Reservation struct {
+	side   *Frontend
 	tenant int
 	bytes  int64
 	id     control.MessageID
@@ -184,10 +184,12 @@
 }
 
 // Ticket begins a message of a tenant.
-func (s *Side) Ticket(tenant int) Ticket { return Ticket{side: s, tenant: tenant} }
+func (s *Frontend) NewReservation(tenant int) Reservation {
+	return Reservation{side: s, tenant: tenant}
+}
 
-// Grow asks for room for n more bytes of its body.
-func (t *Ticket) Grow(n int) error {
+// Reserve asks for room for n more bytes of its body.
+func (t *Reservation) Reserve(n int) error {
 	d := t.side.d
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -206,7 +208,7 @@
 }
 
 // Submit hands the whole message over. An error tells why it is not taken; the ticket is then still to be ended.
-func (t *Ticket) Submit(m *engine.Message) error {
+func (t *Reservation) Submit(m *engine.Message) error {
 	d := t.side.d
 	if reason := d.shut.Load(); reason != nil {
 		return *reason
@@ -225,18 +227,18 @@
 		return err
 	}
 	t.id = m.ID
-	t.side.Taken.Add(1)
+	t.side.Accepted.Add(1)
 	return nil
 }
 
 // Taken tells whether the message was handed over.
-func (t *Ticket) Taken() bool { return t.taken }
+func (t *Reservation) Submitted() bool { return t.taken }
 
-// Over tells whether the ticket has ended.
-func (t *Ticket) Over() bool { return t.over }
+// Ended tells whether the ticket has ended.
+func (t *Reservation) Ended() bool { return t.over }
 
-// Answered ends the ticket of a message that has its final answer; heard tells whether its sender was there.
-func (t *Ticket) Answered(f engine.AnswerKind, heard bool) {
+// Complete ends the ticket of a message that has its final answer; heard tells whether its sender was there.
+func (t *Reservation) Complete(f engine.AnswerKind, heard bool) {
 	if !t.end() {
 		return
 	}
@@ -249,12 +251,12 @@
 		t.side.Failed.Add(1)
 	}
 	if !heard {
-		t.side.Unheard.Add(1)
+		t.side.Undelivered.Add(1)
 	}
 }
 
 // Withdraw ends the ticket of a message that nobody waits for: nothing new is sent for it.
-func (t *Ticket) Withdraw() {
+func (t *Reservation) Withdraw() {
 	if !t.end() {
 		return
 	}
@@ -264,14 +266,14 @@
 	}
 }
 
-// Turn ends the ticket of a message that was not taken.
-func (t *Ticket) Turn() {
+// Reject ends the ticket of a message that was not taken.
+func (t *Reservation) Reject() {
 	if t.end() {
 		t.side.Rejected.Add(1)
 	}
 }
 
-func (t *Ticket) end() bool {
+func (t *Reservation) end() bool {
 	if t.over {
 		return false
 	}
--- a/internal/amqp/amqp_test.go
+++ b/internal/amqp/amqp_test.go
@@ -12,7 +12,7 @@
 )
 
 func config() Config {
-	return Config{Product: "x", ChannelMax: 2047, FrameMax: 8192, Heartbeat: 10 * time.Second, Handshake: 5 * time.Second, Stall: 3 * time.Second,
+	return Config{Product: "x", ChannelMax: 2047, FrameMax: 8192, Heartbeat: 10 * time.Second, Handshake: 5 * time.Second, BodyStallTimeout: 3 * time.Second,
 		AbuseBurst: 100, AbuseRate: 10}
 }
 
@@ -40,14 +40,14 @@
 		r.events = append(r.events, v)
 		switch e.Kind {
 		case Login:
-			if e.Secret == "secret" {
-				r.c.Accept()
-			} else if err := r.c.Refuse("no"); err != nil {
+			if e.Password == "secret" {
+				r.c.AcceptLogin()
+			} else if err := r.c.RefuseLogin("no"); err != nil {
 				r.err = err
 			}
 		case ChannelOpened:
 			r.c.AcceptChannel(e.Channel)
-		case Body:
+		case ContentBody:
 			r.bodies[e.Channel] = append(r.bodies[e.Channel], e.Data...)
 		}
 	})
@@ -98,7 +98,7 @@
 func opened(t fatal) *rig {
 	r := newRig(t).send([]byte(ProtocolHeader)).methods(0, startOK("secret"), &ConnectionTuneOK{2047, 8192, 10}, &ConnectionOpen{VHost: "/"})
 	r.methods(1, &ChannelOpen{})
-	if r.err != nil || !r.c.Open(1) {
+	if r.err != nil || !r.c.IsChannelOpen(1) {
 		t.Fatalf("handshake: %v", r.err)
 	}
 	r.out()
@@ -220,7 +220,7 @@
 }
 
 // Messages arrive whole however their bytes are cut, also on channels whose frames mix.
-func TestContentInAnyPieces(t *testing.T) {
+func TestContentSplitAnywhere(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := opened(t)
 		r.methods(2, &ChannelOpen{})
@@ -242,14 +242,14 @@
 }
 
 // A message that stands still ends the connection, one that moves does not; its channel's close is no error.
-func TestStandingStill(t *testing.T) {
+func TestStalledMessage(t *testing.T) {
 	r := opened(t).send(publishFrames(200))
 	r.now += 2 * time.Second
 	r.send(raw(frameBody, 1, bytes.Repeat([]byte("x"), 100)...))
-	if r.c.Check(r.now + 2*time.Second); r.c.Ending() {
+	if r.c.Check(r.now + 2*time.Second); r.c.Closing() {
 		t.Error("a message that moves is ended")
 	}
-	if r.c.Check(r.now + 4*time.Second); !r.c.Ending() {
+	if r.c.Check(r.now + 4*time.Second); !r.c.Closing() {
 		t.Error("a message that stands still is not ended")
 	}
 }
@@ -257,7 +257,7 @@
 // Heartbeats: ours go out, any byte of the client's counts, two missed end the connection.
 func TestHeartbeats(t *testing.T) {
 	r := opened(t)
-	r.c.Block(r.now, true, "full") // a throttled connection is heard, and hears of us, all the same
+	r.c.SetBlocked(r.now, true, "full") // a throttled connection is heard, and hears of us, all the same
 	r.out()
 	for range 20 {
 		r.now += 5 * time.Second
@@ -278,16 +278,16 @@
 }
 
 // Frames that carry no message draw on a budget; publishes don't.
-func TestFloods(t *testing.T) {
+func TestFrameBudget(t *testing.T) {
 	r := opened(t)
 	for range 10000 {
 		r.send(append(publishFrames(1), raw(frameBody, 1, 'x')...))
 	}
-	if r.c.Ending() {
+	if r.c.Closing() {
 		t.Fatal("publishes are taken for abuse")
 	}
 	n := 0
-	for ; !r.c.Ending() && n < 10000; n++ {
+	for ; !r.c.Closing() && n < 10000; n++ {
 		r.methods(2, &ChannelOpen{}, &ChannelClose{})
 	}
 	if code, _ := r.closeCode(); code != ResourceError || n > 3000 {
@@ -297,7 +297,7 @@
 	for id := uint16(2); id <= 2047; id++ {
 		all.methods(id, &ChannelOpen{})
 	}
-	if all.c.Ending() || !all.c.Open(2047) {
+	if all.c.Closing() || !all.c.IsChannelOpen(2047) {
 		t.Error("2,047 channels can't be opened")
 	}
 }
@@ -305,19 +305,19 @@
 // Closes cross: what comes on a channel that we have closed is discarded until the client has heard of it.
 func TestCloseCrossesPublish(t *testing.T) {
 	r := opened(t)
-	r.c.Fail(&Error{Code: PreconditionFailed, Channel: 1, Text: "no"})
+	r.c.CloseWithError(&Error{Code: PreconditionFailed, Channel: 1, Text: "no"})
 	r.out()
 	r.events = nil
 	r.send(append(publishFrames(1), raw(frameBody, 1, 'x')...)).methods(1, &BasicQos{}, &ChannelClose{})
 	all, _ := r.out()
-	if len(r.events) != 0 || len(all) != 1 || r.c.Ending() {
+	if len(r.events) != 0 || len(all) != 1 || r.c.Closing() {
 		t.Errorf("events %v, wrote %v", r.events, all)
 	}
 	if _, ok := all[0].(*ChannelCloseOK); !ok {
 		t.Errorf("wrote %T", all[0])
 	}
 	r.methods(1, &ChannelCloseOK{}, &ChannelOpen{})
-	if !r.c.Open(1) {
+	if !r.c.IsChannelOpen(1) {
 		t.Error("the channel can't be opened again")
 	}
 	r.c.Close(r.now, "stop")
@@ -328,9 +328,9 @@
 }
 
 // Every tag is confirmed exactly once, with what was settled, as a client reads acks, nacks and multiple.
-func TestConfirmsOnceEach(t *testing.T) {
+func TestEachTagConfirmedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Confirms
+		var c ConfirmTracker
 		told := map[uint64]bool{}
 		want := map[uint64]bool{}
 		var open []uint64
@@ -377,14 +377,14 @@
 			}
 		}
 		flush()
-		if c.Open() != len(open) {
-			t.Fatalf("%d open, want %d", c.Open(), len(open))
+		if c.Outstanding() != len(open) {
+			t.Fatalf("%d open, want %d", c.Outstanding(), len(open))
 		}
 	})
 }
 
-func TestConfirmsGatherInMultiple(t *testing.T) {
-	var c Confirms
+func TestConfirmsUseMultiple(t *testing.T) {
+	var c ConfirmTracker
 	for range 100 {
 		c.Publish()
 	}
@@ -506,7 +506,7 @@
 		r.events = r.events[:0]
 		r.bodies[1] = r.bodies[1][:0]
 		r.send(msg)
-		r.c.Send(1, &BasicAck{Delivery: 1})
+		r.c.Send(1, &BasicAck{DeliveryTag: 1})
 		r.c.Output()
 	}
 }
--- a/internal/amqp/codec.go
+++ b/internal/amqp/codec.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// Text returns a string value, empty where there is none.
-func (t Table) Text(name string) string {
+// GetString returns a string value, empty where there is none.
+func (t Table) GetString(name string) string {
 	s, _ := t.Get(name).(string)
 	return s
 }
--- a/internal/amqp/confirm.go
+++ b/internal/amqp/confirm.go
@@ -1,8 +1,8 @@
 package amqp
 
-// Confirms decides how the publishes of one channel are confirmed: as soon as known, in any order, with "multiple"
+// ConfirmTracker decides how the publishes of one channel are confirmed: as soon as known, in any order, with "multiple"
 // where that says the same in fewer frames. It is the pure part of publisher confirms.
-type Confirms struct {
+type ConfirmTracker struct {
 	last  uint64  // tag of the last publish
 	base  uint64  // lowest tag that is not confirmed, where there is one
 	slots []state // from base on
@@ -25,7 +25,7 @@
 }
 
 // Publish gives the next publish its tag, from 1.
-func (c *Confirms) Publish() uint64 {
+func (c *ConfirmTracker) Publish() uint64 {
 	c.last++
 	if len(c.slots) == 0 {
 		c.base = c.last
@@ -35,7 +35,7 @@
 }
 
 // Settle tells what became of a publish. Only the first word on a tag counts.
-func (c *Confirms) Settle(tag uint64, served bool) {
+func (c *ConfirmTracker) Settle(tag uint64, served bool) {
 	if tag < c.base || tag-c.base >= uint64(len(c.slots)) || c.slots[tag-c.base] != waiting {
 		return
 	}
@@ -46,8 +46,8 @@
 	c.fresh = append(c.fresh, tag)
 }
 
-// Open is how many publishes are not settled, or settled and not yet confirmed.
-func (c *Confirms) Open() int {
+// Outstanding is how many publishes are not settled, or settled and not yet confirmed.
+func (c *ConfirmTracker) Outstanding() int {
 	n := 0
 	for _, s := range c.slots {
 		if s != confirmed {
@@ -59,7 +59,7 @@
 
 // Flush returns what is to be sent for all that was settled since the last Flush: first the nacks, then one ack for
 // the lowest tags without a gap, then those above a gap one by one.
-func (c *Confirms) Flush(out []Confirm) []Confirm {
+func (c *ConfirmTracker) Flush(out []Confirm) []Confirm {
 	if len(c.fresh) == 0 {
 		return out
 	}
--- a/internal/amqp/conn.go
+++ b/internal/amqp/conn.go
@@ -17,7 +17,7 @@
 	FrameMax         int           // bytes of a frame, with its overhead
 	Heartbeat        time.Duration // asked for, in whole seconds; a client may ask for less. 0 for none
 	Handshake        time.Duration // until connection.open must be here, and for the answer to a close
-	Stall            time.Duration // a body may stand still so long
+	BodyStallTimeout time.Duration // a body may stand still so long
 	AbuseBurst       float64       // frames that do no work at once, beside two for each channel ...
 	AbuseRate        float64       // ... and a second
 }
@@ -29,23 +29,23 @@
 const (
 	Login         EventKind = iota + 1 // answer with Accept or Refuse [User Secret]
 	ChannelOpened                      // answer with AcceptChannel or Fail [Channel]
-	ChannelGone                        // closed by either side, or with the connection [Channel]
-	Call                               // any other method on an open channel [Channel Method]
-	Content                            // a publish with its properties; its body follows [Channel Publish Properties Size End]
-	Body                               // a part of it; Data holds until the handler returns [Channel Data End]
+	ChannelClosed                      // closed by either side, or with the connection [Channel]
+	ChannelMethod                      // any other method on an open channel [Channel Method]
+	ContentHeader                      // a publish with its properties; its body follows [Channel Publish Properties Size End]
+	ContentBody                        // a part of it; Data holds until the handler returns [Channel Data End]
 )
 
 // Event is something the client did.
 type Event struct {
-	Kind         EventKind
-	Channel      uint16
-	User, Secret string
-	Method       Method
-	Publish      *BasicPublish
-	Properties   *Properties
-	Size         uint64
-	Data         []byte
-	End          bool // the message is whole
+	Kind           EventKind
+	Channel        uint16
+	User, Password string
+	Method         Method
+	Publish        *BasicPublish
+	Properties     *Properties
+	Size           uint64
+	Data           []byte
+	Complete       bool // the message is whole
 }
 
 // phase of a connection.
@@ -213,7 +213,7 @@
 		c.phase = closed
 		return e
 	}
-	c.Fail(e)
+	c.CloseWithError(e)
 	return nil
 }
 
@@ -247,7 +247,7 @@
 		if c.phase == awaitOpen {
 			return c.failed(c.open(m))
 		}
-	case *ConnectionUpdate:
+	case *ConnectionUpdateSecret:
 		return c.failed(fail(NotImplemented, 0, "connection.update-secret is not supported").about(m))
 	}
 	return c.failed(fail(CommandInvalid, 0, "method is not to be sent now, or not on channel 0").about(m))
@@ -265,26 +265,26 @@
 	part := strings.Split(m.Response, "\x00") // RFC 4616: authorization identity, authentication identity, password
 	if len(part) != 3 || part[1] == "" || part[0] != "" && part[0] != part[1] {
 		c.phase = awaitLogin
-		return c.Refuse("the PLAIN response is not an identity and a password (RFC 4616)")
+		return c.RefuseLogin("the PLAIN response is not an identity and a password (RFC 4616)")
 	}
 	c.phase = awaitLogin
-	c.handle(&Event{Kind: Login, User: part[1], Secret: part[2]})
+	c.handle(&Event{Kind: Login, User: part[1], Password: part[2]})
 	return nil
 }
 
-// Accept lets a client in after Login.
-func (c *Conn) Accept() {
+// AcceptLogin lets a client in after Login.
+func (c *Conn) AcceptLogin() {
 	c.phase = awaitTuneOK
 	c.Send(0, &ConnectionTune{c.cfg.ChannelMax, uint32(c.cfg.FrameMax), uint16(c.cfg.Heartbeat / time.Second)})
 }
 
-// Refuse turns a client away after Login; clients that can be told are told.
-func (c *Conn) Refuse(text string) error {
+// RefuseLogin turns a client away after Login; clients that can be told are told.
+func (c *Conn) RefuseLogin(text string) error {
 	if !c.authClose {
 		c.phase = closed
 		return fmt.Errorf("login refused: %s", text)
 	}
-	c.Fail(fail(AccessRefused, 0, "%s", text))
+	c.CloseWithError(fail(AccessRefused, 0, "%s", text))
 	return nil
 }
 
@@ -360,7 +360,7 @@
 	if class, _ := m.id(); class == classConnection {
 		return fail(CommandInvalid, id, "connection method on a channel").about(m)
 	}
-	c.handle(&Event{Kind: Call, Channel: id, Method: m})
+	c.handle(&Event{Kind: ChannelMethod, Channel: id, Method: m})
 	return nil
 }
 
@@ -400,7 +400,7 @@
 		c.partial--
 	}
 	delete(c.channels, id)
-	c.handle(&Event{Kind: ChannelGone, Channel: id})
+	c.handle(&Event{Kind: ChannelClosed, Channel: id})
 }
 
 // content takes a content header or a part of a body (section 4.2.6).
@@ -429,9 +429,9 @@
 		}
 	}
 	ch.left -= n
-	e := Event{Kind: Body, Channel: f.channel, Data: f.payload, End: ch.left == 0}
+	e := Event{Kind: ContentBody, Channel: f.channel, Data: f.payload, Complete: ch.left == 0}
 	skip := ch.skip
-	if e.End {
+	if e.Complete {
 		c.whole(ch)
 	}
 	if !skip {
@@ -449,8 +449,8 @@
 		return fail(UnexpectedFrame, f.channel, "content header of class %d", class)
 	}
 	ch.header, ch.left, ch.skip = true, size, false
-	ev := Event{Kind: Content, Channel: f.channel, Publish: ch.publish, Properties: &p, Size: size, End: size == 0}
-	if ev.End {
+	ev := Event{Kind: ContentHeader, Channel: f.channel, Publish: ch.publish, Properties: &p, Size: size, Complete: size == 0}
+	if ev.Complete {
 		c.whole(ch)
 	}
 	c.handle(&ev)
@@ -462,8 +462,8 @@
 	c.partial--
 }
 
-// Skip discards the rest of a message whose Content has just come: no Body events follow for it.
-func (c *Conn) Skip(id uint16) {
+// DiscardBody discards the rest of a message whose Content has just come: no Body events follow for it.
+func (c *Conn) DiscardBody(id uint16) {
 	if ch := c.channels[id]; ch != nil && ch.publish != nil {
 		ch.skip = true
 	}
@@ -472,7 +472,7 @@
 // Send sends a method, in the state it is valid in: on channels that are open, or on the connection.
 func (c *Conn) Send(id uint16, m Method) {
 	if id != 0 {
-		if _, ok := m.(*ChannelCloseOK); !ok && !c.Open(id) {
+		if _, ok := m.(*ChannelCloseOK); !ok && !c.IsChannelOpen(id) {
 			return
 		}
 	}
@@ -482,7 +482,7 @@
 
 // SendContent sends a method with a message.
 func (c *Conn) SendContent(id uint16, m Method, p *Properties, body []byte) {
-	if !c.Open(id) {
+	if !c.IsChannelOpen(id) {
 		return
 	}
 	c.out = AppendMethod(c.out, id, m)
@@ -490,8 +490,8 @@
 	c.sent = c.now
 }
 
-// Open tells whether a channel is open.
-func (c *Conn) Open(id uint16) bool {
+// IsChannelOpen tells whether a channel is open.
+func (c *Conn) IsChannelOpen(id uint16) bool {
 	ch := c.channels[id]
 	return ch != nil && !ch.closing && c.phase == running
 }
@@ -499,12 +499,12 @@
 // Running tells whether the handshake is over and no close has been sent or taken.
 func (c *Conn) Running() bool { return c.phase == running }
 
-// Fail closes a channel or the connection with an error.
-func (c *Conn) Fail(e *Error) {
+// CloseWithError closes a channel or the connection with an error.
+func (c *Conn) CloseWithError(e *Error) {
 	if c.phase >= ending {
 		return
 	}
-	if !e.Code.Hard() && e.Channel != 0 {
+	if !e.Code.ClosesConnection() && e.Channel != 0 {
 		ch := c.channels[e.Channel]
 		if ch == nil || ch.closing {
 			return
@@ -515,7 +515,7 @@
 			c.partial--
 		}
 		*ch = channel{closing: true}
-		c.handle(&Event{Kind: ChannelGone, Channel: e.Channel})
+		c.handle(&Event{Kind: ChannelClosed, Channel: e.Channel})
 		return
 	}
 	c.out = AppendMethod(c.out, 0, &ConnectionClose{e.Code, e.reply(), e.Class, e.Method})
@@ -529,7 +529,7 @@
 	c.now = now
 	switch {
 	case c.phase == running:
-		c.Fail(fail(ConnectionForced, 0, "%s", text))
+		c.CloseWithError(fail(ConnectionForced, 0, "%s", text))
 	case c.phase < running:
 		c.end(closed)
 	}
@@ -545,7 +545,7 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		if !c.channels[id].closing {
-			c.handle(&Event{Kind: ChannelGone, Channel: id})
+			c.handle(&Event{Kind: ChannelClosed, Channel: id})
 		}
 	}
 	clear(c.channels)
@@ -565,9 +565,9 @@
 	}
 }
 
-// Block asks the client to publish nothing, or lets it again; clients without that capability are not asked. It tells
+// SetBlocked asks the client to publish nothing, or lets it again; clients without that capability are not asked. It tells
 // whether the client can be asked.
-func (c *Conn) Block(now time.Duration, on bool, reason string) bool {
+func (c *Conn) SetBlocked(now time.Duration, on bool, reason string) bool {
 	c.now = now
 	if !c.canBlock || c.phase != running {
 		return c.canBlock
@@ -581,8 +581,8 @@
 	return true
 }
 
-// CanCancel tells whether the client can be told that a consumer is cancelled.
-func (c *Conn) CanCancel() bool { return c.canCancel }
+// SupportsCancelNotify tells whether the client can be told that a consumer is cancelled.
+func (c *Conn) SupportsCancelNotify() bool { return c.canCancel }
 
 // Check holds the time limits: handshake, heartbeats, bodies that stand still, answers to our close.
 func (c *Conn) Check(now time.Duration) error {
@@ -611,8 +611,8 @@
 	}
 	if c.partial > 0 {
 		for id, ch := range c.channels {
-			if ch.publish != nil && now-ch.moved > c.cfg.Stall {
-				c.Fail(fail(ResourceError, id, "a message has stood still for %v", c.cfg.Stall).about(ch.publish))
+			if ch.publish != nil && now-ch.moved > c.cfg.BodyStallTimeout {
+				c.CloseWithError(fail(ResourceError, id, "a message has stood still for %v", c.cfg.BodyStallTimeout).about(ch.publish))
 				return nil
 			}
 		}
@@ -635,7 +635,7 @@
 		due = min(c.sent+c.heartbeat/2, c.heard+2*c.heartbeat+time.Millisecond)
 	}
 	if c.partial > 0 {
-		due = min(due, now+c.cfg.Stall/4)
+		due = min(due, now+c.cfg.BodyStallTimeout/4)
 	}
 	return due
 }
@@ -650,5 +650,5 @@
 // Done tells that the connection has ended.
 func (c *Conn) Done() bool { return c.phase == closed }
 
-// Ending tells that a close is under way.
-func (c *Conn) Ending() bool { return c.phase >= ending }
+// Closing tells that a close is under way.
+func (c *Conn) Closing() bool { return c.phase >= ending }
--- a/internal/amqp/frame.go
+++ b/internal/amqp/frame.go
@@ -29,7 +29,7 @@
 }
 
 func (e *Error) Error() string {
-	if e.Code.Hard() {
+	if e.Code.ClosesConnection() {
 		return fmt.Sprintf("%d %s - %s (channel %d)", e.Code, codeNames[e.Code], e.Text, e.Channel)
 	}
 	return fmt.Sprintf("channel %d: %d %s - %s", e.Channel, e.Code, codeNames[e.Code], e.Text)
@@ -120,14 +120,14 @@
 
 // Properties of a message (section 1.8). Empty values are left out, but for what has its own flag here.
 type Properties struct {
-	ContentType, ContentEncoding string
-	Headers                      Table
-	DeliveryMode, Priority       uint8
-	HasPriority                  bool
-	CorrelationID, ReplyTo       string
-	Expiration, MessageID        string
-	Timestamp                    uint64
-	Type, UserID, AppID, Cluster string
+	ContentType, ContentEncoding   string
+	Headers                        Table
+	DeliveryMode, Priority         uint8
+	HasPriority                    bool
+	CorrelationID, ReplyTo         string
+	Expiration, MessageID          string
+	Timestamp                      uint64
+	Type, UserID, AppID, ClusterID string
 }
 
 // Flags of the properties, from the first bit.
@@ -169,7 +169,7 @@
 	set(flagType, p.Type != "")
 	set(flagUserID, p.UserID != "")
 	set(flagAppID, p.AppID != "")
-	set(flagCluster, p.Cluster != "")
+	set(flagCluster, p.ClusterID != "")
 	return f
 }
 
@@ -202,7 +202,7 @@
 	text(flagType, &p.Type)
 	text(flagUserID, &p.UserID)
 	text(flagAppID, &p.AppID)
-	text(flagCluster, &p.Cluster)
+	text(flagCluster, &p.ClusterID)
 }
 
 // parseHeader reads a content header frame's payload (section 4.2.6.1).
--- a/internal/amqp/methods.go
+++ b/internal/amqp/methods.go
@@ -33,8 +33,8 @@
 	UnexpectedFrame: "UNEXPECTED_FRAME", ResourceError: "RESOURCE_ERROR", NotAllowed: "NOT_ALLOWED",
 	NotImplemented: "NOT_IMPLEMENTED", InternalError: "INTERNAL_ERROR"}
 
-// Hard tells whether an error ends the connection and not just a channel.
-func (c Code) Hard() bool { return c >= 500 || c == ConnectionForced || c == InvalidPath }
+// ClosesConnection tells whether an error ends the connection and not just a channel.
+func (c Code) ClosesConnection() bool { return c >= 500 || c == ConnectionForced || c == InvalidPath }
 
 // Method is one of the protocol's methods, with its arguments.
 type Method interface {
@@ -83,13 +83,13 @@
 		VHost, Reserved string
 		Insist          bool
 	}
-	ConnectionOpenOK    struct{ Reserved string }
-	ConnectionClose     closing
-	ConnectionCloseOK   struct{ bare }
-	ConnectionBlocked   struct{ Reason string }
-	ConnectionUnblocked struct{ bare }
-	ConnectionUpdate    struct{ Secret, Reason string }
-	ConnectionUpdateOK  struct{ bare }
+	ConnectionOpenOK         struct{ Reserved string }
+	ConnectionClose          closing
+	ConnectionCloseOK        struct{ bare }
+	ConnectionBlocked        struct{ Reason string }
+	ConnectionUnblocked      struct{ bare }
+	ConnectionUpdateSecret   struct{ Secret, Reason string }
+	ConnectionUpdateSecretOK struct{ bare }
 )
 
 // closing is what both kinds of close say.
@@ -106,18 +106,18 @@
 	c.u16(&m.Method)
 }
 
-func (*ConnectionStart) id() (uint16, uint16)     { return classConnection, 10 }
-func (*ConnectionStartOK) id() (uint16, uint16)   { return classConnection, 11 }
-func (*ConnectionTune) id() (uint16, uint16)      { return classConnection, 30 }
-func (*ConnectionTuneOK) id() (uint16, uint16)    { return classConnection, 31 }
-func (*ConnectionOpen) id() (uint16, uint16)      { return classConnection, 40 }
-func (*ConnectionOpenOK) id() (uint16, uint16)    { return classConnection, 41 }
-func (*ConnectionClose) id() (uint16, uint16)     { return classConnection, 50 }
-func (*ConnectionCloseOK) id() (uint16, uint16)   { return classConnection, 51 }
-func (*ConnectionBlocked) id() (uint16, uint16)   { return classConnection, 60 }
-func (*ConnectionUnblocked) id() (uint16, uint16) { return classConnection, 61 }
-func (*ConnectionUpdate) id() (uint16, uint16)    { return classConnection, 70 }
-func (*ConnectionUpdateOK) id() (uint16, uint16)  { return classConnection, 71 }
+func (*ConnectionStart) id() (uint16, uint16)          { return classConnection, 10 }
+func (*ConnectionStartOK) id() (uint16, uint16)        { return classConnection, 11 }
+func (*ConnectionTune) id() (uint16, uint16)           { return classConnection, 30 }
+func (*ConnectionTuneOK) id() (uint16, uint16)         { return classConnection, 31 }
+func (*ConnectionOpen) id() (uint16, uint16)           { return classConnection, 40 }
+func (*ConnectionOpenOK) id() (uint16, uint16)         { return classConnection, 41 }
+func (*ConnectionClose) id() (uint16, uint16)          { return classConnection, 50 }
+func (*ConnectionCloseOK) id() (uint16, uint16)        { return classConnection, 51 }
+func (*ConnectionBlocked) id() (uint16, uint16)        { return classConnection, 60 }
+func (*ConnectionUnblocked) id() (uint16, uint16)      { return classConnection, 61 }
+func (*ConnectionUpdateSecret) id() (uint16, uint16)   { return classConnection, 70 }
+func (*ConnectionUpdateSecretOK) id() (uint16, uint16) { return classConnection, 71 }
 
 func (m *ConnectionStart) fields(c coder) {
 	c.u8(&m.Major)
@@ -146,7 +146,7 @@
 func (m *ConnectionOpenOK) fields(c coder)  { c.short(&m.Reserved) }
 func (m *ConnectionClose) fields(c coder)   { (*closing)(m).fields(c) }
 func (m *ConnectionBlocked) fields(c coder) { c.short(&m.Reason) }
-func (m *ConnectionUpdate) fields(c coder) {
+func (m *ConnectionUpdateSecret) fields(c coder) {
 	c.long(&m.Secret)
 	c.short(&m.Reason)
 }
@@ -299,23 +299,23 @@
 // Methods of the basic class (section 1.8), with the nack of the confirms extension.
 type (
 	BasicQos struct {
-		Size   uint32
-		Count  uint16
-		Global bool
+		PrefetchSize  uint32
+		PrefetchCount uint16
+		Global        bool
 	}
 	BasicQosOK   struct{ bare }
 	BasicConsume struct {
 		Ticket                            uint16
-		Queue, Tag                        string
+		Queue, ConsumerTag                string
 		NoLocal, NoAck, Exclusive, NoWait bool
 		Arguments                         Table
 	}
-	BasicConsumeOK struct{ Tag string }
+	BasicConsumeOK struct{ ConsumerTag string }
 	BasicCancel    struct {
-		Tag    string
-		NoWait bool
+		ConsumerTag string
+		NoWait      bool
 	}
-	BasicCancelOK struct{ Tag string }
+	BasicCancelOK struct{ ConsumerTag string }
 	BasicPublish  struct {
 		Ticket               uint16
 		Exchange, Key        string
@@ -326,8 +326,8 @@
 		Text, Exchange, Key string
 	}
 	BasicDeliver struct {
-		Tag           string
-		Delivery      uint64
+		ConsumerTag   string
+		DeliveryTag   uint64
 		Redelivered   bool
 		Exchange, Key string
 	}
@@ -337,25 +337,25 @@
 		NoAck  bool
 	}
 	BasicGetOK struct {
-		Delivery      uint64
+		DeliveryTag   uint64
 		Redelivered   bool
 		Exchange, Key string
 		Messages      uint32
 	}
 	BasicGetEmpty struct{ Reserved string }
 	BasicAck      struct {
-		Delivery uint64
-		Multiple bool
+		DeliveryTag uint64
+		Multiple    bool
 	}
 	BasicReject struct {
-		Delivery uint64
-		Requeue  bool
+		DeliveryTag uint64
+		Requeue     bool
 	}
 	BasicRecoverAsync struct{ Requeue bool }
 	BasicRecover      struct{ Requeue bool }
 	BasicRecoverOK    struct{ bare }
 	BasicNack         struct {
-		Delivery          uint64
+		DeliveryTag       uint64
 		Multiple, Requeue bool
 	}
 )
@@ -380,23 +380,23 @@
 func (*BasicNack) id() (uint16, uint16)         { return classBasic, 120 }
 
 func (m *BasicQos) fields(c coder) {
-	c.u32(&m.Size)
-	c.u16(&m.Count)
+	c.u32(&m.PrefetchSize)
+	c.u16(&m.PrefetchCount)
 	c.bits(&m.Global)
 }
 func (m *BasicConsume) fields(c coder) {
 	c.u16(&m.Ticket)
 	c.short(&m.Queue)
-	c.short(&m.Tag)
+	c.short(&m.ConsumerTag)
 	c.bits(&m.NoLocal, &m.NoAck, &m.Exclusive, &m.NoWait)
 	c.table(&m.Arguments)
 }
-func (m *BasicConsumeOK) fields(c coder) { c.short(&m.Tag) }
+func (m *BasicConsumeOK) fields(c coder) { c.short(&m.ConsumerTag) }
 func (m *BasicCancel) fields(c coder) {
-	c.short(&m.Tag)
+	c.short(&m.ConsumerTag)
 	c.bits(&m.NoWait)
 }
-func (m *BasicCancelOK) fields(c coder) { c.short(&m.Tag) }
+func (m *BasicCancelOK) fields(c coder) { c.short(&m.ConsumerTag) }
 func (m *BasicPublish) fields(c coder) {
 	c.u16(&m.Ticket)
 	c.short(&m.Exchange)
@@ -410,8 +410,8 @@
 	c.short(&m.Key)
 }
 func (m *BasicDeliver) fields(c coder) {
-	c.short(&m.Tag)
-	c.u64(&m.Delivery)
+	c.short(&m.ConsumerTag)
+	c.u64(&m.DeliveryTag)
 	c.bits(&m.Redelivered)
 	c.short(&m.Exchange)
 	c.short(&m.Key)
@@ -422,7 +422,7 @@
 	c.bits(&m.NoAck)
 }
 func (m *BasicGetOK) fields(c coder) {
-	c.u64(&m.Delivery)
+	c.u64(&m.DeliveryTag)
 	c.bits(&m.Redelivered)
 	c.short(&m.Exchange)
 	c.short(&m.Key)
@@ -430,17 +430,17 @@
 }
 func (m *BasicGetEmpty) fields(c coder) { c.short(&m.Reserved) }
 func (m *BasicAck) fields(c coder) {
-	c.u64(&m.Delivery)
+	c.u64(&m.DeliveryTag)
 	c.bits(&m.Multiple)
 }
 func (m *BasicReject) fields(c coder) {
-	c.u64(&m.Delivery)
+	c.u64(&m.DeliveryTag)
 	c.bits(&m.Requeue)
 }
 func (m *BasicRecoverAsync) fields(c coder) { c.bits(&m.Requeue) }
 func (m *BasicRecover) fields(c coder)      { c.bits(&m.Requeue) }
 func (m *BasicNack) fields(c coder) {
-	c.u64(&m.Delivery)
+	c.u64(&m.DeliveryTag)
 	c.bits(&m.Multiple, &m.Requeue)
 }
 
@@ -463,7 +463,7 @@
 		func() Method { return &ConnectionStart{} }, func() Method { return &ConnectionStartOK{} }, func() Method { return &ConnectionTune{} },
 		func() Method { return &ConnectionTuneOK{} }, func() Method { return &ConnectionOpen{} }, func() Method { return &ConnectionOpenOK{} },
 		func() Method { return &ConnectionClose{} }, func() Method { return &ConnectionCloseOK{} }, func() Method { return &ConnectionBlocked{} },
-		func() Method { return &ConnectionUnblocked{} }, func() Method { return &ConnectionUpdate{} }, func() Method { return &ConnectionUpdateOK{} },
+		func() Method { return &ConnectionUnblocked{} }, func() Method { return &ConnectionUpdateSecret{} }, func() Method { return &ConnectionUpdateSecretOK{} },
 		func() Method { return &ChannelOpen{} }, func() Method { return &ChannelOpenOK{} },
 		func() Method { return &ChannelFlow{} }, func() Method { return &ChannelFlowOK{} }, func() Method { return &ChannelClose{} },
 		func() Method { return &ChannelCloseOK{} }, func() Method { return &ExchangeDeclare{} }, func() Method { return &ExchangeDeclareOK{} },
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -7,33 +7,33 @@
 	"sync/atomic"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
-	"whinrun/internal/door"
 	"whinrun/internal/front"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
 	"whinrun/internal/push"
 )
 
-// Desk is what the sessions of one front share.
-type Desk struct {
+// Server is what the sessions of one front share.
+type Server struct {
 	cfg   amqp.Config
 	book  *intake.Registry
-	names push.Names
-	side  *door.Side
+	names push.ExternalIDs
+	side  *admission.Frontend
 	now   func() time.Duration
 	owner atomic.Uint64
 
-	room *mailbox.Room
+	room *mailbox.SharedBroker
 }
 
 // New makes a Desk. now is the clock of the sessions.
-func New(cfg amqp.Config, book *intake.Registry, names push.Names, side *door.Side, room *mailbox.Room, now func() time.Duration) *Desk {
-	return &Desk{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
+func New(cfg amqp.Config, book *intake.Registry, names push.ExternalIDs, side *admission.Frontend, room *mailbox.SharedBroker, now func() time.Duration) *Server {
+	return &Server{cfg: cfg, book: book, names: names, side: side, now: now, room: room}
 }
 
 // Open makes the session of a connection.
-func (d *Desk) Open(c *front.Conn, now time.Duration) front.Session {
+func (d *Server) Open(c *front.Conn, now time.Duration) front.Session {
 	s := &session{desk: d, conn: c, owner: d.owner.Add(1), channels: map[uint16]*channel{}}
 	s.c = amqp.NewConn(d.cfg, now, s.event)
 	return s
@@ -41,7 +41,7 @@
 
 // session is one client connection.
 type session struct {
-	desk     *Desk
+	desk     *Server
 	conn     *front.Conn
 	c        *amqp.Conn
 	owner    uint64
@@ -61,9 +61,9 @@
 	s        *session
 	id       uint16
 	gone     bool
-	confirms *amqp.Confirms   // after confirm.select
-	in       *publish         // its body is coming
-	mail     *mailbox.Channel // once it reads answers
+	confirms *amqp.ConfirmTracker // after confirm.select
+	in       *publish             // its body is coming
+	mail     *mailbox.Channel     // once it reads answers
 	buf      []amqp.Confirm
 }
 
@@ -92,7 +92,7 @@
 	if s.away {
 		reason = "the dispatcher is stopping"
 	}
-	if s.c.Block(now, on, reason) {
+	if s.c.SetBlocked(now, on, reason) {
 		return
 	}
 	for id := range s.channels {
@@ -126,7 +126,7 @@
 }
 
 // Owes tells whether publishes have no answer yet, or a close is under way.
-func (s *session) Owes() bool { return s.awaiting > 0 || s.c.Ending() && !s.c.Done() }
+func (s *session) Owes() bool { return s.awaiting > 0 || s.c.Closing() && !s.c.Done() }
 
 // Done tells that the connection has ended.
 func (s *session) Done() bool { return s.c.Done() }
@@ -139,7 +139,7 @@
 		s.forget(ch)
 	}
 	s.desk.room.Lock()
-	s.desk.room.Leave(s.owner)
+	s.desk.room.DeleteExclusive(s.owner)
 	s.desk.room.Unlock()
 }
 
@@ -150,7 +150,7 @@
 	}
 	ch.gone = true
 	delete(s.channels, ch.id)
-	s.desk.side.CloseChannels(1)
+	s.desk.side.ReleaseChannels(1)
 	if ch.in != nil {
 		ch.in.drop()
 		ch.in = nil
@@ -168,8 +168,8 @@
 		s.login(e)
 		return
 	case amqp.ChannelOpened:
-		if !s.desk.side.OpenChannel() {
-			s.c.Fail(&amqp.Error{Code: amqp.ResourceError, Channel: e.Channel, Text: "too many channels are open on all connections"})
+		if !s.desk.side.AcquireChannel() {
+			s.c.CloseWithError(&amqp.Error{Code: amqp.ResourceError, Channel: e.Channel, Text: "too many channels are open on all connections"})
 			return
 		}
 		s.channels[e.Channel] = &channel{s: s, id: e.Channel}
@@ -181,33 +181,33 @@
 		return
 	}
 	switch e.Kind {
-	case amqp.ChannelGone:
+	case amqp.ChannelClosed:
 		s.forget(ch)
-	case amqp.Content:
+	case amqp.ContentHeader:
 		s.content(ch, e)
-	case amqp.Body:
-		s.body(ch, e.Data, e.End)
-	case amqp.Call:
+	case amqp.ContentBody:
+		s.body(ch, e.Data, e.Complete)
+	case amqp.ChannelMethod:
 		if err := s.call(ch, e.Method); err != nil {
 			err.Channel = ch.id
 			err.Class, err.Method = amqp.ID(e.Method)
-			s.c.Fail(err)
+			s.c.CloseWithError(err)
 		}
 	}
 }
 
 func (s *session) login(e *amqp.Event) {
-	tenant, ok := s.desk.book.Login(e.User, e.Secret)
+	tenant, ok := s.desk.book.Login(e.User, e.Password)
 	if !ok {
 		s.desk.side.Malformed.Add(1)
 		s.conn.Log("login refused for %q", intake.Printable(e.User))
-		if err := s.c.Refuse("no tenant of this name with this password"); err != nil {
+		if err := s.c.RefuseLogin("no tenant of this name with this password"); err != nil {
 			s.conn.Log("%v", err)
 		}
 		return
 	}
 	s.tenant, s.user = tenant, e.User
-	s.c.Accept()
+	s.c.AcceptLogin()
 }
 
 // confirm sends what is known of a channel's publishes.
@@ -218,9 +218,9 @@
 	ch.buf = ch.confirms.Flush(ch.buf[:0])
 	for _, c := range ch.buf {
 		if c.Nack {
-			s.c.Send(ch.id, &amqp.BasicNack{Delivery: c.Tag})
+			s.c.Send(ch.id, &amqp.BasicNack{DeliveryTag: c.Tag})
 		} else {
-			s.c.Send(ch.id, &amqp.BasicAck{Delivery: c.Tag, Multiple: c.Multiple})
+			s.c.Send(ch.id, &amqp.BasicAck{DeliveryTag: c.Tag, Multiple: c.Multiple})
 		}
 	}
 	if cap(ch.buf) > 64 {
--- a/internal/amqpfront/calls.go
+++ b/internal/amqpfront/calls.go
@@ -16,12 +16,12 @@
 	switch m := m.(type) {
 	case *amqp.ConfirmSelect:
 		if ch.confirms == nil {
-			ch.confirms = &amqp.Confirms{}
+			ch.confirms = &amqp.ConfirmTracker{}
 		}
 		s.reply(ch, m.NoWait, &amqp.ConfirmSelectOK{})
 	case *amqp.ChannelFlow:
 		return s.mail(ch, func(c *mailbox.Channel) error {
-			c.Hold(!m.Active)
+			c.SetPaused(!m.Active)
 			s.c.Send(ch.id, &amqp.ChannelFlowOK{Active: m.Active})
 			return nil
 		})
@@ -66,7 +66,7 @@
 		code = amqp.ResourceLocked
 	case errors.Is(err, mailbox.ErrInUse):
 		code = amqp.AccessRefused
-	case errors.Is(err, mailbox.ErrTagTaken):
+	case errors.Is(err, mailbox.ErrConsumerTagInUse):
 		code = amqp.NotAllowed
 	}
 	return &amqp.Error{Code: code, Text: err.Error()}
@@ -101,7 +101,7 @@
 		return &amqp.Error{Code: amqp.AccessRefused, Text: "names that begin with amq. are the server's"}
 	}
 	s.desk.room.Lock()
-	name, ready, consumers, err := s.desk.room.Declare(s.now, s.tenant, mailbox.Spec{Name: m.Queue, Exclusive: m.Exclusive,
+	name, ready, consumers, err := s.desk.room.Declare(s.now, s.tenant, mailbox.QueueSpec{Name: m.Queue, Exclusive: m.Exclusive,
 		AutoDelete: m.AutoDelete, Owner: s.owner}, m.Passive)
 	s.desk.room.Unlock()
 	if err == nil {
@@ -161,11 +161,11 @@
 func (s *session) read(ch *channel, m amqp.Method) *amqp.Error {
 	switch m := m.(type) {
 	case *amqp.BasicQos:
-		if m.Size != 0 {
+		if m.PrefetchSize != 0 {
 			return unsupported("a prefetch size is not supported")
 		}
 		return s.mail(ch, func(c *mailbox.Channel) error {
-			c.Prefetch(int(m.Count), m.Global)
+			c.SetPrefetch(int(m.PrefetchCount), m.Global)
 			s.c.Send(ch.id, &amqp.BasicQosOK{})
 			return nil
 		})
@@ -173,18 +173,18 @@
 		return s.consume(ch, m)
 	case *amqp.BasicCancel:
 		return s.mail(ch, func(c *mailbox.Channel) error {
-			c.Cancel(s.now, m.Tag)
-			s.reply(ch, m.NoWait, &amqp.BasicCancelOK{Tag: m.Tag})
+			c.Cancel(s.now, m.ConsumerTag)
+			s.reply(ch, m.NoWait, &amqp.BasicCancelOK{ConsumerTag: m.ConsumerTag})
 			return nil
 		})
 	case *amqp.BasicGet:
 		return s.get(ch, m)
 	case *amqp.BasicAck:
-		return s.mail(ch, func(c *mailbox.Channel) error { return c.Ack(s.now, m.Delivery, m.Multiple) })
+		return s.mail(ch, func(c *mailbox.Channel) error { return c.Ack(s.now, m.DeliveryTag, m.Multiple) })
 	case *amqp.BasicNack:
-		return s.mail(ch, func(c *mailbox.Channel) error { return c.Reject(s.now, m.Delivery, m.Multiple, m.Requeue) })
+		return s.mail(ch, func(c *mailbox.Channel) error { return c.Reject(s.now, m.DeliveryTag, m.Multiple, m.Requeue) })
 	case *amqp.BasicReject:
-		return s.mail(ch, func(c *mailbox.Channel) error { return c.Reject(s.now, m.Delivery, false, m.Requeue) })
+		return s.mail(ch, func(c *mailbox.Channel) error { return c.Reject(s.now, m.DeliveryTag, false, m.Requeue) })
 	case *amqp.BasicRecover:
 		return s.recover(ch, m.Requeue, true)
 	case *amqp.BasicRecoverAsync:
@@ -211,12 +211,12 @@
 		return &amqp.Error{Code: amqp.PreconditionFailed, Text: "consumer arguments are not supported"}
 	}
 	return s.mail(ch, func(c *mailbox.Channel) error {
-		tag, err := c.Consume(m.Queue, m.Tag, m.NoAck, m.Exclusive)
+		tag, err := c.Consume(m.Queue, m.ConsumerTag, m.NoAck, m.Exclusive)
 		if err != nil {
 			return err
 		}
-		s.reply(ch, m.NoWait, &amqp.BasicConsumeOK{Tag: tag})
-		c.Start(tag)
+		s.reply(ch, m.NoWait, &amqp.BasicConsumeOK{ConsumerTag: tag})
+		c.StartDeliveries(tag)
 		return nil
 	})
 }
@@ -232,7 +232,7 @@
 			return nil
 		}
 		props, body := s.desk.message(d.Payload.(*receipt.Receipt))
-		s.c.SendContent(ch.id, &amqp.BasicGetOK{Delivery: d.Tag, Redelivered: d.Again, Key: d.Queue, Messages: uint32(left)}, props, body)
+		s.c.SendContent(ch.id, &amqp.BasicGetOK{DeliveryTag: d.DeliveryTag, Redelivered: d.Redelivered, Key: d.Queue, Messages: uint32(left)}, props, body)
 		return nil
 	})
 }
@@ -254,16 +254,16 @@
 	}
 	m := d.ch.s.desk.room
 	m.Lock()
-	reads := d.ch.mail.Reads(d.d.Consumer)
+	reads := d.ch.mail.HasConsumer(d.d.ConsumerTag)
 	if !reads { // cancelled while this was on its way
-		_ = d.ch.mail.Reject(now, d.d.Tag, false, true)
+		_ = d.ch.mail.Reject(now, d.d.DeliveryTag, false, true)
 	}
 	m.Unlock()
 	if !reads {
 		return
 	}
 	props, body := d.ch.s.desk.message(d.d.Payload.(*receipt.Receipt))
-	d.ch.s.c.SendContent(d.ch.id, &amqp.BasicDeliver{Tag: d.d.Consumer, Delivery: d.d.Tag, Redelivered: d.d.Again, Key: d.d.Queue},
+	d.ch.s.c.SendContent(d.ch.id, &amqp.BasicDeliver{ConsumerTag: d.d.ConsumerTag, DeliveryTag: d.d.DeliveryTag, Redelivered: d.d.Redelivered, Key: d.d.Queue},
 		props, body)
 }
 
@@ -281,8 +281,8 @@
 
 // Open sends basic.cancel where the client can take it.
 func (c *cancelled) Open(time.Duration) {
-	if !c.ch.gone && c.ch.s.c.CanCancel() {
-		c.ch.s.c.Send(c.ch.id, &amqp.BasicCancel{Tag: c.tag, NoWait: true})
+	if !c.ch.gone && c.ch.s.c.SupportsCancelNotify() {
+		c.ch.s.c.Send(c.ch.id, &amqp.BasicCancel{ConsumerTag: c.tag, NoWait: true})
 	}
 }
 
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/clock"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
@@ -18,13 +18,13 @@
 
 // Headers that a publisher may send, and those that we set on returned messages.
 const (
-	HeaderOrder   = "x-order-key"
-	HeaderAnswer  = "x-answer"        // refused
-	HeaderReason  = "x-reason"        // in words
-	HeaderWait    = "x-retry-after"   // milliseconds to stay away
-	HeaderName    = "whinrun-message" // our name of the message
-	HeaderReceipt = "x-receipt"       // of an answer: the signed receipt
-	HeaderTag     = "x-delivery-tag"  // of the publish, on channels that confirm
+	HeaderOrderKey    = "x-order-key"
+	HeaderAnswer      = "x-answer"        // refused
+	HeaderReason      = "x-reason"        // in words
+	HeaderRetryAfter  = "x-retry-after"   // milliseconds to stay away
+	HeaderMessageName = "whinrun-message" // our name of the message
+	HeaderReceipt     = "x-receipt"       // of an answer: the signed receipt
+	HeaderDeliveryTag = "x-delivery-tag"  // of the publish, on channels that confirm
 )
 
 // publish is one message from its content header to its answer.
@@ -35,8 +35,8 @@
 	how    *amqp.BasicPublish
 	props  *amqp.Properties
 	msg    *engine.Message
-	ticket door.Ticket
-	place  *mailbox.Place
+	ticket admission.Reservation
+	place  *mailbox.Reservation
 	answer engine.Answer
 }
 
@@ -49,12 +49,12 @@
 	}
 	if err := s.begin(p, e.Size); err != nil {
 		s.desk.side.Rejected.Add(1)
-		s.c.Skip(ch.id)
+		s.c.DiscardBody(ch.id)
 		s.turnAway(p, err)
 		return
 	}
 	ch.in = p
-	if e.End {
+	if e.Complete {
 		s.body(ch, nil, true)
 	}
 }
@@ -77,14 +77,14 @@
 		return &amqp.Error{Code: amqp.PreconditionFailed, Text: err.Error()}
 	}
 	s.desk.room.Lock()
-	p.place, err = s.desk.room.Promise(s.tenant, p.props.ReplyTo, p.how.Exchange, p.how.Key)
+	p.place, err = s.desk.room.Reserve(s.tenant, p.props.ReplyTo, p.how.Exchange, p.how.Key)
 	s.desk.room.Unlock()
 	if errors.Is(err, mailbox.ErrNotFound) {
 		return &refusal{amqp.NoRoute, fmt.Sprintf("reply-to %q names no queue of answers", intake.Printable(p.props.ReplyTo))}
 	} else if err != nil {
 		return &refusal{amqp.NoConsumers, err.Error()}
 	}
-	p.msg, p.ticket = m, s.desk.side.Ticket(m.Tenant)
+	p.msg, p.ticket = m, s.desk.side.NewReservation(m.Tenant)
 	return nil
 }
 
@@ -137,8 +137,8 @@
 	if p.UserID != "" && p.UserID != s.user {
 		return fmt.Errorf("user-id is not that of the connection")
 	}
-	if err := intake.SetTopic(m, r.InOrder, p.Headers.Text(HeaderOrder)); err != nil {
-		return fmt.Errorf("header %s: %w", HeaderOrder, err)
+	if err := intake.SetTopic(m, r.InOrder, p.Headers.GetString(HeaderOrderKey)); err != nil {
+		return fmt.Errorf("header %s: %w", HeaderOrderKey, err)
 	}
 	if p.MessageID != "" {
 		if err := intake.SetIdempotencyKey(m, p.MessageID); err != nil {
@@ -170,7 +170,7 @@
 	if p == nil {
 		return
 	}
-	err := p.ticket.Grow(len(data))
+	err := p.ticket.Reserve(len(data))
 	if err == nil {
 		p.msg.Body = append(p.msg.Body, data...)
 		if !end {
@@ -184,14 +184,14 @@
 		s.awaiting--
 	}
 	ch.in = nil
-	s.c.Skip(ch.id)
+	s.c.DiscardBody(ch.id)
 	p.drop()
 	s.turnAway(p, &refusal{amqp.NoConsumers, "not taken: " + err.Error()})
 }
 
 // drop ends a message that was not taken.
 func (p *publish) drop() {
-	p.ticket.Turn()
+	p.ticket.Reject()
 	p.unpromise()
 }
 
@@ -201,7 +201,7 @@
 	}
 	d := p.s.desk
 	d.room.Lock()
-	p.place.Drop(p.s.now)
+	p.place.Release(p.s.now)
 	d.room.Unlock()
 	p.place = nil
 }
@@ -217,12 +217,12 @@
 	case errors.As(err, &e):
 		e.Channel = p.ch.id
 		e.Class, e.Method = amqp.ID(p.how)
-		s.c.Fail(e)
+		s.c.CloseWithError(e)
 	case errors.As(err, &r):
 		if p.tag == 0 && !p.how.Mandatory {
 			if r.code != amqp.NoRoute {
 				class, method := amqp.ID(p.how)
-				s.c.Fail(&amqp.Error{Code: amqp.ContentTooLarge, Channel: p.ch.id, Text: r.text, Class: class, Method: method})
+				s.c.CloseWithError(&amqp.Error{Code: amqp.ContentTooLarge, Channel: p.ch.id, Text: r.text, Class: class, Method: method})
 			}
 			return
 		}
@@ -238,16 +238,16 @@
 	}
 	props := *p.props
 	props.Headers = append(amqp.Table(nil), props.Headers...)
-	props.Headers = props.Headers.Set(HeaderAnswer, "refused").Set(HeaderReason, reason).Set(HeaderWait, int64(wait/time.Millisecond))
+	props.Headers = props.Headers.Set(HeaderAnswer, "refused").Set(HeaderReason, reason).Set(HeaderRetryAfter, int64(wait/time.Millisecond))
 	var body []byte
 	if p.msg != nil {
 		body = p.msg.Body
 		if p.msg.ID != 0 {
-			props.Headers = props.Headers.Set(HeaderName, s.desk.names.Of(p.msg.ID))
+			props.Headers = props.Headers.Set(HeaderMessageName, s.desk.names.Format(p.msg.ID))
 		}
 	}
 	if p.tag > 0 {
-		props.Headers = props.Headers.Set(HeaderTag, int64(p.tag))
+		props.Headers = props.Headers.Set(HeaderDeliveryTag, int64(p.tag))
 	}
 	text := map[amqp.Code]string{amqp.NoRoute: "NO_ROUTE"}[code]
 	if text == "" {
@@ -273,7 +273,7 @@
 }
 
 // Lost counts an answer for which the connection is not there any more.
-func (p *publish) Lost() { p.ticket.Answered(p.answer.Kind, p.place != nil) }
+func (p *publish) Lost() { p.ticket.Complete(p.answer.Kind, p.place != nil) }
 
 // Open tells the publisher.
 func (p *publish) Open(time.Duration) {
@@ -285,19 +285,19 @@
 		told = !p.ch.gone
 	}
 	s.settle(p.ch, p.tag, p.answer.Kind == engine.Served)
-	p.ticket.Answered(p.answer.Kind, told || p.place != nil)
+	p.ticket.Complete(p.answer.Kind, told || p.place != nil)
 }
 
 // receipt is the full final answer, for the queue of answers.
 func (p *publish) receipt() *receipt.Receipt {
-	r := receipt.New(p.s.desk.names.Of(p.msg.ID), &p.answer, clock.Wall())
+	r := receipt.New(p.s.desk.names.Format(p.msg.ID), &p.answer, clock.Wall())
 	r.MessageID, r.CorrelationID, r.Exchange, r.RoutingKey = p.props.MessageID, p.props.CorrelationID, p.how.Exchange, p.how.Key
 	return r
 }
 
 // message makes a receipt a message: its correlation-id is the publisher's or, without one, the message-id. With a key
 // the signed form goes along.
-func (d *Desk) message(r *receipt.Receipt) (*amqp.Properties, []byte) {
+func (d *Server) message(r *receipt.Receipt) (*amqp.Properties, []byte) {
 	p := &amqp.Properties{ContentType: "application/json", MessageID: r.Message, CorrelationID: r.CorrelationID, Type: r.Answer,
 		DeliveryMode: 1, Timestamp: uint64(r.At.Unix())}
 	if p.CorrelationID == "" {
--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -77,7 +77,7 @@
 
 // Run measures all three and writes the table.
 func Run(ctx context.Context, w io.Writer, o Options) error {
-	direct, s, stop, err := standIn(partner.Config{Pace: o.Pace}, settings)
+	direct, s, stop, err := standIn(partner.Config{ServiceTime: o.Pace}, settings)
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 
 // standIn starts a stand-in that talks to many at once, and a dispatcher in front of it; %s in the settings is its address.
 func standIn(cfg partner.Config, text string) (addr string, s *service.Service, stop func(), err error) {
-	cfg.Name, cfg.Streams, cfg.Seed = "p", 1000, 1
+	cfg.Name, cfg.MaxStreams, cfg.Seed = "p", 1000, 1
 	p := partner.New(cfg, partner.NewLog(0))
 	e, err := p.Listen("127.0.0.1:0")
 	if err != nil {
@@ -207,7 +207,7 @@
 }
 
 // client connects to the target, in its protocol.
-func (t *target) client(conns int) (load.Poster, func()) {
+func (t *target) client(conns int) (load.Sender, func()) {
 	if t.amqp {
 		p := load.NewPublisher(t.addr, "t", "-", conns)
 		return p, p.Close
@@ -229,9 +229,9 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			m := load.Message{Test: fmt.Sprint("w", i), Class: "status", Path: "/p/status", TTL: 20, Size: o.Size}
+			m := load.Message{CorrelationID: fmt.Sprint("w", i), Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 			for ctx.Err() == nil {
-				status, _, _, err := c.Post(ctx, &m)
+				status, _, _, err := c.Send(ctx, &m)
 				switch {
 				case err == nil && status == 201:
 					done.Add(1)
@@ -256,7 +256,7 @@
 	n := int(rate * o.For.Seconds())
 	msgs := make([]load.Message, n)
 	for i := range msgs {
-		msgs[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), Test: "h", Class: "status", Path: "/p/status", TTL: 20, Size: o.Size}
+		msgs[i] = load.Message{At: time.Duration(float64(i) / rate * float64(time.Second)), CorrelationID: "h", Class: "status", Path: "/p/status", TTL: 20, BodySize: o.Size}
 	}
 	start := clock.StartStopwatch()
 	for i, r := range load.Run(ctx, c, msgs, func() time.Duration { return start.Elapsed() }, o.Concurrency*4) {
--- a/internal/compare/fronts.go
+++ b/internal/compare/fronts.go
@@ -21,7 +21,7 @@
 // Fronts measures publish to confirm beside the HTTP/2 front on the same stand-in, fairness between the two under
 // overload, and what an idle connection and channel take.
 func Fronts(ctx context.Context, w io.Writer, o Options) error {
-	_, s, stop, err := standIn(partner.Config{Pace: o.Pace}, amqpSettings)
+	_, s, stop, err := standIn(partner.Config{ServiceTime: o.Pace}, amqpSettings)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 func fairness(ctx context.Context, w io.Writer, o Options) error {
 	const takes, offered = 600.0, 900.0
 	text := strings.Replace(strings.Replace(amqpSettings, "aim = 5s", "aim = 1s", 1), "deadline = 20s", "deadline = 3s", 1)
-	_, s, stop, err := standIn(partner.Config{Pace: o.Pace, Limit: takes}, text)
+	_, s, stop, err := standIn(partner.Config{ServiceTime: o.Pace, RateLimit: takes}, text)
 	if err != nil {
 		return err
 	}
@@ -52,12 +52,12 @@
 	length := 5 * o.For
 	msgs := make([]load.Message, int(offered*length.Seconds()))
 	for i := range msgs {
-		msgs[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), Test: fmt.Sprint("f", i), Class: "status",
-			Path: "/p/status", TTL: 3, Size: o.Size, AMQP: i%2 == 1}
+		msgs[i] = load.Message{At: time.Duration(float64(i) / offered * float64(time.Second)), CorrelationID: fmt.Sprint("f", i), Class: "status",
+			Path: "/p/status", TTL: 3, BodySize: o.Size, AMQP: i%2 == 1}
 	}
 	start := clock.StartStopwatch()
 	var got [2]int
-	for _, r := range load.Run(ctx, load.Fronts{Push: client, AMQP: publisher}, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
+	for _, r := range load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, msgs, func() time.Duration { return start.Elapsed() }, 20000) {
 		if r.Status == 201 && r.Done-r.At <= time.Second {
 			if r.AMQP {
 				got[1]++
--- a/internal/compare/hold.go
+++ b/internal/compare/hold.go
@@ -42,7 +42,7 @@
 		if _, err := nc.Write(h.Output()); err != nil {
 			return err
 		}
-		if h.Room() == 0 || h.Blocked() {
+		if h.AvailableStreams() == 0 || h.SendBlocked() {
 			k, err := nc.Read(buf)
 			if err != nil {
 				return err
@@ -57,7 +57,7 @@
 		}
 		sent++
 	}
-	for h.Blocked() {
+	for h.SendBlocked() {
 		k, err := nc.Read(buf)
 		if err != nil {
 			return err
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -40,7 +40,7 @@
 // Idle measures the delivery times of the busy partners with and without idle ones beside them, in alternated pairs.
 func Idle(ctx context.Context, w io.Writer, o IdleOptions) error {
 	log := partner.NewLog(0)
-	p := partner.New(partner.Config{Name: "all", Pace: 2 * time.Millisecond, Streams: 1000, Seed: 1}, log)
+	p := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
 	defer p.Close()
 	var addrs []string
 	for range 4 {
@@ -98,11 +98,11 @@
 	n := int(o.Rate * o.For.Seconds())
 	var msgs []load.Message
 	for i := range n {
-		msgs = append(msgs, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), Test: "b", Class: "status",
-			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, Size: 128, Partner: "busy"})
+		msgs = append(msgs, load.Message{At: time.Duration(float64(i) / o.Rate * float64(time.Second)), CorrelationID: "b", Class: "status",
+			Path: fmt.Sprintf("/p%d", i%o.Busy), TTL: 20, BodySize: 128, Partner: "busy"})
 		if k := i * wake / n; k != (i+1)*wake/n {
 			for j := k; j < (i+1)*wake/n; j++ {
-				msgs = append(msgs, load.Message{At: msgs[len(msgs)-1].At, Test: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, Size: 128})
+				msgs = append(msgs, load.Message{At: msgs[len(msgs)-1].At, CorrelationID: "w", Class: "status", Path: fmt.Sprintf("/p%d", o.Busy+j), TTL: 20, BodySize: 128})
 			}
 		}
 	}
--- a/internal/compare/trail.go
+++ b/internal/compare/trail.go
@@ -11,15 +11,15 @@
 	"whinrun/internal/partner"
 )
 
-// Trail measures delivery with the audit trail on and off, in turns on the same stand-in, and what a message takes on
+// AuditTrail measures delivery with the audit trail on and off, in turns on the same stand-in, and what a message takes on
 // disk.
-func Trail(ctx context.Context, w io.Writer, o Options) error {
+func AuditTrail(ctx context.Context, w io.Writer, o Options) error {
 	folder, err := os.MkdirTemp("", "whinrun-trail")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	addr, off, stop, err := standIn(partner.Config{Pace: o.Pace}, settings)
+	addr, off, stop, err := standIn(partner.Config{ServiceTime: o.Pace}, settings)
 	if err != nil {
 		return err
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,49 +8,49 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqp"
 	"whinrun/internal/audit"
-	"whinrun/internal/door"
+	"whinrun/internal/dialscheduler"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
 	"whinrun/internal/intake"
 	"whinrun/internal/logstore/plan"
 	"whinrun/internal/mailbox"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
-	"whinrun/internal/roster"
 )
 
 // Config is a whole setup, checked.
 type Config struct {
-	Module   control.Settings
-	Front    front.Config
-	Push     pushfront.Config
-	AMQP     front.Config // its address is empty where AMQP is off
-	AMQPConn amqp.Config
-	Outbound outbound.Config
-	Bounds   engine.Limits
-	Audit    audit.Config
-	Mailbox  mailbox.Limits
-	Door     door.Limits
+	Control      control.Settings
+	Front        front.Config
+	Push         pushfront.Config
+	AMQP         front.Config // its address is empty where AMQP is off
+	AMQPConn     amqp.Config
+	Outbound     outbound.Config
+	EngineBounds engine.Limits
+	Audit        audit.Config
+	Mailbox      mailbox.Limits
+	Admission    admission.Limits
 
-	Background float64 // share of a core
-	Garbage    int     // percent, as of debug.SetGCPercent
-	LogLevel   string
-	LogLines   float64
-	StopWithin time.Duration
+	BackgroundShare   float64 // share of a core
+	GCPercent         int     // percent, as of debug.SetGCPercent
+	LogLevel          string
+	LogLinesPerSecond float64
+	StopTimeout       time.Duration
 
-	Intake    intake.Config
-	Classes   []string
-	Partners  []roster.Partner
-	Sites     []push.Site // by partner
-	Dialects  []push.Dialect
-	Lines     []roster.Line // endpoints of the partner sections
-	ListFile  string
-	ListEvery time.Duration
+	Intake           intake.Config
+	Classes          []string
+	Partners         []endpointlist.Partner
+	PartnerResources []push.PartnerResource // by partner
+	Dialects         []push.Dialect
+	Endpoints        []endpointlist.Endpoint // endpoints of the partner sections
+	ListFile         string
+	ListInterval     time.Duration
 }
 
 func (s *section) span(key string) time.Duration {
@@ -97,24 +97,24 @@
 func (r *reader) build() *Config {
 	c := &Config{}
 	d, l, o := r.single("dispatcher"), r.single("limits"), r.single("outbound")
-	c.LogLevel, c.LogLines, c.StopWithin = d.raw["log"], d.num["log-lines"], d.span("stop-within")
-	c.Garbage, c.Background = d.int("garbage"), d.num["background"]
+	c.LogLevel, c.LogLinesPerSecond, c.StopTimeout = d.raw["log"], d.num["log-lines"], d.span("stop-within")
+	c.GCPercent, c.BackgroundShare = d.int("garbage"), d.num["background"]
 	c.Intake.MaxBody = l.int("body")
 	streamWindow := uint32(min(max(64<<10, c.Intake.MaxBody), 1<<20))
 	bounds := h2.Config{MaxStreams: uint32(l.int("streams")), MaxHeaderList: l.int("headers"), StreamWindow: streamWindow,
-		ConnWindow: 4 << 20, Handshake: l.span("handshake"), Stall: l.span("stall"),
+		ConnWindow: 4 << 20, Handshake: l.span("handshake"), StallTimeout: l.span("stall"),
 		AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
-	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), Unread: l.int("unread")}
+	c.Front = front.Config{Address: d.raw["listen"], Loops: d.int("loops"), MaxUnread: l.int("unread")}
 	r.amqp(c, d, l)
 	a := r.single("audit")
 	c.Audit = audit.Config{Folder: a.raw["folder"], Buffer: a.int("buffer"), SealEvery: a.span("seal-every"),
 		Policy: plan.Policy{SyncWithin: a.span("sync-within"), SyncBytes: 256 << 10, SegmentBytes: int64(a.num["segment"]),
 			KeepFor: a.span("keep-for"), KeepBytes: int64(a.num["keep-bytes"]), RetryEvery: time.Second}}
-	c.Push = pushfront.Config{Idle: l.span("client-idle"), H2: bounds}
+	c.Push = pushfront.Config{IdleTimeout: l.span("client-idle"), H2: bounds}
 	bounds.MaxStreams, bounds.StreamWindow, bounds.ConnWindow = 1, 64<<10, 1<<20
-	c.Outbound = outbound.Config{Loops: d.int("loops"), Conns: o.int("connections"), Streams: o.int("streams"),
+	c.Outbound = outbound.Config{Loops: d.int("loops"), MaxConnsPerEndpoint: o.int("connections"), MaxStreams: o.int("streams"),
 		ConnectTimeout: o.span("connect-timeout"),
-		Opening:        opener.Budget{PerSecond: o.num["handshakes"], Opening: o.int("opening"), Total: o.int("total")}, Idle: o.span("idle"), MaxAnswer: o.int("answer"), H2: bounds}
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: o.num["handshakes"], MaxHandshakes: o.int("opening"), MaxConns: o.int("total")}, IdleTimeout: o.span("idle"), MaxAnswerBytes: o.int("answer"), H2: bounds}
 	r.list(c)
 	r.classes(c)
 	r.partners(c)
@@ -124,11 +124,11 @@
 
 func (r *reader) amqp(c *Config, d, l *section) {
 	a := r.single("amqp")
-	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), Unread: max(l.int("unread"), 2*c.Intake.MaxBody)}
+	c.AMQP = front.Config{Address: a.raw["listen"], Loops: d.int("loops"), MaxUnread: max(l.int("unread"), 2*c.Intake.MaxBody)}
 	c.AMQPConn = amqp.Config{Product: "whinrun", ChannelMax: uint16(a.int("channels")), FrameMax: a.int("frame"), Heartbeat: a.span("heartbeat"),
-		Handshake: l.span("handshake"), Stall: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
+		Handshake: l.span("handshake"), BodyStallTimeout: l.span("stall"), AbuseBurst: l.num["abuse-burst"], AbuseRate: l.num["abuse-rate"]}
 	q := r.single("answers")
-	c.Mailbox = mailbox.Limits{Queues: q.int("queues"), Length: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
+	c.Mailbox = mailbox.Limits{QueuesPerTenant: q.int("queues"), QueueLength: q.int("queue-length"), Idle: q.span("queue-idle"), Keep: q.span("keep")}
 	if h := c.AMQPConn.Heartbeat; h%time.Second != 0 {
 		r.bad(a.at["heartbeat"], "heartbeat", "is not in whole seconds")
 	}
@@ -136,7 +136,7 @@
 
 func (r *reader) list(c *Config) {
 	s := r.single("list")
-	c.ListFile, c.ListEvery = s.raw["file"], s.span("every")
+	c.ListFile, c.ListInterval = s.raw["file"], s.span("every")
 	if c.ListFile != "" {
 		if _, err := os.Stat(c.ListFile); err != nil {
 			r.bad(s.at["file"], "file", "%v", err)
@@ -160,13 +160,13 @@
 			r.bad(max(s.at["window"], s.line), "window", "is needed for keyed classes, and only there")
 		}
 		c.Classes = append(c.Classes, s.name)
-		c.Module.Classes = append(c.Module.Classes, k)
+		c.Control.Classes = append(c.Control.Classes, k)
 	}
 	tenants, _ := r.all("tenant")
 	tokens := map[string]string{}
 	for i, s := range tenants {
 		c.Intake.Tenants = append(c.Intake.Tenants, s.name)
-		c.Module.Tenants = append(c.Module.Tenants, control.Tenant{Name: s.name, Quota: s.num["quota"]})
+		c.Control.Tenants = append(c.Control.Tenants, control.Tenant{Name: s.name, Quota: s.num["quota"]})
 		if t, ok := s.raw["token"]; ok {
 			if t == "" || strings.ContainsAny(t, " \t") {
 				r.bad(s.at["token"], "token", "is empty or has blanks in it")
@@ -183,7 +183,7 @@
 func (r *reader) partners(c *Config) {
 	kinds, kindAt := r.all("kind")
 	for _, s := range kinds {
-		c.Module.DestinationKinds = append(c.Module.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.int("batch"), PerEndpointLimits: s.num["routes-apart"] == 1})
+		c.Control.DestinationKinds = append(c.Control.DestinationKinds, control.DestinationKind{Name: s.name, MaxBatch: s.int("batch"), PerEndpointLimits: s.num["routes-apart"] == 1})
 		c.Dialects = append(c.Dialects, push.Dialects[s.raw["dialect"]])
 	}
 	partners, partnerAt := r.all("partner")
@@ -193,8 +193,8 @@
 	c.Intake.Partners = partnerAt
 	for i, s := range partners {
 		k := r.ref(s, "kind", kindAt)
-		c.Partners = append(c.Partners, roster.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.num["rate"]})
-		c.Sites = append(c.Sites, push.Site{Authority: s.raw["authority"], Path: s.raw["path"], Topic: s.raw["topic"]})
+		c.Partners = append(c.Partners, endpointlist.Partner{Name: s.name, Dest: i, Kind: k, Rate: s.num["rate"]})
+		c.PartnerResources = append(c.PartnerResources, push.PartnerResource{Authority: s.raw["authority"], Path: s.raw["path"], Topic: s.raw["topic"]})
 		if !strings.HasPrefix(s.raw["path"], "/") {
 			r.bad(s.at["path"], "path", "%q does not begin with a slash", s.raw["path"])
 		}
@@ -226,7 +226,7 @@
 
 // limits are what a class lays down for its messages.
 func (c *Config) limits(class int) (inOrder bool, life time.Duration) {
-	k := c.Module.Classes[class]
+	k := c.Control.Classes[class]
 	return k.InOrder, time.Duration(k.Deadline) * time.Microsecond
 }
 
@@ -239,7 +239,7 @@
 				r.bad(s.at[key], key, "%v stands twice", a)
 			}
 			seen[a] = true
-			c.Lines = append(c.Lines, roster.Line{Partner: s.name, Addr: a, Health: health})
+			c.Endpoints = append(c.Endpoints, endpointlist.Endpoint{Partner: s.name, Addr: a, Health: health})
 		}
 	}
 	add("endpoints", control.Ready)
@@ -252,7 +252,7 @@
 // module fills the module's settings; bounds that are not set come from the partners listed.
 func (r *reader) module(c *Config, l, o *section) {
 	rules := r.single("rules")
-	m := &c.Module
+	m := &c.Control
 	m.Instances = 1
 	m.Tick = rules.time("tick")
 	m.Weights = map[string]control.WeightKind{"none": control.WeightNone, "nominal": control.WeightNominal,
@@ -283,10 +283,10 @@
 			r.bad(0, "", "class %s: its deadline is shorter than four ticks", c.Classes[i])
 		}
 	}
-	c.Bounds = engine.Limits{MaxQueued: l.int("queue"), MaxHeld: m.MaxOpen}
-	c.Door = door.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
-		TenantBytes: int64(l.num["tenant-bytes"]), Hold: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
-	if c.Door.UnblockAt >= c.Door.BlockAt {
+	c.EngineBounds = engine.Limits{MaxQueued: l.int("queue"), MaxHeld: m.MaxOpen}
+	c.Admission = admission.Limits{Conns: l.int("connections"), Channels: l.int("channels"), Bytes: int64(l.num["hold-bytes"]),
+		TenantBytes: int64(l.num["tenant-bytes"]), Messages: m.MaxOpen, BlockAt: l.num["block-at"], UnblockAt: l.num["unblock-at"]}
+	if c.Admission.UnblockAt >= c.Admission.BlockAt {
 		r.bad(max(l.at["unblock-at"], l.at["block-at"]), "unblock-at", "is not below block-at")
 	}
 }
@@ -295,7 +295,7 @@
 func defaultSlots(c *Config) int {
 	const each, least, most = 32, 16, 8192
 	n := map[string]float64{}
-	for _, l := range c.Lines {
+	for _, l := range c.Endpoints {
 		n[l.Partner] += each
 	}
 	sum := 0.0
@@ -308,5 +308,5 @@
 // Describe tells in a line what a setup is.
 func (c *Config) Describe() string {
 	return fmt.Sprintf("%d partners, %d endpoints, %d classes, %d tenants, %d push resources; %d slots, %d messages held at most",
-		len(c.Partners), len(c.Lines), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Module.Slots, c.Module.MaxOpen)
+		len(c.Partners), len(c.Endpoints), len(c.Classes), len(c.Intake.Tenants), len(c.Intake.Resources), c.Control.Slots, c.Control.MaxOpen)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-func TestQuickstartIsWell(t *testing.T) {
+func TestQuickstartIsValid(t *testing.T) {
 	c, err := Load("../../examples/quickstart.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(c.Partners) != 3 || len(c.Lines) != 3 || len(c.Intake.Resources) != 7 || c.Module.Slots != 96 {
+	if len(c.Partners) != 3 || len(c.Endpoints) != 3 || len(c.Intake.Resources) != 7 || c.Control.Slots != 96 {
 		t.Errorf("quickstart: %s", c.Describe())
 	}
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -68,7 +68,7 @@
 	var addrs []string
 	var ends []*partner.Endpoint
 	for i, n := range []string{"archive", "tracker", "mirror"} {
-		p := partner.New(partner.Config{Name: n, Pace: 5 * time.Millisecond, Seed: uint64(i)}, log)
+		p := partner.New(partner.Config{Name: n, ServiceTime: 5 * time.Millisecond, Seed: uint64(i)}, log)
 		e, err := p.Listen("127.0.0.1:0")
 		if err != nil {
 			return err
@@ -89,9 +89,9 @@
 	if err != nil {
 		return err
 	}
-	_ = ends[2].Set(partner.Fault{Lose: 0.2})
-	silent := time.AfterFunc(800*time.Millisecond, func() { _ = ends[1].Set(partner.Fault{Hang: true}) })
-	back := time.AfterFunc(1800*time.Millisecond, func() { _ = ends[1].Set(partner.Fault{}) })
+	_ = ends[2].SetFault(partner.Fault{LostResponseRate: 0.2})
+	silent := time.AfterFunc(800*time.Millisecond, func() { _ = ends[1].SetFault(partner.Fault{Hang: true}) })
+	back := time.AfterFunc(1800*time.Millisecond, func() { _ = ends[1].SetFault(partner.Fault{}) })
 	defer silent.Stop()
 	defer back.Stop()
 
@@ -99,14 +99,14 @@
 	defer c.Close()
 	start := clock.StartStopwatch()
 	out := load.Run(ctx, c, messages(), func() time.Duration { return start.Elapsed() }, 1000)
-	load.Write(w, load.Report(out), start.Elapsed())
+	load.Write(w, load.Summarize(out), start.Elapsed())
 	stop, done := context.WithTimeout(context.Background(), 15*time.Second)
 	defer done()
 	s.Stop(stop)
 	applied := map[string]int{}
 	for _, e := range log.Events() {
 		if e.Kind == partner.Applied && e.Class == "upload" {
-			applied[e.Test]++
+			applied[e.CorrelationID]++
 		}
 	}
 	twice := 0
@@ -127,10 +127,10 @@
 	partners, classes := []string{"archive", "tracker", "mirror"}, []string{"status", "sync", "upload"}
 	for i := range 600 {
 		p, c := partners[i%3], classes[(i/3)%3]
-		m := load.Message{At: time.Duration(i) * 5 * time.Millisecond, Test: fmt.Sprintf("m%d", i), Class: c, Path: "/" + p + "/" + c,
+		m := load.Message{At: time.Duration(i) * 5 * time.Millisecond, CorrelationID: fmt.Sprintf("m%d", i), Class: c, Path: "/" + p + "/" + c,
 			Token: "quickstart", TTL: 4, Partner: p}
 		if c == "sync" {
-			m.Key = fmt.Sprintf("k%d", i%7)
+			m.OrderKey = fmt.Sprintf("k%d", i%7)
 		}
 		all = append(all, m)
 	}
--- a/internal/opener/opener.go
+++ b/internal/dialscheduler/dialscheduler.go
@@ -1,26 +1,26 @@
-// Package opener plans which connections are opened next, within budgets: handshakes a second, handshakes under way,
+// Package dialscheduler plans which connections are opened next, within budgets: handshakes a second, handshakes under way,
 // connections in all. It keeps a wave of partners that all wake at once from taking the machine from those that are
 // busy. It is deterministic and free of I/O: the time is passed in.
-package opener
+package dialscheduler
 
 import (
 	"container/heap"
 	"time"
 )
 
-// Budget bounds what is opened. All fields are to be above zero.
-type Budget struct {
-	PerSecond float64 // handshakes begun a second; a tenth of a second's may begin at once
-	Opening   int     // handshakes under way at once
-	Total     int     // connections open or being opened
+// Limits bounds what is opened. All fields are to be above zero.
+type Limits struct {
+	HandshakesPerSecond float64 // handshakes begun a second; a tenth of a second's may begin at once
+	MaxHandshakes       int     // handshakes under way at once
+	MaxConns            int     // connections open or being opened
 }
 
-// Want is a wish for a connection.
-type Want struct {
-	Key   uint64        // names who wants it; a new wish of the same key takes the place of the old
-	Worth float64       // of what waits for it, against others
-	Due   time.Duration // when that is given up
-	Busy  bool          // it had a connection lately: it must not wait behind a wave of strangers
+// Request is a wish for a connection.
+type Request struct {
+	Key            uint64        // names who wants it; a new wish of the same key takes the place of the old
+	Priority       float64       // of what waits for it, against others
+	Deadline       time.Duration // when that is given up
+	RecentlyActive bool          // it had a connection lately: it must not wait behind a wave of strangers
 }
 
 // perWorth is how much sooner than its due time a wish ranks for each unit of worth.
@@ -31,7 +31,7 @@
 
 // item is a wish in its queue.
 type item struct {
-	Want
+	Request
 	rank  time.Duration
 	seq   uint64
 	index int
@@ -62,9 +62,9 @@
 	return it
 }
 
-// Planner decides who is opened next.
-type Planner struct {
-	budget  Budget
+// Scheduler decides who is opened next.
+type Scheduler struct {
+	budget  Limits
 	wishes  map[uint64]*item
 	queues  [2]queue // strangers, busy
 	seq     uint64
@@ -81,24 +81,24 @@
 }
 
 // New returns a Planner.
-func New(b Budget) *Planner {
-	return &Planner{budget: b, wishes: map[uint64]*item{}, tokens: max(1, b.PerSecond/10)}
+func New(b Limits) *Scheduler {
+	return &Scheduler{budget: b, wishes: map[uint64]*item{}, tokens: max(1, b.HandshakesPerSecond/10)}
 }
 
-// Wish adds a wish, or changes it.
-func (p *Planner) Wish(w Want) {
-	p.Drop(w.Key)
+// Enqueue adds a wish, or changes it.
+func (p *Scheduler) Enqueue(w Request) {
+	p.Remove(w.Key)
 	p.seq++
-	it := &item{Want: w, rank: w.Due - time.Duration(w.Worth*float64(perWorth)), seq: p.seq}
-	if w.Busy {
+	it := &item{Request: w, rank: w.Deadline - time.Duration(w.Priority*float64(perWorth)), seq: p.seq}
+	if w.RecentlyActive {
 		it.queue = 1
 	}
 	p.wishes[w.Key] = it
 	heap.Push(&p.queues[it.queue], it)
 }
 
-// Drop takes a wish back; it tells whether there was one.
-func (p *Planner) Drop(key uint64) bool {
+// Remove takes a wish back; it tells whether there was one.
+func (p *Scheduler) Remove(key uint64) bool {
 	it := p.wishes[key]
 	if it == nil {
 		return false
@@ -108,46 +108,46 @@
 	return true
 }
 
-// Waiting counts the wishes.
-func (p *Planner) Waiting() int { return len(p.wishes) }
+// Pending counts the wishes.
+func (p *Scheduler) Pending() int { return len(p.wishes) }
 
-// Answer is what Next decided.
-type Answer uint8
+// Decision is what Next decided.
+type Decision uint8
 
 // Answers of Next.
 const (
-	Nothing Answer = iota // no wish, or the next end of a handshake is to be waited for
-	Open                  // open a connection for the key; Opened or Failed is to follow
-	Later                 // ask again at the time given: handshakes of this second are spent, or the machine is short of something
-	Full                  // no further connection may be open: an idle one is to be closed; ask again then, or at the time given if it is not 0
+	NoAction   Decision = iota // no wish, or the next end of a handshake is to be waited for
+	Dial                       // open a connection for the key; Opened or Failed is to follow
+	RetryLater                 // ask again at the time given: handshakes of this second are spent, or the machine is short of something
+	CloseIdle                  // no further connection may be open: an idle one is to be closed; ask again then, or at the time given if it is not 0
 )
 
 // Next decides what to do now.
-func (p *Planner) Next(now time.Duration) (a Answer, key uint64, at time.Duration) {
-	p.tokens = min(p.tokens+p.budget.PerSecond*(now-p.at).Seconds(), max(1, p.budget.PerSecond/10))
+func (p *Scheduler) Next(now time.Duration) (a Decision, key uint64, at time.Duration) {
+	p.tokens = min(p.tokens+p.budget.HandshakesPerSecond*(now-p.at).Seconds(), max(1, p.budget.HandshakesPerSecond/10))
 	p.at = now
 	switch {
-	case len(p.wishes) == 0 || p.opening >= p.budget.Opening:
-		return Nothing, 0, 0
-	case p.open+p.opening >= p.budget.Total:
-		return Full, 0, 0
+	case len(p.wishes) == 0 || p.opening >= p.budget.MaxHandshakes:
+		return NoAction, 0, 0
+	case p.open+p.opening >= p.budget.MaxConns:
+		return CloseIdle, 0, 0
 	case now < p.holdUntil && p.open+p.opening >= p.ceiling && p.descriptors && p.open > 0:
-		return Full, 0, p.holdUntil
+		return CloseIdle, 0, p.holdUntil
 	case now < p.holdUntil && p.open+p.opening >= p.ceiling:
-		return Later, 0, p.holdUntil
+		return RetryLater, 0, p.holdUntil
 	case p.tokens < 1:
-		return Later, 0, now + time.Duration((1-p.tokens)/p.budget.PerSecond*float64(time.Second)) + 1
+		return RetryLater, 0, now + time.Duration((1-p.tokens)/p.budget.HandshakesPerSecond*float64(time.Second)) + 1
 	}
 	q := p.pick()
 	it := heap.Pop(&p.queues[q]).(*item)
 	delete(p.wishes, it.Key)
 	p.tokens--
 	p.opening++
-	return Open, it.Key, 0
+	return Dial, it.Key, 0
 }
 
 // pick chooses the queue: two of three for the busy, while both wait.
-func (p *Planner) pick() int {
+func (p *Scheduler) pick() int {
 	switch {
 	case len(p.queues[0]) == 0:
 		return 1
@@ -162,7 +162,7 @@
 }
 
 // Opened tells that a connection stands.
-func (p *Planner) Opened() {
+func (p *Scheduler) Opened() {
 	p.opening--
 	p.open++
 }
@@ -174,7 +174,7 @@
 const (
 	PeerFailed    Failure = iota // by its peer
 	NoDescriptors                // this machine had no descriptor left for it
-	Shortage                     // this machine lacked something else
+	LocalShortage                // this machine lacked something else
 )
 
 // Spans for which no more connections are tried than there were when the machine fell short. They double while it goes on: a
@@ -186,7 +186,7 @@
 
 // Failed tells that a connection could not be made. Where this machine was short no more than are open now are tried for a
 // while, or until one is closed.
-func (p *Planner) Failed(now time.Duration, why Failure) {
+func (p *Scheduler) Failed(now time.Duration, why Failure) {
 	p.opening--
 	if why == PeerFailed {
 		return
@@ -203,4 +203,4 @@
 }
 
 // Closed tells that a connection that stood is gone. While the machine is short another may be tried in its place.
-func (p *Planner) Closed() { p.open-- }
+func (p *Scheduler) Closed() { p.open-- }
--- a/internal/roster/roster.go
+++ b/internal/endpointlist/endpointlist.go
@@ -1,6 +1,6 @@
-// Package roster keeps the endpoint list: names and addresses of endpoints, whole lists turned into the entries that
+// Package endpointlist keeps the endpoint list: names and addresses of endpoints, whole lists turned into the entries that
 // the decision module is told, and what is wrong with a list. It is deterministic and free of I/O.
-package roster
+package endpointlist
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"whinrun/control"
 )
 
-// Line is one endpoint as a list names it.
-type Line struct {
+// Endpoint is one endpoint as a list names it.
+type Endpoint struct {
 	Partner string
 	Addr    netip.AddrPort
 	Zone    int
@@ -28,7 +28,7 @@
 }
 
 // Place is where an endpoint is.
-type Place struct {
+type Location struct {
 	Partner int // index, as in New; also the module's number of the destination
 	Kind    int
 	Addr    netip.AddrPort
@@ -39,23 +39,23 @@
 	addr netip.AddrPort
 }
 
-// Roster gives endpoints their names towards the module. An endpoint is a partner at an address: two partners on one
+// Registry gives endpoints their names towards the module. An endpoint is a partner at an address: two partners on one
 // address are two endpoints. Place may be called from any goroutine.
-type Roster struct {
+type Registry struct {
 	partners []Partner
 	byName   map[string]int
 
 	mu     sync.RWMutex
 	names  map[place]control.EndpointID
-	places []Place
+	places []Location
 
 	listed map[control.EndpointID]control.Entry // the list as last told
 }
 
 // New returns a Roster for the partners given; their Dest is set to their index.
-func New(partners []Partner) *Roster {
-	r := &Roster{partners: slices.Clone(partners), byName: map[string]int{}, names: map[place]control.EndpointID{},
-		places: make([]Place, 1), listed: map[control.EndpointID]control.Entry{}}
+func New(partners []Partner) *Registry {
+	r := &Registry{partners: slices.Clone(partners), byName: map[string]int{}, names: map[place]control.EndpointID{},
+		places: make([]Location, 1), listed: map[control.EndpointID]control.Entry{}}
 	for i := range r.partners {
 		r.partners[i].Dest = i
 		r.byName[r.partners[i].Name] = i
@@ -63,8 +63,8 @@
 	return r
 }
 
-// Name returns the module's name of a partner's endpoint, the same for good.
-func (r *Roster) Name(dest int, addr netip.AddrPort) control.EndpointID {
+// EndpointID returns the module's name of a partner's endpoint, the same for good.
+func (r *Registry) EndpointID(dest int, addr netip.AddrPort) control.EndpointID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := place{dest, addr}
@@ -72,39 +72,39 @@
 	if !ok {
 		ep = control.EndpointID(len(r.places))
 		r.names[at] = ep
-		r.places = append(r.places, Place{Partner: dest, Kind: r.partners[dest].Kind, Addr: addr})
+		r.places = append(r.places, Location{Partner: dest, Kind: r.partners[dest].Kind, Addr: addr})
 	}
 	return ep
 }
 
 // Place tells where an endpoint is.
-func (r *Roster) Place(ep control.EndpointID) (Place, bool) {
+func (r *Registry) Lookup(ep control.EndpointID) (Location, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if ep == 0 || int(ep) >= len(r.places) {
-		return Place{}, false
+		return Location{}, false
 	}
 	return r.places[ep], true
 }
 
-// Change is what a new whole list means.
-type Change struct {
-	Entries []control.Entry // what differs from the list before, in a fixed order
-	Odd     []string        // what is wrong or strange with the list, a line each
+// Diff is what a new whole list means.
+type Diff struct {
+	Entries  []control.Entry // what differs from the list before, in a fixed order
+	Warnings []string        // what is wrong or strange with the list, a line each
 }
 
-// Whole compares a whole list with the one before and keeps it. Lines that name a partner that is not set up are
+// Replace compares a whole list with the one before and keeps it. Lines that name a partner that is not set up are
 // left out and reported; of an endpoint named twice the more careful standing counts: a drain always binds.
-func (r *Roster) Whole(lines []Line) Change {
+func (r *Registry) Replace(lines []Endpoint) Diff {
 	next := make(map[control.EndpointID]control.Entry, len(lines))
-	var c Change
+	var c Diff
 	for _, l := range lines {
 		e, ok := r.entry(l, &c)
 		if !ok {
 			continue
 		}
 		if old, twice := next[e.Endpoint]; twice {
-			c.Odd = append(c.Odd, fmt.Sprintf("endpoint %v of partner %q is listed twice", l.Addr, l.Partner))
+			c.Warnings = append(c.Warnings, fmt.Sprintf("endpoint %v of partner %q is listed twice", l.Addr, l.Partner))
 			if old.Health != control.Ready {
 				e.Health = old.Health
 			}
@@ -117,19 +117,19 @@
 			old.Health = control.Gone
 			c.Entries = append(c.Entries, old)
 			gone++
-			if at, ok := r.Place(ep); ok {
+			if at, ok := r.Lookup(ep); ok {
 				left[at.Addr] = old.Dest
 			}
 		}
 	}
-	c.Odd = append(c.Odd, r.moved(next, left)...)
+	c.Warnings = append(c.Warnings, r.moved(next, left)...)
 	for ep, e := range next {
 		if old, known := r.listed[ep]; !known || old != e {
 			c.Entries = append(c.Entries, e)
 		}
 	}
 	if n := len(r.listed); n > 3 && gone > n/2 {
-		c.Odd = append(c.Odd, fmt.Sprintf("%d of %d endpoints are gone at once", gone, n))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("%d of %d endpoints are gone at once", gone, n))
 	}
 	slices.SortFunc(c.Entries, func(a, b control.Entry) int { return int(int64(a.Endpoint) - int64(b.Endpoint)) })
 	r.listed = next
@@ -138,12 +138,12 @@
 
 // moved reports addresses that left one partner and came to another: often a slip of whoever wrote the list. To the
 // module they are two endpoints, so nothing learned of the one, and no drain, passes to the other.
-func (r *Roster) moved(next map[control.EndpointID]control.Entry, left map[netip.AddrPort]int) (odd []string) {
+func (r *Registry) moved(next map[control.EndpointID]control.Entry, left map[netip.AddrPort]int) (odd []string) {
 	for ep, e := range next {
 		if _, known := r.listed[ep]; known {
 			continue
 		}
-		at, _ := r.Place(ep)
+		at, _ := r.Lookup(ep)
 		if from, was := left[at.Addr]; was && from != e.Dest {
 			odd = append(odd, fmt.Sprintf("endpoint %v moves from partner %q to %q", at.Addr, r.partners[from].Name, r.partners[e.Dest].Name))
 		}
@@ -152,9 +152,9 @@
 	return odd
 }
 
-// Delta takes changes alone, in time proportional to them: lines that are new or differ, and those gone.
-func (r *Roster) Delta(lines []Line) Change {
-	var c Change
+// ApplyDelta takes changes alone, in time proportional to them: lines that are new or differ, and those gone.
+func (r *Registry) ApplyDelta(lines []Endpoint) Diff {
+	var c Diff
 	for _, l := range lines {
 		e, ok := r.entry(l, &c)
 		if !ok {
@@ -175,12 +175,12 @@
 }
 
 // entry makes a line into what the module is told; one of an unknown partner is reported.
-func (r *Roster) entry(l Line, c *Change) (e control.Entry, ok bool) {
+func (r *Registry) entry(l Endpoint, c *Diff) (e control.Entry, ok bool) {
 	dest, ok := r.byName[l.Partner]
 	if !ok {
-		c.Odd = append(c.Odd, fmt.Sprintf("endpoint %v: partner %q is not set up", l.Addr, l.Partner))
+		c.Warnings = append(c.Warnings, fmt.Sprintf("endpoint %v: partner %q is not set up", l.Addr, l.Partner))
 		return e, false
 	}
 	p := r.partners[dest]
-	return control.Entry{Endpoint: r.Name(dest, l.Addr), Dest: dest, Zone: l.Zone, DestinationKind: p.Kind, Health: l.Health, Weight: p.Rate}, true
+	return control.Entry{Endpoint: r.EndpointID(dest, l.Addr), Dest: dest, Zone: l.Zone, DestinationKind: p.Kind, Health: l.Health, Weight: p.Rate}, true
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -62,8 +62,8 @@
 	return b
 }
 
-// Hold has nothing more read until it is called with false: what comes waits with its sender.
-func (c *Conn) Hold(on bool) {
+// PauseReading has nothing more read until it is called with false: what comes waits with its sender.
+func (c *Conn) PauseReading(on bool) {
 	if c.holding && !on {
 		c.later()
 	}
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -116,7 +116,7 @@
 		_ = l.group.system.Close(d.fd)
 		d.fd = -1
 	}
-	if Local(err) {
+	if IsLocal(err) {
 		l.group.trouble.Dials.Add(1)
 	}
 	l.group.handler.DialFailed(d.context, err)
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -40,9 +40,9 @@
 
 // Config is of a group of loops.
 type Config struct {
-	Loops  int           // at least one
-	Tick   time.Duration // how often the handler's Tick is called; at least a millisecond
-	System System        // nil for the kernel
+	Loops        int           // at least one
+	TickInterval time.Duration // how often the handler's Tick is called; at least a millisecond
+	System       System        // nil for the kernel
 	// Log is told of what operators should know, nil for nothing.
 	Log func(text string)
 }
@@ -56,13 +56,13 @@
 	loops    []*Loop
 	next     atomic.Uint32
 	listener *listener // of the first loop, nil for none
-	trouble  Trouble
+	trouble  ErrorCounts
 	quit     chan struct{}
 	done     sync.WaitGroup
 }
 
-// Trouble counts system calls that failed and did not end anything.
-type Trouble struct {
+// ErrorCounts counts system calls that failed and did not end anything.
+type ErrorCounts struct {
 	Accepts, Waits, Reads, Writes, Dials atomic.Int64
 }
 
@@ -74,7 +74,7 @@
 	if cfg.Log == nil {
 		cfg.Log = func(string) {}
 	}
-	cfg.Tick = max(cfg.Tick, time.Millisecond)
+	cfg.TickInterval = max(cfg.TickInterval, time.Millisecond)
 	g := &Group{cfg: cfg, handler: handler, clock: c, system: cfg.System, quit: make(chan struct{})}
 	for i := range max(1, cfg.Loops) {
 		l, err := newLoop(g, i)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Trouble returns the counts of calls that failed and did not end anything.
-func (g *Group) Trouble() *Trouble { return &g.trouble }
+// ErrorCounts returns the counts of calls that failed and did not end anything.
+func (g *Group) ErrorCounts() *ErrorCounts { return &g.trouble }
 
 // pick chooses a loop for a new connection, in turns.
 func (g *Group) pick() *Loop { return g.loops[int(g.next.Add(1))%len(g.loops)] }
@@ -232,7 +232,7 @@
 	l.mu.Unlock()
 	wait := waitMost
 	if l.first {
-		wait = min(wait, l.millisecondsTo(l.ticked+control.Time(l.group.cfg.Tick/time.Microsecond)))
+		wait = min(wait, l.millisecondsTo(l.ticked+control.Time(l.group.cfg.TickInterval/time.Microsecond)))
 	}
 	for d := range l.dials {
 		if d.retry {
@@ -343,7 +343,7 @@
 	if l.listens() {
 		l.resume(now)
 	}
-	if now >= l.ticked+control.Time(l.group.cfg.Tick/time.Microsecond) {
+	if now >= l.ticked+control.Time(l.group.cfg.TickInterval/time.Microsecond) {
 		l.ticked = now
 		l.group.handler.Tick()
 	}
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -42,10 +42,10 @@
 func (e *echo) DialFailed(_ any, err error) { e.failures <- err }
 func (e *echo) Tick()                       {}
 
-func serve(t *testing.T, loops int) (*eventloop.Group, *echo, *eventlooptest.Faulty) {
+func serve(t *testing.T, loops int) (*eventloop.Group, *echo, *eventlooptest.FaultySystem) {
 	t.Helper()
-	f, e := &eventlooptest.Faulty{}, &echo{failures: make(chan error, 1000), dialled: make(chan *eventloop.Conn, 100)}
-	g, err := eventloop.New(eventloop.Config{Loops: loops, Tick: 10 * time.Millisecond, System: f}, e, clock.New())
+	f, e := &eventlooptest.FaultySystem{}, &echo{failures: make(chan error, 1000), dialled: make(chan *eventloop.Conn, 100)}
+	g, err := eventloop.New(eventloop.Config{Loops: loops, TickInterval: 10 * time.Millisecond, System: f}, e, clock.New())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	}
 	g.Start()
 	t.Cleanup(func() {
-		f.Set(nil)
+		f.SetFault(nil)
 		g.Stop()
 		if e.opened.Load() != e.closed.Load() {
 			t.Errorf("%d connections opened, %d closed", e.opened.Load(), e.closed.Load())
@@ -87,7 +87,7 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			g, e, f := serve(t, 1+int(seed%2))
-			f.Set(eventlooptest.Sometimes(seed, 0.3, eventlooptest.PassingErrors))
+			f.SetFault(eventlooptest.RandomFaults(seed, 0.3, eventlooptest.TransientErrors))
 			var all sync.WaitGroup
 			for n := range 20 {
 				all.Go(func() {
@@ -100,7 +100,7 @@
 			if len(e.failures) > 0 {
 				t.Errorf("a connection ended: %v", <-e.failures)
 			}
-			if r := g.Trouble(); r.Reads.Load() == 0 || r.Writes.Load() == 0 || r.Accepts.Load() == 0 || r.Waits.Load() == 0 {
+			if r := g.ErrorCounts(); r.Reads.Load() == 0 || r.Writes.Load() == 0 || r.Accepts.Load() == 0 || r.Waits.Load() == 0 {
 				t.Error("not every call has failed")
 			}
 		})
@@ -117,7 +117,7 @@
 			g, _, f := serve(t, 1)
 			met := make(chan struct{})
 			var once sync.Once
-			f.Set(func(call string) error {
+			f.SetFault(func(call string) error {
 				if call != "accept" {
 					return nil
 				}
@@ -127,7 +127,7 @@
 			done := make(chan error)
 			go func() { done <- talk(g, []byte("hello")) }()
 			<-met
-			f.Set(nil)
+			f.SetFault(nil)
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
@@ -139,7 +139,7 @@
 func TestListeningSocketIsLost(t *testing.T) {
 	g, _, f := serve(t, 1)
 	var reopened atomic.Bool
-	f.Set(func(call string) error {
+	f.SetFault(func(call string) error {
 		if call == "bind" {
 			reopened.Store(true)
 		}
@@ -177,7 +177,7 @@
 			t.Parallel()
 			g, e, f := serve(t, 1)
 			var times atomic.Int64
-			f.Set(func(call string) error {
+			f.SetFault(func(call string) error {
 				if call == c.call && (c.want != "connected" || times.Add(1) < 4) {
 					return c.fault
 				}
@@ -192,7 +192,7 @@
 				switch {
 				case errors.Is(err, eventloop.ErrDialTimeout):
 					got = "none"
-				case eventloop.Local(err):
+				case eventloop.IsLocal(err):
 					got = "local"
 				default:
 					got = "peer"
@@ -212,7 +212,7 @@
 			t.Parallel()
 			g, _, f := serve(t, 1)
 			var times atomic.Int64
-			f.Set(func(now string) error {
+			f.SetFault(func(now string) error {
 				if now == call && times.Add(1) == 1 {
 					return unix.EAGAIN
 				}
@@ -235,7 +235,7 @@
 	nobody := netip.MustParseAddrPort(ln.Addr().String())
 	_ = ln.Close()
 	g.Dial(nobody, 5*time.Second, "a dial")
-	if err := <-e.failures; !errors.Is(err, unix.ECONNREFUSED) || eventloop.Local(err) {
+	if err := <-e.failures; !errors.Is(err, unix.ECONNREFUSED) || eventloop.IsLocal(err) {
 		t.Error(err)
 	}
 }
@@ -252,7 +252,7 @@
 					t.Fatal(err)
 				}
 				defer func() { _ = c.Close() }()
-				f.Set(func(now string) error {
+				f.SetFault(func(now string) error {
 					if now == call {
 						return fault
 					}
@@ -290,8 +290,8 @@
 
 // A start that lacks something says so, and leaves nothing open.
 func TestStartLacksSomething(t *testing.T) {
-	f := &eventlooptest.Faulty{}
-	f.Set(func(call string) error {
+	f := &eventlooptest.FaultySystem{}
+	f.SetFault(func(call string) error {
 		if call == "epoll_ctl" {
 			return unix.ENOMEM
 		}
@@ -300,13 +300,13 @@
 	if _, err := eventloop.New(eventloop.Config{Loops: 2, System: f}, &echo{}, clock.New()); !errors.Is(err, unix.ENOMEM) {
 		t.Error(err)
 	}
-	f.Set(nil)
+	f.SetFault(nil)
 	g, err := eventloop.New(eventloop.Config{System: f}, &echo{}, clock.New())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, call := range []string{"socket", "bind", "listen"} {
-		f.Set(func(now string) error {
+		f.SetFault(func(now string) error {
 			if now == call {
 				return unix.EADDRINUSE
 			}
--- a/internal/eventloop/eventlooptest/faulty.go
+++ b/internal/eventloop/eventlooptest/faulty.go
@@ -11,8 +11,8 @@
 	"whinrun/internal/eventloop"
 )
 
-// Faulty is the kernel with calls that fail on command. The zero value fails none.
-type Faulty struct {
+// FaultySystem is the kernel with calls that fail on command. The zero value fails none.
+type FaultySystem struct {
 	eventloop.Kernel
 	mu   sync.Mutex
 	fail func(call string) error // nil: none; ErrShort: a part is read or written
@@ -21,14 +21,14 @@
 // ErrShort has a read or a write take a part of what it could.
 var ErrShort = errors.New("a short read or write")
 
-// Set has each call asked for: an error is what it fails with, nil has it made. Calls are named as their manual pages are.
-func (f *Faulty) Set(fail func(call string) error) {
+// SetFault has each call asked for: an error is what it fails with, nil has it made. Calls are named as their manual pages are.
+func (f *FaultySystem) SetFault(fail func(call string) error) {
 	f.mu.Lock()
 	f.fail = fail
 	f.mu.Unlock()
 }
 
-func (f *Faulty) check(call string) error {
+func (f *FaultySystem) check(call string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.fail == nil {
@@ -38,7 +38,7 @@
 }
 
 // Socket is eventloop.System.
-func (f *Faulty) Socket(domain, kind, protocol int) (int, error) {
+func (f *FaultySystem) Socket(domain, kind, protocol int) (int, error) {
 	if err := f.check("socket"); err != nil {
 		return -1, err
 	}
@@ -46,7 +46,7 @@
 }
 
 // Bind is eventloop.System.
-func (f *Faulty) Bind(fd int, to unix.Sockaddr) error {
+func (f *FaultySystem) Bind(fd int, to unix.Sockaddr) error {
 	if err := f.check("bind"); err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 }
 
 // Listen is eventloop.System.
-func (f *Faulty) Listen(fd, n int) error {
+func (f *FaultySystem) Listen(fd, n int) error {
 	if err := f.check("listen"); err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 }
 
 // Accept is eventloop.System.
-func (f *Faulty) Accept(fd int) (int, unix.Sockaddr, error) {
+func (f *FaultySystem) Accept(fd int) (int, unix.Sockaddr, error) {
 	if err := f.check("accept"); err != nil {
 		return -1, nil, err
 	}
@@ -70,7 +70,7 @@
 }
 
 // Connect is eventloop.System.
-func (f *Faulty) Connect(fd int, to unix.Sockaddr) error {
+func (f *FaultySystem) Connect(fd int, to unix.Sockaddr) error {
 	err := f.check("connect")
 	if err == nil || errors.Is(err, unix.EINTR) { // an interrupted one goes on
 		if real := f.Kernel.Connect(fd, to); err == nil {
@@ -81,7 +81,7 @@
 }
 
 // SocketError is eventloop.System.
-func (f *Faulty) SocketError(fd int) (error, error) {
+func (f *FaultySystem) SocketError(fd int) (error, error) {
 	if err := f.check("getsockopt"); err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 }
 
 // Getpeername is eventloop.System.
-func (f *Faulty) Getpeername(fd int) (unix.Sockaddr, error) {
+func (f *FaultySystem) Getpeername(fd int) (unix.Sockaddr, error) {
 	if err := f.check("getpeername"); err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 }
 
 // SetOption is eventloop.System.
-func (f *Faulty) SetOption(fd, level, option, value int) error {
+func (f *FaultySystem) SetOption(fd, level, option, value int) error {
 	if err := f.check("setsockopt"); err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 }
 
 // Read is eventloop.System.
-func (f *Faulty) Read(fd int, b []byte) (int, error) {
+func (f *FaultySystem) Read(fd int, b []byte) (int, error) {
 	switch err := f.check("read"); {
 	case errors.Is(err, ErrShort):
 		b = b[:min(len(b), 8)]
@@ -116,7 +116,7 @@
 }
 
 // Write is eventloop.System.
-func (f *Faulty) Write(fd int, b []byte) (int, error) {
+func (f *FaultySystem) Write(fd int, b []byte) (int, error) {
 	switch err := f.check("write"); {
 	case errors.Is(err, ErrShort):
 		b = b[:min(len(b), 8)]
@@ -127,7 +127,7 @@
 }
 
 // Close is eventloop.System.
-func (f *Faulty) Close(fd int) error {
+func (f *FaultySystem) Close(fd int) error {
 	err := f.Kernel.Close(fd) // the descriptor is gone in any case (close(2))
 	if fault := f.check("close"); fault != nil {
 		return fault
@@ -136,7 +136,7 @@
 }
 
 // EpollAdd is eventloop.System.
-func (f *Faulty) EpollAdd(epoll, fd int, events uint32) error {
+func (f *FaultySystem) EpollAdd(epoll, fd int, events uint32) error {
 	if err := f.check("epoll_ctl"); err != nil {
 		return err
 	}
@@ -144,15 +144,15 @@
 }
 
 // EpollWait is eventloop.System.
-func (f *Faulty) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
+func (f *FaultySystem) EpollWait(epoll int, events []unix.EpollEvent, ms int) (int, error) {
 	if err := f.check("epoll_wait"); err != nil {
 		return -1, err
 	}
 	return f.Kernel.EpollWait(epoll, events, ms)
 }
 
-// Sometimes fails calls at random, with one of the errors given for each.
-func Sometimes(seed uint64, share float64, errs map[string][]error) func(string) error {
+// RandomFaults fails calls at random, with one of the errors given for each.
+func RandomFaults(seed uint64, share float64, errs map[string][]error) func(string) error {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func(call string) error {
 		if all := errs[call]; len(all) > 0 && rng.Float64() < share {
@@ -162,8 +162,8 @@
 	}
 }
 
-// PassingErrors are errors and shortfalls after which the call is to be made again, the connection as good as before.
-var PassingErrors = map[string][]error{
+// TransientErrors are errors and shortfalls after which the call is to be made again, the connection as good as before.
+var TransientErrors = map[string][]error{
 	"read":       {unix.EINTR, unix.EAGAIN, unix.ENOMEM, unix.ENOBUFS, ErrShort},
 	"write":      {unix.EINTR, unix.ENOMEM, unix.ENOBUFS, ErrShort},
 	"accept":     {unix.EINTR, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO, unix.ECONNABORTED, unix.ENETDOWN},
--- a/internal/eventloop/system.go
+++ b/internal/eventloop/system.go
@@ -133,9 +133,9 @@
 // good as before.
 func passing(err error) bool { return is(err, unix.EINTR, unix.ENOMEM, unix.ENOBUFS) }
 
-// Local tells whether a connection could not be made for want of something on this machine: descriptors, memory, ports, a
+// IsLocal tells whether a connection could not be made for want of something on this machine: descriptors, memory, ports, a
 // route. It says nothing of the peer.
-func Local(err error) bool {
+func IsLocal(err error) bool {
 	return is(err, unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS, unix.ENOSPC, unix.EAGAIN, unix.EINTR, unix.EADDRNOTAVAIL,
 		unix.EADDRINUSE, unix.ENETUNREACH, unix.ENETDOWN, unix.EACCES, unix.EPERM, unix.EAFNOSUPPORT, unix.EPROTONOSUPPORT, unix.EINVAL,
 		unix.EBADF, unix.ENOTSOCK, unix.EFAULT, unix.EIO)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
-	"whinrun/internal/door"
 	"whinrun/internal/eventloop"
 )
 
@@ -46,22 +46,22 @@
 	Idle() (since time.Duration, ok bool)
 }
 
-// Filler is a Session that can't take more for now: nothing is read for it meanwhile.
-type Filler interface{ Full() bool }
+// ReadPauser is a Session that can't take more for now: nothing is read for it meanwhile.
+type ReadPauser interface{ Full() bool }
 
-// Parcel is something for a session that came from another goroutine.
-type Parcel interface {
+// Task is something for a session that came from another goroutine.
+type Task interface {
 	Open(now time.Duration) // on the connection's event loop
 	Lost()                  // instead of Open: the connection is gone
 }
 
 // Config is of one front.
 type Config struct {
-	Address string // host:port; port 0 takes a free one
-	Loops   int
-	Unread  int                           // bytes of answers that a client may leave unread
-	Trace   func(format string, a ...any) // told of each connection's end, nil for none
-	System  eventloop.System              // nil for the kernel
+	Address   string // host:port; port 0 takes a free one
+	Loops     int
+	MaxUnread int                           // bytes of answers that a client may leave unread
+	Trace     func(format string, a ...any) // told of each connection's end, nil for none
+	System    eventloop.System              // nil for the kernel
 }
 
 // tick is how often deadlines are looked at.
@@ -70,7 +70,7 @@
 // Front is one listening address.
 type Front struct {
 	cfg   Config
-	side  *door.Side
+	side  *admission.Frontend
 	clock clock.Clock
 	log   func(text string)
 	open  func(c *Conn, now time.Duration) Session
@@ -92,7 +92,7 @@
 	life    life // once it has ended the session is not called any more
 
 	mu    sync.Mutex
-	inbox []Parcel
+	inbox []Task
 	gone  bool
 	owes  atomic.Bool
 	due   atomic.Int64
@@ -101,13 +101,13 @@
 }
 
 // New makes a Front and listens. open makes the session of a new connection.
-func New(cfg Config, side *door.Side, clock clock.Clock, log func(string), open func(*Conn, time.Duration) Session) (*Front, error) {
+func New(cfg Config, side *admission.Frontend, clock clock.Clock, log func(string), open func(*Conn, time.Duration) Session) (*Front, error) {
 	f := &Front{cfg: cfg, side: side, clock: clock, log: log, open: open, conns: map[*Conn]struct{}{}}
 	if f.cfg.Trace == nil {
 		f.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, Tick: tick, System: cfg.System, Log: log}, f, clock); err != nil {
+	if f.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: tick, System: cfg.System, Log: log}, f, clock); err != nil {
 		return nil, fmt.Errorf("front: %w", err)
 	}
 	if err := f.loops.Listen(cfg.Address); err != nil {
@@ -180,7 +180,7 @@
 
 // Opened is eventloop.Handler: it starts a session, where there is room.
 func (f *Front) Opened(gc *eventloop.Conn) {
-	if !f.side.Enter() {
+	if !f.side.AcquireConn() {
 		f.cfg.Trace("client %v: turned away, too many connections", gc.Peer())
 		gc.Close()
 		return
@@ -195,7 +195,7 @@
 	gc.Context = c
 	c.due.Store(int64(c.session.Due(now)))
 	c.rests()
-	if f.side.Crowded() {
+	if f.side.NearConnLimit() {
 		f.makeRoom(c)
 	}
 	gc.Write(c.session.Output())
@@ -241,7 +241,7 @@
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
-	f.side.Leave()
+	f.side.ReleaseConn()
 	c.end(f.elapsed())
 }
 
@@ -252,7 +252,7 @@
 		return
 	}
 	c.life.end(now)
-	c.gc.Hold(false)
+	c.gc.PauseReading(false)
 	c.mu.Lock()
 	late := c.inbox
 	c.inbox, c.gone = nil, true
@@ -269,7 +269,7 @@
 
 // Post has a parcel opened on the connection's event loop, from any goroutine, without blocking. It is false where the
 // connection is gone: then the parcel is the caller's.
-func (c *Conn) Post(p Parcel) bool {
+func (c *Conn) Post(p Task) bool {
 	c.mu.Lock()
 	if c.gone {
 		c.mu.Unlock()
@@ -335,15 +335,15 @@
 
 func (c *Conn) flush(now time.Duration) {
 	c.gc.Write(c.session.Output()) // a failed write shows as Closed
-	if s, ok := c.session.(Filler); ok {
-		c.gc.Hold(s.Full())
+	if s, ok := c.session.(ReadPauser); ok {
+		c.gc.PauseReading(s.Full())
 	}
 	unread := c.gc.Unsent()
 	c.owes.Store(unread > 0 || c.session.Owes())
 	c.due.Store(int64(c.session.Due(now)))
 	c.rests()
 	switch {
-	case unread > c.f.cfg.Unread: // a client that stops reading must not hold memory
+	case unread > c.f.cfg.MaxUnread: // a client that stops reading must not hold memory
 		c.Log("reads no answers: closed with %d bytes unread", unread)
 		c.gc.Close()
 	case c.evict.Swap(false) && c.idle.Load() > 0 && unread == 0: // idle for longest: its last answer was read long ago
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -12,8 +12,8 @@
 
 // Bounds on a head, in bytes and lines.
 const (
-	MaxHead   = 8 << 10
-	MaxFields = 64
+	MaxHeadBytes = 8 << 10
+	MaxFields    = 64
 )
 
 // Faults of a message. Each wraps into an error that names the place.
@@ -30,8 +30,8 @@
 // Fields are the lines of a head, in order.
 type Fields []Field
 
-// One returns the value of a field that must stand once at most; ok is false where it stands more often.
-func (f Fields) One(name string) (value string, ok bool) {
+// Single returns the value of a field that must stand once at most; ok is false where it stands more often.
+func (f Fields) Single(name string) (value string, ok bool) {
 	return f.Get(name), f.count(name) <= 1
 }
 
@@ -75,7 +75,7 @@
 // head finds the end of a head, and cuts its first line off. n is 0 while it is not all there.
 func head(b []byte) (first, rest []byte, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
-	if end < 0 && len(b) > MaxHead || end+4 > MaxHead {
+	if end < 0 && len(b) > MaxHeadBytes || end+4 > MaxHeadBytes {
 		return nil, nil, 0, ErrTooLarge
 	}
 	if end < 0 {
@@ -211,8 +211,8 @@
 	return r, n, nil
 }
 
-// Status reads the first line of a response alone; ok is false while it is not all there, or is none.
-func Status(b []byte) (status int, ok bool) {
+// ParseStatus reads the first line of a response alone; ok is false while it is not all there, or is none.
+func ParseStatus(b []byte) (status int, ok bool) {
 	end := bytes.Index(b, []byte("\r\n"))
 	if end < 0 {
 		return 0, false
@@ -283,8 +283,8 @@
 	return nil
 }
 
-// Chunks reads a chunked body (RFC 9112 section 7.1).
-type Chunks struct {
+// ChunkDecoder reads a chunked body (RFC 9112 section 7.1).
+type ChunkDecoder struct {
 	left  int64 // of the chunk, with its line end
 	done  bool
 	lines []byte // a line that is not all there
@@ -292,7 +292,7 @@
 }
 
 // Done tells that the body has ended.
-func (c *Chunks) Done() bool { return c.done }
+func (c *ChunkDecoder) Done() bool { return c.done }
 
 // maxChunkLine bounds the line ahead of a chunk and each of the trailer; maxChunk one chunk.
 const (
@@ -301,7 +301,7 @@
 )
 
 // Read takes bytes and appends the body's to out; rest is what follows the body.
-func (c *Chunks) Read(out, b []byte) (body, rest []byte, err error) {
+func (c *ChunkDecoder) Read(out, b []byte) (body, rest []byte, err error) {
 	for len(b) > 0 && !c.done {
 		if c.left > 2 {
 			n := min(c.left-2, int64(len(b)))
@@ -341,7 +341,7 @@
 }
 
 // size takes the line ahead of a chunk, or one of the trailer.
-func (c *Chunks) size() error {
+func (c *ChunkDecoder) size() error {
 	l, ok := bytes.CutSuffix(c.lines, []byte("\r\n"))
 	if !ok {
 		return fmt.Errorf("%w: a bare line feed", ErrSyntax)
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRequestHeads(t *testing.T) {
-	long := "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHead) + "\r\n\r\n"
+	long := "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", MaxHeadBytes) + "\r\n\r\n"
 	for _, c := range []struct {
 		name, text string
 		err        error
@@ -32,7 +32,7 @@
 		{"length beside a coding", "POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n", ErrCoding},
 		{"a coding alone", "POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n", ErrCoding},
 		{"too long", long, ErrTooLarge},
-		{"endless", long[:MaxHead+10], ErrTooLarge},
+		{"endless", long[:MaxHeadBytes+10], ErrTooLarge},
 		{"too many lines", "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxFields+1) + "\r\n", ErrTooLarge},
 	} {
 		_, n, err := ParseRequest([]byte(c.text))
@@ -93,7 +93,7 @@
 
 func TestFirstLineAlone(t *testing.T) {
 	for text, want := range map[string]int{"HTTP/1.1 200 OK\r\n\x00\xff": 200, "HTTP/1.1 503 x\r\nA": 503, "HTTP/1.1 200 OK": 0, "noise\r\n": 0} {
-		if got, _ := Status([]byte(text)); got != want {
+		if got, _ := ParseStatus([]byte(text)); got != want {
 			t.Errorf("%q: %d, want %d", text, got, want)
 		}
 	}
@@ -102,7 +102,7 @@
 func TestChunks(t *testing.T) {
 	text := []byte("5\r\nhello\r\n3;x=y\r\n we\r\n0\r\nA: b\r\n\r\nrest")
 	for cut := range text {
-		var c Chunks
+		var c ChunkDecoder
 		out, rest, err := c.Read(nil, text[:cut])
 		if err == nil && len(rest) == 0 {
 			out, rest, err = c.Read(out, text[cut:])
@@ -114,7 +114,7 @@
 		}
 	}
 	for _, bad := range []string{"x\r\n", "-1\r\n", "+1\r\na\r\n", "fffffffffff\r\n", "1\r\nabc", "1\nab", strings.Repeat("0", 300)} {
-		var c Chunks
+		var c ChunkDecoder
 		if _, _, err := c.Read(nil, []byte(bad)); err == nil {
 			t.Errorf("%q is read", bad)
 		}
@@ -149,7 +149,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, n, err := ParseResponse(b)
 		if r != nil && err == nil && n > 0 {
-			if s, ok := Status(b); !ok || s != r.Status {
+			if s, ok := ParseStatus(b); !ok || s != r.Status {
 				t.Fatalf("first line says %d, %v, the head %d", s, ok, r.Status)
 			}
 		}
@@ -159,7 +159,7 @@
 func FuzzChunks(f *testing.F) {
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), 4)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
-		var one, two Chunks
+		var one, two ChunkDecoder
 		a, rest, err := one.Read(nil, b)
 		if len(a)+len(rest) > len(b) {
 			t.Fatalf("%d bytes from %d", len(a)+len(rest), len(b))
--- a/internal/h2/conn.go
+++ b/internal/h2/conn.go
@@ -17,7 +17,7 @@
 	StreamWindow  uint32        // bytes of a body that may come before we take them (64 KiB)
 	ConnWindow    uint32        // the same for the connection (1 MiB)
 	Handshake     time.Duration // until the peer's preface and SETTINGS are here (5 s)
-	Stall         time.Duration // a header section in parts, or a window held shut, may last (10 s)
+	StallTimeout  time.Duration // a header section in parts, or a window held shut, may last (10 s)
 	AbuseBurst    float64       // frames that do no work at once (200) ...
 	AbuseRate     float64       // ... and a second (50)
 	AckTimeout    time.Duration // until our SETTINGS are acknowledged (10 s)
@@ -40,8 +40,8 @@
 	if c.Handshake == 0 {
 		c.Handshake = 5 * time.Second
 	}
-	if c.Stall == 0 {
-		c.Stall = 10 * time.Second
+	if c.StallTimeout == 0 {
+		c.StallTimeout = 10 * time.Second
 	}
 	if c.AbuseBurst == 0 {
 		c.AbuseBurst = 200
@@ -60,28 +60,28 @@
 
 // Kinds of event; the fields each one uses are in brackets.
 const (
-	Ready        EventKind = iota + 1 // the peer's first SETTINGS are here []
-	Headers                           // a header section came [Stream Fields End]
-	Informative                       // a 1xx section came, client only [Stream Fields]
-	Trailers                          // a trailer section came; the body is over [Stream Fields End]
-	Data                              // part of a body came; Data holds until the next Receive [Stream Data End]
-	StreamReset                       // the peer reset the stream, or it was malformed and we did [Stream Code Local Reason]
-	PeerGoAway                        // the peer will work on no stream of ours above Last [Last Code]
-	TooLarge                          // a header section over the limit; the stream is open without fields [Stream End]
-	LimitChanged                      // the peer changed how many streams we may open []
+	Ready           EventKind = iota + 1 // the peer's first SETTINGS are here []
+	Headers                              // a header section came [Stream Fields End]
+	Informational                        // a 1xx section came, client only [Stream Fields]
+	Trailers                             // a trailer section came; the body is over [Stream Fields End]
+	Data                                 // part of a body came; Data holds until the next Receive [Stream Data End]
+	StreamReset                          // the peer reset the stream, or it was malformed and we did [Stream Code Local Reason]
+	GoAwayReceived                       // the peer will work on no stream of ours above Last [Last Code]
+	HeadersTooLarge                      // a header section over the limit; the stream is open without fields [Stream End]
+	SettingsChanged                      // the peer changed how many streams we may open []
 )
 
 // Event is something the peer did.
 type Event struct {
-	Kind   EventKind
-	Stream uint32
-	Fields []Field
-	Data   []byte
-	End    bool // the peer sends no more on this stream
-	Code   ErrCode
-	Last   uint32
-	Local  bool
-	Reason string
+	Kind       EventKind
+	Stream     uint32
+	Fields     []Field
+	Data       []byte
+	End        bool // the peer sends no more on this stream
+	Code       ErrCode
+	LastStream uint32
+	Local      bool
+	Reason     string
 }
 
 // stream is one stream that is not closed yet.
@@ -192,17 +192,17 @@
 	return p
 }
 
-// Failed returns the error that ended the connection, if one did; the GOAWAY for it is in the output.
-func (c *Conn) Failed() error { return c.failed }
+// Err returns the error that ended the connection, if one did; the GOAWAY for it is in the output.
+func (c *Conn) Err() error { return c.failed }
 
-// Open tells how many streams are not closed.
-func (c *Conn) Open() int { return len(c.streams) }
+// OpenStreams tells how many streams are not closed.
+func (c *Conn) OpenStreams() int { return len(c.streams) }
 
-// Settled tells whether the peer's first SETTINGS are here.
-func (c *Conn) Settled() bool { return c.settled }
+// SettingsReceived tells whether the peer's first SETTINGS are here.
+func (c *Conn) SettingsReceived() bool { return c.settled }
 
-// Room tells how many more streams we may open now.
-func (c *Conn) Room() int {
+// AvailableStreams tells how many more streams we may open now.
+func (c *Conn) AvailableStreams() int {
 	if !c.settled || c.peerAway || c.closing || c.failed != nil || c.nextID > largestWindow-2 {
 		return 0
 	}
@@ -523,7 +523,7 @@
 	c.peerOpen++
 	if c.listSize > c.cfg.MaxHeaderList {
 		s.tooBig = true
-		c.events = append(c.events, Event{Kind: TooLarge, Stream: id, End: end})
+		c.events = append(c.events, Event{Kind: HeadersTooLarge, Stream: id, End: end})
 	} else {
 		n, err := fieldRules(c.fields, true, false)
 		if err == nil && end && n > 0 {
@@ -566,7 +566,7 @@
 		if end {
 			return c.streamError(s, ProtocolError, "1xx with END_STREAM")
 		}
-		c.events = append(c.events, Event{Kind: Informative, Stream: s.id, Fields: c.fields})
+		c.events = append(c.events, Event{Kind: Informational, Stream: s.id, Fields: c.fields})
 		return c.spend(0.5, "1xx sections", s.id)
 	}
 	s.gotHeaders = true
@@ -639,7 +639,7 @@
 		c.settled = true
 		c.events = append(c.events, Event{Kind: Ready})
 	} else {
-		c.events = append(c.events, Event{Kind: LimitChanged})
+		c.events = append(c.events, Event{Kind: SettingsChanged})
 	}
 	return nil
 }
@@ -703,7 +703,7 @@
 		return &ConnError{ProtocolError, 0, "GOAWAY with a rising last stream"}
 	}
 	c.peerAway, c.peerLast = true, last
-	c.events = append(c.events, Event{Kind: PeerGoAway, Last: last, Code: ErrCode(binary.BigEndian.Uint32(f.Payload[4:]))})
+	c.events = append(c.events, Event{Kind: GoAwayReceived, LastStream: last, Code: ErrCode(binary.BigEndian.Uint32(f.Payload[4:]))})
 	if c.client {
 		for id, s := range c.streams {
 			if id > last {
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -168,8 +168,8 @@
 		if err != nil || last.Kind != StreamReset || last.Code != c.code || !last.Local {
 			t.Errorf("%s: got %+v, %v, want %v", c.name, last, err, c.code)
 		}
-		if conn.Open() != 0 {
-			t.Errorf("%s: %d streams still open", c.name, conn.Open())
+		if conn.OpenStreams() != 0 {
+			t.Errorf("%s: %d streams still open", c.name, conn.OpenStreams())
 		}
 	}
 }
@@ -177,8 +177,8 @@
 // Streams above the limit are refused, so that their senders know that they have not run.
 func TestStreamLimitRefuses(t *testing.T) {
 	c, _, err := serve(t, Config{MaxStreams: 1}, headers(1, 0, get...), headers(3, 0, get...))
-	if err != nil || c.Open() != 1 {
-		t.Fatal(c.Open(), err)
+	if err != nil || c.OpenStreams() != 1 {
+		t.Fatal(c.OpenStreams(), err)
 	}
 	if want := frame(FrameRSTStream, 0, 3, u32(uint32(RefusedStream))); !bytes.Contains(c.Output(), want) {
 		t.Error("no REFUSED_STREAM")
@@ -188,7 +188,7 @@
 func TestTooLargeHeaderSection(t *testing.T) {
 	c, events, err := serve(t, Config{MaxHeaderList: 1024}, headers(1, FlagEndStream, append(append([]Field(nil), get...),
 		Field{Name: "a", Value: strings.Repeat("b", 900)}, Field{Name: "c", Value: strings.Repeat("d", 900)})...))
-	if last := events[len(events)-1]; err != nil || last.Kind != TooLarge {
+	if last := events[len(events)-1]; err != nil || last.Kind != HeadersTooLarge {
 		t.Fatal(last, err)
 	}
 	if err := c.Respond(0, 1, []Field{{Name: ":status", Value: "431"}}, nil); err != nil {
@@ -269,8 +269,8 @@
 			t.Fatal(err)
 		}
 		back, _ := pipe(t, cl, sv, chunk)
-		if !bytes.Equal(join(back), answer) || cl.Open() != 0 || sv.Open() != 0 {
-			t.Fatalf("answer of %d bytes, %d came; open: %d, %d", len(answer), len(join(back)), cl.Open(), sv.Open())
+		if !bytes.Equal(join(back), answer) || cl.OpenStreams() != 0 || sv.OpenStreams() != 0 {
+			t.Fatalf("answer of %d bytes, %d came; open: %d, %d", len(answer), len(join(back)), cl.OpenStreams(), sv.OpenStreams())
 		}
 	})
 }
@@ -293,11 +293,11 @@
 	second, _ := cl.Request(0, get, nil) // crosses the GOAWAY
 	sv.GoAway(0, NoError)
 	toClient, _ := pipe(t, cl, sv, 1000)
-	if e := toClient[0]; e.Kind != PeerGoAway || e.Last != first {
+	if e := toClient[0]; e.Kind != GoAwayReceived || e.LastStream != first {
 		t.Fatal(e)
 	}
-	if cl.Wants(second) || !cl.Wants(first) || cl.Room() != 0 {
-		t.Error("streams after GOAWAY:", cl.Wants(first), cl.Wants(second), cl.Room())
+	if cl.IsOpen(second) || !cl.IsOpen(first) || cl.AvailableStreams() != 0 {
+		t.Error("streams after GOAWAY:", cl.IsOpen(first), cl.IsOpen(second), cl.AvailableStreams())
 	}
 	if err := sv.Respond(0, first, []Field{{Name: ":status", Value: "201"}}, nil); err != nil {
 		t.Fatal(err)
@@ -316,17 +316,17 @@
 		_, _ = cl.Request(0, get, nil)
 	}
 	pipe(t, cl, sv, 1000)
-	sv.Limit(0, 1)
+	sv.SetMaxStreams(0, 1)
 	pipe(t, cl, sv, 1000)
-	if cl.Room() != 0 || cl.Open() != 3 {
-		t.Fatal(cl.Room(), cl.Open())
+	if cl.AvailableStreams() != 0 || cl.OpenStreams() != 3 {
+		t.Fatal(cl.AvailableStreams(), cl.OpenStreams())
 	}
 	for _, id := range []uint32{1, 3, 5} {
 		_ = sv.Respond(0, id, []Field{{Name: ":status", Value: "201"}}, nil)
 	}
 	pipe(t, cl, sv, 1000)
-	if cl.Room() != 1 {
-		t.Error("room:", cl.Room())
+	if cl.AvailableStreams() != 1 {
+		t.Error("room:", cl.AvailableStreams())
 	}
 }
 
@@ -360,7 +360,7 @@
 			}
 		}
 		if err != nil {
-			if c.Failed() == nil {
+			if c.Err() == nil {
 				t.Error("an error that did not end the connection")
 			}
 			return
--- a/internal/h2/send.go
+++ b/internal/h2/send.go
@@ -10,17 +10,17 @@
 
 // Errors of sending.
 var (
-	ErrNoRoom   = errors.New("h2: the peer takes no further stream now")
-	ErrClosed   = errors.New("h2: the stream is closed")
-	ErrTooLarge = errors.New("h2: header section above the peer's limit")
+	ErrNoStreamAvailable = errors.New("h2: the peer takes no further stream now")
+	ErrClosed            = errors.New("h2: the stream is closed")
+	ErrTooLarge          = errors.New("h2: header section above the peer's limit")
 )
 
 // Request opens a stream with a header section and a body, client only. Nothing of it has been sent where an error is
 // returned. The body is kept until the peer's windows let it go and must not be changed before.
 func (c *Conn) Request(now time.Duration, fields []Field, body []byte) (uint32, error) {
 	c.now = now
-	if c.Room() == 0 {
-		return 0, ErrNoRoom
+	if c.AvailableStreams() == 0 {
+		return 0, ErrNoStreamAvailable
 	}
 	if listSize(fields) > c.peerList {
 		return 0, ErrTooLarge
@@ -59,9 +59,9 @@
 	return nil
 }
 
-// Begin sends a response's header section and a part of its body and leaves the stream open. Stand-ins use it to
+// BeginResponse sends a response's header section and a part of its body and leaves the stream open. Stand-ins use it to
 // break off in mid-answer.
-func (c *Conn) Begin(now time.Duration, id uint32, fields []Field, part []byte) error {
+func (c *Conn) BeginResponse(now time.Duration, id uint32, fields []Field, part []byte) error {
 	c.now = now
 	s := c.streams[id]
 	if s == nil || s.sentEnd {
@@ -162,11 +162,11 @@
 	return true
 }
 
-// Wants tells whether the stream is still open.
-func (c *Conn) Wants(id uint32) bool { return c.streams[id] != nil }
+// IsOpen tells whether the stream is still open.
+func (c *Conn) IsOpen(id uint32) bool { return c.streams[id] != nil }
 
-// Blocked tells that bodies of ours wait for the peer's windows.
-func (c *Conn) Blocked() bool { return len(c.order) > 0 }
+// SendBlocked tells that bodies of ours wait for the peer's windows.
+func (c *Conn) SendBlocked() bool { return len(c.order) > 0 }
 
 // GoAway tells the peer to open no further streams; those open run on (RFC 9113 section 6.8).
 func (c *Conn) GoAway(now time.Duration, code ErrCode) {
@@ -185,8 +185,8 @@
 	c.out = append(c.out, reason...)
 }
 
-// Limit changes how many streams the peer may open, and tells it; server only.
-func (c *Conn) Limit(now time.Duration, n uint32) {
+// SetMaxStreams changes how many streams the peer may open, and tells it; server only.
+func (c *Conn) SetMaxStreams(now time.Duration, n uint32) {
 	c.now = now
 	c.cfg.MaxStreams = n
 	c.out = AppendFrame(c.out, FrameSettings, 0, 0, appendSetting(nil, SettingMaxConcurrentStreams, n))
@@ -203,12 +203,12 @@
 		return c.fail(&ConnError{SettingsTimeout, 0, "no preface or SETTINGS in time"})
 	case c.settled && !c.acked && now-c.start > c.cfg.Handshake+c.cfg.AckTimeout:
 		return c.fail(&ConnError{SettingsTimeout, 0, "SETTINGS not acknowledged in time"})
-	case c.inBlock && now-c.blockSince > c.cfg.Stall:
+	case c.inBlock && now-c.blockSince > c.cfg.StallTimeout:
 		return c.fail(&ConnError{EnhanceYourCalm, c.blockFrom.Stream, "header section not ended in time"})
 	}
 	for _, id := range c.order {
-		if s := c.streams[id]; s != nil && now-s.stalledSince > c.cfg.Stall {
-			return c.fail(&ConnError{FlowControlError, id, fmt.Sprintf("window held shut for over %v", c.cfg.Stall)})
+		if s := c.streams[id]; s != nil && now-s.stalledSince > c.cfg.StallTimeout {
+			return c.fail(&ConnError{FlowControlError, id, fmt.Sprintf("window held shut for over %v", c.cfg.StallTimeout)})
 		}
 	}
 	return nil
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -100,12 +100,12 @@
 	return wait, ok
 }
 
-// Post publishes one message to the default exchange and waits for its confirm.
-func (p *Publisher) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+// Send publishes one message to the default exchange and waits for its confirm.
+func (p *Publisher) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
 	l := p.lines[p.next.Add(1)%uint64(len(p.lines))]
-	pub := amqp.Publishing{Body: m.body(), CorrelationId: m.Test, MessageId: m.Repeat, Expiration: strconv.Itoa(m.TTL * 1000)}
-	if m.Key != "" {
-		pub.Headers = amqp.Table{"x-order-key": m.Key}
+	pub := amqp.Publishing{Body: m.body(), CorrelationId: m.CorrelationID, MessageId: m.IdempotencyKey, Expiration: strconv.Itoa(m.TTL * 1000)}
+	if m.OrderKey != "" {
+		pub.Headers = amqp.Table{"x-order-key": m.OrderKey}
 	}
 	var ch *amqp.Channel
 	var confirm *amqp.DeferredConfirmation
@@ -132,7 +132,7 @@
 	case served:
 		return http.StatusCreated, 0, "", nil
 	}
-	if ms, ok := l.returned(m.Test); ok {
+	if ms, ok := l.returned(m.CorrelationID); ok {
 		return http.StatusServiceUnavailable, int((ms + 999) / 1000), "", nil
 	}
 	if ch.IsClosed() { // the library says no for all that a closed channel leaves open
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -19,19 +19,19 @@
 
 // Message is one message to be handed in.
 type Message struct {
-	At       time.Duration // when, since the start
-	Test     string        // its name, first word of the body
-	Class    string        // second word: what the stand-ins go by
-	Key      string        // order key, sent as Topic
-	Repeat   string        // sent as Idempotency-Key
-	Path     string
-	Token    string
-	TTL      int           // seconds
-	Size     int           // bytes of the body, at least what the words take
-	Withdraw time.Duration // the client gives up after this, 0 never
-	Patience time.Duration // the client gives up waiting after this, and that counts as no answer; 0 never
-	Partner  string
-	AMQP     bool // hand it in by AMQP, where there are both
+	At             time.Duration // when, since the start
+	CorrelationID  string        // its name, first word of the body
+	Class          string        // second word: what the stand-ins go by
+	OrderKey       string        // order key, sent as Topic
+	IdempotencyKey string        // sent as Idempotency-Key
+	Path           string
+	Token          string
+	TTL            int           // seconds
+	BodySize       int           // bytes of the body, at least what the words take
+	CancelAfter    time.Duration // the client gives up after this, 0 never
+	Timeout        time.Duration // the client gives up waiting after this, and that counts as no answer; 0 never
+	Partner        string
+	AMQP           bool // hand it in by AMQP, where there are both
 }
 
 // Outcome is what a client saw of a message.
@@ -39,26 +39,26 @@
 	Message
 	Sent, Done time.Duration
 	Status     int    // 0: no answer
-	Wait       int    // Retry-After
-	Name       string // the dispatcher's name of it
+	RetryAfter int    // Retry-After
+	MessageID  string // the dispatcher's name of it
 	Err        string
-	Withdrawn  bool
+	Canceled   bool
 }
 
-// Poster hands one message in and waits for its answer: a Client or a Publisher.
-type Poster interface {
-	Post(ctx context.Context, m *Message) (status, wait int, name string, err error)
+// Sender hands one message in and waits for its answer: a Client or a Publisher.
+type Sender interface {
+	Send(ctx context.Context, m *Message) (status, wait int, name string, err error)
 }
 
-// Fronts hands each message in by the front that it names.
-type Fronts struct{ Push, AMQP Poster }
+// MultiSender hands each message in by the front that it names.
+type MultiSender struct{ Push, AMQP Sender }
 
-// Post is Poster.
-func (f Fronts) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+// Send is Poster.
+func (f MultiSender) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
 	if m.AMQP {
-		return f.AMQP.Post(ctx, m)
+		return f.AMQP.Send(ctx, m)
 	}
-	return f.Push.Post(ctx, m)
+	return f.Push.Send(ctx, m)
 }
 
 // Client is a set of connections to one dispatcher.
@@ -87,8 +87,8 @@
 	}
 }
 
-// Post hands one message in and waits for its answer.
-func (c *Client) Post(ctx context.Context, m *Message) (status, wait int, name string, err error) {
+// Send hands one message in and waits for its answer.
+func (c *Client) Send(ctx context.Context, m *Message) (status, wait int, name string, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+m.Path, bytes.NewReader(m.body()))
 	if err != nil {
 		return 0, 0, "", err
@@ -97,11 +97,11 @@
 	if m.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+m.Token)
 	}
-	if m.Key != "" {
-		req.Header.Set("Topic", m.Key)
+	if m.OrderKey != "" {
+		req.Header.Set("Topic", m.OrderKey)
 	}
-	if m.Repeat != "" {
-		req.Header.Set("Idempotency-Key", strconv.Quote(m.Repeat))
+	if m.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", strconv.Quote(m.IdempotencyKey))
 	}
 	res, err := c.https[c.next.Add(1)%uint64(len(c.https))].Do(req)
 	if err != nil {
@@ -115,9 +115,9 @@
 
 // body is what is sent: the words that the stand-ins go by, filled up to the size.
 func (m *Message) body() []byte {
-	body := make([]byte, 0, max(m.Size, 64))
-	body = fmt.Appendf(body, "%s %s %s\n", m.Test, m.Class, orDash(m.Key))
-	for len(body) < m.Size {
+	body := make([]byte, 0, max(m.BodySize, 64))
+	body = fmt.Appendf(body, "%s %s %s\n", m.CorrelationID, m.Class, orDash(m.OrderKey))
+	for len(body) < m.BodySize {
 		body = append(body, '.')
 	}
 	return body
@@ -133,7 +133,7 @@
 // Run hands in all messages at their times, each on a goroutine of its own while it is out, and returns what became
 // of them, in their order. now is the clock of the run; most bounds how many are out at once: the rest wait, and
 // their latency counts.
-func Run(ctx context.Context, c Poster, msgs []Message, now func() time.Duration, most int) []Outcome {
+func Run(ctx context.Context, c Sender, msgs []Message, now func() time.Duration, most int) []Outcome {
 	out := make([]Outcome, len(msgs))
 	room := make(chan struct{}, max(1, most))
 	var all sync.WaitGroup
@@ -160,30 +160,30 @@
 	return out
 }
 
-func one(ctx context.Context, c Poster, m Message, now func() time.Duration) Outcome {
+func one(ctx context.Context, c Sender, m Message, now func() time.Duration) Outcome {
 	o := Outcome{Message: m, Sent: now()}
-	if m.Withdraw > 0 {
+	if m.CancelAfter > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, m.Withdraw)
+		ctx, stop = context.WithTimeout(ctx, m.CancelAfter)
 		defer stop()
 	}
-	if m.Patience > 0 {
+	if m.Timeout > 0 {
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, m.Patience)
+		ctx, stop = context.WithTimeout(ctx, m.Timeout)
 		defer stop()
 	}
 	var err error
-	o.Status, o.Wait, o.Name, err = c.Post(ctx, &m)
+	o.Status, o.RetryAfter, o.MessageID, err = c.Send(ctx, &m)
 	o.Done = now()
 	if err != nil {
 		o.Err = err.Error()
-		o.Withdrawn = m.Withdraw > 0 && ctx.Err() != nil && o.Done-o.Sent >= m.Withdraw
+		o.Canceled = m.CancelAfter > 0 && ctx.Err() != nil && o.Done-o.Sent >= m.CancelAfter
 	}
 	return o
 }
 
-// Final names the kind of final answer that a status is: served, refused, failed, or none.
-func Final(status int) string {
+// AnswerKind names the kind of final answer that a status is: served, refused, failed, or none.
+func AnswerKind(status int) string {
 	switch {
 	case status >= 200 && status < 300:
 		return "served"
@@ -199,14 +199,14 @@
 
 // ClassReport is what became of the messages of one class.
 type ClassReport struct {
-	Class                                 string
-	Sent                                  int
-	Served, Refused, Failed, Rejected, No int
-	Latency                               *hdrhistogram.Histogram // of those served, in microseconds, from when they were due
+	Class                                         string
+	Sent                                          int
+	Served, Refused, Failed, Rejected, Unanswered int
+	Latency                                       *hdrhistogram.Histogram // of those served, in microseconds, from when they were due
 }
 
-// Report sums outcomes up by class, in order of first sight.
-func Report(out []Outcome) []*ClassReport {
+// Summarize sums outcomes up by class, in order of first sight.
+func Summarize(out []Outcome) []*ClassReport {
 	var all []*ClassReport
 	by := map[string]*ClassReport{}
 	for _, o := range out {
@@ -217,7 +217,7 @@
 			all = append(all, r)
 		}
 		r.Sent++
-		switch Final(o.Status) {
+		switch AnswerKind(o.Status) {
 		case "served":
 			r.Served++
 			_ = r.Latency.RecordValue(max(1, (o.Done - o.At).Microseconds()))
@@ -228,7 +228,7 @@
 		case "rejected":
 			r.Rejected++
 		default:
-			r.No++
+			r.Unanswered++
 		}
 	}
 	return all
@@ -242,7 +242,7 @@
 	for _, r := range reports {
 		served += r.Served
 		q := func(p float64) float64 { return float64(r.Latency.ValueAtQuantile(p)) / 1000 }
-		fmt.Fprintf(w, "%-10s %8d %8d %8d %8d %8d %8d %10.2f %10.2f %10.2f\n", r.Class, r.Sent, r.Served, r.Refused, r.Failed, r.Rejected, r.No,
+		fmt.Fprintf(w, "%-10s %8d %8d %8d %8d %8d %8d %10.2f %10.2f %10.2f\n", r.Class, r.Sent, r.Served, r.Refused, r.Failed, r.Rejected, r.Unanswered,
 			q(50), q(99), q(99.9))
 	}
 	fmt.Fprintf(w, "%.0f served a second over %.1f s\n", float64(served)/elapsed.Seconds(), elapsed.Seconds())
--- a/internal/mailbox/channel.go
+++ b/internal/mailbox/channel.go
@@ -9,7 +9,7 @@
 
 // Channel is one channel of a connection that reads answers: its consumers and what they have not acknowledged.
 type Channel struct {
-	b         *Box
+	b         *Broker
 	tenant    int
 	owner     uint64
 	sink      Sink
@@ -39,7 +39,7 @@
 }
 
 // Channel makes a channel of a connection.
-func (b *Box) Channel(tenant int, owner uint64, sink Sink) *Channel {
+func (b *Broker) Channel(tenant int, owner uint64, sink Sink) *Channel {
 	return &Channel{b: b, tenant: tenant, owner: owner, sink: sink, consumers: map[string]*consumer{}}
 }
 
@@ -50,7 +50,7 @@
 // hand gives an answer to a reader.
 func (ch *Channel) hand(q *queue, c *consumer, it item) {
 	ch.last++
-	d := Delivery{Consumer: c.tag, Tag: ch.last, Again: it.again, Queue: q.name, Payload: it.payload}
+	d := Delivery{ConsumerTag: c.tag, DeliveryTag: ch.last, Redelivered: it.again, Queue: q.name, Payload: it.payload}
 	if !c.noAck {
 		ch.out = append(ch.out, unacked{ch.last, q, c, it})
 		c.out++
@@ -70,7 +70,7 @@
 		tag = fmt.Sprintf("amq.ctag-%d", ch.b.names)
 	}
 	if ch.consumers[tag] != nil {
-		return "", ErrTagTaken
+		return "", ErrConsumerTagInUse
 	}
 	if len(q.consumers) > 0 && (exclusive || q.consumers[0].exclusive) {
 		return "", ErrInUse
@@ -81,8 +81,8 @@
 	return tag, nil
 }
 
-// Start hands out what waits for a reader; it is apart from Consume so that the reader hears of its tag first.
-func (ch *Channel) Start(tag string) {
+// StartDeliveries hands out what waits for a reader; it is apart from Consume so that the reader hears of its tag first.
+func (ch *Channel) StartDeliveries(tag string) {
 	if c := ch.consumers[tag]; c != nil {
 		ch.b.pump(c.q)
 	}
@@ -107,11 +107,11 @@
 	}
 }
 
-// Reads tells whether a tag is a reader's.
-func (ch *Channel) Reads(tag string) bool { return ch.consumers[tag] != nil }
+// HasConsumer tells whether a tag is a reader's.
+func (ch *Channel) HasConsumer(tag string) bool { return ch.consumers[tag] != nil }
 
-// Prefetch bounds what is out unacknowledged: of the whole channel, or of each consumer from now on. 0 is no bound.
-func (ch *Channel) Prefetch(n int, whole bool) {
+// SetPrefetch bounds what is out unacknowledged: of the whole channel, or of each consumer from now on. 0 is no bound.
+func (ch *Channel) SetPrefetch(n int, whole bool) {
 	if whole {
 		ch.most = n
 		ch.pump()
@@ -120,8 +120,8 @@
 	}
 }
 
-// Hold stops deliveries, or lets them go on.
-func (ch *Channel) Hold(on bool) {
+// SetPaused stops deliveries, or lets them go on.
+func (ch *Channel) SetPaused(on bool) {
 	ch.held = on
 	ch.pump()
 }
@@ -150,7 +150,7 @@
 		ch.out = append(ch.out, unacked{ch.last, q, nil, it})
 		q.out++
 	}
-	return Delivery{Tag: ch.last, Again: it.again, Queue: q.name, Payload: it.payload}, len(q.ready), true, nil
+	return Delivery{DeliveryTag: ch.last, Redelivered: it.again, Queue: q.name, Payload: it.payload}, len(q.ready), true, nil
 }
 
 // Ack takes an acknowledgement; multiple means all up to the tag, and 0 with it all there are.
@@ -175,7 +175,7 @@
 	case multiple && tag == 0:
 		over, ch.out = ch.out, nil
 	case !found:
-		return ErrNoTag
+		return ErrUnknownDelivery
 	case multiple:
 		over = slices.Clone(ch.out[:i+1])
 		ch.out = ch.out[i+1:]
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -17,27 +17,27 @@
 
 // Errors of a Box.
 var (
-	ErrNotFound = errors.New("there is no such queue")
-	ErrLocked   = errors.New("the queue is another connection's")
-	ErrDiffers  = errors.New("the queue exists with other properties")
-	ErrTooMany  = errors.New("too many queues")
-	ErrFull     = errors.New("the answer queue is full: its reader is behind")
-	ErrInUse    = errors.New("the queue is in use")
-	ErrBound    = errors.New("the binding leads to another queue already")
-	ErrTagTaken = errors.New("the consumer tag is taken")
-	ErrNoTag    = errors.New("no such delivery is waiting for an acknowledgement")
+	ErrNotFound         = errors.New("there is no such queue")
+	ErrLocked           = errors.New("the queue is another connection's")
+	ErrPropertiesDiffer = errors.New("the queue exists with other properties")
+	ErrTooManyQueues    = errors.New("too many queues")
+	ErrQueueFull        = errors.New("the answer queue is full: its reader is behind")
+	ErrInUse            = errors.New("the queue is in use")
+	ErrAlreadyBound     = errors.New("the binding leads to another queue already")
+	ErrConsumerTagInUse = errors.New("the consumer tag is taken")
+	ErrUnknownDelivery  = errors.New("no such delivery is waiting for an acknowledgement")
 )
 
 // Limits of a Box.
 type Limits struct {
-	Queues int           // of a tenant
-	Length int           // answers in a queue: waiting, with readers, and promised
-	Keep   time.Duration // an answer that nobody reads is dropped after this, 0 for never
-	Idle   time.Duration // a queue that is not exclusive goes after this without reader, answer or promise
+	QueuesPerTenant int           // of a tenant
+	QueueLength     int           // answers in a queue: waiting, with readers, and promised
+	Keep            time.Duration // an answer that nobody reads is dropped after this, 0 for never
+	Idle            time.Duration // a queue that is not exclusive goes after this without reader, answer or promise
 }
 
-// Spec is how a queue is declared.
-type Spec struct {
+// QueueSpec is how a queue is declared.
+type QueueSpec struct {
 	Name                  string
 	Exclusive, AutoDelete bool
 	Owner                 uint64 // connection that declares it
@@ -53,26 +53,26 @@
 	exchange, key string
 }
 
-// Box holds all queues.
-type Box struct {
-	limits   Limits
-	queues   map[address]*queue
-	count    map[int]int // by tenant
-	bindings map[binding]*queue
-	seq      uint64
-	names    uint64
-	Lost     uint64 // answers whose queue was gone
+// Broker holds all queues.
+type Broker struct {
+	limits         Limits
+	queues         map[address]*queue
+	count          map[int]int // by tenant
+	bindings       map[binding]*queue
+	seq            uint64
+	names          uint64
+	DroppedAnswers uint64 // answers whose queue was gone
 }
 
 // New makes a Box.
-func New(l Limits) *Box {
-	return &Box{limits: l, queues: map[address]*queue{}, count: map[int]int{}, bindings: map[binding]*queue{}}
+func New(l Limits) *Broker {
+	return &Broker{limits: l, queues: map[address]*queue{}, count: map[int]int{}, bindings: map[binding]*queue{}}
 }
 
 // queue holds answers in the order in which they were known.
 type queue struct {
 	address
-	spec      Spec
+	spec      QueueSpec
 	ready     []item // by seq
 	out       int    // with readers, not acknowledged
 	promised  int
@@ -97,21 +97,21 @@
 
 // Delivery is one answer on its way to a reader.
 type Delivery struct {
-	Consumer string
-	Tag      uint64
-	Again    bool // it was delivered before
-	Queue    string
-	Payload  any
+	ConsumerTag string
+	DeliveryTag uint64
+	Redelivered bool // it was delivered before
+	Queue       string
+	Payload     any
 }
 
 // Declare makes a queue, or finds one that is the same. An empty name gets one made up. passive only looks.
-func (b *Box) Declare(now time.Duration, tenant int, s Spec, passive bool) (name string, ready, consumers int, err error) {
+func (b *Broker) Declare(now time.Duration, tenant int, s QueueSpec, passive bool) (name string, ready, consumers int, err error) {
 	if q := b.queues[address{tenant, s.Name}]; q != nil && s.Name != "" {
 		switch {
 		case q.spec.Exclusive && q.spec.Owner != s.Owner:
 			return "", 0, 0, ErrLocked
 		case !passive && (q.spec.Exclusive != s.Exclusive || q.spec.AutoDelete != s.AutoDelete):
-			return "", 0, 0, ErrDiffers
+			return "", 0, 0, ErrPropertiesDiffer
 		}
 		q.used = now
 		return s.Name, len(q.ready), len(q.consumers), nil
@@ -119,8 +119,8 @@
 	if passive {
 		return "", 0, 0, ErrNotFound
 	}
-	if b.count[tenant] >= b.limits.Queues {
-		return "", 0, 0, ErrTooMany
+	if b.count[tenant] >= b.limits.QueuesPerTenant {
+		return "", 0, 0, ErrTooManyQueues
 	}
 	if s.Name == "" {
 		for s.Name == "" || b.queues[address{tenant, s.Name}] != nil { // some may be back from before a restart
@@ -135,7 +135,7 @@
 }
 
 // find returns a queue that a connection may use.
-func (b *Box) find(tenant int, name string, owner uint64) (*queue, error) {
+func (b *Broker) find(tenant int, name string, owner uint64) (*queue, error) {
 	q := b.queues[address{tenant, name}]
 	if q == nil {
 		return nil, ErrNotFound
@@ -147,7 +147,7 @@
 }
 
 // Delete removes a queue and tells how many answers were in it.
-func (b *Box) Delete(tenant int, name string, owner uint64, ifUnused, ifEmpty bool) (int, error) {
+func (b *Broker) Delete(tenant int, name string, owner uint64, ifUnused, ifEmpty bool) (int, error) {
 	q, err := b.find(tenant, name, owner)
 	if errors.Is(err, ErrNotFound) {
 		return 0, nil // as common implementations do: gone is what was wanted
@@ -163,9 +163,9 @@
 	return n, nil
 }
 
-func (b *Box) remove(q *queue) {
+func (b *Broker) remove(q *queue) {
 	q.gone = true
-	b.Lost += uint64(len(q.ready))
+	b.DroppedAnswers += uint64(len(q.ready))
 	for _, c := range q.consumers {
 		delete(c.ch.consumers, c.tag)
 		c.ch.sink.Cancelled(c.tag)
@@ -183,34 +183,34 @@
 }
 
 // Purge drops the answers that wait in a queue.
-func (b *Box) Purge(tenant int, name string, owner uint64) (int, error) {
+func (b *Broker) Purge(tenant int, name string, owner uint64) (int, error) {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
 		return 0, err
 	}
 	n := len(q.ready)
-	b.Lost += uint64(n)
+	b.DroppedAnswers += uint64(n)
 	q.ready = nil
 	return n, nil
 }
 
 // Bind has the answers of what a tenant publishes to an exchange with a key, "#" for any, go to a queue, where a
 // message names none itself.
-func (b *Box) Bind(tenant int, exchange, key, name string, owner uint64) error {
+func (b *Broker) Bind(tenant int, exchange, key, name string, owner uint64) error {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
 		return err
 	}
 	k := binding{tenant, exchange, key}
 	if old := b.bindings[k]; old != nil && old != q {
-		return ErrBound
+		return ErrAlreadyBound
 	}
 	b.bindings[k] = q
 	return nil
 }
 
 // Unbind takes a binding back.
-func (b *Box) Unbind(tenant int, exchange, key, name string, owner uint64) error {
+func (b *Broker) Unbind(tenant int, exchange, key, name string, owner uint64) error {
 	q, err := b.find(tenant, name, owner)
 	if err != nil {
 		return err
@@ -221,16 +221,16 @@
 	return nil
 }
 
-// Place is the promise of a place in a queue, made before a message is taken: its answer is then never turned away.
+// Reservation is the promise of a place in a queue, made before a message is taken: its answer is then never turned away.
 // It ends once, by Fill or Drop.
-type Place struct {
-	b *Box
+type Reservation struct {
+	b *Broker
 	q *queue
 }
 
-// Promise asks for a place in the queue that replyTo names or, where that is empty, in the one bound. Without either
+// Reserve asks for a place in the queue that replyTo names or, where that is empty, in the one bound. Without either
 // the place is nil, and there is no error.
-func (b *Box) Promise(tenant int, replyTo, exchange, key string) (*Place, error) {
+func (b *Broker) Reserve(tenant int, replyTo, exchange, key string) (*Reservation, error) {
 	var q *queue
 	if replyTo != "" {
 		if q = b.queues[address{tenant, replyTo}]; q == nil {
@@ -241,24 +241,24 @@
 			return nil, nil
 		}
 	}
-	if len(q.ready)+q.out+q.promised >= b.limits.Length {
-		return nil, ErrFull
+	if len(q.ready)+q.out+q.promised >= b.limits.QueueLength {
+		return nil, ErrQueueFull
 	}
 	q.promised++
-	return &Place{b, q}, nil
+	return &Reservation{b, q}, nil
 }
 
-// Drop gives the place back.
-func (p *Place) Drop(now time.Duration) {
+// Release gives the place back.
+func (p *Reservation) Release(now time.Duration) {
 	p.q.promised--
 	p.q.used = now
 }
 
 // Fill puts the answer into the queue.
-func (p *Place) Fill(now time.Duration, payload any) {
-	p.Drop(now)
+func (p *Reservation) Fill(now time.Duration, payload any) {
+	p.Release(now)
 	if p.q.gone {
-		p.b.Lost++
+		p.b.DroppedAnswers++
 		return
 	}
 	p.b.seq++
@@ -267,7 +267,7 @@
 }
 
 // pump hands out what waits, to the readers in turns.
-func (b *Box) pump(q *queue) {
+func (b *Broker) pump(q *queue) {
 	for len(q.ready) > 0 {
 		c := q.next()
 		if c == nil {
@@ -298,28 +298,28 @@
 	q.ready = slices.Insert(q.ready, i, it)
 }
 
-// Waiting is an answer as a reader without a channel sees it: it stays until it is taken out by its number.
-type Waiting struct {
-	No      uint64
-	Payload any
+// PendingAnswer is an answer as a reader without a channel sees it: it stays until it is taken out by its number.
+type PendingAnswer struct {
+	Sequence uint64
+	Payload  any
 }
 
 // Peek returns the first answers that wait in a queue.
-func (b *Box) Peek(now time.Duration, tenant int, name string, most int) ([]Waiting, error) {
+func (b *Broker) Peek(now time.Duration, tenant int, name string, most int) ([]PendingAnswer, error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
 		return nil, err
 	}
 	q.used = now
-	var all []Waiting
+	var all []PendingAnswer
 	for _, it := range q.ready[:min(most, len(q.ready))] {
-		all = append(all, Waiting{it.seq, it.payload})
+		all = append(all, PendingAnswer{it.seq, it.payload})
 	}
 	return all, nil
 }
 
 // Take takes an answer out of a queue.
-func (b *Box) Take(now time.Duration, tenant int, name string, no uint64) (payload any, err error) {
+func (b *Broker) Take(now time.Duration, tenant int, name string, no uint64) (payload any, err error) {
 	q, err := b.find(tenant, name, 0)
 	if err != nil {
 		return nil, err
@@ -327,38 +327,38 @@
 	q.used = now
 	i, ok := slices.BinarySearchFunc(q.ready, no, func(x item, no uint64) int { return cmp.Compare(x.seq, no) })
 	if !ok {
-		return nil, ErrNoTag
+		return nil, ErrUnknownDelivery
 	}
 	payload = q.ready[i].payload
 	q.ready = slices.Delete(q.ready, i, i+1)
 	return payload, nil
 }
 
-// Room is a Box that several fronts share. Nothing blocks under its lock.
-type Room struct {
+// SharedBroker is a Box that several fronts share. Nothing blocks under its lock.
+type SharedBroker struct {
 	sync.Mutex
-	*Box
+	*Broker
 	Key receipt.Signer // signs what is handed out; nil: nothing is signed
 
 	// Told when a subscription is made (without a receipt) and when a receipt is taken out; nil: nobody is. They must
 	// not block.
-	Changed func(tenant int, name string, taken *receipt.Receipt)
+	OnChange func(tenant int, name string, taken *receipt.Receipt)
 }
 
-// Tell calls Changed.
-func (r *Room) Tell(tenant int, name string, taken *receipt.Receipt) {
-	if r.Changed != nil {
-		r.Changed(tenant, name, taken)
+// NotifyChange calls Changed.
+func (r *SharedBroker) NotifyChange(tenant int, name string, taken *receipt.Receipt) {
+	if r.OnChange != nil {
+		r.OnChange(tenant, name, taken)
 	}
 }
 
 // Expire drops answers that nobody has read, and removes queues that nobody has used, for long.
-func (b *Box) Expire(now time.Duration) {
+func (b *Broker) Expire(now time.Duration) {
 	for _, q := range b.queues {
 		for b.limits.Keep > 0 && len(q.ready) > 0 && now-q.ready[0].at > b.limits.Keep {
 			q.ready[0] = item{}
 			q.ready = q.ready[1:]
-			b.Lost++
+			b.DroppedAnswers++
 		}
 		if b.limits.Idle > 0 && !q.spec.Exclusive && len(q.consumers)+len(q.ready)+q.out+q.promised == 0 && now-q.used > b.limits.Idle {
 			b.remove(q)
@@ -366,8 +366,8 @@
 	}
 }
 
-// Leave removes the queues that were exclusive to a connection. Its channels are to be closed before.
-func (b *Box) Leave(owner uint64) {
+// DeleteExclusive removes the queues that were exclusive to a connection. Its channels are to be closed before.
+func (b *Broker) DeleteExclusive(owner uint64) {
 	for _, q := range b.queues {
 		if q.spec.Exclusive && q.spec.Owner == owner {
 			b.remove(q)
@@ -376,7 +376,7 @@
 }
 
 // Usage is how many queues there are and answers in them.
-func (b *Box) Usage() (queues, answers int) {
+func (b *Broker) Usage() (queues, answers int) {
 	for _, q := range b.queues {
 		answers += len(q.ready) + q.out
 	}
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -18,17 +18,17 @@
 func (r *reader) Deliver(d Delivery)   { r.got = append(r.got, d) }
 func (r *reader) Cancelled(tag string) { r.cancelled = append(r.cancelled, tag) }
 
-func put(t *testing.T, b *Box, queue string, payload any) {
+func put(t *testing.T, b *Broker, queue string, payload any) {
 	t.Helper()
-	p, err := b.Promise(0, queue, "", "")
+	p, err := b.Reserve(0, queue, "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Fill(0, payload)
 }
 
-func box(t *testing.T, queues ...Spec) *Box {
-	b := New(Limits{Queues: 4, Length: 6, Idle: time.Minute})
+func box(t *testing.T, queues ...QueueSpec) *Broker {
+	b := New(Limits{QueuesPerTenant: 4, QueueLength: 6, Idle: time.Minute})
 	for _, s := range queues {
 		if _, _, _, err := b.Declare(0, 0, s, false); err != nil {
 			t.Fatal(err)
@@ -38,51 +38,51 @@
 }
 
 func TestDeclare(t *testing.T) {
-	b := box(t, Spec{Name: "mine", Exclusive: true, Owner: 1}, Spec{Name: "all"})
+	b := box(t, QueueSpec{Name: "mine", Exclusive: true, Owner: 1}, QueueSpec{Name: "all"})
 	for name, c := range map[string]struct {
 		tenant  int
-		spec    Spec
+		spec    QueueSpec
 		passive bool
 		err     error
 	}{
-		"another connection's":                {0, Spec{Name: "mine", Exclusive: true, Owner: 2}, true, ErrLocked},
-		"my own again":                        {0, Spec{Name: "mine", Exclusive: true, Owner: 1}, false, nil},
-		"differs":                             {0, Spec{Name: "all", AutoDelete: true}, false, ErrDiffers},
-		"passive needs no more than the name": {0, Spec{Name: "all", AutoDelete: true}, true, nil},
-		"passive, not there":                  {0, Spec{Name: "x"}, true, ErrNotFound},
-		"another tenant's":                    {1, Spec{Name: "all"}, true, ErrNotFound},
+		"another connection's":                {0, QueueSpec{Name: "mine", Exclusive: true, Owner: 2}, true, ErrLocked},
+		"my own again":                        {0, QueueSpec{Name: "mine", Exclusive: true, Owner: 1}, false, nil},
+		"differs":                             {0, QueueSpec{Name: "all", AutoDelete: true}, false, ErrPropertiesDiffer},
+		"passive needs no more than the name": {0, QueueSpec{Name: "all", AutoDelete: true}, true, nil},
+		"passive, not there":                  {0, QueueSpec{Name: "x"}, true, ErrNotFound},
+		"another tenant's":                    {1, QueueSpec{Name: "all"}, true, ErrNotFound},
 	} {
 		if _, _, _, err := b.Declare(0, c.tenant, c.spec, c.passive); !errors.Is(err, c.err) {
 			t.Errorf("%s: %v, want %v", name, err, c.err)
 		}
 	}
-	one, _, _, _ := b.Declare(0, 0, Spec{}, false)
-	two, _, _, _ := b.Declare(0, 0, Spec{}, false)
-	if _, _, _, err := b.Declare(0, 0, Spec{}, false); one == two || !errors.Is(err, ErrTooMany) {
+	one, _, _, _ := b.Declare(0, 0, QueueSpec{}, false)
+	two, _, _, _ := b.Declare(0, 0, QueueSpec{}, false)
+	if _, _, _, err := b.Declare(0, 0, QueueSpec{}, false); one == two || !errors.Is(err, ErrTooManyQueues) {
 		t.Errorf("%q, %q, then %v", one, two, err)
 	}
-	b.Leave(1)
-	if _, _, _, err := b.Declare(0, 0, Spec{Name: "mine"}, true); !errors.Is(err, ErrNotFound) {
+	b.DeleteExclusive(1)
+	if _, _, _, err := b.Declare(0, 0, QueueSpec{Name: "mine"}, true); !errors.Is(err, ErrNotFound) {
 		t.Error("an exclusive queue outlives its connection")
 	}
 }
 
 // A place that was promised is there, however full the queue is by then; a full queue promises none.
-func TestPlacesArePromised(t *testing.T) {
-	b := box(t, Spec{Name: "q"})
-	var places []*Place
+func TestReservations(t *testing.T) {
+	b := box(t, QueueSpec{Name: "q"})
+	var places []*Reservation
 	for range 6 {
-		p, err := b.Promise(0, "q", "", "")
+		p, err := b.Reserve(0, "q", "", "")
 		if err != nil {
 			t.Fatal(err)
 		}
 		places = append(places, p)
 	}
-	if _, err := b.Promise(0, "q", "", ""); !errors.Is(err, ErrFull) {
+	if _, err := b.Reserve(0, "q", "", ""); !errors.Is(err, ErrQueueFull) {
 		t.Error("a seventh place of six:", err)
 	}
-	places[0].Drop(0)
-	if p, err := b.Promise(0, "q", "", ""); err != nil {
+	places[0].Release(0)
+	if p, err := b.Reserve(0, "q", "", ""); err != nil {
 		t.Error(err)
 	} else {
 		p.Fill(0, 1)
@@ -90,30 +90,30 @@
 	for _, p := range places[1:] {
 		p.Fill(0, 1)
 	}
-	if _, n := b.Usage(); n != 6 || b.Lost != 0 {
-		t.Errorf("%d answers, %d lost", n, b.Lost)
+	if _, n := b.Usage(); n != 6 || b.DroppedAnswers != 0 {
+		t.Errorf("%d answers, %d lost", n, b.DroppedAnswers)
 	}
-	if _, err := b.Promise(0, "nowhere", "", ""); !errors.Is(err, ErrNotFound) {
+	if _, err := b.Reserve(0, "nowhere", "", ""); !errors.Is(err, ErrNotFound) {
 		t.Error(err)
 	}
-	if p, err := b.Promise(0, "", "x", "k"); p != nil || err != nil {
+	if p, err := b.Reserve(0, "", "x", "k"); p != nil || err != nil {
 		t.Error("a place that nobody asked for:", p, err)
 	}
 	if err := b.Bind(0, "x", "#", "q", 1); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.Promise(0, "", "x", "k"); !errors.Is(err, ErrFull) {
+	if _, err := b.Reserve(0, "", "x", "k"); !errors.Is(err, ErrQueueFull) {
 		t.Error("a binding leads nowhere:", err)
 	}
 }
 
 // Readers share in turns, each within its prefetch; what is acknowledged makes room.
 func TestPrefetch(t *testing.T) {
-	b := box(t, Spec{Name: "q"})
+	b := box(t, QueueSpec{Name: "q"})
 	one, two := &reader{}, &reader{}
 	c1, c2 := b.Channel(0, 1, one), b.Channel(0, 2, two)
-	c1.Prefetch(2, false)
-	c2.Prefetch(1, true)
+	c1.SetPrefetch(2, false)
+	c2.SetPrefetch(1, true)
 	for _, c := range []*Channel{c1, c2} {
 		if _, err := c.Consume("q", "tag", false, false); err != nil {
 			t.Fatal(err)
@@ -128,22 +128,22 @@
 	if err := c1.Ack(0, 2, true); err != nil || len(one.got) != 4 {
 		t.Errorf("after an ack of both: %d, %v", len(one.got), err)
 	}
-	if err := c1.Ack(0, 2, false); !errors.Is(err, ErrNoTag) {
+	if err := c1.Ack(0, 2, false); !errors.Is(err, ErrUnknownDelivery) {
 		t.Error("acknowledged twice:", err)
 	}
-	c2.Hold(true)
+	c2.SetPaused(true)
 	if err := c2.Ack(0, 1, false); err != nil || len(two.got) != 1 {
 		t.Error("handed out in spite of channel.flow")
 	}
-	c2.Hold(false)
+	c2.SetPaused(false)
 	if len(two.got) != 2 {
 		t.Error("nothing comes after channel.flow")
 	}
 }
 
 // What a reader had not acknowledged goes back to where it was, marked, and in its order.
-func TestBackInOrder(t *testing.T) {
-	b := box(t, Spec{Name: "q"})
+func TestRequeueInOrder(t *testing.T) {
+	b := box(t, QueueSpec{Name: "q"})
 	one, two := &reader{}, &reader{}
 	c := b.Channel(0, 1, one)
 	if _, err := c.Consume("q", "", false, false); err != nil {
@@ -160,11 +160,11 @@
 	if _, err := next.Consume("q", "", true, false); err != nil {
 		t.Fatal(err)
 	}
-	next.Start("amq.ctag-2")
+	next.StartDeliveries("amq.ctag-2")
 	var order []any
 	for _, d := range two.got {
 		order = append(order, d.Payload)
-		if !d.Again {
+		if !d.Redelivered {
 			t.Error("not marked as delivered before")
 		}
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-func TestQueueGone(t *testing.T) {
-	b := box(t, Spec{Name: "q"}, Spec{Name: "auto", AutoDelete: true})
+func TestQueueRemoved(t *testing.T) {
+	b := box(t, QueueSpec{Name: "q"}, QueueSpec{Name: "auto", AutoDelete: true})
 	r := &reader{}
 	c := b.Channel(0, 1, r)
 	if _, err := c.Consume("q", "a", false, false); err != nil {
@@ -186,7 +186,7 @@
 	if _, err := c.Consume("auto", "c", false, false); !errors.Is(err, ErrInUse) {
 		t.Error("a second reader beside an exclusive one:", err)
 	}
-	p, _ := b.Promise(0, "q", "", "")
+	p, _ := b.Reserve(0, "q", "", "")
 	put(t, b, "q", 1)
 	if _, err := b.Delete(0, "q", 1, true, false); !errors.Is(err, ErrInUse) {
 		t.Error("deleted in use:", err)
@@ -195,8 +195,8 @@
 		t.Error(err, r.cancelled)
 	}
 	p.Fill(0, 2) // its queue is gone: counted, no harm
-	if b.Lost != 1 {
-		t.Errorf("%d lost", b.Lost)
+	if b.DroppedAnswers != 1 {
+		t.Errorf("%d lost", b.DroppedAnswers)
 	}
 	if err := c.Reject(0, 1, false, true); err != nil {
 		t.Error("the delivery can't be settled any more:", err)
@@ -205,7 +205,7 @@
 	if n, _ := b.Usage(); n != 0 {
 		t.Errorf("%d queues left", n)
 	}
-	if _, _, _, err := b.Declare(0, 0, Spec{Name: "idle"}, false); err != nil {
+	if _, _, _, err := b.Declare(0, 0, QueueSpec{Name: "idle"}, false); err != nil {
 		t.Fatal(err)
 	}
 	b.Expire(59 * time.Second)
@@ -218,31 +218,31 @@
 }
 
 // Answers that nobody reads are dropped once they are old, and no others.
-func TestOldAnswersGo(t *testing.T) {
-	b := New(Limits{Queues: 4, Length: 6, Keep: time.Minute})
-	_, _, _, _ = b.Declare(0, 0, Spec{Name: "q"}, false)
+func TestOldAnswersDropped(t *testing.T) {
+	b := New(Limits{QueuesPerTenant: 4, QueueLength: 6, Keep: time.Minute})
+	_, _, _, _ = b.Declare(0, 0, QueueSpec{Name: "q"}, false)
 	for i := range 3 {
-		p, _ := b.Promise(0, "q", "", "")
+		p, _ := b.Reserve(0, "q", "", "")
 		p.Fill(time.Duration(i)*30*time.Second, i)
 	}
 	b.Expire(80 * time.Second)
 	all, err := b.Peek(0, 0, "q", 10)
-	if err != nil || len(all) != 2 || all[0].Payload != 1 || b.Lost != 1 {
-		t.Errorf("%v %v, %d lost", all, err, b.Lost)
+	if err != nil || len(all) != 2 || all[0].Payload != 1 || b.DroppedAnswers != 1 {
+		t.Errorf("%v %v, %d lost", all, err, b.DroppedAnswers)
 	}
-	if _, err := b.Take(0, 0, "q", all[1].No); err != nil {
+	if _, err := b.Take(0, 0, "q", all[1].Sequence); err != nil {
 		t.Error(err)
 	}
-	if _, err := b.Take(0, 0, "q", all[1].No); !errors.Is(err, ErrNoTag) {
+	if _, err := b.Take(0, 0, "q", all[1].Sequence); !errors.Is(err, ErrUnknownDelivery) {
 		t.Error("taken twice:", err)
 	}
 }
 
 // Whatever readers do, no answer is lost, none is acknowledged twice, and no bound is passed.
-func TestNothingLost(t *testing.T) {
+func TestNoAnswerLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(Limits{Queues: 4, Length: 20})
-		_, _, _, _ = b.Declare(0, 0, Spec{Name: "q"}, false)
+		b := New(Limits{QueuesPerTenant: 4, QueueLength: 20})
+		_, _, _, _ = b.Declare(0, 0, QueueSpec{Name: "q"}, false)
 		type side struct {
 			ch *Channel
 			r  *reader
@@ -258,18 +258,18 @@
 			case 0:
 				r := &reader{}
 				ch := b.Channel(0, uint64(len(open)), r)
-				ch.Prefetch(rapid.IntRange(0, 3).Draw(t, "prefetch"), rapid.Bool().Draw(t, "whole"))
+				ch.SetPrefetch(rapid.IntRange(0, 3).Draw(t, "prefetch"), rapid.Bool().Draw(t, "whole"))
 				tag, err := ch.Consume("q", "", false, false)
 				if err != nil {
 					t.Fatal(err)
 				}
-				ch.Start(tag)
+				ch.StartDeliveries(tag)
 				open = append(open, side{ch, r})
 			case 1, 2:
-				if p, err := b.Promise(0, "q", "", ""); err == nil {
+				if p, err := b.Reserve(0, "q", "", ""); err == nil {
 					p.Fill(0, put)
 					put++
-				} else if !errors.Is(err, ErrFull) || len(b.queues[address{0, "q"}].ready)+b.queues[address{0, "q"}].out < 20 {
+				} else if !errors.Is(err, ErrQueueFull) || len(b.queues[address{0, "q"}].ready)+b.queues[address{0, "q"}].out < 20 {
 					t.Fatal(err)
 				}
 			default:
--- a/internal/chores/chores.go
+++ b/internal/maintenance/maintenance.go
@@ -1,16 +1,16 @@
-// Package chores plans background work (sealing, compression, retention, expiry, verification) beside delivery: by
+// Package maintenance plans background work (sealing, compression, retention, expiry, verification) beside delivery: by
 // class, within a share of one core, less where the engine is under pressure, and never past a chore's deadline. It is
 // deterministic and free of I/O: the time, the pressure and what a chore cost are passed in.
-package chores
+package maintenance
 
 import "time"
 
-// Chore is one kind of work.
-type Chore struct {
+// Task is one kind of work.
+type Task struct {
 	Name     string
-	Class    int           // lower goes first
-	Every    time.Duration // from the end of one run until the next is due
-	Deadline time.Duration // a run this long after it was due goes whatever the budget; 0: it can wait for ever
+	Priority int           // lower goes first
+	Interval time.Duration // from the end of one run until the next is due
+	MaxDelay time.Duration // a run this long after it was due goes whatever the budget; 0: it can wait for ever
 }
 
 // Budget bounds all chores together.
@@ -19,19 +19,19 @@
 	Burst time.Duration // of work that may be saved up
 }
 
-// Planner decides what runs next.
-type Planner struct {
-	budget Budget
-	chores []Chore
-	due    []time.Duration
-	credit time.Duration
-	at     time.Duration
-	Late   int // runs that went over the budget, for their deadline
+// Scheduler decides what runs next.
+type Scheduler struct {
+	budget     Budget
+	chores     []Task
+	due        []time.Duration
+	credit     time.Duration
+	at         time.Duration
+	OverBudget int // runs that went over the budget, for their deadline
 }
 
 // New makes a Planner at a time; every chore is due then.
-func New(b Budget, chores []Chore, now time.Duration) *Planner {
-	p := &Planner{budget: b, chores: chores, due: make([]time.Duration, len(chores)), credit: b.Burst, at: now}
+func New(b Budget, chores []Task, now time.Duration) *Scheduler {
+	p := &Scheduler{budget: b, chores: chores, due: make([]time.Duration, len(chores)), credit: b.Burst, at: now}
 	for i := range p.due {
 		p.due[i] = now
 	}
@@ -43,7 +43,7 @@
 
 // Next tells which chore runs now, or -1 and how long to wait. pressure is 0 where the engine is at ease and 1 where its
 // rounds take all the time they may.
-func (p *Planner) Next(now time.Duration, pressure float64) (chore int, wait time.Duration) {
+func (p *Scheduler) Next(now time.Duration, pressure float64) (chore int, wait time.Duration) {
 	share := p.budget.Share * max(least, 1-max(0, pressure))
 	p.credit = min(p.budget.Burst, p.credit+time.Duration(share*float64(now-p.at)))
 	p.at = now
@@ -54,13 +54,13 @@
 		case over < 0:
 			wait = min(wait, -over)
 			continue
-		case c.Deadline > 0 && over >= c.Deadline:
+		case c.MaxDelay > 0 && over >= c.MaxDelay:
 			if best < 0 || !p.overdue(best, now) || p.sooner(i, best) {
 				best = i
 			}
 			continue
-		case c.Deadline > 0:
-			wait = min(wait, c.Deadline-over)
+		case c.MaxDelay > 0:
+			wait = min(wait, c.MaxDelay-over)
 		}
 		if best < 0 || !p.overdue(best, now) && p.before(i, best) {
 			best = i
@@ -71,7 +71,7 @@
 		return -1, wait
 	case p.overdue(best, now):
 		if p.credit <= 0 {
-			p.Late++
+			p.OverBudget++
 		}
 		return best, 0
 	case p.credit > 0:
@@ -80,26 +80,26 @@
 	return -1, min(wait, time.Duration(float64(-p.credit)/share)+time.Millisecond)
 }
 
-func (p *Planner) overdue(i int, now time.Duration) bool {
-	return p.chores[i].Deadline > 0 && now-p.due[i] >= p.chores[i].Deadline
+func (p *Scheduler) overdue(i int, now time.Duration) bool {
+	return p.chores[i].MaxDelay > 0 && now-p.due[i] >= p.chores[i].MaxDelay
 }
 
 // sooner tells whether one chore's deadline came before another's.
-func (p *Planner) sooner(i, j int) bool {
-	return p.due[i]+p.chores[i].Deadline < p.due[j]+p.chores[j].Deadline
+func (p *Scheduler) sooner(i, j int) bool {
+	return p.due[i]+p.chores[i].MaxDelay < p.due[j]+p.chores[j].MaxDelay
 }
 
 // before tells whether one due chore goes before another: by class, then by when they were due.
-func (p *Planner) before(i, j int) bool {
-	a, b := p.chores[i].Class, p.chores[j].Class
+func (p *Scheduler) before(i, j int) bool {
+	a, b := p.chores[i].Priority, p.chores[j].Priority
 	return a < b || a == b && p.due[i] < p.due[j]
 }
 
 // Done tells that a run is over, what it cost, and whether there is more of the same to do: then it is due at once.
-func (p *Planner) Done(chore int, now, cost time.Duration, more bool) {
+func (p *Scheduler) Done(chore int, now, cost time.Duration, more bool) {
 	p.credit -= cost
 	p.due[chore] = now
 	if !more {
-		p.due[chore] += p.chores[chore].Every
+		p.due[chore] += p.chores[chore].Interval
 	}
 }
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -220,14 +220,14 @@
 // permitted are the attempts that may be written now, and are on record where they need to be; the others end.
 func (c *conn) permitted(tasks []*task) []*task {
 	p := c.pool
-	if p.cfg.Permits == nil || len(tasks) == 0 {
+	if p.cfg.Admission == nil || len(tasks) == 0 {
 		return tasks
 	}
 	now := p.clock.Now()
 	var alive []*task
 	var call []*engine.Attempt
 	for _, t := range tasks {
-		if err := p.cfg.Permits.Write(now, t.a); err != nil {
+		if err := p.cfg.Admission.Write(now, t.a); err != nil {
 			p.end(t, engine.Outcome{Kind: engine.Unsent, Detail: err.Error()})
 			continue
 		}
@@ -236,7 +236,7 @@
 	if len(call) == 0 {
 		return nil
 	}
-	may, err := p.cfg.Permits.Record(call)
+	may, err := p.cfg.Admission.Record(call)
 	if err == nil {
 		return alive
 	}
@@ -252,8 +252,8 @@
 
 // takenBack tells that an attempt that was permitted was not written.
 func (p *Pool) takenBack(t *task) {
-	if p.cfg.Permits != nil {
-		p.cfg.Permits.TakenBack(t.a)
+	if p.cfg.Admission != nil {
+		p.cfg.Admission.TakenBack(t.a)
 	}
 }
 
@@ -313,7 +313,7 @@
 
 // Tick is eventloop.Handler: it looks after time limits, of handshakes, windows held shut and idle connections.
 func (p *Pool) Tick() {
-	long := p.clock.Now() - control.Time(p.cfg.Idle/time.Microsecond)
+	long := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.active {
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -10,9 +10,9 @@
 	"whinrun/internal/h1"
 )
 
-// Calls turns calls into HTTP/1.1 requests and answers into ends.
-type Calls interface {
-	Addresses
+// HTTP1Codec turns calls into HTTP/1.1 requests and answers into ends.
+type HTTP1Codec interface {
+	Resolver
 	// Request appends the request of a call to b; left is the time that each of its attempts has.
 	Request(b []byte, as []*engine.Attempt, left []time.Duration) []byte
 	// Answer makes a whole response into one end for each attempt of the call. The head is valid only until it returns.
@@ -23,9 +23,9 @@
 }
 
 // NewHTTP1 is HTTP/1.1 with one call at a time on a connection; the attempts of one Start are one call.
-func NewHTTP1(c Calls) Protocol { return http1{c} }
+func NewHTTP1(c HTTP1Codec) Protocol { return http1{c} }
 
-type http1 struct{ Calls }
+type http1 struct{ HTTP1Codec }
 
 func (http1) bulk() bool { return true }
 
@@ -37,7 +37,7 @@
 // h1Line is one HTTP/1.1 connection.
 type h1Line struct {
 	c     *conn
-	calls Calls
+	calls HTTP1Codec
 	out   []byte
 	in    []byte // of the answer, while it is not whole
 	used  bool   // something was written on it before
@@ -49,7 +49,7 @@
 	status int               // of the first line that counts, 0 before
 	head   *h1.Response
 	headAt time.Duration
-	chunks h1.Chunks
+	chunks h1.ChunkDecoder
 }
 
 func (l *h1Line) output() []byte {
@@ -185,7 +185,7 @@
 // readHead reads the head of the answer; those of interim answers (1xx) are passed over.
 func (l *h1Line) readHead(now time.Duration) error {
 	for {
-		if s, ok := h1.Status(l.in); ok && s >= 200 {
+		if s, ok := h1.ParseStatus(l.in); ok && s >= 200 {
 			l.status = s
 		}
 		head, n, err := h1.ParseResponse(l.in)
@@ -194,7 +194,7 @@
 		}
 		l.in = l.in[n:]
 		if head.Status >= 200 {
-			l.head, l.headAt, l.chunks = head, now, h1.Chunks{}
+			l.head, l.headAt, l.chunks = head, now, h1.ChunkDecoder{}
 			return nil
 		}
 		if head.Status == 101 {
@@ -205,7 +205,7 @@
 
 // body takes bytes of the body; the call ends with its last one. One larger than any answer needs is not waited for.
 func (l *h1Line) body(b []byte) error {
-	most := int64(l.c.pool.cfg.MaxAnswer)
+	most := int64(l.c.pool.cfg.MaxAnswerBytes)
 	if l.head.Length > most {
 		return fmt.Errorf("%w: a body of %d bytes", h1.ErrLength, l.head.Length)
 	}
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -10,9 +10,9 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h1"
-	"whinrun/internal/opener"
 )
 
 // plain calls: the path has the names of the messages.
@@ -51,7 +51,7 @@
 func newRig(t *testing.T) *rig { return newRigWith(t, nil) }
 
 // newRigWith makes a rig whose calls need permits.
-func newRigWith(t *testing.T, permits Permits) *rig {
+func newRigWith(t *testing.T, permits Admission) *rig {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,8 +67,8 @@
 			r.conns <- c
 		}
 	}()
-	cfg := Config{Loops: 1, Conns: 3, Streams: 1, ConnectTimeout: time.Second, Idle: time.Minute, MaxAnswer: 1000, Permits: permits,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 2, Total: 3}}
+	cfg := Config{Loops: 1, MaxConnsPerEndpoint: 3, MaxStreams: 1, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1000, Admission: permits,
+		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 2, MaxConns: 3}}
 	r.p, err = New(cfg, NewHTTP1(plain{netip.MustParseAddrPort(ln.Addr().String())}), r.clock, func(e engine.Outcome) { r.ends <- e })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/outbound/http2.go
+++ b/internal/outbound/http2.go
@@ -8,18 +8,18 @@
 	"whinrun/internal/h2"
 )
 
-// Speech turns attempts into HTTP/2 requests and answers into ends, for the endpoint's kind of partner.
-type Speech interface {
-	Addresses
+// HTTP2Codec turns attempts into HTTP/2 requests and answers into ends, for the endpoint's kind of partner.
+type HTTP2Codec interface {
+	Resolver
 	Request(a *engine.Attempt, left time.Duration) []h2.Field
 	// Answer makes a whole response into an end.
 	Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome
 }
 
 // NewHTTP2 is HTTP/2 with a speech; each attempt is a stream.
-func NewHTTP2(s Speech) Protocol { return http2{s} }
+func NewHTTP2(s HTTP2Codec) Protocol { return http2{s} }
 
-type http2 struct{ Speech }
+type http2 struct{ HTTP2Codec }
 
 func (http2) bulk() bool { return false }
 
@@ -33,7 +33,7 @@
 // connections and says nothing then costs no doubt.
 type h2Line struct {
 	c      *conn
-	speech Speech
+	speech HTTP2Codec
 	h      *h2.Conn
 	tasks  map[uint32]*task
 	proved bool // it has answered something
@@ -51,13 +51,15 @@
 func (l *h2Line) output() []byte                { return l.h.Output() }
 func (l *h2Line) shut(now time.Duration)        { l.h.GoAway(now, h2.NoError) }
 
-func (l *h2Line) room() int { return min(l.c.pool.cfg.Streams, l.h.Room()+l.h.Open()) }
+func (l *h2Line) room() int {
+	return min(l.c.pool.cfg.MaxStreams, l.h.AvailableStreams()+l.h.OpenStreams())
+}
 
 func (l *h2Line) state() lineState {
-	return lineState{settled: l.h.Settled(), busy: l.h.Open() > 0, done: l.h.Done(), limit: l.room()}
+	return lineState{settled: l.h.SettingsReceived(), busy: l.h.OpenStreams() > 0, done: l.h.Done(), limit: l.room()}
 }
 
-func (l *h2Line) hasRoom() bool { return l.h.Room() > 0 }
+func (l *h2Line) hasRoom() bool { return l.h.AvailableStreams() > 0 }
 
 func (l *h2Line) start(now time.Duration, _ *call, tasks []*task) error {
 	t := tasks[0] // HTTP/2 has no bulk calls
@@ -97,7 +99,7 @@
 	case h2.Ready:
 		l.c.ready(l.room())
 		return
-	case h2.PeerGoAway:
+	case h2.GoAwayReceived:
 		l.away(e)
 		return
 	}
@@ -110,7 +112,7 @@
 	case h2.Headers:
 		t.fields, t.headers = e.Fields, true
 	case h2.Data:
-		if room := p.cfg.MaxAnswer - len(t.body); room > 0 {
+		if room := p.cfg.MaxAnswerBytes - len(t.body); room > 0 {
 			t.body = append(t.body, e.Data[:min(room, len(e.Data))]...)
 		}
 	case h2.StreamReset:
@@ -122,7 +124,7 @@
 		delete(l.tasks, e.Stream)
 		l.proved = true
 		p.end(t, l.speech.Answer(t.a, t.fields, t.body))
-		if l.h.Wants(e.Stream) { // an early answer: the rest of our body is not wanted
+		if l.h.IsOpen(e.Stream) { // an early answer: the rest of our body is not wanted
 			l.h.Reset(p.elapsed(), e.Stream, h2.NoError)
 		}
 	}
@@ -156,7 +158,7 @@
 		kind = engine.GoAwayBeforeResponse
 	}
 	for id, t := range l.tasks {
-		if id > e.Last {
+		if id > e.LastStream {
 			delete(l.tasks, id)
 			p.end(t, engine.Outcome{Kind: kind, Detail: "GOAWAY " + e.Code.String()})
 		}
--- a/internal/outbound/outbound_test.go
+++ b/internal/outbound/outbound_test.go
@@ -17,9 +17,9 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
 // TestMain is also the partner in a process of its own, so that it does not share this one's descriptors.
@@ -107,14 +107,14 @@
 }
 
 func config() Config {
-	return Config{Loops: 1, Conns: 2, Streams: 10, ConnectTimeout: 20 * time.Second, Idle: time.Minute, MaxAnswer: 100,
-		Opening: opener.Budget{PerSecond: 1000, Opening: 4, Total: 1000}}
+	return Config{Loops: 1, MaxConnsPerEndpoint: 2, MaxStreams: 10, ConnectTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 100,
+		DialLimits: dialscheduler.Limits{HandshakesPerSecond: 1000, MaxHandshakes: 4, MaxConns: 1000}}
 }
 
 // At the bound of connections the longest idle one is closed for a new one: all are served, and never more are open.
 func TestTotalMakesRoom(t *testing.T) {
 	cfg := config()
-	cfg.Opening.Total = 5
+	cfg.DialLimits.MaxConns = 5
 	ends, most := gather(t, cfg, 60)
 	if ends[engine.Answered] != 60 || most > 5 {
 		t.Errorf("ends %v, %d connections at once", ends, most)
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -16,26 +16,26 @@
 
 	"whinrun/control"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/h2"
-	"whinrun/internal/opener"
 )
 
-// Addresses tells where endpoints are; ok is false for one that was never listed.
-type Addresses interface {
+// Resolver tells where endpoints are; ok is false for one that was never listed.
+type Resolver interface {
 	Address(ep control.EndpointID) (addr netip.AddrPort, ok bool)
 }
 
 // Protocol is what is spoken on the connections of a Pool.
 type Protocol interface {
-	Addresses
+	Resolver
 	line(c *conn, now time.Duration) line
 	bulk() bool // the attempts of one Start go as one call; else each is a call
 }
 
-// Permits has the last word on calls. Its methods are called on event loops, and must not wait for the engine.
-type Permits interface {
+// Admission has the last word on calls. Its methods are called on event loops, and must not wait for the engine.
+type Admission interface {
 	// Write tells why an attempt must not be written now; nil permits it.
 	Write(now control.Time, a *engine.Attempt) error
 	// Record puts attempts on record that are written next, as one call. It returns those that may be: all, or with an error
@@ -71,17 +71,17 @@
 
 // Config bounds a Pool.
 type Config struct {
-	Loops          int                           // event loops
-	Conns          int                           // connections to one endpoint
-	Streams        int                           // attempts on one connection at once, where the peer allows more
-	ConnectTimeout time.Duration                 // until a connection and the peer's SETTINGS are there
-	Idle           time.Duration                 // a connection without attempts is closed after this
-	Opening        opener.Budget                 // of new connections to all endpoints
-	MaxAnswer      int                           // bytes of an answer's body that are kept
-	Trace          func(format string, a ...any) // told of each connection's end and each call taken back, nil for none
-	H2             h2.Config
-	Permits        Permits          // asked in the moment in which a call is written; nil permits all
-	System         eventloop.System // nil for the kernel
+	Loops               int                           // event loops
+	MaxConnsPerEndpoint int                           // connections to one endpoint
+	MaxStreams          int                           // attempts on one connection at once, where the peer allows more
+	ConnectTimeout      time.Duration                 // until a connection and the peer's SETTINGS are there
+	IdleTimeout         time.Duration                 // a connection without attempts is closed after this
+	DialLimits          dialscheduler.Limits          // of new connections to all endpoints
+	MaxAnswerBytes      int                           // bytes of an answer's body that are kept
+	Trace               func(format string, a ...any) // told of each connection's end and each call taken back, nil for none
+	H2                  h2.Config
+	Admission           Admission        // asked in the moment in which a call is written; nil permits all
+	System              eventloop.System // nil for the kernel
 }
 
 // Pool holds the connections to all endpoints.
@@ -96,7 +96,7 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	planner *opener.Planner
+	planner *dialscheduler.Scheduler
 	sites   map[control.EndpointID]*site // those with connections or attempts; the others cost nothing
 	tasks   map[uint64]*task             // attempts without an end
 	idle    *list.List                   // connections without attempts, longest idle first
@@ -170,12 +170,12 @@
 func New(cfg Config, proto Protocol, clock clock.Clock, report func(engine.Outcome)) (*Pool, error) {
 	p := &Pool{cfg: cfg, proto: proto, clock: clock, report: report, sites: map[control.EndpointID]*site{},
 		tasks: map[uint64]*task{}, quit: make(chan struct{}), kick: make(chan struct{}, 1),
-		planner: opener.New(cfg.Opening), idle: list.New(), active: map[*conn]struct{}{}}
+		planner: dialscheduler.New(cfg.DialLimits), idle: list.New(), active: map[*conn]struct{}{}}
 	if p.cfg.Trace == nil {
 		p.cfg.Trace = func(string, ...any) {}
 	}
 	var err error
-	p.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, Tick: p.tick(), System: cfg.System, Log: func(text string) { p.cfg.Trace("%s", text) }}, p, clock)
+	p.loops, err = eventloop.New(eventloop.Config{Loops: cfg.Loops, TickInterval: p.tick(), System: cfg.System, Log: func(text string) { p.cfg.Trace("%s", text) }}, p, clock)
 	if err != nil {
 		return nil, fmt.Errorf("outbound: %w", err)
 	}
@@ -243,7 +243,7 @@
 // place puts a call on the first connection with room: calls of one round to one endpoint share one where they can, so
 // that a batch leaves in one write. One idle for too long is passed over: its peer may be closing it.
 func (p *Pool) place(k *call) bool {
-	long := p.clock.Now() - control.Time(p.cfg.Idle/time.Microsecond)
+	long := p.clock.Now() - control.Time(p.cfg.IdleTimeout/time.Microsecond)
 	for _, c := range k.site.conns {
 		if c.usable && c.load < c.limit && (c.load > 0 || c.since >= long) {
 			k.conn = c
@@ -267,10 +267,10 @@
 // grow wishes for a further connection where attempts wait for room; guarded by Pool.mu.
 func (p *Pool) grow(s *site) {
 	switch {
-	case len(s.pending) <= s.dialing*p.cfg.Streams || len(s.conns)+s.dialing >= p.cfg.Conns:
+	case len(s.pending) <= s.dialing*p.cfg.MaxStreams || len(s.conns)+s.dialing >= p.cfg.MaxConnsPerEndpoint:
 		if s.wished {
 			s.wished = false
-			p.planner.Drop(uint64(s.ep))
+			p.planner.Remove(uint64(s.ep))
 		}
 		// Ends that are still reported for a site dropped before must not drop the one made since.
 		if len(s.conns) == 0 && s.dialing == 0 && len(s.pending) == 0 && p.sites[s.ep] == s {
@@ -282,8 +282,8 @@
 	}
 	s.wished = true
 	first := s.pending[0].tasks[0].a
-	p.planner.Wish(opener.Want{Key: uint64(s.ep), Worth: first.Worth, Due: time.Duration(first.Deadline) * time.Microsecond,
-		Busy: s.busyTo > p.clock.Now()})
+	p.planner.Enqueue(dialscheduler.Request{Key: uint64(s.ep), Priority: first.Worth, Deadline: time.Duration(first.Deadline) * time.Microsecond,
+		RecentlyActive: s.busyTo > p.clock.Now()})
 	p.nudge()
 }
 
@@ -305,15 +305,15 @@
 		answer, key, at := p.planner.Next(now)
 		var s *site
 		switch answer {
-		case opener.Open:
+		case dialscheduler.Dial:
 			if s = p.sites[control.EndpointID(key)]; s == nil {
-				p.planner.Failed(now, opener.PeerFailed)
+				p.planner.Failed(now, dialscheduler.PeerFailed)
 			} else {
 				s.wished = false
 				s.dialing++
 				p.grow(s) // many may wait: one connection more is wished for at once
 			}
-		case opener.Full: // the longest idle connection makes room; with none idle all wait
+		case dialscheduler.CloseIdle: // the longest idle connection makes room; with none idle all wait
 			if e := p.idle.Front(); e != nil {
 				e.Value.(*conn).retire()
 				e.Value.(*conn).unidle()
@@ -323,7 +323,7 @@
 		if s != nil {
 			p.loops.Dial(s.addr, p.cfg.ConnectTimeout, s)
 		}
-		if answer == opener.Open {
+		if answer == dialscheduler.Dial {
 			continue
 		}
 		if at > 0 {
@@ -470,7 +470,7 @@
 	why := failure(err)
 	p.mu.Lock()
 	s.dialing--
-	s.lacking = why != opener.PeerFailed
+	s.lacking = why != dialscheduler.PeerFailed
 	p.planner.Failed(p.elapsed(), why)
 	var failed []*call
 	if !s.lacking {
@@ -484,12 +484,12 @@
 }
 
 // failure tells whose lack it was that a connection did not come about.
-func failure(err error) opener.Failure {
+func failure(err error) dialscheduler.Failure {
 	switch {
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-		return opener.NoDescriptors
-	case eventloop.Local(err):
-		return opener.Shortage
+		return dialscheduler.NoDescriptors
+	case eventloop.IsLocal(err):
+		return dialscheduler.LocalShortage
 	}
-	return opener.PeerFailed
+	return dialscheduler.PeerFailed
 }
