--- a/internal/partner/conn.go
+++ b/internal/partner/conn.go
@@ -76,19 +76,19 @@
 		c.mu.Lock()
 		c.dead = true
 		for _, k := range c.calls {
-			k.event(Gone, 0, 0)
+			k.event(PeerClosed, 0, 0)
 		}
 		c.mu.Unlock()
 		_ = c.nc.Close()
 	}()
-	if d := c.e.p.cfg.Handshake; d > 0 {
+	if d := c.e.p.cfg.SettingsDelay; d > 0 {
 		time.Sleep(d)
 	}
-	if c.fault().Vanish { // takes the connection, and that is all
+	if c.fault().Blackhole { // takes the connection, and that is all
 		c.drain()
 		return
 	}
-	limit := c.e.p.cfg.Streams
+	limit := c.e.p.cfg.MaxStreams
 	c.mu.Lock()
 	c.used = c.now()
 	c.h = h2.NewServer(h2.Config{MaxStreams: limit, AbuseBurst: 1e6, AbuseRate: 1e6, Handshake: time.Hour, AckTimeout: time.Hour}, c.now())
@@ -100,7 +100,7 @@
 		if err != nil {
 			return
 		}
-		if c.fault().Vanish {
+		if c.fault().Blackhole {
 			c.drain()
 			return
 		}
@@ -126,7 +126,7 @@
 func (c *conn) take(p []byte) bool {
 	c.mu.Lock()
 	now := c.now()
-	if reap := c.e.p.cfg.IdleReap; reap > 0 && len(c.calls) == 0 && now-c.used > reap && c.h.Settled() {
+	if reap := c.e.p.cfg.IdleTimeout; reap > 0 && len(c.calls) == 0 && now-c.used > reap && c.h.SettingsReceived() {
 		c.mu.Unlock()
 		c.drain() // dropped unseen: whoever writes here hears nothing
 		return false
@@ -161,7 +161,7 @@
 	case h2.StreamReset:
 		if k != nil {
 			delete(c.calls, v.Stream)
-			k.event(Gone, 0, 0)
+			k.event(PeerClosed, 0, 0)
 		}
 		return nil
 	}
@@ -173,7 +173,7 @@
 
 func (k *call) event(kind EventKind, status int, wait time.Duration) {
 	v := k.log
-	v.At, v.Kind, v.Status, v.Wait = 0, kind, status, wait
+	v.At, v.Kind, v.Status, v.RetryAfter = 0, kind, status, wait
 	k.c.e.event(v)
 }
 
@@ -182,32 +182,32 @@
 	c, e := k.c, k.c.e
 	now := c.now()
 	test, class, key := words(k.body)
-	k.log = Event{Conn: c.id, Stream: k.stream, Path: h2.Value(k.fields, ":path"), Message: h2.Value(k.fields, "whinrun-message"),
-		Attempt: h2.Value(k.fields, "whinrun-attempt"), Test: test, Class: class, Key: key}
-	k.event(Arrived, 0, 0)
+	k.log = Event{Conn: c.id, Stream: k.stream, Path: h2.Value(k.fields, ":path"), MessageID: h2.Value(k.fields, "whinrun-message"),
+		Attempt: h2.Value(k.fields, "whinrun-attempt"), CorrelationID: test, Class: class, OrderKey: key}
+	k.event(RequestReceived, 0, 0)
 	f := c.fault()
 	fell, first := e.p.tip(now)
 	if first {
-		e.event(Event{Kind: Tipped})
+		e.event(Event{Kind: Overloaded})
 	}
 	over, wait := e.p.above(now)
 	switch {
 	case fell:
 		k.cut(h2.InternalError)
 	case f.Hang:
-		k.event(Mute, 0, 0)
-	case f.Shut:
-		if f.Opens > now {
-			wait = (f.Opens - now + time.Second - 1).Truncate(time.Second)
+		k.event(NoResponse, 0, 0)
+	case f.Unavailable:
+		if f.AvailableAt > now {
+			wait = (f.AvailableAt - now + time.Second - 1).Truncate(time.Second)
 		}
 		k.answer(503, max(wait, time.Second))
 	case over:
 		k.answer(429, wait)
-	case e.p.chance(f.Refuse):
+	case e.p.chance(f.RefusalRate):
 		k.cut(h2.RefusedStream)
-	case e.p.chance(f.Missing):
+	case e.p.chance(f.NotFoundRate):
 		k.answer(404, 0)
-	case (f.Class == "" || f.Class == class) && e.p.chance(f.Error):
+	case (f.ErrorClass == "" || f.ErrorClass == class) && e.p.chance(f.Error):
 		k.answer(500, 0)
 	default:
 		e.enqueue(k)
@@ -217,7 +217,7 @@
 // enqueue has a call wait for one of the endpoint's servers.
 func (e *Endpoint) enqueue(k *call) {
 	e.mu.Lock()
-	if e.p.cfg.Servers > 0 && e.busy >= e.p.cfg.Servers {
+	if e.p.cfg.Concurrency > 0 && e.busy >= e.p.cfg.Concurrency {
 		e.queue = append(e.queue, k)
 		e.mu.Unlock()
 		return
@@ -250,13 +250,13 @@
 	f := e.fault
 	e.mu.Unlock()
 	e.p.mu.Lock()
-	d := time.Duration(float64(e.p.cfg.Pace) * (0.5 + e.p.rng.Float64()))
+	d := time.Duration(float64(e.p.cfg.ServiceTime) * (0.5 + e.p.rng.Float64()))
 	e.p.mu.Unlock()
-	if f.Slow > 0 {
-		d = time.Duration(float64(d) * f.Slow)
+	if f.SlowFactor > 0 {
+		d = time.Duration(float64(d) * f.SlowFactor)
 	}
-	if f.Every > 0 {
-		if at := e.p.log.Now() % f.Every; at < f.Pause {
+	if f.PauseInterval > 0 {
+		if at := e.p.log.Now() % f.PauseInterval; at < f.Pause {
 			d += f.Pause - at
 		}
 	}
@@ -267,25 +267,25 @@
 func (k *call) done() {
 	p := k.c.e.p
 	f := k.c.fault()
-	if f.Crash || f.Vanish {
+	if f.Crash || f.Blackhole {
 		return // died with it
 	}
 	k.apply()
 	switch {
-	case f.Hang || p.chance(f.Lose):
-		k.event(Mute, 0, 0)
-	case p.chance(f.Reset):
+	case f.Hang || p.chance(f.LostResponseRate):
+		k.event(NoResponse, 0, 0)
+	case p.chance(f.ResetRate):
 		k.c.do(func(now time.Duration) {
-			_ = k.c.h.Begin(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
+			_ = k.c.h.BeginResponse(now, k.stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "content-length", Value: "100"}}, []byte("half"))
 		})
 		k.cut(h2.InternalError)
-	case p.chance(f.Garble):
-		k.event(Cut, 0, 0)
+	case p.chance(f.MalformedRate):
+		k.event(StreamReset, 0, 0)
 		k.c.do(func(time.Duration) { // DATA of 2 bytes, padded by 200
 			_, _ = k.c.nc.Write(h2.AppendFrame(nil, h2.FrameData, h2.FlagPadded, k.stream, []byte{200, 0}))
 		})
-	case f.Late > 0:
-		time.AfterFunc(f.Late, func() { k.answer(201, 0) })
+	case f.ResponseDelay > 0:
+		time.AfterFunc(f.ResponseDelay, func() { k.answer(201, 0) })
 	default:
 		k.answer(201, 0)
 	}
@@ -303,7 +303,7 @@
 	}
 	p.mu.Unlock()
 	if again {
-		k.event(Repeat, 0, 0)
+		k.event(Deduplicated, 0, 0)
 		return
 	}
 	k.applied = true
@@ -316,7 +316,7 @@
 		fields = append(fields, h2.Field{Name: "retry-after", Value: strconv.Itoa(int(wait / time.Second))})
 	}
 	if status == 201 {
-		fields = append(fields, h2.Field{Name: "location", Value: "/d/" + k.log.Test})
+		fields = append(fields, h2.Field{Name: "location", Value: "/d/" + k.log.CorrelationID})
 	}
 	c := k.c
 	c.mu.Lock()
@@ -324,14 +324,14 @@
 	if c.dead || c.calls[k.stream] != k {
 		return // the caller is gone
 	}
-	k.event(Answer, status, wait) // before it is written: nobody sees it earlier than the log
+	k.event(Responded, status, wait) // before it is written: nobody sees it earlier than the log
 	delete(c.calls, k.stream)
 	_ = c.h.Respond(c.now(), k.stream, fields, nil)
 	c.write()
 }
 
 func (k *call) cut(code h2.ErrCode) {
-	k.event(Cut, int(code), 0)
+	k.event(StreamReset, int(code), 0)
 	k.c.do(func(now time.Duration) {
 		delete(k.c.calls, k.stream)
 		k.c.h.Reset(now, k.stream, code)
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -18,41 +18,41 @@
 
 // Config says what a partner is like when all is well.
 type Config struct {
-	Name      string
-	Pace      time.Duration // mean time that a call takes
-	Servers   int           // calls worked on at once at an endpoint; more wait. 0 is no bound
-	Rate      float64       // calls a second that it can do with all endpoints, for cold starts. 0: it does not tip
-	Limit     float64       // calls a second that it takes; more get 429. 0 is no limit
-	TellWait  bool          // with a Retry-After
-	ColdFrom  float64       // part of Rate after an outage ...
-	WarmUp    time.Duration // ... rising to all of it over this
-	Tip       float64       // pushed with more than this multiple ...
-	TipFor    time.Duration // ... for this long, it falls over for good
-	Conns     int           // connections that an endpoint takes; 0 is no bound
-	Streams   uint32        // streams on a connection; 0 is 100
-	IdleReap  time.Duration // a connection idle for longer is dead, unseen by its other side. 0: never
-	Handshake time.Duration // time before its SETTINGS are sent
-	Seed      uint64
+	Name           string
+	ServiceTime    time.Duration // mean time that a call takes
+	Concurrency    int           // calls worked on at once at an endpoint; more wait. 0 is no bound
+	Capacity       float64       // calls a second that it can do with all endpoints, for cold starts. 0: it does not tip
+	RateLimit      float64       // calls a second that it takes; more get 429. 0 is no limit
+	SendRetryAfter bool          // with a Retry-After
+	ColdShare      float64       // part of Rate after an outage ...
+	WarmUp         time.Duration // ... rising to all of it over this
+	OverloadFactor float64       // pushed with more than this multiple ...
+	OverloadWindow time.Duration // ... for this long, it falls over for good
+	MaxConns       int           // connections that an endpoint takes; 0 is no bound
+	MaxStreams     uint32        // streams on a connection; 0 is 100
+	IdleTimeout    time.Duration // a connection idle for longer is dead, unseen by its other side. 0: never
+	SettingsDelay  time.Duration // time before its SETTINGS are sent
+	Seed           uint64
 }
 
 // Fault is what an endpoint does wrong, until it is healed. The zero value is none.
 type Fault struct {
-	Crash   bool          // connections are reset, new ones refused
-	Vanish  bool          // nothing is read or written any more
-	Hang    bool          // streams are taken, none is answered
-	Shut    bool          // all calls get 503 with a wait until the time of opening, where that is told
-	Slow    float64       // calls take so many times longer
-	Pause   time.Duration // stands still for so long every Every
-	Every   time.Duration
-	Lose    float64       // share of calls that are applied and never answered
-	Error   float64       // share of calls that get 500 at once, not applied
-	Reset   float64       // share of calls applied and reset in mid-answer
-	Refuse  float64       // share of streams reset with REFUSED_STREAM
-	Late    time.Duration // answers are applied at once and sent so much later
-	Garble  float64       // share of calls answered with a malformed frame, after being applied
-	Missing float64       // share of calls that get 404
-	Class   string        // only messages of this class are hit by Error
-	Opens   time.Duration // with Shut: when it opens, since the start of the log
+	Crash            bool          // connections are reset, new ones refused
+	Blackhole        bool          // nothing is read or written any more
+	Hang             bool          // streams are taken, none is answered
+	Unavailable      bool          // all calls get 503 with a wait until the time of opening, where that is told
+	SlowFactor       float64       // calls take so many times longer
+	Pause            time.Duration // stands still for so long every Every
+	PauseInterval    time.Duration
+	LostResponseRate float64       // share of calls that are applied and never answered
+	Error            float64       // share of calls that get 500 at once, not applied
+	ResetRate        float64       // share of calls applied and reset in mid-answer
+	RefusalRate      float64       // share of streams reset with REFUSED_STREAM
+	ResponseDelay    time.Duration // answers are applied at once and sent so much later
+	MalformedRate    float64       // share of calls answered with a malformed frame, after being applied
+	NotFoundRate     float64       // share of calls that get 404
+	ErrorClass       string        // only messages of this class are hit by Error
+	AvailableAt      time.Duration // with Shut: when it opens, since the start of the log
 }
 
 // EventKind is what a stand-in saw or did.
@@ -60,36 +60,36 @@
 
 // Kinds of event.
 const (
-	Arrived  EventKind = "arrived"  // a whole call came
-	Applied  EventKind = "applied"  // it took effect
-	Repeat   EventKind = "repeat"   // its key had taken effect before: dropped, answered as done
-	Answer   EventKind = "answer"   // a status went out
-	Mute     EventKind = "mute"     // no answer will go out
-	Cut      EventKind = "cut"      // reset, in one way or another
-	Gone     EventKind = "gone"     // the caller reset the stream, or the connection is gone
-	Refused  EventKind = "refused"  // a connection turned away
-	Tipped   EventKind = "tipped"   // fell over when cold
-	Returned EventKind = "returned" // up again, cold
-	Down     EventKind = "down"     // an outage began
-	Blind    EventKind = "blind"    // from now on it reads nothing: ends of attempts don't show
+	RequestReceived EventKind = "arrived"  // a whole call came
+	Applied         EventKind = "applied"  // it took effect
+	Deduplicated    EventKind = "repeat"   // its key had taken effect before: dropped, answered as done
+	Responded       EventKind = "answer"   // a status went out
+	NoResponse      EventKind = "mute"     // no answer will go out
+	StreamReset     EventKind = "cut"      // reset, in one way or another
+	PeerClosed      EventKind = "gone"     // the caller reset the stream, or the connection is gone
+	ConnRefused     EventKind = "refused"  // a connection turned away
+	Overloaded      EventKind = "tipped"   // fell over when cold
+	Recovered       EventKind = "returned" // up again, cold
+	OutageStarted   EventKind = "down"     // an outage began
+	ReadingStopped  EventKind = "blind"    // from now on it reads nothing: ends of attempts don't show
 )
 
 // Event is one line of the log.
 type Event struct {
-	At       time.Duration
-	Kind     EventKind
-	Partner  string
-	Endpoint netip.AddrPort
-	Conn     int
-	Stream   uint32
-	Path     string // of the request: partners of a wave share a stand-in and differ in it
-	Message  string // the dispatcher's name of the message
-	Attempt  string
-	Test     string // the client's name of the message, first word of its body
-	Class    string // second word
-	Key      string // third word: the order key, or -
-	Status   int
-	Wait     time.Duration // told to wait, 0 for none
+	At            time.Duration
+	Kind          EventKind
+	Partner       string
+	Endpoint      netip.AddrPort
+	Conn          int
+	Stream        uint32
+	Path          string // of the request: partners of a wave share a stand-in and differ in it
+	MessageID     string // the dispatcher's name of the message
+	Attempt       string
+	CorrelationID string // the client's name of the message, first word of its body
+	Class         string // second word
+	OrderKey      string // third word: the order key, or -
+	Status        int
+	RetryAfter    time.Duration // told to wait, 0 for none
 }
 
 // Log gathers what all stand-ins of a run saw, in one order and on one clock.
@@ -103,8 +103,8 @@
 // NewLog starts a log that keeps so many events at most.
 func NewLog(most int) *Log { return &Log{start: clock.StartStopwatch(), most: most} }
 
-// Began is the start of the log.
-func (l *Log) Began() time.Time { return l.start.StartedAt() }
+// StartTime is the start of the log.
+func (l *Log) StartTime() time.Time { return l.start.StartedAt() }
 
 // Now is the time since the start of the log.
 func (l *Log) Now() time.Duration { return l.start.Elapsed() }
@@ -148,8 +148,8 @@
 
 // New makes a partner without endpoints.
 func New(cfg Config, log *Log) *Partner {
-	return &Partner{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), effects: map[string]bool{}, limit: cfg.Limit,
-		tellWait: cfg.TellWait}
+	return &Partner{cfg: cfg, log: log, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), effects: map[string]bool{}, limit: cfg.RateLimit,
+		tellWait: cfg.SendRetryAfter}
 }
 
 // Name is the partner's name.
@@ -233,10 +233,12 @@
 }
 
 // outage tells whether a fault is an outage, from which a partner comes back cold.
-func (f Fault) outage() bool { return f.Crash || f.Vanish || f.Hang || f.Shut || f.Error >= 0.5 }
+func (f Fault) outage() bool {
+	return f.Crash || f.Blackhole || f.Hang || f.Unavailable || f.Error >= 0.5
+}
 
-// Set puts a fault in force; the zero Fault heals. After an outage of all its endpoints the partner is cold.
-func (e *Endpoint) Set(f Fault) error {
+// SetFault puts a fault in force; the zero Fault heals. After an outage of all its endpoints the partner is cold.
+func (e *Endpoint) SetFault(f Fault) error {
 	e.mu.Lock()
 	old := e.fault
 	e.fault = f
@@ -253,23 +255,23 @@
 		}
 	}
 	e.mu.Unlock()
-	if f.Crash || old.Vanish && !f.Vanish {
+	if f.Crash || old.Blackhole && !f.Blackhole {
 		for _, c := range conns { // who vanished and is back knows nothing of its connections
 			c.close(true)
 		}
 	}
-	if f.Vanish {
-		e.event(Event{Kind: Blind})
+	if f.Blackhole {
+		e.event(Event{Kind: ReadingStopped})
 	}
 	switch {
 	case f.outage() && !old.outage():
-		e.event(Event{Kind: Down})
+		e.event(Event{Kind: OutageStarted})
 	case old.outage() && !f.outage():
 		e.p.mu.Lock()
 		e.p.cold = e.p.log.Now()
 		e.p.recent = nil
 		e.p.mu.Unlock()
-		e.event(Event{Kind: Returned})
+		e.event(Event{Kind: Recovered})
 	}
 	if err != nil {
 		return fmt.Errorf("partner %s: %w", e.p.cfg.Name, err)
@@ -288,12 +290,12 @@
 }
 
 // Streams changes how many streams connections take.
-func (e *Endpoint) Streams(n uint32) {
+func (e *Endpoint) SetMaxStreams(n uint32) {
 	e.mu.Lock()
 	conns := e.list()
 	e.mu.Unlock()
 	for _, c := range conns {
-		c.do(func(now time.Duration) { c.h.Limit(now, n) })
+		c.do(func(now time.Duration) { c.h.SetMaxStreams(now, n) })
 	}
 }
 
@@ -310,7 +312,7 @@
 			return
 		}
 		e.mu.Lock()
-		full := e.p.cfg.Conns > 0 && len(e.conns) >= e.p.cfg.Conns || e.closed
+		full := e.p.cfg.MaxConns > 0 && len(e.conns) >= e.p.cfg.MaxConns || e.closed
 		e.p.mu.Lock()
 		e.p.nextConn++
 		id := e.p.nextConn
@@ -322,7 +324,7 @@
 		}
 		e.mu.Unlock()
 		if full {
-			e.event(Event{Kind: Refused, Conn: id})
+			e.event(Event{Kind: ConnRefused, Conn: id})
 			_ = nc.Close()
 			continue
 		}
@@ -335,7 +337,7 @@
 	if p.cold == 0 || p.cfg.WarmUp <= 0 || now-p.cold >= p.cfg.WarmUp {
 		return 1
 	}
-	return p.cfg.ColdFrom + (1-p.cfg.ColdFrom)*float64(now-p.cold)/float64(p.cfg.WarmUp)
+	return p.cfg.ColdShare + (1-p.cfg.ColdShare)*float64(now-p.cold)/float64(p.cfg.WarmUp)
 }
 
 // tip counts a call against what a cold partner can do, and tells whether it has fallen over. A window holds the
@@ -343,10 +345,10 @@
 func (p *Partner) tip(now time.Duration) (fell, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.tipped || p.cfg.Rate <= 0 || p.warmth(now) >= 1 {
+	if p.tipped || p.cfg.Capacity <= 0 || p.warmth(now) >= 1 {
 		return p.tipped, false
 	}
-	for len(p.recent) > 0 && now-p.recent[0] > p.cfg.TipFor {
+	for len(p.recent) > 0 && now-p.recent[0] > p.cfg.OverloadWindow {
 		p.recent = p.recent[1:]
 	}
 	p.recent = append(p.recent, now)
@@ -358,11 +360,11 @@
 }
 
 func (p *Partner) bound(now time.Duration) float64 {
-	return TipBound(p.cfg.Rate*p.warmth(now), p.cfg.Tip, p.cfg.TipFor)
+	return OverloadLimit(p.cfg.Capacity*p.warmth(now), p.cfg.OverloadFactor, p.cfg.OverloadWindow)
 }
 
-// TipBound is how many calls in a window of that length a partner stands that can do rate calls a second.
-func TipBound(rate, tip float64, window time.Duration) float64 {
+// OverloadLimit is how many calls in a window of that length a partner stands that can do rate calls a second.
+func OverloadLimit(rate, tip float64, window time.Duration) float64 {
 	mean := tip * rate * window.Seconds()
 	return mean + 4*math.Sqrt(mean) + 4
 }
--- a/internal/platform/listreader.go
+++ b/internal/platform/listreader.go
@@ -27,7 +27,7 @@
 	head *h1.Response
 	// headBuf holds the bytes of an incomplete head.
 	headBuf  []byte
-	chunks   h1.Chunks
+	chunks   h1.ChunkDecoder
 	splitter objectSplitter
 }
 
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -10,15 +10,15 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/clock"
+	"whinrun/internal/dialscheduler"
 	"whinrun/internal/disk"
-	"whinrun/internal/door"
 	"whinrun/internal/engine"
 	"whinrun/internal/eventloop"
 	"whinrun/internal/front"
 	"whinrun/internal/ledger"
 	"whinrun/internal/logs"
-	"whinrun/internal/opener"
 	"whinrun/internal/outbound"
 	"whinrun/internal/safety"
 )
@@ -181,14 +181,14 @@
 }
 
 // openPool opens the pool of connections to endpoints.
-func (n *Node) openPool(budget descriptorBudget, permits outbound.Permits) error {
+func (n *Node) openPool(budget descriptorBudget, permits outbound.Admission) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
-		Loops: 1, Conns: set.Slots + 1, Streams: 1, MaxAnswer: maxResponseBody,
+		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxResponseBody,
 		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
-		Idle:           time.Duration(idleFraction * float64(durationOr(set.ConnIdleTimeout, 5*time.Second))),
-		Opening:        opener.Budget{PerSecond: float64(10 * budget.endpoints), Opening: budget.connecting, Total: budget.endpoints},
-		Trace:          n.debugLogger(), Permits: permits, System: n.system,
+		IdleTimeout:    time.Duration(idleFraction * float64(durationOr(set.ConnIdleTimeout, 5*time.Second))),
+		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * budget.endpoints), MaxHandshakes: budget.connecting, MaxConns: budget.endpoints},
+		Trace:          n.debugLogger(), Admission: permits, System: n.system,
 	}
 	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
 	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
@@ -202,13 +202,13 @@
 func (n *Node) openFront(budget descriptorBudget, maxHeld int) error {
 	set := &n.cfg.Settings
 	maxBytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
-	limits := door.Limits{Conns: budget.clients, Bytes: maxBytes, Hold: maxHeld, BlockAt: 1, UnblockAt: 1}
-	n.clients = NewClientHandler(*set, door.New(limits, max(1, len(set.Tenants)), n.loop).Side("platform"))
+	limits := admission.Limits{Conns: budget.clients, Bytes: maxBytes, Messages: maxHeld, BlockAt: 1, UnblockAt: 1}
+	n.clients = NewClientHandler(*set, admission.New(limits, max(1, len(set.Tenants)), n.loop).AddFrontend("platform"))
 	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Contains, n.hasList.Load
 	if n.cfg.Trace {
 		n.clients.trace = n.debugLogger()
 	}
-	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, Unread: 64 << 10, Trace: n.debugLogger(), System: n.system}
+	cfg := front.Config{Address: n.cfg.Listen.String(), Loops: 1, MaxUnread: 64 << 10, Trace: n.debugLogger(), System: n.system}
 	log := func(t string) { n.log.Warn("clients", "%s", t) }
 	return retryTransient(n.warnLogger("node"), func() (err error) {
 		n.front, err = front.New(cfg, n.clients.admission, n.clock, log, n.clients.Open)
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -35,7 +35,7 @@
 	// disk replaces the state directory, nil to use a real one.
 	disk *disk.Memory
 	// faulty replaces the kernel, nil to use the real one.
-	faulty *eventlooptest.Faulty
+	faulty *eventlooptest.FaultySystem
 	// fixedConfig is the text of the configuration file, nil to generate it from the present list.
 	fixedConfig []byte
 	logBuf      bytes.Buffer
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"whinrun/control"
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h1"
@@ -50,7 +50,7 @@
 	// ready reports whether an endpoint list is known.
 	ready func() bool
 	// admission limits and counts the clients' messages and connections.
-	admission *door.Side
+	admission *admission.Frontend
 	// trace is called for each response and each connection that times out.
 	trace func(format string, a ...any)
 	// stopping is set when the dispatcher begins to stop.
@@ -59,7 +59,7 @@
 
 // NewClientHandler returns a ClientHandler for the classes and tenants of settings s. Its function fields
 // must be set before the first session opens.
-func NewClientHandler(s control.Settings, side *door.Side) *ClientHandler {
+func NewClientHandler(s control.Settings, side *admission.Frontend) *ClientHandler {
 	h := &ClientHandler{admission: side, trace: func(string, ...any) {}}
 	h.classes, h.tenants = indexByName(&s)
 	for _, c := range s.Classes {
@@ -94,7 +94,7 @@
 	// lastID is the id of the last submitted message, for the trace.
 	lastID string
 	// deliver passes a parcel to the connection's event loop.
-	deliver func(front.Parcel) bool
+	deliver func(front.Task) bool
 	// opened is when the connection was accepted.
 	opened time.Duration
 	// lastActivity is when the last request was answered, or when the first byte of the current request
@@ -107,7 +107,7 @@
 	// headSize is the size of head, in bytes.
 	headSize int
 	// ticket is the admission ticket of the current request, nil for none.
-	ticket *door.Ticket
+	ticket *admission.Reservation
 	// pending is the submitted message whose answer is awaited, nil for none.
 	pending *pendingRequest
 	// answered tells that a request has been answered.
@@ -162,7 +162,7 @@
 		return
 	}
 	s.pending = nil
-	s.ticket.Answered(r.final, true)
+	s.ticket.Complete(r.final, true)
 	s.ticket = nil
 	switch r.final {
 	case engine.Served:
@@ -267,10 +267,10 @@
 		s.reject(now, "400 Bad Request")
 		return false
 	}
-	ticket := s.handler.admission.Ticket(0)
+	ticket := s.handler.admission.NewReservation(0)
 	s.head, s.headSize, s.ticket = head, n, &ticket
-	if err := s.ticket.Grow(int(head.Length)); err != nil {
-		s.ticket.Turn()
+	if err := s.ticket.Reserve(int(head.Length)); err != nil {
+		s.ticket.Reject()
 		s.ticket = nil
 		s.inBuf, s.head = nil, nil
 		s.respond(now, "503 Service Unavailable", refusalRetryAfter, true)
@@ -298,7 +298,7 @@
 		s.submit(now, m, head.Close)
 		return
 	}
-	s.ticket.Turn()
+	s.ticket.Reject()
 	s.ticket = nil
 	switch {
 	case head.Method != "GET":
@@ -325,7 +325,7 @@
 		}
 	}
 	s.pending = nil
-	s.ticket.Turn()
+	s.ticket.Reject()
 	s.ticket = nil
 	s.respond(now, "503 Service Unavailable", refusalRetryAfter, closeAfter || s.handler.stopping.Load())
 }
@@ -337,7 +337,7 @@
 	var values [6]string
 	for i, name := range [...]string{"x-txn", "x-lane", "x-org", "x-remaining", "x-consignee", "idempotency-key"} {
 		var ok bool
-		if values[i], ok = r.Fields.One(name); !ok {
+		if values[i], ok = r.Fields.Single(name); !ok {
 			return nil, bad
 		}
 	}
@@ -410,7 +410,7 @@
 // parseOrderKey returns the hash of the entity that a message is about, by which ordered classes keep their
 // order. It returns 0 if there is none, and false if the header is repeated.
 func parseOrderKey(f h1.Fields) (uint64, bool) {
-	text, ok := f.One("x-entity")
+	text, ok := f.Single("x-entity")
 	if text == "" || !ok {
 		return 0, ok
 	}
--- a/internal/platform/syscalls_test.go
+++ b/internal/platform/syscalls_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			d := newTestDispatcher(t)
-			d.faulty = &eventlooptest.Faulty{}
+			d.faulty = &eventlooptest.FaultySystem{}
 			d.addEndpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
 				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
 			})
@@ -27,21 +27,21 @@
 			faults := map[string][]error{
 				"socket": {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}, "connect": {unix.EADDRNOTAVAIL, unix.ENETUNREACH, unix.EINTR, unix.ETIMEDOUT,
 					unix.ECONNREFUSED}, "epoll_ctl": {unix.ENOMEM, unix.ENOSPC}, "getsockopt": {unix.ENOBUFS}, "getpeername": {unix.ENOBUFS}}
-			for call, errs := range eventlooptest.PassingErrors {
+			for call, errs := range eventlooptest.TransientErrors {
 				faults[call] = errs
 			}
 			var names []string
 			for round := range 2 {
 				d.startReady()
-				d.faulty.Set(eventlooptest.Sometimes(seed, 0.1, faults))
+				d.faulty.SetFault(eventlooptest.RandomFaults(seed, 0.1, faults))
 				names = append(names, d.submitFor(fmt.Sprint("r", round), 500*time.Millisecond)...)
 				d.kill()
-				d.faulty.Set(nil)
+				d.faulty.SetFault(nil)
 			}
 			d.startReady()
-			d.faulty.Set(eventlooptest.Sometimes(seed+100, 0.1, faults))
+			d.faulty.SetFault(eventlooptest.RandomFaults(seed+100, 0.1, faults))
 			d.awaitEnds(names)
-			d.faulty.Set(nil)
+			d.faulty.SetFault(nil)
 			d.checkRules()
 			if len(names) < 20 {
 				t.Errorf("only %d taken", len(names))
@@ -60,10 +60,10 @@
 		t.Run(c.call+" "+c.fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			d := newTestDispatcher(t)
-			d.faulty = &eventlooptest.Faulty{}
+			d.faulty = &eventlooptest.FaultySystem{}
 			d.addEndpoint("a", 1, "single", succeed)
 			d.startReady()
-			d.faulty.Set(func(call string) error {
+			d.faulty.SetFault(func(call string) error {
 				if call == c.call {
 					return c.fault
 				}
@@ -73,12 +73,12 @@
 			// Clients cannot connect during this failure either, so it ends before the messages are
 			// submitted.
 			if c.call == "epoll_ctl" {
-				d.faulty.Set(nil)
+				d.faulty.SetFault(nil)
 				names = d.submitAll("x", 2, 1, "status", "upload")
 			} else {
 				names = d.submitAll("x", 2, 1, "status", "upload")
 				d.bed.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
-				d.faulty.Set(nil)
+				d.faulty.SetFault(nil)
 			}
 			d.awaitEnds(names)
 			d.checkRules()
@@ -95,11 +95,11 @@
 		t.Run(fault.Error(), func(t *testing.T) {
 			t.Parallel()
 			d := newTestDispatcher(t)
-			d.faulty = &eventlooptest.Faulty{}
+			d.faulty = &eventlooptest.FaultySystem{}
 			d.addEndpoint("a", 1, "single", succeed)
 			d.startReady()
 			met := make(chan struct{}, 1)
-			d.faulty.Set(func(call string) error {
+			d.faulty.SetFault(func(call string) error {
 				if call != "accept" {
 					return nil
 				}
@@ -115,7 +115,7 @@
 				answer <- status
 			}()
 			<-met
-			d.faulty.Set(nil)
+			d.faulty.SetFault(nil)
 			if status := <-answer; status != 202 {
 				t.Errorf("answer %d", status)
 			}
--- a/internal/push/inbound.go
+++ b/internal/push/inbound.go
@@ -13,18 +13,18 @@
 	"whinrun/internal/intake"
 )
 
-// Desk reads requests: it makes messages of them by the book.
-type Desk struct{ book *intake.Registry }
+// RequestParser reads requests: it makes messages of them by the book.
+type RequestParser struct{ book *intake.Registry }
 
-// NewDesk returns a Desk.
-func NewDesk(book *intake.Registry) *Desk { return &Desk{book} }
+// NewRequestParser returns a Desk.
+func NewRequestParser(book *intake.Registry) *RequestParser { return &RequestParser{book} }
 
 // Problem is a request that is not taken (RFC 9457); the message was never held.
 type Problem struct {
-	Status int
-	Title  string
-	Wait   time.Duration
-	Extra  []h2.Field
+	Status      int
+	Title       string
+	RetryAfter  time.Duration
+	ExtraFields []h2.Field
 }
 
 func (p *Problem) Error() string { return fmt.Sprintf("%d %s", p.Status, p.Title) }
@@ -34,7 +34,7 @@
 }
 
 // Read makes a message of a request's header section, or tells why not.
-func (d *Desk) Read(fields []h2.Field) (*engine.Message, *Problem) {
+func (d *RequestParser) Read(fields []h2.Field) (*engine.Message, *Problem) {
 	path, _, _ := strings.Cut(h2.Value(fields, ":path"), "?")
 	r, target := d.book.Find(path)
 	if r == nil {
@@ -42,15 +42,15 @@
 	}
 	if m := h2.Value(fields, ":method"); m != "POST" {
 		p := problem(405, "a push resource takes POST")
-		p.Extra = []h2.Field{{Name: "allow", Value: "POST"}}
+		p.ExtraFields = []h2.Field{{Name: "allow", Value: "POST"}}
 		return nil, p
 	}
-	if p := d.Allowed(r.Tenant, h2.Value(fields, "authorization")); p != nil {
+	if p := d.Authorize(r.Tenant, h2.Value(fields, "authorization")); p != nil {
 		return nil, p
 	}
 	if n := h2.Value(fields, "content-length"); n != "" {
 		if size, err := strconv.ParseUint(n, 10, 62); err == nil && size > uint64(d.MaxBody()) {
-			return nil, d.TooLong()
+			return nil, d.BodyTooLarge()
 		}
 	}
 	m := &engine.Message{Class: r.Class, Tenant: r.Tenant, Dest: r.Dest, TargetPath: target,
@@ -64,17 +64,19 @@
 	return m, nil
 }
 
-// TooLong is the answer to a body above the limit.
-func (d *Desk) TooLong() *Problem { return problem(413, "body above %d bytes", d.MaxBody()) }
+// BodyTooLarge is the answer to a body above the limit.
+func (d *RequestParser) BodyTooLarge() *Problem {
+	return problem(413, "body above %d bytes", d.MaxBody())
+}
 
 // MaxBody is the largest body taken.
-func (d *Desk) MaxBody() int { return d.book.MaxBody() }
+func (d *RequestParser) MaxBody() int { return d.book.MaxBody() }
 
-// Book is what the Desk goes by.
-func (d *Desk) Book() *intake.Registry { return d.book }
+// Rules is what the Desk goes by.
+func (d *RequestParser) Rules() *intake.Registry { return d.book }
 
-// Allowed looks at the bearer token (RFC 6750): 401 for none or an unknown one, 403 for another tenant's.
-func (d *Desk) Allowed(tenant int, authorization string) *Problem {
+// Authorize looks at the bearer token (RFC 6750): 401 for none or an unknown one, 403 for another tenant's.
+func (d *RequestParser) Authorize(tenant int, authorization string) *Problem {
 	if d.book.IsOpen(tenant) {
 		return nil
 	}
@@ -83,7 +85,7 @@
 	switch {
 	case !strings.EqualFold(scheme, "Bearer") || standing == intake.UnknownSecret:
 		p := problem(401, "a bearer token of the tenant is needed")
-		p.Extra = []h2.Field{{Name: "www-authenticate", Value: `Bearer realm="push"`}}
+		p.ExtraFields = []h2.Field{{Name: "www-authenticate", Value: `Bearer realm="push"`}}
 		return p
 	case standing == intake.OtherTenant:
 		return problem(403, "that is another tenant's")
@@ -92,7 +94,7 @@
 }
 
 // times reads TTL and Urgency (RFC 8030 sections 5.2 and 5.3).
-func (d *Desk) times(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
+func (d *RequestParser) times(m *engine.Message, r *intake.Resource, fields []h2.Field) *Problem {
 	v := h2.Value(fields, "ttl")
 	switch {
 	case v == "":
@@ -138,18 +140,18 @@
 }
 
 // Response makes a final answer into a response: docs/answers.md says what each promises.
-func Response(n Names, m *engine.Message, a engine.Answer) Reply {
-	id := n.Of(m.ID)
+func Response(n ExternalIDs, m *engine.Message, a engine.Answer) Reply {
+	id := n.Format(m.ID)
 	switch a.Kind {
 	case engine.Served:
 		return Reply{Fields: []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: "/m/" + id},
-			{Name: "ttl", Value: strconv.Itoa(int(m.Lifetime / control.Second))}, {Name: FieldMessage, Value: id, Sensitive: true}}}
+			{Name: "ttl", Value: strconv.Itoa(int(m.Lifetime / control.Second))}, {Name: FieldMessageID, Value: id, Sensitive: true}}}
 	case engine.Refused:
 		p := problem(503, "refused: nothing has taken effect beyond what the class allows to repeat")
 		if a.Status == 429 {
 			p.Status = 429
 		}
-		p.Wait = time.Duration(a.RetryAfter) * time.Microsecond
+		p.RetryAfter = time.Duration(a.RetryAfter) * time.Microsecond
 		return p.reply(id, a)
 	}
 	if a.DeadlineExceeded {
@@ -175,12 +177,12 @@
 	r := Reply{Body: body, Fields: []h2.Field{{Name: ":status", Value: strconv.Itoa(p.Status)},
 		{Name: "content-type", Value: "application/problem+json"}, {Name: "content-length", Value: strconv.Itoa(len(body))}}}
 	if p.Status == 429 || p.Status == 503 {
-		seconds := max(1, (p.Wait+time.Second-1)/time.Second)
+		seconds := max(1, (p.RetryAfter+time.Second-1)/time.Second)
 		r.Fields = append(r.Fields, h2.Field{Name: "retry-after", Value: strconv.Itoa(int(seconds))})
 	}
 	if id != "" {
-		r.Fields = append(r.Fields, h2.Field{Name: FieldMessage, Value: id, Sensitive: true})
+		r.Fields = append(r.Fields, h2.Field{Name: FieldMessageID, Value: id, Sensitive: true})
 	}
-	r.Fields = append(r.Fields, p.Extra...)
+	r.Fields = append(r.Fields, p.ExtraFields...)
 	return r
 }
--- a/internal/push/push.go
+++ b/internal/push/push.go
@@ -21,33 +21,33 @@
 
 // Names of the fields that an attempt carries beside the published ones.
 const (
-	FieldMessage = "whinrun-message" // id of the message, the same on every attempt
-	FieldAttempt = "whinrun-attempt" // number of the attempt, from 0
+	FieldMessageID = "whinrun-message" // id of the message, the same on every attempt
+	FieldAttempt   = "whinrun-attempt" // number of the attempt, from 0
 )
 
-// Site is where a partner takes messages.
-type Site struct {
+// PartnerResource is where a partner takes messages.
+type PartnerResource struct {
 	Authority string // host and port
 	Path      string // of the push resource, or before the device in the device dialect
 	Topic     string // device dialect: the topic, where the message names none
 }
 
-// Names gives messages their names outside: the same number never means two messages, over restarts neither.
-type Names struct{ Epoch string }
+// ExternalIDs gives messages their names outside: the same number never means two messages, over restarts neither.
+type ExternalIDs struct{ Epoch string }
 
-// Of returns the name of a message.
-func (n Names) Of(id control.MessageID) string {
+// Format returns the name of a message.
+func (n ExternalIDs) Format(id control.MessageID) string {
 	return n.Epoch + "-" + strconv.FormatUint(uint64(id), 36)
 }
 
 // Dialect is how a kind of partner is spoken to.
 type Dialect interface {
 	// Request returns the header section of an attempt. left is the time that the message has.
-	Request(s Site, n Names, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field
+	Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field
 	// Reason returns what a partner says of a refusal, in its body.
 	Reason(body []byte) string
-	// OwnPath tells that paths belong to messages (see engine.Judge).
-	OwnPath() bool
+	// PathPerMessage tells that paths belong to messages (see engine.Judge).
+	PathPerMessage() bool
 }
 
 // Dialects by their names in the settings.
@@ -56,11 +56,11 @@
 // Standard is RFC 8030.
 type Standard struct{}
 
-// OwnPath is false: the push resource is the partner's.
-func (Standard) OwnPath() bool { return false }
+// PathPerMessage is false: the push resource is the partner's.
+func (Standard) PathPerMessage() bool { return false }
 
 // Request is RFC 8030 section 5, with Idempotency-Key for repeats.
-func (Standard) Request(s Site, n Names, a *engine.Attempt, left time.Duration, _ time.Time) []h2.Field {
+func (Standard) Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, _ time.Time) []h2.Field {
 	m := a.Message
 	path := s.Path
 	if m.TargetPath != "" {
@@ -82,11 +82,11 @@
 	return intake.Printable(line)
 }
 
-func repeatKey(n Names, m *engine.Message) string {
+func repeatKey(n ExternalIDs, m *engine.Message) string {
 	if m.IdempotencyKey != "" {
 		return m.IdempotencyKey
 	}
-	return n.Of(m.ID)
+	return n.Format(m.ID)
 }
 
 func addIf(f []h2.Field, name, value string) []h2.Field {
@@ -96,12 +96,12 @@
 	return append(f, h2.Field{Name: name, Value: value})
 }
 
-func common(f []h2.Field, n Names, a *engine.Attempt) []h2.Field {
+func common(f []h2.Field, n ExternalIDs, a *engine.Attempt) []h2.Field {
 	m := a.Message
 	f = addIf(f, "content-type", m.ContentType)
 	f = addIf(f, "content-encoding", m.ContentEncoding)
 	return append(f, h2.Field{Name: "content-length", Value: strconv.Itoa(len(m.Body))},
-		h2.Field{Name: FieldMessage, Value: n.Of(m.ID), Sensitive: true},
+		h2.Field{Name: FieldMessageID, Value: n.Format(m.ID), Sensitive: true},
 		h2.Field{Name: FieldAttempt, Value: strconv.Itoa(a.Number)})
 }
 
@@ -109,11 +109,11 @@
 // expiry as an absolute time, a priority, a topic, and refusals with a reason in JSON.
 type Device struct{}
 
-// OwnPath is true: the path is the device's.
-func (Device) OwnPath() bool { return true }
+// PathPerMessage is true: the path is the device's.
+func (Device) PathPerMessage() bool { return true }
 
 // Request names the device in its path.
-func (Device) Request(s Site, n Names, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field {
+func (Device) Request(s PartnerResource, n ExternalIDs, a *engine.Attempt, left time.Duration, wall time.Time) []h2.Field {
 	m := a.Message
 	priority := "5"
 	if m.Urgency == "high" {
@@ -123,7 +123,7 @@
 	f := make([]h2.Field, 0, 14)
 	f = append(f, h2.Field{Name: ":method", Value: "POST"}, h2.Field{Name: ":scheme", Value: "http"},
 		h2.Field{Name: ":authority", Value: s.Authority}, h2.Field{Name: ":path", Value: strings.TrimSuffix(s.Path, "/") + m.TargetPath},
-		h2.Field{Name: "apns-id", Value: uuidOf(n.Of(m.ID)), Sensitive: true},
+		h2.Field{Name: "apns-id", Value: uuidOf(n.Format(m.ID)), Sensitive: true},
 		h2.Field{Name: "apns-expiration", Value: strconv.FormatInt(wall.Add(left).Unix(), 10)},
 		h2.Field{Name: "apns-priority", Value: priority})
 	f = addIf(f, "apns-topic", topic)
--- a/internal/push/push_test.go
+++ b/internal/push/push_test.go
@@ -11,8 +11,8 @@
 	"whinrun/internal/intake"
 )
 
-func desk() *Desk {
-	return NewDesk(intake.NewRegistry(intake.Config{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, MaxLifetime: 10 * time.Second},
+func desk() *RequestParser {
+	return NewRequestParser(intake.NewRegistry(intake.Config{Resources: []intake.Resource{{Path: "/a/status", Class: 0, Tenant: 0, Dest: 1, InOrder: true, MaxLifetime: 10 * time.Second},
 		{Path: "/a/open", Class: 1, Tenant: 2, MaxLifetime: 10 * time.Second}, {Path: "/d/*", Tenant: 1, MaxLifetime: 10 * time.Second, Target: ""}},
 		Tokens: []intake.Token{intake.NewToken("one", 0), intake.NewToken("two", 1)}, Tenants: []string{"x", "y", "z"},
 		MaxBody: 1000, MinLifetime: time.Second}))
@@ -26,7 +26,7 @@
 	return f
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejects(t *testing.T) {
 	auth := []string{"authorization", "Bearer one"}
 	with := func(more ...string) []string { return append(append([]string(nil), auth...), more...) }
 	for _, c := range []struct {
@@ -76,7 +76,7 @@
 	return p.Status
 }
 
-func TestReadMeaning(t *testing.T) {
+func TestReadSetsMessageFields(t *testing.T) {
 	m, p := desk().Read(request("/a/status", "authorization", "bearer one", "ttl", "3", "topic", "t1", "idempotency-key", `"k1"`, "urgency", "high"))
 	if p != nil {
 		t.Fatal(p)
@@ -121,16 +121,16 @@
 func TestDialects(t *testing.T) {
 	m := &engine.Message{ID: 40, Topic: "t", Urgency: "high", TargetPath: "/device9", Body: []byte("abc"), ContentType: "text/plain"}
 	a := &engine.Attempt{Message: m, Number: 2}
-	n := Names{Epoch: "e"}
+	n := ExternalIDs{Epoch: "e"}
 	wall := time.Unix(1000, 0)
-	f := Standard{}.Request(Site{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
-	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessage: "e-14",
+	f := Standard{}.Request(PartnerResource{Authority: "h:1", Path: "/push"}, n, a, 3500*time.Millisecond, wall)
+	for name, want := range map[string]string{":path": "/push/device9", "ttl": "3", "urgency": "high", "topic": "t", FieldMessageID: "e-14",
 		FieldAttempt: "2", "idempotency-key": `"e-14"`, "content-length": "3", ":authority": "h:1"} {
 		if got := h2.Value(f, name); got != want {
 			t.Errorf("push %s: %q, want %q", name, got, want)
 		}
 	}
-	f = Device{}.Request(Site{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
+	f = Device{}.Request(PartnerResource{Authority: "h:1", Path: "/3/device", Topic: "app"}, n, a, 3500*time.Millisecond, wall)
 	for name, want := range map[string]string{":path": "/3/device/device9", "apns-expiration": "1003", "apns-priority": "10", "apns-topic": "app",
 		"apns-collapse-id": "t"} {
 		if got := h2.Value(f, name); got != want {
@@ -138,7 +138,7 @@
 		}
 	}
 	id := h2.Value(f, "apns-id")
-	again := Device{}.Request(Site{}, n, &engine.Attempt{Message: m, Number: 3}, 0, wall)
+	again := Device{}.Request(PartnerResource{}, n, &engine.Attempt{Message: m, Number: 3}, 0, wall)
 	if len(id) != 36 || h2.Value(again, "apns-id") != id {
 		t.Errorf("apns-id %q, then %q", id, h2.Value(again, "apns-id"))
 	}
@@ -164,7 +164,7 @@
 		{engine.Answer{Kind: engine.Failed}, "502", ""},
 		{engine.Answer{Kind: engine.Failed, DeadlineExceeded: true}, "504", ""},
 	} {
-		r := Response(Names{"e"}, m, c.a)
+		r := Response(ExternalIDs{"e"}, m, c.a)
 		if got := h2.Value(r.Fields, ":status"); got != c.status {
 			t.Errorf("%+v: status %s", c.a, got)
 		}
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -6,7 +6,7 @@
 	"errors"
 	"time"
 
-	"whinrun/internal/door"
+	"whinrun/internal/admission"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -16,12 +16,12 @@
 
 // Config is of all sessions.
 type Config struct {
-	Idle time.Duration // a connection without requests is sent away after this, 0 for never
-	H2   h2.Config
+	IdleTimeout time.Duration // a connection without requests is sent away after this, 0 for never
+	H2          h2.Config
 }
 
-// Opener makes sessions.
-func Opener(cfg Config, desk *push.Desk, names push.Names, side *door.Side, room *mailbox.Room, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
+// SessionFactory makes sessions.
+func SessionFactory(cfg Config, desk *push.RequestParser, names push.ExternalIDs, side *admission.Frontend, room *mailbox.SharedBroker, clock func() time.Duration) func(*front.Conn, time.Duration) front.Session {
 	return func(c *front.Conn, now time.Duration) front.Session {
 		return &session{cfg: &cfg, desk: desk, names: names, side: side, room: room, now: clock, conn: c, h: h2.NewServer(cfg.H2, now), requests: map[uint32]*request{},
 			idleFrom: now}
@@ -31,10 +31,10 @@
 // session is one client connection.
 type session struct {
 	cfg      *Config
-	desk     *push.Desk
-	names    push.Names
-	side     *door.Side
-	room     *mailbox.Room
+	desk     *push.RequestParser
+	names    push.ExternalIDs
+	side     *admission.Frontend
+	room     *mailbox.SharedBroker
 	now      func() time.Duration
 	conn     *front.Conn
 	h        *h2.Conn
@@ -47,12 +47,12 @@
 	s      *session
 	stream uint32
 	msg    *engine.Message
-	ticket door.Ticket
+	ticket admission.Reservation
 	whole  bool
 	answer engine.Answer
 
-	place    *mailbox.Place // of the receipt, where one is wanted
-	receipts string         // the subscription it goes to
+	place    *mailbox.Reservation // of the receipt, where one is wanted
+	receipts string               // the subscription it goes to
 	path     string
 }
 
@@ -70,7 +70,7 @@
 	if len(s.requests) > 0 {
 		s.idleFrom = now
 	}
-	if s.cfg.Idle > 0 && now-s.idleFrom > s.cfg.Idle {
+	if s.cfg.IdleTimeout > 0 && now-s.idleFrom > s.cfg.IdleTimeout {
 		s.h.GoAway(now, h2.NoError)
 	}
 	return s.h.Check(now)
@@ -81,8 +81,8 @@
 	switch {
 	case s.Owes():
 		return now + time.Second
-	case s.cfg.Idle > 0:
-		return s.idleFrom + s.cfg.Idle + time.Millisecond
+	case s.cfg.IdleTimeout > 0:
+		return s.idleFrom + s.cfg.IdleTimeout + time.Millisecond
 	}
 	return 0
 }
@@ -97,7 +97,9 @@
 func (s *session) Output() []byte { return s.h.Output() }
 
 // Owes tells whether requests are open, or the handshake is not over.
-func (s *session) Owes() bool { return len(s.requests) > 0 || !s.h.Settled() || s.h.Open() > 0 }
+func (s *session) Owes() bool {
+	return len(s.requests) > 0 || !s.h.SettingsReceived() || s.h.OpenStreams() > 0
+}
 
 // Done tells whether all streams are over after a GOAWAY.
 func (s *session) Done() bool { return s.h.Done() }
@@ -120,7 +122,7 @@
 	switch e.Kind {
 	case h2.Headers:
 		s.begin(e, now)
-	case h2.TooLarge:
+	case h2.HeadersTooLarge:
 		s.side.Rejected.Add(1)
 		s.reply(e.Stream, &push.Problem{Status: 431, Title: "header section too large"}, now)
 	case h2.Data:
@@ -153,7 +155,7 @@
 		s.reply(e.Stream, p, now)
 		return
 	}
-	r := &request{s: s, stream: e.Stream, msg: m, ticket: s.side.Ticket(m.Tenant)}
+	r := &request{s: s, stream: e.Stream, msg: m, ticket: s.side.NewReservation(m.Tenant)}
 	m.Origin = r
 	if uri != "" {
 		r.path = h2.Value(e.Fields, ":path")
@@ -176,10 +178,10 @@
 		return
 	}
 	if len(r.msg.Body)+len(e.Data) > s.desk.MaxBody() {
-		s.refuse(r, s.desk.TooLong(), now)
+		s.refuse(r, s.desk.BodyTooLarge(), now)
 		return
 	}
-	if err := r.ticket.Grow(len(e.Data)); err != nil {
+	if err := r.ticket.Reserve(len(e.Data)); err != nil {
 		s.refuse(r, notTaken(err), now)
 		return
 	}
@@ -204,9 +206,9 @@
 
 // notTaken is the answer to a message that the door or the engine does not take.
 func notTaken(err error) *push.Problem {
-	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
+	p := &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	if errors.Is(err, engine.ErrStopping) {
-		p.Wait = 5 * time.Second
+		p.RetryAfter = 5 * time.Second
 	}
 	return p
 }
@@ -214,7 +216,7 @@
 // refuse answers a request that never became a message.
 func (s *session) refuse(r *request, p *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
-	r.ticket.Turn()
+	r.ticket.Reject()
 	r.unpromise(now)
 	s.reply(r.stream, p, now)
 }
@@ -239,11 +241,11 @@
 
 // Open writes the final answer, unless the client has withdrawn the message meanwhile.
 func (r *request) Open(now time.Duration) {
-	if r.ticket.Over() {
-		r.s.side.Unheard.Add(1)
+	if r.ticket.Ended() {
+		r.s.side.Undelivered.Add(1)
 		return
 	}
-	r.ticket.Answered(r.answer.Kind, true)
+	r.ticket.Complete(r.answer.Kind, true)
 	if r.place != nil {
 		return
 	}
@@ -255,8 +257,8 @@
 // Lost counts an answer that comes too late; a receipt is in its place already.
 func (r *request) Lost() {
 	if r.place != nil {
-		r.ticket.Answered(r.answer.Kind, true)
+		r.ticket.Complete(r.answer.Kind, true)
 		return
 	}
-	r.s.side.Unheard.Add(1)
+	r.s.side.Undelivered.Add(1)
 }
--- a/internal/pushfront/receipts.go
+++ b/internal/pushfront/receipts.go
@@ -55,13 +55,13 @@
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	}
 	s.room.Lock()
-	place, err := s.room.Promise(tenant, name, "", "")
+	place, err := s.room.Reserve(tenant, name, "", "")
 	s.room.Unlock()
 	switch {
 	case errors.Is(err, mailbox.ErrNotFound):
 		return &push.Problem{Status: 404, Title: "Push-Receipt names no receipt subscription of this tenant"}
 	case err != nil:
-		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), Wait: time.Second}
+		return &push.Problem{Status: 503, Title: "not taken: " + err.Error(), RetryAfter: time.Second}
 	}
 	r.place, r.receipts, r.msg.ReceiptSubscription = place, uri, name
 	return nil
@@ -71,7 +71,7 @@
 func (r *request) unpromise(now time.Duration) {
 	if r.place != nil {
 		r.s.room.Lock()
-		r.place.Drop(now)
+		r.place.Release(now)
 		r.s.room.Unlock()
 		r.place = nil
 	}
@@ -80,14 +80,14 @@
 // accepted answers a message whose receipt goes elsewhere: its stream is over, and no longer withdraws it.
 func (s *session) accepted(r *request, now time.Duration) {
 	delete(s.requests, r.stream)
-	id := s.names.Of(r.msg.ID)
+	id := s.names.Format(r.msg.ID)
 	_ = s.h.Respond(now, r.stream, []h2.Field{{Name: ":status", Value: "202"}, {Name: "location", Value: "/m/" + id},
-		{Name: "link", Value: "<" + r.receipts + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessage, Value: id, Sensitive: true}}, nil)
+		{Name: "link", Value: "<" + r.receipts + `>; rel="urn:ietf:params:push:receipt"`}, {Name: push.FieldMessageID, Value: id, Sensitive: true}}, nil)
 }
 
 // fill puts the final answer into its place; it runs on the engine's goroutine.
 func (r *request) fill(a *engine.Answer) {
-	rec := receipt.New(r.s.names.Of(r.msg.ID), a, clock.Wall())
+	rec := receipt.New(r.s.names.Format(r.msg.ID), a, clock.Wall())
 	rec.Path = r.path
 	if _, key, ok := strings.Cut(r.msg.IdempotencyKey, "/"); ok {
 		rec.MessageID = key
@@ -104,7 +104,7 @@
 		uri = "/" + rest
 	}
 	who, name, _ := strings.Cut(strings.TrimPrefix(uri, receiptsPath), "/")
-	tenant, ok = s.desk.Book().Tenant(who)
+	tenant, ok = s.desk.Rules().Tenant(who)
 	return tenant, name, ok && strings.HasPrefix(uri, receiptsPath) && name != "" && !strings.Contains(name, "/")
 }
 
@@ -114,7 +114,7 @@
 	if !strings.HasPrefix(path, receiptsPath) {
 		return false
 	}
-	if r, _ := s.desk.Book().Find(path); r != nil {
+	if r, _ := s.desk.Rules().Find(path); r != nil {
 		return false
 	}
 	if p := s.receiptReply(e, path, now); p != nil {
@@ -126,11 +126,11 @@
 
 func (s *session) receiptReply(e *h2.Event, path string, now time.Duration) *push.Problem {
 	part := strings.Split(strings.TrimPrefix(path, receiptsPath), "/")
-	tenant, ok := s.desk.Book().Tenant(part[0])
+	tenant, ok := s.desk.Rules().Tenant(part[0])
 	if !ok || len(part) > 3 {
 		return &push.Problem{Status: 404, Title: "no receipts at this path"}
 	}
-	if p := s.desk.Allowed(tenant, h2.Value(e.Fields, "authorization")); p != nil {
+	if p := s.desk.Authorize(tenant, h2.Value(e.Fields, "authorization")); p != nil {
 		return p
 	}
 	method := h2.Value(e.Fields, ":method")
@@ -148,7 +148,7 @@
 		taken, err := s.room.Take(now, tenant, part[1], no)
 		s.room.Unlock()
 		if r, ok := taken.(*receipt.Receipt); ok {
-			s.room.Tell(tenant, part[1], r)
+			s.room.NotifyChange(tenant, part[1], r)
 		}
 		return s.over(e, err, now)
 	}
@@ -157,12 +157,12 @@
 
 func (s *session) subscribe(e *h2.Event, tenant int, who string, now time.Duration) *push.Problem {
 	s.room.Lock()
-	name, _, _, err := s.room.Declare(now, tenant, mailbox.Spec{}, false)
+	name, _, _, err := s.room.Declare(now, tenant, mailbox.QueueSpec{}, false)
 	s.room.Unlock()
 	if err != nil {
-		return &push.Problem{Status: 503, Title: err.Error(), Wait: time.Minute}
+		return &push.Problem{Status: 503, Title: err.Error(), RetryAfter: time.Minute}
 	}
-	s.room.Tell(tenant, name, nil)
+	s.room.NotifyChange(tenant, name, nil)
 	_ = s.h.Respond(now, e.Stream, []h2.Field{{Name: ":status", Value: "201"}, {Name: "location", Value: receiptsPath + who + "/" + name}}, nil)
 	return nil
 }
@@ -184,7 +184,7 @@
 	entries := make([]entry, len(all))
 	for i, w := range all {
 		r := w.Payload.(*receipt.Receipt)
-		entries[i] = entry{No: w.No, Receipt: r}
+		entries[i] = entry{No: w.Sequence, Receipt: r}
 		if s.room.Key != nil {
 			entries[i].Signed = r.Sign(s.room.Key)
 		}
--- a/internal/day/check.go
+++ b/internal/scenario/check.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"whinrun/internal/partner"
 )
 
-// Breach is one rule broken, with the message and the connection that show it.
-type Breach struct {
+// Violation is one rule broken, with the message and the connection that show it.
+type Violation struct {
 	Rule    int
 	At      time.Duration
 	Message string
@@ -21,12 +21,12 @@
 	Text    string
 }
 
-func (b Breach) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("rule %d at %.3f s: message %s, %s: %s", b.Rule, b.At.Seconds(), b.Message, b.Where, b.Text)
 }
 
-// Slack is what sockets and a busy machine may take beyond a figure of a rule, before that counts as broken.
-const Slack = 300 * time.Millisecond
+// Tolerance is what sockets and a busy machine may take beyond a figure of a rule, before that counts as broken.
+const Tolerance = 300 * time.Millisecond
 
 // attempt is one call as a stand-in saw it.
 type attempt struct {
@@ -45,31 +45,33 @@
 // proved tells that what the stand-in answered proves to the dispatcher that the attempt has not run.
 func (a *attempt) proved() bool {
 	switch a.endKind {
-	case partner.Answer:
+	case partner.Responded:
 		return a.status == 429 || a.status == 503 && a.wait > 0
-	case partner.Cut:
+	case partner.StreamReset:
 		return a.status == 7 // REFUSED_STREAM
 	}
 	return false
 }
 
 // doubtful tells that the dispatcher can't know whether the attempt has run, and that no answer came.
-func (a *attempt) doubtful() bool { return a.endKind == partner.Gone || a.endKind == partner.Mute }
+func (a *attempt) doubtful() bool {
+	return a.endKind == partner.PeerClosed || a.endKind == partner.NoResponse
+}
 
 // checker holds a record against the rules.
 type checker struct {
-	r        *Record
+	r        *Recording
 	classes  map[string]control.Class
 	attempts []*attempt
 	byTest   map[string][]*attempt
 	blind    []partner.Event // endpoints that read nothing from then on
-	breaches []Breach
+	breaches []Violation
 }
 
 // Check returns the breaches of all six rules that the record shows.
-func Check(r *Record) []Breach {
+func Check(r *Recording) []Violation {
 	c := &checker{r: r, classes: map[string]control.Class{}, byTest: map[string][]*attempt{}}
-	for _, k := range r.Rules.Classes {
+	for _, k := range r.Settings.Classes {
 		c.classes[k.Name] = k
 	}
 	c.gather()
@@ -79,7 +81,7 @@
 	c.returns()
 	c.order()
 	c.waits()
-	if r.Trailed {
+	if r.HasAuditTrail {
 		c.trail()
 	}
 	sort.SliceStable(c.breaches, func(i, j int) bool { return c.breaches[i].At < c.breaches[j].At })
@@ -87,7 +89,7 @@
 }
 
 func (c *checker) breach(rule int, at time.Duration, message, where, format string, a ...any) {
-	c.breaches = append(c.breaches, Breach{rule, at, message, where, fmt.Sprintf(format, a...)})
+	c.breaches = append(c.breaches, Violation{rule, at, message, where, fmt.Sprintf(format, a...)})
 }
 
 // gather puts the events of each call together.
@@ -100,14 +102,14 @@
 	open := map[call]*attempt{}
 	for _, e := range c.r.Events {
 		k := call{e.Endpoint, e.Conn, e.Stream}
-		if e.Kind == partner.Arrived {
+		if e.Kind == partner.RequestReceived {
 			a := &attempt{arrived: e}
 			open[k] = a
 			c.attempts = append(c.attempts, a)
-			c.byTest[e.Test] = append(c.byTest[e.Test], a)
+			c.byTest[e.CorrelationID] = append(c.byTest[e.CorrelationID], a)
 			continue
 		}
-		if e.Kind == partner.Blind {
+		if e.Kind == partner.ReadingStopped {
 			c.blind = append(c.blind, e)
 		}
 		a := open[k]
@@ -117,13 +119,13 @@
 		switch e.Kind {
 		case partner.Applied:
 			a.applied = true
-		case partner.Answer, partner.Cut, partner.Gone:
+		case partner.Responded, partner.StreamReset, partner.PeerClosed:
 			if a.end == 0 {
-				a.end, a.endKind, a.status, a.wait = e.At, e.Kind, e.Status, e.Wait
+				a.end, a.endKind, a.status, a.wait = e.At, e.Kind, e.Status, e.RetryAfter
 			}
-		case partner.Mute:
+		case partner.NoResponse:
 			if a.end == 0 {
-				a.endKind = partner.Mute
+				a.endKind = partner.NoResponse
 			}
 		}
 	}
@@ -131,7 +133,7 @@
 
 // alive tells whether one dispatcher ran all the time between two moments, not stopping.
 func (c *checker) alive(from, to time.Duration) bool {
-	for _, l := range c.r.Lives {
+	for _, l := range c.r.Runs {
 		if from >= l.From && (l.To == 0 || to <= l.To) {
 			return true
 		}
@@ -141,31 +143,31 @@
 
 // answers is rule 1: one final answer before the time ends, and nothing sent after it.
 func (c *checker) answers() {
-	if c.r.Unclean {
+	if c.r.UncleanStop {
 		c.breach(1, 0, "-", "dispatcher", "an orderly stop left messages without an answer")
 	}
 	for _, o := range c.r.Outcomes {
 		k := c.classes[o.Class]
 		life := min(time.Duration(k.Deadline)*time.Microsecond, time.Duration(o.TTL)*time.Second)
-		over := o.Sent + life + Slack
+		over := o.Sent + life + Tolerance
 		switch {
-		case o.Withdrawn:
+		case o.Canceled:
 		case o.Status == 0 && c.lost(&o):
 		case o.Status == 0:
-			c.breach(1, o.Done, o.Test, "client", "no final answer: %s", o.Err)
+			c.breach(1, o.Done, o.CorrelationID, "client", "no final answer: %s", o.Err)
 		case o.Done > over:
-			c.breach(1, o.Done, o.Test, "client", "final answer %d after %v, its time is %v", o.Status, o.Done-o.Sent, life)
+			c.breach(1, o.Done, o.CorrelationID, "client", "final answer %d after %v, its time is %v", o.Status, o.Done-o.Sent, life)
 		}
 		if o.Status == 0 {
 			continue
 		}
-		for _, a := range c.byTest[o.Test] {
-			if a.arrived.At > o.Done+Slack {
-				c.breach(1, a.arrived.At, o.Test, a.where(), "sent %v after its final answer %d", a.arrived.At-o.Done, o.Status)
+		for _, a := range c.byTest[o.CorrelationID] {
+			if a.arrived.At > o.Done+Tolerance {
+				c.breach(1, a.arrived.At, o.CorrelationID, a.where(), "sent %v after its final answer %d", a.arrived.At-o.Done, o.Status)
 			}
 		}
-		if load.Final(o.Status) == "served" && !c.taken(o.Test) {
-			c.breach(1, o.Done, o.Test, "client", "served, and no stand-in took it")
+		if load.AnswerKind(o.Status) == "served" && !c.taken(o.CorrelationID) {
+			c.breach(1, o.Done, o.CorrelationID, "client", "served, and no stand-in took it")
 		}
 	}
 }
@@ -173,12 +175,12 @@
 // lost tells that no answer could come: no dispatcher ran when the message was sent, it was killed before the end, or
 // the message came as it was stopping. What was on its way before an orderly stop must be answered.
 func (c *checker) lost(o *load.Outcome) bool {
-	for _, l := range c.r.Lives {
+	for _, l := range c.r.Runs {
 		if o.Sent < l.From || l.To != 0 && o.Sent > l.To {
 			continue
 		}
-		if l.Stopping > 0 {
-			return o.Sent >= l.Stopping-Slack/3
+		if l.StopRequested > 0 {
+			return o.Sent >= l.StopRequested-Tolerance/3
 		}
 		return l.To != 0 && o.Done >= l.To
 	}
@@ -187,7 +189,7 @@
 
 func (c *checker) taken(test string) bool {
 	for _, a := range c.byTest[test] {
-		if a.endKind == partner.Answer && a.status < 300 {
+		if a.endKind == partner.Responded && a.status < 300 {
 			return true
 		}
 	}
@@ -201,7 +203,7 @@
 		applied := 0
 		var doubt *attempt
 		for i, a := range all {
-			if i > 0 && all[i-1].arrived.Message == a.arrived.Message {
+			if i > 0 && all[i-1].arrived.MessageID == a.arrived.MessageID {
 				c.alone(all[i-1], a, test)
 			}
 			if doubt != nil {
@@ -219,12 +221,12 @@
 		}
 	}
 	for _, o := range c.r.Outcomes {
-		if load.Final(o.Status) != "refused" || c.classes[o.Class].Effect != control.AtMostOnce {
+		if load.AnswerKind(o.Status) != "refused" || c.classes[o.Class].Effect != control.AtMostOnce {
 			continue
 		}
-		for _, a := range c.byTest[o.Test] {
+		for _, a := range c.byTest[o.CorrelationID] {
 			if a.applied || !a.proved() && a.endKind != "" {
-				c.breach(2, o.Done, o.Test, a.where(), "refused to the client, and this attempt may have run")
+				c.breach(2, o.Done, o.CorrelationID, a.where(), "refused to the client, and this attempt may have run")
 			}
 		}
 	}
@@ -235,7 +237,7 @@
 	if c.unseen(old, a.arrived.At) {
 		return
 	}
-	if old.end == 0 && old.endKind == "" || old.end > a.arrived.At+Slack {
+	if old.end == 0 && old.endKind == "" || old.end > a.arrived.At+Tolerance {
 		c.breach(2, a.arrived.At, test, a.where(), "sent while the attempt at %v is out", old.arrived.Endpoint)
 	}
 }
@@ -253,14 +255,14 @@
 
 // again checks an attempt sent after one that may have run.
 func (c *checker) again(doubt, a *attempt, test string, class control.Class) {
-	if a.arrived.Message != doubt.arrived.Message {
+	if a.arrived.MessageID != doubt.arrived.MessageID {
 		return
 	}
 	switch class.Effect {
 	case control.AtMostOnce:
 		c.breach(2, a.arrived.At, test, a.where(), "sent again after the attempt at %v, which may have run", doubt.arrived.Endpoint)
 	case control.Deduplicated:
-		if late := a.arrived.At - doubt.arrived.At - time.Duration(class.DedupWindow)*time.Microsecond; late > Slack {
+		if late := a.arrived.At - doubt.arrived.At - time.Duration(class.DedupWindow)*time.Microsecond; late > Tolerance {
 			c.breach(2, a.arrived.At, test, a.where(), "sent again %v after partners forgot its key", late)
 		}
 	}
@@ -269,13 +271,13 @@
 // drains is rule 3: nothing new later than the grace after a drain or departure was told. Partners of a wave share
 // endpoints, of which one list tells the same for each: it is checked once, a rebuild tells tens of thousands.
 func (c *checker) drains() {
-	grace := time.Duration(c.r.Rules.StopSendingWithin) * time.Microsecond
+	grace := time.Duration(c.r.Settings.StopSendingWithin) * time.Microsecond
 	tried := map[netip.AddrPort][]*attempt{}
 	for _, a := range c.attempts {
 		tried[a.arrived.Endpoint] = append(tried[a.arrived.Endpoint], a)
 	}
-	told := map[netip.AddrPort][]Told{}
-	for _, t := range c.r.Told {
+	told := map[netip.AddrPort][]HealthChange{}
+	for _, t := range c.r.HealthChanges {
 		of := told[t.Endpoint]
 		if n := len(of); n == 0 || of[n-1].At != t.At || of[n-1].Health != t.Health {
 			told[t.Endpoint] = append(of, t)
@@ -293,8 +295,8 @@
 				}
 			}
 			for _, a := range tried[at] {
-				if a.arrived.At > t.At+grace+Slack && a.arrived.At < until {
-					c.breach(3, a.arrived.At, a.arrived.Test, a.where(), "sent %v after the endpoint was told to drain or be gone",
+				if a.arrived.At > t.At+grace+Tolerance && a.arrived.At < until {
+					c.breach(3, a.arrived.At, a.arrived.CorrelationID, a.where(), "sent %v after the endpoint was told to drain or be gone",
 						a.arrived.At-t.At)
 				}
 			}
@@ -306,7 +308,7 @@
 func (c *checker) returns() {
 	for _, spec := range c.r.Script.Partners {
 		k := spec.Config
-		rate := k.Rate * c.r.Script.Scale
+		rate := k.Capacity * c.r.Script.RateScale
 		if rate <= 0 {
 			continue
 		}
@@ -317,12 +319,12 @@
 					continue
 				}
 				window = append(window, a)
-				for window[0].arrived.At < a.arrived.At-k.TipFor {
+				for window[0].arrived.At < a.arrived.At-k.OverloadWindow {
 					window = window[1:]
 				}
-				warm := k.ColdFrom + (1-k.ColdFrom)*float64(a.arrived.At-back)/float64(k.WarmUp)
-				if most := partner.TipBound(rate*warm, k.Tip, k.TipFor); float64(len(window)) > most {
-					c.breach(4, a.arrived.At, a.arrived.Test, a.where(), "%d calls within %v on a cold partner that stands %.0f", len(window), k.TipFor, most)
+				warm := k.ColdShare + (1-k.ColdShare)*float64(a.arrived.At-back)/float64(k.WarmUp)
+				if most := partner.OverloadLimit(rate*warm, k.OverloadFactor, k.OverloadWindow); float64(len(window)) > most {
+					c.breach(4, a.arrived.At, a.arrived.CorrelationID, a.where(), "%d calls within %v on a cold partner that stands %.0f", len(window), k.OverloadWindow, most)
 					break
 				}
 			}
@@ -332,7 +334,7 @@
 
 func (c *checker) returnsOf(name string) (all []time.Duration) {
 	for _, e := range c.r.Events {
-		if e.Kind == partner.Returned && e.Partner == name {
+		if e.Kind == partner.Recovered && e.Partner == name {
 			all = append(all, e.At)
 		}
 	}
@@ -342,20 +344,20 @@
 // order is rule 5: messages of a key go one at a time, in the order in which they were handed in, and the key rests
 // after an attempt whose end is not known.
 func (c *checker) order() {
-	settle := time.Duration(c.r.Rules.SettleTime) * time.Microsecond
+	settle := time.Duration(c.r.Settings.SettleTime) * time.Microsecond
 	keys := map[string][]*attempt{}
 	for _, a := range c.attempts {
-		if c.classes[a.arrived.Class].InOrder && a.arrived.Key != "-" {
-			keys[a.arrived.Key] = append(keys[a.arrived.Key], a)
+		if c.classes[a.arrived.Class].InOrder && a.arrived.OrderKey != "-" {
+			keys[a.arrived.OrderKey] = append(keys[a.arrived.OrderKey], a)
 		}
 	}
 	sent := map[string]load.Outcome{}
 	for _, o := range c.r.Outcomes {
-		sent[o.Test] = o
+		sent[o.CorrelationID] = o
 	}
 	for key, all := range keys {
 		for i, a := range all {
-			if i == 0 || all[i-1].arrived.Test == a.arrived.Test {
+			if i == 0 || all[i-1].arrived.CorrelationID == a.arrived.CorrelationID {
 				continue
 			}
 			old := all[i-1]
@@ -365,16 +367,16 @@
 			if c.unseen(old, a.arrived.At) {
 				continue
 			}
-			if old.end == 0 || old.end > a.arrived.At+Slack/3 {
-				c.breach(5, a.arrived.At, a.arrived.Test, a.where(), "key %s: sent while %s is out", key, old.arrived.Test)
-			} else if old.doubtful() && a.arrived.At < old.end+settle-Slack/10 {
-				c.breach(5, a.arrived.At, a.arrived.Test, a.where(), "key %s: sent %v after a doubtful end of %s, its rest is %v", key,
-					a.arrived.At-old.end, old.arrived.Test, settle)
+			if old.end == 0 || old.end > a.arrived.At+Tolerance/3 {
+				c.breach(5, a.arrived.At, a.arrived.CorrelationID, a.where(), "key %s: sent while %s is out", key, old.arrived.CorrelationID)
+			} else if old.doubtful() && a.arrived.At < old.end+settle-Tolerance/10 {
+				c.breach(5, a.arrived.At, a.arrived.CorrelationID, a.where(), "key %s: sent %v after a doubtful end of %s, its rest is %v", key,
+					a.arrived.At-old.end, old.arrived.CorrelationID, settle)
 			}
 			// A message that was handed in before a kill came again later: its client's library repeated it.
-			if x, y := sent[old.arrived.Test], sent[a.arrived.Test]; x.Sent > y.Sent+Slack/3 && c.alive(y.Sent, a.arrived.At) {
-				c.breach(5, a.arrived.At, a.arrived.Test, a.where(), "key %s: sent after %s, which was handed in %v later", key,
-					old.arrived.Test, x.Sent-y.Sent)
+			if x, y := sent[old.arrived.CorrelationID], sent[a.arrived.CorrelationID]; x.Sent > y.Sent+Tolerance/3 && c.alive(y.Sent, a.arrived.At) {
+				c.breach(5, a.arrived.At, a.arrived.CorrelationID, a.where(), "key %s: sent after %s, which was handed in %v later", key,
+					old.arrived.CorrelationID, x.Sent-y.Sent)
 			}
 		}
 	}
@@ -385,7 +387,7 @@
 func (c *checker) waits() {
 	apart := map[string]bool{}
 	for _, p := range c.r.Script.Partners {
-		apart[p.Config.Name] = p.Apart
+		apart[p.Config.Name] = p.IndependentEndpoints
 	}
 	by := map[string][]*attempt{}
 	for _, a := range c.attempts {
@@ -393,31 +395,31 @@
 		by[who] = append(by[who], a)
 	}
 	for _, e := range c.r.Events {
-		if e.Kind != partner.Answer || e.Wait == 0 || e.Status != 429 && e.Status != 503 {
+		if e.Kind != partner.Responded || e.RetryAfter == 0 || e.Status != 429 && e.Status != 503 {
 			continue
 		}
 		for _, a := range by[e.Partner+e.Path] {
 			at := a.arrived.At
-			if at < e.At+Slack || at > e.At+e.Wait-Slack/30 || apart[e.Partner] && a.arrived.Endpoint != e.Endpoint || !c.alive(e.At, at) {
+			if at < e.At+Tolerance || at > e.At+e.RetryAfter-Tolerance/30 || apart[e.Partner] && a.arrived.Endpoint != e.Endpoint || !c.alive(e.At, at) {
 				continue
 			}
-			c.breach(6, at, a.arrived.Test, a.where(), "sent %v after a wait of %v was told", at-e.At, e.Wait)
+			c.breach(6, at, a.arrived.CorrelationID, a.where(), "sent %v after a wait of %v was told", at-e.At, e.RetryAfter)
 		}
 	}
 }
 
 // Summary is what a day comes to.
 type Summary struct {
-	Messages, Served, Refused, Failed, Withdrawn, NoAnswer int
-	Attempts, Applied, Twice                               int
-	Breaches                                               []Breach
+	Messages, Served, Refused, Failed, Canceled, NoAnswer int
+	Attempts, Applied, AppliedTwice                       int
+	Violations                                            []Violation
 }
 
-// Sum counts a record from both ends.
-func Sum(r *Record) Summary {
-	s := Summary{Messages: len(r.Outcomes), Breaches: Check(r)}
+// Summarize counts a record from both ends.
+func Summarize(r *Recording) Summary {
+	s := Summary{Messages: len(r.Outcomes), Violations: Check(r)}
 	for _, o := range r.Outcomes {
-		switch load.Final(o.Status) {
+		switch load.AnswerKind(o.Status) {
 		case "served":
 			s.Served++
 		case "refused":
@@ -425,8 +427,8 @@
 		case "failed":
 			s.Failed++
 		default:
-			if o.Withdrawn {
-				s.Withdrawn++
+			if o.Canceled {
+				s.Canceled++
 			} else {
 				s.NoAnswer++
 			}
@@ -435,13 +437,13 @@
 	applied := map[string]int{}
 	for _, e := range r.Events {
 		switch e.Kind {
-		case partner.Arrived:
+		case partner.RequestReceived:
 			s.Attempts++
 		case partner.Applied:
 			s.Applied++
 			if e.Class == "upload" {
-				if applied[e.Test]++; applied[e.Test] == 2 {
-					s.Twice++
+				if applied[e.CorrelationID]++; applied[e.CorrelationID] == 2 {
+					s.AppliedTwice++
 				}
 			}
 		}
@@ -452,16 +454,16 @@
 // Write prints a summary.
 func (s Summary) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d messages: %d served, %d refused, %d failed, %d withdrawn by their clients, %d without an answer (no dispatcher ran)\n",
-		s.Messages, s.Served, s.Refused, s.Failed, s.Withdrawn, s.NoAnswer)
-	fmt.Fprintf(w, "%d attempts seen by the stand-ins, %d applied, %d unsafe ones applied twice\n", s.Attempts, s.Applied, s.Twice)
-	for i, b := range s.Breaches {
+		s.Messages, s.Served, s.Refused, s.Failed, s.Canceled, s.NoAnswer)
+	fmt.Fprintf(w, "%d attempts seen by the stand-ins, %d applied, %d unsafe ones applied twice\n", s.Attempts, s.Applied, s.AppliedTwice)
+	for i, b := range s.Violations {
 		if i == 20 {
-			fmt.Fprintf(w, "... and %d more\n", len(s.Breaches)-20)
+			fmt.Fprintf(w, "... and %d more\n", len(s.Violations)-20)
 			break
 		}
 		fmt.Fprintln(w, "BREACH", b)
 	}
-	if len(s.Breaches) == 0 {
+	if len(s.Violations) == 0 {
 		fmt.Fprintln(w, "all six rules kept")
 	}
 }
--- a/internal/day/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -18,38 +18,38 @@
 	"whinrun/control"
 	"whinrun/internal/audit"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/load"
 	"whinrun/internal/logs"
 	"whinrun/internal/partner"
-	"whinrun/internal/roster"
 	"whinrun/internal/service"
 )
 
 // Told is a change of the endpoint list, as the dispatcher was told it.
-type Told struct {
+type HealthChange struct {
 	At       time.Duration
 	Partner  string
 	Endpoint netip.AddrPort
 	Health   control.Health
 }
 
-// Life is a time in which a dispatcher ran; Stopping is when it was told to stop in order, 0 where it was killed.
-type Life struct{ From, Stopping, To time.Duration }
-
-// Record is all that was seen of a day, on one clock.
-type Record struct {
-	Script   *Script
-	Outcomes []load.Outcome
-	Events   []partner.Event
-	Told     []Told
-	Lives    []Life
-	Rules    control.Settings
-	Unclean  bool // an orderly stop left messages without an answer
-
-	Began         time.Time // when the day's clock was 0
-	Trailed       bool      // a trail was kept
-	Trail         []*audit.Record
-	TrailProblems []string
+// DispatcherRun is a time in which a dispatcher ran; Stopping is when it was told to stop in order, 0 where it was killed.
+type DispatcherRun struct{ From, StopRequested, To time.Duration }
+
+// Recording is all that was seen of a day, on one clock.
+type Recording struct {
+	Script        *Script
+	Outcomes      []load.Outcome
+	Events        []partner.Event
+	HealthChanges []HealthChange
+	Runs          []DispatcherRun
+	Settings      control.Settings
+	UncleanStop   bool // an orderly stop left messages without an answer
+
+	StartTime     time.Time // when the day's clock was 0
+	HasAuditTrail bool      // a trail was kept
+	AuditTrail    []*audit.Record
+	AuditProblems []string
 }
 
 // list is the endpoint list of a day: what stands in it, and what the dispatcher sees of that.
@@ -57,23 +57,23 @@
 	mu          sync.Mutex
 	now         func() time.Duration
 	lag         time.Duration
-	lines       []roster.Line
+	lines       []endpointlist.Endpoint
 	history     []snapshot // not yet seen, oldest first
 	seen        snapshot
 	stale       bool
 	unreachable bool
-	told        []Told
+	told        []HealthChange
 	known       map[string]control.Health
 }
 
 type snapshot struct {
 	at      time.Duration
 	version int
-	lines   []roster.Line
+	lines   []endpointlist.Endpoint
 }
 
 // change alters the list; it is seen after the lag.
-func (l *list) change(alter func([]roster.Line) []roster.Line) {
+func (l *list) change(alter func([]endpointlist.Endpoint) []endpointlist.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lines = alter(slices.Clone(l.lines))
@@ -85,7 +85,7 @@
 }
 
 // Load is service.ListSource. What it returns is noted as told.
-func (l *list) Load(known string) ([]roster.Line, string, error) {
+func (l *list) Load(known string) ([]endpointlist.Endpoint, string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unreachable && known != "" {
@@ -109,13 +109,13 @@
 		k := e.Partner + " " + e.Addr.String()
 		next[k] = e.Health
 		if old, ok := l.known[k]; !ok || old != e.Health {
-			l.told = append(l.told, Told{now, e.Partner, e.Addr, e.Health})
+			l.told = append(l.told, HealthChange{now, e.Partner, e.Addr, e.Health})
 		}
 	}
 	for k := range l.known {
 		if _, ok := next[k]; !ok {
 			name, addr, _ := strings.Cut(k, " ")
-			l.told = append(l.told, Told{now, name, netip.MustParseAddrPort(addr), control.Gone})
+			l.told = append(l.told, HealthChange{now, name, netip.MustParseAddrPort(addr), control.Gone})
 		}
 	}
 	l.known = next
@@ -135,15 +135,15 @@
 
 	mu    sync.Mutex
 	svc   *service.Service
-	lives []Life
-	rec   Record
+	lives []DispatcherRun
+	rec   Recording
 	errs  []error
 }
 
 // Run plays a day and returns what was seen. lines takes the dispatcher's own log.
-func Run(ctx context.Context, s *Script, lines io.Writer) (*Record, error) {
+func Run(ctx context.Context, s *Script, lines io.Writer) (*Recording, error) {
 	r := &runner{s: s, log: partner.NewLog(4 << 20), partners: map[string]*partner.Partner{}}
-	r.list = &list{now: r.log.Now, lag: s.Lag}
+	r.list = &list{now: r.log.Now, lag: s.DiscoveryLag}
 	var err error
 	if r.folder, err = os.MkdirTemp("", "whinrun-day"); err != nil {
 		return nil, err
@@ -174,13 +174,13 @@
 	for i := range msgs {
 		msgs[i].At += base
 	}
-	out := load.Run(ctx, load.Fronts{Push: client, AMQP: publisher}, msgs, r.log.Now, 20000)
+	out := load.Run(ctx, load.MultiSender{Push: client, AMQP: publisher}, msgs, r.log.Now, 20000)
 	timeline.Wait()
 	r.stop(true)
 	r.rec.Script, r.rec.Outcomes, r.rec.Events = s, out, r.log.Events()
-	r.rec.Told, r.rec.Lives, r.rec.Rules = r.list.told, r.lives, r.cfg.Module
-	r.rec.Trailed, r.rec.Began = true, r.log.Began()
-	if r.rec.Trail, r.rec.TrailProblems, err = readTrail(r.folder); err != nil {
+	r.rec.HealthChanges, r.rec.Runs, r.rec.Settings = r.list.told, r.lives, r.cfg.Control
+	r.rec.HasAuditTrail, r.rec.StartTime = true, r.log.StartTime()
+	if r.rec.AuditTrail, r.rec.AuditProblems, err = readTrail(r.folder); err != nil {
 		r.errs = append(r.errs, err)
 	}
 	return &r.rec, errors.Join(append(r.errs, ctx.Err())...)
@@ -189,8 +189,8 @@
 func (r *runner) setUp(lines io.Writer) error {
 	for i, spec := range r.s.Partners {
 		spec.Config.Seed = r.s.Seed*100 + uint64(i)
-		spec.Config.Rate *= r.s.Scale
-		spec.Config.Limit *= r.s.Scale
+		spec.Config.Capacity *= r.s.RateScale
+		spec.Config.RateLimit *= r.s.RateScale
 		p := partner.New(spec.Config, r.log)
 		r.partners[p.Name()] = p
 		for range spec.Endpoints {
@@ -198,13 +198,13 @@
 			if err != nil {
 				return err
 			}
-			r.list.lines = append(r.list.lines, roster.Line{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
+			r.list.lines = append(r.list.lines, endpointlist.Endpoint{Partner: p.Name(), Addr: e.Addr(), Health: control.Ready})
 		}
 	}
 	for k, w := range r.s.Wakes {
 		for i := range r.count(w) {
 			for _, e := range r.partners[w.Partner].Endpoints() {
-				r.list.lines = append(r.list.lines, roster.Line{Partner: sleeper(k, w, i), Addr: e.Addr(), Health: control.Ready})
+				r.list.lines = append(r.list.lines, endpointlist.Endpoint{Partner: sleeper(k, w, i), Addr: e.Addr(), Health: control.Ready})
 			}
 		}
 	}
@@ -246,15 +246,15 @@
 		}
 	}
 	for _, t := range r.s.Tenants {
-		fmt.Fprintf(&b, "[tenant %s]\ntoken = %s\nquota = %g/s\n", t.Name, t.Name, t.Quota*r.s.Scale)
+		fmt.Fprintf(&b, "[tenant %s]\ntoken = %s\nquota = %g/s\n", t.Name, t.Name, t.Quota*r.s.RateScale)
 	}
 	for _, p := range r.s.Partners {
 		apart, rate := "no", ""
-		if p.Apart {
+		if p.IndependentEndpoints {
 			apart = "yes"
 		}
-		if p.Config.Rate > 0 {
-			rate = fmt.Sprintf("rate = %g/s\n", p.Config.Rate*r.s.Scale)
+		if p.Config.Capacity > 0 {
+			rate = fmt.Sprintf("rate = %g/s\n", p.Config.Capacity*r.s.RateScale)
 		}
 		fmt.Fprintf(&b, "[kind of-%s]\nbatch = %d\nroutes-apart = %s\n", p.Config.Name, max(1, p.Batch), apart)
 		fmt.Fprintf(&b, "[partner %s]\nkind = of-%s\n%sendpoints = 127.0.0.1:1\n", p.Config.Name, p.Config.Name, rate)
@@ -275,7 +275,7 @@
 }
 
 // count is how many partners a wave has at the scale of the run.
-func (r *runner) count(w WakeSpec) int { return int(float64(w.Count) * r.s.Scale) }
+func (r *runner) count(w WakeSpec) int { return int(float64(w.Count) * r.s.RateScale) }
 
 // sleeper names one partner of a wave.
 func sleeper(wave int, w WakeSpec, i int) string { return fmt.Sprintf("%s-w%d-%d", w.Partner, wave, i) }
@@ -306,7 +306,7 @@
 		return err
 	}
 	r.addr, r.amqpAddr = r.svc.Addr().String(), r.svc.AMQPAddr().String()
-	r.lives = append(r.lives, Life{From: r.log.Now()})
+	r.lives = append(r.lives, DispatcherRun{From: r.log.Now()})
 	return nil
 }
 
@@ -320,11 +320,11 @@
 	life := &r.lives[len(r.lives)-1]
 	life.To = r.log.Now()
 	if orderly {
-		life.Stopping = life.To
+		life.StopRequested = life.To
 		ctx, done := context.WithTimeout(context.Background(), 10*time.Second)
 		defer done()
 		if !r.svc.Stop(ctx) {
-			r.rec.Unclean = true
+			r.rec.UncleanStop = true
 		}
 		life.To = r.log.Now()
 	} else {
@@ -360,10 +360,10 @@
 
 // acts turns a step into what is done at its beginning and its end.
 func (r *runner) acts(st *Step, base time.Duration) []act {
-	end := st.At + st.For
+	end := st.At + st.Duration
 	both := func(on func(bool)) []act {
 		all := []act{{st.At, func() error { on(true); return nil }}}
-		if st.For > 0 {
+		if st.Duration > 0 {
 			all = append(all, act{end, func() error { on(false); return nil }})
 		}
 		return all
@@ -375,15 +375,15 @@
 		return both(func(on bool) {
 			r.list.mu.Lock()
 			defer r.list.mu.Unlock()
-			if st.Word == "stale" {
+			if st.Action == "stale" {
 				r.list.stale = on
 			} else {
 				r.list.unreachable = on
 			}
 		})
 	case "dispatcher":
-		all := []act{{st.At, func() error { r.stop(st.Word == "stop"); return nil }}}
-		if st.For > 0 {
+		all := []act{{st.At, func() error { r.stop(st.Action == "stop"); return nil }}}
+		if st.Duration > 0 {
 			all = append(all, act{end, r.startDispatcher})
 		}
 		return all
@@ -393,7 +393,7 @@
 }
 
 func (r *runner) partnerActs(st *Step, base time.Duration, p *partner.Partner, no string) []act {
-	end := st.At + st.For
+	end := st.At + st.Duration
 	each := func(do func(*partner.Endpoint) error) func() error {
 		return func() error {
 			var err error
@@ -409,18 +409,18 @@
 			return err
 		}
 	}
-	switch st.Word {
+	switch st.Action {
 	case "goaway":
 		return []act{{st.At, each(func(e *partner.Endpoint) error { e.GoAway(); return nil })}}
 	case "streams":
 		n, _ := strconv.Atoi(st.Args[0])
-		return []act{{st.At, each(func(e *partner.Endpoint) error { e.Streams(uint32(n)); return nil })}}
+		return []act{{st.At, each(func(e *partner.Endpoint) error { e.SetMaxStreams(uint32(n)); return nil })}}
 	case "limit":
 		var limit float64
 		_ = scan(st.Args[0], &limit)
 		told := len(st.Args) > 1 && st.Args[1] == "told"
-		acts := []act{{st.At, func() error { p.SetLimit(limit*r.s.Scale, told); return nil }}}
-		if st.For > 0 {
+		acts := []act{{st.At, func() error { p.SetLimit(limit*r.s.RateScale, told); return nil }}}
+		if st.Duration > 0 {
 			acts = append(acts, act{end, func() error { p.SetLimit(0, told); return nil }})
 		}
 		return acts
@@ -430,22 +430,22 @@
 		return []act{{st.At, func() error { return r.replace(p) }}}
 	}
 	f, _ := st.fault(base + end)
-	acts := []act{{st.At, each(func(e *partner.Endpoint) error { return e.Set(f) })}}
-	if st.Word == "preempt" { // it dies, then the list says so and names another
+	acts := []act{{st.At, each(func(e *partner.Endpoint) error { return e.SetFault(f) })}}
+	if st.Action == "preempt" { // it dies, then the list says so and names another
 		acts = append(acts, act{st.At + 300*time.Millisecond, each(func(e *partner.Endpoint) error {
 			r.relist(e, control.Gone)
 			return r.join(p)
 		})})
-	} else if st.For > 0 {
-		acts = append(acts, act{end, each(func(e *partner.Endpoint) error { return e.Set(partner.Fault{}) })})
+	} else if st.Duration > 0 {
+		acts = append(acts, act{end, each(func(e *partner.Endpoint) error { return e.SetFault(partner.Fault{}) })})
 	}
 	return acts
 }
 
 // relist changes the standing of an endpoint in the list.
 func (r *runner) relist(e *partner.Endpoint, h control.Health) {
-	r.list.change(func(lines []roster.Line) []roster.Line {
-		var out []roster.Line
+	r.list.change(func(lines []endpointlist.Endpoint) []endpointlist.Endpoint {
+		var out []endpointlist.Endpoint
 		for _, l := range lines {
 			if l.Addr == e.Addr() {
 				if h == control.Gone {
@@ -465,7 +465,7 @@
 	if err != nil {
 		return err
 	}
-	r.list.change(func(lines []roster.Line) []roster.Line {
+	r.list.change(func(lines []endpointlist.Endpoint) []endpointlist.Endpoint {
 		seen := map[string]bool{}
 		for _, l := range lines { // the partners of a wave behind it, too
 			if l.Partner == p.Name() || strings.HasPrefix(l.Partner, p.Name()+"-w") {
@@ -474,7 +474,7 @@
 		}
 		seen[p.Name()] = true
 		for _, name := range sorted(seen) {
-			lines = append(lines, roster.Line{Partner: name, Addr: e.Addr(), Health: control.Ready})
+			lines = append(lines, endpointlist.Endpoint{Partner: name, Addr: e.Addr(), Health: control.Ready})
 		}
 		return lines
 	})
@@ -502,26 +502,26 @@
 	for i, l := range r.s.Loads {
 		to := l.To
 		if to == 0 {
-			to = r.s.Length
+			to = r.s.Duration
 		}
 		at := l.From.Seconds()
 		for n := 0; ; n++ {
 			rate, name, hot := r.rate(&l, time.Duration(at*float64(time.Second)))
-			at += rng.ExpFloat64() / max(rate*r.s.Scale, 1e-3)
+			at += rng.ExpFloat64() / max(rate*r.s.RateScale, 1e-3)
 			when := time.Duration(at * float64(time.Second))
 			if when >= to {
 				break
 			}
-			m := load.Message{At: when, Test: fmt.Sprintf("%d-%d", i, n), Class: l.Class, Path: path(name, l.Class, l.Tenant), Token: l.Tenant,
-				TTL: l.TTL, Size: l.Size, Partner: name, Patience: r.patience(l.Class)}
+			m := load.Message{At: when, CorrelationID: fmt.Sprintf("%d-%d", i, n), Class: l.Class, Path: path(name, l.Class, l.Tenant), Token: l.Tenant,
+				TTL: l.TTL, BodySize: l.BodySize, Partner: name, Timeout: r.patience(l.Class)}
 			if l.Keys > 0 {
-				m.Key = fmt.Sprintf("%s-k%d", name, rng.IntN(l.Keys))
+				m.OrderKey = fmt.Sprintf("%s-k%d", name, rng.IntN(l.Keys))
 				if hot {
-					m.Key = name + "-k0"
+					m.OrderKey = name + "-k0"
 				}
 			}
-			if rng.Float64() < l.Withdraw {
-				m.Withdraw = time.Duration(float64(l.After) * (0.5 + rng.Float64()))
+			if rng.Float64() < l.CancelShare {
+				m.CancelAfter = time.Duration(float64(l.CancelAfter) * (0.5 + rng.Float64()))
 			}
 			all = append(all, m)
 		}
@@ -529,15 +529,15 @@
 	for k, w := range r.s.Wakes {
 		for i := range r.count(w) {
 			at := w.From + time.Duration(rng.Float64()*float64(w.To-w.From))
-			all = append(all, load.Message{At: at, Test: fmt.Sprintf("w%d-%d", k, i), Class: w.Class, Path: path(sleeper(k, w, i), w.Class, "day"),
-				Token: "day", TTL: 60, Partner: sleeper(k, w, i), Patience: r.patience(w.Class)})
+			all = append(all, load.Message{At: at, CorrelationID: fmt.Sprintf("w%d-%d", k, i), Class: w.Class, Path: path(sleeper(k, w, i), w.Class, "day"),
+				Token: "day", TTL: 60, Partner: sleeper(k, w, i), Timeout: r.patience(w.Class)})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].At < all[j].At })
 	by := rand.New(rand.NewPCG(r.s.Seed, 4)) // apart: the messages are the same whichever front they come by
 	for i := range all {
 		m := &all[i]
-		m.AMQP = by.Float64() < r.s.AMQP && m.Withdraw == 0 && m.Token == "day" // publishes can't be withdrawn
+		m.AMQP = by.Float64() < r.s.AMQPShare && m.CancelAfter == 0 && m.Token == "day" // publishes can't be withdrawn
 	}
 	return all
 }
@@ -556,10 +556,10 @@
 func (r *runner) rate(l *LoadSpec, at time.Duration) (rate float64, name string, hot bool) {
 	rate, name = l.Rate, l.Partner
 	for _, st := range r.s.Steps {
-		if st.Target != "load" || at < st.At || st.For > 0 && at >= st.At+st.For || len(st.Args) == 0 || st.Args[0] != l.Partner {
+		if st.Target != "load" || at < st.At || st.Duration > 0 && at >= st.At+st.Duration || len(st.Args) == 0 || st.Args[0] != l.Partner {
 			continue
 		}
-		switch st.Word {
+		switch st.Action {
 		case "burst":
 			var x float64
 			_ = scan(st.Args[1], &x)
--- a/internal/day/day_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -38,17 +38,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Scale, s.AMQP = 0.3, 0.5 // half of the load on each front
+			s.RateScale, s.AMQPShare = 0.3, 0.5 // half of the load on each front
 			r, err := Run(context.Background(), s, io.Discard)
 			if err != nil {
 				t.Fatal(err)
 			}
-			sum := Sum(r)
-			for _, b := range sum.Breaches {
+			sum := Summarize(r)
+			for _, b := range sum.Violations {
 				t.Error(b)
 			}
-			if sum.Twice > 0 || sum.Served == 0 {
-				t.Errorf("%d unsafe messages applied twice, %d of %d served", sum.Twice, sum.Served, sum.Messages)
+			if sum.AppliedTwice > 0 || sum.Served == 0 {
+				t.Errorf("%d unsafe messages applied twice, %d of %d served", sum.AppliedTwice, sum.Served, sum.Messages)
 			}
 		})
 	}
--- a/internal/day/script.go
+++ b/internal/scenario/script.go
@@ -1,7 +1,7 @@
-// Package day rehearses bad days: a script of load and trouble is played through a real dispatcher on loopback, and
+// Package scenario rehearses bad days: a script of load and trouble is played through a real dispatcher on loopback, and
 // a checker holds what clients and stand-ins saw on their sockets against the six rules. docs/days.md is the page of
 // the language.
-package day
+package scenario
 
 import (
 	"errors"
@@ -15,20 +15,20 @@
 
 // Script is a day as written.
 type Script struct {
-	Name     string
-	Seed     uint64
-	Length   time.Duration
-	Partners []PartnerSpec
-	Loads    []LoadSpec
-	Wakes    []WakeSpec
-	Steps    []Step
-	Settings map[string]string // keys of [rules], [limits], [outbound], [dispatcher] of the dispatcher, "section.key"
-	Classes  []ClassSpec
-	Tenants  []TenantSpec
-	Lag      time.Duration // of the endpoint list
-	Served   float64       // least share served that the day expects
-	Scale    float64       // factor on all rates, for a smaller machine
-	AMQP     float64       // share of the messages that is handed in by AMQP
+	Name         string
+	Seed         uint64
+	Duration     time.Duration
+	Partners     []PartnerSpec
+	Loads        []LoadSpec
+	Wakes        []WakeSpec
+	Steps        []Step
+	Settings     map[string]string // keys of [rules], [limits], [outbound], [dispatcher] of the dispatcher, "section.key"
+	Classes      []ClassSpec
+	Tenants      []TenantSpec
+	DiscoveryLag time.Duration // of the endpoint list
+	MinServed    float64       // least share served that the day expects
+	RateScale    float64       // factor on all rates, for a smaller machine
+	AMQPShare    float64       // share of the messages that is handed in by AMQP
 }
 
 // ClassSpec is a class of message of the day.
@@ -50,10 +50,10 @@
 
 // PartnerSpec is a stand-in.
 type PartnerSpec struct {
-	Endpoints int
-	Apart     bool
-	Batch     int
-	Config    partner.Config
+	Endpoints            int
+	IndependentEndpoints bool
+	Batch                int
+	Config               partner.Config
 }
 
 // LoadSpec is a stream of messages.
@@ -63,9 +63,9 @@
 	Rate           float64
 	Keys           int
 	TTL            int
-	Withdraw       float64 // share of messages that the client withdraws ...
-	After          time.Duration
-	Size           int
+	CancelShare    float64 // share of messages that the client withdraws ...
+	CancelAfter    time.Duration
+	BodySize       int
 	From, To       time.Duration
 }
 
@@ -78,12 +78,12 @@
 
 // Step is something that happens at a time.
 type Step struct {
-	Line   int
-	At     time.Duration
-	For    time.Duration // 0: for the rest of the day
-	Target string        // partner, partner.endpoint, list, dispatcher or load
-	Word   string
-	Args   []string
+	Line     int
+	At       time.Duration
+	Duration time.Duration // 0: for the rest of the day
+	Target   string        // partner, partner.endpoint, list, dispatcher or load
+	Action   string
+	Args     []string
 }
 
 // words of trouble, with how many arguments each takes at least.
@@ -99,7 +99,7 @@
 
 // Parse reads a script; what is wrong is told with file and line.
 func Parse(file, text string) (*Script, error) {
-	s := &Script{Seed: 1, Length: 10 * time.Second, Settings: map[string]string{}, Scale: 1, Classes: defaultClasses(),
+	s := &Script{Seed: 1, Duration: 10 * time.Second, Settings: map[string]string{}, RateScale: 1, Classes: defaultClasses(),
 		Tenants: []TenantSpec{{Name: "day"}}}
 	var wrong []error
 	for i, line := range strings.Split(text, "\n") {
@@ -135,13 +135,13 @@
 	case "seed":
 		return pairs(f, map[string]any{"seed": &s.Seed})
 	case "length":
-		return pairs(f, map[string]any{"length": &s.Length})
+		return pairs(f, map[string]any{"length": &s.Duration})
 	case "amqp":
-		return pairs(f, map[string]any{"amqp": &s.AMQP})
+		return pairs(f, map[string]any{"amqp": &s.AMQPShare})
 	case "lag":
-		return pairs(f, map[string]any{"lag": &s.Lag})
+		return pairs(f, map[string]any{"lag": &s.DiscoveryLag})
 	case "expect":
-		return pairs(f[1:], map[string]any{"served": &s.Served})
+		return pairs(f[1:], map[string]any{"served": &s.MinServed})
 	case "set":
 		if len(f) != 3 || strings.Count(f[1], ".") != 1 {
 			return errors.New("set SECTION.KEY VALUE")
@@ -161,7 +161,7 @@
 	case "load":
 		return s.load(f[1:])
 	case "wake":
-		w := WakeSpec{Class: "status", To: s.Length}
+		w := WakeSpec{Class: "status", To: s.Duration}
 		if len(f) < 2 {
 			return errors.New("wake COUNT partner NAME")
 		}
@@ -233,12 +233,12 @@
 	if len(f) == 0 || strings.ContainsAny(f[0], "./") {
 		return errors.New("needs a name without dots")
 	}
-	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: f[0], Pace: 10 * time.Millisecond, ColdFrom: 0.2,
-		WarmUp: 3 * time.Second, Tip: 2, TipFor: time.Second, TellWait: true}}
+	p := PartnerSpec{Endpoints: 1, Batch: 1, Config: partner.Config{Name: f[0], ServiceTime: 10 * time.Millisecond, ColdShare: 0.2,
+		WarmUp: 3 * time.Second, OverloadFactor: 2, OverloadWindow: time.Second, SendRetryAfter: true}}
 	c := &p.Config
-	err := pairs(f[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.Apart, "batch": &p.Batch, "pace": &c.Pace, "servers": &c.Servers,
-		"rate": &c.Rate, "limit": &c.Limit, "conns": &c.Conns, "streams": &c.Streams, "reap": &c.IdleReap, "handshake": &c.Handshake,
-		"cold": &c.ColdFrom, "warm-up": &c.WarmUp, "tip": &c.Tip, "tip-for": &c.TipFor})
+	err := pairs(f[1:], map[string]any{"endpoints": &p.Endpoints, "apart": &p.IndependentEndpoints, "batch": &p.Batch, "pace": &c.ServiceTime, "servers": &c.Concurrency,
+		"rate": &c.Capacity, "limit": &c.RateLimit, "conns": &c.MaxConns, "streams": &c.MaxStreams, "reap": &c.IdleTimeout, "handshake": &c.SettingsDelay,
+		"cold": &c.ColdShare, "warm-up": &c.WarmUp, "tip": &c.OverloadFactor, "tip-for": &c.OverloadWindow})
 	if p.Endpoints < 1 || p.Endpoints > 64 {
 		return errors.New("endpoints: 1 to 64")
 	}
@@ -250,11 +250,11 @@
 	if len(f) < 3 {
 		return errors.New("load PARTNER CLASS RATE ...")
 	}
-	l := LoadSpec{Partner: f[0], Class: f[1], TTL: 60, Tenant: "day", After: 200 * time.Millisecond}
+	l := LoadSpec{Partner: f[0], Class: f[1], TTL: 60, Tenant: "day", CancelAfter: 200 * time.Millisecond}
 	if err := scan(f[2], &l.Rate); err != nil {
 		return err
 	}
-	err := pairs(f[3:], map[string]any{"keys": &l.Keys, "ttl": &l.TTL, "tenant": &l.Tenant, "withdraw": &l.Withdraw, "after": &l.After, "size": &l.Size,
+	err := pairs(f[3:], map[string]any{"keys": &l.Keys, "ttl": &l.TTL, "tenant": &l.Tenant, "withdraw": &l.CancelShare, "after": &l.CancelAfter, "size": &l.BodySize,
 		"from": &l.From, "to": &l.To})
 	s.Loads = append(s.Loads, l)
 	return err
@@ -264,13 +264,13 @@
 	if len(f) < 3 {
 		return errors.New("at TIME TARGET WORD ...")
 	}
-	st := Step{Line: n, Target: f[1], Word: f[2]}
+	st := Step{Line: n, Target: f[1], Action: f[2]}
 	if err := scan(f[0], &st.At); err != nil {
 		return err
 	}
 	rest := f[3:]
 	if k := len(rest); k >= 2 && rest[k-2] == "for" {
-		if err := scan(rest[k-1], &st.For); err != nil {
+		if err := scan(rest[k-1], &st.Duration); err != nil {
 			return err
 		}
 		rest = rest[:k-2]
@@ -280,12 +280,12 @@
 	if w, ok := otherWords[st.Target]; ok {
 		known = w
 	}
-	need, ok := known[st.Word]
+	need, ok := known[st.Action]
 	if !ok {
-		return fmt.Errorf("%s can't %q", st.Target, st.Word)
+		return fmt.Errorf("%s can't %q", st.Target, st.Action)
 	}
 	if len(rest) < need {
-		return fmt.Errorf("%s needs %d values", st.Word, need)
+		return fmt.Errorf("%s needs %d values", st.Action, need)
 	}
 	if st.Target != "load" && st.Target != "list" && st.Target != "dispatcher" {
 		if _, err := st.fault(0); err != nil {
@@ -304,47 +304,47 @@
 	if words[0] == "heal" {
 		return partner.Fault{}, nil
 	}
-	st := Step{Word: words[0], Args: words[1:]}
-	need, ok := endpointWords[st.Word]
+	st := Step{Action: words[0], Args: words[1:]}
+	need, ok := endpointWords[st.Action]
 	if !ok || len(st.Args) < need {
-		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Word, need)
+		return partner.Fault{}, fmt.Errorf("%q is no word of trouble, or needs %d values", st.Action, need)
 	}
 	return st.fault(0)
 }
 
 // fault is the fault that a step puts in force; ok words that are none give the zero Fault.
 func (st *Step) fault(until time.Duration) (f partner.Fault, err error) {
-	switch st.Word {
+	switch st.Action {
 	case "crash", "preempt":
 		f.Crash = true
 	case "vanish":
-		f.Vanish = true
+		f.Blackhole = true
 	case "hang":
 		f.Hang = true
 	case "shut":
-		f.Shut, f.Opens = true, until
+		f.Unavailable, f.AvailableAt = true, until
 	case "slow":
-		err = scan(st.Args[0], &f.Slow)
+		err = scan(st.Args[0], &f.SlowFactor)
 	case "pauses":
 		if err = scan(st.Args[0], &f.Pause); err == nil {
-			err = scan(st.Args[1], &f.Every)
+			err = scan(st.Args[1], &f.PauseInterval)
 		}
 	case "lose":
-		err = scan(st.Args[0], &f.Lose)
+		err = scan(st.Args[0], &f.LostResponseRate)
 	case "error":
 		if err = scan(st.Args[0], &f.Error); err == nil && len(st.Args) > 1 {
-			f.Class = st.Args[1]
+			f.ErrorClass = st.Args[1]
 		}
 	case "reset":
-		err = scan(st.Args[0], &f.Reset)
+		err = scan(st.Args[0], &f.ResetRate)
 	case "refuse":
-		err = scan(st.Args[0], &f.Refuse)
+		err = scan(st.Args[0], &f.RefusalRate)
 	case "late":
-		err = scan(st.Args[0], &f.Late)
+		err = scan(st.Args[0], &f.ResponseDelay)
 	case "garble":
-		err = scan(st.Args[0], &f.Garble)
+		err = scan(st.Args[0], &f.MalformedRate)
 	case "missing":
-		err = scan(st.Args[0], &f.Missing)
+		err = scan(st.Args[0], &f.NotFoundRate)
 	}
 	return f, err
 }
--- a/internal/day/trail.go
+++ b/internal/scenario/trail.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -36,12 +36,12 @@
 // trail holds the dispatcher's own trail against what stand-ins saw on their sockets: no attempt is missing, none that
 // was answered is invented, at most one is out for a message at any moment, one final answer for each, and nothing after.
 func (c *checker) trail() {
-	for _, p := range c.r.TrailProblems {
+	for _, p := range c.r.AuditProblems {
 		c.breachTrail("the trail: %s", p)
 	}
 	started := map[call]*audit.Record{}
 	out, answered := map[string]int{}, map[string]bool{}
-	for _, r := range c.r.Trail {
+	for _, r := range c.r.AuditTrail {
 		switch r.Kind {
 		case audit.AttemptStarted:
 			if out[r.Message] != 0 {
@@ -72,15 +72,15 @@
 	// A kill loses the end of a trail and nothing before it: an attempt may be missing only if it came after all that
 	// the trail of its dispatcher has. How long the disk took does not matter.
 	seen, last := map[call]bool{}, map[string]time.Duration{}
-	for _, r := range c.r.Trail {
+	for _, r := range c.r.AuditTrail {
 		if r.Message != "" {
-			last[epoch(r.Message)] = r.Time().Sub(c.r.Began)
+			last[epoch(r.Message)] = r.Time().Sub(c.r.StartTime)
 		}
 	}
 	for _, a := range c.attempts {
 		n := 0
 		_, _ = fmt.Sscan(a.arrived.Attempt, &n)
-		k := call{a.arrived.Message, n + 1}
+		k := call{a.arrived.MessageID, n + 1}
 		seen[k] = true
 		switch r := started[k]; {
 		case r == nil && !(c.killed() && a.arrived.At >= last[epoch(k.message)]-time.Millisecond):
@@ -89,7 +89,7 @@
 			c.breachTrail("message %s: attempt %d came to %v, the trail has %s", k.message, k.attempt, a.arrived.Endpoint, r.Endpoint)
 		}
 	}
-	for _, r := range c.r.Trail {
+	for _, r := range c.r.AuditTrail {
 		if k := (call{r.Message, r.Attempt}); r.Kind == audit.AttemptEnded && r.Status >= 200 && !seen[k] {
 			c.breachTrail("message %s: the trail has an answer to attempt %d, which no stand-in saw", k.message, k.attempt)
 		}
@@ -98,7 +98,7 @@
 
 // killed tells that a dispatcher was killed at all.
 func (c *checker) killed() bool {
-	return slices.ContainsFunc(c.r.Lives, func(l Life) bool { return l.To > 0 && l.Stopping == 0 })
+	return slices.ContainsFunc(c.r.Runs, func(l DispatcherRun) bool { return l.To > 0 && l.StopRequested == 0 })
 }
 
 // epoch is what the names of one dispatcher's messages begin with.
--- a/internal/service/amqp_test.go
+++ b/internal/service/amqp_test.go
@@ -126,8 +126,8 @@
 			}
 		}
 	}
-	u := s.Door().Usage()
-	if side := s.Door().Sides()[1]; u.Held != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Unheard.Load() != 0 {
+	u := s.Admission().Usage()
+	if side := s.Admission().Frontends()[1]; u.Messages != 0 || u.Bytes != 0 || side.Served.Load() != 1 || side.Refused.Load() != 1 || side.Failed.Load() != 1 || side.Undelivered.Load() != 0 {
 		t.Errorf("%+v, served %d refused %d failed %d", u, side.Served.Load(), side.Refused.Load(), side.Failed.Load())
 	}
 }
@@ -152,8 +152,8 @@
 	var all sync.WaitGroup
 	for i := range 500 {
 		all.Go(func() {
-			m := load.Message{Test: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
-			if status, _, _, err := p.Post(ctx, &m); status != 201 || err != nil {
+			m := load.Message{CorrelationID: fmt.Sprint("m", i), Class: "status", Path: "/p/status", TTL: 4}
+			if status, _, _, err := p.Send(ctx, &m); status != 201 || err != nil {
 				t.Errorf("message %d: %d, %v", i, status, err)
 			}
 		})
@@ -246,7 +246,7 @@
 		}
 	}
 	<-arrived
-	for s.Door().Usage().Held < n {
+	for s.Admission().Usage().Messages < n {
 		time.Sleep(time.Millisecond)
 	}
 	_ = conn.Close()
@@ -274,7 +274,7 @@
 }
 
 // Publishers are asked to stop when the hold fills, what comes all the same is returned, and they are let go on.
-func TestAMQPBlocked(t *testing.T) {
+func TestAMQPConnectionBlocked(t *testing.T) {
 	go_ := make(chan struct{})
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-go_
@@ -371,9 +371,9 @@
 	c, p := load.NewClient(s.Addr().String(), 1), load.NewPublisher(s.AMQPAddr().String(), "t", "secret", 1)
 	defer c.Close()
 	defer p.Close()
-	for _, by := range []load.Poster{c, p} {
-		m := load.Message{Test: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, Repeat: "one", Key: "k"}
-		if status, _, _, err := by.Post(within(t), &m); status != 201 || err != nil {
+	for _, by := range []load.Sender{c, p} {
+		m := load.Message{CorrelationID: "x", Class: "status", Path: "/p/status", Token: "secret", TTL: 3, IdempotencyKey: "one", OrderKey: "k"}
+		if status, _, _, err := by.Send(within(t), &m); status != 201 || err != nil {
 			t.Fatal(status, err)
 		}
 	}
@@ -384,7 +384,7 @@
 
 // A reader that acknowledges nothing fills its queue; then messages that name it are returned before they are taken,
 // and none of its answers is lost.
-func TestAMQPReaderBehind(t *testing.T) {
+func TestAMQPSlowConsumer(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	s := start(t, addr, withAMQP+"[answers]\nqueue-length = 5\n")
 	defer s.Kill()
@@ -440,7 +440,7 @@
 
 // A client whose library does not know connection.blocked is asked by channel.flow. What it publishes without confirms
 // above the limits closes its channel: nothing else would tell it.
-func TestAMQPFlow(t *testing.T) {
+func TestAMQPChannelFlow(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 	})
--- a/internal/service/chores.go
+++ b/internal/service/chores.go
@@ -4,22 +4,22 @@
 	"sync"
 	"time"
 
-	"whinrun/internal/chores"
 	"whinrun/internal/mailbox"
+	"whinrun/internal/maintenance"
 )
 
 // background runs the chores that internal/chores plans, one at a time, on one goroutine beside delivery.
 type background struct {
-	planner *chores.Planner
+	planner *maintenance.Scheduler
 	run     []func() (more bool, err error)
 	quit    chan struct{}
 	done    sync.WaitGroup
 }
 
 // startChores plans sealing, upkeep of the trail, expiry of answers and a look at old records.
-func (s *Service) startChores(room *mailbox.Room) {
+func (s *Service) startChores(room *mailbox.SharedBroker) {
 	b := &background{quit: make(chan struct{})}
-	all := []chores.Chore{{Name: "expire answers", Class: 1, Every: 5 * time.Second, Deadline: time.Minute}}
+	all := []maintenance.Task{{Name: "expire answers", Priority: 1, Interval: 5 * time.Second, MaxDelay: time.Minute}}
 	b.run = append(b.run, func() (bool, error) {
 		room.Lock()
 		defer room.Unlock()
@@ -27,12 +27,12 @@
 		return false, nil
 	})
 	if k := s.keeper; k != nil {
-		all = append(all, chores.Chore{Name: "seal", Class: 0, Every: s.cfg.Audit.SealEvery, Deadline: s.cfg.Audit.SealEvery},
-			chores.Chore{Name: "compress and drop", Class: 2, Every: 500 * time.Millisecond, Deadline: time.Minute},
-			chores.Chore{Name: "verify", Class: 3, Every: 30 * time.Second})
+		all = append(all, maintenance.Task{Name: "seal", Priority: 0, Interval: s.cfg.Audit.SealEvery, MaxDelay: s.cfg.Audit.SealEvery},
+			maintenance.Task{Name: "compress and drop", Priority: 2, Interval: 500 * time.Millisecond, MaxDelay: time.Minute},
+			maintenance.Task{Name: "verify", Priority: 3, Interval: 30 * time.Second})
 		b.run = append(b.run, func() (bool, error) { return false, k.SealNow() }, k.Maintain, k.VerifyNext)
 	}
-	b.planner = chores.New(chores.Budget{Share: s.cfg.Background, Burst: 200 * time.Millisecond}, all, s.now())
+	b.planner = maintenance.New(maintenance.Budget{Share: s.cfg.BackgroundShare, Burst: 200 * time.Millisecond}, all, s.now())
 	s.background = b
 	b.done.Go(func() {
 		timer := time.NewTimer(0)
@@ -59,7 +59,7 @@
 
 // pressure is 1 where a round of the engine takes half a tick: then events begin to wait.
 func (s *Service) pressure() float64 {
-	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Module.Tick)*time.Microsecond)
+	return 2 * float64(s.loop.MeanRoundTime()) / float64(time.Duration(s.cfg.Control.Tick)*time.Microsecond)
 }
 
 func (b *background) stop() {
--- a/internal/service/lists.go
+++ b/internal/service/lists.go
@@ -13,33 +13,33 @@
 
 	"whinrun/control"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/logs"
-	"whinrun/internal/roster"
 )
 
 // ListSource is where the whole endpoint list comes from.
 type ListSource interface {
 	// Load returns the whole list; version changes with it. With an unchanged version the lines do not matter.
-	Load(known string) (lines []roster.Line, version string, err error)
+	Load(known string) (lines []endpointlist.Endpoint, version string, err error)
 }
 
 // fixed is the list of the settings.
-type fixed []roster.Line
+type fixed []endpointlist.Endpoint
 
-func (f fixed) Load(string) ([]roster.Line, string, error) { return f, "settings", nil }
+func (f fixed) Load(string) ([]endpointlist.Endpoint, string, error) { return f, "settings", nil }
 
 // listFile is a list on disk: a line each of PARTNER ADDRESS ready|draining.
 type listFile struct{ name string }
 
 func sourceOf(cfg *config.Config) ListSource {
 	if cfg.ListFile == "" {
-		return fixed(cfg.Lines)
+		return fixed(cfg.Endpoints)
 	}
 	return listFile{cfg.ListFile}
 }
 
-func (f listFile) Load(known string) ([]roster.Line, string, error) {
+func (f listFile) Load(known string) ([]endpointlist.Endpoint, string, error) {
 	st, err := os.Stat(f.name)
 	if err != nil {
 		return nil, "", err
@@ -57,8 +57,8 @@
 }
 
 // ParseList reads a list file. One bad line makes it all void: half a list would look as if the rest were gone.
-func ParseList(name string, text []byte) ([]roster.Line, error) {
-	var lines []roster.Line
+func ParseList(name string, text []byte) ([]endpointlist.Endpoint, error) {
+	var lines []endpointlist.Endpoint
 	var wrong []error
 	in := bufio.NewScanner(bytes.NewReader(text))
 	in.Buffer(nil, 1<<16)
@@ -82,7 +82,7 @@
 	return lines, errors.Join(wrong...)
 }
 
-func parseLine(part []string) (l roster.Line, err error) {
+func parseLine(part []string) (l endpointlist.Endpoint, err error) {
 	if len(part) != 3 {
 		return l, errors.New("not PARTNER ADDRESS ready|draining")
 	}
@@ -104,7 +104,7 @@
 // lists looks at the source and pushes what changed to the engine, on one goroutine.
 type lists struct {
 	source  ListSource
-	roster  *roster.Roster
+	roster  *endpointlist.Registry
 	log     *logs.Logger
 	put     func(engine.ListUpdate)
 	quit    chan struct{}
@@ -149,8 +149,8 @@
 		return
 	}
 	l.version = version
-	c := l.roster.Whole(lines)
-	for _, odd := range c.Odd {
+	c := l.roster.Replace(lines)
+	for _, odd := range c.Warnings {
 		l.log.Warn("list", "%s", odd)
 	}
 	l.put(engine.ListUpdate{Kind: kind, Entries: c.Entries})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,11 +13,12 @@
 	"time"
 
 	"whinrun/control"
+	"whinrun/internal/admission"
 	"whinrun/internal/amqpfront"
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
-	"whinrun/internal/door"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/front"
 	"whinrun/internal/h2"
@@ -27,7 +28,6 @@
 	"whinrun/internal/outbound"
 	"whinrun/internal/push"
 	"whinrun/internal/pushfront"
-	"whinrun/internal/roster"
 	"whinrun/internal/safety"
 )
 
@@ -36,10 +36,10 @@
 	cfg    *config.Config
 	log    *logs.Logger
 	clock  clock.Clock
-	roster *roster.Roster
+	roster *endpointlist.Registry
 	loop   *engine.Loop
 	pool   *outbound.Pool
-	door   *door.Door
+	door   *admission.Controller
 	fronts []*front.Front // push, then AMQP where it is on
 	lists  *lists
 	keeper *audit.Recorder // nil where no trail is kept
@@ -50,31 +50,31 @@
 
 // Start starts a dispatcher. source may be nil: then the list is that of the settings, or of the list file.
 func Start(cfg *config.Config, log *logs.Logger, source ListSource) (*Service, error) {
-	s := &Service{cfg: cfg, log: log, clock: clock.New(), roster: roster.New(cfg.Partners)}
+	s := &Service{cfg: cfg, log: log, clock: clock.New(), roster: endpointlist.New(cfg.Partners)}
 	var seed [16]byte
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("random seed: %w", err)
 	}
-	names := push.Names{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
+	names := push.ExternalIDs{Epoch: strconv.FormatUint(binary.LittleEndian.Uint64(seed[8:])>>16, 36)}
 	var err error
-	speech := &speech{roster: s.roster, sites: cfg.Sites, dialects: cfg.Dialects, names: names, wall: clock.Wall}
-	guard := safety.NewGuard(cfg.Module)
+	speech := &speech{roster: s.roster, sites: cfg.PartnerResources, dialects: cfg.Dialects, names: names, wall: clock.Wall}
+	guard := safety.NewGuard(cfg.Control)
 	pool := cfg.Outbound
-	pool.Permits = permits{guard}
+	pool.Admission = permits{guard}
 	s.pool, err = outbound.New(pool, outbound.NewHTTP2(speech), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
 	if err != nil {
 		return nil, err
 	}
 	own := make([]bool, len(cfg.Dialects))
 	for i, d := range cfg.Dialects {
-		own[i] = d.OwnPath()
+		own[i] = d.PathPerMessage()
 	}
 	if source == nil {
 		source = sourceOf(cfg)
 	}
 	s.lists = &lists{source: source, roster: s.roster, log: log, quit: make(chan struct{})}
-	s.door = door.New(cfg.Door, len(cfg.Intake.Tenants), inner{s})
-	policy := engine.Options{Settings: cfg.Module, PathPerMessage: own, Guard: guard}
+	s.door = admission.New(cfg.Admission, len(cfg.Intake.Tenants), inner{s})
+	policy := engine.Options{Settings: cfg.Control, PathPerMessage: own, Guard: guard}
 	if cfg.Audit.Folder != "" {
 		if policy.Trail, err = s.keep(names); err != nil {
 			s.pool.Close()
@@ -87,9 +87,9 @@
 		s.endTrail(true)
 		return nil, err
 	}
-	s.loop = engine.NewLoop(core, s.clock, cfg.Bounds)
+	s.loop = engine.NewLoop(core, s.clock, cfg.EngineBounds)
 	s.lists.put = func(l engine.ListUpdate) { s.loop.Enqueue(engine.Input{List: &l}) }
-	s.lists.start(cfg.ListEvery)
+	s.lists.start(cfg.ListInterval)
 	go s.loop.Run()
 	if err := s.listen(names); err != nil {
 		s.Kill()
@@ -109,12 +109,12 @@
 func (i inner) Withdraw(id control.MessageID)  { i.s.loop.Withdraw(id) }
 
 // keep opens the trail. While its disk fails nothing new is taken; what is held is answered.
-func (s *Service) keep(names push.Names) (engine.Trail, error) {
+func (s *Service) keep(names push.ExternalIDs) (engine.Trail, error) {
 	bad := func(err error) {
 		if err != nil {
 			err = errors.New("the audit trail can't be written")
 		}
-		s.door.Shut(err)
+		s.door.Suspend(err)
 	}
 	var err error
 	s.keeper, err = audit.Open(s.cfg.Audit, s.now, func(f string, a ...any) { s.log.Warn("audit", f, a...) }, bad)
@@ -141,28 +141,28 @@
 }
 
 // listen opens the fronts. They are equals: each gets its side of the one door.
-func (s *Service) listen(names push.Names) error {
+func (s *Service) listen(names push.ExternalIDs) error {
 	cfg, book := s.cfg, intake.NewRegistry(s.cfg.Intake)
-	add := func(name string, c front.Config, side *door.Side, open func(*front.Conn, time.Duration) front.Session) error {
+	add := func(name string, c front.Config, side *admission.Frontend, open func(*front.Conn, time.Duration) front.Session) error {
 		f, err := front.New(c, side, s.clock, func(t string) { s.log.Warn(name, "%s", t) }, open)
 		if err == nil {
 			s.fronts = append(s.fronts, f)
 		}
 		return err
 	}
-	room := &mailbox.Room{Box: mailbox.New(cfg.Mailbox)}
+	room := &mailbox.SharedBroker{Broker: mailbox.New(cfg.Mailbox)}
 	if s.keeper != nil {
-		room.Key, room.Changed = s.keeper.Key(), s.trail.changed
+		room.Key, room.OnChange = s.keeper.Key(), s.trail.changed
 		if err := s.restore(room, book); err != nil {
 			return err
 		}
 	}
 	s.startChores(room)
-	side := s.door.Side("push")
-	if err := add("push", cfg.Front, side, pushfront.Opener(cfg.Push, push.NewDesk(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
+	side := s.door.AddFrontend("push")
+	if err := add("push", cfg.Front, side, pushfront.SessionFactory(cfg.Push, push.NewRequestParser(book), names, side, room, s.now)); err != nil || cfg.AMQP.Address == "" {
 		return err
 	}
-	side = s.door.Side("amqp")
+	side = s.door.AddFrontend("amqp")
 	return add("amqp", cfg.AMQP, side, amqpfront.New(cfg.AMQPConn, book, names, side, room, s.now).Open)
 }
 
@@ -180,8 +180,8 @@
 // Stats returns the engine's counts.
 func (s *Service) Stats() engine.Stats { return s.loop.Stats() }
 
-// Door gives access to what clients have handed in, for measurements and tests.
-func (s *Service) Door() *door.Door { return s.door }
+// Admission gives access to what clients have handed in, for measurements and tests.
+func (s *Service) Admission() *admission.Controller { return s.door }
 
 // now is the dispatcher's clock as a duration.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
@@ -206,7 +206,7 @@
 	}
 	answered := false
 	select {
-	case <-s.loop.Stop(s.cfg.StopWithin):
+	case <-s.loop.Stop(s.cfg.StopTimeout):
 		answered = true
 	case <-ctx.Done():
 	}
@@ -249,20 +249,20 @@
 
 // speech speaks to each endpoint in the dialect of its partner's kind.
 type speech struct {
-	roster   *roster.Roster
-	sites    []push.Site
+	roster   *endpointlist.Registry
+	sites    []push.PartnerResource
 	dialects []push.Dialect
-	names    push.Names
+	names    push.ExternalIDs
 	wall     func() time.Time
 }
 
 func (s *speech) Address(ep control.EndpointID) (netip.AddrPort, bool) {
-	p, ok := s.roster.Place(ep)
+	p, ok := s.roster.Lookup(ep)
 	return p.Addr, ok
 }
 
 func (s *speech) Request(a *engine.Attempt, left time.Duration) []h2.Field {
-	p, _ := s.roster.Place(a.Endpoint)
+	p, _ := s.roster.Lookup(a.Endpoint)
 	site := s.sites[p.Partner]
 	if site.Authority == "" {
 		site.Authority = p.Addr.String()
@@ -271,7 +271,7 @@
 }
 
 func (s *speech) Answer(a *engine.Attempt, fields []h2.Field, body []byte) engine.Outcome {
-	p, _ := s.roster.Place(a.Endpoint)
+	p, _ := s.roster.Lookup(a.Endpoint)
 	status, _ := strconv.Atoi(h2.Value(fields, ":status"))
 	e := engine.Outcome{Kind: engine.Answered, Status: status}
 	if status >= 300 {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -77,13 +77,13 @@
 }
 
 func post(c *load.Client, path string, more ...func(*load.Message)) (status int, err error) {
-	m := load.Message{Test: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
+	m := load.Message{CorrelationID: "x", Class: "status", Path: path, Token: "secret", TTL: 3}
 	for _, f := range more {
 		f(&m)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), 20*time.Second)
 	defer stop()
-	status, _, _, err = c.Post(ctx, &m)
+	status, _, _, err = c.Send(ctx, &m)
 	return status, err
 }
 
@@ -114,7 +114,7 @@
 		go func() {
 			defer all.Done()
 			size := 100 + (i%5)*50000
-			if status, err := post(c, "/p/upload", func(m *load.Message) { m.Size = size }); status != 201 || err != nil {
+			if status, err := post(c, "/p/upload", func(m *load.Message) { m.BodySize = size }); status != 201 || err != nil {
 				bad.Add(1)
 				t.Log(status, err)
 			}
@@ -127,7 +127,7 @@
 }
 
 // A peer of net/http that shuts down sends GOAWAY: nothing that was out is lost, and nothing is sent twice.
-func TestPeerShutsDownInLoad(t *testing.T) {
+func TestPartnerShutsDownUnderLoad(t *testing.T) {
 	var served atomic.Int64
 	addr, srv := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(20 * time.Millisecond)
@@ -201,7 +201,7 @@
 }
 
 // Every limit at the door has its answer.
-func TestDoor(t *testing.T) {
+func TestAdmissionLimits(t *testing.T) {
 	block := make(chan struct{})
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
 		<-block
@@ -217,10 +217,10 @@
 		status int
 		change func(*load.Message)
 	}{
-		{"body above the limit", 413, func(m *load.Message) { m.Size = 70000 }},
+		{"body above the limit", 413, func(m *load.Message) { m.BodySize = 70000 }},
 		{"wrong token", 401, func(m *load.Message) { m.Token = "wrong" }},
 		{"no such resource", 404, func(m *load.Message) { m.Path = "/q" }},
-		{"bad topic", 400, func(m *load.Message) { m.Key = "no topic" }},
+		{"bad topic", 400, func(m *load.Message) { m.OrderKey = "no topic" }},
 	} {
 		if status, err := post(c, "/p/status", k.change); status != k.status {
 			t.Errorf("%s: %d %v, want %d", k.name, status, err, k.status)
@@ -235,7 +235,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if status, _ := post(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.Size = 6000 }); status == 503 || status == 504 {
+			if status, _ := post(c, "/p/status", func(m *load.Message) { m.TTL = 1; m.BodySize = 6000 }); status == 503 || status == 504 {
 				full.Add(1)
 			}
 		}()
@@ -244,7 +244,7 @@
 	if full.Load() != 60 {
 		t.Errorf("%d of 60 refused or failed at a partner that answers nothing", full.Load())
 	}
-	if n := s.Door().Usage().Bytes; n != 0 {
+	if n := s.Admission().Usage().Bytes; n != 0 {
 		t.Errorf("%d bytes are still reserved", n)
 	}
 }
@@ -330,7 +330,7 @@
 }
 
 // A client that keeps its window shut while answers wait is cut off; others go on.
-func TestClientThatTakesNoAnswers(t *testing.T) {
+func TestClientThatReadsNoAnswers(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(400) }) // its answers have bodies
 	s := start(t, addr, "[limits]\nstall = 300ms\n")
 	defer s.Kill()
@@ -346,7 +346,7 @@
 	}
 	away := false
 	err := r.until(func(e h2.Event) bool {
-		away = away || e.Kind == h2.PeerGoAway && e.Code == h2.FlowControlError
+		away = away || e.Kind == h2.GoAwayReceived && e.Code == h2.FlowControlError
 		return e.Kind == h2.Data
 	})
 	if err == nil || !away {
@@ -356,7 +356,7 @@
 }
 
 // A preface that does not come, garbage, and a flood of resets end their connections and nothing else.
-func TestAbuseEndsItsConnection(t *testing.T) {
+func TestAbuseClosesItsConnection(t *testing.T) {
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) { w.WriteHeader(201) })
 	s := start(t, addr, "[limits]\nhandshake = 200ms\nabuse-burst = 50\nabuse-rate = 10/s\n")
 	defer s.Kill()
@@ -419,7 +419,7 @@
 }
 
 // An orderly stop answers what was taken, also where the partner answers nothing, and then ends.
-func TestStopInOrder(t *testing.T) {
+func TestGracefulStop(t *testing.T) {
 	block := make(chan struct{})
 	arrived := make(chan struct{}, 100)
 	addr, _ := peer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -471,7 +471,7 @@
 }
 
 // Logs are bounded: what a fault would flood is counted instead.
-func TestLogsAreBounded(t *testing.T) {
+func TestLogRateIsLimited(t *testing.T) {
 	var b bytes.Buffer
 	l, err := logs.New(&b, "info", 5)
 	if err != nil {
--- a/internal/service/trail.go
+++ b/internal/service/trail.go
@@ -7,20 +7,20 @@
 	"whinrun/internal/audit"
 	"whinrun/internal/clock"
 	"whinrun/internal/config"
+	"whinrun/internal/endpointlist"
 	"whinrun/internal/engine"
 	"whinrun/internal/intake"
 	"whinrun/internal/mailbox"
 	"whinrun/internal/push"
 	"whinrun/internal/receipt"
-	"whinrun/internal/roster"
 )
 
 // trail writes down what the engine does, in names.
 type trail struct {
 	keeper *audit.Recorder
 	cfg    *config.Config
-	roster *roster.Roster
-	names  push.Names
+	roster *endpointlist.Registry
+	names  push.ExternalIDs
 }
 
 var results = map[control.Result]string{control.OK: "ok", control.ConnectFailed: "connect failed", control.Reset: "reset",
@@ -29,11 +29,11 @@
 var standings = map[control.Health]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
 
 func (t *trail) of(kind audit.Kind, m *engine.Message) *audit.Record {
-	return &audit.Record{Kind: kind, Message: t.names.Of(m.ID), Partner: t.cfg.Partners[m.Dest].Name}
+	return &audit.Record{Kind: kind, Message: t.names.Format(m.ID), Partner: t.cfg.Partners[m.Dest].Name}
 }
 
 func (t *trail) at(r *audit.Record, a *engine.Attempt) *audit.Record {
-	p, _ := t.roster.Place(a.Endpoint)
+	p, _ := t.roster.Lookup(a.Endpoint)
 	r.Attempt, r.Endpoint = a.Number+1, p.Addr.String()
 	return r
 }
@@ -72,7 +72,7 @@
 
 func (t *trail) EndpointChanged(e *control.Entry) {
 	r := &audit.Record{Kind: audit.Learned, Partner: t.cfg.Partners[e.Dest].Name, Result: standings[e.Health]}
-	if p, ok := t.roster.Place(e.Endpoint); ok {
+	if p, ok := t.roster.Lookup(e.Endpoint); ok {
 		r.Endpoint = p.Addr.String()
 	}
 	t.keeper.Enqueue(r)
@@ -89,7 +89,7 @@
 
 // restore puts the receipts back that were promised before the dispatcher ended and not fetched. What had no final
 // answer by then gets the one that is true of it: failed, it may have been sent.
-func (s *Service) restore(room *mailbox.Room, book *intake.Registry) error {
+func (s *Service) restore(room *mailbox.SharedBroker, book *intake.Registry) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
 	subscriptions, owed, err := s.keeper.UnfetchedReceipts(since)
 	if err != nil {
@@ -98,7 +98,7 @@
 	back := 0
 	for _, r := range subscriptions {
 		if tenant, ok := book.Tenant(r.Tenant); ok {
-			_, _, _, _ = room.Declare(s.now(), tenant, mailbox.Spec{Name: r.Receipt}, false) // one there is none too many
+			_, _, _, _ = room.Declare(s.now(), tenant, mailbox.QueueSpec{Name: r.Receipt}, false) // one there is none too many
 		}
 	}
 	for _, p := range owed {
@@ -106,7 +106,7 @@
 		if !ok {
 			continue
 		}
-		place, err := room.Promise(tenant, p.Queue, "", "")
+		place, err := room.Reserve(tenant, p.Queue, "", "")
 		if err != nil {
 			s.log.Warn("audit", "the receipt of %s is not put back: %v", p.Accepted.Message, err)
 			continue
--- a/internal/sitefile/sitefile.go
+++ b/internal/sitefile/sitefile.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Line returns one text of a deploy file.
-func Line(path, key string) (string, error) {
+// Text returns one text of a deploy file.
+func Text(path, key string) (string, error) {
 	all, err := read(path)
 	if err != nil {
 		return "", err
@@ -40,9 +40,9 @@
 // beside are the files that are read from the folder of a site file.
 var beside = []string{"real.json", "wire.json", "unlock.txt"}
 
-// Variant lays a site out in a folder: the site's file with the overrides of another file, and what belongs beside it. It
+// WriteVariant lays a site out in a folder: the site's file with the overrides of another file, and what belongs beside it. It
 // returns the path of the new site file, which has the name of the overrides' file.
-func Variant(site, overrides, folder string) (string, error) {
+func WriteVariant(site, overrides, folder string) (string, error) {
 	base, err := read(site)
 	if err != nil {
 		return "", err
--- a/internal/sitefile/sitefile_test.go
+++ b/internal/sitefile/sitefile_test.go
@@ -23,10 +23,10 @@
 
 const site = "name = \"x\"\n[load]\nquiet = [0.4, 0.5]\n[[class]]\nname = \"a\"\neffect = \"safe\"\nwindow = 5\n[[class]]\nname = \"b\"\neffect = \"unsafe\"\n"
 
-func TestVariant(t *testing.T) {
+func TestWriteVariant(t *testing.T) {
 	base := write(t, "site.toml", site)
 	over := write(t, "other.toml", "[load]\nquiet = 0.3\n[[class]]\n[[class]]\neffect = \"keyed\"\nwindow = 7\n")
-	path, err := Variant(base, over, t.TempDir())
+	path, err := WriteVariant(base, over, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,23 +47,23 @@
 	}
 }
 
-func TestVariantRefuses(t *testing.T) {
+func TestWriteVariantRejects(t *testing.T) {
 	base := write(t, "site.toml", site)
 	for text, says := range map[string]string{"[lod]\nquiet = 1\n": ".lod", "[load]\nquite = 1\n": ".load.quite", "[[class]]\n[[class]]\n[[class]]\n": ".class: the site has 2", "[[class]]\nwindw = 1\n": ".class[0].windw",
 		"[name]\nx = 1\n": ".name", "name =\n": "other.toml"} {
-		if _, err := Variant(base, write(t, "other.toml", text), t.TempDir()); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := WriteVariant(base, write(t, "other.toml", text), t.TempDir()); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%q: %v, want %q", text, err, says)
 		}
 	}
 }
 
-func TestLine(t *testing.T) {
+func TestText(t *testing.T) {
 	path := write(t, "deploy.toml", "build = \"go build\"\npackages = []\n")
-	if text, err := Line(path, "build"); text != "go build" || err != nil {
+	if text, err := Text(path, "build"); text != "go build" || err != nil {
 		t.Errorf("%q, %v", text, err)
 	}
 	for _, key := range []string{"packages", "run"} {
-		if _, err := Line(path, key); err == nil {
+		if _, err := Text(path, key); err == nil {
 			t.Errorf("%s: no error", key)
 		}
 	}
--- a/internal/testgate/testgate.go
+++ b/internal/testgate/testgate.go
@@ -12,21 +12,21 @@
 	"strings"
 )
 
-// Most is how many tests may be on record.
-const Most = 3
+// MaxKnownFailures is how many tests may be on record.
+const MaxKnownFailures = 3
 
-// Known is a test on record as failing for a fault that is not mended yet.
-type Known struct {
+// KnownFailure is a test on record as failing for a fault that is not mended yet.
+type KnownFailure struct {
 	Package string // import path as go test prints it
 	Test    string
 	Cause   string
 	Issue   string
 }
 
-// ParseKnown reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
+// ParseKnownFailures reads the record: one line each, "PACKAGE.TEST | cause | issue". Empty lines and those that begin with # are
 // passed over.
-func ParseKnown(r io.Reader) ([]Known, error) {
-	var all []Known
+func ParseKnownFailures(r io.Reader) ([]KnownFailure, error) {
+	var all []KnownFailure
 	in := bufio.NewScanner(r)
 	for n := 1; in.Scan(); n++ {
 		text := strings.TrimSpace(in.Text())
@@ -44,12 +44,12 @@
 		if at < 0 {
 			return nil, fmt.Errorf("line %d: %q names no test", n, parts[0])
 		}
-		k := Known{parts[0][:at], parts[0][at+1:], parts[1], parts[2]}
-		if slices.ContainsFunc(all, func(o Known) bool { return o.Package == k.Package && o.Test == k.Test }) {
+		k := KnownFailure{parts[0][:at], parts[0][at+1:], parts[1], parts[2]}
+		if slices.ContainsFunc(all, func(o KnownFailure) bool { return o.Package == k.Package && o.Test == k.Test }) {
 			return nil, fmt.Errorf("line %d: %s is there twice", n, parts[0])
 		}
-		if all = append(all, k); len(all) > Most {
-			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, Most)
+		if all = append(all, k); len(all) > MaxKnownFailures {
+			return nil, fmt.Errorf("line %d: %d tests at most may be on record", n, MaxKnownFailures)
 		}
 	}
 	return all, in.Err()
@@ -62,9 +62,9 @@
 
 type test struct{ pkg, name string }
 
-// Judge reads the output of go test -json, prints what failed and what became of the tests on record, and returns an
+// Evaluate reads the output of go test -json, prints what failed and what became of the tests on record, and returns an
 // error where the run does not pass.
-func Judge(in io.Reader, known []Known, out io.Writer) error {
+func Evaluate(in io.Reader, known []KnownFailure, out io.Writer) error {
 	r := run{ends: map[test]string{}, text: map[test][]string{}, pkgs: map[string]string{}}
 	dec := json.NewDecoder(in)
 	for {
@@ -107,7 +107,7 @@
 }
 
 // verdict tells whether all that failed is on record.
-func (r *run) verdict(known []Known, out io.Writer) error {
+func (r *run) verdict(known []KnownFailure, out io.Writer) error {
 	var faults []error
 	counts := map[string]int{}
 	excused := map[string]bool{} // packages in which a test on record failed
@@ -159,7 +159,7 @@
 }
 
 // recorded tells whether a test, or the one that it is a part of, is on record.
-func recorded(known []Known, t test) bool {
+func recorded(known []KnownFailure, t test) bool {
 	whole, _, _ := strings.Cut(t.name, "/")
-	return slices.ContainsFunc(known, func(k Known) bool { return k.Package == t.pkg && k.Test == whole })
+	return slices.ContainsFunc(known, func(k KnownFailure) bool { return k.Package == t.pkg && k.Test == whole })
 }
--- a/internal/testgate/testgate_test.go
+++ b/internal/testgate/testgate_test.go
@@ -19,7 +19,7 @@
 	return b.String()
 }
 
-func TestJudge(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	const rec = "m/a.TestRed | a cause | 33\n"
 	for name, c := range map[string]struct {
 		record, in, says string
@@ -39,12 +39,12 @@
 		"a package ends early":         {"", lines("pass m/a TestOne", "fail m/a"), "1 passed", false},
 		"nothing ran":                  {"", "", "0 passed", false},
 	} {
-		known, err := ParseKnown(strings.NewReader(c.record))
+		known, err := ParseKnownFailures(strings.NewReader(c.record))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		if err = Judge(strings.NewReader(c.in), known, &out); (err == nil) != c.passes {
+		if err = Evaluate(strings.NewReader(c.in), known, &out); (err == nil) != c.passes {
 			t.Errorf("%s: %v", name, err)
 		}
 		if !strings.Contains(out.String(), c.says) {
@@ -53,15 +53,15 @@
 	}
 }
 
-func TestParseKnown(t *testing.T) {
+func TestParseKnownFailures(t *testing.T) {
 	three := "a.TestA | x | 1\na.TestB | x | 1\n# a note\n\na.TestC | x | 1\n"
 	for text, want := range map[string]int{"": 0, three: 3} {
-		if all, err := ParseKnown(strings.NewReader(text)); err != nil || len(all) != want {
+		if all, err := ParseKnownFailures(strings.NewReader(text)); err != nil || len(all) != want {
 			t.Errorf("%q: %d, %v", text, len(all), err)
 		}
 	}
 	for _, text := range []string{three + "a.TestD | x | 1\n", "a.TestA | x\n", "a.TestA | | 1\n", "a.Bench | x | 1\n", "a.TestA|x|1\na.TestA|y|2\n"} {
-		if all, err := ParseKnown(strings.NewReader(text)); err == nil {
+		if all, err := ParseKnownFailures(strings.NewReader(text)); err == nil {
 			t.Errorf("%q: taken as %v", text, all)
 		}
 	}
