--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -121,7 +121,7 @@
 
 func main() {
 	k := kong.Parse(&cli, kong.Name("whinlab"), kong.Description("Stand-ins, load and scripted days for whinrun. Loopback only."), kong.UsageOnError(),
-		kong.Vars{"faults": strings.Join(soak.Kinds(), ", ")})
+		kong.Vars{"faults": strings.Join(soak.FaultKinds(), ", ")})
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "whinlab:", err)
 		os.Exit(1)
--- a/cmd/whinlab/soak.go
+++ b/cmd/whinlab/soak.go
@@ -29,8 +29,8 @@
 
 func (c *soakCmd) Run() error {
 	for _, f := range c.Faults {
-		if !slices.Contains(soak.Kinds(), f) {
-			return fmt.Errorf("fault %q: there are %s", f, strings.Join(soak.Kinds(), ", "))
+		if !slices.Contains(soak.FaultKinds(), f) {
+			return fmt.Errorf("fault %q: there are %s", f, strings.Join(soak.FaultKinds(), ", "))
 		}
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -41,7 +41,7 @@
 	}
 	broken := 0
 	for seed := c.Seed; seed < c.Seed+uint64(c.Seeds) && ctx.Err() == nil; seed++ {
-		cfg := soak.Config{Binary: binary, Folder: c.Keep, Seed: seed, Nodes: c.Nodes, Span: c.For, Rate: c.Rate, Faults: c.Faults}
+		cfg := soak.Config{Binary: binary, Folder: c.Keep, Seed: seed, Nodes: c.Nodes, Duration: c.For, Rate: c.Rate, FaultKinds: c.Faults}
 		res, err := soak.Run(ctx, cfg)
 		if err != nil {
 			return err
@@ -65,8 +65,8 @@
 	if len(r.Violations) > 0 {
 		verdict = fmt.Sprintf("%d violations, see %s", len(r.Violations), r.Folder)
 	}
-	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", r.Seed, len(r.Faults), r.Taken,
-		r.Delivered, r.Ended, r.Calls, r.Took.Seconds(), verdict)
+	fmt.Printf("seed %d: %d faults, %d messages taken, %d delivered, %d ended by a notice, %d calls, %.1f s: %s\n", r.Seed, len(r.Faults), r.Accepted,
+		r.Delivered, r.EndedByNotice, r.Calls, r.Elapsed.Seconds(), verdict)
 	for i, v := range r.Violations {
 		if i == violationsShown {
 			fmt.Printf("  and %d more\n", len(r.Violations)-i)
--- a/cmd/whinrun/node_test.go
+++ b/cmd/whinrun/node_test.go
@@ -91,7 +91,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(time.Second))
 	_, _ = c.Write([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"))
-	status, err := testbed.Status(c)
+	status, err := testbed.ReadStatus(c)
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -103,13 +103,13 @@
 	s := testbed.New()
 	n := newNode(t, s)
 	e, err := s.Endpoint("a", 1, "", func(c testbed.Call) testbed.Reply {
-		return testbed.Reply{Status: []int{200, 200, 500, 503}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%11 == 0}
+		return testbed.Reply{Status: []int{200, 200, 500, 503}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%11 == 0}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	n.agent.Set(testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
+	n.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
 	var mu sync.Mutex
 	var names []string
 	for round := range 5 {
@@ -126,7 +126,7 @@
 					}
 					name := fmt.Sprintf("r%d-w%d-%d", round, w, i)
 					class := []string{"status", "upload"}[i%2]
-					if s.Hand(n.addr, testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: 1, Left: 3 * time.Second, Body: name}) == 202 {
+					if s.Submit(n.addr, testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: 1, Remaining: 3 * time.Second, Body: name}) == 202 {
 						mu.Lock()
 						names = append(names, name)
 						mu.Unlock()
@@ -138,14 +138,14 @@
 		s.Await(5*time.Second, func(ev []testbed.Event) bool { return len(ev) > had+150+37*round })
 		_ = n.cmd.Process.Signal(syscall.SIGKILL)
 		_ = n.cmd.Wait()
-		s.Note(testbed.Event{Kind: testbed.Restarted})
+		s.Record(testbed.Event{Kind: testbed.Restarted})
 		close(stop)
 		all.Wait()
 	}
 	n.start()
 	s.Await(8*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
-	for _, f := range testbed.Check(s.Events(), testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
-		WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}, time.Now()) {
+	for _, f := range testbed.Check(s.Events(), testbed.Rules{EndSlack: 2 * time.Second, DrainGrace: time.Second, AtMostOnce: []string{"upload"}, ColdBudget: 1 << 20,
+		WaitGrace: 150 * time.Millisecond, ObservationLag: 100 * time.Millisecond}, time.Now()) {
 		t.Error(f)
 	}
 	if len(names) < 50 {
@@ -154,7 +154,7 @@
 }
 
 // failing starts the program beside an endpoint that answers errors.
-func failing(t *testing.T) (*testbed.Testbed, *node, testbed.Host) {
+func failing(t *testing.T) (*testbed.Testbed, *node, testbed.EndpointEntry) {
 	t.Helper()
 	s := testbed.New()
 	n := newNode(t, s)
@@ -163,8 +163,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	host := testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"}
-	n.agent.Set(host)
+	host := testbed.EndpointEntry{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"}
+	n.agent.Publish(host)
 	n.start()
 	return s, n, host
 }
@@ -182,14 +182,14 @@
 		t.Fatal(err)
 	}
 	defer n.agent.Close()
-	n.agent.Set(host)
+	n.agent.Publish(host)
 	n.configure()
 	_ = n.cmd.Process.Signal(syscall.SIGHUP)
 	old.Close()
-	if status := s.Hand(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
+	if status := s.Submit(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Remaining: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
+	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.NoticeReceived, "m") > 0 }) {
 		t.Error("no notice at the new address")
 	}
 	start := time.Now()
@@ -209,11 +209,11 @@
 // owed goes there.
 func TestNodeReloadedWhileItStops(t *testing.T) {
 	s, n, _ := failing(t)
-	n.agent.Fail(503)
-	if status := s.Hand(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Left: 3 * time.Second}); status != 202 {
+	n.agent.FailNotices(503)
+	if status := s.Submit(n.addr, testbed.Message{Name: "m", Class: "upload", Tenant: "acme", Dest: 1, Remaining: 3 * time.Second}); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") > 0 }) {
+	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "m") > 0 }) {
 		t.Fatal("no call")
 	}
 	var err error
@@ -229,7 +229,7 @@
 	for _, sig := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		_ = n.cmd.Process.Signal(sig)
 	}
-	if !s.Await(3*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Noticed, "m") > 0 }) {
+	if !s.Await(3*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.NoticeReceived, "m") > 0 }) {
 		t.Error("no notice at the new address")
 	}
 	if err := n.cmd.Wait(); err != nil {
@@ -244,15 +244,15 @@
 func TestNodeStoppedBeforeItIsReady(t *testing.T) {
 	s := testbed.New()
 	n := newNode(t, s)
-	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
-	n.agent.Mute(true) // the start waits for discovery's first answer
+	n.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	n.agent.SetMuted(true) // the start waits for discovery's first answer
 	n.configure()
 	n.cmd = n.command()
 	if err := n.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = n.cmd.Process.Kill() }()
-	if !s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Watched, "") > 0 }) {
+	if !s.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.WatchOpened, "") > 0 }) {
 		t.Fatal("discovery is not asked")
 	}
 	start := time.Now()
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -28,13 +28,13 @@
 func (n *node) kill(s *testbed.Testbed) {
 	_ = n.cmd.Process.Signal(syscall.SIGKILL)
 	_ = n.cmd.Wait()
-	s.Note(testbed.Event{Kind: testbed.Restarted})
+	s.Record(testbed.Event{Kind: testbed.Restarted})
 }
 
 // calls returns when the calls of a message began.
 func calls(events []testbed.Event, name string) (at []time.Time) {
 	for _, e := range events {
-		if e.Kind == testbed.Called && e.Name == name {
+		if e.Kind == testbed.CallReceived && e.Name == name {
 			at = append(at, e.At)
 		}
 	}
@@ -54,19 +54,19 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	n.agent.Set(testbed.Host{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
+	n.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: e.Addr, Class: "single", Block: 1, Health: "ready"})
 	n.start()
-	m := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, Key: "key-m", Left: 4 * time.Second}
-	if status := s.Hand(n.addr, m); status != 202 {
+	m := testbed.Message{Name: "m", Class: "sync", Tenant: "acme", Dest: 1, IdempotencyKey: "key-m", Remaining: 4 * time.Second}
+	if status := s.Submit(n.addr, m); status != 202 {
 		t.Fatalf("answer %d", status)
 	}
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "m") == 1 }) {
+	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "m") == 1 }) {
 		t.Fatal("no call by the first process")
 	}
 	n.kill(s)
-	reply.Store(&testbed.Reply{Status: 429, Wait: keyWindow / 4}) // the second process makes one call before it is killed
+	reply.Store(&testbed.Reply{Status: 429, RetryAfter: keyWindow / 4}) // the second process makes one call before it is killed
 	n.start()
-	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "m") == 1 }) {
+	if !s.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "m") == 1 }) {
 		t.Fatal("no call by the second process")
 	}
 	n.kill(s)
@@ -86,8 +86,8 @@
 
 // nodeRules are the figures of testbed.Settings with windows shortened to keyWindow, for processes that share a machine with others.
 func nodeRules() testbed.Rules {
-	return testbed.Rules{Slack: 2 * time.Second, Grace: time.Second, Once: []string{"upload"}, ColdBudget: 1 << 20,
-		Windows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}
+	return testbed.Rules{EndSlack: 2 * time.Second, DrainGrace: time.Second, AtMostOnce: []string{"upload"}, ColdBudget: 1 << 20,
+		DedupWindows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, WaitGrace: 150 * time.Millisecond, ObservationLag: 100 * time.Millisecond}
 }
 
 // write puts a configuration in place.
@@ -105,7 +105,7 @@
 func TestNodeStateFolder(t *testing.T) {
 	s := testbed.New()
 	n := newNode(t, s)
-	n.agent.Set(testbed.Host{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
+	n.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
 	folder := n.state
 	n.state = filepath.Join(n.file, "state") // below a file
 	n.configure()
--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -28,13 +28,13 @@
 // submitOn submits a message on an open connection and expects the status want.
 func (d *testDispatcher) submitOn(c net.Conn, m testbed.Message, want int) {
 	d.t.Helper()
-	if _, err := c.Write(testbed.Form(m)); err != nil {
+	if _, err := c.Write(testbed.EncodeRequest(m)); err != nil {
 		d.t.Fatal(err)
 	}
-	if status, err := testbed.Status(c); status != want {
+	if status, err := testbed.ReadStatus(c); status != want {
 		d.t.Fatalf("%s: %d, %v", m.Name, status, err)
 	}
-	d.bed.Note(testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Left)})
+	d.bed.Record(testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: time.Now().Add(m.Remaining)})
 }
 
 // An invalid request is answered and its connection closed in order while the client still sends. Closing the
@@ -44,7 +44,7 @@
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
 	d.startReady()
-	form := string(testbed.Form(newMessage("big", "status", 1)))
+	form := string(testbed.EncodeRequest(newMessage("big", "status", 1)))
 	for name, text := range map[string]string{
 		"413": strings.Replace(form, "Content-Length: 11", "Content-Length: 62914560", 1),
 		"400": strings.Replace(form, "X-Remaining: 3.000", "X-Remaining: soon", 1) + form,
@@ -109,17 +109,17 @@
 			t.Fatalf("the end of an idle connection at a stop: %v", err)
 		}
 	}
-	_, _ = late.Write(testbed.Form(newMessage("crossed", "upload", 1)))
+	_, _ = late.Write(testbed.EncodeRequest(newMessage("crossed", "upload", 1)))
 	if n, err := late.Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("an answer after the end of the connection: %v", err)
 	}
 	<-stopped
 	d.node = nil
-	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
+	d.bed.Record(testbed.Event{Kind: testbed.Restarted})
 	d.startReady()
 	d.awaitEnds([]string{"first", "second"})
 	d.awaitEnds(d.submitOne(newMessage("crossed", "upload", 1)))
-	if n := d.countEvents(testbed.Called, "crossed"); n != 1 {
+	if n := d.countEvents(testbed.CallReceived, "crossed"); n != 1 {
 		t.Errorf("the crossed message was called %d times", n)
 	}
 	d.checkRules()
@@ -133,7 +133,7 @@
 	d.startReady()
 	c := d.dial()
 	var names []string
-	form := string(testbed.Form(newMessage("piece-000", "sync", 1)))
+	form := string(testbed.EncodeRequest(newMessage("piece-000", "sync", 1)))
 	for cut := range len(form) {
 		name := fmt.Sprintf("piece-%03d", cut)
 		text := strings.ReplaceAll(form, "piece-000", name)
@@ -142,7 +142,7 @@
 			runtime.Gosched()
 		}
 		_, _ = io.WriteString(c, text[cut:])
-		if status, err := testbed.Status(c); status != 202 {
+		if status, err := testbed.ReadStatus(c); status != 202 {
 			t.Fatalf("cut at %d: %d, %v", cut, status, err)
 		}
 		names = append(names, name)
@@ -162,23 +162,23 @@
 		c := d.dial()
 		name := fmt.Sprint("m", i)
 		m := newMessage(name, "upload", 1)
-		if _, err := c.Write(testbed.Form(m)); err != nil {
+		if _, err := c.Write(testbed.EncodeRequest(m)); err != nil {
 			t.Fatal(err)
 		}
 		if i%2 == 0 {
 			_ = c.Close()
 			continue
 		}
-		if status, err := testbed.Status(c); status != 202 {
+		if status, err := testbed.ReadStatus(c); status != 202 {
 			t.Fatalf("%s: %d, %v", name, status, err)
 		}
 		_ = c.Close()
-		d.bed.Note(testbed.Event{Kind: testbed.Taken, Name: name, Class: m.Class, Dest: 1, Due: time.Now().Add(m.Left)})
+		d.bed.Record(testbed.Event{Kind: testbed.Accepted, Name: name, Class: m.Class, Dest: 1, Due: time.Now().Add(m.Remaining)})
 		heard = append(heard, name)
 	}
 	d.awaitEnds(heard)
 	for i := range 60 {
-		if n := d.countEvents(testbed.Called, fmt.Sprint("m", i)); n > 1 {
+		if n := d.countEvents(testbed.CallReceived, fmt.Sprint("m", i)); n > 1 {
 			t.Errorf("m%d was sent %d times", i, n)
 		}
 	}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -215,7 +215,7 @@
 		name := fmt.Sprint("to-", host, "-", i)
 		d.awaitEnds(d.submitOne(newMessage(name, "status", dest)))
 		for _, e := range d.bed.Events() {
-			if e.Kind == testbed.Called && e.Name == name && e.Host == host {
+			if e.Kind == testbed.CallReceived && e.Name == name && e.Host == host {
 				return
 			}
 		}
@@ -226,7 +226,7 @@
 // submitOne submits a message that must be accepted and returns its id.
 func (d *testDispatcher) submitOne(m testbed.Message) []string {
 	d.t.Helper()
-	if status := d.bed.Hand(d.addr, m); status != 202 {
+	if status := d.bed.Submit(d.addr, m); status != 202 {
 		d.t.Fatalf("%s: %d", m.Name, status)
 	}
 	return []string{m.Name}
@@ -236,7 +236,7 @@
 func (d *testDispatcher) awaitList(since int, within time.Duration) time.Duration {
 	d.t.Helper()
 	start := time.Now()
-	if !d.bed.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Told, "") > 0 }) {
+	if !d.bed.Await(within, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.ListSent, "") > 0 }) {
 		d.t.Fatalf("no list was sent within %v; log: %s", within, d.logText())
 	}
 	return time.Since(start)
@@ -246,7 +246,7 @@
 func (d *testDispatcher) expectOnlyHost(host, prefix string) {
 	d.t.Helper()
 	for _, e := range d.bed.Events() {
-		if e.Kind == testbed.Called && e.Host != host && strings.HasPrefix(e.Name, prefix) {
+		if e.Kind == testbed.CallReceived && e.Host != host && strings.HasPrefix(e.Name, prefix) {
 			d.t.Errorf("%s went to %s", e.Name, e.Host)
 		}
 	}
@@ -260,8 +260,8 @@
 	a := d.addEndpoint("a", 1, "single", succeed)
 	d.startReady()
 	d.awaitEnds(d.submitAll("x", 1, 1, "status"))
-	d.agent.Silence()
-	d.agent.Indent()
+	d.agent.SilenceOpenWatches()
+	d.agent.IndentLists()
 	since := len(d.bed.Events())
 	d.setListed(a, "single", "draining")
 	d.addEndpoint("b", 1, "single", succeed)
@@ -282,16 +282,16 @@
 	d.startReady()
 	d.awaitEnds(d.submitAll("x", 1, 1, "status"))
 	// The open watch stays silent when discovery returns.
-	d.agent.Silence()
-	d.agent.Mute(true)
+	d.agent.SilenceOpenWatches()
+	d.agent.SetMuted(true)
 	had := len(d.bed.Events())
-	if !d.bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.Watched, "") >= 2 }) {
+	if !d.bed.Await(10*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[had:], testbed.WatchOpened, "") >= 2 }) {
 		t.Fatal("no watch is tried while discovery is down")
 	}
 	since := len(d.bed.Events())
 	d.setListed(a, "single", "draining")
 	d.addEndpoint("b", 1, "single", succeed)
-	d.agent.Mute(false)
+	d.agent.SetMuted(false)
 	if took := d.awaitList(since, 10*time.Second); took > time.Second {
 		t.Errorf("the list came %v after the return", took)
 	}
@@ -315,7 +315,7 @@
 	d.awaitRoutedTo("b", 1)
 	d.awaitEnds(d.submitAll("x", 5, 1, "status"))
 	d.kill()
-	d.agent.Mute(true)
+	d.agent.SetMuted(true)
 	d.startReady()
 	d.awaitEnds(d.submitAll("y", 10, 1, "status", "upload"))
 	d.expectOnlyHost("b", "y")
@@ -340,18 +340,18 @@
 	t.Cleanup(other.Close)
 	d.setListed(other, "single", "ready")
 	d.addEndpoint("a2", 1, "single", succeed)
-	d.agent.Mute(true)
+	d.agent.SetMuted(true)
 	since := len(d.bed.Events())
 	// The answer comes after the watch is open, and later than a call would be made.
 	go func() {
-		d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Watched, "") > 0 })
-		d.bed.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Called, "") > 0 })
-		d.agent.Mute(false)
+		d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.WatchOpened, "") > 0 })
+		d.bed.Await(200*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.CallReceived, "") > 0 })
+		d.agent.SetMuted(false)
 	}()
 	d.startReady()
 	d.awaitEnds(names)
 	for _, e := range d.bed.Events()[since:] {
-		if e.Kind == testbed.Called && e.Host != "a2" {
+		if e.Kind == testbed.CallReceived && e.Host != "a2" {
 			t.Errorf("%s went to %s", e.Name, e.Host)
 		}
 	}
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -133,7 +133,7 @@
 func (d *testDispatcher) kill() {
 	d.node.Kill()
 	d.node = nil
-	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
+	d.bed.Record(testbed.Event{Kind: testbed.Restarted})
 }
 
 // addEndpoint adds an endpoint and lists it as ready.
@@ -150,7 +150,7 @@
 
 // setListed has the agent list an endpoint with the given health.
 func (d *testDispatcher) setListed(e *testbed.Endpoint, class, health string) {
-	d.agent.Set(testbed.Host{Host: e.Host, Dial: e.Addr, Site: "east", Class: class, Block: e.Dest, Health: health, Share: 1})
+	d.agent.Publish(testbed.EndpointEntry{Host: e.Host, Dial: e.Addr, Site: "east", Class: class, Block: e.Dest, Health: health, Share: 1})
 }
 
 // roundTrip writes a text on a new connection and returns the status of the first answer. The status is 0 if
@@ -165,7 +165,7 @@
 	start := time.Now()
 	_ = c.SetDeadline(start.Add(within))
 	go func() { _, _ = io.WriteString(c, text) }()
-	status, err = testbed.Status(c)
+	status, err = testbed.ReadStatus(c)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		status = -1
 	}
@@ -174,9 +174,9 @@
 
 // newMessage returns a message with 3 s left. Messages of keyed classes get a key.
 func newMessage(name, class string, dest int) testbed.Message {
-	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: dest, Left: 3 * time.Second, Body: "body of " + name}
+	m := testbed.Message{Name: name, Class: class, Tenant: "acme", Dest: dest, Remaining: 3 * time.Second, Body: "body of " + name}
 	if class == "sync" || class == "turns" {
-		m.Key = "key-" + name
+		m.IdempotencyKey = "key-" + name
 	}
 	return m
 }
@@ -186,7 +186,7 @@
 	for i := range n {
 		for _, c := range classes {
 			name := fmt.Sprintf("%s-%s-%d", prefix, c, i)
-			if d.bed.Hand(d.addr, newMessage(name, c, dest)) == 202 {
+			if d.bed.Submit(d.addr, newMessage(name, c, dest)) == 202 {
 				names = append(names, name)
 			}
 		}
@@ -213,8 +213,8 @@
 // contains no errors.
 func (d *testDispatcher) checkRules() {
 	d.t.Helper()
-	faults := testbed.Check(d.bed.Events(), testbed.Rules{Slack: 350 * time.Millisecond, Grace: 1050 * time.Millisecond, Once: []string{"upload"},
-		InOrder: []string{"turns"}, Windows: map[string]time.Duration{"sync": 4 * time.Second, "turns": 4 * time.Second}, ColdBudget: 1 << 20, WaitExcused: 150 * time.Millisecond, Lag: 100 * time.Millisecond}, time.Now())
+	faults := testbed.Check(d.bed.Events(), testbed.Rules{EndSlack: 350 * time.Millisecond, DrainGrace: 1050 * time.Millisecond, AtMostOnce: []string{"upload"},
+		Ordered: []string{"turns"}, DedupWindows: map[string]time.Duration{"sync": 4 * time.Second, "turns": 4 * time.Second}, ColdBudget: 1 << 20, WaitGrace: 150 * time.Millisecond, ObservationLag: 100 * time.Millisecond}, time.Now())
 	for _, f := range faults {
 		d.t.Error(f)
 	}
@@ -225,7 +225,7 @@
 
 // succeed answers a call with 200 after 5 ms.
 func succeed(testbed.Call) testbed.Reply {
-	return testbed.Reply{Status: 200, After: 5 * time.Millisecond}
+	return testbed.Reply{Status: 200, Delay: 5 * time.Millisecond}
 }
 
 // alwaysReply answers every call with r.
@@ -260,11 +260,11 @@
 	see := func(c testbed.Call) testbed.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		if len(c.Names) == 1 && !strings.Contains(c.Body, "\r\n") {
-			bodies[c.Names[0]] = c.Body
+		if len(c.MessageNames) == 1 && !strings.Contains(c.Body, "\r\n") {
+			bodies[c.MessageNames[0]] = c.Body
 		}
-		for i, n := range c.Names {
-			keys[n] = c.Keys[i]
+		for i, n := range c.MessageNames {
+			keys[n] = c.IdempotencyKeys[i]
 		}
 		return succeed(c)
 	}
@@ -283,7 +283,7 @@
 		t.Errorf("body %q, key %q, key %q", bodies["y-sync-3"], keys["y-sync-3"], keys["y-upload-3"])
 	}
 	for _, e := range d.bed.Events() {
-		if e.Kind == testbed.Noticed || e.Kind == testbed.Refused || e.Kind == testbed.Broke || e.Kind == testbed.Answered && e.Status != 200 {
+		if e.Kind == testbed.NoticeReceived || e.Kind == testbed.Refused || e.Kind == testbed.CallBroken || e.Kind == testbed.CallAnswered && e.Status != 200 {
 			t.Errorf("unexpected event: %+v", e)
 		}
 	}
@@ -294,18 +294,18 @@
 	d := newTestDispatcher(t)
 	var mu sync.Mutex
 	most := 0
-	e := d.addEndpoint("a", 1, "bulk", alwaysReply(testbed.Reply{Status: 429, Wait: 300 * time.Millisecond}))
+	e := d.addEndpoint("a", 1, "bulk", alwaysReply(testbed.Reply{Status: 429, RetryAfter: 300 * time.Millisecond}))
 	d.startReady()
 	names := d.submitAll("x", 4, 1, "status", "upload")
-	e.Act(func(c testbed.Call) testbed.Reply {
+	e.SetHandler(func(c testbed.Call) testbed.Reply {
 		mu.Lock()
 		defer mu.Unlock()
-		most = max(most, len(c.Names))
+		most = max(most, len(c.MessageNames))
 		body := ""
-		for i, n := range c.Names {
+		for i, n := range c.MessageNames {
 			body += n + " " + []string{"done", "failed", "busy"}[i%3] + "\r\n"
 		}
-		if len(c.Names) == 1 {
+		if len(c.MessageNames) == 1 {
 			return succeed(c)
 		}
 		return testbed.Reply{Status: 200, Body: body}
@@ -317,7 +317,7 @@
 		t.Errorf("at most %d messages in a call", most)
 	}
 	for _, n := range names {
-		if calls := d.countEvents(testbed.Called, n); strings.Contains(n, "upload") && calls > 4 {
+		if calls := d.countEvents(testbed.CallReceived, n); strings.Contains(n, "upload") && calls > 4 {
 			t.Errorf("%s: %d calls", n, calls)
 		}
 	}
@@ -326,7 +326,7 @@
 // An upload whose answer is lost is not sent again. It ends at once, long before its deadline.
 func TestAnswerLost(t *testing.T) {
 	d := newTestDispatcher(t)
-	d.addEndpoint("a", 1, "single", replyFirst(3, testbed.Reply{Drop: true, After: 5 * time.Millisecond}))
+	d.addEndpoint("a", 1, "single", replyFirst(3, testbed.Reply{Drop: true, Delay: 5 * time.Millisecond}))
 	d.startReady()
 	start := time.Now()
 	names := d.submitAll("x", 3, 1, "upload")
@@ -334,7 +334,7 @@
 	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("the ends took %v", took)
 	}
-	if n := d.countEvents(testbed.Noticed, ""); n == 0 {
+	if n := d.countEvents(testbed.NoticeReceived, ""); n == 0 {
 		t.Error("no notice")
 	}
 	more := d.submitAll("y", 3, 1, "status", "sync")
@@ -349,21 +349,21 @@
 	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Hang: true}))
 	d.startReady()
 	names := d.submitAll("x", 3, 1, "status", "sync", "upload")
-	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") >= 3 })
+	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") >= 3 })
 	out := map[string]bool{}
 	for _, ev := range d.bed.Events() {
-		if ev.Kind == testbed.Called {
+		if ev.Kind == testbed.CallReceived {
 			out[ev.Name] = true
 		}
 	}
 	d.kill()
-	e.Act(succeed)
+	e.SetHandler(succeed)
 	d.startReady()
 	d.awaitEnds(names)
 	d.checkRules()
 	for _, n := range names {
-		if strings.Contains(n, "upload") && out[n] && (d.countEvents(testbed.Called, n) != 1 || d.countEvents(testbed.Noticed, n) != 1) {
-			t.Errorf("%s: %d calls, %d notices", n, d.countEvents(testbed.Called, n), d.countEvents(testbed.Noticed, n))
+		if strings.Contains(n, "upload") && out[n] && (d.countEvents(testbed.CallReceived, n) != 1 || d.countEvents(testbed.NoticeReceived, n) != 1) {
+			t.Errorf("%s: %d calls, %d notices", n, d.countEvents(testbed.CallReceived, n), d.countEvents(testbed.NoticeReceived, n))
 		}
 	}
 	if len(out) == 0 {
@@ -375,10 +375,10 @@
 func TestKillsUnderLoad(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "bulk", func(c testbed.Call) testbed.Reply {
-		return testbed.Reply{Status: []int{200, 200, 200, 500, 503}[c.N%5], After: time.Duration(c.N%7) * 3 * time.Millisecond}
+		return testbed.Reply{Status: []int{200, 200, 200, 500, 503}[c.Number%5], Delay: time.Duration(c.Number%7) * 3 * time.Millisecond}
 	})
 	d.addEndpoint("b", 2, "single", func(c testbed.Call) testbed.Reply {
-		return testbed.Reply{Status: 200, Drop: c.N%6 == 0, After: time.Duration(c.N%5) * 4 * time.Millisecond}
+		return testbed.Reply{Status: 200, Drop: c.Number%6 == 0, Delay: time.Duration(c.Number%5) * 4 * time.Millisecond}
 	})
 	var names []string
 	for round := range 6 {
@@ -396,7 +396,7 @@
 					}
 					c := []string{"status", "sync", "upload"}[i%3]
 					n := fmt.Sprintf("r%d-w%d-%s-%d", round, w, c, i)
-					if d.bed.Hand(d.addr, newMessage(n, c, 1+i%2)) == 202 {
+					if d.bed.Submit(d.addr, newMessage(n, c, 1+i%2)) == 202 {
 						mu.Lock()
 						names = append(names, n)
 						mu.Unlock()
@@ -422,13 +422,13 @@
 // for the next process.
 func TestStopKeepsWhatIsHeld(t *testing.T) {
 	d := newTestDispatcher(t)
-	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, After: 400 * time.Millisecond}))
-	d.addEndpoint("b", 2, "single", alwaysReply(testbed.Reply{Status: 429, Wait: 10 * time.Second}))
+	e := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, Delay: 400 * time.Millisecond}))
+	d.addEndpoint("b", 2, "single", alwaysReply(testbed.Reply{Status: 429, RetryAfter: 10 * time.Second}))
 	d.startReady()
 	names := d.submitAll("x", 2, 1, "upload")
 	m := newMessage("held", "sync", 2)
-	m.Left = 5 * time.Second
-	if d.bed.Hand(d.addr, m) == 202 {
+	m.Remaining = 5 * time.Second
+	if d.bed.Submit(d.addr, m) == 202 {
 		names = append(names, "held")
 	}
 	done := make(chan struct{})
@@ -440,7 +440,7 @@
 	for !d.node.clients.stopping.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	if status := d.bed.Hand(d.addr, newMessage("late", "status", 1)); status != 503 && status != 429 && status != 0 {
+	if status := d.bed.Submit(d.addr, newMessage("late", "status", 1)); status != 503 && status != 429 && status != 0 {
 		t.Errorf("a new request while stopping: %d", status)
 	}
 	<-done
@@ -448,8 +448,8 @@
 		t.Errorf("the stop took %v", took)
 	}
 	d.node = nil
-	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
-	e.Act(succeed)
+	d.bed.Record(testbed.Event{Kind: testbed.Restarted})
+	e.SetHandler(succeed)
 	d.startReady()
 	d.awaitEnds(names)
 	d.checkRules()
@@ -476,7 +476,7 @@
 		}
 		n := fmt.Sprint("m", i)
 		_ = c.SetDeadline(time.Now().Add(time.Second))
-		if _, err = c.Write(testbed.Form(newMessage(n, "status", 1))); err == nil {
+		if _, err = c.Write(testbed.EncodeRequest(newMessage(n, "status", 1))); err == nil {
 			b := make([]byte, 200)
 			if k, err := c.Read(b); err != nil {
 				// The request was not read. That may happen to the last one at most, at the moment of the
@@ -529,13 +529,13 @@
 	old.Close()
 	d.addEndpoint("b", 2, "single", alwaysReply(testbed.Reply{Status: 500}))
 	// The destination is unknown until the new discovery has sent its list.
-	for d.bed.Hand(d.addr, newMessage("known?", "upload", 2)) == 404 {
+	for d.bed.Submit(d.addr, newMessage("known?", "upload", 2)) == 404 {
 		time.Sleep(5 * time.Millisecond)
 	}
 	names := d.submitAll("y", 2, 2, "upload")
 	d.awaitEnds(append(names, "known?"))
 	d.checkRules()
-	if n := d.countEvents(testbed.Noticed, ""); n != 3 {
+	if n := d.countEvents(testbed.NoticeReceived, ""); n != 3 {
 		t.Errorf("%d notices at the new address, want 3", n)
 	}
 }
@@ -543,16 +543,16 @@
 // Notices are repeated until they are acknowledged, also after a restart.
 func TestNoticesUntilAcknowledged(t *testing.T) {
 	d := newTestDispatcher(t)
-	d.agent.Fail(500)
+	d.agent.FailNotices(500)
 	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 500}))
 	d.startReady()
 	names := d.submitAll("x", 3, 1, "upload")
-	d.bed.Await(2*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") >= 3 })
+	d.bed.Await(2*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "") >= 3 })
 	for d.node.Stats().Failed < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	d.kill()
-	d.agent.Fail(0)
+	d.agent.FailNotices(0)
 	d.startReady()
 	d.awaitEnds(names)
 	d.checkRules()
@@ -580,14 +580,14 @@
 	a := d.addEndpoint("a", 1, "single", succeed)
 	d.startReady()
 	d.awaitEnds(d.submitAll("x", 5, 1, "status"))
-	had := a.Opened()
+	had := a.AcceptedConns()
 	d.setListed(a, "single", "gone")
 	b := &testbed.Endpoint{Host: "b", Dest: 1, Addr: a.Addr}
 	d.setListed(b, "single", "ready")
 	// Both changes of the list arrive within this second.
 	d.bed.Await(time.Second, func([]testbed.Event) bool { return false })
 	d.awaitEnds(d.submitAll("y", 3, 1, "status"))
-	if a.Opened() == had {
+	if a.AcceptedConns() == had {
 		t.Error("no connection was opened for the new endpoint")
 	}
 	d.checkRules()
@@ -601,8 +601,8 @@
 		delivered bool
 	}{
 		"noise":           {testbed.Reply{Raw: "\x00\x01\xfe\xff noise", Status: 500}, false},
-		"noise behind":    {testbed.Reply{Status: 200, Then: "noise"}, true},
-		"second answer":   {testbed.Reply{Status: 200, Then: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"}, true},
+		"noise behind":    {testbed.Reply{Status: 200, TrailingBytes: "noise"}, true},
+		"second answer":   {testbed.Reply{Status: 200, TrailingBytes: "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"}, true},
 		"negative length": {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n", Status: 200}, true},
 		"3 GB":            {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20), Status: 200}, true},
 		"3 GB error":      {testbed.Reply{Raw: "HTTP/1.1 500 x\r\nContent-Length: 3221225472\r\n\r\n" + strings.Repeat("x", 1<<20), Status: 500}, false},
@@ -610,7 +610,7 @@
 		"bad head line":   {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\n\x00\x00\r\n\r\n", Status: 200}, true},
 		"interim answers": {testbed.Reply{Raw: "HTTP/1.1 103 a\r\n\r\nHTTP/1.1 100 b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Status: 200}, true},
 		"cut body":        {testbed.Reply{Raw: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", Status: 200}, true},
-		"bad report":      {testbed.Reply{Status: 200, Head: []string{"X-Pressure", "x0=zz,,=,x1"}}, true},
+		"bad report":      {testbed.Reply{Status: 200, ExtraHeaders: []string{"X-Pressure", "x0=zz,,=,x1"}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -619,11 +619,11 @@
 			d.startReady()
 			names := d.submitAll("x", 1, 1, "upload")
 			d.awaitEnds(names)
-			if got := d.countEvents(testbed.Noticed, names[0]) == 0; got != c.delivered {
+			if got := d.countEvents(testbed.NoticeReceived, names[0]) == 0; got != c.delivered {
 				t.Errorf("delivered %v, want %v; log %s", got, c.delivered, d.logText())
 			}
 			d.awaitEnds(d.submitAll("y", 2, 1, "status"))
-			if !strings.HasPrefix(name, "interim") && name != "bad report" && e.Opened() < 2 {
+			if !strings.HasPrefix(name, "interim") && name != "bad report" && e.AcceptedConns() < 2 {
 				t.Error("the connection with the malformed response was used again")
 			}
 			d.checkRules()
@@ -637,7 +637,7 @@
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", succeed)
 	d.startReady()
-	good := string(testbed.Form(newMessage("m", "status", 1)))
+	good := string(testbed.EncodeRequest(newMessage("m", "status", 1)))
 	swap := func(from, to string) string {
 		if !strings.Contains(good, from) {
 			t.Fatalf("no %q in %q", from, good)
@@ -668,7 +668,7 @@
 		"empty id":          swap("X-Txn: m", "X-Txn: "),
 		"two ids":           swap("X-Txn: m", "X-Txn: m\r\nX-Txn: n"),
 		"id with a space":   swap("X-Txn: m", "X-Txn: m n"),
-		"no key":            string(testbed.Form(testbed.Message{Name: "k", Class: "sync", Tenant: "acme", Dest: 1, Left: time.Second})),
+		"no key":            string(testbed.EncodeRequest(testbed.Message{Name: "k", Class: "sync", Tenant: "acme", Dest: 1, Remaining: time.Second})),
 		"other method":      "DELETE / HTTP/1.1\r\nHost: a\r\n\r\n",
 		"other path":        "GET /secret HTTP/1.1\r\nHost: a\r\n\r\n",
 	} {
@@ -689,7 +689,7 @@
 	})
 	t.Cleanup(func() {
 		for _, e := range d.bed.Events() {
-			if e.Kind == testbed.Called && !strings.HasPrefix(e.Name, "u-") {
+			if e.Kind == testbed.CallReceived && !strings.HasPrefix(e.Name, "u-") {
 				t.Errorf("%q reached an endpoint", e.Name)
 			}
 		}
@@ -719,7 +719,7 @@
 		n := fmt.Sprint("u", i)
 		// A client may retry on a connection that was closed before anything was sent on for it.
 		for range 5 {
-			if d.bed.Hand(d.addr, newMessage(n, "status", 1)) == 202 {
+			if d.bed.Submit(d.addr, newMessage(n, "status", 1)) == 202 {
 				names = append(names, n)
 				break
 			}
@@ -741,14 +741,14 @@
 // A message with the id of one that is still owed its end is not accepted.
 func TestIDTakenTwice(t *testing.T) {
 	d := newTestDispatcher(t)
-	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, After: 500 * time.Millisecond}))
+	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, Delay: 500 * time.Millisecond}))
 	d.startReady()
 	names := d.submitAll("x", 1, 1, "upload")
-	if status, _ := d.roundTrip(string(testbed.Form(newMessage(names[0], "upload", 1))), time.Second); status != 409 {
+	if status, _ := d.roundTrip(string(testbed.EncodeRequest(newMessage(names[0], "upload", 1))), time.Second); status != 409 {
 		t.Errorf("the id of an open message: %d", status)
 	}
 	d.awaitEnds(names)
-	if n := d.countEvents(testbed.Called, names[0]); n != 1 {
+	if n := d.countEvents(testbed.CallReceived, names[0]); n != 1 {
 		t.Errorf("%d calls", n)
 	}
 	d.checkRules()
@@ -780,9 +780,9 @@
 func TestStartWithoutAnyList(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.fixedConfig = testbed.Configuration(d.addr, d.agent)
-	d.agent.Mute(true)
+	d.agent.SetMuted(true)
 	d.launch()
-	if status := d.bed.Hand(d.addr, newMessage("early", "status", 1)); status != 503 {
+	if status := d.bed.Submit(d.addr, newMessage("early", "status", 1)); status != 503 {
 		t.Errorf("a message before any list: %d", status)
 	}
 	if status, _ := d.roundTrip("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", time.Second); status != 503 {
@@ -790,11 +790,11 @@
 	}
 	d.addEndpoint("a", 1, "single", succeed)
 	since := len(d.bed.Events())
-	d.agent.Mute(false)
+	d.agent.SetMuted(false)
 	d.awaitList(since, 5*time.Second)
 	for i := 0; ; i++ {
 		name := fmt.Sprint("later", i)
-		if status := d.bed.Hand(d.addr, newMessage(name, "status", 1)); status == 202 {
+		if status := d.bed.Submit(d.addr, newMessage(name, "status", 1)); status == 202 {
 			d.awaitEnds([]string{name})
 			break
 		} else if status != 503 || i > 200 {
@@ -816,7 +816,7 @@
 // An endpoint that asks for a wait gets no call before the wait is over.
 func TestRetryAfter(t *testing.T) {
 	d := newTestDispatcher(t)
-	d.addEndpoint("a", 1, "single", replyFirst(1, testbed.Reply{Status: 429, Wait: 700 * time.Millisecond}))
+	d.addEndpoint("a", 1, "single", replyFirst(1, testbed.Reply{Status: 429, RetryAfter: 700 * time.Millisecond}))
 	d.startReady()
 	d.awaitEnds(d.submitAll("x", 5, 1, "status", "upload"))
 	d.checkRules()
--- a/internal/platform/pipeline_test.go
+++ b/internal/platform/pipeline_test.go
@@ -24,14 +24,14 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(10 * time.Second))
 	go func() { _, _ = io.WriteString(c, text) }()
-	return testbed.Statuses(c, enough)
+	return testbed.ReadStatuses(c, enough)
 }
 
 // encodeMessages returns the requests of several messages, one after the other.
 func encodeMessages(names ...string) string {
 	var b bytes.Buffer
 	for _, n := range names {
-		b.Write(testbed.Form(newMessage(n, "status", 1)))
+		b.Write(testbed.EncodeRequest(newMessage(n, "status", 1)))
 	}
 	return b.String()
 }
@@ -72,7 +72,7 @@
 		d.awaitEnds(names)
 		d.checkRules()
 		for _, n := range []string{"b3", "s2", "h2", "e2"} {
-			if d.countEvents(testbed.Called, n) > 0 {
+			if d.countEvents(testbed.CallReceived, n) > 0 {
 				t.Errorf("%s was taken", n)
 			}
 		}
@@ -118,7 +118,7 @@
 	}
 	got := make(chan []int)
 	go func() { got <- d.pipelineStatuses(encodeMessages(names...)+encodeMessages("half")[:40], 201) }()
-	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
+	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") > 0 })
 	done := make(chan struct{})
 	go func() {
 		d.node.Stop()
@@ -139,7 +139,7 @@
 	if len(taken) == 0 || answers[len(answers)-1] < 400 {
 		t.Errorf("answers %v", answers)
 	}
-	d.bed.Note(testbed.Event{Kind: testbed.Restarted})
+	d.bed.Record(testbed.Event{Kind: testbed.Restarted})
 	d.startReady()
 	d.awaitEnds(taken)
 	d.checkRules()
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -39,25 +39,25 @@
 func TestFullDisk(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
-	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 429, Wait: 200 * time.Millisecond}))
+	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 429, RetryAfter: 200 * time.Millisecond}))
 	d.startReady()
 	held := d.submitAll("held", 3, 1, "status", "sync", "upload")
-	if !d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Answered, "") > 0 }) {
+	if !d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallAnswered, "") > 0 }) {
 		t.Fatal("no call")
 	}
 	failWrites(d.disk, unix.ENOSPC)
-	a.Act(succeed)
+	a.SetHandler(succeed)
 	if more := d.submitAll("late", 3, 1, "status", "upload"); len(more) > 0 {
 		t.Errorf("accepted without a record: %v", more)
 	}
 	d.bed.Await(time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, held) })
 	for _, e := range d.bed.Events() {
-		if e.Kind == testbed.Answered && e.Status == 200 && !strings.Contains(e.Name, "status") {
+		if e.Kind == testbed.CallAnswered && e.Status == 200 && !strings.Contains(e.Name, "status") {
 			t.Errorf("%s was called without a record", e.Name)
 		}
 	}
 	for _, name := range held {
-		if strings.Contains(name, "status") && d.countEvents(testbed.Answered, name) == 0 {
+		if strings.Contains(name, "status") && d.countEvents(testbed.CallAnswered, name) == 0 {
 			t.Errorf("%s waits although it needs no record", name)
 		}
 	}
@@ -66,7 +66,7 @@
 	d.awaitEnds(held)
 	d.checkRules()
 	for _, name := range held {
-		if d.countEvents(testbed.Noticed, name) > 0 {
+		if d.countEvents(testbed.NoticeReceived, name) > 0 {
 			t.Errorf("%s was given up", name)
 		}
 	}
@@ -79,18 +79,18 @@
 	d.disk = disk.NewMemory()
 	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 500}))
 	d.startReady()
-	a.Act(alwaysReply(testbed.Reply{Status: 500, After: 50 * time.Millisecond}))
+	a.SetHandler(alwaysReply(testbed.Reply{Status: 500, Delay: 50 * time.Millisecond}))
 	names := d.submitAll("x", 4, 1, "status", "sync", "upload")
 	failWrites(d.disk, unix.EIO)
 	d.bed.Await(500*time.Millisecond, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
 	for _, e := range d.bed.Events() {
-		if e.Kind == testbed.Noticed && e.Text == "deferred" {
+		if e.Kind == testbed.NoticeReceived && e.Text == "deferred" {
 			t.Errorf("%s got a deferred notice although its end is not recorded", e.Name)
 		}
 	}
 	d.kill()
 	d.disk.SetFail(nil)
-	a.Act(succeed)
+	a.SetHandler(succeed)
 	d.startReady()
 	d.awaitEnds(names)
 	d.checkRules()
@@ -104,10 +104,10 @@
 			d := newTestDispatcher(t)
 			d.disk = disk.NewMemory()
 			d.addEndpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
-				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
+				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%17 == 0}
 			})
 			d.addEndpoint("b", 2, "bulk", func(c testbed.Call) testbed.Reply {
-				return testbed.Reply{Status: []int{200, 429, 200}[c.N%3], After: time.Duration(c.N%7) * 2 * time.Millisecond}
+				return testbed.Reply{Status: []int{200, 429, 200}[c.Number%3], Delay: time.Duration(c.Number%7) * 2 * time.Millisecond}
 			})
 			var mu sync.Mutex
 			ops := 0
@@ -144,9 +144,9 @@
 		c := []string{"status", "sync", "upload", "turns"}[i%4]
 		m := newMessage(fmt.Sprintf("%s-%s-%d", prefix, c, i), c, 1+i%2)
 		if c == "turns" {
-			m.Order = fmt.Sprint("order-", i%3)
+			m.OrderKey = fmt.Sprint("order-", i%3)
 		}
-		if d.bed.Hand(d.addr, m) == 202 {
+		if d.bed.Submit(d.addr, m) == 202 {
 			names = append(names, m.Name)
 		}
 	}
@@ -157,7 +157,7 @@
 func TestFolderFailsAtTheStart(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
-	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 429, Wait: 2 * time.Second}))
+	a := d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 429, RetryAfter: 2 * time.Second}))
 	d.startReady()
 	names := d.submitAll("x", 2, 1, "status", "sync", "upload")
 	d.kill()
@@ -170,7 +170,7 @@
 	})
 	// Writes fail as well, until the process serves.
 	failWrites(d.disk, unix.ENOSPC)
-	a.Act(succeed)
+	a.SetHandler(succeed)
 	d.startReady()
 	if more := d.submitAll("late", 2, 1, "upload"); len(more) > 0 {
 		t.Errorf("accepted without a record: %v", more)
@@ -201,14 +201,14 @@
 		d.kill()
 		d.startReady()
 	}
-	back, err := d.bed.Endpoint("a", 1, a.Addr, alwaysReply(testbed.Reply{Status: 200, After: 300 * time.Millisecond}))
+	back, err := d.bed.Endpoint("a", 1, a.Addr, alwaysReply(testbed.Reply{Status: 200, Delay: 300 * time.Millisecond}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(back.Close)
 	since := len(d.bed.Events())
-	d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.Answered, "") > 0 })
-	if calls := testbed.Count(d.bed.Events()[since:], testbed.Called, ""); calls != 1 {
+	d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.Count(ev[since:], testbed.CallAnswered, "") > 0 })
+	if calls := testbed.Count(d.bed.Events()[since:], testbed.CallReceived, ""); calls != 1 {
 		t.Errorf("%d calls before the first answer, want a single trial", calls)
 	}
 	d.bed.Await(5*time.Second, func(ev []testbed.Event) bool { return testbed.AllEnded(ev, names) })
--- a/internal/platform/syscalls_test.go
+++ b/internal/platform/syscalls_test.go
@@ -21,7 +21,7 @@
 			d := newTestDispatcher(t)
 			d.faulty = &eventlooptest.FaultySystem{}
 			d.addEndpoint("a", 1, "single", func(c testbed.Call) testbed.Reply {
-				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.N%4], After: time.Duration(c.N%5) * 3 * time.Millisecond, Drop: c.N%17 == 0}
+				return testbed.Reply{Status: []int{200, 200, 503, 500}[c.Number%4], Delay: time.Duration(c.Number%5) * 3 * time.Millisecond, Drop: c.Number%17 == 0}
 			})
 			d.addEndpoint("b", 2, "bulk", succeed)
 			faults := map[string][]error{
@@ -77,13 +77,13 @@
 				names = d.submitAll("x", 2, 1, "status", "upload")
 			} else {
 				names = d.submitAll("x", 2, 1, "status", "upload")
-				d.bed.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.Called, "") > 0 })
+				d.bed.Await(300*time.Millisecond, func(ev []testbed.Event) bool { return testbed.Count(ev, testbed.CallReceived, "") > 0 })
 				d.faulty.SetFault(nil)
 			}
 			d.awaitEnds(names)
 			d.checkRules()
-			if len(names) != 4 || d.countEvents(testbed.Noticed, "") > 0 {
-				t.Errorf("%v taken, %d given up", names, d.countEvents(testbed.Noticed, ""))
+			if len(names) != 4 || d.countEvents(testbed.NoticeReceived, "") > 0 {
+				t.Errorf("%v taken, %d given up", names, d.countEvents(testbed.NoticeReceived, ""))
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 			})
 			answer := make(chan int)
 			go func() {
-				status, _ := d.roundTrip(string(testbed.Form(newMessage("m", "status", 1))), 5*time.Second)
+				status, _ := d.roundTrip(string(testbed.EncodeRequest(newMessage("m", "status", 1))), 5*time.Second)
 				answer <- status
 			}()
 			<-met
@@ -119,7 +119,7 @@
 			if status := <-answer; status != 202 {
 				t.Errorf("answer %d", status)
 			}
-			if !slices.Contains([]int{0, 1}, d.countEvents(testbed.Noticed, "m")) {
+			if !slices.Contains([]int{0, 1}, d.countEvents(testbed.NoticeReceived, "m")) {
 				t.Error("more than one end")
 			}
 		})
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -18,12 +18,12 @@
 
 // Outages.
 const (
-	Refuses  Outage = iota // connections are refused
-	Silent                 // calls are taken and never answered
-	Errors                 // calls are answered with errors
-	Resets                 // calls are broken off
-	Shut                   // calls are turned away and told to wait until it opens
-	ShutMute               // calls are turned away, and nothing is told
+	RefusesConnections Outage = iota // connections are refused
+	NeverAnswers                     // calls are taken and never answered
+	AnswersErrors                    // calls are answered with errors
+	ResetsConnections                // calls are broken off
+	RejectsWithWait                  // calls are turned away and told to wait until it opens
+	RejectsWithoutWait               // calls are turned away, and nothing is told
 	outages
 )
 
@@ -33,32 +33,32 @@
 
 // Config is of one play.
 type Config struct {
-	Seed        uint64
-	Dispatchers int
-	Outage      Outage
-	Restarts    float64 // share of the dispatchers that restart within the outage, or within a second after it
-	Uneven      float64 // deviation of the logarithm of the dispatchers' shares of the traffic
+	Seed          uint64
+	Dispatchers   int
+	Outage        Outage
+	RestartShare  float64 // share of the dispatchers that restart within the outage, or within a second after it
+	TrafficSpread float64 // deviation of the logarithm of the dispatchers' shares of the traffic
 }
 
-// Draw makes a play of a number of dispatchers from a seed.
-func Draw(seed uint64, dispatchers int) Config {
+// RandomConfig makes a play of a number of dispatchers from a seed.
+func RandomConfig(seed uint64, dispatchers int) Config {
 	rng := rand.New(rand.NewPCG(seed, 77))
-	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outages))), Restarts: 0.6 * float64(rng.IntN(2)),
-		Uneven: 1.2 * rng.Float64()}
+	return Config{Seed: seed, Dispatchers: dispatchers, Outage: Outage(rng.IntN(int(outages))), RestartShare: 0.6 * float64(rng.IntN(2)),
+		TrafficSpread: 1.2 * rng.Float64()}
 }
 
 // Result is what a play came to.
 type Result struct {
 	Config
-	Capacity float64 // calls a second that the destination bears when warm
-	Load     float64 // demand, as a part of that
-	Worst    float64 // the most calls in a span, beside what is borne then
-	At       float64 // when that was, in seconds after the return
-	Calls    int     // in that span
-	Bound    float64
-	Told     float64 // part of them of dispatchers that had seen the outage
-	Broken   bool    // the rule: past the bound, and over two thirds of those that had seen it
-	Back     float64 // seconds after the return until nine tenths of the demand are served; -1 for never
+	Capacity        float64 // calls a second that the destination bears when warm
+	Load            float64 // demand, as a part of that
+	WorstRatio      float64 // the most calls in a span, beside what is borne then
+	WorstAt         float64 // when that was, in seconds after the return
+	WorstCalls      int     // in that span
+	WorstBound      float64
+	AwareShare      float64 // part of them of dispatchers that had seen the outage
+	Violated        bool    // the rule: past the bound, and over two thirds of those that had seen it
+	RecoverySeconds float64 // seconds after the return until nine tenths of the demand are served; -1 for never
 }
 
 // Figures of the destination, in the ranges of the users' deployments.
@@ -150,8 +150,8 @@
 	res      Result
 }
 
-// Play plays one play.
-func Play(cfg Config) Result {
+// Simulate plays one play.
+func Simulate(cfg Config) Result {
 	p := &play{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(cfg.Dispatchers)))}
 	p.draw()
 	p.open()
@@ -159,7 +159,7 @@
 	for len(p.agenda) > 0 && p.agenda[0].at <= end {
 		p.step()
 	}
-	p.res.Back = p.back()
+	p.res.RecoverySeconds = p.back()
 	return p.res
 }
 
@@ -191,7 +191,7 @@
 func (p *play) open() {
 	sum := 0.0
 	for i := range p.cfg.Dispatchers {
-		d := &dispatcher{number: i, share: math.Exp(p.cfg.Uneven * p.rng.NormFloat64()), memory: map[control.EndpointID]control.Outage{}, held: map[control.MessageID]*message{}}
+		d := &dispatcher{number: i, share: math.Exp(p.cfg.TrafficSpread * p.rng.NormFloat64()), memory: map[control.EndpointID]control.Outage{}, held: map[control.MessageID]*message{}}
 		sum += d.share
 		p.fleet = append(p.fleet, d)
 	}
@@ -199,7 +199,7 @@
 		d.share /= sum
 		p.start(d)
 		p.arrive(d)
-		if p.rng.Float64() < p.cfg.Restarts {
+		if p.rng.Float64() < p.cfg.RestartShare {
 			at := p.down + control.Time(p.rng.Float64()*float64(p.up+control.Second-p.down))
 			p.put(&happening{at: at, then: func() { p.start(d) }})
 		}
@@ -354,15 +354,15 @@
 func (p *play) fails(d *dispatcher, id control.MessageID, n int, due control.Time) {
 	p.reached(d)
 	switch p.cfg.Outage {
-	case Refuses:
+	case RefusesConnections:
 		p.end(d, id, n, control.ConnectFailed, 2*crossing, 0)
-	case Silent:
+	case NeverAnswers:
 		p.end(d, id, n, control.TimedOut, due, 0)
-	case Errors:
+	case AnswersErrors:
 		p.end(d, id, n, control.ErrorResponse, 2*crossing, 0)
-	case Resets:
+	case ResetsConnections:
 		p.end(d, id, n, control.Reset, 2*crossing, 0)
-	case Shut:
+	case RejectsWithWait:
 		p.end(d, id, n, control.LimitExceeded, 2*crossing, p.up-p.now)
 	default:
 		p.end(d, id, n, control.LimitExceeded, 2*crossing, 0)
@@ -380,7 +380,7 @@
 	}
 	bound := bound(tipMultiple * p.capacity * p.warmth() * float64(span) / float64(control.Second))
 	share := float64(len(p.calls)) / bound
-	if share <= p.res.Worst {
+	if share <= p.res.WorstRatio {
 		return
 	}
 	told := 0
@@ -389,9 +389,9 @@
 			told++
 		}
 	}
-	p.res.Worst, p.res.At, p.res.Calls, p.res.Bound = share, float64(p.now-p.up)/float64(control.Second), len(p.calls), bound
-	p.res.Told = float64(told) / float64(len(p.calls))
-	p.res.Broken = p.res.Broken || share > 1 && p.res.Told > toldPart
+	p.res.WorstRatio, p.res.WorstAt, p.res.WorstCalls, p.res.WorstBound = share, float64(p.now-p.up)/float64(control.Second), len(p.calls), bound
+	p.res.AwareShare = float64(told) / float64(len(p.calls))
+	p.res.Violated = p.res.Violated || share > 1 && p.res.AwareShare > toldPart
 }
 
 // bound is how many calls a span may have where the settings allow n.
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -28,15 +28,15 @@
 			for i := range all {
 				plays.Go(func() {
 					room <- struct{}{}
-					all[i] = Play(Draw(uint64(i+1), size))
+					all[i] = Simulate(RandomConfig(uint64(i+1), size))
 					<-room
 				})
 			}
 			plays.Wait()
 			for _, r := range all {
-				if r.Broken {
-					t.Errorf("seed %d (%v): %d calls at %.2f s, %.1f are borne; %.0f%% of those who had seen the outage", r.Seed, r.Outage, r.Calls, r.At, r.Bound,
-						100*r.Told)
+				if r.Violated {
+					t.Errorf("seed %d (%v): %d calls at %.2f s, %.1f are borne; %.0f%% of those who had seen the outage", r.Seed, r.Outage, r.WorstCalls, r.WorstAt, r.WorstBound,
+						100*r.AwareShare)
 				}
 			}
 			t.Log(Summary(all))
@@ -47,14 +47,14 @@
 // The same seed gives the same play.
 func TestPlaysRepeat(t *testing.T) {
 	for seed := range uint64(4) {
-		if a, b := Play(Draw(seed, 25)), Play(Draw(seed, 25)); a != b {
+		if a, b := Simulate(RandomConfig(seed, 25)), Simulate(RandomConfig(seed, 25)); a != b {
 			t.Errorf("seed %d: %+v and %+v", seed, a, b)
 		}
 	}
 }
 
 func TestSummary(t *testing.T) {
-	all := []Result{{Worst: 0.5, Back: 3}, {Worst: 0.9, Back: -1}, {Worst: 0.7, Back: 5}}
+	all := []Result{{WorstRatio: 0.5, RecoverySeconds: 3}, {WorstRatio: 0.9, RecoverySeconds: -1}, {WorstRatio: 0.7, RecoverySeconds: 5}}
 	if got := Summary(all); !slices.Contains([]string{"worst share of the budget p50 0.70, p90 0.90, most 0.90; in full use after p50 5.0 s, p90 never, 1 of 3 never"}, got) {
 		t.Error(got)
 	}
--- a/internal/slowstart/summary.go
+++ b/internal/slowstart/summary.go
@@ -12,8 +12,8 @@
 	back := make([]float64, len(all))
 	never := 0
 	for i, r := range all {
-		worst[i], back[i] = r.Worst, r.Back
-		if r.Back < 0 {
+		worst[i], back[i] = r.WorstRatio, r.RecoverySeconds
+		if r.RecoverySeconds < 0 {
 			back[i] = math.Inf(1)
 			never++
 		}
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -26,15 +26,15 @@
 func (r *run) message(rng *rand.Rand, n *node) testbed.Message {
 	name := fmt.Sprintf("%s-%d", n.name, r.names.Add(1))
 	c := []string{"status", "status", "sync", "upload", "upload", "turns"}[rng.IntN(6)]
-	m := testbed.Message{Name: name, Class: c, Tenant: "acme", Dest: rng.IntN(destinations), Left: lives[c], Body: strings.Repeat("b", rng.IntN(400))}
+	m := testbed.Message{Name: name, Class: c, Tenant: "acme", Dest: rng.IntN(destinations), Remaining: lives[c], Body: strings.Repeat("b", rng.IntN(400))}
 	if rng.IntN(20) == 0 {
-		m.Left = time.Duration(1+rng.IntN(300)) * time.Millisecond // very little time
+		m.Remaining = time.Duration(1+rng.IntN(300)) * time.Millisecond // very little time
 	}
 	if c == "sync" || c == "turns" {
-		m.Key = "key-" + name
+		m.IdempotencyKey = "key-" + name
 	}
 	if c == "turns" {
-		m.Order = fmt.Sprintf("%s-%d", n.name, rng.IntN(5))
+		m.OrderKey = fmt.Sprintf("%s-%d", n.name, rng.IntN(5))
 	}
 	return m
 }
@@ -81,16 +81,16 @@
 func (r *run) hand(n *node, m testbed.Message, pieces int) {
 	epoch, before := n.epoch.Load(), state(n.state.Load())
 	sent := r.bed.Now()
-	status, err := exchange(n.addr, testbed.Form(m), pieces)
+	status, err := exchange(n.addr, testbed.EncodeRequest(m), pieces)
 	if errors.Is(err, errClosed) && before == up && n.epoch.Load() == epoch && n.crowd.Load() == 0 {
-		r.bed.Note(testbed.Event{Kind: testbed.Closed, Name: m.Name, Node: n.name})
+		r.bed.Record(testbed.Event{Kind: testbed.ClosedUnanswered, Name: m.Name, Node: n.name})
 	}
 	e := testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name}
 	if status == 202 || status == 200 {
-		e = testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Left), Key: m.Order, Node: n.name}
+		e = testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Key: m.OrderKey, Node: n.name}
 		r.taken.Add(1)
 	}
-	r.bed.Note(e)
+	r.bed.Record(e)
 }
 
 // exchange writes a request and reads the status of its answer; it is 0 where none came in time.
@@ -106,7 +106,7 @@
 			return 0, err
 		}
 	}
-	status, err := testbed.Status(c)
+	status, err := testbed.ReadStatus(c)
 	var late net.Error
 	if err != nil && !(errors.As(err, &late) && late.Timeout()) {
 		err = errClosed
@@ -138,7 +138,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(clock.After(rudeWithin + 500*time.Millisecond))
 	_, _ = io.WriteString(c, text)
-	status, err := testbed.Status(c)
+	status, err := testbed.ReadStatus(c)
 	var late net.Error
 	hung := errors.As(err, &late) && late.Timeout()
 	if (hung || status > 0 && status < 400) && before == up && n.epoch.Load() == epoch {
@@ -153,9 +153,9 @@
 	var text []byte
 	for range 5 + rng.IntN(30) {
 		m := r.message(rng, n)
-		m.Class, m.Key, m.Order, m.Left = "upload", "", "", lives["upload"]
+		m.Class, m.IdempotencyKey, m.OrderKey, m.Remaining = "upload", "", "", lives["upload"]
 		all = append(all, m)
-		text = append(text, testbed.Form(m)...)
+		text = append(text, testbed.EncodeRequest(m)...)
 	}
 	sent := r.bed.Now()
 	statuses := answers(n.addr, text, len(all))
@@ -167,9 +167,9 @@
 		m := all[i]
 		if status == 202 {
 			r.taken.Add(1)
-			r.bed.Note(testbed.Event{Kind: testbed.Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Left), Node: n.name})
+			r.bed.Record(testbed.Event{Kind: testbed.Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Node: n.name})
 		} else {
-			r.bed.Note(testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name})
+			r.bed.Record(testbed.Event{Kind: testbed.Refused, Name: m.Name, Status: status, Node: n.name})
 		}
 	}
 }
@@ -183,7 +183,7 @@
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(clock.After(2 * time.Second))
 	go func() { _, _ = c.Write(text) }()
-	return testbed.Statuses(c, n)
+	return testbed.ReadStatuses(c, n)
 }
 
 // counter counts what is out.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -124,7 +124,7 @@
 	if _, err := c.Write([]byte("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")); err != nil {
 		return false
 	}
-	status, _ := testbed.Status(c)
+	status, _ := testbed.ReadStatus(c)
 	return status == 200
 }
 
@@ -156,7 +156,7 @@
 		<-end
 		err = fmt.Errorf("%s has not ended %v after SIGTERM", n.name, stopWithin+time.Second)
 	}
-	n.run.bed.Note(testbed.Event{Kind: testbed.Restarted, Node: n.name})
+	n.run.bed.Record(testbed.Event{Kind: testbed.Restarted, Node: n.name})
 	var exit *exec.ExitError
 	if errors.As(err, &exit) {
 		if w, ok := exit.Sys().(syscall.WaitStatus); ok && w.Signaled() && w.Signal() == syscall.SIGKILL {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -11,21 +11,21 @@
 
 // Config is of one run.
 type Config struct {
-	Binary string        // the program
-	Folder string        // for state and logs; empty for a temporary one, removed after a clean run
-	Seed   uint64        //
-	Nodes  int           // dispatchers
-	Span   time.Duration // of faults and load; the run ends some seconds later
-	Rate   float64       // messages a second handed to each dispatcher
-	Faults []string      // kinds of fault, empty for all
+	Binary     string        // the program
+	Folder     string        // for state and logs; empty for a temporary one, removed after a clean run
+	Seed       uint64        //
+	Nodes      int           // dispatchers
+	Duration   time.Duration // of faults and load; the run ends some seconds later
+	Rate       float64       // messages a second handed to each dispatcher
+	FaultKinds []string      // kinds of fault, empty for all
 }
 
 // Fault is one trouble, planned ahead.
 type Fault struct {
-	At     time.Duration
-	Kind   string
-	Target int           // number of a node or an endpoint, as the kind has it
-	For    time.Duration // how long it lasts, where it does
+	At       time.Duration
+	Kind     string
+	Target   int           // number of a node or an endpoint, as the kind has it
+	Duration time.Duration // how long it lasts, where it does
 }
 
 // kinds are the faults that there are, with how often each is drawn against the others.
@@ -61,8 +61,8 @@
 	{"impatience", 1}, // clients that go before they are answered
 }
 
-// Kinds names the faults that there are.
-func Kinds() []string {
+// FaultKinds names the faults that there are.
+func FaultKinds() []string {
 	names := make([]string, len(kinds))
 	for i, k := range kinds {
 		names[i] = k.name
@@ -78,15 +78,15 @@
 	rng := rand.New(rand.NewPCG(c.Seed, 0x50a4))
 	var names []string
 	for _, k := range kinds {
-		if len(c.Faults) == 0 || slices.Contains(c.Faults, k.name) {
+		if len(c.FaultKinds) == 0 || slices.Contains(c.FaultKinds, k.name) {
 			names = append(names, slices.Repeat([]string{k.name}, k.share)...)
 		}
 	}
-	n := int(faultsPerSecond * float64(c.Nodes) / 12 * c.Span.Seconds())
+	n := int(faultsPerSecond * float64(c.Nodes) / 12 * c.Duration.Seconds())
 	all := make([]Fault, max(1, n))
 	for i := range all {
-		all[i] = Fault{At: time.Duration(rng.Float64() * float64(c.Span)), Kind: names[rng.IntN(len(names))], Target: rng.IntN(1 << 20),
-			For: time.Duration((0.2 + 2.8*rng.Float64()*rng.Float64()) * float64(time.Second))}
+		all[i] = Fault{At: time.Duration(rng.Float64() * float64(c.Duration)), Kind: names[rng.IntN(len(names))], Target: rng.IntN(1 << 20),
+			Duration: time.Duration((0.2 + 2.8*rng.Float64()*rng.Float64()) * float64(time.Second))}
 	}
 	slices.SortFunc(all, func(a, b Fault) int { return int(a.At - b.At) })
 	return all
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -18,15 +18,15 @@
 
 // Result is what a run came to.
 type Result struct {
-	Seed       uint64
-	Faults     []Fault
-	Took       time.Duration
-	Taken      int64
-	Delivered  int
-	Ended      int // by a notice
-	Calls      int
-	Violations []string
-	Folder     string // where the logs are, if it was kept
+	Seed          uint64
+	Faults        []Fault
+	Elapsed       time.Duration
+	Accepted      int64
+	Delivered     int
+	EndedByNotice int // by a notice
+	Calls         int
+	Violations    []string
+	Folder        string // where the logs are, if it was kept
 }
 
 // run is one run.
@@ -130,7 +130,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(r.cfg.Span - begun.Elapsed()):
+	case <-time.After(r.cfg.Duration - begun.Elapsed()):
 	}
 }
 
@@ -160,13 +160,13 @@
 	defer n.busy.Unlock()
 	switch f.Kind {
 	case "kill":
-		r.restart(n, n.kill, f.For/4)
+		r.restart(n, n.kill, f.Duration/4)
 	case "kill-twice":
-		r.restart(n, n.kill, f.For/4)
+		r.restart(n, n.kill, f.Duration/4)
 		time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
-		r.restart(n, n.kill, f.For/4)
+		r.restart(n, n.kill, f.Duration/4)
 	case "stop":
-		r.restart(n, n.stop, f.For/4)
+		r.restart(n, n.stop, f.Duration/4)
 	case "pause":
 		n.signal(syscall.SIGSTOP)
 		time.Sleep(time.Duration(20+rng.IntN(130)) * time.Millisecond)
@@ -182,7 +182,7 @@
 		if err != nil {
 			return
 		}
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		restore()
 		time.Sleep(time.Second) // accepting goes on after a pause
 	}
@@ -231,7 +231,7 @@
 		}
 	case "halves":
 		for range 10 {
-			text := string(testbed.Form(r.message(rng, n)))
+			text := string(testbed.EncodeRequest(r.message(rng, n)))
 			cut := 1 + rng.IntN(len(text)-1)
 			r.clients.Go(func() { r.rude(n, text[:cut]) })
 		}
@@ -243,13 +243,13 @@
 				defer func() { _ = c.Close() }()
 			}
 		}
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 	case "pipeline":
 		r.pipeline(n, rng)
 	case "impatience":
 		for range 20 {
 			if c, err := net.DialTimeout("tcp", n.addr, handIn); err == nil {
-				_, _ = c.Write(testbed.Form(r.message(rng, n)))
+				_, _ = c.Write(testbed.EncodeRequest(r.message(rng, n)))
 				_ = c.Close()
 			}
 		}
@@ -262,14 +262,14 @@
 	switch f.Kind {
 	case "mute":
 		r.world.mute(a, true)
-		time.Sleep(f.For)
+		time.Sleep(f.Duration)
 		r.world.mute(a, false)
 	case "silence":
 		r.world.silence(a)
 	case "notices":
-		a.Fail(503)
-		time.Sleep(min(f.For, 250*time.Millisecond)) // longer, and notices could not come in time
-		a.Fail(0)
+		a.FailNotices(503)
+		time.Sleep(min(f.Duration, 250*time.Millisecond)) // longer, and notices could not come in time
+		a.FailNotices(0)
 	}
 }
 
@@ -277,19 +277,19 @@
 func (r *run) endpoint(f Fault, p *place) {
 	switch f.Kind {
 	case "refuse":
-		p.proxy.Refuse(f.For)
+		p.proxy.RefuseConnections(f.Duration)
 	case "hold":
-		p.proxy.Hold(f.For)
+		p.proxy.Stall(f.Duration)
 	case "trickle":
-		p.proxy.Slow(f.For, time.Millisecond, true)
+		p.proxy.Throttle(f.Duration, time.Millisecond, true)
 	case "reset":
-		p.proxy.Reset()
+		p.proxy.ResetConnections()
 	case "drain":
-		if err := r.world.drain(p, f.For); err != nil {
+		if err := r.world.drain(p, f.Duration); err != nil {
 			r.fail("drain: %v", err)
 		}
 	default:
-		r.world.behave(p, f.Kind, f.For)
+		r.world.behave(p, f.Kind, f.Duration)
 	}
 }
 
@@ -301,7 +301,7 @@
 	r.bed.Await(settleWithin, func(all []testbed.Event) bool {
 		var names []string
 		for _, e := range all {
-			if e.Kind == testbed.Taken {
+			if e.Kind == testbed.Accepted {
 				names = append(names, e.Name)
 			}
 		}
@@ -324,16 +324,16 @@
 // rules are the platform's, with slack for a machine that is shared by all processes of a run.
 func (r *run) rules() testbed.Rules {
 	demand := r.cfg.Rate * float64(r.cfg.Nodes) / destinations // of a destination, all of which may come to one endpoint
-	return testbed.Rules{Slack: 700 * time.Millisecond, Grace: 1250 * time.Millisecond, Once: []string{"upload"}, InOrder: []string{"turns"},
-		Windows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, ColdBudget: 1 << 30,
-		WaitExcused: 200 * time.Millisecond, Lag: 250 * time.Millisecond,
-		SlowStart: &testbed.SlowStart{Capacity: spareCapacity * demand, From: 0.5, WarmUp: 2 * time.Second, Multiple: 2, Span: 2 * time.Second, Told: 2. / 3}}
+	return testbed.Rules{EndSlack: 700 * time.Millisecond, DrainGrace: 1250 * time.Millisecond, AtMostOnce: []string{"upload"}, Ordered: []string{"turns"},
+		DedupWindows: map[string]time.Duration{"sync": keyWindow, "turns": keyWindow}, ColdBudget: 1 << 30,
+		WaitGrace: 200 * time.Millisecond, ObservationLag: 250 * time.Millisecond,
+		SlowStart: &testbed.SlowStart{Capacity: spareCapacity * demand, InitialFraction: 0.5, WarmUp: 2 * time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second, MaxAwareShare: 2. / 3}}
 }
 
 // result judges what passed.
 func (r *run) result(plan []Fault) *Result {
 	events := r.bed.Events()
-	res := &Result{Seed: r.cfg.Seed, Faults: plan, Taken: r.taken.Load(), Folder: r.cfg.Folder}
+	res := &Result{Seed: r.cfg.Seed, Faults: plan, Accepted: r.taken.Load(), Folder: r.cfg.Folder}
 	res.Violations = append(r.violations, testbed.Check(events, r.rules(), r.bed.Now())...)
 	for _, n := range r.nodes {
 		res.Violations = append(res.Violations, n.faults()...)
@@ -342,15 +342,15 @@
 	delivered := map[string]bool{}
 	for _, e := range events {
 		switch {
-		case e.Kind == testbed.Called:
+		case e.Kind == testbed.CallReceived:
 			calls[e.Call] = true
-		case e.Kind == testbed.Answered && e.Status == 200:
+		case e.Kind == testbed.CallAnswered && e.Status == 200:
 			delivered[e.Name] = true
-		case e.Kind == testbed.Noticed:
-			res.Ended++
+		case e.Kind == testbed.NoticeReceived:
+			res.EndedByNotice++
 		}
 	}
-	res.Calls, res.Delivered, res.Took = len(calls), len(delivered), r.watch.Elapsed()
+	res.Calls, res.Delivered, res.Elapsed = len(calls), len(delivered), r.watch.Elapsed()
 	slices.Sort(res.Violations)
 	if len(res.Violations) == 0 && r.cfg.Folder != "" {
 		_ = os.RemoveAll(r.cfg.Folder)
@@ -369,7 +369,7 @@
 	}
 	defer func() { _ = f.Close() }()
 	for _, f2 := range r.cfg.plan() {
-		_, _ = fmt.Fprintf(f, "fault %8.3f %s target %d for %v\n", f2.At.Seconds(), f2.Kind, f2.Target, f2.For)
+		_, _ = fmt.Fprintf(f, "fault %8.3f %s target %d for %v\n", f2.At.Seconds(), f2.Kind, f2.Target, f2.Duration)
 	}
 	for _, e := range events {
 		_, _ = fmt.Fprintf(f, "%s\n", e)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -11,7 +11,7 @@
 
 // place is one endpoint behind a proxy.
 type place struct {
-	host  testbed.Host
+	host  testbed.EndpointEntry
 	end   *testbed.Endpoint
 	proxy *testbed.Proxy
 	mode  atomic.Pointer[mode]
@@ -38,8 +38,8 @@
 type agent struct {
 	*testbed.Agent
 	muted   bool
-	waiting []testbed.Host // changes that it learns when discovery returns
-	deafTo  time.Time      // changes count as told then at the latest: open watches have fallen silent
+	waiting []testbed.EndpointEntry // changes that it learns when discovery returns
+	deafTo  time.Time               // changes count as told then at the latest: open watches have fallen silent
 }
 
 // destinations of the world; odd ones take several messages in a call.
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	site := []string{"east", "west"}[w.next%2]
-	p.host = testbed.Host{Host: name, Dial: p.proxy.Addr, Site: site, Class: class(dest), Block: dest, Health: "ready", Share: 50}
+	p.host = testbed.EndpointEntry{Host: name, Dial: p.proxy.Addr, Site: site, Class: class(dest), Block: dest, Health: "ready", Share: 50}
 	w.mu.Lock()
 	w.places = append(w.places, p)
 	w.mu.Unlock()
@@ -105,7 +105,7 @@
 }
 
 // tell has all agents learn of a change.
-func (w *world) tell(h testbed.Host) {
+func (w *world) tell(h testbed.EndpointEntry) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range w.agents {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (a *agent) learn(h testbed.Host, now time.Time) {
+func (a *agent) learn(h testbed.EndpointEntry, now time.Time) {
 	if a.muted {
 		a.waiting = append(a.waiting, h)
 		return
@@ -122,7 +122,7 @@
 	if a.deafTo.After(now) {
 		at = a.deafTo
 	}
-	a.SetAt(at, h)
+	a.PublishAt(at, h)
 }
 
 // agent opens the discovery of a node, which knows all that is listed.
@@ -165,7 +165,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	a.muted = on
-	a.Mute(on)
+	a.SetMuted(on)
 	if !on {
 		for _, h := range a.waiting {
 			a.learn(h, w.bed.Now())
@@ -178,7 +178,7 @@
 func (w *world) silence(a *agent) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.Silence()
+	a.SilenceOpenWatches()
 	a.deafTo = w.bed.Now().Add(silentFor)
 }
 
@@ -217,59 +217,59 @@
 func (w *world) behave(p *place, kind string, span time.Duration) {
 	outage := kind == "drop" || kind == "hang" || kind == "errors"
 	if outage {
-		w.bed.Note(testbed.Event{Kind: testbed.OutageBegan, Host: p.host.Host})
+		w.bed.Record(testbed.Event{Kind: testbed.OutageBegan, Host: p.host.Host})
 	}
 	m := &mode{kind, w.bed.Now().Add(span)}
 	p.mode.Store(m)
 	time.AfterFunc(span, func() {
 		if p.mode.CompareAndSwap(m, nil) && outage {
-			w.bed.Note(testbed.Event{Kind: testbed.Outage, Host: p.host.Host})
+			w.bed.Record(testbed.Event{Kind: testbed.OutageEnded, Host: p.host.Host})
 		}
 	})
 }
 
 // act is what the endpoint does with a call: mostly well, and as its mode says.
 func (p *place) act(c testbed.Call) testbed.Reply {
-	after := time.Duration(2+c.N*7%20) * time.Millisecond
+	after := time.Duration(2+c.Number*7%20) * time.Millisecond
 	m := p.mode.Load()
 	if m == nil {
-		switch c.N % 97 {
+		switch c.Number % 97 {
 		case 13:
-			return testbed.Reply{Status: 500, After: after}
+			return testbed.Reply{Status: 500, Delay: after}
 		case 31:
-			return testbed.Reply{Status: 503, After: after}
+			return testbed.Reply{Status: 503, Delay: after}
 		case 57:
-			return testbed.Reply{Drop: true, After: after}
+			return testbed.Reply{Drop: true, Delay: after}
 		}
-		return testbed.Reply{Status: 200, After: after}
+		return testbed.Reply{Status: 200, Delay: after}
 	}
 	switch m.kind {
 	case "hang":
 		return testbed.Reply{Hang: true}
 	case "drop":
-		return testbed.Reply{Drop: true, After: after}
+		return testbed.Reply{Drop: true, Delay: after}
 	case "errors":
-		return testbed.Reply{Status: 500, After: after}
+		return testbed.Reply{Status: 500, Delay: after}
 	case "busy":
-		return testbed.Reply{Status: 503, After: after}
+		return testbed.Reply{Status: 503, Delay: after}
 	case "waits":
-		return testbed.Reply{Status: 429, Wait: time.Duration(200+c.N*37%700) * time.Millisecond, After: after}
+		return testbed.Reply{Status: 429, RetryAfter: time.Duration(200+c.Number*37%700) * time.Millisecond, Delay: after}
 	case "slow":
-		return testbed.Reply{Status: 200, After: time.Duration(200+c.N*53%900) * time.Millisecond}
+		return testbed.Reply{Status: 200, Delay: time.Duration(200+c.Number*53%900) * time.Millisecond}
 	}
 	return spoilt(c, after)
 }
 
 // spoilt is an answer that can't be read, or brings more than belongs to it.
 func spoilt(c testbed.Call, after time.Duration) testbed.Reply {
-	one := len(c.Names) == 1
+	one := len(c.MessageNames) == 1
 	switch {
-	case c.N%4 == 0:
-		return testbed.Reply{Status: 500, Raw: "\x16\x03\x01 noise\r\n\r\n", After: after}
-	case c.N%4 == 1 && one: // the first line is true
-		return testbed.Reply{Status: 200, Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore to come", After: after}
-	case c.N%4 == 2:
-		return testbed.Reply{Status: 500, Raw: "HTTP/1.1 5", Close: true, After: after}
+	case c.Number%4 == 0:
+		return testbed.Reply{Status: 500, Raw: "\x16\x03\x01 noise\r\n\r\n", Delay: after}
+	case c.Number%4 == 1 && one: // the first line is true
+		return testbed.Reply{Status: 200, Raw: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore to come", Delay: after}
+	case c.Number%4 == 2:
+		return testbed.Reply{Status: 500, Raw: "HTTP/1.1 5", Close: true, Delay: after}
 	}
-	return testbed.Reply{Status: 200, Then: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", After: after}
+	return testbed.Reply{Status: 200, TrailingBytes: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", Delay: after}
 }
--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -12,20 +12,20 @@
 
 // Kinds of event. Those of one dispatcher among several name it in Node.
 const (
-	Taken       Kind = iota + 1 // a client heard 202 [Name Dest Class Due Key Node]
-	Refused                     // a client heard anything else, or nothing [Name Status Node]
-	Called                      // the last byte of a call arrived, an event for each message [Name Host Dest Call]
-	Answered                    // the call's answer was written [Name Host Dest Call Status Wait]
-	Broke                       // the call's connection ended without an answer [Name Host Dest Call]
-	Noticed                     // a notice came [Name Status]
-	Listed                      // the list told of a host [Host Health Node]
-	OutageBegan                 // calls at a host fail from now on [Host]
-	Outage                      // a host's outage ended: it is cold [Host]
-	Restarted                   // the dispatcher was started anew: told waits end [Node]
-	Watched                     // a watch of the list was opened
-	Told                        // a list was written to a watch
-	Unheard                     // the network to a host is spoilt until Due: answers from a second ahead may be lost, calls come late [Host Due]
-	Closed                      // the dispatcher ended a connection under a whole request, with no answer [Name Node]
+	Accepted         Kind = iota + 1 // a client heard 202 [Name Dest Class Due Key Node]
+	Refused                          // a client heard anything else, or nothing [Name Status Node]
+	CallReceived                     // the last byte of a call arrived, an event for each message [Name Host Dest Call]
+	CallAnswered                     // the call's answer was written [Name Host Dest Call Status Wait]
+	CallBroken                       // the call's connection ended without an answer [Name Host Dest Call]
+	NoticeReceived                   // a notice came [Name Status]
+	HealthListed                     // the list told of a host [Host Health Node]
+	OutageBegan                      // calls at a host fail from now on [Host]
+	OutageEnded                      // a host's outage ended: it is cold [Host]
+	Restarted                        // the dispatcher was started anew: told waits end [Node]
+	WatchOpened                      // a watch of the list was opened
+	ListSent                         // a list was written to a watch
+	NetworkDisturbed                 // the network to a host is spoilt until Due: answers from a second ahead may be lost, calls come late [Host Due]
+	ClosedUnanswered                 // the dispatcher ended a connection under a whole request, with no answer [Name Node]
 )
 
 // Event is one thing that passed on the sockets.
@@ -48,18 +48,18 @@
 
 // SlowStart are the figures of a cold host's budget.
 type SlowStart struct {
-	Capacity float64       // calls a second that a warm host bears
-	From     float64       // part of that which it bears as it returns
-	WarmUp   time.Duration // until it bears all
-	Multiple float64       // of what it bears ...
-	Span     time.Duration // ... in any span of this it may be sent
-	Told     float64       // broken where more than this part came from dispatchers that had seen the outage
+	Capacity        float64       // calls a second that a warm host bears
+	InitialFraction float64       // part of that which it bears as it returns
+	WarmUp          time.Duration // until it bears all
+	OverloadFactor  float64       // of what it bears ...
+	OverloadWindow  time.Duration // ... in any span of this it may be sent
+	MaxAwareShare   float64       // broken where more than this part came from dispatchers that had seen the outage
 }
 
 // budget is how many calls may come within Span, so long after the return: N, and something for chance.
 func (s *SlowStart) budget(since time.Duration) float64 {
-	warmth := min(1, s.From+(1-s.From)*since.Seconds()/s.WarmUp.Seconds())
-	n := s.Multiple * s.Capacity * warmth * s.Span.Seconds()
+	warmth := min(1, s.InitialFraction+(1-s.InitialFraction)*since.Seconds()/s.WarmUp.Seconds())
+	n := s.OverloadFactor * s.Capacity * warmth * s.OverloadWindow.Seconds()
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -68,16 +68,16 @@
 
 // Rules are the figures that the checker needs.
 type Rules struct {
-	Slack       time.Duration            // after a message's time in which its end still counts
-	Grace       time.Duration            // after a drain in which calls may still begin
-	Once        []string                 // classes that must not take effect twice
-	Windows     map[string]time.Duration // keyed classes: how long after a call that may have run another may begin
-	InOrder     []string                 // classes that take turns by key
-	ColdBudget  int                      // calls that a cold host bears ...
-	ColdWindow  time.Duration            // ... in any span of this
-	SlowStart   *SlowStart               // the same by the platform's figures, for all dispatchers together; nil for none
-	WaitExcused time.Duration            // after a told wait's answer in which calls are let through
-	Lag         time.Duration            // after which the end of a connection is seen here at the latest
+	EndSlack       time.Duration            // after a message's time in which its end still counts
+	DrainGrace     time.Duration            // after a drain in which calls may still begin
+	AtMostOnce     []string                 // classes that must not take effect twice
+	DedupWindows   map[string]time.Duration // keyed classes: how long after a call that may have run another may begin
+	Ordered        []string                 // classes that take turns by key
+	ColdBudget     int                      // calls that a cold host bears ...
+	ColdWindow     time.Duration            // ... in any span of this
+	SlowStart      *SlowStart               // the same by the platform's figures, for all dispatchers together; nil for none
+	WaitGrace      time.Duration            // after a told wait's answer in which calls are let through
+	ObservationLag time.Duration            // after which the end of a connection is seen here at the latest
 }
 
 // message is what the checker knows of one message.
@@ -188,16 +188,16 @@
 // foresee takes what is known late: the 202 may be behind the call.
 func (c *checker) foresee(e *Event) {
 	switch e.Kind {
-	case Taken:
+	case Accepted:
 		c.get(e.Name).taken = e
-	case Answered, Broke:
+	case CallAnswered, CallBroken:
 		c.ends[out{e.Name, e.Call}] = e.At
-		if e.Kind == Answered && e.Status == 200 {
+		if e.Kind == CallAnswered && e.Status == 200 {
 			c.ended(e)
 		}
-	case Noticed:
+	case NoticeReceived:
 		c.ended(e)
-	case Unheard:
+	case NetworkDisturbed:
 		h := c.host(e.Host)
 		h.unheard = append(h.unheard, *e)
 	case Refused:
@@ -216,15 +216,15 @@
 
 func (c *checker) event(e *Event) {
 	switch e.Kind {
-	case Called:
+	case CallReceived:
 		c.called(e)
-	case Answered, Broke:
+	case CallAnswered, CallBroken:
 		c.back(e)
-	case Noticed:
+	case NoticeReceived:
 		if m := c.get(e.Name); m.ended.IsZero() {
 			m.ended = e.At
 		}
-	case Listed:
+	case HealthListed:
 		if at := (listing{e.Node, e.Host}); e.Health == "ready" {
 			delete(c.told, at)
 		} else if _, ok := c.told[at]; !ok {
@@ -233,7 +233,7 @@
 	case OutageBegan:
 		h := c.host(e.Host)
 		h.down, h.told, h.calls = true, map[string]bool{}, nil
-	case Outage:
+	case OutageEnded:
 		h := c.host(e.Host)
 		h.down, h.back, h.fell = false, e.At, false
 		if h.told == nil { // nothing is known of who saw it
@@ -241,7 +241,7 @@
 		}
 	case Restarted:
 		c.restarted(e.Node)
-	case Closed:
+	case ClosedUnanswered:
 		c.fault("rule 1: the connection of %s was ended with no answer", e.Name)
 	}
 }
@@ -264,12 +264,12 @@
 func (c *checker) called(e *Event) {
 	m := c.get(e.Name)
 	late := c.host(e.Host).loses(e.At)
-	if m.served && e.At.Sub(m.delivered) < c.r.Lag { // given up as its answer came
+	if m.served && e.At.Sub(m.delivered) < c.r.ObservationLag { // given up as its answer came
 		m.served = false
 	}
 	switch {
 	case late: // what it crossed on its way can't be told
-	case !m.ended.IsZero() && e.At.After(m.ended.Add(c.r.Lag)): // a call that left before is seen here a little later
+	case !m.ended.IsZero() && e.At.After(m.ended.Add(c.r.ObservationLag)): // a call that left before is seen here a little later
 		c.fault("rule 1: %s is called after its notice", e.Name)
 	case m.served:
 		c.fault("rule 1: %s is called after it was delivered", e.Name)
@@ -279,30 +279,30 @@
 	c.repeat(e, m, late)
 	m.begun[e.Call] = e.At
 	m.out = e.Call
-	if t, ok := c.told[listing{m.node(), e.Host}]; ok && !late && e.At.After(t.At.Add(c.r.Grace)) {
+	if t, ok := c.told[listing{m.node(), e.Host}]; ok && !late && e.At.After(t.At.Add(c.r.DrainGrace)) {
 		c.fault("rule 3: %s is called at %s %v after that was told as %s", e.Name, e.Host, e.At.Sub(t.At), t.Health)
 	}
 	c.push(e, m)
-	if w, ok := c.waits[waiting{m.node(), e.Dest}]; ok && !late && !c.host(w.Host).loses(w.At) && e.At.After(w.At.Add(c.r.WaitExcused)) && e.At.Before(w.At.Add(w.Wait)) {
+	if w, ok := c.waits[waiting{m.node(), e.Dest}]; ok && !late && !c.host(w.Host).loses(w.At) && e.At.After(w.At.Add(c.r.WaitGrace)) && e.At.Before(w.At.Add(w.Wait)) {
 		c.fault("rule 6: %s is called at destination %d within its wait", e.Name, e.Dest)
 	}
-	if m.taken != nil && !late && m.taken.Key != "" && slices.Contains(c.r.InOrder, m.taken.Class) {
+	if m.taken != nil && !late && m.taken.Key != "" && slices.Contains(c.r.Ordered, m.taken.Class) {
 		c.turn(e, m)
 	}
 }
 
 // repeat checks a call beside those before it; late tells that it may have left long before it came.
 func (c *checker) repeat(e *Event, m *message, late bool) {
-	if end, ok := c.ends[out{e.Name, m.out}]; m.out != 0 && (!ok || end.After(e.At.Add(c.r.Lag))) {
+	if end, ok := c.ends[out{e.Name, m.out}]; m.out != 0 && (!ok || end.After(e.At.Add(c.r.ObservationLag))) {
 		c.fault("rule 2: %s has two calls out", e.Name)
 	}
 	if m.taken == nil {
 		return
 	}
-	if slices.Contains(c.r.Once, m.taken.Class) && (m.mayRun || m.out != 0) {
+	if slices.Contains(c.r.AtMostOnce, m.taken.Class) && (m.mayRun || m.out != 0) {
 		c.fault("rule 2: %s is called again though it may have run", e.Name)
 	}
-	window, keyed := c.r.Windows[m.taken.Class]
+	window, keyed := c.r.DedupWindows[m.taken.Class]
 	if keyed && !late && !m.doubtful.IsZero() && e.At.After(m.doubtful.Add(window)) {
 		c.fault("rule 2: %s is repeated %v after a call that may have run, its window is %v", e.Name, e.At.Sub(m.doubtful), window)
 	}
@@ -331,7 +331,7 @@
 
 // fall checks the calls of the last span against the budget.
 func (c *checker) fall(e *Event, h *host, s *SlowStart, since time.Duration) {
-	h.calls = slices.DeleteFunc(h.calls, func(a arrival) bool { return e.At.Sub(a.at) > s.Span })
+	h.calls = slices.DeleteFunc(h.calls, func(a arrival) bool { return e.At.Sub(a.at) > s.OverloadWindow })
 	budget := s.budget(since)
 	if float64(len(h.calls)) <= budget {
 		return
@@ -343,9 +343,9 @@
 			told++
 		}
 	}
-	if float64(told) > s.Told*float64(len(h.calls)) {
+	if float64(told) > s.MaxAwareShare*float64(len(h.calls)) {
 		c.fault("rule 4: %s fell over %v after its return: %d calls in %v, %d of them of those who had seen its outage, %.1f are borne", e.Host, since,
-			len(h.calls), s.Span, told, budget)
+			len(h.calls), s.OverloadWindow, told, budget)
 	}
 }
 
@@ -356,7 +356,7 @@
 			continue
 		}
 		ended, ok := c.over[name]
-		if o.out != 0 || !ok || ended.After(e.At.Add(c.r.Lag)) { // its end may be seen here a little later than it came
+		if o.out != 0 || !ok || ended.After(e.At.Add(c.r.ObservationLag)) { // its end may be seen here a little later than it came
 			c.fault("rule 5: %s is called while %s of the same key is unfinished", e.Name, name)
 		}
 	}
@@ -369,18 +369,18 @@
 	}
 	h := c.host(e.Host)
 	switch {
-	case e.Kind == Answered && e.Status == 200:
+	case e.Kind == CallAnswered && e.Status == 200:
 		m.served, m.mayRun = m.served || e.Call != m.orphan && !h.loses(e.At), true
 		if m.delivered.IsZero() {
 			m.delivered = e.At
 		}
-	case e.Kind == Broke || e.Status >= 500 && e.Status != 503 && e.Status != 504:
+	case e.Kind == CallBroken || e.Status >= 500 && e.Status != 503 && e.Status != 504:
 		m.mayRun = true
 	}
 	if m.mayRun && m.doubtful.IsZero() {
 		m.doubtful = m.begun[e.Call]
 	}
-	if h.down && (e.Kind == Broke || e.Status != 200) {
+	if h.down && (e.Kind == CallBroken || e.Status != 200) {
 		h.told[m.node()] = true
 	}
 	if e.Wait > 0 {
@@ -401,18 +401,18 @@
 
 // finish checks that a message has its end in time.
 func (c *checker) finish(name string, m *message, end time.Time) {
-	if m.taken == nil || m.taken.Due.Add(c.r.Slack).After(end) {
+	if m.taken == nil || m.taken.Due.Add(c.r.EndSlack).After(end) {
 		return
 	}
-	last := m.taken.Due.Add(c.r.Slack)
+	last := m.taken.Due.Add(c.r.EndSlack)
 	if (m.delivered.IsZero() || m.delivered.After(last)) && (m.ended.IsZero() || m.ended.After(last)) {
 		c.fault("rule 1: %s was taken and has no end in time", name)
 	}
 }
 
-var kindNames = [...]string{Taken: "taken", Refused: "refused", Called: "called", Answered: "answered", Broke: "broke", Noticed: "noticed",
-	Listed: "listed", OutageBegan: "outage began", Outage: "outage ended", Restarted: "restarted", Watched: "watched", Told: "told",
-	Unheard: "unheard", Closed: "closed"}
+var kindNames = [...]string{Accepted: "taken", Refused: "refused", CallReceived: "called", CallAnswered: "answered", CallBroken: "broke", NoticeReceived: "noticed",
+	HealthListed: "listed", OutageBegan: "outage began", OutageEnded: "outage ended", Restarted: "restarted", WatchOpened: "watched", ListSent: "told",
+	NetworkDisturbed: "unheard", ClosedUnanswered: "closed"}
 
 // String is the event as a line.
 func (e Event) String() string {
@@ -422,7 +422,7 @@
 			line += " " + x.name + " " + x.text
 		}
 	}
-	if e.Kind == Called || e.Kind == Answered || e.Kind == Broke {
+	if e.Kind == CallReceived || e.Kind == CallAnswered || e.Kind == CallBroken {
 		line += fmt.Sprintf(" dest %d call %d", e.Dest, e.Call)
 	}
 	if e.Status != 0 {
--- a/internal/testbed/proxy.go
+++ b/internal/testbed/proxy.go
@@ -162,22 +162,22 @@
 	p.clear = make(chan struct{})
 }
 
-// Hold has nothing pass for a while; nothing is said of it.
-func (p *Proxy) Hold(span time.Duration) {
+// Stall has nothing pass for a while; nothing is said of it.
+func (p *Proxy) Stall(span time.Duration) {
 	p.unheard(span + time.Second)
 	p.set(network{held: true})
 	time.AfterFunc(span, func() { p.set(network{}) })
 }
 
-// Slow has bytes pass late, or one at a time, for a while.
-func (p *Proxy) Slow(span, delay time.Duration, trickle bool) {
+// Throttle has bytes pass late, or one at a time, for a while.
+func (p *Proxy) Throttle(span, delay time.Duration, trickle bool) {
 	p.unheard(span + time.Second)
 	p.set(network{delay: delay, trickle: trickle})
 	time.AfterFunc(span, func() { p.set(network{}) })
 }
 
-// Reset resets the connections that are open.
-func (p *Proxy) Reset() {
+// ResetConnections resets the connections that are open.
+func (p *Proxy) ResetConnections() {
 	p.unheard(time.Second)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -186,12 +186,12 @@
 	}
 }
 
-// Refuse has connections refused for a while, and resets those that are open.
-func (p *Proxy) Refuse(span time.Duration) {
+// RefuseConnections has connections refused for a while, and resets those that are open.
+func (p *Proxy) RefuseConnections(span time.Duration) {
 	p.mu.Lock()
 	_ = p.ln.Close()
 	p.mu.Unlock()
-	p.Reset()
+	p.ResetConnections()
 	time.AfterFunc(span, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -216,5 +216,5 @@
 // unheard notes that answers may not arrive.
 func (p *Proxy) unheard(span time.Duration) {
 	now := p.s.Now()
-	p.s.Note(Event{At: now, Kind: Unheard, Host: p.host, Due: now.Add(span)})
+	p.s.Record(Event{At: now, Kind: NetworkDisturbed, Host: p.host, Due: now.Add(span)})
 }
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -36,26 +36,26 @@
 
 // Reply is what an endpoint does with a call.
 type Reply struct {
-	After  time.Duration
-	Status int           // of a plain answer
-	Wait   time.Duration // told by Retry-After
-	Head   []string      // further fields, pairs of name and value
-	Body   string
-	Raw    string // instead of all that: these bytes; Status tells what they are worth to the checker
-	Hang   bool   // say nothing
-	Drop   bool   // end the connection instead of an answer
-	Then   string // bytes behind the answer
-	Close  bool   // end the connection behind it
+	Delay         time.Duration
+	Status        int           // of a plain answer
+	RetryAfter    time.Duration // told by Retry-After
+	ExtraHeaders  []string      // further fields, pairs of name and value
+	Body          string
+	Raw           string // instead of all that: these bytes; Status tells what they are worth to the checker
+	Hang          bool   // say nothing
+	Drop          bool   // end the connection instead of an answer
+	TrailingBytes string // bytes behind the answer
+	Close         bool   // end the connection behind it
 }
 
 // Call is a call as it came.
 type Call struct {
-	Host  string
-	Dest  int
-	Names []string
-	N     int // number of the call
-	Keys  []string
-	Body  string
+	Host            string
+	Dest            int
+	MessageNames    []string
+	Number          int // number of the call
+	IdempotencyKeys []string
+	Body            string
 }
 
 // Testbed is the stand-in.
@@ -72,8 +72,8 @@
 // Now is the time that events are noted by.
 func (s *Testbed) Now() time.Time { return clock.Wall() }
 
-// Note writes an event down.
-func (s *Testbed) Note(all ...Event) {
+// Record writes an event down.
+func (s *Testbed) Record(all ...Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Wall()
@@ -126,7 +126,7 @@
 func AllEnded(events []Event, names []string) bool {
 	ended := map[string]bool{}
 	for _, e := range events {
-		if e.Kind == Noticed || e.Kind == Answered && e.Status == 200 {
+		if e.Kind == NoticeReceived || e.Kind == CallAnswered && e.Status == 200 {
 			ended[e.Name] = true
 		}
 	}
@@ -151,7 +151,7 @@
 // as the one that it had.
 func Configuration(listen string, a *Agent) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
- "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, a.Addr, a.Whole(), Settings)
+ "limits":{"cores":1,"memory_mb":64,"sockets":256,"disk_mb":1},"known":%s,"settings":%s}`, listen, a.Addr, a.FullList(), Settings)
 }
 
 // Endpoint is one stand-in endpoint.
@@ -194,8 +194,8 @@
 	return e, nil
 }
 
-// Act changes what the endpoint does.
-func (e *Endpoint) Act(act func(Call) Reply) {
+// SetHandler changes what the endpoint does.
+func (e *Endpoint) SetHandler(act func(Call) Reply) {
 	e.mu.Lock()
 	e.act = act
 	e.mu.Unlock()
@@ -211,8 +211,8 @@
 	}
 }
 
-// Opened counts the connections taken so far.
-func (e *Endpoint) Opened() int {
+// AcceptedConns counts the connections taken so far.
+func (e *Endpoint) AcceptedConns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.Conns
@@ -261,21 +261,21 @@
 func (e *Endpoint) call(c net.Conn, r *h1.Request, body []byte) bool {
 	k := Call{Host: e.Host, Dest: e.Dest, Body: string(body)}
 	if r.Target == "/inbox/bulk" {
-		k.Names, k.Keys = bulkNames(string(body))
+		k.MessageNames, k.IdempotencyKeys = bulkNames(string(body))
 	} else {
-		k.Names, k.Keys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
+		k.MessageNames, k.IdempotencyKeys = []string{r.Fields.Get("x-txn")}, []string{r.Fields.Get("idempotency-key")}
 	}
 	e.s.mu.Lock()
 	e.s.calls++
-	k.N = e.s.calls
+	k.Number = e.s.calls
 	e.s.mu.Unlock()
-	e.note(k, Event{Kind: Called})
+	e.note(k, Event{Kind: CallReceived})
 	e.mu.Lock()
 	act := e.act
 	e.mu.Unlock()
 	p := act(k)
 	gone := make(chan struct{})
-	if p.After > 0 || p.Hang {
+	if p.Delay > 0 || p.Hang {
 		// Only the dispatcher's end of the connection is watched meanwhile: no second request may come.
 		go func() {
 			defer close(gone)
@@ -283,11 +283,11 @@
 		}()
 		var over <-chan time.Time
 		if !p.Hang {
-			over = time.After(p.After)
+			over = time.After(p.Delay)
 		}
 		select {
 		case <-gone:
-			e.note(k, Event{Kind: Broke})
+			e.note(k, Event{Kind: CallBroken})
 			return false
 		case <-over:
 			_ = c.SetReadDeadline(clock.Wall())
@@ -296,15 +296,15 @@
 		}
 	}
 	if p.Drop {
-		e.note(k, Event{Kind: Broke})
+		e.note(k, Event{Kind: CallBroken})
 		return false
 	}
 	text := p.Raw
 	if text == "" {
 		text = answer(p, k)
 	}
-	e.note(k, Event{Kind: Answered, Status: p.Status, Wait: p.Wait})
-	if _, err := io.WriteString(c, text+p.Then); err != nil {
+	e.note(k, Event{Kind: CallAnswered, Status: p.Status, Wait: p.RetryAfter})
+	if _, err := io.WriteString(c, text+p.TrailingBytes); err != nil {
 		return false
 	}
 	return !p.Close
@@ -312,26 +312,26 @@
 
 func answer(p Reply, k Call) string {
 	body := p.Body
-	if p.Status == 200 && len(k.Names) > 1 && body == "" {
-		for _, n := range k.Names {
+	if p.Status == 200 && len(k.MessageNames) > 1 && body == "" {
+		for _, n := range k.MessageNames {
 			body += n + " done\r\n"
 		}
 	}
-	pairs := append([]string{"Content-Length", strconv.Itoa(len(body))}, p.Head...)
-	if p.Wait > 0 {
-		pairs = append(pairs, "Retry-After", strconv.FormatFloat(p.Wait.Seconds(), 'f', 3, 64))
+	pairs := append([]string{"Content-Length", strconv.Itoa(len(body))}, p.ExtraHeaders...)
+	if p.RetryAfter > 0 {
+		pairs = append(pairs, "Retry-After", strconv.FormatFloat(p.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	return string(h1.AppendHead(nil, fmt.Sprintf("HTTP/1.1 %d x", p.Status), pairs...)) + body
 }
 
 func (e *Endpoint) note(k Call, x Event) {
-	x.Host, x.Dest, x.Call = k.Host, k.Dest, k.N
-	all := make([]Event, len(k.Names))
-	for i, n := range k.Names {
+	x.Host, x.Dest, x.Call = k.Host, k.Dest, k.Number
+	all := make([]Event, len(k.MessageNames))
+	for i, n := range k.MessageNames {
 		all[i] = x
 		all[i].Name = n
 	}
-	e.s.Note(all...)
+	e.s.Record(all...)
 }
 
 func bulkNames(body string) (names, keys []string) {
@@ -350,8 +350,8 @@
 	return names, keys
 }
 
-// Host is an endpoint as the list has it.
-type Host struct {
+// EndpointEntry is an endpoint as the list has it.
+type EndpointEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -370,8 +370,8 @@
 
 	mu      sync.Mutex
 	seq     int
-	hosts   map[string]Host
-	changes [][]Host // since the start, by version
+	hosts   map[string]EndpointEntry
+	changes [][]EndpointEntry // since the start, by version
 	more    chan struct{}
 	mute    bool // nothing is answered
 	deaf    int  // watches opened before this one have fallen silent for good
@@ -387,7 +387,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &Agent{s: s, Addr: ln.Addr().String(), hosts: map[string]Host{}, more: make(chan struct{})}
+	a := &Agent{s: s, Addr: ln.Addr().String(), hosts: map[string]EndpointEntry{}, more: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", a.list)
 	mux.HandleFunc("POST /v1/outcomes", a.outcomes)
@@ -399,31 +399,31 @@
 // Close ends it.
 func (a *Agent) Close() { _ = a.srv.Close() }
 
-// Mute has discovery say nothing any more, or speak again.
-func (a *Agent) Mute(on bool) {
+// SetMuted has discovery say nothing any more, or speak again.
+func (a *Agent) SetMuted(on bool) {
 	a.mu.Lock()
 	a.mute = on
 	a.wake()
 	a.mu.Unlock()
 }
 
-// Silence has the watches that are open now say nothing any more; those opened later are answered.
-func (a *Agent) Silence() {
+// SilenceOpenWatches has the watches that are open now say nothing any more; those opened later are answered.
+func (a *Agent) SilenceOpenWatches() {
 	a.mu.Lock()
 	a.deaf = a.opened
 	a.wake()
 	a.mu.Unlock()
 }
 
-// Indent has lists laid out over several lines.
-func (a *Agent) Indent() {
+// IndentLists has lists laid out over several lines.
+func (a *Agent) IndentLists() {
 	a.mu.Lock()
 	a.indent = true
 	a.mu.Unlock()
 }
 
-// Fail has notices answered with a status, 0 for as usual.
-func (a *Agent) Fail(status int) {
+// FailNotices has notices answered with a status, 0 for as usual.
+func (a *Agent) FailNotices(status int) {
 	a.mu.Lock()
 	a.status = status
 	a.mu.Unlock()
@@ -434,11 +434,11 @@
 	a.more = make(chan struct{})
 }
 
-// Set tells of changes of hosts.
-func (a *Agent) Set(all ...Host) { a.SetAt(a.s.Now(), all...) }
+// Publish tells of changes of hosts.
+func (a *Agent) Publish(all ...EndpointEntry) { a.PublishAt(a.s.Now(), all...) }
 
-// SetAt tells of changes that count as told from a moment on.
-func (a *Agent) SetAt(at time.Time, all ...Host) {
+// PublishAt tells of changes that count as told from a moment on.
+func (a *Agent) PublishAt(at time.Time, all ...EndpointEntry) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.seq++
@@ -447,17 +447,17 @@
 		if h.Health == "gone" {
 			delete(a.hosts, h.Host)
 		}
-		a.s.Note(Event{At: at, Kind: Listed, Host: h.Host, Health: h.Health, Node: a.Node})
+		a.s.Record(Event{At: at, Kind: HealthListed, Host: h.Host, Health: h.Health, Node: a.Node})
 	}
 	a.changes = append(a.changes, all)
 	a.wake()
 }
 
-// Whole returns the whole list.
-func (a *Agent) Whole() string {
+// FullList returns the whole list.
+func (a *Agent) FullList() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	hosts := []Host{}
+	hosts := []EndpointEntry{}
 	for _, h := range a.hosts {
 		hosts = append(hosts, h)
 	}
@@ -469,7 +469,7 @@
 // says nothing; what is asked then is answered afterwards.
 func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("watch") == "" {
-		_, _ = io.WriteString(w, a.Whole())
+		_, _ = io.WriteString(w, a.FullList())
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
@@ -478,7 +478,7 @@
 	a.opened++
 	me := a.opened
 	a.mu.Unlock()
-	a.s.Note(Event{Kind: Watched})
+	a.s.Record(Event{Kind: WatchOpened})
 	for first := true; ; {
 		a.mu.Lock()
 		more, mute := a.more, a.mute || me <= a.deaf
@@ -490,7 +490,7 @@
 		_, _ = io.WriteString(w, text)
 		flush.Flush()
 		if text != "" {
-			a.s.Note(Event{Kind: Told})
+			a.s.Record(Event{Kind: ListSent})
 		}
 		select {
 		case <-more:
@@ -509,7 +509,7 @@
 // lock held.
 func (a *Agent) since(from int) string {
 	whole := from <= 0 || from > a.seq
-	hosts := []Host{}
+	hosts := []EndpointEntry{}
 	if whole {
 		for _, h := range a.hosts {
 			hosts = append(hosts, h)
@@ -545,28 +545,28 @@
 		if err := dec.Decode(&o); err != nil {
 			break
 		}
-		a.s.Note(Event{Kind: Noticed, Name: o.ID, Text: o.Status, Wait: time.Duration(o.Again) * time.Millisecond})
+		a.s.Record(Event{Kind: NoticeReceived, Name: o.ID, Text: o.Status, Wait: time.Duration(o.Again) * time.Millisecond})
 	}
 	w.WriteHeader(204)
 }
 
 // Message is what a client hands in.
 type Message struct {
-	Name, Class, Tenant, Key, Order string
-	Dest                            int
-	Left                            time.Duration
-	Body                            string
+	Name, Class, Tenant, IdempotencyKey, OrderKey string
+	Dest                                          int
+	Remaining                                     time.Duration
+	Body                                          string
 }
 
-// Hand hands a message in on a connection of its own, and returns the status of the answer, 0 for none in time.
-func (s *Testbed) Hand(addr string, m Message) int {
+// Submit hands a message in on a connection of its own, and returns the status of the answer, 0 for none in time.
+func (s *Testbed) Submit(addr string, m Message) int {
 	sent := clock.Wall()
 	status := hand(addr, m)
 	e := Event{Kind: Refused, Name: m.Name, Status: status}
 	if status == 202 || status == 200 {
-		e = Event{Kind: Taken, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Left), Key: m.Order}
+		e = Event{Kind: Accepted, Name: m.Name, Class: m.Class, Dest: m.Dest, Due: sent.Add(m.Remaining), Key: m.OrderKey}
 	}
-	s.Note(e)
+	s.Record(e)
 	return status
 }
 
@@ -577,15 +577,15 @@
 	}
 	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(clock.After(400 * time.Millisecond))
-	if _, err := c.Write(Form(m)); err != nil {
+	if _, err := c.Write(EncodeRequest(m)); err != nil {
 		return 0
 	}
-	status, _ := Status(c)
+	status, _ := ReadStatus(c)
 	return status
 }
 
-// Status reads the status of the first answer on a connection; it is 0, with the error, where none comes.
-func Status(c net.Conn) (int, error) {
+// ReadStatus reads the status of the first answer on a connection; it is 0, with the error, where none comes.
+func ReadStatus(c net.Conn) (int, error) {
 	var in []byte
 	buf := make([]byte, 4096)
 	for {
@@ -600,8 +600,8 @@
 	}
 }
 
-// Statuses reads so many answers on a connection and returns their statuses; fewer where it ends or its time is over.
-func Statuses(c net.Conn, enough int) (statuses []int) {
+// ReadStatuses reads so many answers on a connection and returns their statuses; fewer where it ends or its time is over.
+func ReadStatuses(c net.Conn, enough int) (statuses []int) {
 	var in []byte
 	buf := make([]byte, 4096)
 	for len(statuses) < enough {
@@ -622,15 +622,15 @@
 	return statuses
 }
 
-// Form is a message as it is handed in.
-func Form(m Message) []byte {
+// EncodeRequest is a message as it is handed in.
+func EncodeRequest(m Message) []byte {
 	pairs := []string{"Host", "api.internal", "X-Txn", m.Name, "X-Lane", m.Class, "X-Org", m.Tenant, "X-Remaining",
-		strconv.FormatFloat(m.Left.Seconds(), 'f', 3, 64), "Content-Length", strconv.Itoa(len(m.Body)), "X-Consignee", fmt.Sprintf("dest=%d", m.Dest)}
-	if m.Key != "" {
-		pairs = append(pairs, "Idempotency-Key", m.Key)
+		strconv.FormatFloat(m.Remaining.Seconds(), 'f', 3, 64), "Content-Length", strconv.Itoa(len(m.Body)), "X-Consignee", fmt.Sprintf("dest=%d", m.Dest)}
+	if m.IdempotencyKey != "" {
+		pairs = append(pairs, "Idempotency-Key", m.IdempotencyKey)
 	}
-	if m.Order != "" {
-		pairs = append(pairs, "X-Entity", "key="+m.Order)
+	if m.OrderKey != "" {
+		pairs = append(pairs, "X-Entity", "key="+m.OrderKey)
 	}
 	return append(h1.AppendHead(nil, "POST /"+m.Class+" HTTP/1.1", pairs...), m.Body...)
 }
