--- a/internal/amqp/conn.go
+++ b/internal/amqp/conn.go
@@ -678,8 +678,8 @@
 	return nil
 }
 
-// Due returns when Check is to be called next. Without a time limit that is in an hour.
-func (c *Conn) Due(now time.Duration) time.Duration {
+// NextCheck returns when Check is to be called next. Without a time limit that is in an hour.
+func (c *Conn) NextCheck(now time.Duration) time.Duration {
 	switch {
 	case c.phase == closed:
 		return now
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Due returns when Check is to be called next.
-func (s *session) Due(now time.Duration) time.Duration { return s.protocol.Due(now) }
+// NextCheck returns when Check is to be called next.
+func (s *session) NextCheck(now time.Duration) time.Duration { return s.protocol.NextCheck(now) }
 
 // GoAway makes the next Check ask the client to stop publishing for good.
 func (s *session) GoAway(time.Duration) { s.goingAway = true }
@@ -142,15 +142,17 @@
 	s.unflushed = s.unflushed[:0]
 }
 
-// Owes reports whether publishes have no final answer yet or a close is not complete.
-func (s *session) Owes() bool { return s.unanswered > 0 || s.protocol.Closing() && !s.protocol.Done() }
+// Pending reports whether publishes have no final answer yet or a close is not complete.
+func (s *session) Pending() bool {
+	return s.unanswered > 0 || s.protocol.Closing() && !s.protocol.Done()
+}
 
 // Done reports whether the connection has ended.
 func (s *session) Done() bool { return s.protocol.Done() }
 
-// Lost cleans up after the connection. Accepted publishes continue, because publishing hands the message over for good;
+// ConnClosed cleans up after the connection. Accepted publishes continue, because publishing hands the message over for good;
 // their answers go to the reserved answer queues. Unacknowledged deliveries are requeued.
-func (s *session) Lost() {
+func (s *session) ConnClosed() {
 	s.now = s.server.now()
 	for _, ch := range s.channels {
 		s.removeChannel(ch)
--- a/internal/amqpfront/methods.go
+++ b/internal/amqpfront/methods.go
@@ -254,8 +254,8 @@
 // gone, its channels are about to be closed, which requeues the answer.
 func (ch *channel) Deliver(d mailbox.Delivery) { ch.session.conn.Post(&delivery{ch, d}) }
 
-// Open sends an answer to its consumer. It runs on the connection's event loop.
-func (d *delivery) Open(now time.Duration) {
+// Run sends an answer to its consumer. It runs on the connection's event loop.
+func (d *delivery) Run(now time.Duration) {
 	if d.channel.closed {
 		// Closing the channel has requeued the answer. The channel number may be in use again.
 		return
@@ -276,8 +276,8 @@
 		props, body)
 }
 
-// Lost does nothing, because closing the channel requeues the answer.
-func (d *delivery) Lost() {}
+// Drop does nothing, because closing the channel requeues the answer.
+func (d *delivery) Drop() {}
 
 // cancelled passes the removal of a queue to the event loop of its consumer's connection.
 type cancelled struct {
@@ -288,12 +288,12 @@
 // Cancelled implements mailbox.Sink. It runs on any goroutine, under the lock of the answer queues.
 func (ch *channel) Cancelled(tag string) { ch.session.conn.Post(&cancelled{ch, tag}) }
 
-// Open sends basic.cancel if the client accepts it from a server.
-func (c *cancelled) Open(time.Duration) {
+// Run sends basic.cancel if the client accepts it from a server.
+func (c *cancelled) Run(time.Duration) {
 	if !c.channel.closed && c.channel.session.protocol.SupportsCancelNotify() {
 		c.channel.session.protocol.Send(c.channel.id, &amqp.BasicCancel{ConsumerTag: c.tag, NoWait: true})
 	}
 }
 
-// Lost does nothing, because the consumer is gone with its connection.
-func (c *cancelled) Lost() {}
+// Drop does nothing, because the consumer is gone with its connection.
+func (c *cancelled) Drop() {}
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -35,7 +35,7 @@
 )
 
 // publish is one message from its content header to its final answer. It is the engine.Origin of the message, and the
-// parcel that brings the answer to the connection's event loop.
+// front.Task that brings the answer to the connection's event loop.
 type publish struct {
 	session *session
 	channel *channel
@@ -284,15 +284,15 @@
 		server.answers.Unlock()
 	}
 	if !p.session.conn.Post(p) {
-		p.Lost()
+		p.Drop()
 	}
 }
 
-// Lost counts the answer of a publish whose connection is gone.
-func (p *publish) Lost() { p.ticket.Complete(p.answer.Kind, p.reservation != nil) }
+// Drop counts the answer of a publish whose connection is gone.
+func (p *publish) Drop() { p.ticket.Complete(p.answer.Kind, p.reservation != nil) }
 
-// Open confirms the publish, and returns the message if it was refused. It runs on the connection's event loop.
-func (p *publish) Open(time.Duration) {
+// Run confirms the publish, and returns the message if it was refused. It runs on the connection's event loop.
+func (p *publish) Run(time.Duration) {
 	s := p.session
 	s.unanswered--
 	notified := !p.channel.closed && p.tag > 0
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -17,28 +17,28 @@
 	"whinrun/internal/eventloop"
 )
 
-// Session is the protocol of one client connection. Its methods are called on the connection's event loop only. Lost is
-// the last call and may come while the engine stops.
+// Session is the protocol of one client connection. Its methods are called on the connection's event loop only. ConnClosed
+// is the last call and may come while the engine stops.
 type Session interface {
 	// Receive processes input. It must not keep b after it returns. An error ends the connection after Output is written.
 	Receive(now time.Duration, b []byte) error
 	// Check enforces time limits and tells the client when publishers are blocked or may resume. It is called after
-	// Receive, after posted tasks, and when the time that Due returned has come. An error ends the connection.
+	// Receive, after posted tasks, and when the time that NextCheck returned has come. An error ends the connection.
 	Check(now time.Duration) error
-	// Due returns the time by which Check must be called, or 0 if there is none.
-	Due(now time.Duration) time.Duration
+	// NextCheck returns the time by which Check must be called, or 0 if there is none.
+	NextCheck(now time.Duration) time.Duration
 	// GoAway tells the client that no new messages are accepted. Answers are still sent. It may be called repeatedly.
 	GoAway(now time.Duration)
 	// Finish starts the orderly close, after all answers have been given. It may be called repeatedly.
 	Finish(now time.Duration)
 	// Output returns the bytes to be written and removes them from the session.
 	Output() []byte
-	// Owes reports whether something has to be sent or received before the connection may be closed at shutdown.
-	Owes() bool
+	// Pending reports whether something has to be sent or received before the connection may be closed at shutdown.
+	Pending() bool
 	// Done reports whether the orderly close is complete, so that the connection may be closed.
 	Done() bool
-	// Lost tells the session that the connection is gone or that the session has ended.
-	Lost()
+	// ConnClosed tells the session that the connection is gone or that the session has ended.
+	ConnClosed()
 }
 
 // Idler is an optional interface of a Session. Its connection may be closed while it is idle, to make room for others.
@@ -51,13 +51,13 @@
 // from its connection.
 type ReadPauser interface{ Full() bool }
 
-// Task is work for a session that another goroutine posts. For each task that Conn.Post accepts, either Open or Lost is
+// Task is work for a session that another goroutine posts. For each task that Conn.Post accepts, either Run or Drop is
 // called, once.
 type Task interface {
-	// Open runs the task on the connection's event loop.
-	Open(now time.Duration)
-	// Lost tells the task that it will not run because the connection is gone or its session has ended.
-	Lost()
+	// Run runs the task on the connection's event loop.
+	Run(now time.Duration)
+	// Drop tells the task that it will not run because the connection is gone or its session has ended.
+	Drop()
 }
 
 // Config configures one Front.
@@ -102,7 +102,7 @@
 	front    *Front
 	loopConn *eventloop.Conn
 	session  Session
-	// closing is the state of the close. After its end, the session is not called any more, except for Owes.
+	// closing is the state of the close. After its end, the session is not called any more, except for Pending.
 	closing lingeringClose
 
 	// mu guards inbox and closed.
@@ -218,7 +218,7 @@
 	f.conns[c] = struct{}{}
 	f.mu.Unlock()
 	loopConn.Context = c
-	c.nextCheck.Store(int64(c.session.Due(now)))
+	c.nextCheck.Store(int64(c.session.NextCheck(now)))
 	c.updateIdle()
 	if f.frontend.NearConnLimit() {
 		f.evictLongestIdle(c)
@@ -262,7 +262,7 @@
 	if !ok { // the connection was turned away by Opened
 		return
 	}
-	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", loopConn.Peer(), c.closing.ended, c.session.Owes(), err)
+	f.cfg.Trace("client %v: connection closed: ended in order %v, something owed %v, error %v", loopConn.Peer(), c.closing.ended, c.session.Pending(), err)
 	f.mu.Lock()
 	delete(f.conns, c)
 	f.mu.Unlock()
@@ -283,9 +283,9 @@
 	c.inbox, c.closed = nil, true
 	c.mu.Unlock()
 	for _, task := range dropped {
-		task.Lost()
+		task.Drop()
 	}
-	c.session.Lost()
+	c.session.ConnClosed()
 	c.pending.Store(true) // Flush waits until the connection is closed
 	if c.idleSince.Load() == 0 {
 		c.idleSince.Store(int64(now))
@@ -345,7 +345,7 @@
 	c.inbox = nil
 	c.mu.Unlock()
 	for _, task := range inbox {
-		task.Open(now)
+		task.Run(now)
 	}
 	if f.goingAway.Load() {
 		c.session.GoAway(now)
@@ -368,8 +368,8 @@
 		c.loopConn.PauseReading(s.Full())
 	}
 	unsent := c.loopConn.Unsent()
-	c.pending.Store(unsent > 0 || c.session.Owes())
-	c.nextCheck.Store(int64(c.session.Due(now)))
+	c.pending.Store(unsent > 0 || c.session.Pending())
+	c.nextCheck.Store(int64(c.session.NextCheck(now)))
 	c.updateIdle()
 	switch {
 	case unsent > c.front.cfg.MaxUnread: // a client that does not read must not consume memory
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -93,7 +93,7 @@
 	peer string
 	// lastID is the id of the last submitted message, for the trace.
 	lastID string
-	// deliver passes a parcel to the connection's event loop.
+	// deliver passes a task to the connection's event loop.
 	deliver func(front.Task) bool
 	// opened is when the connection was accepted.
 	opened time.Duration
@@ -131,7 +131,7 @@
 	accepted bool
 }
 
-// submitResult is the answer that a sender is to get. It implements front.Parcel.
+// submitResult is the answer that a sender is to get. It implements front.Task.
 type submitResult struct {
 	request *pendingRequest
 	// final is how the message ended, Served if it was accepted.
@@ -140,7 +140,7 @@
 	retryAfter control.Time
 }
 
-// Accepted implements engine.Taker.
+// Accepted implements engine.AcceptNotifier.
 func (r *pendingRequest) Accepted(*engine.Message) {
 	r.accepted = true
 	r.session.deliver(submitResult{request: r, final: engine.Served})
@@ -154,8 +154,8 @@
 	}
 }
 
-// Open implements front.Parcel. It answers the request on the connection's event loop.
-func (r submitResult) Open(now time.Duration) {
+// Run implements front.Task. It answers the request on the connection's event loop.
+func (r submitResult) Run(now time.Duration) {
 	s := r.request.session
 	// The sender has abandoned the request.
 	if s.pending != r.request {
@@ -175,8 +175,8 @@
 	s.processInput(now)
 }
 
-// Lost implements front.Parcel. The Lost method of the session withdraws the message.
-func (submitResult) Lost() {}
+// Drop implements front.Task. It does nothing, because session.ConnClosed withdraws the message.
+func (submitResult) Drop() {}
 
 // respond writes a response. A positive retryAfter is sent as Retry-After. The connection ends after the
 // response if closeAfter is set, or if the session is going away and no input is left.
@@ -422,7 +422,7 @@
 
 // Check implements front.Session. It ends connections that have timed out.
 func (s *session) Check(now time.Duration) error {
-	due := s.Due(now)
+	due := s.NextCheck(now)
 	if due == 0 || now < due || s.closing {
 		return nil
 	}
@@ -437,8 +437,8 @@
 	return nil
 }
 
-// Due implements front.Session.
-func (s *session) Due(time.Duration) time.Duration {
+// NextCheck implements front.Session.
+func (s *session) NextCheck(time.Duration) time.Duration {
 	switch {
 	case s.closing || s.pending != nil:
 		return 0
@@ -473,7 +473,7 @@
 	}
 }
 
-// Full implements front.Filler.
+// Full implements front.ReadPauser.
 func (s *session) Full() bool { return s.pending != nil && len(s.inBuf) > maxPipelinedBytes }
 
 // Idle implements front.Idler.
@@ -488,11 +488,11 @@
 	return out
 }
 
-// Owes implements front.Session.
-func (s *session) Owes() bool { return s.pending != nil }
+// Pending implements front.Session.
+func (s *session) Pending() bool { return s.pending != nil }
 
 // Done implements front.Session.
 func (s *session) Done() bool { return s.closing && s.pending == nil }
 
-// Lost implements front.Session. A message that was not answered before its client disconnected is withdrawn.
-func (s *session) Lost() { s.withdraw() }
+// ConnClosed implements front.Session. A message that was not answered before its client disconnected is withdrawn.
+func (s *session) ConnClosed() { s.withdraw() }
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -83,11 +83,11 @@
 	return s.h2conn.Check(now)
 }
 
-// Due returns when Check must run next. That is in a second while requests, streams or the handshake are open, and
+// NextCheck returns when Check must run next. That is in a second while requests, streams or the handshake are open, and
 // otherwise when the idle timeout ends. It is 0 if there is no idle timeout.
-func (s *session) Due(now time.Duration) time.Duration {
+func (s *session) NextCheck(now time.Duration) time.Duration {
 	switch {
-	case s.Owes():
+	case s.Pending():
 		return now + time.Second
 	case s.cfg.IdleTimeout > 0:
 		return s.idleSince + s.cfg.IdleTimeout + time.Millisecond
@@ -104,16 +104,16 @@
 // Output returns the bytes to write to the client and clears them.
 func (s *session) Output() []byte { return s.h2conn.Output() }
 
-// Owes reports whether requests or streams are open, or the handshake is not complete.
-func (s *session) Owes() bool {
+// Pending reports whether requests or streams are open, or the handshake is not complete.
+func (s *session) Pending() bool {
 	return len(s.requests) > 0 || !s.h2conn.SettingsReceived() || s.h2conn.OpenStreams() > 0
 }
 
 // Done reports whether all streams have ended after a GOAWAY.
 func (s *session) Done() bool { return s.h2conn.Done() }
 
-// Lost cancels the requests whose answers the client was waiting for.
-func (s *session) Lost() {
+// ConnClosed cancels the requests whose answers the client was waiting for.
+func (s *session) ConnClosed() {
 	for _, r := range s.requests {
 		r.cancel()
 	}
@@ -245,7 +245,7 @@
 	if r.reservation != nil {
 		r.storeReceipt(&a)
 		if !r.session.conn.Post(r) {
-			r.Lost()
+			r.Drop()
 		}
 		return
 	}
@@ -253,9 +253,9 @@
 	r.session.conn.Post(r)
 }
 
-// Open runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
-// the client wanted a receipt, Final has stored it, and Open only counts the answer.
-func (r *request) Open(now time.Duration) {
+// Run runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
+// the client wanted a receipt, Final has stored it, and Run only counts the answer.
+func (r *request) Run(now time.Duration) {
 	if r.ticket.Ended() {
 		r.session.admitter.Undelivered.Add(1)
 		return
@@ -269,8 +269,8 @@
 	_ = r.session.h2conn.Respond(now, r.stream, reply.Fields, reply.Body)
 }
 
-// Lost counts an answer whose connection is closed. A receipt was stored before and counts as heard.
-func (r *request) Lost() {
+// Drop counts an answer whose connection is closed. A receipt was stored before and counts as delivered.
+func (r *request) Drop() {
 	if r.reservation != nil {
 		r.ticket.Complete(r.answer.Kind, true)
 		return
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -109,7 +109,7 @@
 	for _, r := range subscriptions {
 		if tenant, ok := rules.Tenant(r.Tenant); ok {
 			// Declare fails if the tenant already has as many queues as allowed. The subscription is then not restored, and
-			// Promise fails below for each of its receipts.
+			// Reserve fails below for each of its receipts.
 			_, _, _, _ = mailboxes.Declare(s.now(), tenant, mailbox.QueueSpec{Name: r.Receipt}, false)
 		}
 	}
