--- a/cmd/whinlab/deploy.go
+++ b/cmd/whinlab/deploy.go
@@ -41,13 +41,13 @@
 	return err
 }
 
-// gateCmd judges the results of the tests against the tests on record as failing.
+// gateCmd checks the results of the tests against the tests on record as failing.
 type gateCmd struct {
 	Known string `default:"KNOWN-RED.txt" help:"Tests on record as failing; the file may be missing."`
 }
 
-// Run judges the output of go test -json on standard input. It fails as testgate.Judge does, or where the record cannot
-// be read.
+// Run evaluates the output of go test -json on standard input. It fails as testgate.Evaluate does, or if the record cannot be
+// read.
 func (c *gateCmd) Run() error {
 	file, err := os.Open(c.Known)
 	var known []testgate.KnownFailure
--- a/cmd/whinrun/restart_test.go
+++ b/cmd/whinrun/restart_test.go
@@ -44,7 +44,7 @@
 // A process is killed while a call is in flight. A second process makes a call that the partner rejects without executing it,
 // which says nothing about the first call. A third process must not repeat the message after the deduplication window of
 // the first call has ended.
-func TestSecondRestartRemembersFirstCall(t *testing.T) {
+func TestSecondRestartKnowsTheFirstCall(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
 	node.shortenDedupWindow()
@@ -105,7 +105,7 @@
 
 // With an unusable state folder, the program prints one line and exits with status 1. If another process still uses the folder,
 // the program waits for it.
-func TestNodeStateFolder(t *testing.T) {
+func TestNodeFolder(t *testing.T) {
 	bed := testbed.New()
 	node := newNodeProcess(t, bed)
 	node.agent.Publish(testbed.EndpointEntry{Host: "a", Dial: "127.0.0.1:1", Class: "single", Block: 1, Health: "ready"})
--- a/control/api.go
+++ b/control/api.go
@@ -358,8 +358,8 @@
 	Timer
 	// Probe checks an endpoint. It uses Endpoint.
 	Probe
-	// Close closes the idle connections to an endpoint. It uses Endpoint.
-	Close
+	// CloseIdle closes the idle connections to an endpoint. It uses Endpoint.
+	CloseIdle
 	// Watch subscribes to the endpoint list. It is only returned with Settings.PullList. The caller answers with one ListUpdate
 	// and reports changes from then on.
 	Watch
--- a/control/conndrops_test.go
+++ b/control/conndrops_test.go
@@ -48,7 +48,7 @@
 		r := runConnDrops(t, 200*Millisecond, c.result)
 		closed := false
 		for _, a := range r.step(sec/5, r.arrival(c.class, 1)) {
-			closed = closed || a.Kind == Close
+			closed = closed || a.Kind == CloseIdle
 		}
 		if closed != c.close {
 			t.Errorf("after result %d, class %d: connection closed %v", c.result, c.class, closed)
--- a/control/control.go
+++ b/control/control.go
@@ -946,7 +946,7 @@
 func (d *Dispatcher) closeScarceConns() {
 	for _, ep := range d.freedEndpoints {
 		if len(ep.calls) == 0 && ep.connOpen && d.now < ep.dest.kind.scarceUntil {
-			d.actions = append(d.actions, Action{Kind: Close, Endpoint: ep.id})
+			d.actions = append(d.actions, Action{Kind: CloseIdle, Endpoint: ep.id})
 			ep.connOpen = false
 		}
 	}
@@ -958,14 +958,14 @@
 func (d *Dispatcher) prepareConn(ep *endpoint) Time {
 	idle := d.now - ep.usedAt
 	if ep.connOpen && ep.dest.kind.dropShare > atMostOnceDropShare && ep.dest.hasQueuedEffect(AtMostOnce) {
-		d.actions = append(d.actions, Action{Kind: Close, Endpoint: ep.id})
+		d.actions = append(d.actions, Action{Kind: CloseIdle, Endpoint: ep.id})
 		return 0
 	} else if len(ep.calls) > 0 || !ep.connOpen {
 		return 0
 	} else if idle <= d.maxIdleAge(ep.dest) && ep.failedConnIdle == 0 {
 		return idle
 	} else if idle < d.settings.ConnIdleTimeout {
-		d.actions = append(d.actions, Action{Kind: Close, Endpoint: ep.id})
+		d.actions = append(d.actions, Action{Kind: CloseIdle, Endpoint: ep.id})
 	}
 	ep.connOpen = false
 	return 0
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -550,7 +550,7 @@
 	settings.Instances = 20
 	r := newRunner(t, settings, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
 	closed := func(actions []Action, e EndpointID) bool {
-		return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
+		return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == CloseIdle && a.Endpoint == e })
 	}
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	if closed(r.step(sec/10, outcome(1, 0, OK)), endpointID(1, 0)) {
@@ -581,13 +581,13 @@
 		r.wantSent(r.step(3*sec, r.arrival(idempotent, 1)), r.lastID)
 		actions := r.step(sec/10, outcome(r.lastID, 0, Reset)) // It is sent again at once on a new connection.
 		r.wantSent(actions, r.lastID)
-		if actions[0].Kind != Close {
+		if actions[0].Kind != CloseIdle {
 			t.Fatalf("sent again without closing the connection: %+v", actions)
 		}
 		r.step(sec/10, outcome(r.lastID, 1, OK))
 	}
 	actions := r.step(2900*Millisecond, r.arrival(atMostOnce, 1))
-	if len(actions) != 2 || actions[0].Kind != Close || actions[1].Kind != Send {
+	if len(actions) != 2 || actions[0].Kind != CloseIdle || actions[1].Kind != Send {
 		t.Errorf("the connection that was idle for too long was not closed before an at-most-once message: %+v", actions)
 	}
 	r.step(sec/10, outcome(r.lastID, 0, OK))
--- a/control/outage.go
+++ b/control/outage.go
@@ -23,8 +23,8 @@
 	Unreachable bool
 	// Errors is the number of consecutive answers that were errors.
 	Errors int
-	// Push is the number of trials that the own demand permits now, from 0 to 1. It applies while Suspected.
-	Push float64
+	// RampTokens is the number of trials that the own demand permits now, from 0 to 1. It applies while Suspected.
+	RampTokens float64
 	// RampStart is when the endpoint returned. Its calls rise over the warm-up from then on. 0 means that there is no ramp.
 	RampStart Time
 	// RefusingSince is the start of a series of refusals of every call that has lasted longer than Settings.MaxOverload. 0 means
@@ -59,7 +59,7 @@
 		o.RefusingSince = ep.limiter.refusingSince
 	}
 	if ep.suspected {
-		o.Push = ep.rampTokens
+		o.RampTokens = ep.rampTokens
 		o.FailedAt, o.DownSince, o.Failures, o.Unreachable = ep.failedAt, ep.downSince, max(ep.failureStreak, ep.limiter.failureStreak), ep.unreachable
 		if d.outageConfirmed(ep) { // consecutive errors may have confirmed it, and they count as a single failure
 			o.Failures = max(o.Failures, minConfirmFailures)
@@ -94,7 +94,7 @@
 		ep.limiter.refusingSince, ep.limiter.presumedDown, ep.limiter.refusalStreak = o.RefusingSince, true, max(ep.limiter.refusalStreak, 1)
 	}
 	if o.Suspected {
-		ep.rampTokens = o.Push
+		ep.rampTokens = o.RampTokens
 		ep.suspected, ep.unreachable, ep.downSince, ep.failedAt = true, o.Unreachable, o.DownSince, o.FailedAt
 		ep.failureStreak, ep.limiter.failureStreak = o.Failures, max(ep.limiter.failureStreak, o.Failures)
 		ep.trialInterval = d.silenceTimeout(dest)
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -68,7 +68,7 @@
 			c.timers = append(c.timers, a)
 		}
 		return
-	case Log, Close, Watch, Fetch, SendGossip:
+	case Log, CloseIdle, Watch, Fetch, SendGossip:
 		return
 	}
 	if m == nil {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"whinrun/internal/engine"
 )
 
-// fakeEngine accepts capacity messages and then fails with engine.ErrHoldFull. It records withdrawn messages.
+// fakeEngine accepts capacity messages and then fails with engine.ErrTooManyHeld. It records withdrawn messages.
 type fakeEngine struct {
 	capacity  int
 	withdrawn []control.MessageID
--- a/internal/endpointlist/registry_test.go
+++ b/internal/endpointlist/registry_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func BenchmarkReplace(b *testing.B) {
+func BenchmarkWhole(b *testing.B) {
 	r := New(testPartners(100000))
 	l := testEndpoints(100000)
 	r.Replace(l)
@@ -103,7 +103,7 @@
 	}
 }
 
-func BenchmarkApplyDelta(b *testing.B) {
+func BenchmarkDelta(b *testing.B) {
 	r := New(testPartners(100000))
 	l := testEndpoints(100000)
 	r.Replace(l)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -208,7 +208,7 @@
 	CloseIdle(ep control.EndpointID)
 }
 
-// Discovery provides the endpoint list if the setting AskList is on. Each call is answered by one ListUpdate as an input.
+// Discovery provides the endpoint list if the setting PullList is on. Each call is answered by one ListUpdate as an input.
 type Discovery interface {
 	// Watch subscribes to changes of the list.
 	Watch()
@@ -292,7 +292,7 @@
 
 // Logger writes log lines for operators.
 type Logger interface {
-	// Info logs a note of the decision module.
+	// Info logs a message of the decision module.
 	Info(text string)
 
 	// InternalError logs an event that a correct program does not produce.
@@ -342,7 +342,7 @@
 	stats       Stats
 }
 
-// NewCore returns a Core, or the module's error about its settings. discovery may be nil if the setting AskList is off.
+// NewCore returns a Core, or the module's error about its settings. discovery may be nil if the setting PullList is off.
 func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
 	options.Settings.TrackOutages, options.Settings.EarlyAck = options.Ledger != nil, options.Ledger != nil
 	module, err := control.New(options.Settings, seed)
@@ -658,7 +658,7 @@
 		}
 	case control.Timer:
 		heap.Push(&c.timers, timer{due: c.now + a.After, mark: a.TimerToken})
-	case control.Close:
+	case control.CloseIdle:
 		c.transport.CloseIdle(a.Endpoint)
 	case control.Watch:
 		c.discovery.Watch()
--- a/internal/ledger/history_test.go
+++ b/internal/ledger/history_test.go
@@ -97,9 +97,9 @@
 func TestOutagesAreKept(t *testing.T) {
 	fs := disk.NewMemory()
 	l := open(t, fs, mb)
-	must(t, l.UpdateOutages([]Outage{{Host: "b", Suspect: true, LastFailedAt: 900, FirstFailedAt: 800, ConsecutiveFailures: 3}, {Host: "a", RecoveredAt: 700}, {Host: "c", RefusingSince: 5}}))
+	must(t, l.UpdateOutages([]Outage{{Host: "b", Suspected: true, FailedAt: 900, DownSince: 800, Failures: 3}, {Host: "a", RampStart: 700}, {Host: "c", RefusingSince: 5}}))
 	must(t, l.UpdateOutages([]Outage{{Host: "c"}}))
-	want := []Outage{{Host: "a", RecoveredAt: 700}, {Host: "b", Suspect: true, LastFailedAt: 900, FirstFailedAt: 800, ConsecutiveFailures: 3}}
+	want := []Outage{{Host: "a", RampStart: 700}, {Host: "b", Suspected: true, FailedAt: 900, DownSince: 800, Failures: 3}}
 	for range 2 {
 		l = reopen(t, l, fs, mb)
 		if got := l.Outages(); !slices.Equal(got, want) {
@@ -109,7 +109,7 @@
 	must(t, l.Close())
 	l, err := Open(fs, mb, ClockReading{Boot: "other", At: 50})
 	must(t, err)
-	if got := l.Outages(); len(got) != 2 || got[0].RecoveredAt != 50 || got[1].LastFailedAt != 50 || got[1].FirstFailedAt != 50 {
+	if got := l.Outages(); len(got) != 2 || got[0].RampStart != 50 || got[1].FailedAt != 50 || got[1].DownSince != 50 {
 		t.Errorf("in another boot: %+v", got)
 	}
 	must(t, l.UpdateOutages([]Outage{{Host: "a"}, {Host: "b"}}))
--- a/internal/ledger/outage.go
+++ b/internal/ledger/outage.go
@@ -11,36 +11,36 @@
 // the endpoint by its host, as the numbers of endpoints change with each process.
 type Outage struct {
 	Host string `cbor:"1,keyasint"`
-	// Suspect says that the endpoint gets no regular calls because the last one failed.
-	Suspect bool `cbor:"2,keyasint,omitempty"`
-	// LastFailedAt is when a call failed last.
-	LastFailedAt clock.Instant `cbor:"3,keyasint,omitempty"`
-	// FirstFailedAt is when the first call of the current series of failures failed.
-	FirstFailedAt clock.Instant `cbor:"4,keyasint,omitempty"`
-	// ConsecutiveFailures counts the calls in a row that could not connect or got no answer.
-	ConsecutiveFailures int `cbor:"5,keyasint,omitempty"`
-	// LastNotExecuted says that the last failed call was certainly not executed.
-	LastNotExecuted bool `cbor:"6,keyasint,omitempty"`
-	// RecoveredAt is when the endpoint came back and its slow start began. It is 0 if there is none.
-	RecoveredAt clock.Instant `cbor:"7,keyasint,omitempty"`
+	// Suspected says that the endpoint gets no regular calls because the last one failed.
+	Suspected bool `cbor:"2,keyasint,omitempty"`
+	// FailedAt is when the last failed call became known.
+	FailedAt clock.Instant `cbor:"3,keyasint,omitempty"`
+	// DownSince is the assumed start of the outage: when the first call of the current series of failures failed.
+	DownSince clock.Instant `cbor:"4,keyasint,omitempty"`
+	// Failures counts the calls in a row that could not connect or got no answer.
+	Failures int `cbor:"5,keyasint,omitempty"`
+	// Unreachable says that the last failed call was certainly not executed.
+	Unreachable bool `cbor:"6,keyasint,omitempty"`
+	// RampStart is when the endpoint came back and its slow start began. It is 0 if there is none.
+	RampStart clock.Instant `cbor:"7,keyasint,omitempty"`
 	// RefusingSince is since when the endpoint has refused every call, if that has lasted longer than an overload may last. It is 0
 	// otherwise.
 	RefusingSince clock.Instant `cbor:"8,keyasint,omitempty"`
-	// ConsecutiveErrors counts the error responses in a row.
-	ConsecutiveErrors int `cbor:"9,keyasint,omitempty"`
-	// Push is the fraction of a trial call that the demand for a suspect endpoint has earned so far.
-	Push float64 `cbor:"10,keyasint,omitempty"`
+	// Errors counts the error responses in a row.
+	Errors int `cbor:"9,keyasint,omitempty"`
+	// RampTokens is the number of trials that the demand permits now while the endpoint is suspected, from 0 to 1.
+	RampTokens float64 `cbor:"10,keyasint,omitempty"`
 }
 
 // empty reports whether there is nothing left to remember about the endpoint.
 func (o *Outage) empty() bool {
-	return !o.Suspect && o.ConsecutiveErrors == 0 && o.RecoveredAt == 0 && o.RefusingSince == 0
+	return !o.Suspected && o.Errors == 0 && o.RampStart == 0 && o.RefusingSince == 0
 }
 
 // rebase converts an outage of another boot to the clock of this one. It is not known how long ago its events were. They count as
 // having happened now, so that the recovery of the endpoint is treated with full caution.
 func (o *Outage) rebase(now ClockReading) {
-	for _, at := range []*clock.Instant{&o.LastFailedAt, &o.FirstFailedAt, &o.RecoveredAt, &o.RefusingSince} {
+	for _, at := range []*clock.Instant{&o.FailedAt, &o.DownSince, &o.RampStart, &o.RefusingSince} {
 		if *at > 0 {
 			*at = now.At
 		}
--- a/internal/outbound/admission_test.go
+++ b/internal/outbound/admission_test.go
@@ -66,7 +66,9 @@
 	return call, nil
 }
 
-func (f *fakeAdmission) TakenBack(a *engine.Attempt) { f.logf("taken back %s", a.Message.ExternalID) }
+func (f *fakeAdmission) MarkUnwritten(a *engine.Attempt) {
+	f.logf("taken back %s", a.Message.ExternalID)
+}
 
 func (f *fakeAdmission) wantEvents(t *testing.T, events ...string) {
 	t.Helper()
--- a/internal/outbound/conn.go
+++ b/internal/outbound/conn.go
@@ -193,7 +193,7 @@
 		return
 	}
 	for _, t := range admitted {
-		c.pool.reportTakenBack(t)
+		c.pool.reportUnwritten(t)
 	}
 	if errors.Is(err, errNoCapacity) {
 		c.requeue(k, err.Error())
@@ -252,16 +252,16 @@
 		if slices.Contains(writable, t.attempt) {
 			return false
 		}
-		p.reportTakenBack(t)
+		p.reportUnwritten(t)
 		p.reportEnd(t, engine.Outcome{Kind: engine.NotRecorded, Detail: err.Error()})
 		return true
 	})
 }
 
-// reportTakenBack tells Admission that an attempt that it admitted was not written.
-func (p *Pool) reportTakenBack(t *attemptState) {
+// reportUnwritten tells Admission that an attempt that it admitted was not written.
+func (p *Pool) reportUnwritten(t *attemptState) {
 	if p.cfg.Admission != nil {
-		p.cfg.Admission.TakenBack(t.attempt)
+		p.cfg.Admission.MarkUnwritten(t.attempt)
 	}
 }
 
--- a/internal/outbound/http1.go
+++ b/internal/outbound/http1.go
@@ -18,10 +18,10 @@
 	// Answer returns one end for each attempt of a call whose response is complete. The head is valid only until
 	// Answer returns.
 	Answer(attempts []*engine.Attempt, head *h1.Response, body []byte) []engine.Outcome
-	// Assured returns the end of a call if the status code alone decides it, although the rest of the response is
+	// EndFromStatus returns the end of a call if the status code alone decides it, although the rest of the response is
 	// missing or malformed. The result ok is false if the status code does not decide. It must be false for a call
 	// of several attempts.
-	Assured(attempts []*engine.Attempt, status int) (end engine.Outcome, ok bool)
+	EndFromStatus(attempts []*engine.Attempt, status int) (end engine.Outcome, ok bool)
 }
 
 // NewHTTP1 returns HTTP/1.1 with one call at a time on a connection. The attempts of one Pool.Start form one call.
@@ -35,7 +35,7 @@
 func (s http1) newSession(c *conn, _ time.Duration) session { return &h1Session{conn: c, codec: s} }
 
 // bodyTimeout is how long the body of a response may take after its head, if the status code decides the call (see
-// HTTP1Codec.Assured). The attempt then does not wait for a body that stalls.
+// HTTP1Codec.EndFromStatus). The attempt then does not wait for a body that stalls.
 const bodyTimeout = 300 * time.Millisecond
 
 // h1Session is the state of one HTTP/1.1 connection.
@@ -134,7 +134,7 @@
 	if s.call == nil || s.status == 0 {
 		return false
 	}
-	end, ok := s.codec.Assured(s.engineAttempts, s.status)
+	end, ok := s.codec.EndFromStatus(s.engineAttempts, s.status)
 	if !ok {
 		return false
 	}
--- a/internal/outbound/http1_test.go
+++ b/internal/outbound/http1_test.go
@@ -33,7 +33,7 @@
 	}
 	return ends
 }
-func (p plainCodec) Assured(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
+func (p plainCodec) EndFromStatus(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
 	return engine.Outcome{Kind: engine.Answered, Status: status}, status == 200 && len(attempts) == 1
 }
 
@@ -334,7 +334,7 @@
 	for range 3 {
 		tp.read(tp.conn())
 	}
-	// This one has been written, so that Unsend must not affect it.
+	// This one has been written, so that CancelUnsent must not affect it.
 	tp.p.CancelUnsent(calls[0][0])
 	waiting := calls[3][0]
 	tp.p.mu.Lock()
@@ -355,8 +355,8 @@
 	}
 }
 
-// Ends that are reported late for a deleted endpointPool must not delete the one that replaced it. That would lose
-// its request for a connection.
+// Ends of attempts that are reported after their endpointPool was deleted must not delete the endpointPool that
+// replaced it. That would lose its request for a connection.
 func TestDroppedSiteLeavesTheNewOne(t *testing.T) {
 	tp := newTestPool(t)
 	old := &endpointPool{id: 1}
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -47,8 +47,8 @@
 	// Record records attempts that are written next, as one call, before any byte is sent. It returns those that
 	// may be written: all of them, or, with an error, those that need no record.
 	Record(call []*engine.Attempt) (writable []*engine.Attempt, err error)
-	// TakenBack reports that an attempt for which Write returned nil was not written after all.
-	TakenBack(a *engine.Attempt)
+	// MarkUnwritten reports that an attempt for which Write returned nil was not written after all.
+	MarkUnwritten(a *engine.Attempt)
 }
 
 // session is the protocol state of one connection. Only the connection's event loop uses it. It reports the ends
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -13,7 +13,7 @@
 )
 
 // CallCodec encodes calls to endpoints as HTTP/1.1 requests of the platform's protocol and decodes the
-// responses. It implements outbound.Calls.
+// responses. It implements outbound.HTTP1Codec.
 type CallCodec struct {
 	*Directory
 	// LoadMetrics are the names of the values in a load report, in the order in which they are passed to the
@@ -60,9 +60,9 @@
 	return b
 }
 
-// Assured implements outbound.Calls. A call with a single message is delivered once its status line says 200,
+// EndFromStatus implements outbound.HTTP1Codec. A call with a single message is delivered once its status line says 200,
 // even if the rest of the response is malformed or missing.
-func (c CallCodec) Assured(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
+func (c CallCodec) EndFromStatus(attempts []*engine.Attempt, status int) (engine.Outcome, bool) {
 	return engine.Outcome{Kind: engine.Answered, Status: status, Detail: "the rest of the answer was spoilt"}, status == 200 && len(attempts) == 1
 }
 
--- a/internal/platform/directory.go
+++ b/internal/platform/directory.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// Address implements outbound.Addresses. It also returns the address of an endpoint that left the list
+// Address implements outbound.Resolver. It also returns the address of an endpoint that left the list
 // recently.
 func (d *Directory) Address(ep control.EndpointID) (netip.AddrPort, bool) {
 	d.mu.RLock()
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -13,7 +13,7 @@
 	"whinrun/internal/safety"
 )
 
-// ledgerAdapter implements engine.Ledger and outbound.Permits on the ledger on disk. It translates the
+// ledgerAdapter implements engine.Ledger and outbound.Admission on the ledger on disk. It translates the
 // engine's numbers into names and boot-clock times, which another process can interpret. Ends that the
 // platform must be told of are passed to the notice sender once they are recorded. A delivered message needs
 // no notice.
@@ -63,18 +63,18 @@
 	return c.Effect == control.Idempotent || c.Effect == control.Deduplicated && !c.DedupPerZone
 }
 
-// Write implements outbound.Permits. It returns why an attempt must not be written now, or nil.
+// Write implements outbound.Admission. It returns why an attempt must not be written now, or nil.
 func (la *ledgerAdapter) Write(now control.Time, a *engine.Attempt) error {
 	return la.guard.Write(now, a.SafetyCall())
 }
 
-// TakenBack implements outbound.Permits. It records that a permitted attempt was not written after all.
-func (la *ledgerAdapter) TakenBack(a *engine.Attempt) {
+// MarkUnwritten implements outbound.Admission. It records that a permitted attempt was not written after all.
+func (la *ledgerAdapter) MarkUnwritten(a *engine.Attempt) {
 	la.guard.RevokeWrite(a.SafetyCall())
 	la.logFailure(la.ledger.RevokeAttempt(a.Message.ExternalID))
 }
 
-// Record implements outbound.Permits. It records the attempts of a call before they are written. If that
+// Record implements outbound.Admission. It records the attempts of a call before they are written. If that
 // fails, only messages that may be repeated freely are allowed; they need no record before they are sent.
 func (la *ledgerAdapter) Record(call []*engine.Attempt) ([]*engine.Attempt, error) {
 	at, zone := la.clock.ToInstant(call[0].StartedAt), call[0].Placement.Zone
@@ -204,8 +204,8 @@
 		}
 		return la.clock.ToInstant(t)
 	}
-	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspect: o.Suspected, LastFailedAt: instant(o.FailedAt), FirstFailedAt: instant(o.DownSince),
-		ConsecutiveFailures: o.Failures, LastNotExecuted: o.Unreachable, ConsecutiveErrors: o.Errors, Push: o.Push, RecoveredAt: instant(o.RampStart), RefusingSince: instant(o.RefusingSince)}
+	return ledger.Outage{Host: la.directory.HostName(o.Endpoint), Suspected: o.Suspected, FailedAt: instant(o.FailedAt), DownSince: instant(o.DownSince),
+		Failures: o.Failures, Unreachable: o.Unreachable, Errors: o.Errors, RampTokens: o.RampTokens, RampStart: instant(o.RampStart), RefusingSince: instant(o.RefusingSince)}
 }
 
 // toControlOutage converts an outage of the ledger to the form of the decision library, for the endpoint of
@@ -221,8 +221,8 @@
 		}
 		return -1
 	}
-	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspected: o.Suspect, FailedAt: at(o.LastFailedAt), DownSince: at(o.FirstFailedAt),
-		Failures: o.ConsecutiveFailures, Unreachable: o.LastNotExecuted, Errors: o.ConsecutiveErrors, Push: o.Push, RampStart: at(o.RecoveredAt), RefusingSince: at(o.RefusingSince)}
+	return &control.Outage{Endpoint: e.Endpoint, Dest: e.Dest, Suspected: o.Suspected, FailedAt: at(o.FailedAt), DownSince: at(o.DownSince),
+		Failures: o.Failures, Unreachable: o.Unreachable, Errors: o.Errors, RampTokens: o.RampTokens, RampStart: at(o.RampStart), RefusingSince: at(o.RefusingSince)}
 }
 
 // acknowledge records that the platform has received notices.
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -317,14 +317,14 @@
 	}
 }
 
-// listSource implements engine.Lists, which the engine uses with the setting AskList. It answers each request
+// listSource implements engine.Discovery, which the engine uses with the setting PullList. It answers each request
 // with an empty change, because the watch runs all the time.
 type listSource struct{ node *Node }
 
-// Watch implements engine.Lists.
+// Watch implements engine.Discovery.
 func (l listSource) Watch() { l.sendCurrent() }
 
-// Fetch implements engine.Lists.
+// Fetch implements engine.Discovery.
 func (l listSource) Fetch() { l.sendCurrent() }
 
 // sendCurrent passes an empty change to the engine.
--- a/internal/service/endpoint_poller.go
+++ b/internal/service/endpoint_poller.go
@@ -172,8 +172,8 @@
 	l.done.Wait()
 }
 
-// Watch implements engine.Lists. It does nothing, because the poller delivers the list without being asked.
+// Watch implements engine.Discovery. It does nothing, because the poller delivers the list without being asked.
 func (l *listPoller) Watch() {}
 
-// Fetch implements engine.Lists. It does nothing, for the same reason as Watch.
+// Fetch implements engine.Discovery. It does nothing, for the same reason as Watch.
 func (l *listPoller) Fetch() {}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -64,7 +64,7 @@
 	protocol := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: ids, wall: clock.Wall}
 	guard := safety.NewGuard(cfg.Control)
 	poolConfig := cfg.Outbound
-	poolConfig.Admission = sendPermits{guard}
+	poolConfig.Admission = guardAdmission{guard}
 	s.pool, err = outbound.New(poolConfig, outbound.NewHTTP2(protocol), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
 	if err != nil {
 		return nil, err
@@ -248,20 +248,20 @@
 	s.closeTrail(orderly)
 }
 
-// sendPermits implements outbound.Permits with the safety guard alone. It records nothing, because this kind of dispatcher
+// guardAdmission implements outbound.Admission with the safety guard alone. It records nothing, because this kind of dispatcher
 // keeps no ledger.
-type sendPermits struct{ guard *safety.Guard }
+type guardAdmission struct{ guard *safety.Guard }
 
 // Write asks the guard whether an attempt may be written now.
-func (p sendPermits) Write(now control.Time, a *engine.Attempt) error {
+func (p guardAdmission) Write(now control.Time, a *engine.Attempt) error {
 	return p.guard.Write(now, a.SafetyCall())
 }
 
 // Record permits all attempts of a call.
-func (sendPermits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
+func (guardAdmission) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
 
-// TakenBack tells the guard that a permitted attempt was not written.
-func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
+// MarkUnwritten tells the guard that a permitted attempt was not written.
+func (p guardAdmission) MarkUnwritten(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
 
 // partnerProtocol builds requests and interprets responses in the dialect of each partner's kind.
 type partnerProtocol struct {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -381,7 +381,7 @@
 	case control.Probe:
 		r.appendHeader(acAskLoad, instance)
 		r.appendEndpoint(a.Endpoint)
-	case control.Close:
+	case control.CloseIdle:
 		r.appendHeader(acHangUp, instance)
 		r.appendEndpoint(a.Endpoint)
 	case control.SendGossip:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -146,7 +146,7 @@
 func TestCloseIsHangUp(t *testing.T) {
 	var r Reply
 	var out bytes.Buffer
-	r.Add(3, control.Action{Kind: control.Close, Endpoint: control.EndpointID(0xf211900a<<16 | 0x1fbc)})
+	r.Add(3, control.Action{Kind: control.CloseIdle, Endpoint: control.EndpointID(0xf211900a<<16 | 0x1fbc)})
 	if err := r.Write(&out, 1); err != nil {
 		t.Fatal(err)
 	}
