--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs decision modules behind the batch protocol of package wire. It reads events from standard input, and
+// Command wirehost runs dispatchers of the decision library behind the batch protocol of package wire. It reads events from standard input, and
 // writes and flushes one reply for each batch to standard output.
 package main
 
@@ -20,7 +20,7 @@
 	}
 }
 
-// instance is one decision module and its events of the present batch.
+// instance is one dispatcher of the decision library and its events of the present batch.
 type instance struct {
 	id      uint16
 	module  *control.Dispatcher
@@ -102,7 +102,7 @@
 	}
 }
 
-// newModule returns the module of an instance that starts.
+// newDispatcher returns the dispatcher of an instance that starts.
 func newModule(r *wire.Record) (*control.Dispatcher, error) {
 	s, err := wire.ParseSettings(r.Settings)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return control.New(s, r.Seed)
 }
 
-// runRound runs one round of an instance. A panic of the module is returned as an error.
+// runRound runs one round of an instance. A panic of the dispatcher is returned as an error.
 func runRound(h *instance, now control.Time) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/control/control.go
+++ b/control/control.go
@@ -108,7 +108,7 @@
 	hintSize        = 4    // An encoded hint has this many bytes.
 
 	hintWaitUnit  = 20 * Millisecond // This is the unit of the wait in a hint.
-	defaultHold   = Second / 2       // A destination at its limit is held for this long if no wait was told.
+	defaultHold   = Second / 2       // A destination at its limit is held for this long if no wait was given.
 	maxSpread     = 8 * Second       // The release after a hold is spread over at most this.
 	gossipTimeout = 3 * Second       // Gossip counts as lost if none was received for this long.
 
@@ -612,10 +612,10 @@
 	return r == LimitExceeded || r == ConnectFailed || r == NotExecuted || r == NotSent
 }
 
-// settleMessage takes a message off its call. The first outcome is evaluated, the last one frees the slot.
+// settleMessage removes a message from its call. The first outcome is evaluated, the last one frees the slot.
 func (d *Dispatcher) settleMessage(c *call, e *Event) {
 	c.pending--
-	if e.RetryAfter > 0 { // every outcome of a call may tell a wait
+	if e.RetryAfter > 0 { // every outcome of a call may ask for a wait
 		c.ep.limiter.waitUntil = max(c.ep.limiter.waitUntil, d.now+e.RetryAfter+d.settings.Tick)
 		c.ep.dest.eachQueued(d.expire) // the wait outlasts the deadline of some messages
 	}
@@ -736,7 +736,7 @@
 }
 
 // rampAfterRefusals starts the ramp of all that share a limit that has refused for longer than MaxOverload,
-// as they may have been down. A wait tells when they return. The cost is a ramp where a limit was lowered.
+// as they may have been down. A wait says when they return. The cost is a ramp where a limit was lowered.
 func (d *Dispatcher) rampAfterRefusals(ep *endpoint, at Time) {
 	for _, other := range ep.dest.endpoints {
 		since := ep.limiter.refusingSince
--- a/control/state.go
+++ b/control/state.go
@@ -99,7 +99,7 @@
 	lane int
 	// key is the queue of its ordering key. It is nil if the message may be sent in any order.
 	key *keyQueue
-	// createdAt is when the client handed the message in. deadline is when it is given up.
+	// createdAt is when the client submitted the message. deadline is when it is given up.
 	createdAt, deadline Time
 	// arrivalSeq is the position of its arrival among all arrivals.
 	arrivalSeq uint64
@@ -225,7 +225,7 @@
 
 // limiter limits the rate of calls to a destination, or to one endpoint if the kind has PerEndpointLimits.
 type limiter struct {
-	// waitUntil is when calls are permitted again after a wait that was told or a backoff. refilledAt is when the tokens were
+	// waitUntil is when calls are permitted again after a wait that was asked for or a backoff. refilledAt is when the tokens were
 	// last refilled. refusedAt is the time of the last refusal and lastOKAt that of the last success. refusingSince is the
 	// first of the consecutive refusals that a used-up limit does not explain, or 0.
 	waitUntil, refilledAt, refusedAt, lastOKAt, refusingSince Time
@@ -370,62 +370,62 @@
 }
 
 // Len implements heap.Interface.
-func (o *destinationHeap) Len() int { return len(o.items) }
+func (h *destinationHeap) Len() int { return len(h.items) }
 
 // Less implements heap.Interface. Destinations with equal keys are in order of activation.
-func (o *destinationHeap) Less(i, j int) bool {
-	a, b := &o.items[i], &o.items[j]
+func (h *destinationHeap) Less(i, j int) bool {
+	a, b := &h.items[i], &h.items[j]
 	return a.key < b.key || a.key == b.key && a.dest.activationSeq < b.dest.activationSeq
 }
 
 // Swap implements heap.Interface.
-func (o *destinationHeap) Swap(i, j int) {
-	o.items[i], o.items[j] = o.items[j], o.items[i]
-	o.items[i].dest.heapIndex[o.index], o.items[j].dest.heapIndex[o.index] = i+1, j+1
+func (h *destinationHeap) Swap(i, j int) {
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	h.items[i].dest.heapIndex[h.index], h.items[j].dest.heapIndex[h.index] = i+1, j+1
 }
 
 // Push implements heap.Interface.
-func (o *destinationHeap) Push(x any) {
+func (h *destinationHeap) Push(x any) {
 	t := x.(*destination)
-	o.items = append(o.items, heapItem{o.key(t), t})
-	t.heapIndex[o.index] = len(o.items)
+	h.items = append(h.items, heapItem{h.key(t), t})
+	t.heapIndex[h.index] = len(h.items)
 }
 
 // Pop implements heap.Interface.
-func (o *destinationHeap) Pop() any {
-	n := len(o.items) - 1
-	t := o.items[n].dest
-	o.items[n] = heapItem{}
-	o.items = o.items[:n]
-	t.heapIndex[o.index] = 0
+func (h *destinationHeap) Pop() any {
+	n := len(h.items) - 1
+	t := h.items[n].dest
+	h.items[n] = heapItem{}
+	h.items = h.items[:n]
+	t.heapIndex[h.index] = 0
 	return t
 }
 
 // update puts a destination at its position in the heap, or removes it if it is not present any more.
-func (o *destinationHeap) update(dest *destination, present bool) {
-	switch at := dest.heapIndex[o.index]; {
+func (h *destinationHeap) update(dest *destination, present bool) {
+	switch at := dest.heapIndex[h.index]; {
 	case present && at == 0:
-		heap.Push(o, dest)
+		heap.Push(h, dest)
 	case present:
-		if k := o.key(dest); o.items[at-1].key != k {
-			o.items[at-1].key = k
-			heap.Fix(o, at-1)
+		if k := h.key(dest); h.items[at-1].key != k {
+			h.items[at-1].key = k
+			heap.Fix(h, at-1)
 		}
 	case at > 0:
-		heap.Remove(o, at-1)
+		heap.Remove(h, at-1)
 	}
 }
 
 // minKeyExcept is the smallest key of all destinations but one. It is infinite if there is no other.
-func (o *destinationHeap) minKeyExcept(except *destination) float64 {
-	switch n := len(o.items); {
+func (h *destinationHeap) minKeyExcept(except *destination) float64 {
+	switch n := len(h.items); {
 	case n == 0:
 		return math.Inf(1)
-	case o.items[0].dest != except:
-		return o.items[0].key
+	case h.items[0].dest != except:
+		return h.items[0].key
 	default: // the exception is at the top, so the next smallest is one of the two below it
 		least := math.Inf(1)
-		for _, s := range o.items[1:min(3, n)] {
+		for _, s := range h.items[1:min(3, n)] {
 			least = min(least, s.key)
 		}
 		return least
@@ -604,8 +604,8 @@
 		}
 		return false
 	})
-	for number, lines := range d.unusedEntries {
-		d.unusedEntries[number] = slices.DeleteFunc(lines, func(l unusedEntry) bool {
+	for number, entries := range d.unusedEntries {
+		d.unusedEntries[number] = slices.DeleteFunc(entries, func(l unusedEntry) bool {
 			if l.health == Gone {
 				delete(d.unusedOwner, l.id)
 			}
@@ -637,9 +637,9 @@
 func (d *Dispatcher) destination(number int) *destination {
 	dest := d.destByNumber[number]
 	if dest == nil {
-		lines, now := d.unusedEntries[number], d.now
-		if len(lines) > 0 {
-			d.now = lines[0].listedAt
+		entries, now := d.unusedEntries[number], d.now
+		if len(entries) > 0 {
+			d.now = entries[0].listedAt
 		}
 		dest = &destination{number: number, maxBatch: 1, windowStarting: true, lanes: make([][]*message, 2*len(d.settings.Classes))}
 		dest.kind = d.kinds[0]
@@ -648,10 +648,10 @@
 		d.destByNumber[number] = dest
 		d.dests = append(d.dests, dest)
 		delete(d.unusedEntries, number)
-		if dest.window, dest.windowList = d.initialWindow, d.listCount; len(lines) == 0 {
+		if dest.window, dest.windowList = d.initialWindow, d.listCount; len(entries) == 0 {
 			dest.window = max(1, d.settings.Slots/(len(d.dests)+len(d.unusedEntries)))
 		}
-		for _, entry := range lines {
+		for _, entry := range entries {
 			d.now = entry.listedAt
 			delete(d.unusedOwner, entry.id)
 			d.addEndpoint(dest, &Entry{Endpoint: entry.id, Dest: number, Zone: int(entry.zone), DestinationKind: int(entry.kind), Health: entry.health, Weight: entry.weight})
@@ -667,14 +667,14 @@
 		return // an endpoint does not change its destination
 	}
 	d.unusedOwner[entry.Endpoint] = entry.Dest
-	lines := d.unusedEntries[entry.Dest]
-	i := slices.IndexFunc(lines, func(l unusedEntry) bool { return l.id == entry.Endpoint })
+	entries := d.unusedEntries[entry.Dest]
+	i := slices.IndexFunc(entries, func(l unusedEntry) bool { return l.id == entry.Endpoint })
 	if i < 0 {
-		i = len(lines)
-		lines = append(lines, unusedEntry{id: entry.Endpoint, listedAt: d.now})
-		d.unusedEntries[entry.Dest] = lines
+		i = len(entries)
+		entries = append(entries, unusedEntry{id: entry.Endpoint, listedAt: d.now})
+		d.unusedEntries[entry.Dest] = entries
 	}
-	unused := &lines[i]
+	unused := &entries[i]
 	unused.zone, unused.kind, unused.health, unused.weight = int32(entry.Zone), int32(entry.DestinationKind), entry.Health, entry.Weight
 }
 
@@ -704,9 +704,9 @@
 				ep.health = Gone
 			}
 		}
-		for _, lines := range d.unusedEntries {
-			for i := range lines {
-				lines[i].health = Gone
+		for _, entries := range d.unusedEntries {
+			for i := range entries {
+				entries[i].health = Gone
 			}
 		}
 	}
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -1,4 +1,4 @@
-// Package engine runs the decision module. It turns the reports of fronts and transports into the module's events, and the
+// Package engine runs the decision library. It turns the reports of fronts and transports into the library's events, and the
 // module's actions into final answers and attempts. It makes no decisions of its own. Core is a deterministic state machine
 // without I/O, which is given the time and its inputs. Loop runs a Core on the real clock, on one goroutine.
 package engine
@@ -50,7 +50,7 @@
 	// AttemptDetail describes how the last attempt ended.
 	AttemptDetail string
 
-	// Reason is the module's reason for ending the message. It is empty if a partner's response ended it.
+	// Reason is the library's reason for ending the message. It is empty if a partner's response ended it.
 	Reason string
 }
 
@@ -169,8 +169,8 @@
 	// PerEndpointLimits is set if the endpoint has its own limits and waits, instead of those of its destination.
 	PerEndpointLimits bool
 
-	// Worth is the worth of the message by its class.
-	Worth float64
+	// Value is the worth of the message by its class.
+	Value float64
 
 	// Deadline is the time at which the attempt is given up.
 	Deadline control.Time
@@ -271,7 +271,7 @@
 	// MaxCallBytes is the maximum size of a call of several messages, in bytes. Zero means that there is no maximum.
 	MaxCallBytes int
 
-	// Settings are the settings of the decision module.
+	// Settings are the settings of the decision library.
 	Settings control.Settings
 
 	// PathPerMessage tells for each kind of destination whether paths belong to messages (see the function Classify).
@@ -292,7 +292,7 @@
 
 // Logger writes log lines for operators.
 type Logger interface {
-	// Info logs a message of the decision module.
+	// Info logs a message of the decision library.
 	Info(text string)
 
 	// InternalError logs an event that a correct program does not produce.
@@ -312,7 +312,7 @@
 	lastStatus  int
 }
 
-// Core turns inputs into events of the module, and actions of the module into calls of Origin, Transport and Discovery.
+// Core turns inputs into events of the library, and actions of the library into calls of Origin, Transport and Discovery.
 type Core struct {
 	options      Options
 	module       *control.Dispatcher
@@ -342,7 +342,7 @@
 	stats       Stats
 }
 
-// NewCore returns a Core, or the module's error about its settings. discovery may be nil if the setting PullList is off.
+// NewCore returns a Core, or the library's error about its settings. discovery may be nil if the setting PullList is off.
 func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
 	options.Settings.TrackOutages, options.Settings.EarlyAck = options.Ledger != nil, options.Ledger != nil
 	module, err := control.New(options.Settings, seed)
@@ -372,7 +372,7 @@
 	return c.timers[0].due, true
 }
 
-// Round handles the inputs of one round and the timers that are due at now, and performs the actions that the module decides.
+// Round handles the inputs of one round and the timers that are due at now, and performs the actions that the library decides.
 func (c *Core) Round(now control.Time, inputs []Input) {
 	c.now = now
 	c.stats.Rounds++
@@ -392,12 +392,12 @@
 		c.perform(&c.actions[i])
 	}
 	c.startCalls()
-	for _, h := range c.unannounced {
-		c.announce(h)
+	for _, state := range c.unannounced {
+		c.announce(state)
 	}
 	clear(c.unannounced)
 	c.unannounced = c.unannounced[:0]
-	c.nextEvents = append(c.nextEvents, c.events[handled:]...) // Events that were added after the module's step.
+	c.nextEvents = append(c.nextEvents, c.events[handled:]...) // Events that were added after the library's step.
 	clear(c.events)
 	c.compactTimers()
 }
@@ -472,15 +472,15 @@
 
 // withdraw ends a message without an answer, because its sender does not want one any more.
 func (c *Core) withdraw(id control.MessageID) {
-	h := c.messages[id]
-	if h == nil || h.ended {
+	state := c.messages[id]
+	if state == nil || state.ended {
 		return
 	}
-	c.markFinished(h)
-	c.recordFinish(h, nil)
+	c.markFinished(state)
+	c.recordFinish(state, nil)
 	c.stats.Withdrawn++
 	if c.options.Trail != nil {
-		c.options.Trail.Withdrawn(h.message)
+		c.options.Trail.Withdrawn(state.message)
 	}
 	c.events = append(c.events, control.Event{Kind: control.Withdrawn, Message: id})
 }
@@ -644,7 +644,7 @@
 	}
 }
 
-// perform performs one action of the module.
+// perform performs one action of the library.
 func (c *Core) perform(a *control.Action) {
 	switch a.Kind {
 	case control.Send:
@@ -653,11 +653,11 @@
 		c.finish(a)
 	case control.Cancel:
 		c.startCalls()
-		if h := c.messages[a.Message]; h != nil && h.inFlight != nil && h.inFlight.Number == a.Attempt {
-			c.transport.Cancel(h.inFlight, Cancelled)
+		if state := c.messages[a.Message]; state != nil && state.inFlight != nil && state.inFlight.Number == a.Attempt {
+			c.transport.Cancel(state.inFlight, Cancelled)
 		}
 	case control.Timer:
-		heap.Push(&c.timers, timer{due: c.now + a.After, mark: a.TimerToken})
+		heap.Push(&c.timers, timer{due: c.now + a.After, token: a.TimerToken})
 	case control.CloseIdle:
 		c.transport.CloseIdle(a.Endpoint)
 	case control.Watch:
@@ -671,30 +671,30 @@
 	}
 }
 
-// send starts an attempt that the module decided, if the guard authorizes it.
+// send starts an attempt that the library decided, if the guard authorizes it.
 func (c *Core) send(action *control.Action) {
-	h := c.messages[action.Message]
-	if h == nil || h.ended || h.inFlight != nil {
+	state := c.messages[action.Message]
+	if state == nil || state.ended || state.inFlight != nil {
 		c.logger.InternalError(fmt.Sprintf("send action for message %d, which has ended or has an attempt in flight", action.Message))
 		return
 	}
-	if !c.announce(h) {
+	if !c.announce(state) {
 		return
 	}
 	c.lastSeq++
-	attempt := &Attempt{Seq: c.lastSeq, Message: h.message, Number: h.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: h.deadline, MessageDeadline: h.deadline, StartedAt: c.now,
-		WriteBefore: c.now + action.SendWithin, Worth: c.options.Settings.Classes[h.message.Class].Value}
+	attempt := &Attempt{Seq: c.lastSeq, Message: state.message, Number: state.attempts, Endpoint: action.Endpoint, Placement: c.placements[action.Endpoint], Deadline: state.deadline, MessageDeadline: state.deadline, StartedAt: c.now,
+		WriteBefore: c.now + action.SendWithin, Value: c.options.Settings.Classes[state.message.Class].Value}
 	attempt.PerEndpointLimits = c.hasPerEndpointLimits(attempt.Placement.Kind)
 	if action.After > 0 {
 		attempt.Deadline = min(attempt.Deadline, c.now+action.After)
 	}
-	h.attempts++
-	if err := c.guard.AuthorizeCall(c.now, attempt.SafetyCall()); err != nil { // The module is told in the next round that it was not sent.
+	state.attempts++
+	if err := c.guard.AuthorizeCall(c.now, attempt.SafetyCall()); err != nil { // The library is told in the next round that it was not sent.
 		c.logger.InternalError(err.Error())
-		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: h.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.NotExecuted})
+		c.nextEvents = append(c.nextEvents, control.Event{Kind: control.Outcome, Message: state.message.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint, Result: control.NotExecuted})
 		return
 	}
-	h.inFlight = attempt
+	state.inFlight = attempt
 	c.inFlight[attempt.Seq] = attempt
 	c.stats.Attempts++
 	if c.options.Trail != nil {
@@ -750,26 +750,26 @@
 	c.pendingCalls = c.pendingCalls[:0]
 }
 
-// finish refuses or fails a message as the module decided.
+// finish refuses or fails a message as the library decided.
 func (c *Core) finish(a *control.Action) {
-	h := c.messages[a.Message]
-	if h == nil || h.ended {
+	state := c.messages[a.Message]
+	if state == nil || state.ended {
 		return
 	}
 	if a.Kind == control.Refuse {
-		c.answer(h, Answer{Kind: Refused, RetryAfter: a.After, Reason: a.Text})
+		c.answer(state, Answer{Kind: Refused, RetryAfter: a.After, Reason: a.Text})
 		return
 	}
-	deadlineExceeded := c.now+3*c.options.Settings.Tick >= h.deadline
-	c.answer(h, Answer{Kind: Failed, DeadlineExceeded: deadlineExceeded, Reason: a.Text})
+	deadlineExceeded := c.now+3*c.options.Settings.Tick >= state.deadline
+	c.answer(state, Answer{Kind: Failed, DeadlineExceeded: deadlineExceeded, Reason: a.Text})
 }
 
-// timer is either a Tick that the module requested, or a time limit of an attempt. An attempt has a timer for WriteBefore and
+// timer is either a timer that the decision library requested, or a time limit of an attempt. An attempt has a timer for WriteBefore and
 // one for Deadline.
 type timer struct {
-	due  control.Time
-	mark uint64 // The module's mark of the Tick.
-	seq  uint64 // The Seq of the attempt, or zero for a Tick.
+	due   control.Time
+	token uint64 // The token of a timer that the decision library requested.
+	seq   uint64 // The Seq of the attempt, or zero for a timer of the library.
 }
 
 // timerHeap is a heap of timers, ordered by due time and then by seq.
@@ -793,7 +793,7 @@
 	for len(c.timers) > 0 && c.timers[0].due <= c.now {
 		t := heap.Pop(&c.timers).(timer)
 		if t.seq == 0 {
-			c.events = append(c.events, control.Event{Kind: control.TimerFired, TimerToken: t.mark})
+			c.events = append(c.events, control.Event{Kind: control.TimerFired, TimerToken: t.token})
 		} else if a := c.inFlight[t.seq]; a != nil && t.due < a.Deadline {
 			c.transport.CancelUnsent(a)
 		} else if a != nil {
@@ -812,7 +812,7 @@
 	c.staleTimers = 0
 	keep := c.timers[:0]
 	for _, t := range c.timers {
-		if t.seq != 0 && c.inFlight[t.seq] == nil || t.mark > 0 && c.messages[control.MessageID(t.mark-1)] == nil {
+		if t.seq != 0 && c.inFlight[t.seq] == nil || t.token > 0 && c.messages[control.MessageID(t.token-1)] == nil {
 			continue
 		}
 		keep = append(keep, t)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -256,7 +256,7 @@
 		if v.Result != c.result || v.PossiblyExecuted != c.ran || v.Final != c.final || v.Reason == "" {
 			t.Errorf("%+v, pathPerMessage %v: %+v", c.end, c.pathPerMessage, v)
 		}
-		// The module takes these results as proof that the message was not executed, so each must agree with PossiblyExecuted.
+		// The library takes these results as proof that the message was not executed, so each must agree with PossiblyExecuted.
 		if proof := v.Result == control.LimitExceeded || v.Result == control.ConnectFailed || v.Result == control.NotExecuted; proof == v.PossiblyExecuted {
 			t.Errorf("%+v: result %v and possibly executed %v disagree", c.end, v.Result, v.PossiblyExecuted)
 		}
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestLedgerFull checks that a message that cannot be recorded is refused, and that the module forgets it.
+// TestLedgerFull checks that a message that cannot be recorded is refused, and that the library forgets it.
 func TestLedgerFull(t *testing.T) {
 	b, c := newSpy(t)
 	b.ledgerFull = true
@@ -198,7 +198,7 @@
 	}
 }
 
-// TestCallNotOnRecord checks an attempt that could not be recorded and so was not made. The message must go on, and the module
+// TestCallNotOnRecord checks an attempt that could not be recorded and so was not made. The message must go on, and the library
 // must not send until it is told that the ledger can be written again.
 func TestCallNotOnRecord(t *testing.T) {
 	b, c := newSpy(t)
--- a/internal/engine/outcome.go
+++ b/internal/engine/outcome.go
@@ -48,7 +48,7 @@
 	// TimedOut means that the attempt was given up at its deadline.
 	TimedOut
 
-	// Cancelled means that the attempt was given up because the module cancelled it.
+	// Cancelled means that the attempt was given up because the library cancelled it.
 	Cancelled
 
 	// NoFreeSlot means that the endpoint reported that it has no free slot for this dispatcher. The attempt was not executed.
@@ -73,7 +73,7 @@
 	Detail     string       // An optional explanation, which is appended to the reason.
 }
 
-// Classification is what an outcome means to the module and to the message.
+// Classification is what an outcome means to the library and to the message.
 type Classification struct {
 	Result control.Result
 
@@ -137,7 +137,7 @@
 	case status == 408 || status == 425:
 		return Classification{control.ErrorResponse, true, false, reason("not taken now; no proof that it has not run")}
 	case status >= 400 && rejectsMessage(status, pathPerMessage):
-		// The endpoint works, because it gave a definitive answer. To the module this is an answer like any other.
+		// The endpoint works, because it gave a definitive answer. To the library this is an answer like any other.
 		return Classification{control.OK, true, true, reason("refused for good, for what the message is")}
 	case status >= 400:
 		return Classification{control.ErrorResponse, true, true, reason("refused for good; the endpoint may be set up wrongly")}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -105,7 +105,7 @@
 
 // replay applies the records in content, up to the first one that is torn, damaged or cannot be decoded. It returns an error only if
 // the file is of a newer version.
-func (b *state) replay(content []byte) error {
+func (s *state) replay(content []byte) error {
 	for at := 0; at < len(content); {
 		encoded, next, err := logstore.NextRecord(content, at, 0)
 		if err != nil {
@@ -120,9 +120,9 @@
 		}
 		switch {
 		case r.Version == 0:
-			b.apply(&r, next-at)
+			s.apply(&r, next-at)
 		case r.OpenedAt != nil: // It is missing in version 1, whose Unix times are then read as those of another boot.
-			b.applyHeader(*r.OpenedAt, r.Latest)
+			s.applyHeader(*r.OpenedAt, r.Latest)
 		}
 		at = next
 	}
@@ -139,19 +139,19 @@
 }
 
 // snapshot returns the content of a compacted file: the header and only what is still outstanding.
-func (b *state) snapshot() ([]byte, error) {
-	content, err := appendRecord(nil, &record{Version: formatVersion, OpenedAt: &b.openedAt, Latest: b.latest})
-	for _, e := range b.sortedEntries() {
+func (s *state) snapshot() ([]byte, error) {
+	content, err := appendRecord(nil, &record{Version: formatVersion, OpenedAt: &s.openedAt, Latest: s.latest})
+	for _, e := range s.sortedEntries() {
 		if err == nil {
 			content, err = appendRecord(content, &record{Accepted: e})
 		}
 	}
-	for _, n := range b.sortedNotices() {
+	for _, n := range s.sortedNotices() {
 		if err == nil {
 			content, err = appendRecord(content, &record{Notice: n})
 		}
 	}
-	if all := b.sortedOutages(); err == nil && len(all) > 0 {
+	if all := s.sortedOutages(); err == nil && len(all) > 0 {
 		content, err = appendRecord(content, &record{Outages: all})
 	}
 	return content, err
--- a/internal/ledger/outage.go
+++ b/internal/ledger/outage.go
@@ -32,8 +32,8 @@
 	RampTokens float64 `cbor:"10,keyasint,omitempty"`
 }
 
-// empty reports whether there is nothing left to remember about the endpoint.
-func (o *Outage) empty() bool {
+// ended reports whether there is nothing left to remember about the endpoint.
+func (o *Outage) ended() bool {
 	return !o.Suspected && o.Errors == 0 && o.RampStart == 0 && o.RefusingSince == 0
 }
 
@@ -50,32 +50,32 @@
 // outageSize is the size that is assumed for each outage on record, in bytes.
 const outageSize = 192
 
-// applyOutages replaces what is known about the hosts in changed. An empty outage removes its host.
-func (b *state) applyOutages(changed []Outage) {
+// applyOutages replaces what is known about the hosts in changed. An outage that has ended removes its host.
+func (s *state) applyOutages(changed []Outage) {
 	for i := range changed {
 		o := changed[i]
-		if b.outages[o.Host] != nil {
-			delete(b.outages, o.Host)
-			b.liveBytes -= outageSize
+		if s.outages[o.Host] != nil {
+			delete(s.outages, o.Host)
+			s.liveBytes -= outageSize
 		}
-		if !o.empty() {
-			b.outages[o.Host] = &o
-			b.liveBytes += outageSize
+		if !o.ended() {
+			s.outages[o.Host] = &o
+			s.liveBytes += outageSize
 		}
 	}
 }
 
 // sortedOutages returns the outages on record, sorted by host.
-func (b *state) sortedOutages() []Outage {
-	all := make([]Outage, 0, len(b.outages))
-	for _, o := range b.outages {
+func (s *state) sortedOutages() []Outage {
+	all := make([]Outage, 0, len(s.outages))
+	for _, o := range s.outages {
 		all = append(all, *o)
 	}
 	slices.SortFunc(all, func(x, y Outage) int { return cmp.Compare(x.Host, y.Host) })
 	return all
 }
 
-// UpdateOutages records what is known about outages now. An empty outage removes its host.
+// UpdateOutages records what is known about outages now. An outage that has ended removes its host.
 func (l *Ledger) UpdateOutages(changed []Outage) error {
 	return l.logRecord(&record{Outages: changed}, true)
 }
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -98,88 +98,88 @@
 }
 
 // apply applies one record, whose encoded size is size bytes. Records about unknown messages change nothing.
-func (b *state) apply(r *record, size int) {
+func (s *state) apply(r *record, size int) {
 	switch {
 	case r.Accepted != nil:
-		b.remove(r.Accepted.Name)
+		s.remove(r.Accepted.Name)
 		e := *r.Accepted
-		b.latest = max(b.latest, e.AcceptedAt, e.InFlightSince)
-		b.seq++
-		e.seq, e.size = b.seq, size+entryOverhead
-		b.messages[e.Name] = &e
-		b.liveBytes += int64(e.size)
+		s.latest = max(s.latest, e.AcceptedAt, e.InFlightSince)
+		s.seq++
+		e.seq, e.size = s.seq, size+entryOverhead
+		s.messages[e.Name] = &e
+		s.liveBytes += int64(e.size)
 	case r.Started != nil:
-		b.latest = max(b.latest, r.Started.At)
+		s.latest = max(s.latest, r.Started.At)
 		for _, name := range r.Started.Names {
-			if e := b.messages[name]; e != nil {
+			if e := s.messages[name]; e != nil {
 				e.beginAttempt(r.Started.At, r.Started.Zone)
 			}
 		}
 	case r.Ended != nil:
-		if e := b.messages[r.Ended.Name]; e != nil {
+		if e := s.messages[r.Ended.Name]; e != nil {
 			e.endAttempt(*r.Ended)
 		}
 	case r.Completed != "":
-		b.remove(r.Completed)
+		s.remove(r.Completed)
 	case r.Notice != nil:
-		b.remove(r.Notice.Name)
+		s.remove(r.Notice.Name)
 		n := *r.Notice
-		b.seq++
-		n.seq = b.seq
-		b.notices[n.Name] = &n
-		b.liveBytes += noticeSize
+		s.seq++
+		n.seq = s.seq
+		s.notices[n.Name] = &n
+		s.liveBytes += noticeSize
 	case r.Outages != nil:
-		b.applyOutages(r.Outages)
+		s.applyOutages(r.Outages)
 	default:
 		for _, name := range r.Acknowledged {
-			if b.notices[name] != nil {
-				delete(b.notices, name)
-				b.liveBytes -= noticeSize
+			if s.notices[name] != nil {
+				delete(s.notices, name)
+				s.liveBytes -= noticeSize
 			}
 		}
 	}
 }
 
 // remove removes a message that has ended, if it is known.
-func (b *state) remove(name string) {
-	if e := b.messages[name]; e != nil {
-		b.liveBytes -= int64(e.size)
-		delete(b.messages, name)
+func (s *state) remove(name string) {
+	if e := s.messages[name]; e != nil {
+		s.liveBytes -= int64(e.size)
+		delete(s.messages, name)
 	}
 }
 
 // applyHeader applies the header of a file.
-func (b *state) applyHeader(openedAt ClockReading, latest clock.Instant) {
-	b.openedAt = openedAt
-	b.latest = max(b.latest, openedAt.At, latest)
+func (s *state) applyHeader(openedAt ClockReading, latest clock.Instant) {
+	s.openedAt = openedAt
+	s.latest = max(s.latest, openedAt.At, latest)
 }
 
 // recoverAt prepares the state for a process that starts now. Attempts without a recorded end count as possibly executed. If the
 // state is of another boot, all instants are converted to the clock of this one.
-func (b *state) recoverAt(now ClockReading) {
-	for _, e := range b.messages {
+func (s *state) recoverAt(now ClockReading) {
+	for _, e := range s.messages {
 		e.resolveInFlight()
 	}
-	if !sameBoot(b.openedAt, b.latest, now) {
-		for _, e := range b.messages {
-			e.rebase(b.openedAt, b.latest, now)
+	if !sameBoot(s.openedAt, s.latest, now) {
+		for _, e := range s.messages {
+			e.rebase(s.openedAt, s.latest, now)
 		}
-		for _, o := range b.outages {
+		for _, o := range s.outages {
 			o.rebase(now)
 		}
-		b.latest = now.At
+		s.latest = now.At
 	}
-	b.applyHeader(now, 0)
+	s.applyHeader(now, 0)
 }
 
 // sortedEntries returns the outstanding messages in the order in which they were accepted.
-func (b *state) sortedEntries() []*Entry {
-	return slices.SortedFunc(maps.Values(b.messages), func(x, y *Entry) int { return cmp.Compare(x.seq, y.seq) })
+func (s *state) sortedEntries() []*Entry {
+	return slices.SortedFunc(maps.Values(s.messages), func(x, y *Entry) int { return cmp.Compare(x.seq, y.seq) })
 }
 
 // sortedNotices returns the unacknowledged notices in the order in which they were recorded.
-func (b *state) sortedNotices() []*Notice {
-	return slices.SortedFunc(maps.Values(b.notices), func(x, y *Notice) int { return cmp.Compare(x.seq, y.seq) })
+func (s *state) sortedNotices() []*Notice {
+	return slices.SortedFunc(maps.Values(s.notices), func(x, y *Notice) int { return cmp.Compare(x.seq, y.seq) })
 }
 
 // spaceLimits decides what fits into the folder, which has usable bytes. A compaction needs space for the old and the new file
@@ -192,11 +192,11 @@
 const maxLiveFraction = 0.4
 
 // admits reports whether a message with a record of size bytes fits beside the liveBytes that are outstanding.
-func (r spaceLimits) admits(liveBytes int64, size int) bool {
-	return float64(liveBytes)+float64(size+entryOverhead) <= maxLiveFraction*float64(r.usable)
+func (l spaceLimits) admits(liveBytes int64, size int) bool {
+	return float64(liveBytes)+float64(size+entryOverhead) <= maxLiveFraction*float64(l.usable)
 }
 
 // needsCompaction reports whether the file has to be compacted before a record of size bytes is appended.
-func (r spaceLimits) needsCompaction(liveBytes, fileBytes int64, size int) bool {
-	return fileBytes+int64(size)+liveBytes > r.usable
+func (l spaceLimits) needsCompaction(liveBytes, fileBytes int64, size int) bool {
+	return fileBytes+int64(size)+liveBytes > l.usable
 }
--- a/internal/load/amqp.go
+++ b/internal/load/amqp.go
@@ -112,7 +112,7 @@
 	// A publish on a closed channel sends nothing, so it is safe to repeat it on a new channel.
 	for {
 		// A dispatcher that is killed within this process can leave a connection open that it had just accepted. Nobody
-		// answers there, and the handshake exceeds its deadline. The connection is then opened anew. Without that, all
+		// answers there, and the handshake exceeds its deadline. The connection is then opened again. Without that, all
 		// messages of the connection waited for half a minute.
 		if ch, err = conn.openChannel(p.url); errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			continue
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -360,7 +360,7 @@
 	}
 	s.requested = true
 	first := s.pending[0].attempts[0].attempt
-	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Worth, Deadline: time.Duration(first.Deadline) * time.Microsecond,
+	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Value, Deadline: time.Duration(first.Deadline) * time.Microsecond,
 		RecentlyActive: s.activeUntil > p.clock.Now()})
 	p.wakeScheduler()
 }
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -140,7 +140,7 @@
 }
 
 // recordEnd records the end of a message and then sends its notice. The notice must not precede the record: a
-// process that finds the message still owed would send it while its sender submits it again.
+// process that finds the message outstanding would send it while its sender submits it again.
 func (la *ledgerAdapter) recordEnd(n ledger.Notice, deadline control.Time) {
 	if err := la.ledger.CompleteWithNotice(n); err != nil {
 		la.logFailure(err)
@@ -165,7 +165,7 @@
 }
 
 // sendExpired sends the waiting notices of messages whose time is over. A process that finds such a message
-// still owed does not send it any more. The notice says undeliverable, never deferred, because a sender must
+// outstanding does not send it any more. The notice says undeliverable, never deferred, because a sender must
 // not submit a message again whose end is not recorded.
 func (la *ledgerAdapter) sendExpired() {
 	now := la.clock.Now()
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -101,7 +101,7 @@
 	return b
 }
 
-// Start starts a dispatcher. Messages and notices that the ledger still owes are taken up before clients are
+// Start starts a dispatcher. Outstanding messages and notices of the ledger are restored before clients are
 // served.
 func Start(cfg *Config, log *logs.Logger) (*Node, error) {
 	folder, err := openStateDir(cfg.StateDir)
@@ -140,11 +140,11 @@
 	adapter.notices = n.notices
 	settings := *set
 	settings.HasPredecessor = n.ledger.Reopened()
-	policy := engine.Options{Settings: settings, Ledger: adapter, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
+	options := engine.Options{Settings: settings, Ledger: adapter, Guard: guard, Classify: Classify, MaxCallBytes: maxBody}
 	if n.cfg.Trace {
-		policy.Trail = messageTrace{n.log, n.directory}
+		options.Trail = messageTrace{n.log, n.directory}
 	}
-	core, err := engine.NewCore(policy, n.cfg.Seed, n.pool, listSource{n}, n)
+	core, err := engine.NewCore(options, n.cfg.Seed, n.pool, listSource{n}, n)
 	if err != nil {
 		n.pool.Close()
 		return err
@@ -181,14 +181,14 @@
 }
 
 // openPool opens the pool of connections to endpoints.
-func (n *Node) openPool(budget descriptorBudget, permits outbound.Admission) error {
+func (n *Node) openPool(budget descriptorBudget, poolAdmission outbound.Admission) error {
 	set := &n.cfg.Settings
 	cfg := outbound.Config{
 		Loops: 1, MaxConnsPerEndpoint: set.Slots + 1, MaxStreams: 1, MaxAnswerBytes: maxResponseBody,
 		ConnectTimeout: durationOr(set.ConnectTimeout, 1500*time.Millisecond),
 		IdleTimeout:    time.Duration(idleFraction * float64(durationOr(set.ConnIdleTimeout, 5*time.Second))),
 		DialLimits:     dialscheduler.Limits{HandshakesPerSecond: float64(10 * budget.endpoints), MaxHandshakes: budget.connecting, MaxConns: budget.endpoints},
-		Trace:          n.debugLogger(), Admission: permits, System: n.system,
+		Trace:          n.debugLogger(), Admission: poolAdmission, System: n.system,
 	}
 	calls := outbound.NewHTTP1(CallCodec{n.directory, n.cfg.LoadMetrics})
 	report := func(e engine.Outcome) { n.loop.Enqueue(engine.Input{Outcome: &e}) }
@@ -204,7 +204,7 @@
 	maxBytes := int64(n.cfg.Limits.MemoryMB * (1 << 20) / 8)
 	limits := admission.Limits{Conns: budget.clients, Bytes: maxBytes, Messages: maxHeld, BlockAt: 1, UnblockAt: 1}
 	n.clients = NewClientHandler(*set, admission.New(limits, max(1, len(set.Tenants)), n.loop).AddFrontend("platform"))
-	n.clients.knowsDestination, n.clients.isOwed, n.clients.ready = n.directory.KnowsDestination, n.ledger.Contains, n.hasList.Load
+	n.clients.knowsDestination, n.clients.isOutstanding, n.clients.ready = n.directory.KnowsDestination, n.ledger.Contains, n.hasList.Load
 	if n.cfg.Trace {
 		n.clients.trace = n.debugLogger()
 	}
@@ -254,7 +254,7 @@
 	}
 }
 
-// restoreMessages submits the messages that the previous process still owed. Those that cannot be submitted
+// restoreMessages submits the outstanding messages of the previous process. Those that cannot be submitted
 // end as undeliverable.
 func (n *Node) restoreMessages(adapter *ledgerAdapter, entries []ledger.Entry) {
 	messages, undeliverable := adapter.restoredMessages(entries)
@@ -332,10 +332,10 @@
 	l.node.loop.Enqueue(engine.Input{List: &engine.ListUpdate{Kind: control.ListDelta}})
 }
 
-// Info implements engine.Log.
+// Info implements engine.Logger.
 func (n *Node) Info(text string) { n.log.Info("module", "%s", text) }
 
-// InternalError implements engine.Log.
+// InternalError implements engine.Logger.
 func (n *Node) InternalError(text string) { n.log.Error("engine", "%s", text) }
 
 // Addr returns the address that clients connect to.
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -45,8 +45,8 @@
 	tenants map[string]int
 	// knowsDestination reports whether a destination is in the endpoint list or was until recently.
 	knowsDestination func(dest int) bool
-	// isOwed reports whether a message with an id is still owed its end, or its notice is not acknowledged.
-	isOwed func(name string) bool
+	// isOutstanding reports whether a message with an id has no final answer, or its notice is not acknowledged.
+	isOutstanding func(name string) bool
 	// ready reports whether an endpoint list is known.
 	ready func() bool
 	// admission limits and counts the clients' messages and connections.
@@ -106,7 +106,7 @@
 	head *h1.Request
 	// headSize is the size of head, in bytes.
 	headSize int
-	// ticket is the admission ticket of the current request, nil for none.
+	// loadReservation accounts for the current request at admission. It is nil if there is none.
 	ticket *admission.Reservation
 	// pending is the submitted message whose answer is awaited, nil for none.
 	pending *pendingRequest
@@ -136,7 +136,7 @@
 	request *pendingRequest
 	// final is how the message ended, Served if it was accepted.
 	final engine.AnswerKind
-	// retryAfter is the wait that a refused sender is told.
+	// retryAfter is the wait that is sent to a refused sender.
 	retryAfter control.Time
 }
 
@@ -361,7 +361,7 @@
 	if h.ready() && !h.knowsDestination(dest) {
 		return nil, "404 Not Found"
 	}
-	if h.isOwed(values[0]) {
+	if h.isOutstanding(values[0]) {
 		return nil, "409 Conflict"
 	}
 	orderKey, ok := parseOrderKey(r.Fields)
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -1,4 +1,4 @@
-// Package pushfront serves clients over HTTP/2. Clients hand in messages by push (RFC 8030), and the final answer to a
+// Package pushfront serves clients over HTTP/2. Clients submit messages by push (RFC 8030), and the final answer to a
 // message is the response on its stream. The package makes no delivery decisions. A message that it rejects was never
 // accepted.
 package pushfront
--- a/internal/safety/safety.go
+++ b/internal/safety/safety.go
@@ -1,9 +1,9 @@
 // Package safety authorizes the operations that cannot be undone: making a call, writing it to a connection, and refusing a
 // message, which tells its sender that submitting it again is harmless. It keeps the facts that its rules need separately from
-// the decision module, and gets them from the engine. Each call is checked twice: when the module decides it (AuthorizeCall),
+// the decision library, and gets them from the engine. Each call is checked twice: when the library decides it (AuthorizeCall),
 // and again immediately before its bytes are put on a connection (Write), because the facts may have changed in between.
 //
-// An error of AuthorizeCall or AuthorizeRefusal means that the module's state and these facts disagree. This is a defect. It is
+// An error of AuthorizeCall or AuthorizeRefusal means that the library's state and these facts disagree. This is a defect. It is
 // counted and reported, and the operation is not performed. An error of Write is not a defect but a race: an event overtook the
 // call, which is then withdrawn unsent.
 //
@@ -152,7 +152,7 @@
 // noAttempt is the value of message.inFlight while no attempt is in flight.
 const noAttempt = -1
 
-// NewGuard returns a Guard for the module's settings.
+// NewGuard returns a Guard for the library's settings.
 func NewGuard(s control.Settings) *Guard {
 	return &Guard{settings: s, messages: map[control.MessageID]*message{}, withdrawnSince: map[control.EndpointID]control.Time{},
 		destRetryAfter: map[int]control.Time{}, endpointRetryAfter: map[control.EndpointID]control.Time{}, keyQueues: map[uint64][]*message{}, blockedKeys: map[uint64]control.Time{}}
@@ -176,7 +176,7 @@
 	}
 }
 
-// AuthorizeCall authorizes a call that the module has decided, and counts it as in flight. An error is a *Violation.
+// AuthorizeCall authorizes a call that the library has decided, and counts it as in flight. An error is a *Violation.
 func (g *Guard) AuthorizeCall(now control.Time, c Call) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -195,7 +195,7 @@
 // now returns the monotonic time of the dispatcher's clock.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
 
-// Info implements engine.Log. It also writes the text to the audit trail, because the text reports what the decision library
+// Info implements engine.Logger. It also writes the text to the audit trail, because the text reports what the decision library
 // has learned about partners, such as their recovery from an outage.
 func (s *Service) Info(text string) {
 	s.log.Info("module", "%s", text)
@@ -204,7 +204,7 @@
 	}
 }
 
-// InternalError implements engine.Log.
+// InternalError implements engine.Logger.
 func (s *Service) InternalError(text string) { s.log.Error("engine", "%s", text) }
 
 // Stop shuts a dispatcher down gracefully. It sends GOAWAY to clients, rejects new messages, waits for the answers to the
--- a/internal/testbed/check.go
+++ b/internal/testbed/check.go
@@ -32,7 +32,7 @@
 	OutageBegan
 	// OutageEnded records that the outage of an endpoint ended and that the endpoint is cold [Host].
 	OutageEnded
-	// Restarted records that a dispatcher's process ended, and with it the waits that it was told [Node].
+	// Restarted records that a dispatcher's process ended, and with it the waits that it was asked for [Node].
 	Restarted
 	// WatchOpened records that a watch of the endpoint list was opened.
 	WatchOpened
@@ -217,7 +217,7 @@
 // listedHost is an endpoint in the list of one dispatcher.
 type listedHost struct{ node, host string }
 
-// waitingDest is a destination that told a dispatcher to wait.
+// waitingDest is a destination that asked a dispatcher to wait.
 type waitingDest struct {
 	node string
 	dest int
@@ -318,7 +318,7 @@
 	}
 }
 
-// applyRestart ends the waits that a dispatcher was told. An answer in flight to the old process is lost, so messages
+// applyRestart ends the waits that a dispatcher was asked for. An answer in flight to the old process is lost, so messages
 // that may be repeated may be sent again.
 func (c *checker) applyRestart(node string) {
 	for at := range c.waits {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire implements the batch protocol between a host process and the decision module: framing, codecs for events and
+// Package wire implements the batch protocol between a host process and the decision library: framing, codecs for events and
 // actions, and the parser of settings. It makes no decisions.
 //
 // A frame has a header, which gives the sizes of its body, and records. All numbers are little-endian.
@@ -56,7 +56,7 @@
 
 // Kinds of records.
 const (
-	// ModuleEvent is an event for the module.
+	// ModuleEvent is an event for the library.
 	ModuleEvent RecordKind = iota
 
 	// Attach starts an instance.
@@ -65,7 +65,7 @@
 	// Exit kills an instance.
 	Exit
 
-	// Ignored is a valid record that the module does not need.
+	// Ignored is a valid record that the library does not need.
 	Ignored
 )
 
