--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -22,11 +22,11 @@
 
 // instance is one dispatcher of the decision library and its events of the present batch.
 type instance struct {
-	id      uint16
-	module  *control.Dispatcher
-	events  []control.Event
-	actions []control.Action
-	queued  bool // The instance has events in the present batch.
+	id         uint16
+	dispatcher *control.Dispatcher
+	events     []control.Event
+	actions    []control.Action
+	queued     bool // The instance has events in the present batch.
 }
 
 // serve answers batches until the input ends. It returns an error if the input is not valid or a reply cannot be written.
@@ -62,21 +62,21 @@
 		switch r.Kind {
 		case wire.Exit:
 			if h := instances[r.Instance]; h != nil {
-				h.module, h.events = nil, h.events[:0]
+				h.dispatcher, h.events = nil, h.events[:0]
 			}
 		case wire.Attach:
 			h := &instance{id: r.Instance}
 			if old := instances[r.Instance]; old != nil {
-				old.module = nil
+				old.dispatcher = nil
 			}
 			instances[r.Instance] = h
 			var err error
-			if h.module, err = newModule(r); err != nil {
+			if h.dispatcher, err = newDispatcher(r); err != nil {
 				reply.Fatal(r.Instance, err.Error())
 			}
-		case wire.ModuleEvent:
+		case wire.DispatcherEvent:
 			h := instances[r.Instance]
-			if h == nil || h.module == nil {
+			if h == nil || h.dispatcher == nil {
 				continue
 			}
 			h.events = append(h.events, r.Event)
@@ -88,11 +88,11 @@
 	}
 	for _, h := range active {
 		h.queued = false
-		if h.module == nil {
+		if h.dispatcher == nil {
 			continue
 		}
 		if err := runRound(h, batch.Now); err != nil {
-			h.module = nil
+			h.dispatcher = nil
 			reply.Fatal(h.id, err.Error())
 			continue
 		}
@@ -103,7 +103,7 @@
 }
 
 // newDispatcher returns the dispatcher of an instance that starts.
-func newModule(r *wire.Record) (*control.Dispatcher, error) {
+func newDispatcher(r *wire.Record) (*control.Dispatcher, error) {
 	s, err := wire.ParseSettings(r.Settings)
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 			err = fmt.Errorf("panic: %v", p)
 		}
 	}()
-	h.actions = h.module.Step(now, h.events, h.actions[:0])
+	h.actions = h.dispatcher.Step(now, h.events, h.actions[:0])
 	h.events = h.events[:0]
 	return nil
 }
--- a/internal/amqpfront/publish.go
+++ b/internal/amqpfront/publish.go
@@ -40,11 +40,11 @@
 	session *session
 	channel *channel
 	// tag is the delivery tag, 0 on a channel without confirms.
-	tag     uint64
-	method  *amqp.BasicPublish
-	props   *amqp.Properties
-	message *engine.Message
-	ticket  admission.Reservation
+	tag             uint64
+	method          *amqp.BasicPublish
+	props           *amqp.Properties
+	message         *engine.Message
+	loadReservation admission.Reservation
 	// reservation is the answer's place in its queue. It is nil if there is no queue, or once it is released.
 	reservation *mailbox.Reservation
 	answer      engine.Answer
@@ -95,7 +95,7 @@
 	} else if err != nil {
 		return &refusal{amqp.NoConsumers, err.Error()}
 	}
-	p.message, p.ticket = m, s.server.admission.NewReservation(m.Tenant)
+	p.message, p.loadReservation = m, s.server.admission.NewReservation(m.Tenant)
 	return nil
 }
 
@@ -184,7 +184,7 @@
 	if p == nil {
 		return
 	}
-	err := p.ticket.Reserve(len(data))
+	err := p.loadReservation.Reserve(len(data))
 	if err == nil {
 		p.message.Body = append(p.message.Body, data...)
 		if !complete {
@@ -192,7 +192,7 @@
 		}
 		ch.incoming = nil
 		s.unanswered++
-		if err = p.ticket.Submit(p.message); err == nil {
+		if err = p.loadReservation.Submit(p.message); err == nil {
 			return
 		}
 		s.unanswered--
@@ -205,7 +205,7 @@
 
 // abandon releases what a publish holds that was not accepted.
 func (p *publish) abandon() {
-	p.ticket.Reject()
+	p.loadReservation.Reject()
 	p.releaseReservation()
 }
 
@@ -289,7 +289,7 @@
 }
 
 // Drop counts the answer of a publish whose connection is gone.
-func (p *publish) Drop() { p.ticket.Complete(p.answer.Kind, p.reservation != nil) }
+func (p *publish) Drop() { p.loadReservation.Complete(p.answer.Kind, p.reservation != nil) }
 
 // Run confirms the publish, and returns the message if it was refused. It runs on the connection's event loop.
 func (p *publish) Run(time.Duration) {
@@ -301,7 +301,7 @@
 		notified = !p.channel.closed
 	}
 	s.settle(p.channel, p.tag, p.answer.Kind == engine.Served)
-	p.ticket.Complete(p.answer.Kind, notified || p.reservation != nil)
+	p.loadReservation.Complete(p.answer.Kind, notified || p.reservation != nil)
 }
 
 // receipt returns the full final answer for the answer queue.
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -315,7 +315,7 @@
 // Core turns inputs into events of the library, and actions of the library into calls of Origin, Transport and Discovery.
 type Core struct {
 	options      Options
-	module       *control.Dispatcher
+	dispatcher   *control.Dispatcher
 	guard        *safety.Guard
 	transport    Transport
 	discovery    Discovery
@@ -345,14 +345,14 @@
 // NewCore returns a Core, or the library's error about its settings. discovery may be nil if the setting PullList is off.
 func NewCore(options Options, seed uint64, transport Transport, discovery Discovery, log Logger) (*Core, error) {
 	options.Settings.TrackOutages, options.Settings.EarlyAck = options.Ledger != nil, options.Ledger != nil
-	module, err := control.New(options.Settings, seed)
+	dispatcher, err := control.New(options.Settings, seed)
 	if err != nil {
 		return nil, fmt.Errorf("engine: %w", err)
 	}
 	if options.Guard == nil {
 		options.Guard = safety.NewGuard(options.Settings)
 	}
-	return &Core{options: options, module: module, guard: options.Guard, transport: transport, discovery: discovery, logger: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
+	return &Core{options: options, dispatcher: dispatcher, guard: options.Guard, transport: transport, discovery: discovery, logger: log, messages: map[control.MessageID]*messageState{}, inFlight: map[uint64]*Attempt{},
 		placements: map[control.EndpointID]Placement{}, withdrawnEndpoints: map[control.EndpointID]bool{}, waitingDests: map[int]bool{}}, nil
 }
 
@@ -384,8 +384,8 @@
 	c.cancelUnsent()
 	c.fireTimers()
 	handled := len(c.events)
-	c.actions = c.module.Step(now, c.events, c.actions[:0])
-	if changed := c.module.Outages(); len(changed) > 0 && c.options.Ledger != nil {
+	c.actions = c.dispatcher.Step(now, c.events, c.actions[:0])
+	if changed := c.dispatcher.Outages(); len(changed) > 0 && c.options.Ledger != nil {
 		c.options.Ledger.RecordOutages(changed)
 	}
 	for i := range c.actions {
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -107,7 +107,7 @@
 	// headSize is the size of head, in bytes.
 	headSize int
 	// loadReservation accounts for the current request at admission. It is nil if there is none.
-	ticket *admission.Reservation
+	loadReservation *admission.Reservation
 	// pending is the submitted message whose answer is awaited, nil for none.
 	pending *pendingRequest
 	// answered tells that a request has been answered.
@@ -162,8 +162,8 @@
 		return
 	}
 	s.pending = nil
-	s.ticket.Complete(r.final, true)
-	s.ticket = nil
+	s.loadReservation.Complete(r.final, true)
+	s.loadReservation = nil
 	switch r.final {
 	case engine.Served:
 		s.respond(now, "202 Accepted", 0, r.request.closeAfter)
@@ -206,9 +206,9 @@
 // withdraw abandons the current request.
 func (s *session) withdraw() {
 	s.head, s.headSize = nil, 0
-	if s.ticket != nil {
-		s.ticket.Withdraw()
-		s.ticket = nil
+	if s.loadReservation != nil {
+		s.loadReservation.Withdraw()
+		s.loadReservation = nil
 	}
 	s.pending = nil
 }
@@ -267,11 +267,11 @@
 		s.reject(now, "400 Bad Request")
 		return false
 	}
-	ticket := s.handler.admission.NewReservation(0)
-	s.head, s.headSize, s.ticket = head, n, &ticket
-	if err := s.ticket.Reserve(int(head.Length)); err != nil {
-		s.ticket.Reject()
-		s.ticket = nil
+	loadReservation := s.handler.admission.NewReservation(0)
+	s.head, s.headSize, s.loadReservation = head, n, &loadReservation
+	if err := s.loadReservation.Reserve(int(head.Length)); err != nil {
+		s.loadReservation.Reject()
+		s.loadReservation = nil
 		s.inBuf, s.head = nil, nil
 		s.respond(now, "503 Service Unavailable", refusalRetryAfter, true)
 		return false
@@ -298,8 +298,8 @@
 		s.submit(now, m, head.Close)
 		return
 	}
-	s.ticket.Reject()
-	s.ticket = nil
+	s.loadReservation.Reject()
+	s.loadReservation = nil
 	switch {
 	case head.Method != "GET":
 		s.reject(now, "405 Method Not Allowed")
@@ -320,13 +320,13 @@
 		request := &pendingRequest{session: s, closeAfter: closeAfter}
 		m.Origin = request
 		s.pending = request
-		if s.ticket.Submit(m) == nil {
+		if s.loadReservation.Submit(m) == nil {
 			return
 		}
 	}
 	s.pending = nil
-	s.ticket.Reject()
-	s.ticket = nil
+	s.loadReservation.Reject()
+	s.loadReservation = nil
 	s.respond(now, "503 Service Unavailable", refusalRetryAfter, closeAfter || s.handler.stopping.Load())
 }
 
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -48,12 +48,12 @@
 
 // request is a message that a client sends on a stream, from its header section to its final answer.
 type request struct {
-	session  *session
-	stream   uint32
-	msg      *engine.Message
-	ticket   admission.Reservation
-	complete bool
-	answer   engine.Answer
+	session         *session
+	stream          uint32
+	msg             *engine.Message
+	loadReservation admission.Reservation
+	complete        bool
+	answer          engine.Answer
 
 	// reservation is the reserved place for the receipt. It is nil if the client waits for the answer on the stream.
 	reservation *mailbox.Reservation
@@ -122,7 +122,7 @@
 
 // cancel cancels a request whose client no longer waits for the answer.
 func (r *request) cancel() {
-	r.ticket.Withdraw()
+	r.loadReservation.Withdraw()
 	r.releaseReceipt(r.session.now())
 }
 
@@ -165,7 +165,7 @@
 		s.reply(e.Stream, problem, now)
 		return
 	}
-	r := &request{session: s, stream: e.Stream, msg: msg, ticket: s.admitter.NewReservation(msg.Tenant)}
+	r := &request{session: s, stream: e.Stream, msg: msg, loadReservation: s.admitter.NewReservation(msg.Tenant)}
 	msg.Origin = r
 	if subscriptionURI != "" {
 		r.resourcePath = h2.Value(e.Fields, ":path")
@@ -192,7 +192,7 @@
 		s.reject(r, s.parser.BodyTooLarge(), now)
 		return
 	}
-	if err := r.ticket.Reserve(len(e.Data)); err != nil {
+	if err := r.loadReservation.Reserve(len(e.Data)); err != nil {
 		s.reject(r, rejectionProblem(err), now)
 		return
 	}
@@ -208,7 +208,7 @@
 		return
 	}
 	r.complete = true
-	if err := r.ticket.Submit(r.msg); err != nil {
+	if err := r.loadReservation.Submit(r.msg); err != nil {
 		s.reject(r, rejectionProblem(err), now)
 	} else if r.reservation != nil {
 		s.respondAccepted(r, now)
@@ -228,7 +228,7 @@
 // reject ends a request whose message was not accepted and sends the problem.
 func (s *session) reject(r *request, problem *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
-	r.ticket.Reject()
+	r.loadReservation.Reject()
 	r.releaseReceipt(now)
 	s.reply(r.stream, problem, now)
 }
@@ -256,11 +256,11 @@
 // Run runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
 // the client wanted a receipt, Final has stored it, and Run only counts the answer.
 func (r *request) Run(now time.Duration) {
-	if r.ticket.Ended() {
+	if r.loadReservation.Ended() {
 		r.session.admitter.Undelivered.Add(1)
 		return
 	}
-	r.ticket.Complete(r.answer.Kind, true)
+	r.loadReservation.Complete(r.answer.Kind, true)
 	if r.reservation != nil {
 		return
 	}
@@ -272,7 +272,7 @@
 // Drop counts an answer whose connection is closed. A receipt was stored before and counts as delivered.
 func (r *request) Drop() {
 	if r.reservation != nil {
-		r.ticket.Complete(r.answer.Kind, true)
+		r.loadReservation.Complete(r.answer.Kind, true)
 		return
 	}
 	r.session.admitter.Undelivered.Add(1)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -56,8 +56,8 @@
 
 // Kinds of records.
 const (
-	// ModuleEvent is an event for the library.
-	ModuleEvent RecordKind = iota
+	// DispatcherEvent is an event for the library.
+	DispatcherEvent RecordKind = iota
 
 	// Attach starts an instance.
 	Attach
