--- a/cmd/whinlab/main.go
+++ b/cmd/whinlab/main.go
@@ -77,7 +77,7 @@
 	Log     bool     `help:"Show the dispatcher's own log."`
 }
 
-// compareCmd measures the dispatcher beside a reverse proxy. Its fields are those of compare.Options.
+// compareCmd measures the dispatcher and, for comparison, a reverse proxy. Its fields are those of compare.Options.
 type compareCmd struct {
 	Conns       int           `default:"4" help:"Client connections."`
 	Concurrency int           `default:"128" help:"Messages out at once when measuring throughput."`
@@ -88,7 +88,7 @@
 	Rate        float64       `help:"Messages a second at which latency is measured. Default: half of what the slowest bears."`
 }
 
-// frontsCmd measures the AMQP front beside the HTTP/2 front.
+// frontsCmd compares the AMQP front with the HTTP/2 front.
 type frontsCmd compareCmd
 
 // Run measures until the rounds are over or it is interrupted.
@@ -108,7 +108,7 @@
 	return compare.AuditTrail(ctx, os.Stdout, compare.Options(*c))
 }
 
-// idleCmd measures busy partners beside idle ones. Its fields are those of compare.IdleOptions.
+// idleCmd measures busy partners while others are idle. Its fields are those of compare.IdleOptions.
 type idleCmd struct {
 	Partners int           `default:"20000" help:"Partners in all."`
 	Busy     int           `default:"100" help:"Of them, with the steady load."`
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost runs dispatchers of the decision library behind the batch protocol of package wire. It reads events from standard input, and
+// Command wirehost runs dispatchers of the decision library behind the batch protocol of package wire. It reads events from
+// standard input, and
 // writes and flushes one reply for each batch to standard output.
 package main
 
--- a/control/api.go
+++ b/control/api.go
@@ -236,7 +236,7 @@
 	Reset
 	// Cancelled means that the caller stopped waiting. The attempt was possibly executed.
 	Cancelled
-	// NotExecuted means that the attempt was surely not executed. It tells nothing about the endpoint.
+	// NotExecuted means that the attempt was certainly not executed. It says nothing about the endpoint.
 	NotExecuted
 	// NotSent means that the attempt was never sent. It does not count as an attempt and tells nothing about the endpoint.
 	NotSent
@@ -349,7 +349,7 @@
 	// Refuse is a final answer: the message was not accepted and may safely be sent again by the client. It uses Message, After
 	// and Text. After is the wait that the client is asked to keep.
 	Refuse
-	// Fail is a final answer that promises nothing about the execution of the message. It uses Message and Text.
+	// Fail is a final answer that says nothing about the execution of the message. It uses Message and Text.
 	Fail
 	// Cancel stops waiting for an attempt. It uses Message and Attempt.
 	Cancel
--- a/control/control.go
+++ b/control/control.go
@@ -262,12 +262,12 @@
 	if class.InOrder && e.Key != 0 {
 		queue := d.keys[e.Key]
 		if queue == nil {
-			queue = &keyQueue{key: e.Key, restUntil: d.keysRestUntil}
+			queue = &keyQueue{key: e.Key, blockedUntil: d.keysBlockedUntil}
 			d.keys[e.Key] = queue
 		}
 		m.key = queue
 		if m.possiblyExecuted {
-			queue.restUntil = d.now + d.settings.SettleTime
+			queue.blockedUntil = d.now + d.settings.SettleTime
 		}
 		queue.messages = append(queue.messages, m)
 		d.advanceKey(queue)
@@ -475,7 +475,7 @@
 		return false
 	case d.recordingFails && class.Effect != Idempotent:
 		return false
-	case m.key != nil && (m.key.messages[0] != m || m.attempts == 0 && d.now < m.key.restUntil):
+	case m.key != nil && (m.key.messages[0] != m || m.attempts == 0 && d.now < m.key.blockedUntil):
 		return false
 	case !m.possiblyExecuted || class.Effect == Idempotent:
 		return true
@@ -596,7 +596,7 @@
 			d.markPossiblyExecuted(m, c.sentAt, c.ep.zone)
 		}
 		if m.key != nil && e.Result != ErrorResponse {
-			m.key.restUntil = d.now + d.settings.SettleTime
+			m.key.blockedUntil = d.now + d.settings.SettleTime
 		}
 	}
 	switch {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -322,7 +322,7 @@
 }
 
 // After an attempt that was possibly executed, the effect of the class decides whether the message is sent again and which final
-// answer it gets. An attempt that was surely not executed is always repeated.
+// answer it gets. An attempt that was certainly not executed is always repeated.
 func TestEffectsAfterDoubt(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -475,7 +475,7 @@
 	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2)
 	r.wantSent(r.step(sec/10, outcome(2, 0, Reset), r.keyedArrival(9)), 2) // The repeat is not delayed. The next message of the key waits.
 	r.wantSent(r.step(sec/10, outcome(2, 1, OK)))
-	r.wantSent(r.step(2700 * Millisecond)) // The key rests until 3 s after the reset.
+	r.wantSent(r.step(2700 * Millisecond)) // The key is blocked until 3 s after the reset.
 	if got := sentMessages(r.runFor(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
 		t.Errorf("sent %v after the settle time, want message 4", got)
 	}
--- a/control/manydispatchers_test.go
+++ b/control/manydispatchers_test.go
@@ -190,13 +190,13 @@
 	}
 	r.runFor(2 * housekeepingInterval)
 	dispatcher := r.dispatcher
-	if len(dispatcher.endpointByID) > 2 || len(dispatcher.destByNumber) > 2 || len(dispatcher.dests) > 2 || len(dispatcher.messages) > 0 || len(dispatcher.keys) > 0 || len(dispatcher.restingKeys) > 0 {
+	if len(dispatcher.endpointByID) > 2 || len(dispatcher.destByNumber) > 2 || len(dispatcher.dests) > 2 || len(dispatcher.messages) > 0 || len(dispatcher.keys) > 0 || len(dispatcher.idleKeys) > 0 {
 		t.Errorf("state left: %d endpoints, %d/%d destinations, %d messages, %d/%d keys",
-			len(dispatcher.endpointByID), len(dispatcher.destByNumber), len(dispatcher.dests), len(dispatcher.messages), len(dispatcher.keys), len(dispatcher.restingKeys))
+			len(dispatcher.endpointByID), len(dispatcher.destByNumber), len(dispatcher.dests), len(dispatcher.messages), len(dispatcher.keys), len(dispatcher.idleKeys))
 	}
 }
 
-// A key whose messages are all over still rests, and its next messages wait. A wait outlives the endpoints that asked for it.
+// A key whose messages are all over is still blocked, and its next messages wait. A wait outlives the endpoints that asked for it.
 func TestKeyRestAndRetryAfterOutliveTheirMessages(t *testing.T) {
 	settings := testSettings()
 	settings.SettleTime = 30 * sec
--- a/control/outage.go
+++ b/control/outage.go
@@ -19,7 +19,7 @@
 	DownSince Time
 	// Failures is the number of consecutive calls that failed to connect or got no answer. It applies while Suspected.
 	Failures int
-	// Unreachable tells that the last failed call was surely not executed. It applies while Suspected.
+	// Unreachable tells that the last failed call was certainly not executed. It applies while Suspected.
 	Unreachable bool
 	// Errors is the number of consecutive answers that were errors.
 	Errors int
--- a/control/plays_test.go
+++ b/control/plays_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// A message causes as much work beside 20,000 destinations with a queued message as beside 100. The work is counted and not
+// A message causes as much work with 20,000 other destinations that have a queued message as with 100. The work is counted and not
 // timed. Each dispatch once looked at all of these destinations.
 func TestWorkDoesNotGrowWithActiveDestinations(t *testing.T) {
 	work := func(live int) uint64 {
@@ -277,7 +277,7 @@
 	}
 }
 
-// BenchmarkLive measures one message of a busy destination, in two rounds, beside destinations with a queued message.
+// BenchmarkLive measures one message of a busy destination, in two rounds, while other destinations have a queued message.
 func BenchmarkLive(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000, 20000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -287,7 +287,7 @@
 	}
 }
 
-// BenchmarkIdle measures one message of a busy destination, in two rounds, beside destinations without messages.
+// BenchmarkIdle measures one message of a busy destination, in two rounds, while other destinations have no messages.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []int{100, 20000, 100000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkBusyDestination(b, newDispatcherWithMessages(b, n+1, 0, 256)) })
--- a/control/restored_test.go
+++ b/control/restored_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Attempts that were not sent do not count towards MaxAttempts. Attempts that were sent and surely not executed do.
+// Attempts that were not sent do not count towards MaxAttempts. Attempts that were sent and certainly not executed do.
 func TestNotSentIsNotCountedAsAnAttempt(t *testing.T) {
 	settings := testSettings()
 	r := newRunner(t, settings, entry(1, 0, 0))
@@ -102,7 +102,7 @@
 	r.wantAnswer(actions, Refuse, 1)
 }
 
-// After an earlier process all keys first rest for SettleTime, because its last calls may still be executed. A restored message
+// After an earlier process all keys are first blocked for SettleTime, because its last calls may still be executed. A restored message
 // that already had an attempt is sent at once.
 func TestKeysRestBehindAnotherProcess(t *testing.T) {
 	settings := testSettings()
--- a/control/state.go
+++ b/control/state.go
@@ -38,8 +38,8 @@
 	endpointByID map[EndpointID]*endpoint
 	// endpointByHint finds an endpoint by its hint ID.
 	endpointByHint map[uint32]*endpoint
-	// restingKeys are the keys without messages that are kept until their restUntil.
-	restingKeys []*keyQueue
+	// idleKeys are the keys without messages that are kept until their restUntil.
+	idleKeys []*keyQueue
 	// dests are the destinations that are held in full, because there was a message or a hint for them.
 	dests []*destination
 	// unusedEntries are the list entries of all other destinations, by destination number.
@@ -76,8 +76,8 @@
 	lossShare float64
 	// slotShortage tells that messages wait because all slots are busy.
 	slotShortage bool
-	// keysRestUntil is the restUntil of new keys. Calls of an earlier process may still be running before that.
-	keysRestUntil Time
+	// keysBlockedUntil is the restUntil of new keys. Calls of an earlier process may still be running before that.
+	keysBlockedUntil Time
 	// recordingFails tells that attempts cannot be recorded in the ledger at present.
 	recordingFails bool
 	// subscribed tells that the dispatcher is subscribed to the list.
@@ -144,10 +144,10 @@
 	key uint64
 	// messages are the messages that are not over, oldest first. Only the first one may be sent.
 	messages []*message
-	// restUntil is when the next message may have its first attempt. An earlier message may still be executed before that.
-	restUntil Time
-	// resting tells that the queue is in restingKeys.
-	resting bool
+	// blockedUntil is when the next message may have its first attempt. An earlier message may still be executed before that.
+	blockedUntil Time
+	// idle tells that the queue is in restingKeys.
+	idle bool
 }
 
 // endpoint is a listed endpoint and what was learned about its health.
@@ -575,8 +575,8 @@
 }
 
 // collectGarbage drops state that is not needed any more: gone endpoints without calls, destinations that are unlisted or
-// quiet, and resting keys. A wait is kept until it is over, a draining endpoint while it has calls in flight, and a resting
-// key until its restUntil.
+// quiet, and idle keys. A wait is kept until it is over, a draining endpoint while it has calls in flight, and an idle
+// key until its blockedUntil.
 func (d *Dispatcher) collectGarbage() {
 	for _, dest := range d.dests {
 		dest.endpoints = slices.DeleteFunc(dest.endpoints, func(ep *endpoint) bool {
@@ -615,8 +615,8 @@
 			delete(d.unusedEntries, number)
 		}
 	}
-	d.restingKeys = slices.DeleteFunc(d.restingKeys, func(k *keyQueue) bool {
-		expired := len(k.messages) == 0 && k.restUntil <= d.now
+	d.idleKeys = slices.DeleteFunc(d.idleKeys, func(k *keyQueue) bool {
+		expired := len(k.messages) == 0 && k.blockedUntil <= d.now
 		if expired {
 			delete(d.keys, k.key)
 		}
@@ -784,9 +784,9 @@
 		queue.messages = queue.messages[1:]
 	}
 	if len(queue.messages) == 0 {
-		if !queue.resting { // restUntil still applies to later messages, so the queue is dropped only after it
-			queue.resting = true
-			d.restingKeys = append(d.restingKeys, queue)
+		if !queue.idle { // blockedUntil still applies to later messages, so the queue is dropped only after it
+			queue.idle = true
+			d.idleKeys = append(d.idleKeys, queue)
 		}
 		return
 	}
@@ -841,11 +841,11 @@
 	}
 }
 
-// startMeters starts the rate meters, which need the time of the first round. It also sets how long keys rest after an
-// earlier process.
+// startMeters starts the rate meters, which need the time of the first round. It also sets how long keys are blocked
+// after an earlier process.
 func (d *Dispatcher) startMeters() {
 	if d.settings.HasPredecessor {
-		d.keysRestUntil = d.now + d.settings.SettleTime
+		d.keysBlockedUntil = d.now + d.settings.SettleTime
 	}
 	d.totalRate = rateMeter{timeConstant: demandTimeConstant, updatedAt: d.now, startedAt: d.now}
 	for i := range d.tenantRates {
--- a/internal/compare/compare.go
+++ b/internal/compare/compare.go
@@ -167,7 +167,7 @@
 	return service.Start(cfg, logger, nil)
 }
 
-// measureMemory measures the memory that a held message takes beside its body. It sends 20000 messages for a partner
+// measureMemory measures the memory that a held message takes in addition to its body. It sends 20000 messages for a partner
 // that cannot be reached, so that the dispatcher holds them.
 func measureMemory(ctx context.Context, w io.Writer, o Options) error {
 	const held = 20000
--- a/internal/compare/idle.go
+++ b/internal/compare/idle.go
@@ -15,7 +15,7 @@
 	"whinrun/internal/partner"
 )
 
-// IdleOptions are the parameters of a measurement beside many idle partners.
+// IdleOptions are the parameters of a measurement with many idle partners.
 type IdleOptions struct {
 	// Partners is the number of all partners.
 	Partners int
@@ -44,7 +44,7 @@
 	return b.String()
 }
 
-// Idle measures the latency of the busy partners with and without idle partners beside them, in alternating runs.
+// Idle measures the latency of the busy partners with and without idle partners, in alternating runs.
 func Idle(ctx context.Context, w io.Writer, o IdleOptions) error {
 	log := partner.NewLog(0)
 	standIn := partner.New(partner.Config{Name: "all", ServiceTime: 2 * time.Millisecond, MaxStreams: 1000, Seed: 1}, log)
--- a/internal/engine/core.go
+++ b/internal/engine/core.go
@@ -25,7 +25,7 @@
 	// Refused means that the message was not delivered, and that submitting it again is harmless.
 	Refused
 
-	// Failed means that nothing is promised. The message may or may not have been executed.
+	// Failed means that the message was not confirmed as delivered. It may or may not have been executed.
 	Failed
 )
 
@@ -135,7 +135,7 @@
 }
 
 // Ledger records the state that must outlive the process. Its methods are called on the engine's goroutine. Each is called
-// before the promise that depends on the record: RecordAccept before the sender is told that the message is accepted, and
+// before the answer or call that depends on the record: RecordAccept before the sender is told that the message is accepted, and
 // RecordFinish before anybody is told of its end. The transport records attempts, immediately before they are written.
 type Ledger interface {
 	// RecordAccept records an accepted message with its deadline. An error means that the message is not on record. The
@@ -249,8 +249,8 @@
 	Accepted(m *Message)
 	AttemptStarted(a *Attempt)
 
-	// AttemptEnded is called with after set if the message had its final answer before.
-	AttemptEnded(a *Attempt, e *Outcome, v Classification, after bool)
+	// AttemptEnded is called with late set if the message had its final answer before.
+	AttemptEnded(a *Attempt, e *Outcome, classification Classification, late bool)
 
 	Withdrawn(m *Message)
 	Answered(m *Message, a *Answer)
--- a/internal/ledger/state.go
+++ b/internal/ledger/state.go
@@ -191,7 +191,7 @@
 // too frequent to leave space for records in between. With a smaller one, fewer messages could be held.
 const maxLiveFraction = 0.4
 
-// admits reports whether a message with a record of size bytes fits beside the liveBytes that are outstanding.
+// admits reports whether a message with a record of size bytes fits in addition to the liveBytes that are outstanding.
 func (l spaceLimits) admits(liveBytes int64, size int) bool {
 	return float64(liveBytes)+float64(size+entryOverhead) <= maxLiveFraction*float64(l.usable)
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -363,8 +363,8 @@
 		st := n.loop.Stats()
 		elapsed := n.elapsed() - start
 		idle := st.InFlight == 0 && n.notices.waiting() == 0
-		// The dispatcher stays for drainTimeout even if nothing is left to do. A client that is told when to
-		// retry fares better than one that cannot connect.
+		// The dispatcher stays for drainTimeout even if nothing is left to do. For a client, an answer that
+		// says when to retry is better than a failure to connect.
 		if elapsed > stopTimeout || idle && elapsed > time.Duration(drainTimeout)*time.Microsecond {
 			break
 		}
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -35,10 +35,10 @@
 	t.log.Debug("trace", "%s attempt %d to %s, may begin within %d ms", a.Message.ExternalID, a.Number, t.directory.HostName(a.Endpoint), (a.WriteBefore-a.StartedAt)/control.Millisecond)
 }
 
-// AttemptEnded logs the end of an attempt. after tells that the message already had its final answer.
-func (t messageTrace) AttemptEnded(a *engine.Attempt, e *engine.Outcome, v engine.Classification, after bool) {
+// AttemptEnded logs the end of an attempt. late means that the message had its final answer before.
+func (t messageTrace) AttemptEnded(a *engine.Attempt, e *engine.Outcome, v engine.Classification, late bool) {
 	t.log.Debug("trace", "%s attempt %d to %s ended: %s (%s), wait %d ms, after its end %v", a.Message.ExternalID, a.Number, t.directory.HostName(a.Endpoint), v.Reason, e.Detail,
-		e.RetryAfter/control.Millisecond, after)
+		e.RetryAfter/control.Millisecond, late)
 }
 
 // Withdrawn logs that a message was withdrawn by its sender.
--- a/internal/platform/watchplan.go
+++ b/internal/platform/watchplan.go
@@ -23,7 +23,7 @@
 // passes in the time and owns the connections.
 //
 // Only complete objects and heartbeats are signs of life. While no watch shows any, another one is opened
-// every watchRetryInterval beside those that are open. A silent watch may continue when discovery returns, or
+// every watchRetryInterval in addition to those that are open. A silent watch may continue when discovery returns, or
 // a new one may be needed. The first watch that shows a sign of life closes the others.
 type watchPlan struct {
 	// open holds the open watches, oldest first.
--- a/internal/scenario/check.go
+++ b/internal/scenario/check.go
@@ -357,7 +357,7 @@
 }
 
 // checkOrder checks rule 5. Messages with the same order key are sent one at a time, in the order in which the clients
-// sent them. After an attempt with an unknown end, the key rests for Settings.SettleTime.
+// sent them. After an attempt with an unknown end, the key is blocked for Settings.SettleTime.
 func (c *checker) checkOrder() {
 	rest := time.Duration(c.recording.Settings.SettleTime) * time.Microsecond
 	byKey := map[string][]*attempt{}
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -56,10 +56,10 @@
 	t.log.Enqueue(t.setAttempt(t.newRecord(audit.AttemptStarted, a.Message), a))
 }
 
-// AttemptEnded records the end of an attempt and its verdict. late means that the message had its final answer before.
-func (t *auditTrail) AttemptEnded(a *engine.Attempt, e *engine.Outcome, verdict engine.Classification, late bool) {
+// AttemptEnded records the end of an attempt and its classification. late means that the message had its final answer before.
+func (t *auditTrail) AttemptEnded(a *engine.Attempt, e *engine.Outcome, classification engine.Classification, late bool) {
 	r := t.setAttempt(t.newRecord(audit.AttemptEnded, a.Message), a)
-	r.Result, r.PossiblyExecuted, r.Status, r.WaitMicros, r.Detail, r.AfterAnswer = resultNames[verdict.Result], verdict.PossiblyExecuted, e.Status, int64(e.RetryAfter), verdict.Reason, late
+	r.Result, r.PossiblyExecuted, r.Status, r.WaitMicros, r.Detail, r.AfterAnswer = resultNames[classification.Result], classification.PossiblyExecuted, e.Status, int64(e.RetryAfter), classification.Reason, late
 	r.TookMicros = max(0, t.log.Now().Microseconds()-int64(a.StartedAt))
 	t.log.Enqueue(r)
 }
@@ -97,7 +97,7 @@
 	t.log.Enqueue(r)
 }
 
-// restoreReceipts restores the receipts that an earlier process promised and that were not fetched. A message without a
+// restoreReceipts restores the receipts that an earlier process accepted messages for and that were not fetched. A message without a
 // final answer gets the answer failed, because it may have been sent.
 func (s *Service) restoreReceipts(mailboxes *mailbox.SharedBroker, rules *intake.Registry) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
