--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,5 @@
 // Command wirehost runs dispatchers of the decision library behind the batch protocol of package wire. It reads events from
-// standard input, and
-// writes and flushes one reply for each batch to standard output.
+// standard input, and writes and flushes one reply for each batch to standard output.
 package main
 
 import (
--- a/control/api.go
+++ b/control/api.go
@@ -222,7 +222,7 @@
 
 // Results of an attempt.
 const (
-	// OK means that the endpoint handled the message. An answer that rejects the message for good counts as OK, too.
+	// OK means that the endpoint handled the message. An answer that permanently rejects the message counts as OK, too.
 	OK Result = iota
 	// ErrorResponse means that the endpoint answered with an error. The attempt was possibly executed.
 	ErrorResponse
--- a/internal/amqpfront/amqpfront.go
+++ b/internal/amqpfront/amqpfront.go
@@ -118,7 +118,7 @@
 // NextCheck returns when Check is to be called next.
 func (s *session) NextCheck(now time.Duration) time.Duration { return s.protocol.NextCheck(now) }
 
-// GoAway makes the next Check ask the client to stop publishing for good.
+// GoAway makes the next Check ask the client to stop publishing permanently.
 func (s *session) GoAway(time.Duration) { s.goingAway = true }
 
 // Finish closes the connection after all answers have come.
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// A listening socket that is lost for good must be replaced by a new one.
+// A listening socket that is lost permanently must be replaced by a new one.
 func TestListeningSocketIsLost(t *testing.T) {
 	g, _, f := serve(t, 1)
 	var reopened atomic.Bool
--- a/internal/ledger/outage.go
+++ b/internal/ledger/outage.go
@@ -17,7 +17,7 @@
 	FailedAt clock.Instant `cbor:"3,keyasint,omitempty"`
 	// DownSince is the assumed start of the outage: when the first call of the current series of failures failed.
 	DownSince clock.Instant `cbor:"4,keyasint,omitempty"`
-	// Failures counts the calls in a row that could not connect or got no answer.
+	// Failures counts the consecutive calls that could not connect or got no answer.
 	Failures int `cbor:"5,keyasint,omitempty"`
 	// Unreachable says that the last failed call was certainly not executed.
 	Unreachable bool `cbor:"6,keyasint,omitempty"`
@@ -26,7 +26,7 @@
 	// RefusingSince is since when the endpoint has refused every call, if that has lasted longer than an overload may last. It is 0
 	// otherwise.
 	RefusingSince clock.Instant `cbor:"8,keyasint,omitempty"`
-	// Errors counts the error responses in a row.
+	// Errors counts the consecutive error responses.
 	Errors int `cbor:"9,keyasint,omitempty"`
 	// RampTokens is the number of trials that the demand permits now while the endpoint is suspected, from 0 to 1.
 	RampTokens float64 `cbor:"10,keyasint,omitempty"`
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -1,5 +1,5 @@
-// Package mailbox holds the answer queues: the final answers of messages wait there for the programs that published the
-// messages. A Broker reserves places before messages are accepted and delivers answers to consumers round robin, within
+// Package mailbox holds the answer queues, in which the final answers of messages wait for the programs that published
+// them. A Broker reserves places before messages are accepted and delivers answers to consumers round robin, within
 // prefetch limits. It keeps unacknowledged deliveries and requeues them in order. It is deterministic, does no I/O, and
 // gets the time as an argument. A Broker is not safe for concurrent use; its callers serialise the calls.
 package mailbox
--- a/internal/maintenance/maintenance.go
+++ b/internal/maintenance/maintenance.go
@@ -1,5 +1,5 @@
-// Package maintenance schedules background tasks (sealing, compression, retention, expiry, verification) beside
-// delivery. Tasks run by priority within a CPU budget, which is a share of one core and shrinks while the engine is under
+// Package maintenance schedules background tasks (sealing, compression, retention, expiry, verification) that
+// run alongside delivery. Tasks run by priority within a CPU budget, which is a share of one core and shrinks while the engine is under
 // pressure. A task whose maximum delay has passed runs regardless of the budget. The package is deterministic and does no
 // I/O: the caller passes in the time, the pressure and the cost of each run.
 package maintenance
--- a/internal/partner/partner.go
+++ b/internal/partner/partner.go
@@ -36,7 +36,7 @@
 	ColdShare float64
 	// WarmUp is the time in which the available capacity rises linearly from ColdShare to all of Capacity.
 	WarmUp time.Duration
-	// OverloadFactor is the multiple of the available capacity above which a cold partner fails for good.
+	// OverloadFactor is the multiple of the available capacity above which a cold partner fails permanently.
 	OverloadFactor float64
 	// OverloadWindow is the length of the sliding window in which calls are counted against OverloadFactor.
 	OverloadWindow time.Duration
@@ -201,7 +201,7 @@
 	rateLimit      float64         // calls a second, 0 for no limit
 	sendRetryAfter bool
 	recoveredAt    time.Duration   // end of the last outage, 0 for none
-	overloaded     bool            // the partner has failed for good
+	overloaded     bool            // the partner has failed permanently
 	recentCalls    []time.Duration // arrival times within OverloadWindow
 	lastConnID     int
 }
--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -151,7 +151,7 @@
 }
 
 // A message of a client that disconnects before its answer is withdrawn. A client that disconnects after the
-// answer is still owed the end of its message.
+// answer must still get a notice of the end of its message.
 func TestClientGoesBesideItsAnswer(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -56,7 +56,7 @@
 	a.addrChanged = make(chan struct{})
 }
 
-// stop closes all connections for good.
+// stop closes all connections permanently.
 func (a *agent) stop() {
 	close(a.quit)
 	a.mu.Lock()
--- a/internal/platform/ledgeradapter.go
+++ b/internal/platform/ledgeradapter.go
@@ -56,7 +56,7 @@
 }
 
 // safeToRepeat reports whether a message can be executed again without harm, whoever submits it and whenever.
-// That holds for classes that may be repeated at will, and for guarded classes whose repeats are dropped by
+// That holds for idempotent classes, and for deduplicated classes whose repeats are dropped by
 // all endpoints of the destination and not only by those of one zone.
 func (la *ledgerAdapter) safeToRepeat(m *engine.Message) bool {
 	c := &la.settings.Classes[m.Class]
--- a/internal/platform/listcache.go
+++ b/internal/platform/listcache.go
@@ -32,7 +32,7 @@
 	file *recordfile.File
 	// baseBytes is the size of the record with the whole list, in bytes.
 	baseBytes int
-	// currentList returns the list that is in force.
+	// currentList returns the current list.
 	currentList func() EndpointList
 	// stale tells that the file lacks changes.
 	stale bool
@@ -57,7 +57,7 @@
 	minDeltaBytes = 8 << 10
 )
 
-// newListCache returns the cache in directory fs. currentList returns the list in force; a rewrite saves it.
+// newListCache returns the cache in directory fs. currentList returns the current list; a rewrite saves it.
 func newListCache(fs disk.FS, maxBytes int, currentList func() EndpointList, log func(string, ...any)) *listCache {
 	return &listCache{fs: fs, maxBytes: maxBytes, currentList: currentList, log: log, file: recordfile.New(fs, listFileName), failed: make(chan struct{}, 1)}
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -233,7 +233,7 @@
 }
 
 // firstListTimeout is how long a start waits for discovery's first list. Discovery answers at once or is
-// down. Until it answers, the list at hand may name addresses that now belong to other endpoints.
+// down. Until it answers, the known list may name addresses that now belong to other endpoints.
 const firstListTimeout = 500 * time.Millisecond
 
 // startDiscovery applies the newer of the saved list and the configured one and starts watching discovery. It
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -342,7 +342,7 @@
 	d.checkRules()
 }
 
-// A process takes over what a killed one owed. Messages that may not be executed twice end with a notice if
+// A process takes over the outstanding work of a killed one. Messages that may not be executed twice end with a notice if
 // they were sent, the others are delivered.
 func TestKillAndRestart(t *testing.T) {
 	d := newTestDispatcher(t)
@@ -738,7 +738,7 @@
 	d.checkRules()
 }
 
-// A message with the id of one that is still owed its end is not accepted.
+// A message with the id of one that is still outstanding is not accepted.
 func TestIDTakenTwice(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.addEndpoint("a", 1, "single", alwaysReply(testbed.Reply{Status: 200, Delay: 500 * time.Millisecond}))
--- a/internal/platform/storage_test.go
+++ b/internal/platform/storage_test.go
@@ -73,7 +73,7 @@
 }
 
 // The disk refuses writes, messages end meanwhile, and the process is killed before the disk works again. No
-// sender may be told to submit a message again that the next process still finds owed.
+// sender may be told to submit a message again that the next process still finds outstanding.
 func TestKilledWhileTheDiskRefuses(t *testing.T) {
 	d := newTestDispatcher(t)
 	d.disk = disk.NewMemory()
--- a/internal/service/audit_trail.go
+++ b/internal/service/audit_trail.go
@@ -97,7 +97,7 @@
 	t.log.Enqueue(r)
 }
 
-// restoreReceipts restores the receipts that an earlier process accepted messages for and that were not fetched. A message without a
+// restoreReceipts restores the receipts of messages that an earlier process accepted, if they were not fetched. A message without a
 // final answer gets the answer failed, because it may have been sent.
 func (s *Service) restoreReceipts(mailboxes *mailbox.SharedBroker, rules *intake.Registry) error {
 	since := clock.Wall().Add(-s.cfg.Mailbox.Keep)
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -26,9 +26,9 @@
 	AnswersErrors
 	// ResetsConnections resets the connections of calls.
 	ResetsConnections
-	// RejectsWithWait rejects calls as overloaded and tells to wait until the end of the outage.
+	// RejectsWithWait rejects calls as overloaded and asks to wait until the end of the outage.
 	RejectsWithWait
-	// RejectsWithoutWait rejects calls as overloaded and tells no wait.
+	// RejectsWithoutWait rejects calls as overloaded and asks for no wait.
 	RejectsWithoutWait
 	// outageCount is the number of kinds of outage.
 	outageCount
--- a/internal/testbed/testbed.go
+++ b/internal/testbed/testbed.go
@@ -399,7 +399,7 @@
 	changed chan struct{}
 	// muted stops all answers to watches.
 	muted bool
-	// silencedWatches is the number of the last watch that is silenced for good. Watches are numbered from 1.
+	// silencedWatches is the number of the last watch that is silenced permanently. Watches are numbered from 1.
 	silencedWatches int
 	// openedWatches counts the watches so far.
 	openedWatches int
