--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -108,7 +108,7 @@
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
 	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // Guarded, with a window of 3 s.
+	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // Deduplicated, with a window of 3 s.
 	c.Round(2*control.Second, []Input{in})
 	c.Round(3*control.Second, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
 	for now, ok := c.NextTimer(); len(b.calls) < 2 && ok; now, ok = c.NextTimer() {
@@ -203,7 +203,7 @@
 func TestCallNotOnRecord(t *testing.T) {
 	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class = 2 // Guarded.
+	in.Submit.Class = 2 // Deduplicated.
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "take m1", "told m1", "start 1")
 	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
--- a/internal/platform/close_test.go
+++ b/internal/platform/close_test.go
@@ -150,8 +150,8 @@
 	d.awaitEnds(names)
 }
 
-// A message of a client that disconnects before its answer is withdrawn. A client that disconnects after the
-// answer must still get a notice of the end of its message.
+// A message of a client that disconnects before its answer is withdrawn. The message of a client that disconnects
+// after the answer is still processed to its end.
 func TestClientGoesBesideItsAnswer(t *testing.T) {
 	t.Parallel()
 	d := newTestDispatcher(t)
