--- a/control/api.go
+++ b/control/api.go
@@ -222,7 +222,7 @@
 
 // Results of an attempt.
 const (
-	// OK means that the endpoint handled the message. An answer that rejects the message for good counts as OK, too.
+	// OK means that the endpoint handled the message. An answer that permanently rejects the message counts as OK, too.
 	OK Result = iota
 	// ErrorResponse means that the endpoint answered with an error. The attempt was possibly executed.
 	ErrorResponse
@@ -236,7 +236,7 @@
 	Reset
 	// Cancelled means that the caller stopped waiting. The attempt was possibly executed.
 	Cancelled
-	// NotExecuted means that the attempt was surely not executed. It tells nothing about the endpoint.
+	// NotExecuted means that the attempt was certainly not executed. It says nothing about the endpoint.
 	NotExecuted
 	// NotSent means that the attempt was never sent. It does not count as an attempt and tells nothing about the endpoint.
 	NotSent
@@ -349,7 +349,7 @@
 	// Refuse is a final answer: the message was not accepted and may safely be sent again by the client. It uses Message, After
 	// and Text. After is the wait that the client is asked to keep.
 	Refuse
-	// Fail is a final answer that promises nothing about the execution of the message. It uses Message and Text.
+	// Fail is a final answer that says nothing about the execution of the message. It uses Message and Text.
 	Fail
 	// Cancel stops waiting for an attempt. It uses Message and Attempt.
 	Cancel
@@ -358,8 +358,8 @@
 	Timer
 	// Probe checks an endpoint. It uses Endpoint.
 	Probe
-	// Close closes the idle connections to an endpoint. It uses Endpoint.
-	Close
+	// CloseIdle closes the idle connections to an endpoint. It uses Endpoint.
+	CloseIdle
 	// Watch subscribes to the endpoint list. It is only returned with Settings.PullList. The caller answers with one ListUpdate
 	// and reports changes from then on.
 	Watch
--- a/control/control.go
+++ b/control/control.go
@@ -108,7 +108,7 @@
 	hintSize        = 4    // An encoded hint has this many bytes.
 
 	hintWaitUnit  = 20 * Millisecond // This is the unit of the wait in a hint.
-	defaultHold   = Second / 2       // A destination at its limit is held for this long if no wait was told.
+	defaultHold   = Second / 2       // A destination at its limit is held for this long if no wait was given.
 	maxSpread     = 8 * Second       // The release after a hold is spread over at most this.
 	gossipTimeout = 3 * Second       // Gossip counts as lost if none was received for this long.
 
@@ -262,12 +262,12 @@
 	if class.InOrder && e.Key != 0 {
 		queue := d.keys[e.Key]
 		if queue == nil {
-			queue = &keyQueue{key: e.Key, restUntil: d.keysRestUntil}
+			queue = &keyQueue{key: e.Key, blockedUntil: d.keysBlockedUntil}
 			d.keys[e.Key] = queue
 		}
 		m.key = queue
 		if m.possiblyExecuted {
-			queue.restUntil = d.now + d.settings.SettleTime
+			queue.blockedUntil = d.now + d.settings.SettleTime
 		}
 		queue.messages = append(queue.messages, m)
 		d.advanceKey(queue)
@@ -475,7 +475,7 @@
 		return false
 	case d.recordingFails && class.Effect != Idempotent:
 		return false
-	case m.key != nil && (m.key.messages[0] != m || m.attempts == 0 && d.now < m.key.restUntil):
+	case m.key != nil && (m.key.messages[0] != m || m.attempts == 0 && d.now < m.key.blockedUntil):
 		return false
 	case !m.possiblyExecuted || class.Effect == Idempotent:
 		return true
@@ -596,7 +596,7 @@
 			d.markPossiblyExecuted(m, c.sentAt, c.ep.zone)
 		}
 		if m.key != nil && e.Result != ErrorResponse {
-			m.key.restUntil = d.now + d.settings.SettleTime
+			m.key.blockedUntil = d.now + d.settings.SettleTime
 		}
 	}
 	switch {
@@ -612,10 +612,10 @@
 	return r == LimitExceeded || r == ConnectFailed || r == NotExecuted || r == NotSent
 }
 
-// settleMessage takes a message off its call. The first outcome is evaluated, the last one frees the slot.
+// settleMessage removes a message from its call. The first outcome is evaluated, the last one frees the slot.
 func (d *Dispatcher) settleMessage(c *call, e *Event) {
 	c.pending--
-	if e.RetryAfter > 0 { // every outcome of a call may tell a wait
+	if e.RetryAfter > 0 { // every outcome of a call may ask for a wait
 		c.ep.limiter.waitUntil = max(c.ep.limiter.waitUntil, d.now+e.RetryAfter+d.settings.Tick)
 		c.ep.dest.eachQueued(d.expire) // the wait outlasts the deadline of some messages
 	}
@@ -736,7 +736,7 @@
 }
 
 // rampAfterRefusals starts the ramp of all that share a limit that has refused for longer than MaxOverload,
-// as they may have been down. A wait tells when they return. The cost is a ramp where a limit was lowered.
+// as they may have been down. A wait says when they return. The cost is a ramp where a limit was lowered.
 func (d *Dispatcher) rampAfterRefusals(ep *endpoint, at Time) {
 	for _, other := range ep.dest.endpoints {
 		since := ep.limiter.refusingSince
@@ -946,7 +946,7 @@
 func (d *Dispatcher) closeScarceConns() {
 	for _, ep := range d.freedEndpoints {
 		if len(ep.calls) == 0 && ep.connOpen && d.now < ep.dest.kind.scarceUntil {
-			d.actions = append(d.actions, Action{Kind: Close, Endpoint: ep.id})
+			d.actions = append(d.actions, Action{Kind: CloseIdle, Endpoint: ep.id})
 			ep.connOpen = false
 		}
 	}
@@ -958,14 +958,14 @@
 func (d *Dispatcher) prepareConn(ep *endpoint) Time {
 	idle := d.now - ep.usedAt
 	if ep.connOpen && ep.dest.kind.dropShare > atMostOnceDropShare && ep.dest.hasQueuedEffect(AtMostOnce) {
-		d.actions = append(d.actions, Action{Kind: Close, Endpoint: ep.id})
+		d.actions = append(d.actions, Action{Kind: CloseIdle, Endpoint: ep.id})
 		return 0
 	} else if len(ep.calls) > 0 || !ep.connOpen {
 		return 0
 	} else if idle <= d.maxIdleAge(ep.dest) && ep.failedConnIdle == 0 {
 		return idle
 	} else if idle < d.settings.ConnIdleTimeout {
-		d.actions = append(d.actions, Action{Kind: Close, Endpoint: ep.id})
+		d.actions = append(d.actions, Action{Kind: CloseIdle, Endpoint: ep.id})
 	}
 	ep.connOpen = false
 	return 0
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -322,7 +322,7 @@
 }
 
 // After an attempt that was possibly executed, the effect of the class decides whether the message is sent again and which final
-// answer it gets. An attempt that was surely not executed is always repeated.
+// answer it gets. An attempt that was certainly not executed is always repeated.
 func TestEffectsAfterDoubt(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -475,7 +475,7 @@
 	r.wantSent(r.step(sec/10, outcome(1, 0, OK)), 2)
 	r.wantSent(r.step(sec/10, outcome(2, 0, Reset), r.keyedArrival(9)), 2) // The repeat is not delayed. The next message of the key waits.
 	r.wantSent(r.step(sec/10, outcome(2, 1, OK)))
-	r.wantSent(r.step(2700 * Millisecond)) // The key rests until 3 s after the reset.
+	r.wantSent(r.step(2700 * Millisecond)) // The key is blocked until 3 s after the reset.
 	if got := sentMessages(r.runFor(300 * Millisecond)); !slices.Equal(got, []MessageID{4}) {
 		t.Errorf("sent %v after the settle time, want message 4", got)
 	}
@@ -550,7 +550,7 @@
 	settings.Instances = 20
 	r := newRunner(t, settings, entry(1, 0, 0), entry(2, 0, 0), entry(3, 0, 1))
 	closed := func(actions []Action, e EndpointID) bool {
-		return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == Close && a.Endpoint == e })
+		return slices.ContainsFunc(actions, func(a Action) bool { return a.Kind == CloseIdle && a.Endpoint == e })
 	}
 	r.wantSent(r.step(0, r.arrival(idempotent, 1)), 1)
 	if closed(r.step(sec/10, outcome(1, 0, OK)), endpointID(1, 0)) {
@@ -581,13 +581,13 @@
 		r.wantSent(r.step(3*sec, r.arrival(idempotent, 1)), r.lastID)
 		actions := r.step(sec/10, outcome(r.lastID, 0, Reset)) // It is sent again at once on a new connection.
 		r.wantSent(actions, r.lastID)
-		if actions[0].Kind != Close {
+		if actions[0].Kind != CloseIdle {
 			t.Fatalf("sent again without closing the connection: %+v", actions)
 		}
 		r.step(sec/10, outcome(r.lastID, 1, OK))
 	}
 	actions := r.step(2900*Millisecond, r.arrival(atMostOnce, 1))
-	if len(actions) != 2 || actions[0].Kind != Close || actions[1].Kind != Send {
+	if len(actions) != 2 || actions[0].Kind != CloseIdle || actions[1].Kind != Send {
 		t.Errorf("the connection that was idle for too long was not closed before an at-most-once message: %+v", actions)
 	}
 	r.step(sec/10, outcome(r.lastID, 0, OK))
--- a/internal/engine/ledger_test.go
+++ b/internal/engine/ledger_test.go
@@ -108,7 +108,7 @@
 func TestRepeatThatWaitsPastItsWindow(t *testing.T) {
 	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // Guarded, with a window of 3 s.
+	in.Submit.Class, in.Submit.Lifetime = 2, 4*control.Second // Deduplicated, with a window of 3 s.
 	c.Round(2*control.Second, []Input{in})
 	c.Round(3*control.Second, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: Answered, Status: 500}}})
 	for now, ok := c.NextTimer(); len(b.calls) < 2 && ok; now, ok = c.NextTimer() {
@@ -185,7 +185,7 @@
 	}
 }
 
-// TestLedgerFull checks that a message that cannot be recorded is refused, and that the module forgets it.
+// TestLedgerFull checks that a message that cannot be recorded is refused, and that the library forgets it.
 func TestLedgerFull(t *testing.T) {
 	b, c := newSpy(t)
 	b.ledgerFull = true
@@ -198,12 +198,12 @@
 	}
 }
 
-// TestCallNotOnRecord checks an attempt that could not be recorded and so was not made. The message must go on, and the module
+// TestCallNotOnRecord checks an attempt that could not be recorded and so was not made. The message must go on, and the library
 // must not send until it is told that the ledger can be written again.
 func TestCallNotOnRecord(t *testing.T) {
 	b, c := newSpy(t)
 	in := b.msg(1, 2, 10)
-	in.Submit.Class = 2 // Guarded.
+	in.Submit.Class = 2 // Deduplicated.
 	c.Round(2*control.Second, []Input{in})
 	b.want(t, "take m1", "told m1", "start 1")
 	c.Round(2*control.Second+1000, []Input{{Outcome: &Outcome{Seq: b.calls[0][0].Seq, Kind: NotRecorded}}})
--- a/internal/outbound/pool.go
+++ b/internal/outbound/pool.go
@@ -47,8 +47,8 @@
 	// Record records attempts that are written next, as one call, before any byte is sent. It returns those that
 	// may be written: all of them, or, with an error, those that need no record.
 	Record(call []*engine.Attempt) (writable []*engine.Attempt, err error)
-	// TakenBack reports that an attempt for which Write returned nil was not written after all.
-	TakenBack(a *engine.Attempt)
+	// MarkUnwritten reports that an attempt for which Write returned nil was not written after all.
+	MarkUnwritten(a *engine.Attempt)
 }
 
 // session is the protocol state of one connection. Only the connection's event loop uses it. It reports the ends
@@ -360,7 +360,7 @@
 	}
 	s.requested = true
 	first := s.pending[0].attempts[0].attempt
-	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Worth, Deadline: time.Duration(first.Deadline) * time.Microsecond,
+	p.scheduler.Enqueue(dialscheduler.Request{Key: uint64(s.id), Priority: first.Value, Deadline: time.Duration(first.Deadline) * time.Microsecond,
 		RecentlyActive: s.activeUntil > p.clock.Now()})
 	p.wakeScheduler()
 }
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -45,8 +45,8 @@
 	tenants map[string]int
 	// knowsDestination reports whether a destination is in the endpoint list or was until recently.
 	knowsDestination func(dest int) bool
-	// isOwed reports whether a message with an id is still owed its end, or its notice is not acknowledged.
-	isOwed func(name string) bool
+	// isOutstanding reports whether a message with an id has no final answer, or its notice is not acknowledged.
+	isOutstanding func(name string) bool
 	// ready reports whether an endpoint list is known.
 	ready func() bool
 	// admission limits and counts the clients' messages and connections.
@@ -93,7 +93,7 @@
 	peer string
 	// lastID is the id of the last submitted message, for the trace.
 	lastID string
-	// deliver passes a parcel to the connection's event loop.
+	// deliver passes a task to the connection's event loop.
 	deliver func(front.Task) bool
 	// opened is when the connection was accepted.
 	opened time.Duration
@@ -106,8 +106,8 @@
 	head *h1.Request
 	// headSize is the size of head, in bytes.
 	headSize int
-	// ticket is the admission ticket of the current request, nil for none.
-	ticket *admission.Reservation
+	// loadReservation accounts for the current request at admission. It is nil if there is none.
+	loadReservation *admission.Reservation
 	// pending is the submitted message whose answer is awaited, nil for none.
 	pending *pendingRequest
 	// answered tells that a request has been answered.
@@ -131,16 +131,16 @@
 	accepted bool
 }
 
-// submitResult is the answer that a sender is to get. It implements front.Parcel.
+// submitResult is the answer that a sender is to get. It implements front.Task.
 type submitResult struct {
 	request *pendingRequest
 	// final is how the message ended, Served if it was accepted.
 	final engine.AnswerKind
-	// retryAfter is the wait that a refused sender is told.
+	// retryAfter is the wait that is sent to a refused sender.
 	retryAfter control.Time
 }
 
-// Accepted implements engine.Taker.
+// Accepted implements engine.AcceptNotifier.
 func (r *pendingRequest) Accepted(*engine.Message) {
 	r.accepted = true
 	r.session.deliver(submitResult{request: r, final: engine.Served})
@@ -154,16 +154,16 @@
 	}
 }
 
-// Open implements front.Parcel. It answers the request on the connection's event loop.
-func (r submitResult) Open(now time.Duration) {
+// Run implements front.Task. It answers the request on the connection's event loop.
+func (r submitResult) Run(now time.Duration) {
 	s := r.request.session
 	// The sender has abandoned the request.
 	if s.pending != r.request {
 		return
 	}
 	s.pending = nil
-	s.ticket.Complete(r.final, true)
-	s.ticket = nil
+	s.loadReservation.Complete(r.final, true)
+	s.loadReservation = nil
 	switch r.final {
 	case engine.Served:
 		s.respond(now, "202 Accepted", 0, r.request.closeAfter)
@@ -175,8 +175,8 @@
 	s.processInput(now)
 }
 
-// Lost implements front.Parcel. The Lost method of the session withdraws the message.
-func (submitResult) Lost() {}
+// Drop implements front.Task. It does nothing, because session.ConnClosed withdraws the message.
+func (submitResult) Drop() {}
 
 // respond writes a response. A positive retryAfter is sent as Retry-After. The connection ends after the
 // response if closeAfter is set, or if the session is going away and no input is left.
@@ -206,9 +206,9 @@
 // withdraw abandons the current request.
 func (s *session) withdraw() {
 	s.head, s.headSize = nil, 0
-	if s.ticket != nil {
-		s.ticket.Withdraw()
-		s.ticket = nil
+	if s.loadReservation != nil {
+		s.loadReservation.Withdraw()
+		s.loadReservation = nil
 	}
 	s.pending = nil
 }
@@ -267,11 +267,11 @@
 		s.reject(now, "400 Bad Request")
 		return false
 	}
-	ticket := s.handler.admission.NewReservation(0)
-	s.head, s.headSize, s.ticket = head, n, &ticket
-	if err := s.ticket.Reserve(int(head.Length)); err != nil {
-		s.ticket.Reject()
-		s.ticket = nil
+	loadReservation := s.handler.admission.NewReservation(0)
+	s.head, s.headSize, s.loadReservation = head, n, &loadReservation
+	if err := s.loadReservation.Reserve(int(head.Length)); err != nil {
+		s.loadReservation.Reject()
+		s.loadReservation = nil
 		s.inBuf, s.head = nil, nil
 		s.respond(now, "503 Service Unavailable", refusalRetryAfter, true)
 		return false
@@ -298,8 +298,8 @@
 		s.submit(now, m, head.Close)
 		return
 	}
-	s.ticket.Reject()
-	s.ticket = nil
+	s.loadReservation.Reject()
+	s.loadReservation = nil
 	switch {
 	case head.Method != "GET":
 		s.reject(now, "405 Method Not Allowed")
@@ -320,13 +320,13 @@
 		request := &pendingRequest{session: s, closeAfter: closeAfter}
 		m.Origin = request
 		s.pending = request
-		if s.ticket.Submit(m) == nil {
+		if s.loadReservation.Submit(m) == nil {
 			return
 		}
 	}
 	s.pending = nil
-	s.ticket.Reject()
-	s.ticket = nil
+	s.loadReservation.Reject()
+	s.loadReservation = nil
 	s.respond(now, "503 Service Unavailable", refusalRetryAfter, closeAfter || s.handler.stopping.Load())
 }
 
@@ -361,7 +361,7 @@
 	if h.ready() && !h.knowsDestination(dest) {
 		return nil, "404 Not Found"
 	}
-	if h.isOwed(values[0]) {
+	if h.isOutstanding(values[0]) {
 		return nil, "409 Conflict"
 	}
 	orderKey, ok := parseOrderKey(r.Fields)
@@ -422,7 +422,7 @@
 
 // Check implements front.Session. It ends connections that have timed out.
 func (s *session) Check(now time.Duration) error {
-	due := s.Due(now)
+	due := s.NextCheck(now)
 	if due == 0 || now < due || s.closing {
 		return nil
 	}
@@ -437,8 +437,8 @@
 	return nil
 }
 
-// Due implements front.Session.
-func (s *session) Due(time.Duration) time.Duration {
+// NextCheck implements front.Session.
+func (s *session) NextCheck(time.Duration) time.Duration {
 	switch {
 	case s.closing || s.pending != nil:
 		return 0
@@ -473,7 +473,7 @@
 	}
 }
 
-// Full implements front.Filler.
+// Full implements front.ReadPauser.
 func (s *session) Full() bool { return s.pending != nil && len(s.inBuf) > maxPipelinedBytes }
 
 // Idle implements front.Idler.
@@ -488,11 +488,11 @@
 	return out
 }
 
-// Owes implements front.Session.
-func (s *session) Owes() bool { return s.pending != nil }
+// Pending implements front.Session.
+func (s *session) Pending() bool { return s.pending != nil }
 
 // Done implements front.Session.
 func (s *session) Done() bool { return s.closing && s.pending == nil }
 
-// Lost implements front.Session. A message that was not answered before its client disconnected is withdrawn.
-func (s *session) Lost() { s.withdraw() }
+// ConnClosed implements front.Session. A message that was not answered before its client disconnected is withdrawn.
+func (s *session) ConnClosed() { s.withdraw() }
--- a/internal/pushfront/pushfront.go
+++ b/internal/pushfront/pushfront.go
@@ -1,4 +1,4 @@
-// Package pushfront serves clients over HTTP/2. Clients hand in messages by push (RFC 8030), and the final answer to a
+// Package pushfront serves clients over HTTP/2. Clients submit messages by push (RFC 8030), and the final answer to a
 // message is the response on its stream. The package makes no delivery decisions. A message that it rejects was never
 // accepted.
 package pushfront
@@ -48,12 +48,12 @@
 
 // request is a message that a client sends on a stream, from its header section to its final answer.
 type request struct {
-	session  *session
-	stream   uint32
-	msg      *engine.Message
-	ticket   admission.Reservation
-	complete bool
-	answer   engine.Answer
+	session         *session
+	stream          uint32
+	msg             *engine.Message
+	loadReservation admission.Reservation
+	complete        bool
+	answer          engine.Answer
 
 	// reservation is the reserved place for the receipt. It is nil if the client waits for the answer on the stream.
 	reservation *mailbox.Reservation
@@ -83,11 +83,11 @@
 	return s.h2conn.Check(now)
 }
 
-// Due returns when Check must run next. That is in a second while requests, streams or the handshake are open, and
+// NextCheck returns when Check must run next. That is in a second while requests, streams or the handshake are open, and
 // otherwise when the idle timeout ends. It is 0 if there is no idle timeout.
-func (s *session) Due(now time.Duration) time.Duration {
+func (s *session) NextCheck(now time.Duration) time.Duration {
 	switch {
-	case s.Owes():
+	case s.Pending():
 		return now + time.Second
 	case s.cfg.IdleTimeout > 0:
 		return s.idleSince + s.cfg.IdleTimeout + time.Millisecond
@@ -104,16 +104,16 @@
 // Output returns the bytes to write to the client and clears them.
 func (s *session) Output() []byte { return s.h2conn.Output() }
 
-// Owes reports whether requests or streams are open, or the handshake is not complete.
-func (s *session) Owes() bool {
+// Pending reports whether requests or streams are open, or the handshake is not complete.
+func (s *session) Pending() bool {
 	return len(s.requests) > 0 || !s.h2conn.SettingsReceived() || s.h2conn.OpenStreams() > 0
 }
 
 // Done reports whether all streams have ended after a GOAWAY.
 func (s *session) Done() bool { return s.h2conn.Done() }
 
-// Lost cancels the requests whose answers the client was waiting for.
-func (s *session) Lost() {
+// ConnClosed cancels the requests whose answers the client was waiting for.
+func (s *session) ConnClosed() {
 	for _, r := range s.requests {
 		r.cancel()
 	}
@@ -122,7 +122,7 @@
 
 // cancel cancels a request whose client no longer waits for the answer.
 func (r *request) cancel() {
-	r.ticket.Withdraw()
+	r.loadReservation.Withdraw()
 	r.releaseReceipt(r.session.now())
 }
 
@@ -165,7 +165,7 @@
 		s.reply(e.Stream, problem, now)
 		return
 	}
-	r := &request{session: s, stream: e.Stream, msg: msg, ticket: s.admitter.NewReservation(msg.Tenant)}
+	r := &request{session: s, stream: e.Stream, msg: msg, loadReservation: s.admitter.NewReservation(msg.Tenant)}
 	msg.Origin = r
 	if subscriptionURI != "" {
 		r.resourcePath = h2.Value(e.Fields, ":path")
@@ -192,7 +192,7 @@
 		s.reject(r, s.parser.BodyTooLarge(), now)
 		return
 	}
-	if err := r.ticket.Reserve(len(e.Data)); err != nil {
+	if err := r.loadReservation.Reserve(len(e.Data)); err != nil {
 		s.reject(r, rejectionProblem(err), now)
 		return
 	}
@@ -208,7 +208,7 @@
 		return
 	}
 	r.complete = true
-	if err := r.ticket.Submit(r.msg); err != nil {
+	if err := r.loadReservation.Submit(r.msg); err != nil {
 		s.reject(r, rejectionProblem(err), now)
 	} else if r.reservation != nil {
 		s.respondAccepted(r, now)
@@ -228,7 +228,7 @@
 // reject ends a request whose message was not accepted and sends the problem.
 func (s *session) reject(r *request, problem *push.Problem, now time.Duration) {
 	delete(s.requests, r.stream)
-	r.ticket.Reject()
+	r.loadReservation.Reject()
 	r.releaseReceipt(now)
 	s.reply(r.stream, problem, now)
 }
@@ -245,7 +245,7 @@
 	if r.reservation != nil {
 		r.storeReceipt(&a)
 		if !r.session.conn.Post(r) {
-			r.Lost()
+			r.Drop()
 		}
 		return
 	}
@@ -253,14 +253,14 @@
 	r.session.conn.Post(r)
 }
 
-// Open runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
-// the client wanted a receipt, Final has stored it, and Open only counts the answer.
-func (r *request) Open(now time.Duration) {
-	if r.ticket.Ended() {
+// Run runs on the event loop and sends the final answer, unless the client has canceled the message in the meantime. If
+// the client wanted a receipt, Final has stored it, and Run only counts the answer.
+func (r *request) Run(now time.Duration) {
+	if r.loadReservation.Ended() {
 		r.session.admitter.Undelivered.Add(1)
 		return
 	}
-	r.ticket.Complete(r.answer.Kind, true)
+	r.loadReservation.Complete(r.answer.Kind, true)
 	if r.reservation != nil {
 		return
 	}
@@ -269,10 +269,10 @@
 	_ = r.session.h2conn.Respond(now, r.stream, reply.Fields, reply.Body)
 }
 
-// Lost counts an answer whose connection is closed. A receipt was stored before and counts as heard.
-func (r *request) Lost() {
+// Drop counts an answer whose connection is closed. A receipt was stored before and counts as delivered.
+func (r *request) Drop() {
 	if r.reservation != nil {
-		r.ticket.Complete(r.answer.Kind, true)
+		r.loadReservation.Complete(r.answer.Kind, true)
 		return
 	}
 	r.session.admitter.Undelivered.Add(1)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -64,7 +64,7 @@
 	protocol := &partnerProtocol{endpoints: s.endpoints, resources: cfg.PartnerResources, dialects: cfg.Dialects, ids: ids, wall: clock.Wall}
 	guard := safety.NewGuard(cfg.Control)
 	poolConfig := cfg.Outbound
-	poolConfig.Admission = sendPermits{guard}
+	poolConfig.Admission = guardAdmission{guard}
 	s.pool, err = outbound.New(poolConfig, outbound.NewHTTP2(protocol), s.clock, func(e engine.Outcome) { s.loop.Enqueue(engine.Input{Outcome: &e}) })
 	if err != nil {
 		return nil, err
@@ -195,7 +195,7 @@
 // now returns the monotonic time of the dispatcher's clock.
 func (s *Service) now() time.Duration { return clock.Elapsed(s.clock) }
 
-// Info implements engine.Log. It also writes the text to the audit trail, because the text reports what the decision library
+// Info implements engine.Logger. It also writes the text to the audit trail, because the text reports what the decision library
 // has learned about partners, such as their recovery from an outage.
 func (s *Service) Info(text string) {
 	s.log.Info("module", "%s", text)
@@ -204,7 +204,7 @@
 	}
 }
 
-// InternalError implements engine.Log.
+// InternalError implements engine.Logger.
 func (s *Service) InternalError(text string) { s.log.Error("engine", "%s", text) }
 
 // Stop shuts a dispatcher down gracefully. It sends GOAWAY to clients, rejects new messages, waits for the answers to the
@@ -248,20 +248,20 @@
 	s.closeTrail(orderly)
 }
 
-// sendPermits implements outbound.Permits with the safety guard alone. It records nothing, because this kind of dispatcher
+// guardAdmission implements outbound.Admission with the safety guard alone. It records nothing, because this kind of dispatcher
 // keeps no ledger.
-type sendPermits struct{ guard *safety.Guard }
+type guardAdmission struct{ guard *safety.Guard }
 
 // Write asks the guard whether an attempt may be written now.
-func (p sendPermits) Write(now control.Time, a *engine.Attempt) error {
+func (p guardAdmission) Write(now control.Time, a *engine.Attempt) error {
 	return p.guard.Write(now, a.SafetyCall())
 }
 
 // Record permits all attempts of a call.
-func (sendPermits) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
+func (guardAdmission) Record(call []*engine.Attempt) ([]*engine.Attempt, error) { return call, nil }
 
-// TakenBack tells the guard that a permitted attempt was not written.
-func (p sendPermits) TakenBack(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
+// MarkUnwritten tells the guard that a permitted attempt was not written.
+func (p guardAdmission) MarkUnwritten(a *engine.Attempt) { p.guard.RevokeWrite(a.SafetyCall()) }
 
 // partnerProtocol builds requests and interprets responses in the dialect of each partner's kind.
 type partnerProtocol struct {
